--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -575,6 +575,8 @@
 def test_a_seed_repeats_exactly():
     assert Fleet(5, SMALL).run().digest() == Fleet(5, SMALL).run().digest()
     assert Fleet(5, SMALL).run().digest() != Fleet(6, SMALL).run().digest()
+    assert Fleet(5, SMALL).run().byte_digest() == Fleet(5, SMALL).run().byte_digest()
+    assert Fleet(5, SMALL).run().byte_digest() != Fleet(6, SMALL).run().byte_digest()
 
 
 def patch_join(kind, join):
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -13,6 +13,7 @@
 from weldbend.interface import Phase, Result
 from weldbend.lab.virtual.run import Run, Setup
 from weldbend.logic import Gate
+from weldbend.thrift.messages import Process
 
 SEEDS = range(1, 9)  # within so many every sabotage is caught
 SETUP = Setup(seconds=6.0, faults=8, orders=0.1, edits=0.15)
@@ -41,6 +42,28 @@
     assert len(told) == 1 and "', '" in told.pop()
 
 
+def test_the_byte_digest_tells_runs_apart_and_holds_when_a_class_is_renamed(monkeypatch):
+    setup = Setup(seconds=3.0)
+    first = Run(3, setup).play()
+    assert first.byte_digest != Run(4, setup).play().byte_digest
+    monkeypatch.setattr(Process, "__repr__", lambda self: "Renamed()")
+    renamed = Run(3, setup).play()
+    assert renamed.digest() != first.digest()
+    assert renamed.byte_digest == first.byte_digest
+
+
+def test_the_byte_digest_notices_one_byte_that_differs(monkeypatch):
+    setup = Setup(seconds=3.0)
+    before = Run(3, setup).play().byte_digest
+    order = words.order
+
+    def altered(wish, action, source, left):
+        return order(wish, action, source, left) | {"rank": "1"}
+
+    monkeypatch.setattr(words, "order", altered)
+    assert Run(3, setup).play().byte_digest != before
+
+
 def patched(monkeypatch, owner, name, made):
     monkeypatch.setattr(owner, name, made(getattr(owner, name)))
 
--- a/weldbend/lab/cli.py
+++ b/weldbend/lab/cli.py
@@ -356,7 +356,8 @@
 @click.option("--jobs", type=click.IntRange(1, 64), default=4, show_default=True)
 @FLEET
 @JSON
-def faults_command(seeds: str, jobs: int, fleet: bool, path: str | None) -> None:
+@click.option("--digests", help="write each seed's digest of raw bytes there, a line a seed")
+def faults_command(seeds: str, jobs: int, fleet: bool, path: str | None, digests: str | None) -> None:
     """Play seeds of the deterministic laboratory, and fail where a rule breaks."""
     from weldbend.lab.fleet.fronts import FleetSetup
     from weldbend.lab.virtual.run import Setup
@@ -370,6 +371,9 @@
         found.append(row)
         for text in (*row["breaches"][:3], *row["faults"][:3]):
             click.echo(f"seed {row['seed']}: {text}")
+    if digests:
+        lines = [f"{row['seed']} {row['byte_digest']}\n" for row in found]
+        Path(digests).write_text("".join(lines), "utf-8")
     report = totals(found)
     show(path or "-", report)
     if report["broken"] or report["faulty"]:
@@ -395,7 +399,15 @@
     for text in (*map(str, result.breaches), *result.faults, *result.differ):
         click.echo(text)
     click.echo(
-        json.dumps({"seed": seed, "digest": result.digest(), "strikes": result.strikes} | result.counts)
+        json.dumps(
+            {
+                "seed": seed,
+                "digest": result.digest(),
+                "byte_digest": result.byte_digest,
+                "strikes": result.strikes,
+            }
+            | result.counts
+        )
     )
     if result.breaches or result.faults or result.differ:
         raise SystemExit(1)
--- a/weldbend/lab/fleet/virtual.py
+++ b/weldbend/lab/fleet/virtual.py
@@ -101,6 +101,15 @@
         self.said: list[tuple[float, str, str, tuple, Node]] = []
         self.counts: Counter[str] = Counter()
         self.faults: list[str] = []
+        self._bytes = hashlib.sha256()
+
+    def record_bytes(self, path: str, data: bytes) -> None:
+        """Add a message that is sent now to the byte digest."""
+        self._bytes.update(f"{self.now!r} {path} {len(data)}\n".encode() + data)
+
+    def byte_digest(self) -> str:
+        """Digest of every message sent so far as it is encoded, with its time and path."""
+        return self._bytes.hexdigest()
 
     # Time and network.
 
@@ -112,8 +121,10 @@
 
     def datagram(self, node: Node, send: Send) -> None:
         way = node.name, send.to
+        data = m.encode(send.body)
+        self.record_bytes(f"datagram {way[0]}>{way[1]}", data)
         self.counts["datagrams"] += 1
-        self.counts["datagram bytes"] += len(m.encode(send.body)) + 80
+        self.counts["datagram bytes"] += len(data) + 80
         loss = max(self.setup.loss, self.lossy.get(way, 0.0))
         if not self.passes(*way) or self.rng.random() < loss:
             return
@@ -170,7 +181,9 @@
         since = self.links.get(pair)
         if since is None:
             return
-        size = len(m.encode(say.body)) + 80
+        data = m.encode(say.body)
+        self.record_bytes(f"link {node.name}>{say.to}", data)
+        size = len(data) + 80
         self.counts["link messages"] += 1
         self.counts["link bytes"] += size
         self.counts["snapshot bytes"] += size * isinstance(say.body, m.Piece)
@@ -178,7 +191,7 @@
         delay = 0.001 + self.rng.random() * 0.01 + self.slow.get(way, 0.0)
         at = max(self.now + delay, self.arrival.get(way, 0.0))
         self.arrival[way] = at
-        sent = m.read_linked(m.encode(say.body))
+        sent = m.read_linked(data)
         self.after(at - self.now, lambda: self.link_arrive(pair, since, way, sent))
 
     def link_arrive(self, pair: tuple[str, str], since: float, way: tuple[str, str], body: m.Linked) -> None:
--- a/weldbend/lab/virtual/machines.py
+++ b/weldbend/lab/virtual/machines.py
@@ -5,6 +5,7 @@
 would tell them. Bytes arrive in order, split and delayed by chance drawn from the run's seed.
 """
 
+import hashlib
 import heapq
 import itertools
 import random
@@ -64,6 +65,16 @@
         self.events = 0
         self.watch: Callable[[Transport, Transport], None] = lambda near, far: None  # told of each connection
         self.faults: list[str] = []  # exceptions out of protocols: a real reactor would log them
+        self.connections = itertools.count(1)
+        self._bytes = hashlib.sha256()
+
+    def record_bytes(self, path: str, data: bytes) -> None:
+        """Add bytes that go on their way now to the digest; no name of the program's code enters it."""
+        self._bytes.update(f"{self.now!r} {path} {len(data)}\n".encode() + data)
+
+    def byte_digest(self) -> str:
+        """Digest of all bytes sent so far on every connection and in every datagram, with their times."""
+        return self._bytes.hexdigest()
 
     def unix(self) -> float:
         return EPOCH + self.now
@@ -291,6 +302,7 @@
     def write(self, data: bytes, to: tuple[str, int]) -> None:
         """One datagram: lost, doubled, late or out of order as the way has it."""
         world, way = self.world, (self.machine.host, to[0])
+        world.record_bytes(f"datagram {self.machine.host}>{to[0]}:{to[1]}", data)
         if not world.passes(*way) or world.chance.random() < world.lossy.get(way, 0.0):
             return
         for _ in range(1 + (world.chance.random() < world.doubled.get(way, 0.01))):
@@ -317,6 +329,7 @@
 
     def __init__(self, machine: Machine, peer_host: str) -> None:
         self.machine, self.world, self.peer_host = machine, machine.world, peer_host
+        self.number = next(self.world.connections)
         self.peer: Transport | None = None
         self.protocol: Any = None
         self.producer: Any = None
@@ -350,6 +363,7 @@
 
     def hand_over(self, data: bytes) -> None:
         """Bytes that go on their way now, in pieces as chance has it."""
+        self.world.record_bytes(f"{self.number} {self.machine.host}>{self.peer_host}", data)
         if self.tap:
             self.tap(data)
         assert self.peer
--- a/weldbend/lab/virtual/run.py
+++ b/weldbend/lab/virtual/run.py
@@ -151,6 +151,7 @@
     faults: list[str]
     strikes: dict[str, int] = field(default_factory=dict)
     differ: list[str] = field(default_factory=list)
+    byte_digest: str = ""  # of raw bytes and their times: names in the code do not change it
 
     def digest(self) -> str:
         return hashlib.sha256("\n".join(self.log).encode()).hexdigest()
@@ -436,7 +437,14 @@
         differ = self.disagreements()
         struck = dict(self.injector.struck)
         return Result(
-            self.seed, breaches, dict(self.auditor.counts), self.log, self.world.faults, struck, differ
+            self.seed,
+            breaches,
+            dict(self.auditor.counts),
+            self.log,
+            self.world.faults,
+            struck,
+            differ,
+            self.world.byte_digest(),
         )
 
     def disagreements(self) -> list[str]:
--- a/weldbend/lab/virtual/search.py
+++ b/weldbend/lab/virtual/search.py
@@ -24,6 +24,7 @@
     return {
         "seed": seed,
         "digest": result.digest(),
+        "byte_digest": result.byte_digest,
         "breaches": [str(breach) for breach in result.breaches],
         "faults": [*result.faults, *result.differ],
         "counts": result.counts,
