--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -8,7 +8,7 @@
 import time
 from pathlib import Path
 
-from weldbend.fleet.views import differences
+from weldbend.fleet.view_comparison import differences
 
 
 class Fleet:
--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -7,16 +7,17 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from weldbend import interface as face
 from weldbend.buffers.ring import Ring
-from weldbend.bus.events import event as bus_event
-from weldbend.front.life import Front as Door
-from weldbend.front.site import read_site
-from weldbend.interface import Effect, Hint, Phase, Result, Role, Scale, Scope
-from weldbend.lab import calls, site
-from weldbend.lab.calls import give_up, message, probe
-from weldbend.lab.site import SETTINGS, listing, target
-from weldbend.logic import Router
+from weldbend.event_bus.events import event as bus_event
+from weldbend.front.configuration import read_site
+from weldbend.front.server import Front as Door
+from weldbend.routing import interface as face
+from weldbend.routing.interface import Effect, Hint, Phase, Result, Role, Scale, Scope
+from weldbend.routing.router import Router
+from weldbend.testbed.emulator import configuration as emulated_configuration
+from weldbend.testbed.emulator.configuration import SETTINGS, listing, target
+from weldbend.testbed.load import client_calls
+from weldbend.testbed.load.client_calls import give_up, message, probe
 from weldbend.thrift.framing import next_frame
 
 __all__ = ["give_up", "listing", "message", "probe", "target"]
@@ -138,18 +139,18 @@
 
 
 def configuration(targets=TARGETS, **held):
-    return site.configuration(targets, settings=SETTINGS | {"unknown": 1}, **held)
+    return emulated_configuration.configuration(targets, settings=SETTINGS | {"unknown": 1}, **held)
 
 
 def process(seqid, body=b"", **fields):
     number = f"{seqid:016x}"
     held = {"class": "photo", "id": number, "wait": "6000", "key": KEY, "nth": "0", "batch": "3", "kb": "640"}
-    return calls.process(seqid, {k: v for k, v in (held | fields).items() if v is not None}, body)
+    return client_calls.process(seqid, {k: v for k, v in (held | fields).items() if v is not None}, body)
 
 
 def answer_text(data):
     """One answer as a client reads it, in a line."""
-    heard = calls.read_answer(data)
+    heard = client_calls.read_answer(data)
     match heard.outcome:
         case "exception":
             return f"{heard.seqid} exception {heard.fields['kind']}: {heard.body.decode()}"
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -4,9 +4,9 @@
 
 from fronts import CACHES, SITE, Front, content, entry
 
-from weldbend import interface as face
-from weldbend.interface import Effect, Hint, Phase, Result, Role, Scope
-from weldbend.logic import Mark, Pull
+from weldbend.routing import interface as face
+from weldbend.routing.interface import Effect, Hint, Phase, Result, Role, Scope
+from weldbend.routing.router import Mark, Pull
 
 
 def test_second_request_keeps_at_the_edge_and_leaves_no_copy():
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -21,8 +21,8 @@
 from test_process import LONG, Program, ask, commands, heard, site
 
 from weldbend.caches.connection import STALL
-from weldbend.checks import odd
-from weldbend.front.site import read_site
+from weldbend.front.configuration import read_site
+from weldbend.invariants import odd
 
 __all__ = ["site"]
 BODY = b"x" * 200_000
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,12 +11,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from weldbend.bus.sse import Parser as EventParser
-from weldbend.lab import calls
-from weldbend.lab.fault.engine import Deed, Injector, What
-from weldbend.lab.fault.messages import Message, Splitter, read_line, read_thrift, rewrite
-from weldbend.lab.fault.plan import BadPlan, Direction, plan, read_plan
-from weldbend.lines import commands
+from weldbend.cache_protocol import commands
+from weldbend.event_bus.sse import Parser as EventParser
+from weldbend.testbed.faults.engine import Deed, Injector, What
+from weldbend.testbed.faults.messages import Message, Splitter, read_line, read_thrift, rewrite
+from weldbend.testbed.faults.plan import BadPlan, Direction, plan, read_plan
+from weldbend.testbed.load import client_calls
 from weldbend.thrift import messages
 from weldbend.thrift.messages import read_call
 
@@ -132,7 +132,7 @@
 def test_corruption_of_an_answer_that_still_parses(field):
     raw = messages.answer("process", 7, b"photo" * 9, {"ok304": "1"}, True)
     found = rewrite("thrift", Message(raw, read_thrift(raw)), field, "12")
-    heard = calls.read_answer(found[4:])
+    heard = client_calls.read_answer(found[4:])
     assert len(found) == 4 + int.from_bytes(found[:4])
     assert (heard.seqid, heard.body) == ((12, b"photo" * 9) if field == "seqid" else (7, b"12"))
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,16 +12,16 @@
 from hypothesis import strategies as st
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.bridge import Bridge
-from weldbend.fleet.catchup import Exchange, Weight, awake, neighbours
-from weldbend.fleet.copies import RULES, Copies, Log
-from weldbend.fleet.members import LEAP, Membership, Sight, State
+from weldbend.fleet.anti_entropy import Exchange, Weight, awake, neighbours
+from weldbend.fleet.conservative_merge import FAR_OFFSET, MOST_PURGES, Purges, held_state
+from weldbend.fleet.front_adapter import Bridge
+from weldbend.fleet.membership import LEAP, Membership, Sight, State
+from weldbend.fleet.message_authentication import BadKeys, BadSeal, Sealer, read_keys
 from weldbend.fleet.outbox import Outbox
-from weldbend.fleet.seal import BadKeys, BadSeal, Sealer, read_keys
-from weldbend.fleet.strict import FAR_OFFSET, MOST_PURGES, Purges, held_state
-from weldbend.fleet.terms import Peer, Terms
-from weldbend.lab.fleet import audit as auditor
-from weldbend.lab.fleet.virtual import Fleet, Setup
+from weldbend.fleet.replicated_store import RULES, Copies, Log
+from weldbend.fleet.settings import Peer, Terms
+from weldbend.testbed.fleet import auditor as auditor
+from weldbend.testbed.fleet.fleet_model import Fleet, Setup
 
 ONE, TWO = {b"aaaa": b"1" * 32}, {b"bbbb": b"2" * 32}
 
@@ -758,7 +758,7 @@
 
 def test_a_front_without_a_fleet_loads_none_of_it():
     code = (
-        "import sys; import weldbend.front.life, weldbend.cli\n"
+        "import sys; import weldbend.front.server, weldbend.cli\n"
         "print(sorted(n for n in sys.modules if 'weldbend.fleet' in n or n.split('.')[0] == 'msgspec'))"
     )
     done = subprocess.run(
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -4,12 +4,12 @@
 from loguru import logger
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.bridge import Bridge
-from weldbend.fleet.catchup import Weight
-from weldbend.fleet.links import LinkEnd, framed
-from weldbend.fleet.members import State
-from weldbend.lab.fleet.fronts import FleetRun, FleetSetup
-from weldbend.lab.virtual.audit import Auditor
+from weldbend.fleet.anti_entropy import Weight
+from weldbend.fleet.front_adapter import Bridge
+from weldbend.fleet.membership import State
+from weldbend.fleet.peer_connections import LinkEnd, framed
+from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
+from weldbend.testbed.simulation.auditor import Auditor
 
 QUIET = {"faults": 0, "between": 0, "orders": 0.1}
 
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -2,10 +2,10 @@
 
 import pytest
 
-from weldbend.lab.fault.plan import BadPlan
-from weldbend.lab.fleet.fronts import FleetRun, FleetSetup
-from weldbend.lab.fleet.plan import plan
-from weldbend.lab.fleet.play import Player
+from weldbend.testbed.faults.plan import BadPlan
+from weldbend.testbed.fleet.plan import plan
+from weldbend.testbed.fleet.plan_player import Player
+from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
 
 
 class Written:
--- a/tests/test_installation.py
+++ b/tests/test_installation.py
@@ -7,11 +7,11 @@
 import pytest
 from fronts import configuration
 
-from weldbend.fleet.terms import Limited
-from weldbend.fleet.terms import Terms as Fleet
+from weldbend.fleet.settings import Limited
+from weldbend.fleet.settings import Terms as Fleet
+from weldbend.idle_connections.policy import Terms
 from weldbend.installation.keys import SECTIONS, shown
-from weldbend.installation.read import BadInstallation, read_installation
-from weldbend.parking.rules import Terms
+from weldbend.installation.reader import BadInstallation, read_installation
 
 
 def written(tmp_path, text):
@@ -90,10 +90,10 @@
 
 def test_a_front_loads_neither_laboratory_nor_file_reader_and_logs_objects(tmp_path):
     code = (
-        "import sys; from loguru import logger; from weldbend import logs; import weldbend.front.life\n"
+        "import sys; from loguru import logger; from weldbend import logs; import weldbend.front.server\n"
         "logs.start('info', 'json'); logger.bind(most=3, level='x').info('told {}', {'a': 1})\n"
         "print(sorted(m for m in sys.modules if m.split('.')[0] in ('configobj', 'hdrh', 'numpy', 'h2')\n"
-        " or m.startswith(('weldbend.lab', 'weldbend.installation'))))"
+        " or m.startswith(('weldbend.testbed', 'weldbend.installation'))))"
     )
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
     assert done.stdout.strip() == "[]", done.stdout
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -7,12 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from weldbend import interface as face
-from weldbend.fleet import evidence, keyed, popular
-from weldbend.fleet.evidence import Teller, Word, combined, weight
-from weldbend.fleet.members import Member, State
-from weldbend.fleet.popular import Slots, Wishes
-from weldbend.interface import Effect, Ran, Result, Role, Scope
+from weldbend.fleet import health_reports, idempotency, popularity
+from weldbend.fleet.health_reports import Teller, Word, combined, weight
+from weldbend.fleet.membership import Member, State
+from weldbend.fleet.popularity import Slots, Wishes
+from weldbend.routing import interface as face
+from weldbend.routing.interface import Effect, Ran, Result, Role, Scope
 
 # Deduped downloads that may have run elsewhere.
 
@@ -54,18 +54,20 @@
 
 def test_the_first_pull_is_dated_by_the_stricter_clock():
     value = ("c:1", 99_000)  # at 99 s of the writer's Unix clock
-    assert keyed.ran(value, said=11.0, now=12.0, unix=101.0) == Ran("", 1, 10.0), "told again since"
+    assert idempotency.ran(value, said=11.0, now=12.0, unix=101.0) == Ran("", 1, 10.0), "told again since"
     assert (
-        keyed.ran(value, said=11.0, now=12.0, unix=95.0).sent == 11.0
+        idempotency.ran(value, said=11.0, now=12.0, unix=95.0).sent == 11.0
     ), "a clock ahead makes no window longer"
-    assert keyed.ran(value, said=11.0, now=12.0, unix=500.0).sent == 11.0, "one minutes behind is not heeded"
-    assert keyed.ran(("!", 99_000), 11.0, 12.0, 101.0).zone == "!"
-    assert keyed.ran(("z:upper", 99_000), 11.0, 12.0, 101.0).zone == "upper"
-    assert keyed.group_of(Scope.ALL, "z", 4) == ""
+    assert (
+        idempotency.ran(value, said=11.0, now=12.0, unix=500.0).sent == 11.0
+    ), "one minutes behind is not heeded"
+    assert idempotency.ran(("!", 99_000), 11.0, 12.0, 101.0).zone == "!"
+    assert idempotency.ran(("z:upper", 99_000), 11.0, 12.0, 101.0).zone == "upper"
+    assert idempotency.group_of(Scope.ALL, "z", 4) == ""
 
 
 def test_what_cannot_be_known_counts_as_run_for_a_window_and_no_longer():
-    doubt, here = keyed.Doubt(3.0), Member("b", epoch=5, state=State.ALIVE, heard=9.0)
+    doubt, here = idempotency.Doubt(3.0), Member("b", epoch=5, state=State.ALIVE, heard=9.0)
     assert not doubt.holds(True, {}, [here], 10.0)
     assert doubt.holds(False, {}, [here], 10.0), "not caught up"
     assert doubt.holds(True, {"b": 9.0}, [here], 10.0), "its link was lost a second ago"
@@ -94,7 +96,7 @@
     assert weight(old) == pytest.approx(weight(plain) / 2) and weight(far) == weight(plain) / 2
     (own_line,) = words((0.0, 4.0), whole=(2.0, 40.0))
     assert weight(own_line) < 0.02 * weight(plain)
-    assert weight(words((0.0, 4.0), age=evidence.SPAN + 1)[0]) == 0
+    assert weight(words((0.0, 4.0), age=health_reports.SPAN + 1)[0]) == 0
 
 
 @settings(max_examples=200, derandomize=True)
@@ -105,7 +107,7 @@
 def test_whatever_is_claimed_evidence_is_bounded(told, whole):
     found = [Word(f"w{n}", near, age, (good, bad), whole) for n, (good, bad, age, near) in enumerate(told)]
     good, bad = combined(found)
-    assert math.isfinite(good) and good + bad <= evidence.MOST * max(len(found) - 1, 0) + 1e-6
+    assert math.isfinite(good) and good + bad <= health_reports.MOST * max(len(found) - 1, 0) + 1e-6
 
 
 def test_a_front_speaks_of_what_ends_badly_and_says_when_it_is_well_again():
@@ -141,16 +143,16 @@
 def test_a_slot_is_told_whole_and_counted_once_for_each_front():
     slots = Slots()
     assert slots.turn(0.0) is None
-    names = [popular.hash_of("a", part) for part in range(50)]
+    names = [popularity.hash_of("a", part) for part in range(50)]
     for name in names * 3:
         slots.asked(name)
     assert slots.turn(1.0) is None
-    number, text = slots.turn(popular.SLOT)
+    number, text = slots.turn(popularity.SLOT)
     wishes = Wishes()
     for item in ("1|n2", "1|n3", "1|n3"):
         wishes.take(item, text, 100.0)
     assert number == 1 and {wishes.of(name) for name in names} == {2}
-    wishes.take("1|n3", popular.packed(names[:1]), 200.0)
+    wishes.take("1|n3", popularity.packed(names[:1]), 200.0)
     assert wishes.of(names[0]) == 2 and wishes.of(names[1]) == 1
     wishes.forget(100.0)
     assert wishes.of(names[0]) == 1 and wishes.of(names[1]) == 0
@@ -160,19 +162,19 @@
 
 def test_slots_and_what_is_held_of_them_are_bounded(monkeypatch):
     slots = Slots(begun=0.0)
-    for name in range(popular.NAMES + 10):
+    for name in range(popularity.NAMES + 10):
         slots.asked(name)
     assert slots.left_out == 10
     _, text = slots.turn(5.0)
     assert len(text) <= 2048, "the codec's bound on one text"
     wishes = Wishes()
-    for bad in ("not base85 \x01", popular.packed(list(range(popular.NAMES + 1))), text + "00"):
+    for bad in ("not base85 \x01", popularity.packed(list(range(popularity.NAMES + 1))), text + "00"):
         wishes.take("1|n2", bad, 9.0)
     assert wishes.unread == 3 and wishes.names == 0
-    monkeypatch.setattr(popular, "MOST", popular.NAMES)
+    monkeypatch.setattr(popularity, "MOST", popularity.NAMES)
     wishes.take("1|n2", text, 9.0)
     wishes.take("2|n2", text, 9.0)
-    assert wishes.names == popular.NAMES and wishes.unread == 4
+    assert wishes.names == popularity.NAMES and wishes.unread == 4
 
 
 def test_a_wish_that_another_front_had_before_counts_as_the_second_one():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -10,11 +10,11 @@
 from hypothesis import strategies as st
 
 from weldbend.buffers.ring import Ring
-from weldbend.lab.commands import BadCommand, Command, Parser, answer
-from weldbend.lab.load import Plan
-from weldbend.lab.objects import Sizes, body, key_of
-from weldbend.lab.world import Box, World
-from weldbend.lines import commands
+from weldbend.cache_protocol import commands
+from weldbend.testbed.emulator.cache_commands import BadCommand, Command, Parser, answer
+from weldbend.testbed.emulator.cache_model import Box, World
+from weldbend.testbed.emulator.objects import Sizes, body, key_of
+from weldbend.testbed.load.generator import Plan
 
 KEY = key_of(1)
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,13 +9,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from weldbend.fleet import demand
-from weldbend.fleet.demand import Borrow, Demand, GiveBack, Turn, Use, rank
-from weldbend.fleet.needs import FLOOR, Need, part
-from weldbend.fleet.shares import PARTS, Borrower, Granted, Ledger, Loan, Times, owned
-from weldbend.lab.fleet.model import Model, Scope
-from weldbend.lab.fleet.rates import LIMIT, Rates, Shape, drawn, search
-from weldbend.measures import Chance
+from weldbend.fleet import lease_policy
+from weldbend.fleet.demand_share import FLOOR, Need, part
+from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, Ledger, Loan, Times, owned
+from weldbend.fleet.lease_policy import Borrow, Demand, GiveBack, Turn, Use, rank
+from weldbend.routing.measures import Chance
+from weldbend.testbed.fleet.lease_model import Model, Scope
+from weldbend.testbed.fleet.quota_experiment import LIMIT, Rates, Shape, drawn, search
 
 TIMES = Times(term=2.0, window=1.0, drift=0.01)
 
@@ -288,7 +288,7 @@
     held.refused = {"b": 99.0, "c": 99.0}
     assert held.plans(0.2, ledger, ["b", "c"], NOW) == []
     held.looked(1.2, Use(0.0, 150.0, 150.0))
-    assert held.plans(0.2 + demand.PATIENCE, ledger, ["b", "c"], NOW) == [GiveBack("b")]
+    assert held.plans(0.2 + lease_policy.PATIENCE, ledger, ["b", "c"], NOW) == [GiveBack("b")]
 
 
 # Many fronts, their network and clocks.
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -8,11 +8,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from weldbend.checks import odd
-from weldbend.parking import rules
-from weldbend.parking.rules import Pace, Seen, Terms, Verdict
-from weldbend.parking.table import Memory, Table
-from weldbend.parking.wheel import Wheel
+from weldbend.idle_connections import policy
+from weldbend.idle_connections.connection_table import Memory, Table
+from weldbend.idle_connections.policy import Pace, Seen, Terms, Verdict
+from weldbend.idle_connections.timer_wheel import Wheel
+from weldbend.invariants import odd
 
 LOOKED = 0.25  # seconds between two looks
 
@@ -46,19 +46,19 @@
         (12.1, {"partial": True, "begun": 10.0}, Verdict.HALF),
         (12.1, {"partial": True, "begun": 10.0, "calls": 0}, Verdict.HALF),
     ]:
-        assert rules.verdict(terms, replace(seen, **change), when) is verdict, (when, change)
-    assert rules.verdict(replace(terms, park=0.0), seen, 14.4, live=9999) is Verdict.STAY
-    assert [rules.verdict(terms, seen, 10.2, live) for live in (256, 257)] == [Verdict.STAY, Verdict.PARK]
-    assert rules.verdict(terms, replace(seen, calls=8), 10.2, 999) is Verdict.STAY
+        assert policy.verdict(terms, replace(seen, **change), when) is verdict, (when, change)
+    assert policy.verdict(replace(terms, park=0.0), seen, 14.4, live=9999) is Verdict.STAY
+    assert [policy.verdict(terms, seen, 10.2, live) for live in (256, 257)] == [Verdict.STAY, Verdict.PARK]
+    assert policy.verdict(terms, replace(seen, calls=8), 10.2, 999) is Verdict.STAY
 
 
 def test_who_makes_room_and_when_the_port_rests():
     shown = [(0, 1.0), (2, 0.5), (1, 0.9), (0, 0.2), (1, 9.99)]
-    assert sorted(shown, key=lambda one: rules.precedence(*one, 10.0)) == [
+    assert sorted(shown, key=lambda one: policy.precedence(*one, 10.0)) == [
         (0, 0.2), (0, 1.0), (1, 0.9), (2, 0.5), (1, 9.99),
     ]  # fmt: skip
-    assert [rules.leaving(n, 32) for n in (0, 31, 32, 40)] == [0, 0, 2, 2] and rules.leaving(1, 1) == 1
-    assert [rules.rests(n, 32) for n in (31, 32)] == [False, True]
+    assert [policy.leaving(n, 32) for n in (0, 31, 32, 40)] == [0, 0, 2, 2] and policy.leaving(1, 1) == 1
+    assert [policy.rests(n, 32) for n in (31, 32)] == [False, True]
 
 
 def test_a_batch_grows_while_turns_are_short_and_halves_when_they_are_long():
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -8,9 +8,9 @@
 from fronts import KEY, give_up, message, probe, process
 
 from weldbend.buffers.ring import Ring
-from weldbend.bus import sse
-from weldbend.bus.events import BadEvent, Ban, Topology, read_event
-from weldbend.lines import answers
+from weldbend.cache_protocol import answers
+from weldbend.event_bus import sse
+from weldbend.event_bus.events import BadEvent, Ban, Topology, read_event
 from weldbend.thrift import binary, framing, messages
 from weldbend.thrift.binary import BadMessage
 from weldbend.thrift.framing import BadFrame
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -10,9 +10,9 @@
 import pytest
 from fronts import SITE, entry
 
-from weldbend import interface as face
-from weldbend.interface import Hint, Phase, Result, Role, Scale
-from weldbend.logic import Router
+from weldbend.routing import interface as face
+from weldbend.routing.interface import Hint, Phase, Result, Role, Scale
+from weldbend.routing.router import Router
 
 WORK, WINDOW, MULTIPLE, STARTED = 0.5, 2.0, 2.0, 5.0
 STEP = 0.02
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from weldbend.lab.site import SETTINGS
 from weldbend.simhost.host import serve
+from weldbend.testbed.emulator.configuration import SETTINGS
 
 START = f"""sync 1000000
 for 3
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,15 +8,15 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from weldbend import interface as face
-from weldbend.bus.events import event as bus_event
-from weldbend.bus.reader import BusReader
-from weldbend.checks import odd
-from weldbend.front import words
+from weldbend.event_bus.events import event as bus_event
+from weldbend.event_bus.reader import BusReader
+from weldbend.front import request_codec
 from weldbend.front.clock import Clock
-from weldbend.front.life import Front as Door
-from weldbend.front.site import read_site
+from weldbend.front.configuration import read_site
+from weldbend.front.server import Front as Door
 from weldbend.front.timers import Timers
+from weldbend.invariants import odd
+from weldbend.routing import interface as face
 from weldbend.thrift import binary
 
 ORDER = "queue=order,path=7f3a9c21e0b4d655,blk=0,budget=6000,uniq=5c0f6e1a2b3d4c59,mode=j"
@@ -643,8 +643,10 @@
 
 def test_a_fault_at_the_door_leaves_the_connection_that_others_share(monkeypatch):
     stage = Stage()
-    ended = words.ended
-    monkeypatch.setattr(words, "ended", lambda name, *rest: 1 / 0 if name == "1" else ended(name, *rest))
+    ended = request_codec.ended
+    monkeypatch.setattr(
+        request_codec, "ended", lambda name, *rest: 1 / 0 if name == "1" else ended(name, *rest)
+    )
     loop, perform = stage.door.loop, stage.door.loop.perform
     loop.perform = lambda act: 1 / 0 if isinstance(act, face.SendPull) and act.id == "3" else perform(act)
     stage.say(stage.client(), process(1), process(2), process(3), process(4))
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -3,12 +3,12 @@
 import pytest
 from loguru import logger
 
-from weldbend.fleet import verdicts
-from weldbend.fleet.evidence import Word
-from weldbend.fleet.terms import Limited
-from weldbend.fleet.verdicts import Court, Stand, cast_out, judged, started
-from weldbend.lab.fleet.fronts import QUICK, FleetRun, FleetSetup
-from weldbend.lab.virtual.audit import Auditor
+from weldbend.fleet import outlier_detection
+from weldbend.fleet.health_reports import Word
+from weldbend.fleet.outlier_detection import Court, Stand, cast_out, judged, started
+from weldbend.fleet.settings import Limited
+from weldbend.testbed.fleet.simulated_fleet import QUICK, FleetRun, FleetSetup
+from weldbend.testbed.simulation.auditor import Auditor
 
 WELL, BAD = (9.0, 0.0), (1.0, 8.0)
 ZONES = {"a": "u", "b": "u", "c": "l", "d": "l"}
@@ -42,7 +42,7 @@
 
 def test_what_is_bad_for_one_zone_is_that_zones_verdict():
     records = {"a": BAD, "b": BAD, "c": WELL, "d": WELL}
-    assert verdict("u", **records) == verdicts.Judged(True, ("a", "b"), "u")
+    assert verdict("u", **records) == outlier_detection.Judged(True, ("a", "b"), "u")
     assert not verdict("l", **records).bad
     assert verdict("u", a=BAD, b=BAD, c=BAD, d=BAD).zone == ""
 
@@ -55,7 +55,7 @@
 
 
 def trier_of(uid, round_, here="abcd"):
-    return max(here, key=lambda name: verdicts.rank(uid, round_, name))
+    return max(here, key=lambda name: outlier_detection.rank(uid, round_, name))
 
 
 def test_a_verdict_ends_one_tries_and_the_others_follow_by_a_ramp():
@@ -70,11 +70,11 @@
     assert set(turn(0.0, e1=words(a=BAD, b=BAD)).values()) == {0.0}
     assert set(turn(1.9).values()) == {0.0}
     trial = turn(2.0)
-    assert trial == {name: (verdicts.TRIES_WITH if name == tries else 0.0) for name in "abcd"}
+    assert trial == {name: (outlier_detection.TRIES_WITH if name == tries else 0.0) for name in "abcd"}
     turn(3.0, e1=words(**{tries: (1.0, 8.0)}))
     assert turn(3.5, e1=words(**{tries: (1.0, 8.0)})) == trial, "what it holds from before is no outcome"
     ramp = turn(4.0, e1=words(**{tries: (4.0, 7.0)}))
-    assert set(ramp.values()) == {verdicts.FIRST}
+    assert set(ramp.values()) == {outlier_detection.FIRST}
     assert {round(part, 2) for part in turn(6.0).values()} == {0.55}
     assert set(turn(8.0).values()) == {1.0}
     assert courts["a"].cases["e1"].stand is Stand.OPEN
@@ -92,7 +92,7 @@
             held(court, now := now + 0.5, e1=words(**{trier_of("e1", case.round): (1.0, bad)}))
         assert case.stand is Stand.SHUT
         terms.append(case.until - now)
-    assert terms[:3] == [2.0, 3.0, 4.5] and terms[-1] == verdicts.SHUT_MOST
+    assert terms[:3] == [2.0, 3.0, 4.5] and terms[-1] == outlier_detection.SHUT_MOST
 
 
 def test_where_who_tries_says_nothing_another_one_does():
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -8,11 +8,11 @@
 
 from weldbend.caches.connection import CacheConnection, Lost
 from weldbend.clients.connection import Client
-from weldbend.front import words
-from weldbend.front.loop import Loop
-from weldbend.interface import Phase, Result
-from weldbend.lab.virtual.run import Run, Setup
-from weldbend.logic import Gate
+from weldbend.front import request_codec
+from weldbend.front.dispatcher import Loop
+from weldbend.routing.interface import Phase, Result
+from weldbend.routing.router import Gate
+from weldbend.testbed.simulation.run import Run, Setup
 from weldbend.thrift.messages import Process
 
 SEEDS = range(1, 9)  # within so many every sabotage is caught
@@ -29,7 +29,7 @@
 def test_the_same_seed_gives_the_same_log_in_other_processes():
     code = (
         "from loguru import logger; logger.remove()\n"
-        "from weldbend.lab.virtual.run import Run, Setup\n"
+        "from weldbend.testbed.simulation.run import Run, Setup\n"
         "print([Run(seed, Setup(seconds=4.0)).play().digest() for seed in (3, 4)])"
     )
     told = set()
@@ -55,12 +55,12 @@
 def test_the_byte_digest_notices_one_byte_that_differs(monkeypatch):
     setup = Setup(seconds=3.0)
     before = Run(3, setup).play().byte_digest
-    order = words.order
+    order = request_codec.order
 
     def altered(wish, action, source, left):
         return order(wish, action, source, left) | {"rank": "1"}
 
-    monkeypatch.setattr(words, "order", altered)
+    monkeypatch.setattr(request_codec, "order", altered)
     assert Run(3, setup).play().byte_digest != before
 
 
@@ -90,7 +90,7 @@
 
 
 def takes_a_reset_for_never_run(monkeypatch):
-    monkeypatch.setitem(words.LOSSES, Lost.RESET, Result.MOOT)
+    monkeypatch.setitem(request_codec.LOSSES, Lost.RESET, Result.MOOT)
 
 
 def lets_every_repeat_pass(monkeypatch):
@@ -113,9 +113,9 @@
 
 
 def takes_draining_for_ready(monkeypatch):
-    from weldbend.bus import names
+    from weldbend.event_bus import endpoint_names
 
-    monkeypatch.setitem(names.PHASES, "draining", Phase.READY)
+    monkeypatch.setitem(endpoint_names.PHASES, "draining", Phase.READY)
 
 
 def does_not_hear_list_changes(monkeypatch):
@@ -132,7 +132,7 @@
 
 
 def does_not_believe_in_starts(monkeypatch):
-    from weldbend.bus.names import Names
+    from weldbend.event_bus.endpoint_names import Names
 
     def made(entry):
         def never(self, target):
--- a/weldbend/buffers/ring.py
+++ b/weldbend/buffers/ring.py
@@ -3,7 +3,7 @@
 What it may keep of that memory is for the busiest connections, which would ask for it again at once.
 """
 
-from weldbend.checks import must
+from weldbend.invariants import must
 
 SMALL = 480  # bytes that a ring begins with: a short call, and small enough for Python's own allocator
 KEEP = 4096
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -11,9 +11,9 @@
 from zope.interface import implementer
 
 from weldbend.buffers.ring import Ring
-from weldbend.checks import must, odd
-from weldbend.lines import answers, commands
-from weldbend.lines.answers import Answer, BadAnswer, Parser
+from weldbend.cache_protocol import answers, commands
+from weldbend.cache_protocol.answers import Answer, BadAnswer, Parser
+from weldbend.invariants import must, odd
 
 CHUNK = 1 << 16  # the most that one read of a socket brings
 IN = answers.LONGEST_BODY + answers.LONGEST_LINE + 2 * CHUNK
--- a/weldbend/caches/pool.py
+++ b/weldbend/caches/pool.py
@@ -15,10 +15,10 @@
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
+from weldbend.cache_protocol import commands
+from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.connection import CacheConnection, Lost, Pull, Timers
-from weldbend.checks import odd
-from weldbend.lines import commands
-from weldbend.lines.answers import Answer
+from weldbend.invariants import odd
 
 CUT_OFF = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE)
 MOST_CUT_OFF = 5  # dials in a row that may be accepted and reset
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -8,15 +8,15 @@
 import click
 
 from weldbend import __version__, logs
-from weldbend.front.site import BadSite, Site, read_site
+from weldbend.front.configuration import BadSite, Site, read_site
 
 if TYPE_CHECKING:
-    from weldbend.installation.read import Installation
+    from weldbend.installation.reader import Installation
 
 
 def installed(path: str | None) -> "Installation":
     """What an installation file sets; raises BadSite. Imported only where it is asked for: see README."""
-    from weldbend.installation.read import BadInstallation, read_installation
+    from weldbend.installation.reader import BadInstallation, read_installation
 
     try:
         return read_installation(path)
@@ -71,7 +71,7 @@
         if cmd_name != "lab":
             return super().get_command(ctx, cmd_name)
         try:
-            from weldbend.lab.cli import lab
+            from weldbend.testbed.cli import lab
         except ImportError as wrong:
             if ctx.resilient_parsing or cmd_name not in sys.argv:
                 return click.Command("lab", help="The laboratory (needs requirements-lab.txt).")
@@ -102,13 +102,13 @@
 @click.option("--log-form", type=click.Choice(logs.FORMS), default="text", show_default=True)
 def serve(config: str | None, installation: str | None, log_level: str, log_form: str) -> None:
     """Serve downloads until SIGTERM."""
-    from weldbend.front import life
+    from weldbend.front import server
 
     try:
         logs.start(log_level, log_form)
     except ValueError:
         raise click.ClickException(f"unknown log level {log_level!r:.40}") from None
-    if not life.serve(load(config, installation), lambda: read(config, installation)):
+    if not server.serve(load(config, installation), lambda: read(config, installation)):
         sys.exit(1)
 
 
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -19,9 +19,9 @@
 from zope.interface import implementer
 
 from weldbend.buffers.ring import Ring
-from weldbend.checks import must, odd
-from weldbend.parking.rules import Seen
-from weldbend.parking.table import Memory
+from weldbend.idle_connections.connection_table import Memory
+from weldbend.idle_connections.policy import Seen
+from weldbend.invariants import must, odd
 from weldbend.thrift import messages
 from weldbend.thrift.binary import BadMessage
 from weldbend.thrift.framing import BadFrame, next_frame, small_frame
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -1,7 +1,7 @@
 """The clients' connections, live and parked: the listening port, who is looked at, and who makes room.
 
-What is chosen stands in `weldbend.parking.rules`; here it is carried out. A live connection is looked at
-eight times a second; a parked one when it is due or brings something.
+What is chosen stands in `weldbend.idle_connections.policy`; here it is carried out. A live connection is
+looked at eight times a second; a parked one when it is due or brings something.
 """
 
 import heapq
@@ -13,13 +13,13 @@
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import Factory
 
-from weldbend.checks import odd
 from weldbend.clients.connection import Client, Taker
-from weldbend.parking import rules
-from weldbend.parking.descriptors import Descriptors, Hangups
-from weldbend.parking.lot import Lot, Rim
-from weldbend.parking.rules import Terms, Verdict
-from weldbend.parking.table import Memory
+from weldbend.idle_connections import policy
+from weldbend.idle_connections.connection_table import Memory
+from weldbend.idle_connections.epoll_set import Descriptors, Hangups
+from weldbend.idle_connections.idle_pool import Lot, Rim
+from weldbend.idle_connections.policy import Terms, Verdict
+from weldbend.invariants import odd
 
 BACKLOG = 1024
 GONE = 60  # seconds without a sign of a client's machine, or of its reading, until it is held to be gone
@@ -142,7 +142,7 @@
         """Look at one; whether anything was done about it."""
         if client.closing:
             return False
-        verdict = rules.verdict(self.terms, client.seen(now), now, len(self.clients))
+        verdict = policy.verdict(self.terms, client.seen(now), now, len(self.clients))
         match verdict:
             case Verdict.PARK:
                 return self.park(client)
@@ -183,16 +183,16 @@
     def make_room(self, new: Client | None = None) -> None:
         """At the bound idle ones go, in the order of `rules.precedence`."""
         going = sum(client.closing for client in self.clients) if self.count() >= self.most else 0
-        count = min(rules.leaving(self.count() - going, self.most), self.terms.closes)
+        count = min(policy.leaving(self.count() - going, self.most), self.terms.closes)
         if count and self.lot:
             now, table = self.taker.now(), self.lot.table
             spare: list[tuple[tuple[bool, int, float], int, Client | None]] = [
-                (rules.precedence(other.calls, other.heard, now), -1, other)
+                (policy.precedence(other.calls, other.heard, now), -1, other)
                 for other in self.clients
                 if other is not new and other.idle() and not other.closing
             ]
             for fd in table.longest(count):
-                spare.append((rules.precedence(table.calls[fd], table.heard[fd], now), fd, None))
+                spare.append((policy.precedence(table.calls[fd], table.heard[fd], now), fd, None))
             for _, fd, other in heapq.nsmallest(count, spare, key=lambda one: one[0]):
                 if other:
                     other.close()
@@ -201,7 +201,7 @@
         self.rest()
 
     def rest(self) -> None:
-        resting = rules.rests(self.count(), self.most)
+        resting = policy.rests(self.count(), self.most)
         if self.port and resting is not self.resting:
             self.resting = resting
             (self.port.pauseProducing if resting else self.port.resumeProducing)()
@@ -213,7 +213,7 @@
         now = self.taker.now()
         if self.lot and not self.lot.still():
             return False
-        return all(c.closing or rules.quiet(c.idle(), c.heard, now) for c in self.clients)
+        return all(c.closing or policy.quiet(c.idle(), c.heard, now) for c in self.clients)
 
     def close_some(self) -> None:
         """Close all that are live as soon as they are done, and a batch of those parked."""
--- a/weldbend/bus/names.py
+++ b/weldbend/event_bus/endpoint_names.py
@@ -5,8 +5,8 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
-from weldbend import interface as face
-from weldbend.bus.events import Target
+from weldbend.event_bus.events import Target
+from weldbend.routing import interface as face
 
 PHASES = {"up": face.Phase.READY, "draining": face.Phase.DRAINING, "removed": face.Phase.GONE}
 
--- a/weldbend/bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -16,8 +16,8 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-from weldbend.bus.events import BadEvent, Numbered, read_event
-from weldbend.bus.sse import BadStream, Parser
+from weldbend.event_bus.events import BadEvent, Numbered, read_event
+from weldbend.event_bus.sse import BadStream, Parser
 
 SHORTEST, LONGEST = 0.05, 0.5  # seconds before asking again
 SILENCE = 1.8  # a comment comes each second: after so long without a byte the bus is lost
--- a/weldbend/fleet/control.py
+++ b/weldbend/fleet/admin_server.py
@@ -13,7 +13,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from weldbend.fleet.service import Fleet
-from weldbend.fleet.terms import split
+from weldbend.fleet.settings import split
 
 MOST = 4  # askers at once
 
--- a/weldbend/fleet/catchup.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -15,10 +15,10 @@
 from hashlib import blake2b
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.copies import RULES, Change, Copies, run_of
-from weldbend.fleet.members import Membership, Send
-from weldbend.fleet.terms import Terms
-from weldbend.measures import Chance
+from weldbend.fleet.membership import Membership, Send
+from weldbend.fleet.replicated_store import RULES, Change, Copies, run_of
+from weldbend.fleet.settings import Terms
+from weldbend.routing.measures import Chance
 
 MESH = 12  # fronts up to which each is linked to all others
 BATCH = 256  # changes or items in one message
--- a/weldbend/fleet/cli.py
+++ b/weldbend/fleet/cli.py
@@ -6,8 +6,8 @@
 
 import click
 
-from weldbend.fleet.terms import split
-from weldbend.fleet.views import differences
+from weldbend.fleet.settings import split
+from weldbend.fleet.view_comparison import differences
 
 STATES = {"ALIVE": "alive", "SUSPECT": "suspected", "DEAD": "dead", "LEFT": "left"}
 
--- a/weldbend/fleet/strict.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -3,7 +3,7 @@
 Nothing here can loosen: a choice is either stricter than what the front's own list says, or nothing.
 """
 
-from weldbend.fleet.copies import Value
+from weldbend.fleet.replicated_store import Value
 
 STATES = ("up", "draining", "removed")  # of a cache, as the bus words them; later ones are stricter
 MOST_PURGES = 200  # a second that peers may bring; beyond it the decisions would keep too many
--- a/weldbend/fleet/bridge.py
+++ b/weldbend/fleet/front_adapter.py
@@ -14,20 +14,20 @@
 
 from loguru import logger
 
-from weldbend import interface as face
-from weldbend.bus.events import Ban, Numbered, Topology
-from weldbend.bus.names import PHASES
-from weldbend.fleet import evidence, keyed, popular
-from weldbend.fleet.control import Control
-from weldbend.fleet.copies import RULES, Change
-from weldbend.fleet.evidence import Teller, Word
-from weldbend.fleet.popular import Slots, Wishes
+from weldbend.event_bus.endpoint_names import PHASES
+from weldbend.event_bus.events import Ban, Numbered, Topology
+from weldbend.fleet import health_reports, idempotency, popularity
+from weldbend.fleet.admin_server import Control
+from weldbend.fleet.conservative_merge import STATES, Purges, held_state
+from weldbend.fleet.health_reports import Teller, Word
+from weldbend.fleet.popularity import Slots, Wishes
+from weldbend.fleet.quota_service import Sharing
+from weldbend.fleet.replicated_store import RULES, Change
 from weldbend.fleet.service import BadFleet, Fleet
-from weldbend.fleet.sharing import Sharing
-from weldbend.fleet.strict import STATES, Purges, held_state
-from weldbend.fleet.terms import Terms
-from weldbend.interface import Effect, Scope
-from weldbend.measures import Chance
+from weldbend.fleet.settings import Terms
+from weldbend.routing import interface as face
+from weldbend.routing.interface import Effect, Scope
+from weldbend.routing.measures import Chance
 
 HOLD = 0.3  # seconds for which decisions wait for the bus, or else for peers, after a standstill
 SETTLE = 0.02  # and for what comes with the first word of them
@@ -51,7 +51,7 @@
         self.number = 0  # of what this run says in its own words
         self.doubted: dict[int, tuple[float, float]] = {}  # the evidence that the decisions hold
         deduped = [t for t in loop.site.facts.types.values() if t.effect is Effect.DEDUPED]
-        self.doubt = keyed.Doubt(max((t.window for t in deduped), default=0.0))
+        self.doubt = idempotency.Doubt(max((t.window for t in deduped), default=0.0))
         loop.peers = self
         self.sharing = Sharing(loop, self.fleet, Chance(int.from_bytes(clock.drawn(4), "big")))
         self.control = Control(self.fleet, self.sharing.questions())
@@ -100,7 +100,7 @@
         """A client's wish, counted here; how often other fronts of the zone had it lately."""
         if self.loop.site.facts.types[type].at_origin or not self.fleet.terms.popularity:
             return 0
-        name = popular.hash_of(key, part)
+        name = popularity.hash_of(key, part)
         if not repeat:
             self.slots.asked(name)
         return self.wishes.of(name)
@@ -126,12 +126,12 @@
         item = self.fleet.copies.items.get(("keyed", once))
         if item and item.live(RULES["keyed"], now):
             self.counts["downloads that may have run"] += 1
-            return (keyed.ran(item.value, item.said, now, self.loop.clock.unix()),)
+            return (idempotency.ran(item.value, item.said, now, self.loop.clock.unix()),)
         members = self.fleet.members.members.values()
         unsure = self.doubt.holds(self.fleet.exchange.whole, self.fleet.lost, members, now)
         if repeat and kind.scope is not Scope.ALL and unsure:
             self.counts["repeats held for run, not knowing"] += 1
-            return (face.Ran(keyed.NOWHERE, -1, now),)
+            return (face.Ran(idempotency.NOWHERE, -1, now),)
         return ()
 
     def over(self, type: str, client: str) -> bool:
@@ -147,7 +147,7 @@
         """A pull of a deduped download goes out: others are told before its bytes leave."""
         kind, held = self.loop.site.facts.types[type], self.loop.router.caches.get(cache)
         if kind.effect is Effect.DEDUPED and held:
-            group = keyed.group_of(kind.scope, held.zone, held.cell)
+            group = idempotency.group_of(kind.scope, held.zone, held.cell)
             self.fleet.say("keyed", once, group, int(self.loop.clock.unix() * 1000))
 
     # What peers know.
@@ -208,7 +208,7 @@
         now, unix = self.timers.now(), self.loop.clock.unix()
         for dl in self.loop.open.values():
             if dl.wish.once == change.key:
-                held = keyed.ran(change.value, now - change.age, now, unix)
+                held = idempotency.ran(change.value, now - change.age, now, unix)
                 self.loop.post(face.RanToo(dl.name, held))
 
     def wished(self, change: Change) -> None:
@@ -228,7 +228,7 @@
         now = self.timers.now()
         self.wishes.forget(now)
         if self.fleet.terms.popularity and (slot := self.slots.turn(now)):
-            key = f"{slot[0] % popular.SLOTS}|{self.fleet.name}"
+            key = f"{slot[0] % popularity.SLOTS}|{self.fleet.name}"
             self.wishes.drop(key)  # of an earlier run of this front
             self.fleet.say("popular", key, self.fleet.copies.epoch, *slot)
         words = self.words(now)
@@ -249,12 +249,12 @@
         """What other members say of each cache now."""
         said: dict[str, dict[str, tuple[float, tuple[float, float]]]] = defaultdict(dict)
         for (kind, key), item in self.fleet.copies.items.items():
-            if kind == "evidence" and now - item.said < evidence.SPAN:
+            if kind == "evidence" and now - item.said < health_reports.SPAN:
                 uid, _, writer = key.rpartition("|")
                 said[uid][writer] = now - item.said, (float(item.value[2]), float(item.value[3]))
         terms = self.fleet.terms
         near = {peer.name: peer.zone == terms.zone for peer in terms.peers if peer.name != self.fleet.name}
-        whole = {writer: record for writer, (_, record) in said.pop(evidence.ALL, {}).items()}
+        whole = {writer: record for writer, (_, record) in said.pop(health_reports.ALL, {}).items()}
         return {
             uid: [
                 Word(writer, near[writer], age, record, whole.get(writer, record))
@@ -278,7 +278,7 @@
     def weigh(self, words: dict[str, list[Word]]) -> None:
         """Tell the decisions what others' evidence on each cache amounts to, where that has changed."""
         numbers = self.loop.names.numbers
-        found = {numbers[uid]: evidence.combined(said) for uid, said in words.items() if uid in numbers}
+        found = {numbers[uid]: health_reports.combined(said) for uid, said in words.items() if uid in numbers}
         held = {number: record for number, record in found.items() if record[1]}
         for number in {*held, *self.doubted}:
             record = held.get(number, (0.0, 0.0))
--- a/weldbend/fleet/keyed.py
+++ b/weldbend/fleet/idempotency.py
@@ -15,9 +15,9 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from weldbend.fleet.copies import ANYWHERE, NOWHERE, Value
-from weldbend.fleet.members import Member, State
-from weldbend.interface import Ran, Scope
+from weldbend.fleet.membership import Member, State
+from weldbend.fleet.replicated_store import ANYWHERE, NOWHERE, Value
+from weldbend.routing.interface import Ran, Scope
 
 FAR = 10.0  # seconds by which another's clock may have it wrong before its moment is not heeded
 
--- a/weldbend/fleet/demand.py
+++ b/weldbend/fleet/lease_policy.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from weldbend.fleet.shares import PARTS, Asking, Ledger, Times
-from weldbend.measures import Chance
+from weldbend.fleet.lease_ledger import PARTS, Asking, Ledger, Times
+from weldbend.routing.measures import Chance
 
 FAN, MOST_FAN = 4, 64  # lenders asked at a time; and where a whole pull is still to be gathered
 WAITS = 0.45  # seconds for which an answer is waited for
--- a/weldbend/fleet/limits.py
+++ b/weldbend/fleet/lease_service.py
@@ -11,10 +11,10 @@
 from typing import Any, Protocol
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.demand import Borrow, Demand, Use, turn_at
-from weldbend.fleet.members import Send
-from weldbend.fleet.shares import PARTS, Borrower, Granted, Ledger, Times, owned
-from weldbend.measures import Chance
+from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, Ledger, Times, owned
+from weldbend.fleet.lease_policy import Borrow, Demand, Use, turn_at
+from weldbend.fleet.membership import Send
+from weldbend.routing.measures import Chance
 
 LOOK = 0.08  # seconds between two looks at what is needed
 MOST_LIMITS = 512
--- a/weldbend/fleet/members.py
+++ b/weldbend/fleet/membership.py
@@ -20,10 +20,10 @@
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-from weldbend.checks import must
 from weldbend.fleet import messages as m
-from weldbend.fleet.terms import Terms
-from weldbend.measures import Chance
+from weldbend.fleet.settings import Terms
+from weldbend.invariants import must
+from weldbend.routing.measures import Chance
 
 LEAP = 1 << 16  # by which a rumour may raise an incarnation
 AHEAD = 1 << 40  # by which another may tell a front to raise its own epoch
--- a/weldbend/fleet/messages.py
+++ b/weldbend/fleet/messages.py
@@ -9,7 +9,7 @@
 import msgspec
 from msgspec import Meta
 
-from weldbend.fleet.terms import LONGEST_NAME
+from weldbend.fleet.settings import LONGEST_NAME
 
 DATAGRAM = 1400  # bytes of a sealed datagram at most
 FRAME = 1 << 17  # bytes of a sealed message on a link at most
--- a/weldbend/fleet/outbox.py
+++ b/weldbend/fleet/outbox.py
@@ -7,7 +7,7 @@
 
 from collections import Counter, deque
 
-from weldbend.fleet.catchup import Weight
+from weldbend.fleet.anti_entropy import Weight
 
 
 class Outbox:
--- a/weldbend/fleet/verdicts.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -18,8 +18,8 @@
 from enum import Enum, auto
 from itertools import pairwise
 
-from weldbend.fleet.demand import rank
-from weldbend.fleet.evidence import Word, credit
+from weldbend.fleet.health_reports import Word, credit
+from weldbend.fleet.lease_policy import rank
 
 ACCUSED = 0.5  # share of bad answers from which a front accuses
 TRIED = 2.0  # answers, good and bad, from which a front knows a cache
--- a/weldbend/fleet/links.py
+++ b/weldbend/fleet/peer_connections.py
@@ -19,10 +19,10 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.fleet import messages as m
-from weldbend.fleet.catchup import VERSIONS, Say, Weight
+from weldbend.fleet.anti_entropy import VERSIONS, Say, Weight
+from weldbend.fleet.message_authentication import LONGEST, BadSeal, Sealer
 from weldbend.fleet.outbox import Outbox
-from weldbend.fleet.seal import LONGEST, BadSeal, Sealer
-from weldbend.fleet.terms import Peer, Terms
+from weldbend.fleet.settings import Peer, Terms
 
 HELLO = 2.0  # seconds for the first message
 SILENT = 4.0  # comparisons without a byte, after which a link is dropped
--- a/weldbend/fleet/sharing.py
+++ b/weldbend/fleet/quota_service.py
@@ -16,18 +16,18 @@
 
 from loguru import logger
 
-from weldbend import interface as face
-from weldbend.fleet import verdicts
-from weldbend.fleet.copies import RULES
-from weldbend.fleet.demand import Use
-from weldbend.fleet.evidence import Word
-from weldbend.fleet.limits import Limits, Rate
-from weldbend.fleet.members import Sight
-from weldbend.fleet.needs import Need, part
+from weldbend.fleet import outlier_detection
+from weldbend.fleet.demand_share import Need, part
+from weldbend.fleet.health_reports import Word
+from weldbend.fleet.lease_ledger import PARTS, Times
+from weldbend.fleet.lease_policy import Use
+from weldbend.fleet.lease_service import Limits, Rate
+from weldbend.fleet.membership import Sight
+from weldbend.fleet.replicated_store import RULES
 from weldbend.fleet.service import Fleet
-from weldbend.fleet.shares import PARTS, Times
-from weldbend.interface import Role
-from weldbend.measures import Chance
+from weldbend.routing import interface as face
+from weldbend.routing.interface import Role
+from weldbend.routing.measures import Chance
 
 SECOND = 1.0  # window of the operators' rates
 HEAVY = 8  # clients of which this front tells, those that ask most
@@ -99,7 +99,7 @@
         self.parents = Need()
         self.part = 0.0
         self.colds: dict[str, Cold] = {}  # by limit
-        self.court = verdicts.Court(fleet.name)
+        self.court = outlier_detection.Court(fleet.name)
         self.parts: dict[int, float] = {}  # of their work that caches may have, as the decisions hold it
         self.clients: Counter[str] = Counter()  # that asked since the last tick
         self.rated: dict[str, float] = {}  # and a second, as a running mean
@@ -366,7 +366,7 @@
             if kind == "cast" and item.live(RULES["cast"], now):
                 client, _, writer = key.rpartition("|")
                 words.setdefault(client, []).append((writer, item.said - float(item.value[2])))
-        found = verdicts.cast_out(words, self.fleet.terms.limits.cast, now)
+        found = outlier_detection.cast_out(words, self.fleet.terms.limits.cast, now)
         for client in set(found) - set(self.barred):
             logger.bind(client=client).warning(
                 "fleet: client {} is cast out by {}", client, ", ".join(sorted(w for w, _ in words[client]))
@@ -379,7 +379,7 @@
         for uid, number in numbers.items():
             cache = caches.get(number)
             at = cache.before if cache else -math.inf
-            if at > self.broke.get(uid, -math.inf) and now - at < verdicts.TOGETHER:
+            if at > self.broke.get(uid, -math.inf) and now - at < outlier_detection.TOGETHER:
                 self.broke[uid] = at
                 self.say("broke", uid, round(now - at, 3))
         breaks: list[tuple[str, str, float]] = [(u, self.fleet.name, at) for u, at in self.broke.items()]
@@ -387,9 +387,9 @@
             uid, _, writer = key.rpartition("|")
             if kind == "broke" and item.live(RULES["broke"], now) and writer != self.fleet.name:
                 breaks.append((uid, writer, item.said - float(item.value[2])))
-        for uid, at in verdicts.started(verdicts.by_cache(breaks)).items():
+        for uid, at in outlier_detection.started(outlier_detection.by_cache(breaks)).items():
             cache = caches.get(numbers.get(uid, -1))
-            if cache and (cache.started is None or at > cache.started + verdicts.TOGETHER):
+            if cache and (cache.started is None or at > cache.started + outlier_detection.TOGETHER):
                 self.counts["starts that no list told"] += 1
                 self.loop.post(face.Known(cache.id, None, at))
         self.broke = {uid: at for uid, at in self.broke.items() if uid in numbers}
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -15,13 +15,13 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.catchup import Exchange, Say, awake, neighbours
-from weldbend.fleet.copies import Change, Copies
-from weldbend.fleet.limits import Limits
-from weldbend.fleet.links import Links, Timers
-from weldbend.fleet.members import Membership, Send, Sight, State, View
-from weldbend.fleet.seal import BadKeys, BadSeal, Sealer, read_keys
-from weldbend.fleet.terms import Peer, Terms, split
+from weldbend.fleet.anti_entropy import Exchange, Say, awake, neighbours
+from weldbend.fleet.lease_service import Limits
+from weldbend.fleet.membership import Membership, Send, Sight, State, View
+from weldbend.fleet.message_authentication import BadKeys, BadSeal, Sealer, read_keys
+from weldbend.fleet.peer_connections import Links, Timers
+from weldbend.fleet.replicated_store import Change, Copies
+from weldbend.fleet.settings import Peer, Terms, split
 
 TURN = 0.05  # seconds between two turns at most, so that a standstill shows
 MOST_DATAGRAMS = 2000  # heard in a second; more are dropped unread
--- a/weldbend/front/site.py
+++ b/weldbend/front/configuration.py
@@ -7,11 +7,11 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from weldbend.bus.events import BadEvent, Numbered, known
 from weldbend.caches.pool import Bounds
-from weldbend.facts import cache_roles, site_facts
-from weldbend.interface import Role, SiteFacts
-from weldbend.parking.rules import Terms
+from weldbend.event_bus.events import BadEvent, Numbered, known
+from weldbend.idle_connections.policy import Terms
+from weldbend.routing.interface import Role, SiteFacts
+from weldbend.site_settings import cache_roles, site_facts
 
 TURN = 0.004  # a turn of the loop may last so long; the decisions are told, as of any tick
 FOR_CACHES = 96  # descriptors for connections to caches, of which some tens are in use
--- a/weldbend/front/loop.py
+++ b/weldbend/front/dispatcher.py
@@ -13,20 +13,20 @@
 
 from loguru import logger
 
-from weldbend import interface as face
-from weldbend.bus.events import Ban, Numbered, Target, Topology
-from weldbend.bus.names import Names
+from weldbend.cache_protocol import commands
+from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.connection import Lost, Pull
 from weldbend.caches.pool import Pool
-from weldbend.checks import must, odd
 from weldbend.clients.connection import Call
-from weldbend.front import words
+from weldbend.event_bus.endpoint_names import Names
+from weldbend.event_bus.events import Ban, Numbered, Target, Topology
+from weldbend.front import request_codec
 from weldbend.front.clock import Clock
-from weldbend.front.site import Site
+from weldbend.front.configuration import Site
 from weldbend.front.timers import Timer, Timers
-from weldbend.lines import commands
-from weldbend.lines.answers import Answer
-from weldbend.logic import Router
+from weldbend.invariants import must, odd
+from weldbend.routing import interface as face
+from weldbend.routing.router import Router
 
 
 @dataclass(eq=False, slots=True)
@@ -34,7 +34,7 @@
     """One download that was taken, and its pulls."""
 
     name: str
-    wish: words.Wish
+    wish: request_codec.Wish
     call: Call
     until: float
     effect: face.Effect  # by the settings under which it was taken
@@ -98,8 +98,8 @@
 
     def admit(self, call: Call) -> None:
         try:
-            wish = words.read_wish(call.fields, call.body, self.site.facts.types)
-        except words.BadDownload as wrong:
+            wish = request_codec.read_wish(call.fields, call.body, self.site.facts.types)
+        except request_codec.BadDownload as wrong:
             self.counts["turned back"] += 1
             call.turn_back(str(wrong))
             return
@@ -347,7 +347,7 @@
             wait = min(action.patience, left) if action.patience else left
             if self.peers and dl.wish.once:
                 self.peers.sent(dl.wish.type, dl.wish.once, action.cache)
-            return commands.do(dl.wish.name, words.order(dl.wish, action, source, wait), dl.wish.body)
+            return commands.do(dl.wish.name, request_codec.order(dl.wish, action, source, wait), dl.wish.body)
 
         pull = Pull(
             name=dl.wish.name,
@@ -399,10 +399,10 @@
             dl.call.fulfill(how.body, how.word == "KEEP")
             self.close(dl)
         number = dl.pulls.index(pull)
-        if isinstance(how, Answer) and how.word not in words.RESULTS:
+        if isinstance(how, Answer) and how.word not in request_codec.RESULTS:
             odd["pulls answered as probes"] += 1
             how = face.Result.ERROR
-        self.post(words.ended(dl.name, number, how, self.clock.now() - dl.handed[number], dl.closed))
+        self.post(request_codec.ended(dl.name, number, how, self.clock.now() - dl.handed[number], dl.closed))
         self.forget(dl)
 
     def close(self, dl: Download) -> None:
@@ -446,9 +446,9 @@
 
     def probed(self, cache: int, answer: Answer) -> bool:
         """An answer that belongs to no pull: whether it is one of a probe."""
-        if answer.word not in words.FITNESS or self.asked.get(answer.name, (None,))[0] != cache:
+        if answer.word not in request_codec.FITNESS or self.asked.get(answer.name, (None,))[0] != cache:
             return False
         _, since = self.asked.pop(answer.name)
-        use = words.load(answer.fields.get("use"))
-        self.post(face.Probed(cache, words.FITNESS[answer.word], self.clock.now() - since, use))
+        use = request_codec.load(answer.fields.get("use"))
+        self.post(face.Probed(cache, request_codec.FITNESS[answer.word], self.clock.now() - since, use))
         return True
--- a/weldbend/front/words.py
+++ b/weldbend/front/request_codec.py
@@ -5,9 +5,9 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from weldbend import interface as face
+from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.connection import Lost
-from weldbend.lines.answers import Answer
+from weldbend.routing import interface as face
 
 RESULTS = {
     "DONE": face.Result.FULFILLED,
--- a/weldbend/front/life.py
+++ b/weldbend/front/server.py
@@ -16,14 +16,14 @@
 from twisted.logger import ILogObserver, LogEvent, LogLevel, formatEvent, globalLogBeginner
 from zope.interface import implementer
 
-from weldbend import checks, early
-from weldbend.bus.events import Numbered
-from weldbend.bus.reader import BusReader
+from weldbend import early_signals, invariants
 from weldbend.clients.connection import Call, Client
 from weldbend.clients.listener import Listener
+from weldbend.event_bus.events import Numbered
+from weldbend.event_bus.reader import BusReader
 from weldbend.front.clock import Clock
-from weldbend.front.loop import Loop
-from weldbend.front.site import BadSite, Site
+from weldbend.front.configuration import BadSite, Site
+from weldbend.front.dispatcher import Loop
 from weldbend.front.timers import Timers
 
 LINGER = 0.7  # the least time from SIGTERM to the end: clients still come
@@ -53,7 +53,7 @@
 
 def shared(front: "Front") -> Any:
     """A front's fleet, where its installation names one: loaded only then."""
-    from weldbend.fleet.bridge import Bridge as Shared
+    from weldbend.fleet.front_adapter import Bridge as Shared
 
     site = front.site
     return Shared(front.loop, site.name, site.fleet, front.reactor, front.timers, site.offset)
@@ -88,7 +88,7 @@
         signal.signal(signal.SIGHUP, lambda *_: self.reactor.callFromThread(self.reload))
         try:
             self.start()
-            if early.hangups:  # the configuration may have been read before it was written anew
+            if early_signals.hangups:  # the configuration may have been read before it was written anew
                 self.reload()
         except CannotListenError as wrong:  # of the fleet's port
             logger.error("cannot listen on {}:{}: {}", wrong.interface, wrong.port, wrong.socketError)
@@ -226,8 +226,8 @@
             "timers_late_ms": round(self.timers.latest * 1e3, 1),
             "turns_ms": round(self.loop.longest * 1e3, 1),
             "bus_lost": self.bus.losses,
-            "odd": dict(+checks.odd),
-            "broken": dict(checks.broken),
+            "odd": dict(+invariants.odd),
+            "broken": dict(invariants.broken),
         }
         logger.bind(**fields).info(COUNTERS.format(**fields))
         self.loop.shown = 0
--- a/weldbend/parking/table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -10,9 +10,9 @@
 from itertools import islice
 from typing import NamedTuple
 
-from weldbend.checks import must
-from weldbend.parking.rules import KINDS, OTHERS, Terms, kind, limit, prompt
-from weldbend.parking.wheel import Wheel
+from weldbend.idle_connections.policy import KINDS, OTHERS, Terms, kind, limit, prompt
+from weldbend.idle_connections.timer_wheel import Wheel
+from weldbend.invariants import must
 
 AWAY, PARKED, WAKING = 0, 1, 2
 BUCKETS = 64  # in the time for which a kind is kept
--- a/weldbend/parking/lot.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -11,15 +11,15 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from weldbend.checks import odd
-from weldbend.parking.rules import Pace, Terms
-from weldbend.parking.table import PARKED, Memory, Table
+from weldbend.idle_connections.connection_table import PARKED, Memory, Table
+from weldbend.idle_connections.policy import Pace, Terms
+from weldbend.invariants import odd
 
 NOTED = 1024  # descriptors noted as ready in one go
 
 
 class Rim(Protocol):
-    """What `weldbend.parking.descriptors` does for the lot; see there."""
+    """What `weldbend.idle_connections.epoll_set` does for the lot; see there."""
 
     def fileno(self) -> int: ...
     def release(self, transport: Any) -> int | None: ...
--- a/weldbend/parking/wheel.py
+++ b/weldbend/idle_connections/timer_wheel.py
@@ -8,7 +8,7 @@
 from array import array
 from collections.abc import Iterator
 
-from weldbend.checks import must
+from weldbend.invariants import must
 
 FREE = -1
 
--- a/weldbend/installation/keys.py
+++ b/weldbend/installation/keys.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from weldbend.fleet import terms as fleet
-from weldbend.parking.rules import Terms
+from weldbend.fleet import settings as fleet
+from weldbend.idle_connections.policy import Terms
 
 UNITS = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
 DURATION = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,6})?)\s*([A-Za-z]*)")
--- a/weldbend/logic.py
+++ b/weldbend/routing/router.py
@@ -2,7 +2,9 @@
 
 How to call: `router = Router(seed, facts)`, then `router.handle(now, events)` for each batch of events;
 it returns the actions in order. `now` never goes back. A restarted front is a new Router.
-The types of events, actions and facts are in `weldbend/interface.py`; docs/design.md gives the reasons."""
+The types of events, actions and facts are in `weldbend/routing/interface.py`; docs/design.md gives the
+reasons.
+"""
 
 import math
 from collections import OrderedDict, defaultdict, deque
@@ -12,10 +14,10 @@
 from hashlib import blake2b
 from typing import Any, NamedTuple
 
-from weldbend import interface as face
-from weldbend.actors import Actor
-from weldbend.interface import Effect, Hint, Phase, Result, Role, Scale, Scope
-from weldbend.measures import Buckets, Chance
+from weldbend.routing import interface as face
+from weldbend.routing.actor import Actor
+from weldbend.routing.interface import Effect, Hint, Phase, Result, Role, Scale, Scope
+from weldbend.routing.measures import Buckets, Chance
 
 ALPHA, BETA, GAMMA = 1, 1, 1  # the paper's weights of V_k, V_hop and V_hitk
 V_HOP = {Role.EDGE: 2, Role.PARENT: 1}
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterator
 from typing import TextIO
 
-from weldbend.interface import Event
-from weldbend.logic import Router
+from weldbend.routing.interface import Event
+from weldbend.routing.router import Router
 from weldbend.simhost import wire
 
 
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -4,8 +4,8 @@
 import json
 from typing import Any
 
-from weldbend import interface as face
-from weldbend.facts import cache_roles, site_facts
+from weldbend.routing import interface as face
+from weldbend.site_settings import cache_roles, site_facts
 
 PHASES = {"ready": face.Phase.READY, "draining": face.Phase.DRAINING, "gone": face.Phase.GONE}
 SCALES = {
--- a/weldbend/facts.py
+++ b/weldbend/site_settings.py
@@ -6,7 +6,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from weldbend import interface as face
+from weldbend.routing import interface as face
 
 EFFECTS = {
     "idempotent": face.Effect.RETRIABLE,
--- a/weldbend/lab/cli.py
+++ b/weldbend/testbed/cli.py
@@ -10,9 +10,9 @@
 import click
 from twisted.internet import reactor as _reactor
 
-from weldbend.lab import figures, hold, idle
-from weldbend.lab.emulator import Shape, Site
-from weldbend.lab.load import Load, Plan
+from weldbend.testbed.emulator.emulated_site import Shape, Site
+from weldbend.testbed.load import connection_holder, idle_benchmark, process_usage
+from weldbend.testbed.load.generator import Load, Plan
 
 reactor: Any = _reactor
 LONG_IDLE = """[clients]
@@ -140,14 +140,14 @@
         ["p50, ms", float(latency["p50"])],
         ["p99, ms", float(latency["p99"])],
     ]
-    return figures.table(rows, ["", ""]).splitlines()[1:]
+    return process_usage.table(rows, ["", ""]).splitlines()[1:]
 
 
 def show(path: str, report: Any) -> None:
     if path == "-":
         click.echo(json.dumps(report))
     else:
-        figures.write(path, report)
+        process_usage.write(path, report)
 
 
 @lab.command()
@@ -170,7 +170,7 @@
         found.append(load)
         reactor.stop()
 
-    from weldbend.lab.objects import Sizes
+    from weldbend.testbed.emulator.objects import Sizes
 
     playing = Load(reactor, plan, list(fronts), Sizes(), done)
     reactor.callWhenRunning(playing.start)
@@ -179,7 +179,9 @@
         raise click.ClickException("ended before the load was over")
     report = found[0].tally.report()
     if plot:
-        figures.plot(plot, {f"{rate:g} a second": report["histogram"]}, "latency of fulfilled downloads")
+        process_usage.plot(
+            plot, {f"{rate:g} a second": report["histogram"]}, "latency of fulfilled downloads"
+        )
     show(path or "-", report)
 
 
@@ -187,8 +189,8 @@
 @click.option("--front", required=True)
 @click.option("--seed", type=int, default=1)
 def hold_command(front: str, seed: int) -> None:
-    """Hold idle connections, told by lines on standard input (see weldbend.lab.hold)."""
-    hold.main(front, seed)
+    """Hold idle connections, told by lines on standard input (see load/connection_holder.py)."""
+    connection_holder.main(front, seed)
 
 
 @lab.command("idle")
@@ -230,20 +232,22 @@
             print(f"{time.monotonic() - begun:7.1f} s  {text}", file=sys.stderr, flush=True)
 
         if counts:
-            report["memory"] = idle.memory(list(counts), None, terms, say, open_rate)
+            report["memory"] = idle_benchmark.memory(list(counts), None, terms, say, open_rate)
             if before:
-                report["memory before"] = idle.memory(list(counts), before, terms, say, open_rate)
+                report["memory before"] = idle_benchmark.memory(list(counts), before, terms, say, open_rate)
         if fronts > 1:
-            report["many"] = idle.many(connections, fronts, busy_rate, seconds, terms, say)
+            report["many"] = idle_benchmark.many(connections, fronts, busy_rate, seconds, terms, say)
         else:
             if pairs:
-                report["pairs"] = idle.pairs(connections, busy_rate, seconds, pairs, terms, say)
+                report["pairs"] = idle_benchmark.pairs(connections, busy_rate, seconds, pairs, terms, say)
             if shares:
-                report["wakes"] = idle.wakes(connections, busy_rate, list(shares), wake_with, terms, say)
+                report["wakes"] = idle_benchmark.wakes(
+                    connections, busy_rate, list(shares), wake_with, terms, say
+                )
     if plot and report.get("pairs"):
         first = report["pairs"][0]
         named = {f"{connections} idle": first["with"]["histogram"], "none": first["none"]["histogram"]}
-        figures.plot(plot, named, f"{busy_rate:g} downloads a second")
+        process_usage.plot(plot, named, f"{busy_rate:g} downloads a second")
     show(path or "-", report)
 
 
@@ -257,9 +261,9 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 def fault_command(listen: str, target: str, plan_path: str, framing: str, seed: int) -> None:
     """Sit between two sockets and do to their traffic what a plan says, exactly by seed."""
-    from weldbend.lab.fault.engine import Injector
-    from weldbend.lab.fault.plan import BadPlan, read_plan
-    from weldbend.lab.fault.proxy import Proxy
+    from weldbend.testbed.faults.engine import Injector
+    from weldbend.testbed.faults.plan import BadPlan, read_plan
+    from weldbend.testbed.faults.proxy import Proxy
 
     for address in (listen, target):
         host, _, port = address.rpartition(":")
@@ -305,12 +309,12 @@
     folder: str | None,
 ) -> None:
     """Fronts that know of each other, as real processes, and faults between them; a verdict at the end."""
-    from weldbend.lab.fault.plan import BadPlan
-    from weldbend.lab.fleet import command
-    from weldbend.lab.fleet.plan import names, read_plan
+    from weldbend.testbed.faults.plan import BadPlan
+    from weldbend.testbed.fleet import plan_runner
+    from weldbend.testbed.fleet.plan import names, read_plan
 
     if lines:
-        reactor.callWhenRunning(command.lines, reactor, fronts, seed, names(zones), folder)
+        reactor.callWhenRunning(plan_runner.lines, reactor, fronts, seed, names(zones), folder)
         reactor.run()
         return
     if not plan_path:
@@ -320,12 +324,12 @@
     except BadPlan as wrong:
         raise click.ClickException(str(wrong)) from None
     if virtual:
-        from weldbend.lab.virtual.search import quiet
+        from weldbend.testbed.simulation.seed_search import quiet
 
         quiet()
-        clean = command.virtual(plan, seed)
+        clean = plan_runner.virtual(plan, seed)
     else:
-        real = command.Real(reactor, plan, seed)
+        real = plan_runner.Real(reactor, plan, seed)
         reactor.callWhenRunning(real.start)
         reactor.run()
         clean = real.clean
@@ -337,8 +341,8 @@
 @click.argument("what")
 def fleet_measure(what: str) -> None:
     """Figures of docs/fleet.md, a JSON line each: gain, popularity, detect, real, cost or newcomer."""
-    from weldbend.lab.fleet.measure import measures
-    from weldbend.lab.virtual.search import quiet
+    from weldbend.testbed.fleet.benchmarks import measures
+    from weldbend.testbed.simulation.seed_search import quiet
 
     quiet()
     held = measures()
@@ -359,9 +363,9 @@
 @click.option("--digests", help="write each seed's digest of raw bytes there, a line a seed")
 def faults_command(seeds: str, jobs: int, fleet: bool, path: str | None, digests: str | None) -> None:
     """Play seeds of the deterministic laboratory, and fail where a rule breaks."""
-    from weldbend.lab.fleet.fronts import FleetSetup
-    from weldbend.lab.virtual.run import Setup
-    from weldbend.lab.virtual.search import search, totals
+    from weldbend.testbed.fleet.simulated_fleet import FleetSetup
+    from weldbend.testbed.simulation.run import Setup
+    from weldbend.testbed.simulation.seed_search import search, totals
 
     first, dots, last = seeds.partition("..")
     if not (dots and first.isdigit() and last.isdigit() and int(first) <= int(last)):
@@ -388,9 +392,9 @@
 @FLEET
 def replay(seed: int, trace: bool, fleet: bool) -> None:
     """Play one seed again, and show its verdict."""
-    from weldbend.lab.fleet.fronts import FleetRun
-    from weldbend.lab.virtual.run import Run
-    from weldbend.lab.virtual.search import quiet
+    from weldbend.testbed.fleet.simulated_fleet import FleetRun
+    from weldbend.testbed.simulation.run import Run
+    from weldbend.testbed.simulation.seed_search import quiet
 
     quiet()
     result = (FleetRun if fleet else Run)(seed).play()
--- a/weldbend/lab/commands.py
+++ b/weldbend/testbed/emulator/cache_commands.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from weldbend.buffers.ring import Ring
-from weldbend.lines.answers import LONGEST_LINE, read_fields
-from weldbend.lines.commands import fields_text
+from weldbend.cache_protocol.answers import LONGEST_LINE, read_fields
+from weldbend.cache_protocol.commands import fields_text
 
 LONGEST_BODY = 48_000
 
--- a/weldbend/lab/world.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -7,7 +7,7 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from weldbend.lab.objects import Sizes, body
+from weldbend.testbed.emulator.objects import Sizes, body
 
 REMEMBERED = 8  # seconds for which a marked write is known to have run
 
--- a/weldbend/lab/emulator.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -10,10 +10,10 @@
 from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
-from weldbend.lab.objects import Sizes
-from weldbend.lab.servers import BoxServer, BusServer
-from weldbend.lab.site import LIMITS, SETTINGS, configuration, target
-from weldbend.lab.world import Box, World
+from weldbend.testbed.emulator.cache_model import Box, World
+from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
+from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.servers import BoxServer, BusServer
 
 LOOPBACK = "127.0.0.1"
 READY = b"serves on"
--- a/weldbend/lab/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -11,10 +11,10 @@
 from twisted.python.failure import Failure
 
 from weldbend.buffers.ring import Ring
-from weldbend.lab.commands import BadCommand, Command, Parser, answer
-from weldbend.lab.site import listing
-from weldbend.lab.world import Box, World
-from weldbend.lines.answers import BadAnswer
+from weldbend.cache_protocol.answers import BadAnswer
+from weldbend.testbed.emulator.cache_commands import BadCommand, Command, Parser, answer
+from weldbend.testbed.emulator.cache_model import Box, World
+from weldbend.testbed.emulator.configuration import listing
 
 IN = 1 << 18
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
--- a/weldbend/lab/fault/engine.py
+++ b/weldbend/testbed/faults/engine.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from weldbend.lab.fault.messages import Message, Splitter, rewrite
-from weldbend.lab.fault.plan import FRAMINGS, Direction, Fault, Kind, Plan
+from weldbend.testbed.faults.messages import Message, Splitter, rewrite
+from weldbend.testbed.faults.plan import FRAMINGS, Direction, Fault, Kind, Plan
 
 SLICE = 0.02  # seconds of a throttled stream that are handed on in one piece
 FLIP = 0x55
--- a/weldbend/lab/fault/messages.py
+++ b/weldbend/testbed/faults/messages.py
@@ -10,8 +10,8 @@
 from dataclasses import dataclass
 
 from weldbend.buffers.ring import Ring
-from weldbend.lines.answers import LONGEST_LINE
-from weldbend.lines.commands import fields_text
+from weldbend.cache_protocol.answers import LONGEST_LINE
+from weldbend.cache_protocol.commands import fields_text
 from weldbend.thrift import binary
 from weldbend.thrift.binary import BadMessage, Reader
 from weldbend.thrift.framing import HEAD
--- a/weldbend/lab/fault/plan.py
+++ b/weldbend/testbed/faults/plan.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from weldbend.installation.keys import BadValue, seconds, whole
-from weldbend.installation.read import BadInstallation, parse
+from weldbend.installation.reader import BadInstallation, parse
 
 MANY = 1_000_000_000
 FIELD = re.compile(r"([\w.]{1,40})\s*=\s*(.{0,200})")
--- a/weldbend/lab/fault/proxy.py
+++ b/weldbend/testbed/faults/proxy.py
@@ -16,8 +16,8 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from weldbend.lab.fault.engine import Deed, Injector, Stream, What
-from weldbend.lab.fault.plan import Direction
+from weldbend.testbed.faults.engine import Deed, Injector, Stream, What
+from weldbend.testbed.faults.plan import Direction
 
 WAITING = 1 << 20  # bytes that wait in one direction, beyond which its sender is read no further
 LINGER = struct.pack("ii", 1, 0)
--- a/weldbend/lab/fleet/measure.py
+++ b/weldbend/testbed/fleet/benchmarks.py
@@ -10,12 +10,12 @@
 from statistics import median
 from typing import Any
 
-from weldbend.lab import figures
-from weldbend.lab.emulator import Shape
-from weldbend.lab.fleet.fronts import FleetRun, FleetSetup
-from weldbend.lab.fleet.processes import TERMS, FleetSite
-from weldbend.lab.fleet.virtual import Fleet, Setup
-from weldbend.lab.load import Load, Plan
+from weldbend.testbed.emulator.emulated_site import Shape
+from weldbend.testbed.fleet.fleet_model import Fleet, Setup
+from weldbend.testbed.fleet.processes import TERMS, FleetSite
+from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
+from weldbend.testbed.load import process_usage
+from weldbend.testbed.load.generator import Load, Plan
 
 SPANS = (1.0, 5.0, 10.0, 30.0)  # seconds after a restart
 
@@ -191,8 +191,8 @@
         else:
             self.reactor.callLater(self.seconds, self.loaded, None)
 
-    def usage(self) -> dict[int, figures.Usage]:
-        return {n: figures.usage(process.pid) for n, process in self.site.running.items()}
+    def usage(self) -> dict[int, process_usage.Usage]:
+        return {n: process_usage.usage(process.pid) for n, process in self.site.running.items()}
 
     def loaded(self, load: Load | None) -> None:
         after, took = self.usage(), time.monotonic() - self.at
@@ -275,7 +275,7 @@
 RUN = """
 import json, sys
 from twisted.internet import reactor
-from weldbend.lab.fleet import measure
+from weldbend.testbed.fleet import measure
 one = getattr(measure, sys.argv[1])(reactor, *json.loads(sys.argv[2]))
 reactor.callWhenRunning(one.start)
 reactor.run()
--- a/weldbend/lab/fleet/virtual.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass, field
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.catchup import Exchange, Say, awake, neighbours
-from weldbend.fleet.copies import Change, Copies
-from weldbend.fleet.members import Membership, Send
-from weldbend.fleet.terms import Terms
+from weldbend.fleet.anti_entropy import Exchange, Say, awake, neighbours
+from weldbend.fleet.membership import Membership, Send
+from weldbend.fleet.replicated_store import Change, Copies
+from weldbend.fleet.settings import Terms
 
 KEEPALIVE = 3.0  # seconds after which a link that carries nothing breaks
 FAULTS = ("split", "one-way", "kill", "freeze", "slow", "lossy", "restart-all", "link-cut")
--- a/weldbend/lab/fleet/model.py
+++ b/weldbend/testbed/fleet/lease_model.py
@@ -12,7 +12,7 @@
 from fractions import Fraction
 from typing import Any, NamedTuple
 
-from weldbend.fleet.shares import Asking, Borrower, Granted, Ledger, Loan, Times
+from weldbend.fleet.lease_ledger import Asking, Borrower, Granted, Ledger, Loan, Times
 
 TICKS = Times(term=3, window=1, drift=Fraction(1, 6))  # type: ignore[arg-type]
 
--- a/weldbend/lab/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from weldbend.installation.keys import BadValue, seconds, whole
-from weldbend.installation.read import BadInstallation, parse
-from weldbend.lab.fault.plan import BadPlan, chance, word
+from weldbend.installation.reader import BadInstallation, parse
+from weldbend.testbed.faults.plan import BadPlan, chance, word
 
 DOES = {  # what an event does, and the keys that it needs beside `at` and `who`
     "split": ("for",),  # the sides do not reach each other
--- a/weldbend/lab/fleet/play.py
+++ b/weldbend/testbed/fleet/plan_player.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from weldbend.lab.fleet.plan import Deed, FleetPlan
+from weldbend.testbed.fleet.plan import Deed, FleetPlan
 
 Ways = set[tuple[int, int]]  # (from, to), fronts by number
 
--- a/weldbend/lab/fleet/command.py
+++ b/weldbend/testbed/fleet/plan_runner.py
@@ -11,13 +11,13 @@
 from twisted.internet import stdio
 from twisted.protocols.basic import LineOnlyReceiver
 
-from weldbend.lab.emulator import Shape
-from weldbend.lab.fault.plan import BadPlan
-from weldbend.lab.fleet.fronts import FleetRun, FleetSetup
-from weldbend.lab.fleet.plan import Deed, FleetPlan, deed
-from weldbend.lab.fleet.play import Player
-from weldbend.lab.fleet.processes import FleetSite
-from weldbend.lab.load import Load, Plan
+from weldbend.testbed.emulator.emulated_site import Shape
+from weldbend.testbed.faults.plan import BadPlan
+from weldbend.testbed.fleet.plan import Deed, FleetPlan, deed
+from weldbend.testbed.fleet.plan_player import Player
+from weldbend.testbed.fleet.processes import FleetSite
+from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
+from weldbend.testbed.load.generator import Load, Plan
 
 AGAIN, TRIES = 0.5, 12  # a verdict is asked for again: items end while fronts are asked one after the other
 
--- a/weldbend/lab/fleet/processes.py
+++ b/weldbend/testbed/fleet/processes.py
@@ -21,12 +21,12 @@
 from twisted.internet.protocol import DatagramProtocol
 from twisted.protocols.basic import LineOnlyReceiver
 
-from weldbend.fleet.views import differences
-from weldbend.lab.emulator import LOOPBACK, FrontProcess, Shape, Site
-from weldbend.lab.fault.engine import Deed, What
-from weldbend.lab.fault.plan import Direction
-from weldbend.lab.fault.proxy import Proxy, Side
-from weldbend.lab.fleet.play import Ways
+from weldbend.fleet.view_comparison import differences
+from weldbend.testbed.emulator.emulated_site import LOOPBACK, FrontProcess, Shape, Site
+from weldbend.testbed.faults.engine import Deed, What
+from weldbend.testbed.faults.plan import Direction
+from weldbend.testbed.faults.proxy import Proxy, Side
+from weldbend.testbed.fleet.plan_player import Ways
 
 PORTS = 10_000, 30_000  # first and last that are tried: the system gives later ones to whoever connects
 BUS = 0  # the number under which the bus stands among the fronts
--- a/weldbend/lab/fleet/rates.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from weldbend.fleet.limits import Limits, Rate
-from weldbend.fleet.shares import PARTS, Times
-from weldbend.measures import Chance
+from weldbend.fleet.lease_ledger import PARTS, Times
+from weldbend.fleet.lease_service import Limits, Rate
+from weldbend.routing.measures import Chance
 
 LIMIT = "type:order"
 SEEN_LATE = 1.5  # seconds after which a view knows that somebody is gone, or back
--- a/weldbend/lab/fleet/fronts.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -14,13 +14,13 @@
 from types import SimpleNamespace
 from typing import Any
 
-from weldbend.fleet.copies import RULES
-from weldbend.fleet.terms import Peer, Terms
-from weldbend.front.life import Front
-from weldbend.front.site import Site
-from weldbend.lab.fleet import audit
-from weldbend.lab.virtual.machines import Machine
-from weldbend.lab.virtual.run import BUS_HOST, Run, Setup, VirtualClock
+from weldbend.fleet.replicated_store import RULES
+from weldbend.fleet.settings import Peer, Terms
+from weldbend.front.configuration import Site
+from weldbend.front.server import Front
+from weldbend.testbed.fleet import auditor
+from weldbend.testbed.simulation.machines import Machine
+from weldbend.testbed.simulation.run import BUS_HOST, Run, Setup, VirtualClock
 
 PORT = 7400
 KEY = "0badcafe " + "5a" * 32 + "\n"
@@ -246,7 +246,7 @@
         if not self.setup.shared:
             return []
         now, nodes = self.world.now + 1.0, self.nodes()
-        found = audit.audit(SimpleNamespace(nodes=nodes, said=[], now=now, under_way=UNDER_WAY))
+        found = auditor.audit(SimpleNamespace(nodes=nodes, said=[], now=now, under_way=UNDER_WAY))
         for kind, key in sorted({name for node in nodes.values() for name in node.copies.items}):
             held = {name: node.copies.items.get((kind, key)) for name, node in nodes.items()}
             keep = RULES[kind].keep
--- a/weldbend/lab/hold.py
+++ b/weldbend/testbed/load/connection_holder.py
@@ -20,8 +20,9 @@
 from hdrh.histogram import HdrHistogram
 
 from weldbend.buffers.ring import Ring
-from weldbend.lab import calls, objects
-from weldbend.lab.objects import Sizes
+from weldbend.testbed.emulator import objects
+from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.load import client_calls
 
 LATE_PORT = 24  # IP_BIND_ADDRESS_NO_PORT (Linux): a port is looked for at connect, much faster
 PHOTO_WAIT = 6000  # milliseconds
@@ -47,7 +48,7 @@
                 client.setsockopt(socket.IPPROTO_IP, LATE_PORT, 1)
                 client.bind((f"127.0.0.{source}", 0))
                 client.connect(self.address)
-                client.sendall(calls.probe(1))
+                client.sendall(client_calls.probe(1))
                 client.settimeout(10)
                 client.recv(256)
             except OSError:
@@ -73,13 +74,13 @@
     def call(self, what: str) -> bytes:
         self.asked += 1
         if what == "probe":
-            return calls.probe(2)
+            return client_calls.probe(2)
         key, part = objects.key_of(self.rng.randrange(1, 2000)), 0
         fields = {
             "class": "photo", "id": f"{self.seed & 0xFFFF:04x}{self.asked:012x}", "wait": str(PHOTO_WAIT),
             "key": key, "nth": "0", "batch": "1", "kb": str(self.sizes.kb(key, part)),
         }  # fmt: skip
-        return calls.process(2, fields)
+        return client_calls.process(2, fields)
 
     def wake(self, share: float, what: str, patience: float) -> dict[str, Any]:
         """Wake a share at once; latencies run from just before the first was written."""
@@ -106,7 +107,7 @@
                     self.drop(fd)
                     continue
                 ring = self.rings.setdefault(fd, Ring(1 << 21))
-                for heard in calls.feed(ring, data):
+                for heard in client_calls.feed(ring, data):
                     last = time.monotonic() - begun
                     latency.record_value(max(int(last * 1e6), 1))
                     outcomes[heard.outcome] = outcomes.get(heard.outcome, 0) + 1
--- a/weldbend/lab/load.py
+++ b/weldbend/testbed/load/generator.py
@@ -19,8 +19,9 @@
 from twisted.python.failure import Failure
 
 from weldbend.buffers.ring import Ring
-from weldbend.lab import calls, objects
-from weldbend.lab.objects import Sizes
+from weldbend.testbed.emulator import objects
+from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.load import client_calls
 
 OPEN = 32  # the protocol's bound on open downloads of a connection
 HIGHEST = 60_000_000  # microseconds that a histogram counts
@@ -110,11 +111,11 @@
             fields["once"] = name
         if self.transport:
             self.transport.write(
-                calls.process(self.seqid, fields, b"x" * 200 if one.type == "order" else b"")
+                client_calls.process(self.seqid, fields, b"x" * 200 if one.type == "order" else b"")
             )
 
     def dataReceived(self, data: bytes) -> None:
-        for heard in calls.feed(self.ring, data):
+        for heard in client_calls.feed(self.ring, data):
             self.load.answered(self.open.pop(heard.seqid, None), heard)
 
     def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
@@ -194,7 +195,7 @@
                 return
         self.tally.counts["not asked"] += 1  # every connection is full
 
-    def answered(self, asked: Asked | None, heard: calls.Heard) -> None:
+    def answered(self, asked: Asked | None, heard: client_calls.Heard) -> None:
         if asked is None:
             self.tally.counts["answers to nothing asked"] += 1
             return
--- a/weldbend/lab/idle.py
+++ b/weldbend/testbed/load/idle_benchmark.py
@@ -14,7 +14,7 @@
 from pathlib import Path
 from typing import Any
 
-from weldbend.lab import figures
+from weldbend.testbed.load import process_usage
 
 A_HOLDER = 16_000  # idle connections that one holder has at most; descriptors of a process may end at 20,000
 RESERVE = 600  # descriptors of a front beside its idle ones
@@ -66,8 +66,8 @@
     pids: list[int]
     folder: Path
 
-    def usages(self) -> list[figures.Usage]:
-        return [figures.usage(pid) for pid in self.pids]
+    def usages(self) -> list[process_usage.Usage]:
+        return [process_usage.usage(pid) for pid in self.pids]
 
     def cpu(self, seconds: float) -> float:
         """Cores that the fronts take together over a time."""
@@ -76,7 +76,7 @@
         return (sum(one.cpu for one in self.usages()) - before) / seconds
 
     def anonymous(self) -> int:
-        return sum(figures.anonymous(pid) for pid in self.pids)
+        return sum(process_usage.anonymous(pid) for pid in self.pids)
 
     def counters(self) -> list[dict[str, Any]]:
         """The last counters that each front logged; all of them once the site has ended."""
@@ -147,11 +147,11 @@
         with bench(1, count + RESERVE, program, None if program else installation) as held:
             result(busy(held.fronts, 86, 3, 9))
             time.sleep(SETTLE)
-            before, slab, none = held.anonymous(), figures.kernel_sockets(), held.cpu(5)
+            before, slab, none = held.anonymous(), process_usage.kernel_sockets(), held.cpu(5)
             with holders(held.fronts, count, rate):
                 time.sleep(SETTLE)
                 each = (held.anonymous() - before) / count
-                kernel = (figures.kernel_sockets() - slab) / count / 2
+                kernel = (process_usage.kernel_sockets() - slab) / count / 2
                 row = {
                     "program": program or "this", "idle": count, "bytes_first": round(each),
                     "kernel_bytes": round(kernel), "cpu_none": none, "cpu_idle": held.cpu(8),
@@ -220,7 +220,7 @@
 def many(count: int, fronts: int, rate: float, seconds: float, installation: str, say: Say) -> dict[str, Any]:
     """The published run: so many idle connections over several fronts, busy downloads beside them."""
     with bench(fronts, count // fronts + RESERVE, None, installation) as held:
-        before, slab = held.anonymous(), figures.kernel_sockets()
+        before, slab = held.anonymous(), process_usage.kernel_sockets()
         with holders(held.fronts, count, 2500) as each:
             time.sleep(SETTLE)
             idle_cpu = held.cpu(5)
@@ -232,7 +232,7 @@
             row = {
                 "idle": count, "fronts": fronts, "open at the end": open_now,
                 "bytes": round((held.anonymous() - before) / count),
-                "kernel_bytes": round((figures.kernel_sockets() - slab) / count / 2),
+                "kernel_bytes": round((process_usage.kernel_sockets() - slab) / count / 2),
                 "cpu_idle": idle_cpu, "busy": told,
             }  # fmt: skip
     row["counters"] = held.counters()
--- a/weldbend/lab/virtual/audit.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -9,10 +9,10 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from weldbend.lab.calls import Heard
-from weldbend.lab.commands import Command
-from weldbend.lab.virtual.wire import GiveUp, Process, Seen
-from weldbend.lines.answers import Answer
+from weldbend.cache_protocol.answers import Answer
+from weldbend.testbed.emulator.cache_commands import Command
+from weldbend.testbed.load.client_calls import Heard
+from weldbend.testbed.simulation.observer import GiveUp, Process, Seen
 
 SLACK = 0.05  # seconds that a time limit is longer on sockets
 NEVER_RAN = ("LACK", "WAIT", "PAST")
--- a/weldbend/lab/virtual/machines.py
+++ b/weldbend/testbed/simulation/machines.py
@@ -24,7 +24,7 @@
 from twisted.internet.interfaces import IHalfCloseableProtocol
 from twisted.python.failure import Failure
 
-from weldbend.lab.fault.engine import Deed, Stream, What
+from weldbend.testbed.faults.engine import Deed, Stream, What
 
 WINDOW = 1 << 17  # bytes on their way or unread, beyond which a sender is held back
 EPOCH = 1_700_000_000.0  # Unix seconds at the virtual start
--- a/weldbend/lab/virtual/wire.py
+++ b/weldbend/testbed/simulation/observer.py
@@ -9,9 +9,10 @@
 from typing import Any
 
 from weldbend.buffers.ring import Ring
-from weldbend.lab import calls, commands
-from weldbend.lines.answers import Answer, BadAnswer
-from weldbend.lines.answers import Parser as AnswerParser
+from weldbend.cache_protocol.answers import Answer, BadAnswer
+from weldbend.cache_protocol.answers import Parser as AnswerParser
+from weldbend.testbed.emulator import cache_commands
+from weldbend.testbed.load import client_calls
 from weldbend.thrift.binary import BadMessage
 from weldbend.thrift.framing import BadFrame, next_frame
 from weldbend.thrift.messages import GiveUp, Probe, Process, Wrong, read_call
@@ -49,11 +50,11 @@
 
     def __init__(self, kind: str, told: Callable[[Any], None]) -> None:
         self.ring, self.told, self.dead = Ring(LONGEST), told, False
-        answers, asked = AnswerParser(self.ring), commands.Parser(self.ring)
+        answers, asked = AnswerParser(self.ring), cache_commands.Parser(self.ring)
 
         self.read: Callable[[], Iterator[Any]] = {
             "calls": lambda: frames(self.ring, read_call),
-            "heard": lambda: frames(self.ring, calls.read_answer),
+            "heard": lambda: frames(self.ring, client_calls.read_answer),
             "commands": asked.all,
             "answers": lambda: all_answers(answers),
         }[kind]
@@ -70,7 +71,7 @@
         """The next message; `garbage` once where there can be none any more."""
         try:
             return next(found, None)
-        except (BadMessage, BadFrame, BadAnswer, commands.BadCommand, ValueError, KeyError):
+        except (BadMessage, BadFrame, BadAnswer, cache_commands.BadCommand, ValueError, KeyError):
             self.dead = True
             return "garbage"
 
--- a/weldbend/lab/virtual/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -13,19 +13,20 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.front.clock import Clock
-from weldbend.front.life import Front
-from weldbend.front.site import Site, read_site
-from weldbend.lab import calls, objects
-from weldbend.lab.fault.engine import Injector
-from weldbend.lab.fault.plan import Direction, Plan, plan
-from weldbend.lab.objects import Sizes
-from weldbend.lab.servers import BoxServer, BusServer
-from weldbend.lab.site import LIMITS, SETTINGS, configuration, target
-from weldbend.lab.virtual.audit import Auditor, Breach, Rules
-from weldbend.lab.virtual.machines import Machine, Transport, World
-from weldbend.lab.virtual.wire import Ear, Seen
-from weldbend.lab.world import Box
-from weldbend.lab.world import World as Boxes
+from weldbend.front.configuration import Site, read_site
+from weldbend.front.server import Front
+from weldbend.testbed.emulator import objects
+from weldbend.testbed.emulator.cache_model import Box
+from weldbend.testbed.emulator.cache_model import World as Boxes
+from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
+from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.servers import BoxServer, BusServer
+from weldbend.testbed.faults.engine import Injector
+from weldbend.testbed.faults.plan import Direction, Plan, plan
+from weldbend.testbed.load import client_calls
+from weldbend.testbed.simulation.auditor import Auditor, Breach, Rules
+from weldbend.testbed.simulation.machines import Machine, Transport, World
+from weldbend.testbed.simulation.observer import Ear, Seen
 
 EDIT = {
     "deadline_us": 4000000,
@@ -113,10 +114,10 @@
         self.seqid += 1
         self.open[self.seqid], self.last = fields, self.run.world.now
         if self.transport:
-            self.transport.write(calls.process(self.seqid, fields, b"x" * 100))
+            self.transport.write(client_calls.process(self.seqid, fields, b"x" * 100))
 
     def dataReceived(self, data: bytes) -> None:
-        for heard in calls.feed(self.ring, data):
+        for heard in client_calls.feed(self.ring, data):
             fields = self.open.pop(heard.seqid, None)
             if fields and heard.outcome == "throttled" and "after" in heard.fields:
                 self.run.again(fields, int(heard.fields["after"]) / 1000)
--- a/weldbend/lab/virtual/search.py
+++ b/weldbend/testbed/simulation/seed_search.py
@@ -6,8 +6,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-from weldbend.lab.fleet.fronts import FleetRun, FleetSetup
-from weldbend.lab.virtual.run import Run, Setup
+from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
+from weldbend.testbed.simulation.run import Run, Setup
 
 
 def quiet() -> None:
