--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -7,12 +7,13 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
+from weldbend.routing.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt, WatchEndpoints
+from weldbend.routing.events import AttemptEnded, AttemptResult, Endpoint, EndpointState, EndpointsListed, FillHint, ListScope, RequestReceived, TimerFired
+from weldbend.routing.settings import DeduplicationScope, Idempotency, RequestClass, Role, SiteSettings
 from weldbend.buffers.ring import Ring
 from weldbend.event_bus.events import event as bus_event
 from weldbend.front.configuration import read_site
 from weldbend.front.server import Front as Door
-from weldbend.routing import interface as face
-from weldbend.routing.interface import Effect, Hint, Phase, Result, Role, Scale, Scope
 from weldbend.routing.router import Router
 from weldbend.testbed.emulator import configuration as emulated_configuration
 from weldbend.testbed.emulator.configuration import SETTINGS, listing, target
@@ -24,11 +25,11 @@
 
 
 def content(name="photo", **changes):
-    base = face.ContentType(name, Effect.RETRIABLE, Scope.ALL, 3.0, 6.0, 0.5, 1.6, 2.0, 0.0, False)
+    base = RequestClass(name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 3.0, 6.0, 0.5, 1.6, 2.0, 0.0, False)
     return replace(base, **changes)
 
 
-SITE = face.SiteFacts(
+SITE = SiteSettings(
     zone="z",
     hub="h",
     fronts=2,
@@ -36,29 +37,29 @@
     hub_fronts=2,
     types={"photo": content()},
     tick=0.002,
-    ask_within=10.0,
+    list_refresh=10.0,
     subscribes=False,
     weighted=True,
-    second_copies=True,
-    calls_off=True,
-    most_pulls=6,
-    longest_wait=1.0,
+    allows_hedging=True,
+    allows_cancel=True,
+    max_attempts=6,
+    max_retry_after=1.0,
     direct=False,
     joins=True,
-    cold_floor=0.2,
-    cold_time=10.0,
-    cold_multiple=2.0,
-    cold_window=2.0,
-    parent_floor=0.1,
-    parent_time=20.0,
-    parent_multiple=2.0,
-    purge_slack=0.3,
-    purge_done=6.0,
+    edge_start_capacity=0.2,
+    edge_warmup=10.0,
+    edge_overload_factor=2.0,
+    edge_overload_window=2.0,
+    parent_start_capacity=0.1,
+    parent_warmup=20.0,
+    parent_overload_factor=2.0,
+    purge_grace=0.3,
+    purge_complete_after=6.0,
 )
 
 
-def entry(number, role=Role.EDGE, zone="z", phase=Phase.READY, started=None, cell=0):
-    return face.Entry(number, 10.0, zone, cell, role, phase, started)
+def entry(number, role=Role.EDGE, zone="z", phase=EndpointState.READY, started=None, cell=0):
+    return Endpoint(number, 10.0, zone, cell, role, phase, started)
 
 
 CACHES = (
@@ -74,8 +75,8 @@
     """Feeds a Router and keeps a printed line for each pull and each final answer."""
 
     def __init__(self, caches=CACHES, **site):
-        self.router, self.now, self.trace, self.pulls = Router(7, replace(SITE, **site)), 0.0, [], {}
-        self.listed(*caches, scale=Scale.WHOLE)
+        self.router, self.now, self.trace, self.attempts = Router(7, replace(SITE, **site)), 0.0, [], {}
+        self.listed(*caches, scale=ListScope.COMPLETE)
 
     def at(self, now, *events):
         self.now = now
@@ -86,46 +87,46 @@
 
     def line(self, action):
         match action:
-            case face.SendPull():
-                self.pulls[action.id] = self.pulls.get(action.id, 0) + 1
+            case SendAttempt():
+                self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
                 fill = "look" if action.source in (None, action.cache) else f"fill from {action.source}"
-                fill += " if held" * action.only_held
+                fill += " if held" * action.only_cached
                 age = f" age {action.age:.3f}" if action.age else ""
                 leave = " leave-no-copy" if action.leave_no_copy else ""
                 return f"{action.id}: {action.cache} {fill} rank {action.rank}{leave}{age}"
-            case face.CallOff(name, pull):
-                return f"{name}: call off {pull}"
-            case face.Throttle(name, wait):
+            case CancelAttempt(name, attempt):
+                return f"{name}: call off {attempt}"
+            case RejectRequest(name, wait):
                 return f"{name}: throttled, wait {wait}"
-            case face.Abandon(name):
+            case FailRequest(name):
                 return f"{name}: abandoned"
-            case face.Watch():
+            case WatchEndpoints():
                 return "watch"
 
-    def listed(self, *entries, scale=Scale.CHANGES, now=None):
-        self.at(self.now if now is None else now, face.Listed(scale, entries))
+    def listed(self, *entries, scale=ListScope.CHANGES, now=None):
+        self.at(self.now if now is None else now, EndpointsListed(scale, entries))
 
     def ask(self, name, key="k", now=None, type="photo", until=None, repeat=False):
         now = self.now if now is None else now
-        self.at(now, face.Asked(name, key, 0, 3, type, 0.0, repeat, until or now + 6.0))
+        self.at(now, RequestReceived(name, key, 0, 3, type, 0.0, repeat, until or now + 6.0))
 
-    def end(self, name, result, now=None, hint=Hint.NONE, pull=None, took=0.01):
-        pull = self.pulls[name] - 1 if pull is None else pull
-        closed = result is Result.FULFILLED
+    def end(self, name, result, now=None, hint=FillHint.NONE, attempt=None, took=0.01):
+        attempt = self.attempts[name] - 1 if attempt is None else attempt
+        closed = result is AttemptResult.SERVED
         now = self.now if now is None else now
-        self.at(now, face.Ended(name, pull, result, took, closed, hint, 0.0, None))
+        self.at(now, AttemptEnded(name, attempt, result, took, closed, hint, 0.0, None))
 
-    def wake(self, name, why="slow", pull=0, now=None):
-        token = f"slow:{name}:{pull}" if why == "slow" else f"end:{name}"
-        self.at(self.now if now is None else now, face.Woke(token))
+    def wake(self, name, why="slow", attempt=0, now=None):
+        token = f"slow:{name}:{attempt}" if why == "slow" else f"end:{name}"
+        self.at(self.now if now is None else now, TimerFired(token))
 
     def fill(self, name, key="k", now=None):
         """A download that misses at its edge, and at a parent asked for what it holds, and is then filled."""
         self.ask(name, key, now)
-        self.end(name, Result.MISS)
+        self.end(name, AttemptResult.MISS)
         if "held" in self.trace[-1]:
-            self.end(name, Result.MISS)
-        self.end(name, Result.FULFILLED)
+            self.end(name, AttemptResult.MISS)
+        self.end(name, AttemptResult.SERVED)
 
     def shows(self, kept):
         lines = [line.strip() for line in kept.strip().splitlines()]
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,10 +3,10 @@
 from dataclasses import replace
 
 from fronts import CACHES, SITE, Front, content, entry
-
-from weldbend.routing import interface as face
-from weldbend.routing.interface import Effect, Hint, Phase, Result, Role, Scope
-from weldbend.routing.router import Mark, Pull
+from weldbend.routing.actions import SetTimer
+from weldbend.routing.events import AttemptEnded, AttemptResult, ConnectionOpened, EndpointState, FillHint, LoopLagMeasured, ObjectsPurged, PeerKnowledge, RequestCancelled, RequestReceived, SettingsChanged, TimerFired
+from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
+from weldbend.routing.router import Mark, Attempt
 
 
 def test_second_request_keeps_at_the_edge_and_leaves_no_copy():
@@ -29,9 +29,9 @@
 def test_failed_parent_passes_to_the_next_then_the_origin():
     front = Front()
     front.ask("a", now=1)
-    front.end("a", Result.MISS)
-    front.end("a", Result.ERROR, now=1.5)
-    front.end("a", Result.ERROR, now=2)
+    front.end("a", AttemptResult.MISS)
+    front.end("a", AttemptResult.ERROR, now=1.5)
+    front.end("a", AttemptResult.ERROR, now=2)
     front.shows("""
         1.00 a: 1 look rank 0
         1.00 a: 1 fill from 11 if held rank 1
@@ -44,7 +44,7 @@
     front = Front()
     front.ask("a", now=1, until=1.6)
     front.wake("a", "end", now=1.596)
-    front.end("a", Result.CALLED_OFF, now=1.6)
+    front.end("a", AttemptResult.CANCELLED, now=1.6)
     front.wake("a", "end", now=1.61)
     front.shows("""
         1.00 a: 1 look rank 0
@@ -55,18 +55,18 @@
 
 def test_no_effect_twice():
     kinds = {
-        "pay": content("pay", effect=Effect.NON_RETRIABLE),
-        "order": content("order", effect=Effect.DEDUPED, window=1.0),
-        "near": content("near", effect=Effect.DEDUPED, scope=Scope.CELL),
+        "pay": content("pay", effect=Idempotency.NON_IDEMPOTENT),
+        "order": content("order", effect=Idempotency.DEDUPLICATED, window=1.0),
+        "near": content("near", effect=Idempotency.DEDUPLICATED, scope=DeduplicationScope.CELL),
     }
-    front = Front((entry(1, cell=1), entry(2, cell=2), CACHES[-1]), types=kinds, cold_multiple=9.0)
+    front = Front((entry(1, cell=1), entry(2, cell=2), CACHES[-1]), types=kinds, edge_overload_factor=9.0)
     for name in kinds:
         front.ask(f"{name}-ran", now=1, type=name)
-        front.end(f"{name}-ran", Result.RESET)
+        front.end(f"{name}-ran", AttemptResult.RESET)
         front.ask(f"{name}-not", type=name)
-        front.end(f"{name}-not", Result.UNREACHED)
+        front.end(f"{name}-not", AttemptResult.UNREACHABLE)
     front.ask("late", now=20, type="order")
-    front.end("late", Result.RESET, now=21)
+    front.end("late", AttemptResult.RESET, now=21)
     front.shows("""
         1.00 pay-ran: 1 look rank 0
         1.00 pay-ran: abandoned
@@ -86,11 +86,11 @@
 
 
 def test_never_two_pulls_out_where_a_site_forbids_it():
-    front = Front(second_copies=False)
+    front = Front(allows_hedging=False)
     front.ask("a", now=1)
     front.wake("a", now=3)
     front.wake("a", now=5)
-    front.end("a", Result.CALLED_OFF, now=5.1)
+    front.end("a", AttemptResult.CANCELLED, now=5.1)
     front.shows("""
         1.00 a: 1 look rank 0
         5.00 a: call off 0
@@ -101,15 +101,15 @@
 def test_draining_and_gone_caches_get_nothing():
     front = Front()
     gone = front.router.caches[11]
-    front.listed(entry(1, phase=Phase.DRAINING), entry(11, Role.PARENT, "h", Phase.GONE))
+    front.listed(entry(1, phase=EndpointState.DRAINING), entry(11, Role.PARENT, "h", EndpointState.REMOVED))
     for key in "klmn":
         front.ask(key, key, now=1)
-        front.end(key, Result.MISS)
-    dl = front.router.downloads["k"]
-    front.router.post(front.router.gate, Pull(dl, front.router.caches[1]))
-    front.at(1.1, face.Left("nobody"))
-    front.router.post(front.router.gate, Pull(dl, front.router.caches[2], gone))
-    front.at(1.2, face.Left("nobody"))
+        front.end(key, AttemptResult.MISS)
+    request = front.router.requests["k"]
+    front.router.post(front.router.gate, Attempt(request, front.router.caches[1]))
+    front.at(1.1, RequestCancelled("nobody"))
+    front.router.post(front.router.gate, Attempt(request, front.router.caches[2], gone))
+    front.at(1.2, RequestCancelled("nobody"))
     front.shows("""
         1.00 k: 2 look rank 0
         1.00 k: 2 fill from 12 if held rank 1
@@ -146,7 +146,7 @@
     front = Front((entry(1), entry(2), CACHES[-1]), weighted=False)
     for n in range(60):
         front.ask(f"d{n}", f"k{n}", now=1 + n / 30)
-        front.end(f"d{n}", Result.FULFILLED, took=0.2)
+        front.end(f"d{n}", AttemptResult.SERVED, took=0.2)
     front.listed(entry(1, started=3.0), now=3.0)
     front.ask("one-cold", "k2", now=3.0)
     front.listed(entry(2, started=3.1), now=3.1)
@@ -168,10 +168,10 @@
 
 
 def test_cache_that_could_not_be_reached_is_taken_for_just_started():
-    front = Front(CACHES[:1] + CACHES[-1:], cold_multiple=1.0)
-    for n, result in enumerate((Result.UNREACHED, *[Result.FULFILLED] * 5)):
+    front = Front(CACHES[:1] + CACHES[-1:], edge_overload_factor=1.0)
+    for n, result in enumerate((AttemptResult.UNREACHABLE, *[AttemptResult.SERVED] * 5)):
         front.ask(f"d{n}", f"k{n}", now=1 + n / 10)
-        if f"d{n}" in front.pulls:
+        if f"d{n}" in front.attempts:
             front.end(f"d{n}", result)
     front.shows("""
         1.00 d0: 1 look rank 0
@@ -186,17 +186,17 @@
 
 def test_cache_that_is_reached_soon_after_a_break_did_not_start_anew():
     """However many pulls the connection held, it is one piece of evidence; what is spoilt is none."""
-    front = Front(CACHES[:1] + CACHES[-1:], cold_multiple=9.0)
+    front = Front(CACHES[:1] + CACHES[-1:], edge_overload_factor=9.0)
     cache, parts = front.router.caches[1], []
     for n in range(4):
         front.ask(f"d{n}", f"k{n}", now=1)
     for n in range(4):
-        front.end(f"d{n}", Result.RESET if n else Result.SPOILT, now=1.2)
-    for now, event in ((1.3, face.Left("nobody")), (1.45, face.Left("nobody")), (1.5, face.Reached(1))):
+        front.end(f"d{n}", AttemptResult.RESET if n else AttemptResult.MALFORMED, now=1.2)
+    for now, event in ((1.3, RequestCancelled("nobody")), (1.45, RequestCancelled("nobody")), (1.5, ConnectionOpened(1))):
         front.at(now, event)
         parts.append(cache.part())
-    front.end("d0", Result.UNREACHED, now=2.0)
-    front.at(2.1, face.Reached(1))
+    front.end("d0", AttemptResult.UNREACHABLE, now=2.0)
+    front.at(2.1, ConnectionOpened(1))
     assert cache.bad.total(1.4) == 2 and cache.limit > 5
     front.trace.append("parts " + " ".join(f"{part:.2f}" for part in (*parts, cache.part())))
     front.shows("""
@@ -217,20 +217,20 @@
     """Have the edges answer so often that, within a doubt's time, more would have come."""
     for n in range(count):
         front.ask(f"w{n}", f"w{n}", now=n / count)
-        front.end(f"w{n}", Result.FULFILLED)
+        front.end(f"w{n}", AttemptResult.SERVED)
     front.trace.clear()
 
 
 def test_silent_connection_is_doubted_once_and_speaks_of_nothing_else():
-    front = Front(CACHES[:2], second_copies=False)
+    front = Front(CACHES[:2], allows_hedging=False)
     answered(front, 100)
     for n in range(4):
         front.ask(f"d{n}", f"k{n}", now=1)
     for n in range(4):
-        front.at(2, face.Woke(f"slow:d{n}:0", n < 2))
+        front.at(2, TimerFired(f"slow:d{n}:0", n < 2))
     for n in range(4):
         if f"d{n}: call off 0" in str(front.trace):
-            front.end(f"d{n}", Result.CALLED_OFF, pull=0)
+            front.end(f"d{n}", AttemptResult.CANCELLED, attempt=0)
     front.shows("""
         1.00 d0: 2 look rank 0
         1.00 d1: 2 look rank 0
@@ -245,13 +245,13 @@
 
 def test_silence_says_nothing_where_no_answer_was_due():
     """A front that asks a cache once in a while would call off all that is slow, and ask again for it."""
-    front = Front(CACHES[:2], second_copies=False)
+    front = Front(CACHES[:2], allows_hedging=False)
     answered(front, 4)
     front.ask("d", "k0", now=1)
-    front.at(2, face.Woke("slow:d:0", True))
+    front.at(2, TimerFired("slow:d:0", True))
     front.shows("1.00 d: 2 look rank 0")
-    front.at(3.2, face.Woke("slow:d:0", True))
-    front.end("d", Result.CALLED_OFF, pull=0)
+    front.at(3.2, TimerFired("slow:d:0", True))
+    front.end("d", AttemptResult.CANCELLED, attempt=0)
     front.shows("""
         1.00 d: 2 look rank 0
         3.20 d: call off 0
@@ -268,8 +268,8 @@
         front.router.caches[1].limit = 1000.0
         for n in range(60):
             front.ask(f"d{n}", f"k{n}", now=1)
-            if f"d{n}" in front.pulls:
-                front.end(f"d{n}", Result.MISS)
+            if f"d{n}" in front.attempts:
+                front.end(f"d{n}", AttemptResult.MISS)
         most[fronts] = sum(" if held" in line for line in front.trace)
         assert front.router.tier.out == most[fronts]
     assert most == {2: 60, 200: 3}
@@ -283,23 +283,23 @@
     before = front.router.tier.limit()
     for n in range(12):
         front.ask(f"d{n}", f"k{n}", now=1 + n / 5)
-        front.end(f"d{n}", Result.MISS)
+        front.end(f"d{n}", AttemptResult.MISS)
         if "held" in front.trace[-1]:
-            front.end(f"d{n}", Result.FULFILLED, took=9.0)
+            front.end(f"d{n}", AttemptResult.SERVED, took=9.0)
     limits = {cache.limit for cache in front.router.caches.values() if cache.role is Role.PARENT}
     assert len(limits) == 1, "no parent had a crowd of its own"
     assert front.router.tier.limit() < 0.4 * before
 
 
 def test_when_no_edge_is_left_a_parent_is_asked_for_what_it_holds_before_the_origin_has_to():
-    edges = tuple(entry(n, phase=Phase.DRAINING) for n in (1, 2))
+    edges = tuple(entry(n, phase=EndpointState.DRAINING) for n in (1, 2))
     front = Front(edges + CACHES[2:3] + CACHES[-1:], direct=True)
     front.router.caches[21].limit = 0.8  # room for one, and a chance of one in 25 for another
     for n in range(3):
         front.ask(f"d{n}", f"k{n}", now=1)
-    front.end("d0", Result.FULFILLED)
-    front.end("d1", Result.MISS)
-    front.end("d2", Result.MISS)
+    front.end("d0", AttemptResult.SERVED)
+    front.end("d1", AttemptResult.MISS)
+    front.end("d2", AttemptResult.MISS)
     front.shows("""
         1.00 d0: 11 look rank 0
         1.00 d1: 11 look rank 0
@@ -311,11 +311,11 @@
 
 def test_download_that_no_cache_can_use_is_given_up_and_speaks_against_none():
     front = Front()
-    front.router.gate.downloads.add(1, 100)
-    for name, last in (("bad", Result.ERROR), ("good", Result.FULFILLED)):
+    front.router.gate.requests.add(1, 100)
+    for name, last in (("bad", AttemptResult.ERROR), ("good", AttemptResult.SERVED)):
         front.ask(name, "k", now=1)
-        front.end(name, Result.ERROR)
-        front.end(name, Result.ERROR)
+        front.end(name, AttemptResult.ERROR)
+        front.end(name, AttemptResult.ERROR)
         front.end(name, last)
     marks = {c.id: c.bad.total(1) for c in front.router.caches.values() if c.bad.total(1)}
     assert marks == {1: 1, 2: 1}
@@ -355,7 +355,7 @@
 
 def test_purged_copies_do_not_answer():
     front = Front()
-    front.at(1, face.Purged("k", 0, 0.2), face.Purged(None, 3, 0.5))
+    front.at(1, ObjectsPurged("k", 0, 0.2), ObjectsPurged(None, 3, 0.5))
     front.ask("a", "k", now=1.5)
     front.ask("b", "l", now=2)
     front.ask("c", "k", now=9)
@@ -391,19 +391,19 @@
     front = Front()
     for n in range(30):
         front.ask(f"c{n}", f"k{n}", now=1)
-        front.end(f"c{n}", Result.MISS)
-        front.end(f"c{n}", Result.FULFILLED)
+        front.end(f"c{n}", AttemptResult.MISS)
+        front.end(f"c{n}", AttemptResult.SERVED)
     for n in range(9):
         front.ask(f"d{n}", f"k{n}", now=1)
-        front.end(f"d{n}", Result.MISS)
+        front.end(f"d{n}", AttemptResult.MISS)
     for n in range(9):
-        front.end(f"d{n}", Result.FULFILLED, now=2, took=9.0)
+        front.end(f"d{n}", AttemptResult.SERVED, now=2, took=9.0)
     front.trace.clear()
     for name in "efg":
         front.router.caches[21].limit = 0.0 if name == "g" else 9.0
         front.ask(name, f"new {name}", now=3)
-        front.end(name, Result.MISS)
-        front.end(name, Result.MISS)
+        front.end(name, AttemptResult.MISS)
+        front.end(name, AttemptResult.MISS)
     front.shows("""
         3.00 e: 1 look rank 0
         3.00 e: 1 fill from 11 if held rank 1
@@ -423,11 +423,11 @@
         front = Front(CACHES[:3] + CACHES[-1:])
         for n in range(40):
             front.ask(f"d{n}", f"k{n}", now=1 + n / 10)
-            while f"d{n}" in front.router.downloads:
+            while f"d{n}" in front.router.requests:
                 last, fetch = front.trace[-1], bool(n % 2)
                 missed = "look" in last or ("held" in last and fetch)
                 late = "from 11" in last and (slow == "parent" or fetch)
-                front.end(f"d{n}", Result.MISS if missed else Result.FULFILLED, took=9.0 if late else 0.1)
+                front.end(f"d{n}", AttemptResult.MISS if missed else AttemptResult.SERVED, took=9.0 if late else 0.1)
         limits[slow] = f"{front.router.caches[11].limit:.1f} {front.router.caches[21].limit:.1f}"
     assert limits == {"parent": "0.7 12.0", "origin": "9.5 0.5"}
 
@@ -437,8 +437,8 @@
     limits = []
     for n in range(60):
         front.ask(f"d{n}", f"k{n}", now=1 + n / 20)
-        if f"d{n}" in front.pulls:
-            front.end(f"d{n}", Result.FULFILLED, took=9.0 if n > 30 or n % 15 == 0 else 0.1)
+        if f"d{n}" in front.attempts:
+            front.end(f"d{n}", AttemptResult.SERVED, took=9.0 if n > 30 or n % 15 == 0 else 0.1)
         limits.append(f"{front.router.caches[1].limit:.1f}")
     assert limits[28::6] == ["9.5", "5.7", "2.0", "0.7", "0.5", "0.5"]
 
@@ -447,8 +447,8 @@
     front = Front(CACHES[:1])
     for n in range(300):
         front.ask(f"d{n}", f"k{n}", now=1 + n / 20)
-        if f"d{n}" in front.pulls:
-            front.end(f"d{n}", Result.FULFILLED, took=0.2 if n < 40 else 2.0)
+        if f"d{n}" in front.attempts:
+            front.end(f"d{n}", AttemptResult.SERVED, took=0.2 if n < 40 else 2.0)
     assert f"{front.router.mean_work(front.router.facts.types['photo']):.1f}" == "0.2"
 
 
@@ -462,8 +462,8 @@
         for n in range(40):
             edge.limit = min(edge.limit, 0.3)
             front.ask(f"d{n}", f"k{n}", now=n / 20)
-            if f"d{n}" in front.pulls:
-                front.end(f"d{n}", Result.FULFILLED)
+            if f"d{n}" in front.attempts:
+                front.end(f"d{n}", AttemptResult.SERVED)
                 shown.append(f"{edge.limit:.2f}")
     assert 150 < len(shown) < 186 and set(shown) == {"0.35"}
 
@@ -471,17 +471,17 @@
 def test_patience_goes_by_what_is_pulled_from_and_not_under_the_target_time():
     front, delays = Front(), []
     for n in range(40):
-        events = [face.Asked(f"d{n}", f"k{n}", 0, 3, "photo", 0.0, False, 99.0)]
-        for pull, result in enumerate(
-            [Result.MISS, Result.MISS, Result.FULFILLED] if n > 20 else [Result.FULFILLED]
+        events = [RequestReceived(f"d{n}", f"k{n}", 0, 3, "photo", 0.0, False, 99.0)]
+        for attempt, result in enumerate(
+            [AttemptResult.MISS, AttemptResult.MISS, AttemptResult.SERVED] if n > 20 else [AttemptResult.SERVED]
         ):
-            took = 2.0 if pull else 0.01
+            took = 2.0 if attempt else 0.01
             events.append(
-                face.Ended(f"d{n}", pull, result, took, result is Result.FULFILLED, Hint.NONE, 0.0, None)
+                AttemptEnded(f"d{n}", attempt, result, took, result is AttemptResult.SERVED, FillHint.NONE, 0.0, None)
             )
         for event in events:
             acts = front.router.handle(1 + n / 10, [event])
-            delays += [f"{a.delay:.1f}" for a in acts if isinstance(a, face.Wake) and "slow" in a.token]
+            delays += [f"{a.delay:.1f}" for a in acts if isinstance(a, SetTimer) and "slow" in a.token]
     assert delays[-3:] == ["0.5", "1.2", "4.8"]
 
 
@@ -509,15 +509,15 @@
     for n in range(30):
         front.ask(f"d{n}", f"k{n}", now=1 + n / 10)
         for _ in range(3):
-            if f"d{n}" in front.router.downloads:
+            if f"d{n}" in front.router.requests:
                 bad = front.trace[-1].split()[2] == "1"
-                front.end(f"d{n}", Result.ERROR if bad else Result.FULFILLED)
-    pulls = [line.split()[2] for line in front.trace if "look" in line]
-    assert pulls.count("1") <= 6, pulls
+                front.end(f"d{n}", AttemptResult.ERROR if bad else AttemptResult.SERVED)
+    attempts = [line.split()[2] for line in front.trace if "look" in line]
+    assert attempts.count("1") <= 6, attempts
     front.trace = []
     for n in range(10):
         front.ask(f"e{n}", f"k{n}", now=30 + n)
-        front.end(f"e{n}", Result.FULFILLED)
+        front.end(f"e{n}", AttemptResult.SERVED)
     assert any(line.split()[2] == "1" for line in front.trace)
 
 
@@ -526,9 +526,9 @@
     for n in range(40):
         front.ask(f"d{n}", f"k{n}", now=1 + n / 10)
         slow = front.trace[-1].split()[2] == "1"
-        front.end(f"d{n}", Result.FULFILLED, took=4.0 if slow else 0.1)
-    pulls = [line.split()[2] for line in front.trace]
-    assert pulls[:20].count("1") > pulls[20:].count("1") <= 2, pulls
+        front.end(f"d{n}", AttemptResult.SERVED, took=4.0 if slow else 0.1)
+    attempts = [line.split()[2] for line in front.trace]
+    assert attempts[:20].count("1") > attempts[20:].count("1") <= 2, attempts
 
 
 def test_fronts_agree_on_the_hash_whatever_their_seed():
@@ -542,7 +542,7 @@
 
 def test_list_that_must_be_asked_is_asked_again():
     front = Front(subscribes=True)
-    front.at(2, face.Woke("watch"))
+    front.at(2, TimerFired("watch"))
     front.shows("""
         0.00 watch
         2.00 watch
@@ -551,19 +551,19 @@
 
 def test_front_with_more_to_do_than_time_throttles_at_once_and_keeps_what_benefits_most():
     """Late turns are told as they come: a part of what is asked then pulls nothing, and is told to wait."""
-    kinds = {"photo": content(), "order": content("order", benefit=3.0)}
+    kinds = {"photo": content(), "order": content("order", priority_weight=3.0)}
     front, shown = Front(types=kinds), []
     for late in (0.01, 0.04, 0.1, 0.2, 0.0):
         taken = dict.fromkeys(kinds, 0)
         for _ in range(20):
-            front.at(front.now + 0.1, face.Pressed(late))
+            front.at(front.now + 0.1, LoopLagMeasured(late))
         for n in range(100):
             for kind in kinds:
                 name = f"{kind} {late} {n}"
                 front.ask(name, type=kind)
-                if name in front.router.downloads:
+                if name in front.router.requests:
                     taken[kind] += 1
-                    front.end(name, Result.FULFILLED)
+                    front.end(name, AttemptResult.SERVED)
         shown.append(f"{late} late: {taken['photo']} photos, {taken['order']} orders")
     assert {line.split(": ")[1] for line in front.trace if "thr" in line} == {"throttled, wait 1.0"}
     front.trace = shown
@@ -580,20 +580,20 @@
     front = Front()
     caches = front.router.caches
     front.at(
-        1, face.Known(1, Phase.DRAINING, None), face.Known(12, Phase.GONE, None), face.Known(99, None, 1.0)
+        1, PeerKnowledge(1, EndpointState.DRAINING, None), PeerKnowledge(12, EndpointState.REMOVED, None), PeerKnowledge(99, None, 1.0)
     )
-    assert caches[1].phase is Phase.DRAINING and 12 not in caches
-    front.at(1.1, face.Known(1, Phase.READY, None))
-    assert caches[1].phase is Phase.DRAINING
+    assert caches[1].phase is EndpointState.DRAINING and 12 not in caches
+    front.at(1.1, PeerKnowledge(1, EndpointState.READY, None))
+    assert caches[1].phase is EndpointState.DRAINING
     for name in "klmn":
         front.ask(name, name, now=1.2)
     assert {line.split()[2] for line in front.trace} == {"2"}
-    front.at(2, face.Known(2, None, 1.9))
+    front.at(2, PeerKnowledge(2, None, 1.9))
     assert caches[2].part() < 1, "a start that the own list has not told"
-    front.at(2, face.Known(2, None, 0.5))
+    front.at(2, PeerKnowledge(2, None, 0.5))
     assert caches[2].started == 1.9
     front.listed(entry(1), now=3)
-    assert caches[1].phase is Phase.READY, "the own list, read as far, says so"
+    assert caches[1].phase is EndpointState.READY, "the own list, read as far, says so"
 
 
 def many_parents(**site):
@@ -626,25 +626,25 @@
 def test_what_a_restarted_parent_had_out_counts_no_longer_against_all():
     front = many_parents()
     front.ask("d", "k", now=1)
-    front.end("d", Result.MISS)
+    front.end("d", AttemptResult.MISS)
     assert "held" in front.trace[-1] and front.router.tier.out == 1
-    at = front.router.downloads["d"].pulls[-1].source
+    at = front.router.requests["d"].attempts[-1].source
     front.listed(entry(at.id, Role.PARENT, "h", started=1.5), now=2)
     assert front.router.tier.out == 0
-    front.end("d", Result.RESET, now=2.1)
+    front.end("d", AttemptResult.RESET, now=2.1)
     assert front.router.tier.out == 0, "its end is not counted a second time"
 
 
 def test_no_repeat_after_a_window_that_the_first_pulls_own_time_out_has_passed():
     """The first pull is doubted after its target time, half a second: a mark of 0.3 s is forgotten."""
-    for window, pulls in ((0.3, 1), (3.0, 2)):
-        kinds = {"order": content("order", effect=Effect.DEDUPED, window=window, target=0.5)}
+    for window, attempts in ((0.3, 1), (3.0, 2)):
+        kinds = {"order": content("order", effect=Idempotency.DEDUPLICATED, window=window, target=0.5)}
         front = Front(types=kinds)
         front.ask("a", now=1, type="order")
         for now in (1.6, 2.3):
             front.wake("a", now=now)
-        front.end("a", Result.RESET, now=2.4, pull=0)
-        assert sum(" look " in line or " fill " in line for line in front.trace) == pulls, front.trace
+        front.end("a", AttemptResult.RESET, now=2.4, attempt=0)
+        assert sum(" look " in line or " fill " in line for line in front.trace) == attempts, front.trace
 
 
 def test_changed_facts_hold_for_what_comes_and_what_was_sent_counts_on():
@@ -652,21 +652,21 @@
     front = Front((entry(1, started=2.0), CACHES[-1]))
     for n in range(9):
         front.ask(f"d{n}", f"k{n}", now=3 + n / 100)
-    assert len(front.pulls) == 8, "the share of a cold cache is used up"
-    facts = replace(SITE, types={"clip": content("clip", target=0.2)}, cold_window=3.0, zone_fronts=3)
-    front.at(3.5, face.Changed(facts))
+    assert len(front.attempts) == 8, "the share of a cold cache is used up"
+    facts = replace(SITE, types={"clip": content("clip", target=0.2)}, edge_overload_window=3.0, zone_fronts=3)
+    front.at(3.5, SettingsChanged(facts))
     cache = front.router.caches[1]
     assert front.router.gate.sent[cache].total(3.5) == 4.0 and cache.sharers == 3
     for n in range(8):
         front.ask(f"new{n}", f"new{n}", now=3.5, type="clip")
-    sent = [name for name in front.pulls if "new" in name]
+    sent = [name for name in front.attempts if "new" in name]
     assert len(sent) == 4, "of 4.8 in the new window, 4.0 were sent before"
-    front.end("d0", Result.FULFILLED, now=3.6)  # of the type that is gone
+    front.end("d0", AttemptResult.SERVED, now=3.6)  # of the type that is gone
     front.ask("late", "k", now=6.7, type="clip")
-    assert "late" in front.pulls and set(front.router.facts.types) == {"clip"}
-    front.at(7.0, face.Changed(SITE))
+    assert "late" in front.attempts and set(front.router.facts.types) == {"clip"}
+    front.at(7.0, SettingsChanged(SITE))
     assert {name for name, _ in front.router.pace} == {"photo", "clip"}, "one of each is still open"
     for name in ("late", *sent, *(f"d{n}" for n in range(1, 8))):
-        front.end(name, Result.FULFILLED, now=7.1)
-    front.at(7.2, face.Changed(facts))
+        front.end(name, AttemptResult.SERVED, now=7.1)
+    front.at(7.2, SettingsChanged(facts))
     assert {name for name, _ in front.router.pace} == {"clip"} == set(front.router.mean)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -22,7 +22,7 @@
 
 from weldbend.caches.connection import STALL
 from weldbend.front.configuration import read_site
-from weldbend.invariants import odd
+from weldbend.invariants import anomalies
 
 __all__ = ["site"]
 BODY = b"x" * 200_000
@@ -368,11 +368,11 @@
     stage.answer("o1", 1, "DONE", "-", b"ok")
     stage.caches["o1", 0].transport.loseConnection()
     stage.turn()
-    assert stage.trace[-1] == "client 0 < 1 process: 'ok'" and not stage.door.loop.downloads
+    assert stage.trace[-1] == "client 0 < 1 process: 'ok'" and not stage.door.loop.requests
 
 
 def test_an_answer_that_never_ends_holds_up_nobody_for_longer_than_an_expiry():
-    stage, before = Stage(), odd["answers that never end"]
+    stage, before = Stage(), anomalies["answers that never end"]
     client = stage.client()
     stage.say(client, process(1))
     stage.connect()
@@ -386,7 +386,7 @@
     while not link.lost and stage.reactor.seconds() < 30:
         link.dataReceived(b"x")
         stage.turn(STALL / 2)
-    assert link.lost and odd["answers that never end"] in (before, before + 1)
+    assert link.lost and anomalies["answers that never end"] in (before, before + 1)
 
 
 def test_a_stop_lasts_no_longer_than_the_sites_own_expiries_allow():
@@ -518,7 +518,7 @@
         assert (len(again), answers) == ((1, []) if kind != "print" else (0, ["client 0 < 1 abandoned"]))
     else:
         assert not again and len(answers) == (between == "the expiry"), stage.trace
-        assert not stage.door.loop.downloads
+        assert not stage.door.loop.requests
     assert (uid, at) in stage.caches and "process" not in str(answers)
 
 
@@ -547,7 +547,7 @@
         stage.connect()
     loop = stage.door.loop
     assert not any("< do" in line for line in stage.trace), stage.trace
-    assert not (loop.downloads or loop.open or loop.router.downloads)
+    assert not (loop.requests or loop.open or loop.router.requests)
     assert not any(lane.waiting for lane in loop.pool.lanes.values())
     for _ in range(90):
         stage.turn(0.01)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -750,7 +750,7 @@
     taken = [purges.moment(90.0, 2.0, 100.0) for _ in range(MOST_PURGES + 50)]
     assert taken.count(None) == 50
     assert purges.moment(90.0, 3.0, 100.0) == 90.0
-    assert purges.odd == 51
+    assert purges.anomalies == 51
 
 
 # The platform.
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -41,7 +41,7 @@
     return lambda made: made.cut_bus(numbers, lasts)
 
 
-def broken(made):
+def violations(made):
     return sorted({breach.rule for breach in made.result.breaches})
 
 
@@ -67,7 +67,7 @@
 def test_the_bus_cut_off(deaf):
     happens = [(2.0, cut(deaf, 8.0)), (3.0, drain("e1")), (3.5, purge_group), (4.0, drain("e2"))]
     with_fleet = run(*happens)
-    assert broken(with_fleet) == [] and with_fleet.result.differ == []
+    assert violations(with_fleet) == [] and with_fleet.result.differ == []
     without = FleetRun(1, FleetSetup(**QUIET | {"seconds": 12.0, "rate": 60.0, "calm": 0.0, "shared": False}))
     without.auditor.unreachable = lambda *held: None  # what the bus told counts as told, as on the platform
     for at, call in happens:
@@ -88,7 +88,7 @@
         (2.0, lambda m: m.split({1, 2}, 6.0)), (2.0, unknown), (2.0, cut({3, 4}, 2.5)), (3.0, drain("e1")),
         (4.0, cut({1, 2}, 5.0)), (5.0, started), seed=2, seconds=16.0,
     )  # fmt: skip
-    assert broken(made) == [] and made.result.differ == []
+    assert violations(made) == [] and made.result.differ == []
     for number in made.fronts:
         loop = made.fronts[number][1].loop
         cache = loop.router.caches[loop.names.numbers["e1"]]
@@ -100,7 +100,7 @@
         (2.0, lambda m: m.freeze(1, 30.0)), (2.0, lambda m: m.freeze(2, 30.0)), (6.0, drain("e1")),
         (7.0, purge_group), seconds=44.0, rate=10.0,
     )  # fmt: skip
-    assert broken(made) == [] and made.result.differ == []
+    assert violations(made) == [] and made.result.differ == []
     for number in (1, 2):
         fleet = shared(made, number).fleet
         assert fleet.members.counts["stood still"] >= 1 and fleet.members.counts["known dead"] == 0
@@ -112,7 +112,7 @@
 
     frozen = (2.0, lambda m: m.freeze(1, 6.0))
     made = run((1.9, late), frozen, (4.0, drain("e1")), (4.0, drain("e2")), rate=60.0)
-    assert broken(made) == []
+    assert violations(made) == []
     after = [line for line in made.log if " n1 e1 Command" in line and float(line.split()[0]) > 8.0]
     assert not after, "nothing went to a cache that was drained while it stood still"
 
@@ -135,11 +135,11 @@
         (3.0, first), (3.008, lambda m: m.kill(1, 2.0)), (3.018, lambda m: names.append(order(m, 2, once))),
         (8.0, lambda m: names.append(order(m, 3, once))),
     )  # fmt: skip
-    assert broken(made) == []
+    assert violations(made) == []
     assert shared(made, 2).counts["downloads that may have run"] == 1
     last = [answer.outcome for _, answer in made.auditor.cases["n3", names[2]].answers]
     assert last == ["abandoned"], "its window was over, and the first may have run"
-    assert not made.auditor.cases["n3", names[2]].pulls
+    assert not made.auditor.cases["n3", names[2]].attempts
 
 
 def test_a_peer_that_answers_probes_and_reads_nothing_costs_the_others_nothing(monkeypatch):
@@ -151,7 +151,7 @@
 
     monkeypatch.setattr(LinkEnd, "dataReceived", deaf)
     made = run((3.0, purge_group), (4.0, drain("e1")), seconds=10.0)
-    assert broken(made) == []
+    assert violations(made) == []
     for number in (1, 2, 3):
         fleet = shared(made, number).fleet
         assert fleet.members.members["n4"].state is State.ALIVE, "it answers probes"
@@ -172,7 +172,7 @@
 
     monkeypatch.setattr(LinkEnd, "hello", newer)
     made = run((3.0, purge_group), seconds=8.0)
-    assert broken(made) == []
+    assert violations(made) == []
     links = shared(made, 1).fleet.links
     assert links.counts["dropped: no common version"] > 0 and sorted(links.up) == ["n2", "n3"]
     assert ("purge", "g:1") in shared(made, 3).fleet.copies.items
@@ -191,7 +191,7 @@
         (2.0, slow(0.4)), *((3.0 + n / 2, press) for n in range(60)), (20.0, purge_group), (40.0, slow(0.0)),
         seconds=50.0, rate=6.0,
     )  # fmt: skip
-    assert broken(made) == [] and made.result.differ == []
+    assert violations(made) == [] and made.result.differ == []
 
 
 SABOTAGE = {
@@ -204,7 +204,7 @@
 def test_a_bridge_that_heeds_nothing_is_caught(rule, monkeypatch):
     SABOTAGE[rule](monkeypatch)
     made = run((2.0, cut({2}, 8.0)), (3.0, drain("e1")), (3.5, purge_group), (4.0, drain("e2")))
-    assert rule in broken(made)
+    assert rule in violations(made)
 
 
 def test_the_auditor_knows_when_a_front_could_know():
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -7,33 +7,33 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from weldbend.routing.events import AttemptResult, ExecutedElsewhere, PeerHealthReport, PossibleExecution, RequestReceived
+from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 from weldbend.fleet import health_reports, idempotency, popularity
 from weldbend.fleet.health_reports import Teller, Word, combined, weight
 from weldbend.fleet.membership import Member, State
 from weldbend.fleet.popularity import Slots, Wishes
-from weldbend.routing import interface as face
-from weldbend.routing.interface import Effect, Ran, Result, Role, Scope
 
 # Deduped downloads that may have run elsewhere.
 
-ORDER = {"order": content("order", effect=Effect.DEDUPED, scope=Scope.CELL, at_origin=True)}
+ORDER = {"order": content("order", effect=Idempotency.DEDUPLICATED, scope=DeduplicationScope.CELL, origin_only=True)}
 ORIGINS = (entry(21, Role.ORIGIN, "h", cell=1), entry(22, Role.ORIGIN, "h", cell=2))
 
 
 def asked(ran, now=1.0):
     front = Front(ORIGINS, types=ORDER, direct=True)
-    front.at(now, face.Asked("d", "k", 0, 3, "order", 0.0, True, now + 6.0, 0.0, tuple(ran)))
+    front.at(now, RequestReceived("d", "k", 0, 3, "order", 0.0, True, now + 6.0, 0.0, tuple(ran)))
     return front.trace[-1]
 
 
 def test_a_repeat_goes_only_to_the_group_in_which_another_front_had_it_run():
-    chosen = {asked([Ran("", cell, 0.5)]) for cell in (1, 2)}
+    chosen = {asked([PossibleExecution("", cell, 0.5)]) for cell in (1, 2)}
     assert {line.split()[2] for line in chosen} == {"21", "22"}
     assert all(" look " in line or "fill" in line for line in chosen)
 
 
 @pytest.mark.parametrize(
-    "ran", [[Ran("!", -1, 0.9)], [Ran("", 1, -2.0)], [Ran("", 1, 0.9), Ran("", 2, 0.9)]],
+    "ran", [[PossibleExecution("!", -1, 0.9)], [PossibleExecution("", 1, -2.0)], [PossibleExecution("", 1, 0.9), PossibleExecution("", 2, 0.9)]],
     ids=["in no group", "past its window", "in two groups"],
 )  # fmt: skip
 def test_a_repeat_that_no_group_would_drop_is_abandoned(ran):
@@ -43,18 +43,18 @@
 def test_news_of_a_pull_elsewhere_binds_a_download_that_is_open():
     front = Front(ORIGINS, types=ORDER, direct=True)
     front.ask("d", type="order", now=1.0)
-    front.end("d", Result.UNREACHED, now=1.1)
+    front.end("d", AttemptResult.UNREACHABLE, now=1.1)
     first = front.trace[-1].split()[2]
-    front.at(1.2, face.RanToo("d", Ran("", 1 if first == "22" else 2, 1.15)))
-    front.end("d", Result.UNREACHED, now=1.3)
+    front.at(1.2, ExecutedElsewhere("d", PossibleExecution("", 1 if first == "22" else 2, 1.15)))
+    front.end("d", AttemptResult.UNREACHABLE, now=1.3)
     tried = [line.split()[2] for line in front.trace if " look " in line]
     assert tried[-1] != first or front.trace[-1].endswith("abandoned")
-    front.at(1.4, face.RanToo("nobody", Ran("", 1, 1.0)))
+    front.at(1.4, ExecutedElsewhere("nobody", PossibleExecution("", 1, 1.0)))
 
 
 def test_the_first_pull_is_dated_by_the_stricter_clock():
     value = ("c:1", 99_000)  # at 99 s of the writer's Unix clock
-    assert idempotency.ran(value, said=11.0, now=12.0, unix=101.0) == Ran("", 1, 10.0), "told again since"
+    assert idempotency.ran(value, said=11.0, now=12.0, unix=101.0) == PossibleExecution("", 1, 10.0), "told again since"
     assert (
         idempotency.ran(value, said=11.0, now=12.0, unix=95.0).sent == 11.0
     ), "a clock ahead makes no window longer"
@@ -63,7 +63,7 @@
     ), "one minutes behind is not heeded"
     assert idempotency.ran(("!", 99_000), 11.0, 12.0, 101.0).zone == "!"
     assert idempotency.ran(("z:upper", 99_000), 11.0, 12.0, 101.0).zone == "upper"
-    assert idempotency.group_of(Scope.ALL, "z", 4) == ""
+    assert idempotency.group_of(DeduplicationScope.ALL, "z", 4) == ""
 
 
 def test_what_cannot_be_known_counts_as_run_for_a_window_and_no_longer():
@@ -125,11 +125,11 @@
         front = Front(CACHES)
         front.ask("x", now=1.0)
         first = int(front.trace[-1].split()[2])
-        front.end("x", Result.FULFILLED)
-        front.at(1.0, face.Evidence(first, good, bad))
+        front.end("x", AttemptResult.SERVED)
+        front.at(1.0, PeerHealthReport(first, good, bad))
         for n in range(200):
             front.ask(f"d{n}", now=2.0 + n / 50)
-            front.end(f"d{n}", Result.FULFILLED, now=2.01 + n / 50)
+            front.end(f"d{n}", AttemptResult.SERVED, now=2.01 + n / 50)
         looks = [line for line in front.trace[1:] if " look " in line]
         return sum(int(line.split()[2]) == first for line in looks) / len(looks)
 
@@ -180,7 +180,7 @@
 def test_a_wish_that_another_front_had_before_counts_as_the_second_one():
     def kept(elsewhere):
         front = Front(CACHES)
-        front.at(1.0, face.Asked("d", "k", 0, 3, "photo", 0.0, False, 7.0, 0.0, (), elsewhere))
+        front.at(1.0, RequestReceived("d", "k", 0, 3, "photo", 0.0, False, 7.0, 0.0, (), elsewhere))
         return front.trace[-1].split()[-1]
 
     assert [kept(n) for n in (0, 1, 3)] == ["0", "2", "2"]
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 from weldbend.fleet.demand_share import FLOOR, Need, part
 from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, Ledger, Loan, Times, owned
 from weldbend.fleet.lease_policy import Borrow, Demand, GiveBack, Turn, Use, rank
-from weldbend.routing.measures import Chance
+from weldbend.routing.measures import RandomSource
 from weldbend.testbed.fleet.lease_model import Model, Scope
 from weldbend.testbed.fleet.quota_experiment import LIMIT, Rates, Shape, drawn, search
 
@@ -33,12 +33,12 @@
     st.text(max_size=8),
     st.floats(0.1, 100.0),
 )
-def test_parts_are_owned_once_and_as_evenly_as_they_are_worth_anything(names, limit, pulls):
-    shares = owned(limit, names, pulls)
+def test_parts_are_owned_once_and_as_evenly_as_they_are_worth_anything(names, limit, attempts):
+    shares = owned(limit, names, attempts)
     held = [parts for parts in shares.values() if parts]
     assert sum(held) == PARTS and max(held) - min(held) <= 1
-    assert len(held) == min(len(names), max(int(pulls), 1))
-    assert shares == owned(limit, sorted(names, reverse=True), pulls)
+    assert len(held) == min(len(names), max(int(attempts), 1))
+    assert shares == owned(limit, sorted(names, reverse=True), attempts)
 
 
 def test_what_is_lent_is_out_until_the_term_and_a_window_are_surely_over():
@@ -235,9 +235,9 @@
 NOW = Turn(1, 0.0)
 
 
-def wants(pulls, unit=10.0, name="a", owners=None):
-    held = Demand("limit", name, TIMES, owners or {"a": 100, "b": 100, "c": 100}, Chance(1))
-    held.looked(0.0, Use(0.0, pulls * unit, unit))
+def wants(attempts, unit=10.0, name="a", owners=None):
+    held = Demand("limit", name, TIMES, owners or {"a": 100, "b": 100, "c": 100}, RandomSource(1))
+    held.looked(0.0, Use(0.0, attempts * unit, unit))
     return held
 
 
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -12,7 +12,7 @@
 from weldbend.idle_connections.connection_table import Memory, Table
 from weldbend.idle_connections.policy import Pace, Seen, Terms, Verdict
 from weldbend.idle_connections.timer_wheel import Wheel
-from weldbend.invariants import odd
+from weldbend.invariants import anomalies
 
 LOOKED = 0.25  # seconds between two looks
 
@@ -119,13 +119,13 @@
     stage = Stage(parks=True)
     stage.client()
     stage.say(stage.client(), probe(1))
-    before, gone = odd["clients that say nothing"], {}
+    before, gone = anomalies["clients that say nothing"], {}
     for quarter in range(1, 24):
         stage.turn(LOOKED)
         for place in stage.rim.closed:
             gone.setdefault(place, quarter / 4)
     assert 2.0 < gone[0] <= 2.5 and 4.5 < gone[1] <= 5.0 and not stage.door.listener.count()
-    assert odd["clients that say nothing"] == before + 1
+    assert anomalies["clients that say nothing"] == before + 1
 
 
 def test_a_woken_client_goes_on_as_the_one_it_was():
@@ -172,7 +172,7 @@
                 stage.answer(uid, int(name, 16), "DONE", "-", b"photo", number)
     answers = [line.split()[1] for line in stage.trace if line.startswith("client")]
     assert sorted(answers, key=int) == [str(n) for n in range(count + 1)]
-    assert not stage.door.loop.downloads
+    assert not stage.door.loop.requests
 
 
 def test_time_that_a_call_lay_unread_is_taken_from_its_expiry():
@@ -183,7 +183,7 @@
     begun = stage.door.clock.now()
     for _ in range(6):
         stage.reactor.advance(0.01)
-    assert {dl.until for dl in stage.door.loop.downloads.values()} == {begun + 1.0}
+    assert {request.until for request in stage.door.loop.requests.values()} == {begun + 1.0}
 
 
 def test_a_wake_lands_in_the_turn_in_which_the_connection_is_closed_as_idle():
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -179,14 +179,14 @@
     ):
         with pytest.raises(BadEvent):
             read_event(bad)
-    broken = (
+    violations = (
         {"endpoint": "127.0.0.1:99999"},
         {"endpoint": "cache.example:7"},
         {"capacity_hint": -1},
         {"uid": "a b,c=d"},
         {"state": "new"},
     )
-    for wrong in broken:  # one bad entry hides no other
+    for wrong in violations:  # one bad entry hides no other
         bad = held | wrong
         raw = str({"offset": 4, "topology": {"rev": 1, "all": 0, "targets": [bad, held]}}).replace("'", '"')
         assert [target.port for target in read_event(raw).event.targets] == [7]
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -9,9 +9,9 @@
 
 import pytest
 from fronts import SITE, entry
-
-from weldbend.routing import interface as face
-from weldbend.routing.interface import Hint, Phase, Result, Role, Scale
+from weldbend.routing.actions import SendAttempt
+from weldbend.routing.events import AttemptEnded, AttemptResult, EndpointState, EndpointsListed, FillHint, ListScope, RequestReceived
+from weldbend.routing.settings import Role
 from weldbend.routing.router import Router
 
 WORK, WINDOW, MULTIPLE, STARTED = 0.5, 2.0, 2.0, 5.0
@@ -25,7 +25,7 @@
         self.role, self.weight, self.chance = role, weight, random.Random(seed)
         edges = 1 if role is Role.EDGE else 2
         self.floor, self.warm = (0.2, 10.0) if role is Role.EDGE else (0.1, 20.0)
-        self.facts = replace(SITE, fronts=count, zone_fronts=count, hub_fronts=count, cold_window=WINDOW)
+        self.facts = replace(SITE, fronts=count, zone_fronts=count, hub_fronts=count, edge_overload_window=WINDOW)
         self.cold = replace(entry(11, role, "z" if role is Role.EDGE else "h"), weight=weight)
         self.others = (entry(21, Role.ORIGIN, "h"), *(entry(n) for n in range(1, edges)))
         busy = [40.0 if skewed and n < count // 10 else 1.0 for n in range(count)]
@@ -36,8 +36,8 @@
 
     def start(self, now):
         router = Router(self.chance.randrange(1 << 30), self.facts)
-        cold = replace(self.cold, started=STARTED) if now > STARTED else replace(self.cold, phase=Phase.GONE)
-        router.handle(now, [face.Listed(Scale.WHOLE, (cold, *self.others))])
+        cold = replace(self.cold, started=STARTED) if now > STARTED else replace(self.cold, phase=EndpointState.REMOVED)
+        router.handle(now, [EndpointsListed(ListScope.COMPLETE, (cold, *self.others))])
         return router
 
     def restart(self, now):
@@ -49,7 +49,7 @@
             now = step * STEP
             for n, router in enumerate(self.routers):
                 if now - STEP < self.heard[n] <= now:
-                    told = face.Listed(Scale.CHANGES, (replace(self.cold, started=STARTED),))
+                    told = EndpointsListed(ListScope.CHANGES, (replace(self.cold, started=STARTED),))
                     router.handle(now, [told])
                 due = rate * self.rates[n] * STEP
                 for _ in range(int(due) + (self.chance.random() < due % 1)):
@@ -58,13 +58,13 @@
     def ask(self, router, now):
         self.number += 1
         name = f"d{self.number}"
-        actions = router.handle(now, [face.Asked(name, name, 0, 3, "photo", WORK, False, now + 6.0)])
-        while pulls := [action for action in actions if isinstance(action, face.SendPull)]:
-            self.sent += [now] * any(self.cold.id in (pull.cache, pull.source) for pull in pulls)
-            number = len(router.downloads[name].pulls) - 1
-            missed = pulls[-1].only_held or pulls[-1].source == pulls[-1].cache
-            result = Result.MISS if missed else Result.FULFILLED
-            end = face.Ended(name, number, result, WORK, not missed, Hint.NONE, 0.0, None)
+        actions = router.handle(now, [RequestReceived(name, name, 0, 3, "photo", WORK, False, now + 6.0)])
+        while attempts := [action for action in actions if isinstance(action, SendAttempt)]:
+            self.sent += [now] * any(self.cold.id in (attempt.cache, attempt.source) for attempt in attempts)
+            number = len(router.requests[name].attempts) - 1
+            missed = attempts[-1].only_cached or attempts[-1].source == attempts[-1].cache
+            result = AttemptResult.MISS if missed else AttemptResult.SERVED
+            end = AttemptEnded(name, number, result, WORK, not missed, FillHint.NONE, 0.0, None)
             actions = router.handle(now, [end])
 
     def over(self):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,6 +8,8 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
+from weldbend.routing.actions import SendAttempt, SendHealthCheck
+from weldbend.routing.events import AttemptEnded, AttemptResult, ConnectionOpened, LoopLagMeasured
 from weldbend.event_bus.events import event as bus_event
 from weldbend.event_bus.reader import BusReader
 from weldbend.front import request_codec
@@ -15,8 +17,7 @@
 from weldbend.front.configuration import read_site
 from weldbend.front.server import Front as Door
 from weldbend.front.timers import Timers
-from weldbend.invariants import odd
-from weldbend.routing import interface as face
+from weldbend.invariants import anomalies
 from weldbend.thrift import binary
 
 ORDER = "queue=order,path=7f3a9c21e0b4d655,blk=0,budget=6000,uniq=5c0f6e1a2b3d4c59,mode=j"
@@ -37,7 +38,7 @@
         client 0 < 2 process: '' {{'ok304': '1'}}
         client 0 < 1 process: 'photo'
     """)
-    assert not stage.door.loop.downloads
+    assert not stage.door.loop.requests
 
 
 def test_a_miss_is_filled_and_a_write_goes_to_the_origin_with_its_mark():
@@ -114,7 +115,7 @@
 
 
 def test_what_waited_for_a_cold_cache_is_decided_anew_and_does_not_come_in_one_burst():
-    for boot, results in ((0, []), (1, [face.Result.MOOT])):
+    for boot, results in ((0, []), (1, [AttemptResult.SUPERSEDED])):
         stage, told = Stage(), []
         stage.turn(2.0)  # a front that has itself just started takes less
         stage.bus(listing(2, target("e2", port=2, boot=boot * stage.unix() * 1000)))
@@ -123,7 +124,7 @@
         stage.say(stage.client(), process(1))
         stage.turn(0.3)
         stage.connect()
-        assert [event.result for event in told if isinstance(event, face.Ended)] == results
+        assert [event.result for event in told if isinstance(event, AttemptEnded)] == results
         assert len(stage.trace) == 1 and "budget=5700" in stage.trace[0]
 
 
@@ -135,7 +136,7 @@
         stage.door.loop.post = lambda event, note=note, post=post: (note(event), post(event))
         stage.say(stage.client(), process(1, once="ab", **{"class": "order"}))
         fail(stage)
-        assert [event.result for event in ended if isinstance(event, face.Ended)] == [face.Result.UNREACHED]
+        assert [event.result for event in ended if isinstance(event, AttemptEnded)] == [AttemptResult.UNREACHABLE]
         ended.clear()
 
 
@@ -164,7 +165,7 @@
     link.transport.loseConnection()
     assert [name for name, _ in stage.dials()] == ["e2"]
     stage.connect()
-    reached = [stage.door.loop.names.uids[event.cache] for event in told if isinstance(event, face.Reached)]
+    reached = [stage.door.loop.names.uids[event.cache] for event in told if isinstance(event, ConnectionOpened)]
     assert reached == ["e2", "e2"]
 
 
@@ -177,7 +178,7 @@
         ((uid, dial),) = stage.dials()
         dial.clientConnectionFailed(None, Failure(ConnectError(errno.ECONNRESET, "reset")))
         stage.turn()
-        shown.append(f"{uid} {[event.result.name for event in told if isinstance(event, face.Ended)]}")
+        shown.append(f"{uid} {[event.result.name for event in told if isinstance(event, AttemptEnded)]}")
     assert shown == ["e2 []"] * 4 + ["e2 ['UNREACHED']", "e1 ['UNREACHED']"]
 
 
@@ -195,7 +196,7 @@
         e2/1 < do 0000000000000002 {DO},budget=6000,rank=2,mode=j 0
         client 0 < 2 process: 'photo'
     """)
-    assert stage.caches["e2", 0].transport.disconnecting and not stage.door.loop.downloads
+    assert stage.caches["e2", 0].transport.disconnecting and not stage.door.loop.requests
 
 
 def test_an_undo_has_left_before_the_pull_that_takes_its_place_goes_out():
@@ -245,7 +246,7 @@
         client 0 < 1 throttled {{'after': '500'}}
         e2/0 < undo 0000000000000001
     """)
-    assert not stage.door.loop.downloads
+    assert not stage.door.loop.requests
 
 
 def test_after_a_standstill_past_an_expiry_the_decisions_still_have_the_last_word():
@@ -253,7 +254,7 @@
     stage.say(stage.client(), process(1, wait="800"))
     stage.connect()
     stage.turn(0.9)
-    assert "client 0 < 1 throttled {'after': '500'}" in stage.trace and not stage.door.loop.downloads
+    assert "client 0 < 1 throttled {'after': '500'}" in stage.trace and not stage.door.loop.requests
 
 
 def test_a_purge_of_this_moment_is_no_leave_for_any_age():
@@ -271,7 +272,7 @@
     post, stage.door.loop.post = stage.door.loop.post, lambda event: (told.append(event), post(event))
     stage.say(client, give_up(1))
     stage.connect()
-    assert [event.result for event in told if isinstance(event, face.Ended)] == [face.Result.MOOT]
+    assert [event.result for event in told if isinstance(event, AttemptEnded)] == [AttemptResult.SUPERSEDED]
     stage.shows("")
 
 
@@ -290,9 +291,9 @@
 
     stage.door.loop.router.handle = leaves_meanwhile
     stage.say(client, give_up(1), process(2))
-    results = [event.result for event in told if isinstance(event, face.Ended)]
-    assert results == [face.Result.MOOT, face.Result.MOOT]
-    assert not stage.door.loop.downloads and not stage.door.loop.router.downloads
+    results = [event.result for event in told if isinstance(event, AttemptEnded)]
+    assert results == [AttemptResult.SUPERSEDED, AttemptResult.SUPERSEDED]
+    assert not stage.door.loop.requests and not stage.door.loop.router.requests
 
 
 def test_the_decisions_are_told_when_turns_come_late_and_not_after_a_pause():
@@ -301,7 +302,7 @@
 
     def spy(now, events):
         for event in events:
-            told.append(f"late {event.late:.2f}" if isinstance(event, face.Pressed) else type(event).__name__)
+            told.append(f"late {event.late:.2f}" if isinstance(event, LoopLagMeasured) else type(event).__name__)
             yield from ()
         handle(now, [])
 
@@ -363,7 +364,7 @@
         client 4 < 14 exception 7: a field that is no number
         client 4 < 15 exception 7: id and key are 16 hex digits
     """)
-    assert not stage.door.loop.downloads and not stage.door.loop.counts["downloads"]
+    assert not stage.door.loop.requests and not stage.door.loop.counts["downloads"]
     stage.say(client, process(20, key=None), process(21))
     assert client.transport.disconnecting and len(stage.trace) == 1
 
@@ -380,11 +381,11 @@
 
 
 @pytest.mark.parametrize("broken", CAST_OUT.values(), ids=CAST_OUT)
-def test_what_no_client_of_ours_does_ends_its_connection_and_is_never_fulfilled(broken):
+def test_what_no_client_of_ours_does_ends_its_connection_and_is_never_fulfilled(violations):
     stage = Stage()
     client, usual = stage.client(), stage.client()
     stage.say(usual, process(7, id="00000000000000aa"))
-    stage.say(client, process(1), *broken, process(3000))
+    stage.say(client, process(1), *violations, process(3000))
     assert client.transport.disconnecting and not client.open
     stage.connect()
     stage.answer("e2", 0xAA, "DONE", "-", b"photo")
@@ -392,7 +393,7 @@
     assert (
         sum("do " in line for line in stage.trace) == 1 and stage.trace[-1] == "client 1 < 7 process: 'photo'"
     )
-    assert not stage.door.loop.downloads and not stage.door.loop.open and not stage.door.loop.router.downloads
+    assert not stage.door.loop.requests and not stage.door.loop.open and not stage.door.loop.router.requests
 
 
 def test_a_usual_client_whose_withdrawals_are_read_with_their_calls_is_not_cast_out():
@@ -454,7 +455,7 @@
         while stage.dials():
             stage.connect()
         assert sorted(stage.trace) == [f"o1/0 < undo {n:016x}" for n in range(1, count + 1) if up]
-        assert not (stage.door.loop.downloads or stage.door.loop.open or stage.door.loop.router.downloads)
+        assert not (stage.door.loop.requests or stage.door.loop.open or stage.door.loop.router.requests)
 
 
 def test_a_slow_reader_is_heard_no_further_and_loses_nothing():
@@ -513,8 +514,8 @@
         router, timers = loop.router, stage.door.timers
         by_cache = (loop.names.uids, loop.names.numbers, loop.listed, loop.started, loop.pool.lanes)
         by_cache += (router.caches, router.gate.sent.keys() - router.caches.values())
-        by_download = (loop.downloads, loop.open, router.downloads, stage.door.listener.clients)
-        return [len(held) for held in by_cache], [len(held) for held in by_download], len(timers.heap) < 200
+        by_request = (loop.requests, loop.open, router.requests, stage.door.listener.clients)
+        return [len(held) for held in by_cache], [len(held) for held in by_request], len(timers.heap) < 200
 
     stage = Stage()
     before = kept(stage)
@@ -566,7 +567,7 @@
 
 def test_garbage_from_a_cache_ends_its_connection_and_an_unknown_answer_nothing():
     stage = Stage()
-    odd.clear()
+    anomalies.clear()
     stage.say(stage.client(), process(1))
     stage.connect()
     stage.answer("e2", 99, "DONE", "-", b"whose")
@@ -575,7 +576,7 @@
     stage.turn()
     stage.connect()
     assert stage.trace[-1] == f"e2/1 < do 0000000000000001 {DO},budget=6000,mode=j 0"
-    assert odd == {"answers to nothing asked": 1, "garbage from a cache": 1}
+    assert anomalies == {"answers to nothing asked": 1, "garbage from a cache": 1}
 
 
 def test_a_pull_on_a_dropped_connection_has_ended_when_its_socket_is_closed_and_not_before():
@@ -629,7 +630,7 @@
     stage = Stage()
     router = stage.door.loop.router
     inner = router.prefilter.take
-    router.prefilter.take = lambda dl: 1 / 0 if dl.asked.part == 7 else inner(dl)
+    router.prefilter.take = lambda request: 1 / 0 if request.asked.part == 7 else inner(request)
     stage.say(stage.client(), process(1, nth="7"), process(2))
     stage.connect()
     stage.answer("e2", 2, "DONE", "-", b"photo")
@@ -638,7 +639,7 @@
         e2/0 < do 0000000000000002 {DO},budget=6000,mode=j 0
         client 0 < 2 process: 'photo'
     """)
-    assert stage.door.loop.counts["faults"] == 1 and not stage.door.loop.downloads
+    assert stage.door.loop.counts["faults"] == 1 and not stage.door.loop.requests
 
 
 def test_a_fault_at_the_door_leaves_the_connection_that_others_share(monkeypatch):
@@ -648,7 +649,7 @@
         request_codec, "ended", lambda name, *rest: 1 / 0 if name == "1" else ended(name, *rest)
     )
     loop, perform = stage.door.loop, stage.door.loop.perform
-    loop.perform = lambda act: 1 / 0 if isinstance(act, face.SendPull) and act.id == "3" else perform(act)
+    loop.perform = lambda act: 1 / 0 if isinstance(act, SendAttempt) and act.id == "3" else perform(act)
     stage.say(stage.client(), process(1), process(2), process(3), process(4))
     stage.connect()
     for number in (1, 2, 4):
@@ -669,8 +670,8 @@
     loop, told = stage.door.loop, []
     loop.post = told.append
     cache = loop.names.number("e2")
-    loop.perform(face.Probe(cache))
-    loop.perform(face.Probe(loop.names.number("e1")))
+    loop.perform(SendHealthCheck(cache))
+    loop.perform(SendHealthCheck(loop.names.number("e1")))
     stage.turn()
     stage.caches["e2", 0].dataReceived(b"p1 FIT use=util:0.61;inflight:7 0\r\n\r\n")
     assert stage.trace[-1] == "e2/0 < top p1"
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -171,19 +171,19 @@
     return made
 
 
-def pulls(made, uid, since, until):
-    held = [pull for case in made.auditor.cases.values() for pull in case.pulls]
-    return sum(pull.cache == uid and since <= pull.at < until for pull in held)
+def attempts(made, uid, since, until):
+    held = [attempt for case in made.auditor.cases.values() for attempt in case.attempts]
+    return sum(attempt.cache == uid and since <= attempt.at < until for attempt in held)
 
 
 def test_a_bad_cache_is_tried_less_by_all_and_comes_back_by_a_ramp():
     with_, without = play(True), play(False)
-    wasted, alone = pulls(with_, "e1", 4.0, 13.0), pulls(without, "e1", 4.0, 13.0)
+    wasted, alone = attempts(with_, "e1", 4.0, 13.0), attempts(without, "e1", 4.0, 13.0)
     assert wasted <= alone, (wasted, alone)
     stands = [stand for made in with_.fronts.values() for stand in [made[1].shared.sharing.counts]]
     assert all(counts["verdicts: shut"] >= 1 for counts in stands)
     assert all(counts["verdicts: ramp"] >= 1 for counts in stands)
-    assert pulls(with_, "e1", 26.0, 30.0) > 0.5 * pulls(with_, "e1", 0.0, 4.0)
+    assert attempts(with_, "e1", 26.0, 30.0) > 0.5 * attempts(with_, "e1", 0.0, 4.0)
 
 
 def test_a_front_that_reaches_half_of_the_caches_casts_none_of_them_out():
@@ -226,7 +226,7 @@
     result = made.play()
     assert not result.breaches and not result.faults
     moments = sorted(
-        case.pulls[0].at for case in made.auditor.cases.values() if case.pulls and case.type == "photo"
+        case.attempts[0].at for case in made.auditor.cases.values() if case.attempts and case.type == "photo"
     )
     worst = max(sum(at - 1.0 < other <= at for other in moments) for at in moments)
     assert 20 <= worst <= 30, worst
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -6,11 +6,11 @@
 
 import pytest
 
+from weldbend.routing.events import AttemptResult, EndpointState
 from weldbend.caches.connection import CacheConnection, Lost
 from weldbend.clients.connection import Client
 from weldbend.front import request_codec
 from weldbend.front.dispatcher import Loop
-from weldbend.routing.interface import Phase, Result
 from weldbend.routing.router import Gate
 from weldbend.testbed.simulation.run import Run, Setup
 from weldbend.thrift.messages import Process
@@ -90,24 +90,24 @@
 
 
 def takes_a_reset_for_never_run(monkeypatch):
-    monkeypatch.setitem(request_codec.LOSSES, Lost.RESET, Result.MOOT)
+    monkeypatch.setitem(request_codec.LOSSES, Lost.RESET, AttemptResult.SUPERSEDED)
 
 
 def lets_every_repeat_pass(monkeypatch):
-    monkeypatch.setattr(Gate, "harmless", lambda self, pull: True)
+    monkeypatch.setattr(Gate, "harmless", lambda self, attempt: True)
 
 
 def forgets_to_undo(monkeypatch):
-    def undo(self, pull):
-        self.out.pop(pull.name, None)
-        self.undone[pull.name] = None
+    def undo(self, attempt):
+        self.out.pop(attempt.name, None)
+        self.undone[attempt.name] = None
 
     monkeypatch.setattr(CacheConnection, "undo", undo)
 
 
 def sends_second_copies(monkeypatch):
     def made(call_off):
-        return lambda self, dl, pull: self.ended(dl, pull, Result.CALLED_OFF) if not pull.over else None
+        return lambda self, request, attempt: self.ended(request, attempt, AttemptResult.CANCELLED) if not attempt.over else None
 
     patched(monkeypatch, Loop, "call_off", made)
 
@@ -115,7 +115,7 @@
 def takes_draining_for_ready(monkeypatch):
     from weldbend.event_bus import endpoint_names
 
-    monkeypatch.setitem(endpoint_names.PHASES, "draining", Phase.READY)
+    monkeypatch.setitem(endpoint_names.PHASES, "draining", EndpointState.READY)
 
 
 def does_not_hear_list_changes(monkeypatch):
@@ -128,7 +128,7 @@
 
 
 def sends_all_to_cold_caches(monkeypatch):
-    monkeypatch.setattr(Gate, "bears", lambda self, cache, dl: True)
+    monkeypatch.setattr(Gate, "bears", lambda self, cache, request: True)
 
 
 def does_not_believe_in_starts(monkeypatch):
@@ -149,7 +149,7 @@
 
 
 def asks_for_any_age(monkeypatch):
-    monkeypatch.setattr(Gate, "age", lambda self, pull: 0.0)
+    monkeypatch.setattr(Gate, "age", lambda self, attempt: 0.0)
 
 
 @pytest.mark.parametrize(
--- a/weldbend/buffers/ring.py
+++ b/weldbend/buffers/ring.py
@@ -3,7 +3,7 @@
 What it may keep of that memory is for the busiest connections, which would ask for it again at once.
 """
 
-from weldbend.invariants import must
+from weldbend.invariants import check_invariant
 
 SMALL = 480  # bytes that a ring begins with: a short call, and small enough for Python's own allocator
 KEEP = 4096
@@ -49,7 +49,7 @@
 
     def peek(self, count: int, start: int = 0) -> bytes:
         """`count` bytes from `start`, left where they are."""
-        must(start + count <= self.size, "a ring is read only as far as it is filled")
+        check_invariant(start + count <= self.size, "a ring is read only as far as it is filled")
         if not count:
             return b""
         begin = (self.head + start) % len(self.data)
@@ -59,7 +59,7 @@
             return b"".join((data[begin:], data[: begin + count - len(data)]))
 
     def skip(self, count: int) -> None:
-        must(count <= self.size, "a ring is emptied only as far as it is filled")
+        check_invariant(count <= self.size, "a ring is emptied only as far as it is filled")
         if not count:
             return
         self.head = (self.head + count) % len(self.data)
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -13,7 +13,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol import answers, commands
 from weldbend.cache_protocol.answers import Answer, BadAnswer, Parser
-from weldbend.invariants import must, odd
+from weldbend.invariants import check_invariant, anomalies
 
 CHUNK = 1 << 16  # the most that one read of a socket brings
 IN = answers.LONGEST_BODY + answers.LONGEST_LINE + 2 * CHUNK
@@ -29,14 +29,14 @@
 class Lost(Enum):
     """How a pull ended without an answer: what that proves is the decisions' business."""
 
-    UNREACHED = auto()  # no connection came up in time
+    UNREACHABLE = auto()  # no connection came up in time
     RESET = auto()  # the connection ended after the first byte had gone out
-    SPOILT = auto()  # the connection brought what is no answer, and was ended
+    MALFORMED = auto()  # the connection brought what is no answer, and was ended
     WITHDRAWN = auto()  # taken back before any byte went out
 
 
 @dataclass(eq=False, slots=True)
-class Pull:
+class Attempt:
     """One command to a cache, whose end is reported once: by an answer or by how it was lost."""
 
     name: str
@@ -45,7 +45,7 @@
     key: str
     group: int
     command: Callable[[], bytes]  # written out when the first byte goes
-    ended: Callable[["Pull", Answer | Lost], None]
+    ended: Callable[["Attempt", Answer | Lost], None]
     fleeting: bool = False  # what allows it may be over soon: it waits no longer than a turn
     connection: "CacheConnection | None" = None
     queued: float = 0.0
@@ -90,7 +90,7 @@
     timers: Timers
     incoming: Ring = field(default_factory=lambda: Ring(IN, KEPT))
     going: Ring = field(default_factory=lambda: Ring(OUT))
-    out: dict[str, Pull] = field(default_factory=dict)
+    out: dict[str, Attempt] = field(default_factory=dict)
     undone: dict[str, None] = field(default_factory=dict)  # names whose answer may still be on its way
     transport: Any = None
     paused = resting = retired = lost = watched = dropped = False
@@ -112,22 +112,22 @@
             free and len(self.out) < self.owner.streams and name not in self.out and name not in self.undone
         )
 
-    def send(self, pull: Pull) -> None:
-        command = pull.command()
-        pull.connection, pull.sent = self, self.timers.now()
-        self.out[pull.name] = pull
+    def send(self, attempt: Attempt) -> None:
+        command = attempt.command()
+        attempt.connection, attempt.sent = self, self.timers.now()
+        self.out[attempt.name] = attempt
         self.write(command)
 
-    def undo(self, pull: Pull) -> None:
+    def undo(self, attempt: Attempt) -> None:
         """Give a pull up; a connection on which nothing was heard since it went out takes no more, nor does
         one that has been busy since with an answer which does not end."""
-        if self.out.pop(pull.name, None) is not pull or self.lost:
+        if self.out.pop(attempt.name, None) is not attempt or self.lost:
             return
-        self.forgo(pull.name)
-        self.write(commands.undo(pull.name))
+        self.forgo(attempt.name)
+        self.write(commands.undo(attempt.name))
         self.flush()
-        stuck = self.incoming and not self.resting and self.answer_ended <= pull.sent
-        self.retired = self.retired or self.heard <= pull.sent or bool(stuck)
+        stuck = self.incoming and not self.resting and self.answer_ended <= attempt.sent
+        self.retired = self.retired or self.heard <= attempt.sent or bool(stuck)
         self.settle()
 
     def forgo(self, name: str) -> None:
@@ -142,7 +142,7 @@
 
     def write(self, command: bytes) -> None:
         self.used = self.timers.now()
-        must(self.going.write(command) == len(command), "a cache's ring has room for a command")
+        check_invariant(self.going.write(command) == len(command), "a cache's ring has room for a command")
         self.pump()
 
     def flush(self) -> None:
@@ -173,7 +173,7 @@
         self.heard = self.timers.now()
         if not self.incoming:
             self.answer_begun = self.heard
-        must(self.incoming.write(data) == len(data), "a cache's ring has room for a chunk")
+        check_invariant(self.incoming.write(data) == len(data), "a cache's ring has room for a chunk")
         if not self.resting:
             self.read()
 
@@ -211,8 +211,8 @@
             self.timers.after(AGAIN, lambda: self.look(sure=True))
 
     def spoilt(self, what: str) -> None:
-        odd[what] += 1
-        self.drop(Lost.SPOILT)
+        anomalies[what] += 1
+        self.drop(Lost.MALFORMED)
 
     def rest(self, resting: bool) -> None:
         """Stop or go on reading, for as long as what was read has nowhere to go."""
@@ -226,11 +226,11 @@
 
     def answered(self, answer: Answer) -> None:
         self.answer_begun = self.answer_ended = self.timers.now()
-        pull = self.out.pop(answer.name, None)
-        if pull:
+        attempt = self.out.pop(answer.name, None)
+        if attempt:
             if answer.word not in LAST:
                 self.forgo(answer.name)
-            pull.end(answer)
+            attempt.end(answer)
         elif answer.name in self.undone:
             del self.undone[answer.name]
         else:
@@ -284,7 +284,7 @@
             while answer := self.parser.next():
                 self.answered(answer)
         except BadAnswer:
-            odd["garbage from a cache"] += 1
+            anomalies["garbage from a cache"] += 1
 
     def end(self, how: Lost) -> None:
         if self.lost:
@@ -293,6 +293,6 @@
         if not self.dropped:
             self.read_out()
         self.owner.went(self)
-        pulls, self.out = list(self.out.values()), {}
-        for pull in pulls:
-            pull.end(how)
+        attempts, self.out = list(self.out.values()), {}
+        for attempt in attempts:
+            attempt.end(how)
--- a/weldbend/caches/pool.py
+++ b/weldbend/caches/pool.py
@@ -17,8 +17,8 @@
 
 from weldbend.cache_protocol import commands
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.connection import CacheConnection, Lost, Pull, Timers
-from weldbend.invariants import odd
+from weldbend.caches.connection import CacheConnection, Lost, Attempt, Timers
+from weldbend.invariants import anomalies
 
 CUT_OFF = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE)
 MOST_CUT_OFF = 5  # dials in a row that may be accepted and reset
@@ -59,7 +59,7 @@
         self.pool, self.cache, self.host, self.port = pool, cache, host, port
         self.connections: list[CacheConnection] = []
         self.dials: dict[Dial, IConnector] = {}
-        self.waiting: deque[Pull] = deque()
+        self.waiting: deque[Attempt] = deque()
         self.closed, self.cut_off = False, 0  # dials in a row that were accepted and reset
         self.planned = False  # those who wait are looked at in a moment
 
@@ -71,17 +71,17 @@
     def longest(self) -> float:
         return self.pool.bounds.longest
 
-    def send(self, pull: Pull) -> None:
-        if not self.place(pull):
-            pull.queued = self.pool.timers.now()
-            self.waiting.append(pull)
-            self.pool.timers.after(self.pool.bounds.dial, lambda: self.late(pull))
+    def send(self, attempt: Attempt) -> None:
+        if not self.place(attempt):
+            attempt.queued = self.pool.timers.now()
+            self.waiting.append(attempt)
+            self.pool.timers.after(self.pool.bounds.dial, lambda: self.late(attempt))
             self.dial()
 
-    def place(self, pull: Pull) -> bool:
-        fit = [c for c in self.connections if c.takes(pull.name) and not self.stale(c)]
+    def place(self, attempt: Attempt) -> bool:
+        fit = [c for c in self.connections if c.takes(attempt.name) and not self.stale(c)]
         if fit and not self.closed:
-            min(fit, key=lambda c: len(c.out)).send(pull)
+            min(fit, key=lambda c: len(c.out)).send(attempt)
         return bool(fit) and not self.closed
 
     def stale(self, connection: CacheConnection) -> bool:
@@ -124,13 +124,13 @@
             return
         self.cut_off = 0
         waiting, self.waiting = self.waiting, deque()
-        for pull in waiting:
-            pull.end(Lost.UNREACHED)
+        for attempt in waiting:
+            attempt.end(Lost.UNREACHABLE)
 
-    def late(self, pull: Pull) -> None:
-        if pull in self.waiting:
-            self.waiting.remove(pull)
-            pull.end(Lost.UNREACHED)
+    def late(self, attempt: Attempt) -> None:
+        if attempt in self.waiting:
+            self.waiting.remove(attempt)
+            attempt.end(Lost.UNREACHABLE)
 
     def room(self) -> None:
         """Let those who wait go, but hear first what else has come in this moment.
@@ -152,11 +152,11 @@
         self.planned = False
         now, turn = self.pool.timers.now(), self.pool.bounds.turn
         while self.waiting:
-            pull = self.waiting[0]
-            if pull.fleeting and now > pull.queued + turn:
+            attempt = self.waiting[0]
+            if attempt.fleeting and now > attempt.queued + turn:
                 self.waiting.popleft()
-                pull.end(Lost.WITHDRAWN)
-            elif self.place(pull):
+                attempt.end(Lost.WITHDRAWN)
+            elif self.place(attempt):
                 self.waiting.popleft()
             else:
                 break
@@ -169,13 +169,13 @@
 
     def unknown(self, answer: Answer) -> None:
         if not self.pool.probed(self.cache, answer):
-            odd["answers to nothing asked"] += 1
+            anomalies["answers to nothing asked"] += 1
 
-    def withdraw(self, stale: Callable[[Pull], bool]) -> None:
-        gone = [pull for pull in self.waiting if stale(pull)]
-        self.waiting = deque(pull for pull in self.waiting if pull not in gone)
-        for pull in gone:
-            pull.end(Lost.WITHDRAWN)
+    def withdraw(self, stale: Callable[[Attempt], bool]) -> None:
+        gone = [attempt for attempt in self.waiting if stale(attempt)]
+        self.waiting = deque(attempt for attempt in self.waiting if attempt not in gone)
+        for attempt in gone:
+            attempt.end(Lost.WITHDRAWN)
 
     def restarted(self, since: float) -> None:
         """Connections from before a restart lead nowhere, though a machine that vanished never said so."""
@@ -217,40 +217,40 @@
         else:
             self.lanes[cache] = Lane(self, cache, host, port)
         if not usable:
-            self.withdraw({cache}, lambda pull: False)
+            self.withdraw({cache}, lambda attempt: False)
 
     def gone(self, cache: int) -> None:
-        self.withdraw({cache}, lambda pull: False)
+        self.withdraw({cache}, lambda attempt: False)
         if cache in self.lanes:
             self.lanes.pop(cache).close(moved=False)
 
-    def withdraw(self, caches: set[int], stale: Callable[[Pull], bool]) -> None:
+    def withdraw(self, caches: set[int], stale: Callable[[Attempt], bool]) -> None:
         """Take back what waits and has to do with these caches, or is stale for another cause."""
         for lane in list(self.lanes.values()):
             if lane.waiting:
-                lane.withdraw(lambda pull: pull.cache in caches or pull.source in caches or stale(pull))
+                lane.withdraw(lambda attempt: attempt.cache in caches or attempt.source in caches or stale(attempt))
 
     def purged(self, key: str | None, group: int) -> None:
-        self.withdraw(set(), lambda pull: pull.key == key if key else pull.group == group)
+        self.withdraw(set(), lambda attempt: attempt.key == key if key else attempt.group == group)
 
-    def send(self, pull: Pull) -> None:
-        lane = self.lanes.get(pull.cache)
+    def send(self, attempt: Attempt) -> None:
+        lane = self.lanes.get(attempt.cache)
         if lane:
-            lane.send(pull)
+            lane.send(attempt)
         else:  # its cache left the list in this very turn
-            pull.end(Lost.WITHDRAWN)
+            attempt.end(Lost.WITHDRAWN)
 
-    def call_off(self, pull: Pull) -> bool:
+    def call_off(self, attempt: Attempt) -> bool:
         """Give a pull up. Whether any byte of it had gone out."""
-        if pull.over:
+        if attempt.over:
             return True
-        pull.over = True
-        if pull.connection:
-            pull.connection.undo(pull)
+        attempt.over = True
+        if attempt.connection:
+            attempt.connection.undo(attempt)
             return True
-        lane = self.lanes.get(pull.cache)
-        if lane and pull in lane.waiting:
-            lane.waiting.remove(pull)
+        lane = self.lanes.get(attempt.cache)
+        if lane and attempt in lane.waiting:
+            lane.waiting.remove(attempt)
         return False
 
     def probe(self, cache: int, tag: str, report: bool) -> bool:
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -38,7 +38,7 @@
                 keys_of(fleet.keys)
             except BadFleet as wrong:
                 raise BadSite(f"installation {installation}: [fleet] {wrong}") from None
-            strange = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)} - set(site.facts.types)
+            strange = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)} - set(site.facts.classes)
             if strange:
                 raise BadSite(f"installation {installation}: [limits] no content type {sorted(strange)[0]!r}")
             site = replace(site, fleet=fleet)
@@ -118,7 +118,7 @@
 def check(config: str | None, installation: str | None) -> None:
     """Read configuration and installation file, and say what a front would make of them."""
     site = load(config, installation)
-    kinds = ", ".join(site.facts.types)
+    kinds = ", ".join(site.facts.classes)
     click.echo(f"front {site.name} on {site.host}:{site.port}, zone {site.facts.zone}, hub {site.facts.hub}")
     click.echo(f"content types {kinds}; bus {site.bus} after event {site.offset}")
     click.echo(f"connections: {site.clients} of clients, {site.bounds.descriptors} to caches at most")
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -21,7 +21,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.idle_connections.connection_table import Memory
 from weldbend.idle_connections.policy import Seen
-from weldbend.invariants import must, odd
+from weldbend.invariants import check_invariant, anomalies
 from weldbend.thrift import messages
 from weldbend.thrift.binary import BadMessage
 from weldbend.thrift.framing import BadFrame, next_frame, small_frame
@@ -63,7 +63,7 @@
         self.client.flawed()
 
     def end(self, answer: bytes) -> None:
-        if must(not self.answered, "a download has one answer"):
+        if check_invariant(not self.answered, "a download has one answer"):
             self.answered = True
             self.client.finish(self, answer)
 
@@ -134,7 +134,7 @@
         self.heard = self.taker.now()
         if not self.came:
             self.begun = self.heard
-        must(self.came.write(data) == len(data), "a client's ring has room for a chunk")
+        check_invariant(self.came.write(data) == len(data), "a client's ring has room for a chunk")
         self.read()
 
     def read(self) -> None:
@@ -244,7 +244,7 @@
     def cast_out(self, why: str) -> None:
         """End it with all that is open on it: what such a client asked for must not be fulfilled."""
         if not (self.ended or self.lost):
-            odd[why] += 1
+            anomalies[why] += 1
             self.ended = True
             self.taker.cast_out(self.host())
             for call in list(self.open.values()):
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -19,10 +19,10 @@
 from weldbend.idle_connections.epoll_set import Descriptors, Hangups
 from weldbend.idle_connections.idle_pool import Lot, Rim
 from weldbend.idle_connections.policy import Terms, Verdict
-from weldbend.invariants import odd
+from weldbend.invariants import anomalies
 
 BACKLOG = 1024
-GONE = 60  # seconds without a sign of a client's machine, or of its reading, until it is held to be gone
+DEAD_PEER_TIMEOUT = 60  # seconds without a sign of a client's machine, or of its reading, until it is held to be gone
 LOOK = 0.125  # seconds between two looks at a live connection
 STOOD = 1.0  # seconds since the last look, from which on this process stood still meanwhile
 GONE_FOR = {
@@ -83,9 +83,9 @@
         """
         listening: socket.socket = self.port.socket
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, GONE // 2)
-        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, GONE // 4)
-        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, GONE * 1000)
+        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, DEAD_PEER_TIMEOUT // 2)
+        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, DEAD_PEER_TIMEOUT // 4)
+        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DEAD_PEER_TIMEOUT * 1000)
 
     def buildProtocol(self, addr: IAddress | None) -> Client | None:
         return Client(self.taker) if self.taker.welcome(getattr(addr, "host", "")) else None
@@ -134,7 +134,7 @@
             due, mute = self.lot.expire(left)
             left -= due
             if mute:
-                odd[GONE_FOR[Verdict.MUTE]] += mute
+                anomalies[GONE_FOR[Verdict.MUTE]] += mute
         self.make_room()
         return not left
 
@@ -149,7 +149,7 @@
             case Verdict.CLOSE:
                 client.close()
             case Verdict.MUTE | Verdict.HALF:
-                odd[GONE_FOR[verdict]] += 1
+                anomalies[GONE_FOR[verdict]] += 1
                 client.silent()
         return verdict is not Verdict.STAY
 
--- a/weldbend/event_bus/endpoint_names.py
+++ b/weldbend/event_bus/endpoint_names.py
@@ -5,10 +5,11 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from weldbend.routing.events import Endpoint, EndpointState
+from weldbend.routing.settings import Role
 from weldbend.event_bus.events import Target
-from weldbend.routing import interface as face
 
-PHASES = {"up": face.Phase.READY, "draining": face.Phase.DRAINING, "removed": face.Phase.GONE}
+STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
 
 
 class Clock(Protocol):
@@ -20,7 +21,7 @@
     """The same name gives the same number at every front, and after a restart: the hash goes by numbers."""
 
     clock: Clock
-    roles: dict[str, face.Role]
+    roles: dict[str, Role]
     numbers: dict[str, int]
     uids: dict[int, str]
     starts: dict[str, tuple[float, float]] = field(default_factory=dict)  # stamp, its moment
@@ -52,13 +53,13 @@
             self.starts[uid] = stamp, moment
         return moment
 
-    def entry(self, target: Target) -> face.Entry:
-        return face.Entry(
+    def entry(self, target: Target) -> Endpoint:
+        return Endpoint(
             id=self.number(target.uid),
             weight=target.weight,
             zone=target.zone,
             cell=target.cell,
             role=self.roles[target.kind],
-            phase=PHASES[target.state],
+            state=STATES[target.state],
             started=self.started(target.uid, target.booted) if target.booted else None,
         )
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -18,7 +18,7 @@
 from weldbend.fleet.membership import Membership, Send
 from weldbend.fleet.replicated_store import RULES, Change, Copies, run_of
 from weldbend.fleet.settings import Terms
-from weldbend.routing.measures import Chance
+from weldbend.routing.measures import RandomSource
 
 MESH = 12  # fronts up to which each is linked to all others
 BATCH = 256  # changes or items in one message
@@ -105,7 +105,7 @@
         now: float,
     ) -> None:
         self.name, self.copies, self.terms, self.changed = name, copies, terms, changed
-        self.chance = Chance(seed)
+        self.chance = RandomSource(seed)
         self.links: dict[str, Link] = {}
         self.whole, self.since = False, now
         self.fetch: Fetch | None = None
--- a/weldbend/fleet/conservative_merge.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -30,7 +30,7 @@
     """
 
     def __init__(self) -> None:
-        self.second, self.taken, self.odd = 0, 0, 0
+        self.second, self.taken, self.anomalies = 0, 0, 0
 
     def moment(self, at: float, now: float, unix: float) -> float | None:
         """The Unix second from which a purge counts, or None where too many came; `now` is steady."""
@@ -38,5 +38,5 @@
             self.second, self.taken = int(now), 0
         self.taken += 1
         full, ahead = self.taken > MOST_PURGES, at > unix + AHEAD
-        self.odd += full or ahead
+        self.anomalies += full or ahead
         return None if full else min(at, unix) if ahead else at
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -14,7 +14,9 @@
 
 from loguru import logger
 
-from weldbend.event_bus.endpoint_names import PHASES
+from weldbend.routing.events import ExecutedElsewhere, ObjectsPurged, PeerHealthReport, PeerKnowledge, PossibleExecution
+from weldbend.routing.settings import DeduplicationScope, Idempotency
+from weldbend.event_bus.endpoint_names import STATES as ENDPOINT_STATES
 from weldbend.event_bus.events import Ban, Numbered, Topology
 from weldbend.fleet import health_reports, idempotency, popularity
 from weldbend.fleet.admin_server import Control
@@ -25,9 +27,7 @@
 from weldbend.fleet.replicated_store import RULES, Change
 from weldbend.fleet.service import BadFleet, Fleet
 from weldbend.fleet.settings import Terms
-from weldbend.routing import interface as face
-from weldbend.routing.interface import Effect, Scope
-from weldbend.routing.measures import Chance
+from weldbend.routing.measures import RandomSource
 
 HOLD = 0.3  # seconds for which decisions wait for the bus, or else for peers, after a standstill
 SETTLE = 0.02  # and for what comes with the first word of them
@@ -50,10 +50,10 @@
         self.purges, self.teller, self.slots, self.wishes = Purges(), Teller(), Slots(), Wishes()
         self.number = 0  # of what this run says in its own words
         self.doubted: dict[int, tuple[float, float]] = {}  # the evidence that the decisions hold
-        deduped = [t for t in loop.site.facts.types.values() if t.effect is Effect.DEDUPED]
-        self.doubt = idempotency.Doubt(max((t.window for t in deduped), default=0.0))
+        deduped = [t for t in loop.site.facts.classes.values() if t.idempotency is Idempotency.DEDUPLICATED]
+        self.doubt = idempotency.Doubt(max((t.deduplication_window for t in deduped), default=0.0))
         loop.peers = self
-        self.sharing = Sharing(loop, self.fleet, Chance(int.from_bytes(clock.drawn(4), "big")))
+        self.sharing = Sharing(loop, self.fleet, RandomSource(int.from_bytes(clock.drawn(4), "big")))
         self.control = Control(self.fleet, self.sharing.questions())
 
     def start(self, known: list[Numbered]) -> None:
@@ -98,7 +98,7 @@
 
     def asked(self, type: str, key: str, part: int, repeat: bool) -> int:
         """A client's wish, counted here; how often other fronts of the zone had it lately."""
-        if self.loop.site.facts.types[type].at_origin or not self.fleet.terms.popularity:
+        if self.loop.site.facts.classes[type].origin_only or not self.fleet.terms.popularity:
             return 0
         name = popularity.hash_of(key, part)
         if not repeat:
@@ -118,10 +118,10 @@
             self.fresh = min(self.fresh, now + SETTLE)
         return now < min(self.held[0] + HOLD, self.fresh)
 
-    def ran(self, type: str, once: str, repeat: bool) -> tuple[face.Ran, ...]:
+    def ran(self, type: str, once: str, repeat: bool) -> tuple[PossibleExecution, ...]:
         """Earlier pulls of a deduped download, at any front, that may have run."""
-        kind, now = self.loop.site.facts.types[type], self.timers.now()
-        if kind.effect is not Effect.DEDUPED:
+        kind, now = self.loop.site.facts.classes[type], self.timers.now()
+        if kind.idempotency is not Idempotency.DEDUPLICATED:
             return ()
         item = self.fleet.copies.items.get(("keyed", once))
         if item and item.live(RULES["keyed"], now):
@@ -129,9 +129,9 @@
             return (idempotency.ran(item.value, item.said, now, self.loop.clock.unix()),)
         members = self.fleet.members.members.values()
         unsure = self.doubt.holds(self.fleet.exchange.whole, self.fleet.lost, members, now)
-        if repeat and kind.scope is not Scope.ALL and unsure:
+        if repeat and kind.deduplication_scope is not DeduplicationScope.ALL and unsure:
             self.counts["repeats held for run, not knowing"] += 1
-            return (face.Ran(idempotency.NOWHERE, -1, now),)
+            return (PossibleExecution(idempotency.NOWHERE, -1, now),)
         return ()
 
     def over(self, type: str, client: str) -> bool:
@@ -145,9 +145,9 @@
 
     def sent(self, type: str, once: str, cache: int) -> None:
         """A pull of a deduped download goes out: others are told before its bytes leave."""
-        kind, held = self.loop.site.facts.types[type], self.loop.router.caches.get(cache)
-        if kind.effect is Effect.DEDUPED and held:
-            group = idempotency.group_of(kind.scope, held.zone, held.cell)
+        kind, held = self.loop.site.facts.classes[type], self.loop.router.caches.get(cache)
+        if kind.idempotency is Idempotency.DEDUPLICATED and held:
+            group = idempotency.group_of(kind.deduplication_scope, held.zone, held.cell)
             self.fleet.say("keyed", once, group, int(self.loop.clock.unix() * 1000))
 
     # What peers know.
@@ -166,12 +166,12 @@
     def purged(self, change: Change) -> None:
         clock = self.loop.clock
         at = self.purges.moment(change.value[0] / 1000, clock.now(), clock.unix())
-        self.counts["purges not taken"] = self.purges.odd
+        self.counts["purges not taken"] = self.purges.anomalies
         if at is None:
             return
         key, group = (change.key[2:], 0) if change.key.startswith("k:") else (None, int(change.key[2:]))
         self.counts["purges from peers"] += 1
-        self.loop.post(face.Purged(key, group, clock.age(at)))
+        self.loop.post(ObjectsPurged(key, group, clock.age(at)))
         self.loop.pool.purged(key, group)
 
     def hold(self, uid: str) -> None:
@@ -184,32 +184,32 @@
             return
         drain, start = items.get(("drain", uid)), items.get(("start", uid))
         state = held_state(drain.value if drain else None, self.offset)
-        phase = PHASES[state] if state else None
+        state_known = ENDPOINT_STATES[state] if state else None
         started = None
         if start:
             started = names.started(uid, start.value[0] / 1000, self.loop.clock.now())
-        if phase is None and started is None:
+        if state_known is None and started is None:
             return
         number = names.numbers[uid]
-        self.counts["caches held strictly"] += phase is not None
-        self.loop.post(face.Known(number, phase, started))
+        self.counts["caches held strictly"] += state_known is not None
+        self.loop.post(PeerKnowledge(number, state_known, started))
         if started is not None:
             self.sharing.restarted(uid)
-        if phase is not None:
-            self.loop.pool.withdraw({number}, lambda pull: False)
+        if state_known is not None:
+            self.loop.pool.withdraw({number}, lambda attempt: False)
             logger.bind(cache=uid).info(
                 "fleet: {} is {} by event {}, which this front's bus has not told",
                 uid,
-                phase.name,
+                state_known.name,
                 drain.value[0],
             )
 
     def ran_too(self, change: Change) -> None:
         now, unix = self.timers.now(), self.loop.clock.unix()
-        for dl in self.loop.open.values():
-            if dl.wish.once == change.key:
+        for request in self.loop.open.values():
+            if request.wish.once == change.key:
                 held = idempotency.ran(change.value, now - change.age, now, unix)
-                self.loop.post(face.RanToo(dl.name, held))
+                self.loop.post(ExecutedElsewhere(request.name, held))
 
     def wished(self, change: Change) -> None:
         """Fronts of the same zone ask the same edges; words of this name are those of an earlier run."""
@@ -283,5 +283,5 @@
         for number in {*held, *self.doubted}:
             record = held.get(number, (0.0, 0.0))
             if record != self.doubted.get(number, (0.0, 0.0)):
-                self.loop.post(face.Evidence(number, *record))
+                self.loop.post(PeerHealthReport(number, *record))
         self.doubted = held
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -15,19 +15,20 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
+from weldbend.routing.events import PossibleExecution
+from weldbend.routing.settings import DeduplicationScope
 from weldbend.fleet.membership import Member, State
 from weldbend.fleet.replicated_store import ANYWHERE, NOWHERE, Value
-from weldbend.routing.interface import Ran, Scope
 
 FAR = 10.0  # seconds by which another's clock may have it wrong before its moment is not heeded
 
 
-def group_of(scope: Scope, zone: str, cell: int) -> str:
+def group_of(scope: DeduplicationScope, zone: str, cell: int) -> str:
     """The caches that drop a repeat of what one of them has run, as others are told."""
-    return {Scope.ZONE: f"z:{zone}", Scope.CELL: f"c:{cell}"}.get(scope, ANYWHERE)
+    return {DeduplicationScope.ZONE: f"z:{zone}", DeduplicationScope.CELL: f"c:{cell}"}.get(scope, ANYWHERE)
 
 
-def ran(value: Value, said: float, now: float, unix: float) -> Ran:
+def ran(value: Value, said: float, now: float, unix: float) -> PossibleExecution:
     """What a front heeds of an item: `said` is the moment, here, of the latest word about it.
 
     The first pull is dated by its writer's Unix clock, and at most by that word: a clock ahead makes no
@@ -37,9 +38,9 @@
     age = unix - first
     sent = said if abs(age - (now - said)) > FAR else min(said, now - age)
     if group == NOWHERE:
-        return Ran(NOWHERE, -1, sent)
+        return PossibleExecution(NOWHERE, -1, sent)
     zone, cell = (group[2:], -1) if group.startswith("z:") else ("", int(group[2:] or -1))
-    return Ran(zone, cell, sent)
+    return PossibleExecution(zone, cell, sent)
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -23,14 +23,14 @@
 MOST_LOANS = 512  # of one limit, out or in
 
 
-def owned(limit: str, names: Iterable[str], pulls: float) -> dict[str, int]:
+def owned(limit: str, names: Iterable[str], attempts: float) -> dict[str, int]:
     """How many parts each named member owns, by an order that all compute alike.
 
     `pulls` is how many pulls the limit has room for: no more members own a part of it than that, so that what
     one owns is worth something by itself, and what one lacks is had from one lender.
     """
     order = sorted(set(names), key=lambda name: blake2b(f"{limit} {name}".encode(), digest_size=8).digest())
-    owners = min(len(order), max(int(pulls), 1))
+    owners = min(len(order), max(int(attempts), 1))
     least, more = divmod(PARTS, owners) if owners else (0, 0)
     return {name: (least + (place < more)) * (place < owners) for place, name in enumerate(order)}
 
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 
 from weldbend.fleet.lease_ledger import PARTS, Asking, Ledger, Times
-from weldbend.routing.measures import Chance
+from weldbend.routing.measures import RandomSource
 
 FAN, MOST_FAN = 4, 64  # lenders asked at a time; and where a whole pull is still to be gathered
 WAITS = 0.45  # seconds for which an answer is waited for
@@ -76,7 +76,7 @@
     name: str
     times: Times
     owners: Mapping[str, int]
-    chance: Chance
+    chance: RandomSource
     unit: float = 1.0  # parts that one pull takes
     need: float = 0.0  # pulls of a window that it could use
     latest: float = 0.0  # and by the last look
@@ -98,27 +98,27 @@
         They are held in pulls, since what a pull takes of a limit that grows changes meanwhile.
         """
         self.unit, span = use.unit, self.times.term + self.times.window
-        pulls = self.latest = max(use.used, use.wanted) / use.unit
-        self.mean += (1 - math.exp((self.at - now) / span)) * (pulls - self.mean)
+        attempts = self.latest = max(use.used, use.wanted) / use.unit
+        self.mean += (1 - math.exp((self.at - now) / span)) * (attempts - self.mean)
         self.at = now
-        while self.peaks and self.peaks[-1][1] <= pulls:
+        while self.peaks and self.peaks[-1][1] <= attempts:
             self.peaks.pop()
-        if pulls:
-            self.peaks.append((now, pulls))
+        if attempts:
+            self.peaks.append((now, attempts))
             self.wanted_at = now
         while self.peaks and self.peaks[0][0] <= now - LOOKBACK * span:
             self.peaks.popleft()
-        if pulls >= self.need or now >= self.lasts:
-            self.need, self.lasts = pulls, now + self.times.term
-            if self.pull > self.owners.get(self.name, 0):  # gathering one takes a turn
+        if attempts >= self.need or now >= self.lasts:
+            self.need, self.lasts = attempts, now + self.times.term
+            if self.attempt > self.owners.get(self.name, 0):  # gathering one takes a turn
                 self.lasts = now + 2 * self.times.term + self.times.window
 
-    def parts(self, pulls: float) -> int:
+    def parts(self, attempts: float) -> int:
         """Parts that so many pulls take; a part of a pull is worth nothing."""
-        return min(math.ceil(math.ceil(pulls - 1e-9) * self.unit - 1e-9), PARTS)
+        return min(math.ceil(math.ceil(attempts - 1e-9) * self.unit - 1e-9), PARTS)
 
     @property
-    def pull(self) -> int:
+    def attempt(self) -> int:
         return max(self.parts(1.0), 1)
 
     def wanted(self) -> int:
@@ -132,9 +132,9 @@
         Guards against needs that come and go: what is lent is gone for a term and a window, so a share that
         was needed that lately is worth more here. Harm: one that moves for good is lent that much later.
         """
-        pulls = self.peaks[0][1] if self.peaks else 0.0
+        attempts = self.peaks[0][1] if self.peaks else 0.0
         lately = self.at - self.wanted_at < LONG * (self.times.term + self.times.window)
-        return self.parts(max(pulls - math.sqrt(pulls), 1.0 if lately else 0.0))
+        return self.parts(max(attempts - math.sqrt(attempts), 1.0 if lately else 0.0))
 
     def sure(self) -> float:
         """Parts that it needs on the mean, or now beyond what chance may have made of that."""
@@ -153,12 +153,12 @@
         share that is less than a pull is worth nothing here alone: all of it goes to one whose turn is before
         this front's own.
         """
-        if kept < self.pull:
+        if kept < self.attempt:
             spare = kept if self.first(asker, turn) else 0
         else:
             rest, sure = kept - had + back, self.sure()
             spare = max(had, kept - self.keeps()) if sure <= rest else had - math.ceil(sure - rest)
-            spare -= spare % self.pull  # less than a pull serves nobody
+            spare -= spare % self.attempt  # less than a pull serves nobody
         return max(min(parts, spare, math.floor(kept - used)), 0)
 
     def first(self, asker: str, turn: int) -> bool:
@@ -190,7 +190,7 @@
         if surplus >= 0:
             self.gathering = None
             return [*found, *later.values()]
-        whole = held >= self.pull
+        whole = held >= self.attempt
         if not whole and (not self.gathers(turn, alive) or self.in_vain(now)):
             return [GiveBack(lender) for lender in book.came]
         if whole or now >= self.rests:
@@ -209,7 +209,7 @@
         if self.turn == turn.number and self.best > mine:
             return False
         before = sum(rank(self.limit, turn.number, name) > mine for name in alive if name != self.name)
-        waits = max(before - PARTS // self.pull + 1, 0) * STEP
+        waits = max(before - PARTS // self.attempt + 1, 0) * STEP
         return waits <= turn.since < self.times.term + self.times.window
 
     def surplus(self, book: Ledger, surplus: int) -> Iterable[GiveBack]:
@@ -268,7 +268,7 @@
             and name not in busy
             and self.refused.get(name, -math.inf) <= now
         ]
-        gathers = book.held(now) < self.pull
+        gathers = book.held(now) < self.attempt
         if gathers:
             fit.sort(key=lambda name: rank(self.limit, turn.number, name), reverse=True)
         else:
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -14,7 +14,7 @@
 from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, Ledger, Times, owned
 from weldbend.fleet.lease_policy import Borrow, Demand, Use, turn_at
 from weldbend.fleet.membership import Send
-from weldbend.routing.measures import Chance
+from weldbend.routing.measures import RandomSource
 
 LOOK = 0.08  # seconds between two looks at what is needed
 MOST_LIMITS = 512
@@ -40,7 +40,7 @@
 
     limit: str
     names: tuple[str, ...]
-    pulls: float
+    attempts: float
     ledger: Ledger
     demand: Demand
     spender: Spender
@@ -58,7 +58,7 @@
         self,
         name: str,
         epoch: int,
-        chance: Chance,
+        chance: RandomSource,
         quiet_until: float,
         opens: Callable[[str], object],
         unix: Callable[[], float],
@@ -73,7 +73,7 @@
     # Opening and closing.
 
     def open(
-        self, limit: str, names: Iterable[str], pulls: float, times: Times, spender: Spender, now: float
+        self, limit: str, names: Iterable[str], attempts: float, times: Times, spender: Spender, now: float
     ) -> Book | None:
         """Spend from it from now on; the same one where it is open. None beyond the bound on limits.
 
@@ -84,10 +84,10 @@
         if len(self.books) >= MOST_LIMITS:
             self.counts["limits over the bound"] += 1
             return None
-        owners = owned(limit, names, pulls)
+        owners = owned(limit, names, attempts)
         book = Ledger(self.own(owners), times, self.epoch, self.quiet_until)
         demand = Demand(limit, self.name, times, owners, self.chance)
-        held = self.books[limit] = Book(limit, tuple(sorted(owners)), pulls, book, demand, spender)
+        held = self.books[limit] = Book(limit, tuple(sorted(owners)), attempts, book, demand, spender)
         self.tell(held, now)
         return held
 
@@ -102,7 +102,7 @@
         """Members are named anew; `names` gives those that own a limit."""
         self.newcomer = newcomer
         for book in self.books.values():
-            owners = owned(book.limit, names(book.limit), book.pulls)
+            owners = owned(book.limit, names(book.limit), book.attempts)
             book.names, book.demand.owners = tuple(sorted(owners)), owners
             book.ledger.resize(self.own(owners))
             self.tell(book, now)
@@ -219,7 +219,7 @@
             found.append({
                 "limit": limit, "own": ledger.own, "kept": ledger.kept(now), "lent": ledger.lent(now),
                 "borrowed": ledger.borrowed(now), "need": round(book.demand.need, 2),
-                "pull": book.demand.pull,
+                "pull": book.demand.attempt,
                 "quiet": round(max(ledger.quiet_until - now, 0.0), 2),
                 "loans": [
                     {"way": way, "with": name, "parts": parts, "ends in": round(end - now, 2)}
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -22,8 +22,8 @@
 
 from weldbend.fleet import messages as m
 from weldbend.fleet.settings import Terms
-from weldbend.invariants import must
-from weldbend.routing.measures import Chance
+from weldbend.invariants import check_invariant
+from weldbend.routing.measures import RandomSource
 
 LEAP = 1 << 16  # by which a rumour may raise an incarnation
 AHEAD = 1 << 40  # by which another may tell a front to raise its own epoch
@@ -124,7 +124,7 @@
     ) -> None:
         self.name, self.epoch, self.terms = name, epoch, terms
         self.incarnation = 0
-        self.chance = Chance(seed)
+        self.chance = RandomSource(seed)
         self.members: dict[str, Member] = {}
         self.round: list[Member] = []
         self.draws = 0
@@ -467,7 +467,7 @@
     ) -> None:
         """The one place at which a belief changes."""
         before = member.rank()
-        must((epoch, incarnation, int(state)) >= before or epoch > member.epoch, "beliefs only rise")
+        check_invariant((epoch, incarnation, int(state)) >= before or epoch > member.epoch, "beliefs only rise")
         if member.state is not state:
             self.changes.append((member.name, member.state, state, why))
         member.epoch, member.incarnation, member.state, member.since = epoch, incarnation, state, now
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -16,6 +16,8 @@
 
 from loguru import logger
 
+from weldbend.routing.events import EjectionUpdate, ParentQuota, PeerKnowledge, SlowStartQuota
+from weldbend.routing.settings import Role
 from weldbend.fleet import outlier_detection
 from weldbend.fleet.demand_share import Need, part
 from weldbend.fleet.health_reports import Word
@@ -25,9 +27,7 @@
 from weldbend.fleet.membership import Sight
 from weldbend.fleet.replicated_store import RULES
 from weldbend.fleet.service import Fleet
-from weldbend.routing import interface as face
-from weldbend.routing.interface import Role
-from weldbend.routing.measures import Chance
+from weldbend.routing.measures import RandomSource
 
 SECOND = 1.0  # window of the operators' rates
 HEAVY = 8  # clients of which this front tells, those that ask most
@@ -58,7 +58,7 @@
     def holds(self, kept: int, borrowed: int, until: float) -> None:
         """First of all that waits: what is decided from now on goes by it."""
         cover = self.cover / PARTS
-        share = face.Share(self.number, True, kept * cover, borrowed * cover, until)
+        share = SlowStartQuota(self.number, True, kept * cover, borrowed * cover, until)
         self.sharing.loop.post(share, first=True)
 
 
@@ -84,11 +84,11 @@
 class Sharing:
     """Made by the bridge of a front that has a fleet."""
 
-    def __init__(self, loop: Any, fleet: Fleet, chance: Chance) -> None:
+    def __init__(self, loop: Any, fleet: Fleet, chance: RandomSource) -> None:
         self.loop, self.fleet, self.chance = loop, fleet, chance
         self.counts: Counter[str] = Counter()
         now, terms = loop.clock.now(), fleet.terms.limits
-        longest = max(loop.site.facts.cold_window, SECOND)
+        longest = max(loop.site.facts.edge_overload_window, SECOND)
         quiet = Times(terms.lease, longest, terms.drift).quiet
         self.limits = fleet.limits = Limits(
             fleet.name, fleet.members.epoch, chance, now + quiet, self.opens, loop.clock.unix
@@ -147,7 +147,7 @@
         cache = self.loop.names.numbers.get(uid)
         limits = self.fleet.terms.limits
         if cache is not None and limits.cold and self.loop.site.facts.weighted:
-            self.loop.post(face.Share(cache, True))
+            self.loop.post(SlowStartQuota(cache, True))
             self.loop.timers.after(0.0, lambda: self.cold(uid))
 
     def cold(self, uid: str) -> None:
@@ -160,7 +160,7 @@
         if limit in self.colds:
             return
         if cache.role is Role.ORIGIN or cache.part() >= 1:
-            self.loop.post(face.Share(cache.id))
+            self.loop.post(SlowStartQuota(cache.id))
             return
         for older in [one for one in self.colds if one.startswith(f"cold:{uid}@")]:
             self.close(older)
@@ -171,18 +171,18 @@
         cold.cover = min(1.0, len(owners) / sharers)
         parent = cache.role is Role.PARENT
         least = (
-            facts.parent_floor * facts.parent_multiple if parent else facts.cold_floor * facts.cold_multiple
+            facts.parent_start_capacity * facts.parent_overload_factor if parent else facts.edge_start_capacity * facts.edge_overload_factor
         )
-        work = max(kind.target for kind in facts.types.values() if not kind.at_origin)
-        pulls = least * facts.cold_window * cache.weight / work  # of its budget when it has just started
+        work = max(kind.latency_objective for kind in facts.classes.values() if not kind.origin_only)
+        attempts = least * facts.edge_overload_window * cache.weight / work  # of its budget when it has just started
         now = self.loop.clock.now()
-        if not self.limits.open(limit, owners, pulls, self.times(facts.cold_window), cold, now):
+        if not self.limits.open(limit, owners, attempts, self.times(facts.edge_overload_window), cold, now):
             self.close(limit)
 
     def close(self, limit: str) -> None:
         cold = self.colds.pop(limit)
         self.limits.close(limit)
-        self.loop.post(face.Share(cold.number), first=True)
+        self.loop.post(SlowStartQuota(cold.number), first=True)
 
     def warm(self) -> None:
         """Let go of what is warm by now, or gone."""
@@ -199,7 +199,7 @@
     def over(self, type: str, client: str) -> bool:
         """Whether a download is beyond a limit of the fleet's; what is not counts from now on."""
         now = self.loop.clock.now()
-        if not self.loop.site.facts.types[type].at_origin:
+        if not self.loop.site.facts.classes[type].origin_only:
             self.parents.add()
         if self.fleet.terms.limits.client:
             self.clients[client] += 1
@@ -321,7 +321,7 @@
         found = round(part(self.fleet.name, need, self.said("need", PARENTS), here) * cover, 4)
         if abs(found - self.part) > 0.02 * self.part:
             self.part = found
-            self.loop.post(face.Part(found))
+            self.loop.post(ParentQuota(found))
 
     def tell_heavy(self) -> None:
         most = self.fleet.terms.limits.client
@@ -350,7 +350,7 @@
         parts = {numbers[uid]: part for uid, part in found.items() if part < 1 and uid in numbers}
         for number in {*parts, *self.parts}:
             if parts.get(number, 1.0) != self.parts.get(number, 1.0):
-                self.loop.post(face.Verdict(number, parts.get(number, 1.0)))
+                self.loop.post(EjectionUpdate(number, parts.get(number, 1.0)))
         self.parts = parts
         for uid, before, stand, case in self.court.said():
             self.counts[f"verdicts: {stand.name.lower()}"] += 1
@@ -391,7 +391,7 @@
             cache = caches.get(numbers.get(uid, -1))
             if cache and (cache.started is None or at > cache.started + outlier_detection.TOGETHER):
                 self.counts["starts that no list told"] += 1
-                self.loop.post(face.Known(cache.id, None, at))
+                self.loop.post(PeerKnowledge(cache.id, None, at))
         self.broke = {uid: at for uid, at in self.broke.items() if uid in numbers}
 
     # For people.
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -7,11 +7,11 @@
 from ipaddress import IPv4Address
 from typing import Any
 
+from weldbend.routing.settings import Role, SiteSettings
 from weldbend.caches.pool import Bounds
 from weldbend.event_bus.events import BadEvent, Numbered, known
 from weldbend.idle_connections.policy import Terms
-from weldbend.routing.interface import Role, SiteFacts
-from weldbend.site_settings import cache_roles, site_facts
+from weldbend.site_settings import cache_roles, read_site_settings
 
 TURN = 0.004  # a turn of the loop may last so long; the decisions are told, as of any tick
 FOR_CACHES = 96  # descriptors for connections to caches, of which some tens are in use
@@ -34,7 +34,7 @@
     bus: str
     known: list[Numbered]
     offset: int
-    facts: SiteFacts
+    facts: SiteSettings
     roles: dict[str, Role]
     flow: float  # KB in one second of sending at a client's top pace
     reports: bool  # whether caches report their load
@@ -67,7 +67,7 @@
 
 def site(raw: Mapping[str, Any]) -> Site:
     settings, limits = raw["settings"], raw["limits"]
-    caps, facts = settings["caps"], site_facts(settings)
+    caps, facts = settings["caps"], read_site_settings(settings)
     host, _, port = raw["listen"].rpartition(":")
     sockets = int(limits["sockets"])
     clients = max(sockets // 2, sockets - FOR_CACHES - RESERVE)  # ours hold a third
@@ -90,7 +90,7 @@
             dial=caps["dial_timeout_us"] / 1e6,
             turn=TURN,
             descriptors=sockets - clients - RESERVE,
-            longest=max(kind.expiry for kind in facts.types.values()),
+            longest=max(kind.deadline_after for kind in facts.classes.values()),
         ),
         sockets=sockets,
         clients=clients,
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -13,9 +13,12 @@
 
 from loguru import logger
 
+from weldbend.routing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SendHealthCheck, SetTimer, WatchEndpoints, WriteLog
+from weldbend.routing.events import AttemptResult, ConnectionOpened, EndpointState, EndpointsListed, Event, HealthCheckDone, ListScope, LoopLagMeasured, ObjectsPurged, PossibleExecution, RequestCancelled, RequestReceived, SettingsChanged, TimerFired
+from weldbend.routing.settings import Idempotency
 from weldbend.cache_protocol import commands
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.connection import Lost, Pull
+from weldbend.caches.connection import Lost, Attempt
 from weldbend.caches.pool import Pool
 from weldbend.clients.connection import Call
 from weldbend.event_bus.endpoint_names import Names
@@ -24,34 +27,33 @@
 from weldbend.front.clock import Clock
 from weldbend.front.configuration import Site
 from weldbend.front.timers import Timer, Timers
-from weldbend.invariants import must, odd
-from weldbend.routing import interface as face
+from weldbend.invariants import check_invariant, anomalies
 from weldbend.routing.router import Router
 
 
 @dataclass(eq=False, slots=True)
-class Download:
+class Request:
     """One download that was taken, and its pulls."""
 
     name: str
     wish: request_codec.Wish
     call: Call
     until: float
-    effect: face.Effect  # by the settings under which it was taken
-    pulls: list[Pull] = field(default_factory=list)
+    idempotency: Idempotency  # by the settings under which it was taken
+    attempts: list[Attempt] = field(default_factory=list)
     handed: list[float] = field(default_factory=list)
     timers: list[Timer] = field(default_factory=list)
     closed: bool = False
 
     def out(self) -> bool:
-        return any(not pull.over for pull in self.pulls)
+        return any(not attempt.over for attempt in self.attempts)
 
 
 class Peers(Protocol):
     """What a front's fleet is told of its downloads, and what it knows of them; the platform has none."""
 
     def asked(self, type: str, key: str, part: int, repeat: bool) -> int: ...
-    def ran(self, type: str, once: str, repeat: bool) -> tuple[face.Ran, ...]: ...
+    def ran(self, type: str, once: str, repeat: bool) -> tuple[PossibleExecution, ...]: ...
     def sent(self, type: str, once: str, cache: int) -> None: ...
     def holds(self, now: float) -> bool: ...
     def over(self, type: str, client: str) -> bool: ...
@@ -67,15 +69,15 @@
         self.router = Router(site.seed, site.facts)
         self.names = Names(clock, site.roles, {}, {})
         self.pool = Pool(reactor, timers, site.bounds, self.probed, self.reached)
-        self.downloads: dict[str, Download] = {}
-        self.open: dict[str, Download] = {}  # those not yet answered or left, by their clients' ids
-        self.events: list[face.Event] = []
-        self.done: list[Download] = []
+        self.requests: dict[str, Request] = {}
+        self.open: dict[str, Request] = {}  # those not yet answered or left, by their clients' ids
+        self.events: list[Event] = []
+        self.done: list[Request] = []
         self.listed: set[int] = set()
         self.leaving: set[int] = set()  # no longer listed, but the decisions may still name them in this turn
         self.started: set[int] = set()  # caches of which the list tells a start: they may be cold
         self.turning = False
-        self.handed: face.Event | None = None  # the event that the decisions are at
+        self.handed: Event | None = None  # the event that the decisions are at
         self.serial = self.probes = self.shown = 0
         self.longest = 0.0  # seconds of the longest turn
         self.since = (
@@ -98,8 +100,8 @@
 
     def admit(self, call: Call) -> None:
         try:
-            wish = request_codec.read_wish(call.fields, call.body, self.site.facts.types)
-        except request_codec.BadDownload as wrong:
+            wish = request_codec.read_wish(call.fields, call.body, self.site.facts.classes)
+        except request_codec.InvalidRequestError as wrong:
             self.counts["turned back"] += 1
             call.turn_back(str(wrong))
             return
@@ -107,22 +109,22 @@
             self.counts["turned back"] += 1
             self.clash(call, self.open[wish.name].call)
             return
-        if len(self.downloads) >= self.site.most_open:
-            call.throttle(self.site.facts.longest_wait)
+        if len(self.requests) >= self.site.most_open:
+            call.throttle(self.site.facts.max_retry_after)
             return
         self.serial += 1
         call.serial = name = f"{self.serial:x}"
         until = self.clock.now() - call.waited + wish.wait
-        effect = self.site.facts.types[wish.type].effect
-        dl = self.downloads[name] = self.open[wish.name] = Download(name, wish, call, until, effect)
-        dl.timers.append(self.timers.at(until, lambda: self.guard(dl, self.expire)))
+        idempotency = self.site.facts.classes[wish.type].idempotency
+        request = self.requests[name] = self.open[wish.name] = Request(name, wish, call, until, idempotency)
+        request.timers.append(self.timers.at(until, lambda: self.guard(request, self.expire)))
         self.counts["downloads"] += 1
         work, peers = wish.kb / self.site.flow, self.peers
         ran = peers.ran(wish.type, wish.once, wish.repeat) if peers and wish.once else ()
         elsewhere = peers.asked(wish.type, wish.key, wish.part, wish.repeat) if peers else 0
         over = bool(peers and peers.over(wish.type, call.client.host()))
         self.post(
-            face.Asked(
+            RequestReceived(
                 name, wish.key, wish.part, wish.group, wish.type, work, wish.repeat, until, call.waited,
                 ran, elsewhere, over,
             )
@@ -136,26 +138,26 @@
 
     def leave(self, call: Call) -> None:
         """Nobody waits for it any more."""
-        dl = self.downloads.get(call.serial)
-        if dl and not dl.closed:
+        request = self.requests.get(call.serial)
+        if request and not request.closed:
             self.counts["left"] += 1
-            self.post(face.Left(dl.name))
-            self.close(dl)
+            self.post(RequestCancelled(request.name))
+            self.close(request)
 
-    def expire(self, dl: Download) -> None:
+    def expire(self, request: Request) -> None:
         """Its time is up: what is still out has timed out, and the decisions owe their last word.
 
         Holds also for one closed before, where the site does not let the decisions call off what is out.
         """
-        for pull in dl.pulls:
-            if not pull.over:
-                self.pool.call_off(pull)
-                self.ended(dl, pull, face.Result.TIMED_OUT)
-        if not dl.closed:
+        for attempt in request.attempts:
+            if not attempt.over:
+                self.pool.call_off(attempt)
+                self.ended(request, attempt, AttemptResult.TIMED_OUT)
+        if not request.closed:
             self.turn()
-        if not dl.closed:
-            self.give_up(dl)
-            must(False, "a download is answered before its expiry")
+        if not request.closed:
+            self.give_up(request)
+            check_invariant(False, "a download is answered before its expiry")
 
     # What the bus tells.
 
@@ -173,26 +175,26 @@
         match event:
             case Topology(whole, targets):
                 known = [target for target in targets if target.kind in self.site.roles]
-                odd["list entries of unknown kind"] += len(targets) - len(known)
+                anomalies["list entries of unknown kind"] += len(targets) - len(known)
                 self.relist(whole, known)
             case Ban(key, group, at):
-                self.post(face.Purged(key, group, self.clock.age(at)))
+                self.post(ObjectsPurged(key, group, self.clock.age(at)))
                 self.pool.purged(key, group)
 
     def relist(self, whole: bool, targets: list[Target]) -> None:
         entries = tuple(self.names.entry(target) for target in targets)
         named = {entry.id for entry in entries}
-        here = {entry.id for entry in entries if entry.phase is not face.Phase.GONE}
+        here = {entry.id for entry in entries if entry.state is not EndpointState.REMOVED}
         gone = self.listed - named if whole else named - here
-        self.post(face.Listed(face.Scale.WHOLE if whole else face.Scale.CHANGES, entries))
+        self.post(EndpointsListed(ListScope.COMPLETE if whole else ListScope.CHANGES, entries))
         self.started -= named
         self.started |= {entry.id for entry in entries if entry.started is not None}
         for target, entry in zip(targets, entries, strict=True):
-            if entry.phase is face.Phase.GONE:
+            if entry.state is EndpointState.REMOVED:
                 self.pool.gone(entry.id)
             else:
                 since = -math.inf if entry.started is None else entry.started
-                usable = entry.phase is face.Phase.READY
+                usable = entry.state is EndpointState.READY
                 self.pool.listed(entry.id, target.host, target.port, since, usable)
         for missing in gone - named:
             self.pool.gone(missing)
@@ -205,11 +207,11 @@
         facts, self.site = self.site.facts, site
         self.pool.bounds = site.bounds
         if site.facts != facts:
-            self.post(face.Changed(site.facts))
+            self.post(SettingsChanged(site.facts))
 
     # What the decisions want.
 
-    def post(self, event: face.Event, first: bool = False) -> None:
+    def post(self, event: Event, first: bool = False) -> None:
         """Hand it over in this turn; `first` before all that waits, so that it holds for that as well."""
         self.events.insert(0 if first else len(self.events), event)
         if not self.turning:
@@ -232,7 +234,7 @@
             self.reactor.callLater(PAUSE, self.due, True)
             return
         if held:
-            self.events.sort(key=lambda event: isinstance(event, face.Asked))
+            self.events.sort(key=lambda event: isinstance(event, RequestReceived))
         self.turn()
 
     def turn(self) -> None:
@@ -240,7 +242,7 @@
         self.turning, since = False, self.clock.now()
         coming, self.events = deque(self.events), []
         if coming and since > self.since + LATE:
-            coming.appendleft(face.Pressed(since - self.since))
+            coming.appendleft(LoopLagMeasured(since - self.since))
         self.since = since
         while coming:
             try:
@@ -257,17 +259,17 @@
             self.names.forget(number)
         self.leaving.clear()
         done, self.done = self.done, []
-        for dl in done:
-            if not dl.out():
-                self.downloads.pop(dl.name, None)
+        for request in done:
+            if not request.out():
+                self.requests.pop(request.name, None)
         self.rested = self.clock.now()
         self.longest = max(self.longest, self.rested - since)
 
-    def each(self, coming: deque[face.Event]) -> Iterator[face.Event]:
+    def each(self, coming: deque[Event]) -> Iterator[Event]:
         """Events in their order, but none of a download that was left before the decisions heard of it."""
         while coming:
             self.handed = event = coming.popleft()
-            if isinstance(event, face.Asked) and (dl := self.downloads.get(event.id)) and dl.closed:
+            if isinstance(event, RequestReceived) and (request := self.requests.get(event.id)) and request.closed:
                 continue
             yield event
 
@@ -278,26 +280,26 @@
         if self.shown <= MOST_SHOWN:
             logger.error("fault at {:.200}: {}", str(at), trace or traceback.format_exc())
 
-    def fault(self, at: face.Event | face.Action | None) -> None:
+    def fault(self, at: Event | Action | None) -> None:
         """Abandon the one download that a fault is about."""
         self.show(at)
-        if dl := self.downloads.get(getattr(at, "id", "")):
-            self.give_up(dl)
+        if request := self.requests.get(getattr(at, "id", "")):
+            self.give_up(request)
 
-    def guard(self, dl: Download, call: Callable[..., None], *args: Any) -> None:
+    def guard(self, request: Request, call: Callable[..., None], *args: Any) -> None:
         """Guards a connection, which others share, against a fault in what one download does there."""
         try:
-            call(dl, *args)
+            call(request, *args)
         except Exception:
-            self.show(dl.name)
-            self.give_up(dl)
+            self.show(request.name)
+            self.give_up(request)
 
-    def give_up(self, dl: Download) -> None:
-        if not dl.closed:
+    def give_up(self, request: Request) -> None:
+        if not request.closed:
             self.counts["abandoned"] += 1
-            dl.call.abandon()
-            self.post(face.Left(dl.name))
-            self.close(dl)
+            request.call.abandon()
+            self.post(RequestCancelled(request.name))
+            self.close(request)
 
     def give_up_all(self) -> None:
         """Guards against the kill that ends a stop: what is still open gets its answer before that.
@@ -305,125 +307,125 @@
         Should also cover downloads that wait longer than any stop lasts. Harm: a little later one may
         have been fulfilled.
         """
-        for dl in list(self.downloads.values()):
-            self.guard(dl, self.give_up)
+        for request in list(self.requests.values()):
+            self.guard(request, self.give_up)
 
-    def perform(self, action: face.Action) -> None:
+    def perform(self, action: Action) -> None:
         match action:
-            case face.SendPull():
+            case SendAttempt():
                 self.send(action)
-            case face.CallOff(name, number):
-                if dl := self.downloads.get(name):
-                    self.call_off(dl, dl.pulls[number])
-            case face.Throttle(name, wait):
-                if (dl := self.downloads.get(name)) and not dl.closed:
+            case CancelAttempt(name, number):
+                if request := self.requests.get(name):
+                    self.call_off(request, request.attempts[number])
+            case RejectRequest(name, wait):
+                if (request := self.requests.get(name)) and not request.closed:
                     self.counts["throttled"] += 1
-                    dl.call.throttle(wait)
-                    self.close(dl)
-            case face.Abandon(name):
-                if (dl := self.downloads.get(name)) and not dl.closed:
+                    request.call.throttle(wait)
+                    self.close(request)
+            case FailRequest(name):
+                if (request := self.requests.get(name)) and not request.closed:
                     self.counts["abandoned"] += 1
-                    dl.call.abandon()
-                    self.close(dl)
-            case face.Wake(delay, token, name, number):
+                    request.call.abandon()
+                    self.close(request)
+            case SetTimer(delay, token, name, number):
                 timer = self.timers.after(delay, lambda: self.wake(token, name, number))
-                if dl := self.downloads.get(name):
-                    dl.timers.append(timer)
-            case face.Probe(cache):
+                if request := self.requests.get(name):
+                    request.timers.append(timer)
+            case SendHealthCheck(cache):
                 self.probe(cache)
-            case face.Remark(text):
+            case WriteLog(text):
                 logger.info("decisions: {}", text)
-            case face.Watch():
+            case WatchEndpoints():
                 pass  # the bus is read from the start
             case _:
-                must(False, f"an action that sockets know: {type(action).__name__}")
+                check_invariant(False, f"an action that sockets know: {type(action).__name__}")
 
-    def send(self, action: face.SendPull) -> None:
-        dl = self.downloads[action.id]
+    def send(self, action: SendAttempt) -> None:
+        request = self.requests[action.id]
         source = self.names.uids[action.source] if action.source not in (None, action.cache) else None
 
         def command() -> bytes:
-            left = dl.until - self.clock.now()
-            wait = min(action.patience, left) if action.patience else left
-            if self.peers and dl.wish.once:
-                self.peers.sent(dl.wish.type, dl.wish.once, action.cache)
-            return commands.do(dl.wish.name, request_codec.order(dl.wish, action, source, wait), dl.wish.body)
-
-        pull = Pull(
-            name=dl.wish.name,
+            left = request.until - self.clock.now()
+            wait = min(action.timeout, left) if action.timeout else left
+            if self.peers and request.wish.once:
+                self.peers.sent(request.wish.type, request.wish.once, action.cache)
+            return commands.do(request.wish.name, request_codec.order(request.wish, action, source, wait), request.wish.body)
+
+        attempt = Attempt(
+            name=request.wish.name,
             cache=action.cache,
             source=action.source,
-            key=dl.wish.key,
-            group=dl.wish.group,
+            key=request.wish.key,
+            group=request.wish.group,
             command=command,
-            fleeting=self.fleeting(dl, action),
-            ended=lambda pull, how: self.guard(dl, self.ended, pull, how),
+            fleeting=self.fleeting(request, action),
+            ended=lambda attempt, how: self.guard(request, self.ended, attempt, how),
         )
-        dl.pulls.append(pull)
-        dl.handed.append(self.clock.now())
-        if dl.closed:  # its client left, or it was answered, in the very turn in which this was decided
-            pull.over = True
-            self.ended(dl, pull, face.Result.MOOT)
+        request.attempts.append(attempt)
+        request.handed.append(self.clock.now())
+        if request.closed:  # its client left, or it was answered, in the very turn in which this was decided
+            attempt.over = True
+            self.ended(request, attempt, AttemptResult.SUPERSEDED)
             return
         self.counts["pulls"] += 1
-        if action.patience:
-            dl.timers.append(self.timers.after(action.patience, lambda: self.impatient(dl, pull)))
-        self.pool.send(pull)
+        if action.timeout:
+            request.timers.append(self.timers.after(action.timeout, lambda: self.impatient(request, attempt)))
+        self.pool.send(attempt)
 
-    def fleeting(self, dl: Download, action: face.SendPull) -> bool:
+    def fleeting(self, request: Request, action: SendAttempt) -> bool:
         """Whether what allows a pull may be over soon: a window for repeats, or a cold cache's budget."""
-        return bool(dl.pulls and dl.effect is not face.Effect.RETRIABLE) or not self.started.isdisjoint(
+        return bool(request.attempts and request.idempotency is not Idempotency.IDEMPOTENT) or not self.started.isdisjoint(
             (action.cache, action.source)
         )
 
     def wake(self, token: str, name: str, number: int) -> None:
         """Tell the time that was asked for, and of the pull it is about whether its connection lives."""
-        dl = self.downloads.get(name) if number >= 0 else None
-        link = dl.pulls[number].connection if dl else None
-        self.post(face.Woke(token, bool(dl and link and link.heard <= dl.pulls[number].sent)))
+        request = self.requests.get(name) if number >= 0 else None
+        link = request.attempts[number].connection if request else None
+        self.post(TimerFired(token, bool(request and link and link.heard <= request.attempts[number].sent)))
 
-    def impatient(self, dl: Download, pull: Pull) -> None:
-        if not pull.over:
-            self.pool.call_off(pull)
-            self.ended(dl, pull, face.Result.TIMED_OUT)
+    def impatient(self, request: Request, attempt: Attempt) -> None:
+        if not attempt.over:
+            self.pool.call_off(attempt)
+            self.ended(request, attempt, AttemptResult.TIMED_OUT)
 
-    def call_off(self, dl: Download, pull: Pull) -> None:
-        if not pull.over:
-            went = self.pool.call_off(pull)
-            self.ended(dl, pull, face.Result.CALLED_OFF if went else face.Result.MOOT)
+    def call_off(self, request: Request, attempt: Attempt) -> None:
+        if not attempt.over:
+            went = self.pool.call_off(attempt)
+            self.ended(request, attempt, AttemptResult.CANCELLED if went else AttemptResult.SUPERSEDED)
 
-    def ended(self, dl: Download, pull: Pull, how: Answer | Lost | face.Result) -> None:
+    def ended(self, request: Request, attempt: Attempt, how: Answer | Lost | AttemptResult) -> None:
         """One pull has ended; the first that brings the object answers the download."""
-        if isinstance(how, Answer) and how.word in ("DONE", "KEEP") and not dl.closed:
+        if isinstance(how, Answer) and how.word in ("DONE", "KEEP") and not request.closed:
             self.counts["fulfilled"] += 1
-            dl.call.fulfill(how.body, how.word == "KEEP")
-            self.close(dl)
-        number = dl.pulls.index(pull)
+            request.call.fulfill(how.body, how.word == "KEEP")
+            self.close(request)
+        number = request.attempts.index(attempt)
         if isinstance(how, Answer) and how.word not in request_codec.RESULTS:
-            odd["pulls answered as probes"] += 1
-            how = face.Result.ERROR
-        self.post(request_codec.ended(dl.name, number, how, self.clock.now() - dl.handed[number], dl.closed))
-        self.forget(dl)
+            anomalies["pulls answered as probes"] += 1
+            how = AttemptResult.ERROR
+        self.post(request_codec.ended(request.name, number, how, self.clock.now() - request.handed[number], request.closed))
+        self.forget(request)
 
-    def close(self, dl: Download) -> None:
+    def close(self, request: Request) -> None:
         """Nothing more is begun for it: what waits for a connection is taken back, whatever the site lets
         the decisions call off."""
-        dl.closed = True
-        self.open.pop(dl.wish.name, None)
-        for pull in dl.pulls:
-            if pull.waits():
-                self.call_off(dl, pull)
-        self.forget(dl)
-
-    def forget(self, dl: Download) -> None:
+        request.closed = True
+        self.open.pop(request.wish.name, None)
+        for attempt in request.attempts:
+            if attempt.waits():
+                self.call_off(request, attempt)
+        self.forget(request)
+
+    def forget(self, request: Request) -> None:
         """Let go of what is done, but not before the turn is over: the decisions may not have heard of it.
 
         Guards against pulls decided meanwhile, which would never be told to have ended.
         """
-        if dl.closed and not dl.out():
-            for timer in dl.timers:
+        if request.closed and not request.out():
+            for timer in request.timers:
                 timer.cancel()
-            self.done.append(dl)
+            self.done.append(request)
 
     # Probes.
 
@@ -432,17 +434,17 @@
         tag = f"p{self.probes:x}"
         self.asked[tag] = cache, self.clock.now()
         if not self.pool.probe(cache, tag, self.site.reports):
-            self.reactor.callLater(0, self.unprobed, tag, face.Result.UNREACHED)
+            self.reactor.callLater(0, self.unprobed, tag, AttemptResult.UNREACHABLE)
             return
-        self.timers.after(self.site.bounds.dial, lambda: self.unprobed(tag, face.Result.TIMED_OUT))
+        self.timers.after(self.site.bounds.dial, lambda: self.unprobed(tag, AttemptResult.TIMED_OUT))
 
-    def unprobed(self, tag: str, result: face.Result) -> None:
+    def unprobed(self, tag: str, result: AttemptResult) -> None:
         if tag in self.asked:
             cache, since = self.asked.pop(tag)
-            self.post(face.Probed(cache, result, self.clock.now() - since, None))
+            self.post(HealthCheckDone(cache, result, self.clock.now() - since, None))
 
     def reached(self, cache: int) -> None:
-        self.post(face.Reached(cache))
+        self.post(ConnectionOpened(cache))
 
     def probed(self, cache: int, answer: Answer) -> bool:
         """An answer that belongs to no pull: whether it is one of a probe."""
@@ -450,5 +452,5 @@
             return False
         _, since = self.asked.pop(answer.name)
         use = request_codec.load(answer.fields.get("use"))
-        self.post(face.Probed(cache, request_codec.FITNESS[answer.word], self.clock.now() - since, use))
+        self.post(HealthCheckDone(cache, request_codec.FITNESS[answer.word], self.clock.now() - since, use))
         return True
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -5,28 +5,30 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from weldbend.routing.actions import SendAttempt
+from weldbend.routing.events import AttemptEnded, AttemptResult, FillHint
+from weldbend.routing.settings import Idempotency, RequestClass
 from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.connection import Lost
-from weldbend.routing import interface as face
 
 RESULTS = {
-    "DONE": face.Result.FULFILLED,
-    "KEEP": face.Result.FULFILLED,
-    "LACK": face.Result.MISS,
-    "WAIT": face.Result.TURNED_AWAY,
-    "BROKE": face.Result.ERROR,
-    "PAST": face.Result.MOOT,
+    "DONE": AttemptResult.SERVED,
+    "KEEP": AttemptResult.SERVED,
+    "LACK": AttemptResult.MISS,
+    "WAIT": AttemptResult.REJECTED,
+    "BROKE": AttemptResult.ERROR,
+    "PAST": AttemptResult.SUPERSEDED,
 }
-FITNESS = {"FIT": face.Result.FULFILLED, "UNFIT": face.Result.ERROR}
+FITNESS = {"FIT": AttemptResult.SERVED, "UNFIT": AttemptResult.ERROR}
 LOSSES = {
-    Lost.UNREACHED: face.Result.UNREACHED,
-    Lost.RESET: face.Result.RESET,
-    Lost.SPOILT: face.Result.SPOILT,
-    Lost.WITHDRAWN: face.Result.MOOT,
+    Lost.UNREACHABLE: AttemptResult.UNREACHABLE,
+    Lost.RESET: AttemptResult.RESET,
+    Lost.MALFORMED: AttemptResult.MALFORMED,
+    Lost.WITHDRAWN: AttemptResult.SUPERSEDED,
 }
-HINTS = dict(zip("hfojsrblnx", list(face.Hint)[1:], strict=True))
+HINTS = dict(zip("hfojsrblnx", list(FillHint)[1:], strict=True))
 HEX16, HEX = re.compile(r"[0-9a-f]{16}"), re.compile(r"[0-9a-f]{1,64}")
-WHOLE = re.compile(r"0|[1-9][0-9]{0,8}")  # as it is passed on, letter for letter
+WHOLE_NUMBER = re.compile(r"0|[1-9][0-9]{0,8}")  # as it is passed on, letter for letter
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 LONGEST_BODY = 48_000
 LARGEST = 1e8  # KB of one part
@@ -34,7 +36,7 @@
 SLACK = 0.05  # seconds by which a client may round its wait up
 
 
-class BadDownload(Exception):
+class InvalidRequestError(Exception):
     """Fields that no download can have."""
 
 
@@ -55,7 +57,7 @@
     body: bytes
 
 
-def read_wish(fields: Mapping[str, str], body: bytes, types: Mapping[str, face.ContentType]) -> Wish:
+def read_wish(fields: Mapping[str, str], body: bytes, types: Mapping[str, RequestClass]) -> Wish:
     """What a client asks for; raises BadDownload.
 
     Guards caches, and what the decisions learn, against figures and names that no client of ours sends.
@@ -63,39 +65,39 @@
     name, kind, key = (text(fields, field) for field in ("id", "class", "key"))
     once, got = fields.get("once"), fields.get("got")
     if kind not in types:
-        raise BadDownload("unknown content type")
-    if types[kind].effect is face.Effect.DEDUPED and not once:
-        raise BadDownload("missing field 'once'")
+        raise InvalidRequestError("unknown content type")
+    if types[kind].idempotency is Idempotency.DEDUPLICATED and not once:
+        raise InvalidRequestError("missing field 'once'")
     if not HEX16.fullmatch(name) or not HEX16.fullmatch(key):
-        raise BadDownload("id and key are 16 hex digits")
+        raise InvalidRequestError("id and key are 16 hex digits")
     if not all(mark is None or HEX.fullmatch(mark) for mark in (once, got)):
-        raise BadDownload("a field that cannot be passed on")
+        raise InvalidRequestError("a field that cannot be passed on")
     wait = float(figure(fields, "wait", DECIMAL)) / 1000
-    part, group = int(figure(fields, "nth", WHOLE, "0")), int(figure(fields, "batch", WHOLE, "0"))
+    part, group = int(figure(fields, "nth", WHOLE_NUMBER, "0")), int(figure(fields, "batch", WHOLE_NUMBER, "0"))
     kb = float(figure(fields, "kb", DECIMAL, "0"))
-    if not 0 < wait <= types[kind].expiry + SLACK or group > 255 or kb > LARGEST or part > LAST_PART:
-        raise BadDownload("a number out of its bounds")
+    if not 0 < wait <= types[kind].deadline_after + SLACK or group > 255 or kb > LARGEST or part > LAST_PART:
+        raise InvalidRequestError("a number out of its bounds")
     if len(body) > LONGEST_BODY:
-        raise BadDownload("a body too large")
+        raise InvalidRequestError("a body too large")
     return Wish(name, kind, wait, fields.get("retry") == "1", key, part, group, kb, once, got, body)
 
 
 def text(fields: Mapping[str, str], name: str) -> str:
     if name not in fields:
-        raise BadDownload(f"missing field {name!r}")
+        raise InvalidRequestError(f"missing field {name!r}")
     return fields[name]
 
 
 def figure(fields: Mapping[str, str], name: str, form: re.Pattern[str], absent: str | None = None) -> str:
     value = text(fields, name) if absent is None else fields.get(name, absent)
     if not form.fullmatch(value):
-        raise BadDownload("a field that is no number")
+        raise InvalidRequestError("a field that is no number")
     return value
 
 
-def order(wish: Wish, action: face.SendPull, source: str | None, left: float) -> dict[str, str]:
+def order(wish: Wish, action: SendAttempt, source: str | None, left: float) -> dict[str, str]:
     """The fields of one pull; ages and waits are whole milliseconds, and none may become nothing."""
-    mode = zip("jhnr", (action.join, action.only_held, action.leave_no_copy, action.renew), strict=True)
+    mode = zip("jhnr", (action.join_fill, action.only_cached, action.leave_no_copy, action.revalidate), strict=True)
     modes = "+".join(letter for letter, on in mode if on)
     fields = {
         "queue": wish.type,
@@ -105,7 +107,7 @@
         "uniq": wish.once,
         "from": source,
         "rank": str(action.rank) if action.rank else None,
-        "oldest": str(max(int(action.age * 1000), 1)) if action.age else None,
+        "oldest": str(max(int(action.max_age * 1000), 1)) if action.max_age else None,
         "mode": modes or None,
         "seen": wish.got,
     }
@@ -127,12 +129,12 @@
     return {name: number(value) for name, _, value in (pair.partition(":") for pair in text.split(";"))}
 
 
-def ended(name: str, pull: int, how: Answer | Lost | face.Result, took: float, closed: bool) -> face.Ended:
+def ended(name: str, attempt: int, how: Answer | Lost | AttemptResult, took: float, closed: bool) -> AttemptEnded:
     """How a pull ended, as the decisions hear it."""
     if isinstance(how, Answer):
         fields = how.fields
-        hint = HINTS.get(fields.get("detail", ""), face.Hint.NONE)
+        hint = HINTS.get(fields.get("detail", ""), FillHint.NONE)
         waited = number(fields.get("waited", "0")) / 1000
-        return face.Ended(name, pull, RESULTS[how.word], took, closed, hint, waited, load(fields.get("use")))
+        return AttemptEnded(name, attempt, RESULTS[how.word], took, closed, hint, waited, load(fields.get("use")))
     result = LOSSES[how] if isinstance(how, Lost) else how
-    return face.Ended(name, pull, result, took, closed, face.Hint.NONE, 0.0, None)
+    return AttemptEnded(name, attempt, result, took, closed, FillHint.NONE, 0.0, None)
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -47,7 +47,7 @@
     "clients {clients} ({most_clients} at most), {parked} of them parked ({most_parked} at most), "
     "woken {woken} times, {wake_late_ms} ms late at most; caches {caches} ({most_caches} at most); "
     "answers waiting {answers_waiting_kb} kB at most; timers late {timers_late_ms} ms, "
-    "turns {turns_ms} ms at most; bus lost {bus_lost} times; odd {odd}; broken {broken}"
+    "turns {turns_ms} ms at most; bus lost {bus_lost} times; anomalies {anomalies}; violations {violations}"
 )
 
 
@@ -143,13 +143,13 @@
         """SIGTERM: say so to probes, take what still comes, and end when all of it is answered."""
         if self.told is None:
             self.told = self.clock.now()
-            logger.info("told to stop; {} downloads open", len(self.loop.downloads))
+            logger.info("told to stop; {} downloads open", len(self.loop.requests))
             self.timers.after(LINGER, self.end_if_done)
             self.timers.after(self.last(), self.loop.give_up_all)
 
     def last(self) -> float:
         """Seconds from SIGTERM to the moment in which what is still open is abandoned."""
-        return min(max(kind.expiry for kind in self.site.facts.types.values()), LONGEST) + LAST
+        return min(max(kind.deadline_after for kind in self.site.facts.classes.values()), LONGEST) + LAST
 
     def reload(self) -> None:
         """SIGHUP: read the whole configuration anew, and go to the bus that it names.
@@ -191,15 +191,15 @@
         now = self.clock.now()
         stopped = self.listener.stop()
         late = now > self.told + self.last() + 0.1
-        if late or not (self.loop.downloads or self.listener.count()):
+        if late or not (self.loop.requests or self.listener.count()):
             self.report()
-            logger.info("ends, {} downloads open", len(self.loop.downloads))
+            logger.info("ends, {} downloads open", len(self.loop.requests))
             self.bus.stop()
             if self.shared:
                 self.shared.stop()
             self.reactor.stop()
             return
-        if stopped and not self.loop.downloads and self.listener.quiet():
+        if stopped and not self.loop.requests and self.listener.quiet():
             self.listener.close_some()
         self.timers.after(AT_ONCE if self.listener.parked() else 0.02, self.end_if_done)
 
@@ -226,8 +226,8 @@
             "timers_late_ms": round(self.timers.latest * 1e3, 1),
             "turns_ms": round(self.loop.longest * 1e3, 1),
             "bus_lost": self.bus.losses,
-            "odd": dict(+invariants.odd),
-            "broken": dict(invariants.broken),
+            "anomalies": dict(+invariants.anomalies),
+            "violations": dict(invariants.violations),
         }
         logger.bind(**fields).info(COUNTERS.format(**fields))
         self.loop.shown = 0
--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -12,7 +12,7 @@
 
 from weldbend.idle_connections.policy import KINDS, OTHERS, Terms, kind, limit, prompt
 from weldbend.idle_connections.timer_wheel import Wheel
-from weldbend.invariants import must
+from weldbend.invariants import check_invariant
 
 AWAY, PARKED, WAKING = 0, 1, 2
 BUCKETS = 64  # in the time for which a kind is kept
@@ -52,7 +52,7 @@
             more = max(slot + 1 - len(self.state), 256)
             for column in (self.state, self.flaws, self.withdrawn, self.calls, self.heard):
                 column.extend([0] * more)
-        must(self.state[slot] == AWAY, "a descriptor is parked once")
+        check_invariant(self.state[slot] == AWAY, "a descriptor is parked once")
         self.state[slot] = PARKED
         self.calls[slot] = min(memory.calls, MOST_CALLS)
         self.flaws[slot], self.withdrawn[slot] = min(memory.flaws, 255), min(memory.withdrawn, 255)
@@ -91,7 +91,7 @@
 
     def leave(self, slot: int) -> Memory:
         """Forget a connection, and say what was known of it."""
-        must(self.holds(slot), "only what is parked leaves")
+        check_invariant(self.holds(slot), "only what is parked leaves")
         if self.state[slot] == WAKING:
             self.waking -= 1
         else:
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -13,7 +13,7 @@
 
 from weldbend.idle_connections.connection_table import PARKED, Memory, Table
 from weldbend.idle_connections.policy import Pace, Terms
-from weldbend.invariants import odd
+from weldbend.invariants import anomalies
 
 NOTED = 1024  # descriptors noted as ready in one go
 
@@ -115,7 +115,7 @@
             data = self.rim.read(fd)
         except OSError:
             data = b""
-            odd["parked connections that broke"] += 1
+            anomalies["parked connections that broke"] += 1
         if data:
             memory = self.table.leave(fd)
             self.wakes += 1
--- a/weldbend/idle_connections/timer_wheel.py
+++ b/weldbend/idle_connections/timer_wheel.py
@@ -8,7 +8,7 @@
 from array import array
 from collections.abc import Iterator
 
-from weldbend.invariants import must
+from weldbend.invariants import check_invariant
 
 FREE = -1
 
@@ -48,7 +48,7 @@
         Where `due` was not asked for long, what is far ahead may fall due early; none falls due late.
         """
         at, tick = self.reach(slot), int(due / self.width)
-        must(self.bucket[at] == FREE, "a slot waits in one bucket")
+        check_invariant(self.bucket[at] == FREE, "a slot waits in one bucket")
         if not self.count:
             self.tick = int(now / self.width)
         tick = min(max(tick, self.tick), self.tick + self.size - 1)  # beyond the span: with the last bucket
--- a/weldbend/invariants.py
+++ b/weldbend/invariants.py
@@ -5,13 +5,13 @@
 
 from collections import Counter
 
-broken: Counter[str] = Counter()
-odd: Counter[str] = Counter()  # what others send that nothing can be made of
+violations: Counter[str] = Counter()
+anomalies: Counter[str] = Counter()  # what others send that nothing can be made of
 
 
-def must(holds: object, what: str) -> bool:
+def check_invariant(holds: object, what: str) -> bool:
     """Whether it holds; where it does not, stop a debug build and count it in a release build."""
     if not holds:
-        broken[what] += 1
+        violations[what] += 1
         assert holds, what
     return bool(holds)
--- a/weldbend/routing/measures.py
+++ b/weldbend/routing/measures.py
@@ -4,7 +4,7 @@
 import zlib
 
 
-class Chance(random.Random):
+class RandomSource(random.Random):
     """Numbers from a seed and a counter: the same at every run.
 
     A checksum is linear: those of two counters differ by the same bits whatever the seed, so that one draw
@@ -23,7 +23,7 @@
         return (drawn ^ drawn >> 16) / 2**32
 
 
-class Buckets:
+class WindowedSum:
     """A sum over the last `span` seconds, in fixed buckets used again in a ring."""
 
     __slots__ = ("at", "edge", "sum", "sums", "width")
