--- a/weldbend/routing/router.py
+++ b/weldbend/routing/router.py
@@ -13,11 +13,11 @@
 from enum import Enum
 from hashlib import blake2b
 from typing import Any, NamedTuple
-
-from weldbend.routing import interface as face
+from weldbend.routing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer, WatchEndpoints
+from weldbend.routing.events import AttemptEnded, AttemptResult, CacheEvent, ConnectionOpened, EjectionUpdate, Endpoint, EndpointState, EndpointsListed, Event, ExecutedElsewhere, FillHint, ListScope, LoopLagMeasured, ObjectsPurged, ParentQuota, PeerHealthReport, PeerKnowledge, RequestCancelled, RequestReceived, ResponseStarted, SettingsChanged, SlowStartQuota, TimerFired
+from weldbend.routing.settings import DeduplicationScope, Idempotency, RequestClass, Role, SiteSettings
 from weldbend.routing.actor import Actor
-from weldbend.routing.interface import Effect, Hint, Phase, Result, Role, Scale, Scope
-from weldbend.routing.measures import Buckets, Chance
+from weldbend.routing.measures import WindowedSum, RandomSource
 
 ALPHA, BETA, GAMMA = 1, 1, 1  # the paper's weights of V_k, V_hop and V_hitk
 V_HOP = {Role.EDGE: 2, Role.PARENT: 1}
@@ -43,9 +43,9 @@
 OPEN = 0.5  # part of the budget's window for which a front's turn at a cold cache stays open
 PRIOR = 4  # downloads that a content type's target time counts for in its mean work
 BORNE = 0.5  # flows that a cache is held to bear before any was seen to bear more
-NOT_RUN = {Result.TURNED_AWAY, Result.UNREACHED, Result.MOOT, Result.MISS}
-SPOKEN = {Result.FULFILLED, Result.MISS, Result.TURNED_AWAY, Result.ERROR}  # ends by an answer
-BROKEN_OFF = {Result.MISS, Result.SPOILT, Result.RESET}  # ends after which a further pull adds to no crowd
+NOT_RUN = {AttemptResult.REJECTED, AttemptResult.UNREACHABLE, AttemptResult.SUPERSEDED, AttemptResult.MISS}
+SPOKEN = {AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.REJECTED, AttemptResult.ERROR}  # ends by an answer
+BROKEN_OFF = {AttemptResult.MISS, AttemptResult.MALFORMED, AttemptResult.RESET}  # ends after which a further pull adds to no crowd
 PRESSED, CALM = 0.03, 0.5  # seconds by which turns may be late, and in which that is forgotten
 WAITED = 0.35  # part of a target time for which a download may have lain unread at the door
 GRACE, SOON = 0.2, 0.5  # seconds in which a break is no restart yet, and none if a connection comes up
@@ -53,8 +53,8 @@
 
 
 @dataclass(eq=False)
-class Pull:
-    dl: "Download"
+class Attempt:
+    request: "Request"
     cache: "Cache"
     source: "Cache | None" = None  # none: a look, which fills nothing
     rank: int = 0
@@ -63,8 +63,8 @@
     origin: "Cache | None" = None  # what is known to be fetched there counts there
     number: int = 0
     sent: float = 0.0
-    result: Result | None = None
-    ended: face.Ended | None = None
+    result: AttemptResult | None = None
+    ended: AttemptEnded | None = None
     doubted = silent = False
 
     def at(self) -> "Cache":
@@ -84,7 +84,7 @@
 
 
 class Doubt(NamedTuple):
-    pull: "Pull"  # that takes too long
+    attempt: "Attempt"  # that takes too long
     silent: bool = False  # nothing has come over its connection since
 
 
@@ -92,20 +92,20 @@
 
 
 class Cache(Actor):
-    def __init__(self, router: "Router", entry: face.Entry) -> None:
+    def __init__(self, router: "Router", entry: Endpoint) -> None:
         super().__init__(router)
         self.id, self.role, self.zone, self.cell = entry.id, entry.role, entry.zone, entry.cell
-        self.phase, self.weight, self.started = entry.phase, entry.weight, entry.started
-        self.out: dict[Pull, None] = {}
+        self.state, self.weight, self.started = entry.state, entry.weight, entry.started
+        self.out: dict[Attempt, None] = {}
         self.heard, self.open = (0.0, 0.0), 1.0  # peers' evidence, good and bad; the fleet's verdict
         self.reset()
 
     def reset(self) -> None:
         self.router.tier.out -= len(self.out) if self.role is Role.PARENT else 0
-        self.good, self.bad, self.spoke = Buckets(MEMORY), Buckets(MEMORY), Buckets(MEMORY)
+        self.good, self.bad, self.spoke = WindowedSum(MEMORY), WindowedSum(MEMORY), WindowedSum(MEMORY)
         self.out = {}
-        self.through, self.timely, self.late = 0, Buckets(CROWD_SPAN), Buckets(CROWD_SPAN)
-        self.share = face.Share(self.id)
+        self.through, self.timely, self.late = 0, WindowedSum(CROWD_SPAN), WindowedSum(CROWD_SPAN)
+        self.share = SlowStartQuota(self.id)
         self.settle()
         self.cut = self.broke = self.before = self.marked = -math.inf
         self.saved: float | None = None  # work that this front may put to it while cold, where below a pull
@@ -117,44 +117,44 @@
     def settle(self) -> None:
         facts = self.router.facts
         self.sharers = [facts.zone_fronts, facts.hub_fronts, facts.fronts][list(Role).index(self.role)]
-        self.wanted = Buckets(facts.cold_window)
+        self.wanted = WindowedSum(facts.edge_overload_window)
 
     def take(self, note: Any) -> None:
         now = self.router.now
-        if isinstance(note, Pull) and note.cache is self and note.result in (Result.UNREACHED, Result.RESET):
-            self.broke, self.before = now, now if note.result is Result.UNREACHED else self.before
-        if isinstance(note, Pull) and note.cache is self and note.result in SPOKEN:
+        if isinstance(note, Attempt) and note.cache is self and note.result in (AttemptResult.UNREACHABLE, AttemptResult.RESET):
+            self.broke, self.before = now, now if note.result is AttemptResult.UNREACHABLE else self.before
+        if isinstance(note, Attempt) and note.cache is self and note.result in SPOKEN:
             self.spoke.add(now)
         match note:
-            case face.Entry():
+            case Endpoint():
                 if note.started != self.started:
                     self.started = note.started
                     self.reset()
-                self.phase, self.weight = note.phase, note.weight
-            case face.Known():  # of peers: stricter at once, and never less strict
+                self.state, self.weight = note.state, note.weight
+            case PeerKnowledge():  # of peers: stricter at once, and never less strict
                 if note.started is not None and note.started > (self.started or -math.inf):
                     self.started = note.started
                     self.reset()
-                if note.phase and note.phase.value > self.phase.value:
-                    self.phase = note.phase
-            case face.Changed():
+                if note.state and note.state.value > self.state.value:
+                    self.state = note.state
+            case SettingsChanged():
                 self.settle()
-            case face.Evidence(_, good, bad):
+            case PeerHealthReport(_, good, bad):
                 self.heard = good, bad
-            case face.Share():
+            case SlowStartQuota():
                 self.share = note
-            case face.Verdict():
-                self.open = note.part
-            case Pull() if note.at() is not self:
+            case EjectionUpdate():
+                self.open = note.admitted_fraction
+            case Attempt() if note.at() is not self:
                 self.through = max(0, self.through + (1 if note.result is None else -1))
-            case Pull(result=None):
+            case Attempt(result=None):
                 self.out[note] = None
                 self.router.tier.out += self.role is Role.PARENT
-            case Pull():
+            case Attempt():
                 if note in self.out:
                     del self.out[note]
                     self.router.tier.out -= self.role is Role.PARENT
-            case face.Reached():
+            case ConnectionOpened():
                 self.broke = self.before if now < self.broke + SOON else self.broke
             case Mark.GOOD:
                 if self.role is Role.PARENT:
@@ -193,9 +193,9 @@
         started = broke if self.started is None else max(self.started, broke)
         if started == -math.inf or self.role is Role.ORIGIN:
             return 1.0
-        floor = facts.parent_floor if parent else facts.cold_floor
+        floor = facts.parent_start_capacity if parent else facts.edge_start_capacity
         age = max(self.router.now - started, 0.0)
-        return min(1.0, floor + (1 - floor) * age / (facts.parent_time if parent else facts.cold_time))
+        return min(1.0, floor + (1 - floor) * age / (facts.parent_warmup if parent else facts.edge_warmup))
 
     def turn(self, now: float, most: float, work: float, window: float) -> bool:
         """Whether it is this front's turn at a cold cache whose budget gives it less than a pull a window.
@@ -277,12 +277,12 @@
         super().__init__(router)
         self.levels: OrderedDict[str, int] = OrderedDict()
 
-    def take(self, note: "Download") -> None:
+    def take(self, note: "Request") -> None:
         level = self.levels.pop(note.name, 0)
-        self.levels[note.name] = level = min(max(level + (not note.asked.repeat), 1), KMAX)
+        self.levels[note.name] = level = min(max(level + (not note.asked.is_retry), 1), KMAX)
         if len(self.levels) > TABLE:
             self.levels.popitem(last=False)
-        level = min(level + note.asked.elsewhere, KMAX)
+        level = min(level + note.asked.requested_elsewhere, KMAX)
         self.router.post(note, (level, 1 - len(self.levels) / TABLE))
 
 
@@ -291,96 +291,96 @@
 
     def __init__(self, router: "Router") -> None:
         super().__init__(router)
-        self.fills = {role: Buckets(MEMORY) for role in V_HOP}
-        self.keeps = {role: Buckets(MEMORY) for role in V_HOP}
+        self.fills = {role: WindowedSum(MEMORY) for role in V_HOP}
+        self.keeps = {role: WindowedSum(MEMORY) for role in V_HOP}
         self.ready: dict[Role, list[Cache]] = {role: [] for role in Role}
 
     def take(self, note: Any) -> None:
-        if isinstance(note, Download):
+        if isinstance(note, Request):
             return self.place(note)
-        for cache in [c for c in self.router.caches.values() if c.phase is Phase.GONE]:
+        for cache in [c for c in self.router.caches.values() if c.state is EndpointState.REMOVED]:
             del self.router.caches[cache.id]  # ids are ever new: nothing may be kept by one
             self.router.gate.sent.pop(cache, None)
-        ready = [c for c in self.router.caches.values() if c.phase is Phase.READY]
+        ready = [c for c in self.router.caches.values() if c.state is EndpointState.READY]
         near = [c for c in ready if c.role is not Role.EDGE or c.zone == self.router.facts.zone]
         self.ready = {role: [c for c in near if c.role is role] for role in Role}
 
-    def place(self, dl: "Download") -> None:
+    def place(self, request: "Request") -> None:
         """A look at the edge first, then a fill there: what missed is then known at every site."""
         now, facts, (edges, parents, origins) = self.router.now, self.router.facts, self.ready.values()
         bad = sum(c.bad.total(now) for c in edges)
         good = sum(c.good.total(now) for c in edges) if bad else 0.0
         well = (good + 1) / (good + bad + 1)
-        edge = dl.missed if dl.missed in edges and dl.missed not in dl.ruled_out else None
-        look = edge is None and not dl.type.at_origin
-        if dl.type.at_origin and facts.direct:
-            target = self.pick(dl, origins, 0.0)
-            plan = Pull(dl, target) if target else None
+        edge = request.missed if request.missed in edges and request.missed not in request.ruled_out else None
+        look = edge is None and not request.type.origin_only
+        if request.type.origin_only and facts.allows_bypass:
+            target = self.pick(request, origins, 0.0)
+            plan = Attempt(request, target) if target else None
         # a cold edge is filled without a look: it holds little, and each pull counts against its budget
-        elif (edge := edge or self.pick(dl, edges, well)) and look and edge.part() == 1:
-            plan = Pull(dl, edge, rank=RANK if dl.level >= DEPTH else 0)
+        elif (edge := edge or self.pick(request, edges, well)) and look and edge.part() == 1:
+            plan = Attempt(request, edge, rank=RANK if request.level >= DEPTH else 0)
         elif edge is not None:
-            source = self.source(dl, parents, origins)
-            plan = self.keep(self.staged(dl, edge, source, origins)) if source else None
+            source = self.source(request, parents, origins)
+            plan = self.keep(self.staged(request, edge, source, origins)) if source else None
         else:
-            target = self.pick(dl, parents, 0.0) if facts.direct and origins else None
-            lacks = target and (dl.lacking or target.part() < 1 or dl.type.at_origin)
-            plan = Pull(dl, target, origins[0] if lacks else None) if target else None
-        self.router.post(self.router.gate if plan else dl, plan or Stuck(None))
+            target = self.pick(request, parents, 0.0) if facts.allows_bypass and origins else None
+            lacks = target and (request.lacking or target.part() < 1 or request.type.origin_only)
+            plan = Attempt(request, target, origins[0] if lacks else None) if target else None
+        self.router.post(self.router.gate if plan else request, plan or Stuck(None))
 
-    def staged(self, dl: "Download", edge: Cache, source: Cache, origins: list[Cache]) -> Pull:
+    def staged(self, request: "Request", edge: Cache, source: Cache, origins: list[Cache]) -> Attempt:
         """A parent first gives what it holds: wanted before, if at another front, the edge may keep that.
 
         Guards its copies from the origin's trouble, whose limit what it lacks goes under. Harm: one trip."""
-        pull = Pull(dl, edge, source)
-        if source.role is Role.PARENT and origins and edge.part() == 1 and not dl.type.at_origin:
-            pull.origin = origins[0] if dl.lacking else None
-            pull.held = not dl.lacking and source.part() == 1
-        return pull
+        attempt = Attempt(request, edge, source)
+        if source.role is Role.PARENT and origins and edge.part() == 1 and not request.type.origin_only:
+            attempt.origin = origins[0] if request.lacking else None
+            attempt.held = not request.lacking and source.part() == 1
+        return attempt
 
-    def keep(self, pull: Pull) -> Pull:
+    def keep(self, attempt: Attempt) -> Attempt:
         """The two tests: best value and lowest cache rate keep the copy, the others leave none."""
-        now, dl = self.router.now, pull.dl
-        tiers = {c.role for c in pull.caches() if c.role in V_HOP and not dl.type.at_origin}
-        if pull.held:  # the edge alone may keep what a parent holds already
-            pull.rank = min(RANK, dl.level)
-            return pull
-        admitted = [t for t in V_HOP if t in tiers and (t is Role.PARENT or dl.level >= DEPTH)]
-        value = {t: ALPHA * dl.v_k + BETA * V_HOP[t] + GAMMA * dl.level for t in admitted}
+        now, request = self.router.now, attempt.request
+        tiers = {c.role for c in attempt.caches() if c.role in V_HOP and not request.type.origin_only}
+        if attempt.held:  # the edge alone may keep what a parent holds already
+            attempt.rank = min(RANK, request.level)
+            return attempt
+        admitted = [t for t in V_HOP if t in tiers and (t is Role.PARENT or request.level >= DEPTH)]
+        value = {t: ALPHA * request.v_k + BETA * V_HOP[t] + GAMMA * request.level for t in admitted}
         rate = {t: self.keeps[t].total(now) / max(self.fills[t].total(now), 1.0) for t in admitted}
         chosen = {max(admitted, key=value.get), min(admitted, key=rate.get)} if admitted else set()
         for tier in tiers:
             self.fills[tier].add(now)
             self.keeps[tier].add(now, tier in chosen)
-        pull.rank = RANK if Role.EDGE in chosen else 0
-        pull.leave = Role.PARENT in tiers and Role.PARENT not in chosen
-        return pull
+        attempt.rank = RANK if Role.EDGE in chosen else 0
+        attempt.leave = Role.PARENT in tiers and Role.PARENT not in chosen
+        return attempt
 
-    def source(self, dl: "Download", parents: list[Cache], origins: list[Cache]) -> Cache | None:
+    def source(self, request: "Request", parents: list[Cache], origins: list[Cache]) -> Cache | None:
         """The hub's parent by hash, then any by hash; the origin where no parent does as well."""
-        strained = dl.lacking is not None and self.router.now - dl.lacking.cut < MEMORY
+        strained = request.lacking is not None and self.router.now - request.lacking.cut < MEMORY
         near = [c for c in parents if c.zone == self.router.facts.hub and not strained] or parents
-        if picked := self.pick(dl, near, 1.0, sure=True):
+        if picked := self.pick(request, near, 1.0, sure=True):
             return picked
         peers = 1 - min((c.share_bad() for c in parents + origins), default=0.0)
-        if (picked := self.pick(dl, parents, peers, sure=True)) or any(c in dl.ruled_out for c in parents):
-            return picked or self.pick(dl, origins, peers, sure=True)
-        return max((c for c in parents + origins if c not in dl.failed), key=Cache.draw, default=None)
+        if (picked := self.pick(request, parents, peers, sure=True)) or any(c in request.ruled_out for c in parents):
+            return picked or self.pick(request, origins, peers, sure=True)
+        return max((c for c in parents + origins if c not in request.failed), key=Cache.draw, default=None)
 
-    def pick(self, dl: "Download", caches: list[Cache], peers: float, sure: bool = False) -> Cache | None:
+    def pick(self, request: "Request", caches: list[Cache], peers: float, sure: bool = False) -> Cache | None:
         """The first by hash that is trusted; unless `sure`, else the best draw of those not ruled out."""
-        ranked = [c for c in caches if c not in dl.ruled_out]
-        ranked.sort(key=lambda c: self.rank(dl, c), reverse=True)
-        fresh = [c for c in ranked if c not in dl.failed]
+        ranked = [c for c in caches if c not in request.ruled_out]
+        ranked.sort(key=lambda c: self.rank(request, c), reverse=True)
+        fresh = [c for c in ranked if c not in request.failed]
         first = next((c for c in fresh if c.trusted(peers)), None)
         return first or (None if sure else max(fresh or ranked, key=Cache.draw, default=None))
 
-    def rank(self, dl: "Download", cache: Cache) -> float:
-        if cache not in dl.ranks:
-            digest = blake2b(f"{dl.name} {cache.id}".encode(), digest_size=7).digest()
+    def rank(self, request: "Request", cache: Cache) -> float:
+        if cache not in request.ranks:
+            digest = blake2b(f"{request.name} {cache.id}".encode(), digest_size=7).digest()
             drawn = math.log((int.from_bytes(digest) + 1) / (2**56 + 1))
-            dl.ranks[cache] = drawn / (cache.weight if self.router.facts.weighted else 1.0)
-        return dl.ranks[cache]
+            request.ranks[cache] = drawn / (cache.weight if self.router.facts.weighted else 1.0)
+        return request.ranks[cache]
 
 
 class Gate(Actor):
@@ -389,90 +389,90 @@
     def __init__(self, router: "Router") -> None:
         super().__init__(router)
         self.purges: dict[str | int, float] = {}
-        window = router.facts.cold_window
-        self.sent: dict[Cache, Buckets] = defaultdict(lambda: Buckets(window))  # work put to each cache
-        self.downloads, self.further = Buckets(MEMORY), Buckets(MEMORY)
+        window = router.facts.edge_overload_window
+        self.sent: dict[Cache, WindowedSum] = defaultdict(lambda: WindowedSum(window))  # work put to each cache
+        self.requests, self.further = WindowedSum(MEMORY), WindowedSum(MEMORY)
         self.late, self.late_at = 0.0, 0.0  # how late this front's turns come, and when that was told
-        self.given = {role: Buckets(MEMORY) for role in Role}  # work put to all warm caches of a role
+        self.given = {role: WindowedSum(MEMORY) for role in Role}  # work put to all warm caches of a role
         self.borne: dict[Role, float] = {}
 
     def take(self, note: Any) -> None:
         match note:
-            case face.Asked():
+            case RequestReceived():
                 self.ask(note)
-            case face.Pressed():
-                self.late, self.late_at = 0.7 * self.pressed() + 0.3 * note.late, self.router.now
-            case Pull():
+            case LoopLagMeasured():
+                self.late, self.late_at = 0.7 * self.pressed() + 0.3 * note.lag, self.router.now
+            case Attempt():
                 stuck = self.refusal(note)
-                self.router.post(note.dl, stuck) if stuck else self.send(note)
-            case face.Ended():
+                self.router.post(note.request, stuck) if stuck else self.send(note)
+            case AttemptEnded():
                 self.end(note)
-            case Doubt(pull) if pull.result is None and self.router.facts.calls_off:
-                self.router.actions.append(face.CallOff(pull.dl.asked.id, pull.number))
-            case face.Purged():
+            case Doubt(attempt) if attempt.result is None and self.router.facts.allows_cancel:
+                self.router.actions.append(CancelAttempt(attempt.request.asked.id, attempt.number))
+            case ObjectsPurged():
                 self.purged(note)
-            case face.Changed(facts):  # what was sent counts in the new window as if sent now
+            case SettingsChanged(facts):  # what was sent counts in the new window as if sent now
                 before, now = self.sent, self.router.now
-                self.sent = defaultdict(lambda: Buckets(facts.cold_window))
+                self.sent = defaultdict(lambda: WindowedSum(facts.edge_overload_window))
                 for cache, sent in before.items():
                     self.sent[cache].add(now, sent.total(now))
-            case Download() if not note.closed:
+            case Request() if not note.closed:
                 self.answer(note)
 
     def pressed(self) -> float:
         return self.late * max(1 - (self.router.now - self.late_at) / CALM, 0.0)
 
-    def ask(self, asked: face.Asked) -> None:
+    def ask(self, asked: RequestReceived) -> None:
         """Guards against more downloads than this front has time for, where all would come late: a part is
         throttled at once, least benefit first; so is one that lay at the door itself for too long.
         Harm: a standstill of the machine costs some downloads."""
-        router, kind = self.router, self.router.facts.types[asked.type]
-        self.downloads.add(router.now)
-        best = kind.benefit >= max(k.benefit for k in router.facts.types.values())
-        late = max(self.pressed() / PRESSED, asked.waited / (WAITED * kind.target), 3.0 * asked.over)
+        router, kind = self.router, self.router.facts.classes[asked.class_name]
+        self.requests.add(router.now)
+        best = kind.priority_weight >= max(k.priority_weight for k in router.facts.classes.values())
+        late = max(self.pressed() / PRESSED, asked.queued_for / (WAITED * kind.latency_objective), 3.0 * asked.over_limit)
         share = late - (2 if best else 1)
         if share > 0 and router.chance.random() < share:
-            router.actions.append(face.Throttle(asked.id, router.facts.longest_wait))
+            router.actions.append(RejectRequest(asked.id, router.facts.max_retry_after))
         else:
-            router.post(router.downloads.setdefault(asked.id, Download(router, asked, kind)), asked)
-
-    def refusal(self, pull: Pull) -> Stuck | None:
-        dl, now, facts = pull.dl, self.router.now, self.router.facts
-        hopeless = sum(p.result is Result.ERROR for p in dl.pulls) >= MOST_ERRORS
-        spent = dl.further() and self.further.total(now) >= FURTHER * self.downloads.total(now) + 2
-        over = dl.closed or now >= dl.asked.until or len(dl.pulls) >= facts.most_pulls
-        if hopeless or spent or over or not self.harmless(pull):
+            router.post(router.requests.setdefault(asked.id, Request(router, asked, kind)), asked)
+
+    def refusal(self, attempt: Attempt) -> Stuck | None:
+        request, now, facts = attempt.request, self.router.now, self.router.facts
+        hopeless = sum(p.result is AttemptResult.ERROR for p in request.attempts) >= MOST_ERRORS
+        spent = request.further() and self.further.total(now) >= FURTHER * self.requests.total(now) + 2
+        over = request.closed or now >= request.asked.deadline or len(request.attempts) >= facts.max_attempts
+        if hopeless or spent or over or not self.harmless(attempt):
             return Stuck(None)
-        if not self.dropped(pull):
-            return Stuck(pull.cache)
-        dense = self.router.densest(dl.type)
-        if pull.at().role is Role.PARENT and not dl.type.at_origin and not self.router.tier.room(dense):
+        if not self.dropped(attempt):
+            return Stuck(attempt.cache)
+        dense = self.router.densest(request.type)
+        if attempt.at().role is Role.PARENT and not request.type.origin_only and not self.router.tier.room(dense):
             return Stuck(None)
-        for cache in pull.caches():
-            home = cache is dl.missed or all(c.role is not cache.role for c in dl.ruled_out)
-            free = dl.type.at_origin or cache.room(dense, home)
-            if not free or cache.phase is not Phase.READY or not self.bears(cache, dl):
+        for cache in attempt.caches():
+            home = cache is request.missed or all(c.role is not cache.role for c in request.ruled_out)
+            free = request.type.origin_only or cache.room(dense, home)
+            if not free or cache.state is not EndpointState.READY or not self.bears(cache, request):
                 return Stuck(cache)
         return None
 
-    def harmless(self, pull: Pull) -> bool:
+    def harmless(self, attempt: Attempt) -> bool:
         """No effect twice, and never two pulls out where a site forbids it."""
-        dl, now, facts = pull.dl, self.router.now, self.router.facts
-        if not facts.second_copies and any(p.result is None for p in dl.pulls):
+        request, now, facts = attempt.request, self.router.now, self.router.facts
+        if not facts.allows_hedging and any(p.result is None for p in request.attempts):
             return False
-        maybe = dl.maybe()
-        if not maybe or dl.type.effect is Effect.RETRIABLE:
+        maybe = request.maybe()
+        if not maybe or request.type.idempotency is Idempotency.IDEMPOTENT:
             return True
-        return dl.type.effect is Effect.DEDUPED and now < maybe[0].sent + dl.type.window - 2 * facts.tick
+        return request.type.idempotency is Idempotency.DEDUPLICATED and now < maybe[0].sent + request.type.deduplication_window - 2 * facts.tick
 
-    def dropped(self, pull: Pull) -> bool:
+    def dropped(self, attempt: Attempt) -> bool:
         """Whether its cache drops a repeat of what may have run; where it does not, another may."""
-        kind, group = pull.dl.type, {Scope.ZONE: "zone", Scope.CELL: "cell"}.get(pull.dl.type.scope)
-        if kind.effect is not Effect.DEDUPED or not group:
+        kind, group = attempt.request.type, {DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}.get(attempt.request.type.deduplication_scope)
+        if kind.idempotency is not Idempotency.DEDUPLICATED or not group:
             return True
-        return all(getattr(p.cache, group) == getattr(pull.cache, group) for p in pull.dl.maybe())
+        return all(getattr(p.cache, group) == getattr(attempt.cache, group) for p in attempt.request.maybe())
 
-    def bears(self, cache: Cache, dl: "Download") -> bool:
+    def bears(self, cache: Cache, request: "Request") -> bool:
         """A cache that started lately gets this front's share of what it can bear, and no more.
 
         A front that has itself just started may have sent some before: share grows over a window."""
@@ -480,18 +480,18 @@
         if cache.part() >= 1:
             return True
         most = self.budget(cache) * self.capacity(cache)
-        now, work = self.router.now, self.router.mean_work(dl.type)
+        now, work = self.router.now, self.router.mean_work(request.type)
         cache.wanted.add(now, work)
-        if most >= work or cache.share.shared:
-            begun = min(1.0, (now - self.router.born) / facts.cold_window)
+        if most >= work or cache.share.is_leased:
+            begun = min(1.0, (now - self.router.born) / facts.edge_overload_window)
             return self.sent[cache].total(now) + work <= most * begun
-        return cache.turn(now, most, work, facts.cold_window)
+        return cache.turn(now, most, work, facts.edge_overload_window)
 
     def budget(self, cache: Cache) -> float:
         """Work for each flow of its link that a cold cache bears in a window of the rule."""
         facts = self.router.facts
-        multiple = facts.parent_multiple if cache.role is Role.PARENT else facts.cold_multiple
-        return multiple * cache.part() * facts.cold_window * CARE
+        multiple = facts.parent_overload_factor if cache.role is Role.PARENT else facts.edge_overload_factor
+        return multiple * cache.part() * facts.edge_overload_window * CARE
 
     def capacity(self, cache: Cache) -> float:
         """This front's share of a cache's link in flows: as listed, else what warm ones were given lately.
@@ -500,68 +500,68 @@
         facts, held = self.router.facts, cache.share
         if not facts.weighted:
             return max(self.borne.get(cache.role, 0.0), BORNE / cache.sharers)
-        if held.shared:
-            return cache.weight * (held.kept + held.lent * (self.router.now < held.until))
+        if held.is_leased:
+            return cache.weight * (held.owned + held.leased * (self.router.now < held.lease_end))
         return cache.weight / (cache.sharers if cache.role is Role.EDGE else facts.fronts)  # all at a parent
 
-    def send(self, pull: Pull) -> None:
-        dl, now, work = pull.dl, self.router.now, self.router.mean_work(pull.dl.type)
-        pull.number, pull.sent = len(dl.pulls), now
-        self.further.add(now, dl.further())
-        for cache in pull.caches():
+    def send(self, attempt: Attempt) -> None:
+        request, now, work = attempt.request, self.router.now, self.router.mean_work(attempt.request.type)
+        attempt.number, attempt.sent = len(request.attempts), now
+        self.further.add(now, request.further())
+        for cache in attempt.caches():
             self.sent[cache].add(now, work)
             cache.saved = None if cache.saved is None else cache.saved - work
-        join = self.router.facts.joins and not any(p.source and not p.held for p in dl.pulls)
-        name, at, age = dl.asked.id, pull.cache.id, self.age(pull)
-        by = pull.source.id if pull.source else None if pull.cache.role is Role.ORIGIN else at
-        go = face.SendPull(name, at, by, pull.rank, age, 0.0, join, pull.held, pull.leave, False)
+        join = self.router.facts.joins_fills and not any(p.source and not p.held for p in request.attempts)
+        name, at, age = request.asked.id, attempt.cache.id, self.age(attempt)
+        by = attempt.source.id if attempt.source else None if attempt.cache.role is Role.ORIGIN else at
+        go = SendAttempt(name, at, by, attempt.rank, age, 0.0, join, attempt.held, attempt.leave, False)
         self.router.actions.append(go)
-        dl.pulls.append(pull)
-        for actor in (*pull.caches(), dl):
-            self.router.post(actor, pull)
+        request.attempts.append(attempt)
+        for actor in (*attempt.caches(), request):
+            self.router.post(actor, attempt)
 
-    def age(self, pull: Pull) -> float:
+    def age(self, attempt: Attempt) -> float:
         """Oldest copy that will do: never one older than a purge that this front knows of."""
-        asked, fresh = pull.dl.asked, pull.dl.type.fresh
+        asked, fresh = attempt.request.asked, attempt.request.type.fresh_for
         past = [self.purges[name] for name in (asked.key, asked.group) if name in self.purges]
         since = max(self.router.now - max(past) - 0.001, 2e-6) if past else 0.0
         return min(since, fresh or since)
 
-    def purged(self, note: face.Purged) -> None:
+    def purged(self, note: ObjectsPurged) -> None:
         facts, now = self.router.facts, self.router.now
-        name, kept = note.key or note.group, facts.purge_done + 2 * facts.purge_slack
+        name, kept = note.key or note.group, facts.purge_complete_after + 2 * facts.purge_grace
         self.purges = {n: at for n, at in self.purges.items() if now - at < kept}
         self.purges[name] = max(now - note.age, self.purges.get(name, -math.inf))
 
-    def end(self, note: face.Ended) -> None:
-        if (dl := self.router.downloads.get(note.id)) is None:
+    def end(self, note: AttemptEnded) -> None:
+        if (request := self.router.requests.get(note.id)) is None:
             return
-        pull = dl.pulls[note.pull]
-        pull.result, pull.ended = note.result, note
-        for actor in (*pull.caches(), dl):
-            self.router.post(actor, pull)
-        served = note.result is Result.FULFILLED and not self.router.facts.weighted
-        for cache in pull.caches() if served else ():
+        attempt = request.attempts[note.attempt]
+        attempt.result, attempt.ended = note.result, note
+        for actor in (*attempt.caches(), request):
+            self.router.post(actor, attempt)
+        served = note.result is AttemptResult.SERVED and not self.router.facts.weighted
+        for cache in attempt.caches() if served else ():
             alike, now = self.router.placement.ready[cache.role], self.router.now
             if 2 * sum(c.part() >= 1 for c in alike) > len(alike) and cache.part() >= 1:
-                self.given[cache.role].add(now, self.router.mean_work(dl.type))
+                self.given[cache.role].add(now, self.router.mean_work(request.type))
                 self.borne[cache.role] = self.given[cache.role].total(now) / MEMORY / len(alike)
 
-    def answer(self, dl: "Download") -> None:
-        maybe, kind = dl.maybe(), dl.type
-        known = maybe and self.router.now < maybe[0].sent + kind.window and kind.scope is Scope.ALL
-        promise = kind.effect is Effect.RETRIABLE or not maybe or (kind.effect is Effect.DEDUPED and known)
-        last = face.Throttle(dl.asked.id, min(self.router.facts.longest_wait, BACK))
-        self.router.actions.append(last if promise else face.Abandon(dl.asked.id))
-        self.router.post(dl, face.Left(dl.asked.id))
+    def answer(self, request: "Request") -> None:
+        maybe, kind = request.maybe(), request.type
+        known = maybe and self.router.now < maybe[0].sent + kind.deduplication_window and kind.deduplication_scope is DeduplicationScope.ALL
+        promise = kind.idempotency is Idempotency.IDEMPOTENT or not maybe or (kind.idempotency is Idempotency.DEDUPLICATED and known)
+        last = RejectRequest(request.asked.id, min(self.router.facts.max_retry_after, BACK))
+        self.router.actions.append(last if promise else FailRequest(request.asked.id))
+        self.router.post(request, RequestCancelled(request.asked.id))
 
 
-class Download(Actor):
-    def __init__(self, router: "Router", asked: face.Asked, kind: face.ContentType) -> None:
+class Request(Actor):
+    def __init__(self, router: "Router", asked: RequestReceived, kind: RequestClass) -> None:
         super().__init__(router)
-        self.asked, self.type, self.ran = asked, kind, list(asked.ran)
+        self.asked, self.type, self.ran = asked, kind, list(asked.possible_executions)
         self.name = f"{asked.key} {asked.part}"  # a copy is one of a part: prefilter and hash go by parts
-        self.pulls: list[Pull] = []
+        self.attempts: list[Attempt] = []
         self.failed, self.ruled_out, self.ranks = set(), set(), {}  # caches; and what the hash draws for each
         self.missed: Cache | None = None  # the edge that was looked at and lacks the object
         self.closed, self.level, self.v_k = False, 0, 0.0
@@ -570,143 +570,143 @@
 
     def further(self) -> bool:
         """Whether another pull would repeat one, rather than fill what a look found missing."""
-        return any(p.result not in BROKEN_OFF and not p.silent for p in self.pulls)
+        return any(p.result not in BROKEN_OFF and not p.silent for p in self.attempts)
 
     def maybe(self) -> list[Any]:
         """Pulls that may have run, the first one first: other fronts' of an earlier try, and this front's."""
-        return sorted(self.ran, key=lambda r: r.sent) + [p for p in self.pulls if p.result not in NOT_RUN]
+        return sorted(self.ran, key=lambda r: r.sent) + [p for p in self.attempts if p.result not in NOT_RUN]
 
-    def out(self) -> list[Pull]:
-        return [p for p in self.pulls if p.result is None]
+    def out(self) -> list[Attempt]:
+        return [p for p in self.attempts if p.result is None]
 
     def take(self, note: Any) -> None:
         router = self.router
         match note:
-            case Pull() if note.result is not None:
+            case Attempt() if note.result is not None:
                 self.done(note)
-            case face.Left():
+            case RequestCancelled():
                 self.close()
             case _ if self.closed:
                 pass
-            case face.Asked():
-                left = max(self.asked.until - router.now - 2 * router.facts.tick, 0.0)
-                router.actions.append(face.Wake(left, f"end:{self.asked.id}", self.asked.id))
+            case RequestReceived():
+                left = max(self.asked.deadline - router.now - 2 * router.facts.tick, 0.0)
+                router.actions.append(SetTimer(left, f"end:{self.asked.id}", self.asked.id))
                 router.post(router.prefilter, self)
             case (int(level), float(v_k)):
                 self.level, self.v_k = level, v_k
                 router.post(router.placement, self)
-            case Pull():
+            case Attempt():
                 self.wait(note)
             case Stuck(culprit) if culprit is not None and culprit not in self.ruled_out:
                 self.ruled_out.add(culprit)
                 router.post(router.placement, self)
             case Stuck() if not self.out():
                 router.post(router.gate, self)
-            case face.Began():
+            case ResponseStarted():
                 self.closed = True
-            case face.RanToo():
-                self.ran.append(note.ran)
-            case Doubt(pull, silent) if pull.result is None:
-                self.doubt(pull, silent)
-            case face.Woke():
+            case ExecutedElsewhere():
+                self.ran.append(note.execution)
+            case Doubt(attempt, silent) if attempt.result is None:
+                self.doubt(attempt, silent)
+            case TimerFired():
                 router.post(router.gate, self)
 
-    def doubt(self, pull: Pull, silent: bool) -> None:
+    def doubt(self, attempt: Attempt, silent: bool) -> None:
         """Guards against pulls that do not end: one more beside it, or in its place where two may not be out.
 
         Most slow pulls are large objects, so a sound cache whose connection lives gets a second wait. Silence
         speaks only where answers were due, else a front with little traffic calls off what is on its way.
         Should also cover standstills and cut lines. Harm: what a silent cache holds first is late."""
-        due = pull.cache.spoke.total(self.router.now) / MEMORY * (self.router.now - pull.sent)
-        silent = silent and (pull.doubted or due >= DUE)
-        again, pull.doubted, pull.silent = pull.doubted, True, silent
-        sound = not again and self.blame(pull).trusted(1.0)
-        two = self.router.facts.second_copies
+        due = attempt.cache.spoke.total(self.router.now) / MEMORY * (self.router.now - attempt.sent)
+        silent = silent and (attempt.doubted or due >= DUE)
+        again, attempt.doubted, attempt.silent = attempt.doubted, True, silent
+        sound = not again and self.blame(attempt).trusted(1.0)
+        two = self.router.facts.allows_hedging
         if not (again or silent) and (sound or not two):
-            self.wait(pull)
-        elif self.type.effect is not Effect.NON_RETRIABLE:
-            self.router.post(*((self.router.placement, self) if two else (self.router.gate, Doubt(pull))))
+            self.wait(attempt)
+        elif self.type.idempotency is not Idempotency.NON_IDEMPOTENT:
+            self.router.post(*((self.router.placement, self) if two else (self.router.gate, Doubt(attempt))))
 
-    def wait(self, pull: Pull) -> None:
-        delay = max(PATIENCE * self.router.expected(self, pull.at().role), self.type.target)
-        token = f"slow:{self.asked.id}:{pull.number}"
-        self.router.actions.append(face.Wake(delay, token, self.asked.id, pull.number))
+    def wait(self, attempt: Attempt) -> None:
+        delay = max(PATIENCE * self.router.expected(self, attempt.at().role), self.type.latency_objective)
+        token = f"slow:{self.asked.id}:{attempt.number}"
+        self.router.actions.append(SetTimer(delay, token, self.asked.id, attempt.number))
 
-    def done(self, pull: Pull) -> None:
+    def done(self, attempt: Attempt) -> None:
         router = self.router
-        if pull.result is Result.FULFILLED:
+        if attempt.result is AttemptResult.SERVED:
             work = self.asked.work or router.mean_work(self.type)
-            late = pull.ended.took > self.type.target + self.type.stretch * work
-            router.learn(self, pull, late)
+            late = attempt.ended.duration > self.type.latency_objective + self.type.objective_stretch * work
+            router.learn(self, attempt, late)
             for cache in self.suspects:
                 router.post(cache, Mark.BAD)
-            if not (late and pull.doubted):
-                router.post(pull.against() if late else pull.at(), Mark.LATE if late else Mark.GOOD)
-        elif pull.result is Result.MISS:
-            self.missed = pull.cache
-            self.lacking = pull.source or (pull.cache if pull.cache.role is Role.PARENT else self.lacking)
-        elif pull.result not in (Result.CALLED_OFF, Result.MOOT, Result.SPOILT) and not pull.doubted:
-            self.blame(pull)
-        if pull.ended.closed:
+            if not (late and attempt.doubted):
+                router.post(attempt.against() if late else attempt.at(), Mark.LATE if late else Mark.GOOD)
+        elif attempt.result is AttemptResult.MISS:
+            self.missed = attempt.cache
+            self.lacking = attempt.source or (attempt.cache if attempt.cache.role is Role.PARENT else self.lacking)
+        elif attempt.result not in (AttemptResult.CANCELLED, AttemptResult.SUPERSEDED, AttemptResult.MALFORMED) and not attempt.doubted:
+            self.blame(attempt)
+        if attempt.ended.request_closed:
             self.close()
         elif not self.closed and all(p.doubted for p in self.out()):
             router.post(router.placement, self)
         elif not self.out():
-            router.downloads.pop(self.asked.id, None)
+            router.requests.pop(self.asked.id, None)
 
-    def blame(self, pull: Pull) -> Cache:
+    def blame(self, attempt: Attempt) -> Cache:
         """A look speaks for its edge, a fill for its source: the edge had answered the look before.
 
         A bare error speaks against a cache once another serves the same download. Guards against downloads
         that no cache can use. Harm: one that fails all it is asked is left out a little later."""
-        broke = pull.silent or pull.result in (Result.UNREACHED, Result.RESET)
-        at_edge = broke or (pull.ended and pull.ended.hint is Hint.NO_PLACE)
-        guilty = pull.cache if at_edge else pull.against()
-        if pull.result is Result.ERROR and pull.ended.hint is Hint.NONE:
+        broke = attempt.silent or attempt.result in (AttemptResult.UNREACHABLE, AttemptResult.RESET)
+        at_edge = broke or (attempt.ended and attempt.ended.fill_hint is FillHint.NO_PLACE)
+        guilty = attempt.cache if at_edge else attempt.against()
+        if attempt.result is AttemptResult.ERROR and attempt.ended.fill_hint is FillHint.NONE:
             self.suspects.append(guilty)
         else:
-            self.router.post(guilty, Mark.CUT if pull.silent or pull.result is Result.RESET else Mark.BAD)
-        if pull.result is not Result.RESET:
-            self.failed |= {guilty, guilty if at_edge else pull.source or guilty}
+            self.router.post(guilty, Mark.CUT if attempt.silent or attempt.result is AttemptResult.RESET else Mark.BAD)
+        if attempt.result is not AttemptResult.RESET:
+            self.failed |= {guilty, guilty if at_edge else attempt.source or guilty}
         self.missed = None if guilty is self.missed else self.missed
         return guilty
 
     def close(self) -> None:
-        if not self.closed and self.router.facts.calls_off:
-            for pull in self.out():
-                self.router.actions.append(face.CallOff(self.asked.id, pull.number))
+        if not self.closed and self.router.facts.allows_cancel:
+            for attempt in self.out():
+                self.router.actions.append(CancelAttempt(self.asked.id, attempt.number))
         self.closed = True
         if not self.out():
-            self.router.downloads.pop(self.asked.id, None)
+            self.router.requests.pop(self.asked.id, None)
 
 
 class Router:
     """The door: ids become objects here, and one loop empties every inbox."""
 
-    def __init__(self, seed: int, facts: face.SiteFacts) -> None:
+    def __init__(self, seed: int, facts: SiteSettings) -> None:
         self.facts, self.now, self.born = facts, 0.0, math.inf
-        self.chance = Chance(seed)
+        self.chance = RandomSource(seed)
         self.caches: dict[int, Cache] = {}
-        self.downloads: dict[str, Download] = {}
+        self.requests: dict[str, Request] = {}
         self.prefilter, self.placement, self.gate = Prefilter(self), Placement(self), Gate(self)
         self.tier, self.share = Tier(self), 1 / facts.fronts  # this front's part of what goes to parents
         self.pace = {
-            (name, role): (Buckets(MEMORY), Buckets(MEMORY)) for name in facts.types for role in Role
+            (name, role): (WindowedSum(MEMORY), WindowedSum(MEMORY)) for name in facts.classes for role in Role
         }
-        self.mean, self.kinds = dict.fromkeys(facts.types, (0.0, 0)), tuple(facts.types.values())
+        self.mean, self.kinds = dict.fromkeys(facts.classes, (0.0, 0)), tuple(facts.classes.values())
         self.busy: deque[Actor] = deque()
-        self.actions: list[face.Action] = []
+        self.actions: list[Action] = []
         self.watched = False
 
     def post(self, actor: Actor, note: Any) -> None:
         actor.inbox.append(note)
         self.busy.append(actor)
 
-    def handle(self, now: float, events: Iterable[face.Event]) -> list[face.Action]:
+    def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         self.now, self.born, self.actions = now, min(now, self.born), []
         if self.facts.subscribes and not self.watched:
             self.watched = True
-            self.actions.append(face.Watch())
+            self.actions.append(WatchEndpoints())
         for event in events:
             for actor, note in self.notes(event):
                 self.post(actor, note)
@@ -715,57 +715,57 @@
                 actor.take(actor.inbox.popleft())
         return self.actions
 
-    def notes(self, event: face.Event) -> Iterator[tuple[Actor, Any]]:
+    def notes(self, event: Event) -> Iterator[tuple[Actor, Any]]:
         match event:
-            case face.Listed():
+            case EndpointsListed():
                 yield from self.listed(event)
-            case face.Asked() | face.Ended() | face.Purged() | face.Pressed():
+            case RequestReceived() | AttemptEnded() | ObjectsPurged() | LoopLagMeasured():
                 yield self.gate, event
-            case face.Left() | face.Began() | face.RanToo():
-                if event.id in self.downloads:
-                    yield self.downloads[event.id], event
-            case face.Woke("watch"):
-                self.actions.append(face.Watch())
-            case face.Woke(token):
-                why, name, *pull = token.split(":")
-                if dl := self.downloads.get(name):
-                    yield dl, (Doubt(dl.pulls[int(pull[0])], event.silent) if why == "slow" else event)
-            case face.Part(part):
+            case RequestCancelled() | ResponseStarted() | ExecutedElsewhere():
+                if event.id in self.requests:
+                    yield self.requests[event.id], event
+            case TimerFired("watch"):
+                self.actions.append(WatchEndpoints())
+            case TimerFired(token):
+                why, name, *attempt = token.split(":")
+                if request := self.requests.get(name):
+                    yield request, (Doubt(request.attempts[int(attempt[0])], event.connection_silent) if why == "slow" else event)
+            case ParentQuota(part):
                 self.share = part
-            case face.Changed(facts):
+            case SettingsChanged(facts):
                 self.settle(facts)
                 yield from ((actor, event) for actor in (*self.caches.values(), self.gate, self.placement))
-            case _ if isinstance(event, face.OfCache) and event.cache in self.caches:
+            case _ if isinstance(event, CacheEvent) and event.cache in self.caches:
                 yield self.caches[event.cache], event
-                if isinstance(event, face.Known):
+                if isinstance(event, PeerKnowledge):
                     yield self.placement, event
 
-    def settle(self, facts: face.SiteFacts) -> None:
+    def settle(self, facts: SiteSettings) -> None:
         """Go by other facts. What was learned of content types that are still asked for, or open, stays."""
         self.share = self.share if facts.fronts == self.facts.fronts else 1 / facts.fronts
-        self.facts, self.kinds = facts, tuple(facts.types.values())
-        names = facts.types.keys() | {dl.type.name for dl in self.downloads.values()}
+        self.facts, self.kinds = facts, tuple(facts.classes.values())
+        names = facts.classes.keys() | {request.type.name for request in self.requests.values()}
         self.pace = {
-            (name, role): self.pace.get((name, role)) or (Buckets(MEMORY), Buckets(MEMORY))
+            (name, role): self.pace.get((name, role)) or (WindowedSum(MEMORY), WindowedSum(MEMORY))
             for name in names
             for role in Role
         }
         self.mean = {name: self.mean.get(name, (0.0, 0)) for name in names}
 
-    def listed(self, event: face.Listed) -> Iterator[tuple[Actor, Any]]:
-        if event.scale is Scale.FAILED:
+    def listed(self, event: EndpointsListed) -> Iterator[tuple[Actor, Any]]:
+        if event.scope is ListScope.FAILED:
             if self.facts.subscribes:
-                self.actions.append(face.Wake(self.facts.ask_within / 20, "watch"))
+                self.actions.append(SetTimer(self.facts.list_refresh / 20, "watch"))
             return
-        named = {entry.id for entry in event.entries}
-        for entry in event.entries:
+        named = {entry.id for entry in event.endpoints}
+        for entry in event.endpoints:
             if entry.id not in self.caches:
                 self.caches[entry.id] = Cache(self, entry)
             yield self.caches[entry.id], entry
-        if event.scale is not Scale.CHANGES:
+        if event.scope is not ListScope.CHANGES:
             for cache in self.caches.values():
                 if cache.id not in named:
-                    cache.phase = Phase.GONE
+                    cache.state = EndpointState.REMOVED
         yield self.placement, event
 
     def record(self, now: float) -> dict[int, tuple[float, float]]:
@@ -777,26 +777,26 @@
         send, and the work of one pull; no bound where it is warm."""
         cache, gate = self.caches[number], self.gate
         whole = gate.budget(cache) * cache.weight if cache.part() < 1 else math.inf
-        work = max(self.mean_work(kind) for kind in self.kinds if not kind.at_origin)
+        work = max(self.mean_work(kind) for kind in self.kinds if not kind.origin_only)
         return whole, gate.sent[cache].total(now), cache.wanted.total(now), work
 
-    def learn(self, dl: Download, pull: Pull, late: bool) -> None:
-        times, scale = self.pace[dl.type.name, pull.at().role]
-        times.add(self.now, pull.ended.took)
-        scale.add(self.now, dl.asked.work or 1.0)
-        total, count = self.mean[dl.type.name]
-        if not late or dl.asked.work:  # a jam must not pass for larger objects
-            self.mean[dl.type.name] = total + (dl.asked.work or pull.ended.took), count + 1
+    def learn(self, request: Request, attempt: Attempt, late: bool) -> None:
+        times, scale = self.pace[request.type.name, attempt.at().role]
+        times.add(self.now, attempt.ended.duration)
+        scale.add(self.now, request.asked.work or 1.0)
+        total, count = self.mean[request.type.name]
+        if not late or request.asked.work:  # a jam must not pass for larger objects
+            self.mean[request.type.name] = total + (request.asked.work or attempt.ended.duration), count + 1
 
-    def mean_work(self, kind: face.ContentType) -> float:
+    def mean_work(self, kind: RequestClass) -> float:
         """Mean sending time of a content type, as seen so far and at first as its target time."""
         total, count = self.mean[kind.name]
-        return (total + PRIOR * kind.target) / (count + PRIOR)
+        return (total + PRIOR * kind.latency_objective) / (count + PRIOR)
 
-    def densest(self, kind: face.ContentType) -> bool:
-        return kind.benefit / self.mean_work(kind) >= max(k.benefit / self.mean_work(k) for k in self.kinds)
+    def densest(self, kind: RequestClass) -> bool:
+        return kind.priority_weight / self.mean_work(kind) >= max(k.priority_weight / self.mean_work(k) for k in self.kinds)
 
-    def expected(self, dl: Download, role: Role) -> float:
-        times, scale = (b.total(self.now) for b in self.pace[dl.type.name, role])
-        work = max(dl.asked.work, 0.1) if dl.asked.work else 1.0
-        return max(work * (times + dl.type.target) / (scale + work), 0.1)
+    def expected(self, request: Request, role: Role) -> float:
+        times, scale = (b.total(self.now) for b in self.pace[request.type.name, role])
+        work = max(request.asked.work, 0.1) if request.asked.work else 1.0
+        return max(work * (times + request.type.latency_objective) / (scale + work), 0.1)
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -3,19 +3,19 @@
 import base64
 import json
 from typing import Any
+from weldbend.routing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SendHealthCheck, SendMessage, SetTimer, WatchEndpoints, WriteLog
+from weldbend.routing.events import AttemptEnded, AttemptResult, Endpoint, EndpointState, EndpointsListed, Event, FillHint, HealthCheckDone, ListScope, MessageReceived, ObjectsPurged, RequestCancelled, RequestReceived, ResponseStarted, TimerFired
+from weldbend.site_settings import cache_roles, read_site_settings
 
-from weldbend.routing import interface as face
-from weldbend.site_settings import cache_roles, site_facts
-
-PHASES = {"ready": face.Phase.READY, "draining": face.Phase.DRAINING, "gone": face.Phase.GONE}
+STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
 SCALES = {
-    "diff": face.Scale.CHANGES,
-    "snapshot": face.Scale.WHOLE,
-    "disk": face.Scale.REMEMBERED,
-    "error": face.Scale.FAILED,
+    "diff": ListScope.CHANGES,
+    "snapshot": ListScope.COMPLETE,
+    "disk": ListScope.REMEMBERED,
+    "error": ListScope.FAILED,
 }
-RESULTS = dict(enumerate(face.Result, 1))
-HINTS = dict(enumerate(face.Hint))
+RESULTS = dict(enumerate(AttemptResult, 1))
+HINTS = dict(enumerate(FillHint))
 
 
 class Malformed(Exception):
@@ -73,77 +73,77 @@
             raise Malformed(f"provision: settings are not JSON: {wrong}") from None
         self.seed = whole(seed)
         try:
-            self.facts = site_facts(conf)
+            self.facts = read_site_settings(conf)
             self.flow = conf["family_info"]["one_flow_kb_per_s"]
             self.roles = cache_roles(conf)
         except KeyError as missing:
             raise Malformed(f"provision: settings lack {missing}") from None
 
-    def listed(self, rest: str, lines: list[str]) -> face.Listed:
+    def listed(self, rest: str, lines: list[str]) -> EndpointsListed:
         scale = known("scope", SCALES, values("view", rest, 3)[0])
-        return face.Listed(scale, tuple(self.entry(line) for line in lines))
+        return EndpointsListed(scale, tuple(self.entry(line) for line in lines))
 
-    def entry(self, line: str) -> face.Entry:
+    def entry(self, line: str) -> Endpoint:
         head, rest = split(line)
         if head != "cache":
             raise Malformed(f"expected a list entry, got {head!r}")
-        weight, zone, cache, started, kind, phase, cell = values("cache", rest, 7)[:7]
-        return face.Entry(
+        weight, zone, cache, started, kind, state, cell = values("cache", rest, 7)[:7]
+        return Endpoint(
             id=whole(cache),
             weight=number(weight),
             zone=zone,
             cell=int(number(cell)),
             role=known("kind", self.roles, kind),
-            phase=known("lifecycle", PHASES, phase),
+            state=known("lifecycle", STATES, state),
             started=seconds(started) or None,
         )
 
-    def event(self, head: str, rest: str) -> face.Event:
+    def event(self, head: str, rest: str) -> Event:
         """Any event of a running instance but the list."""
         match head:
             case "call":
                 name, key, flags, kind, group, _, part, size, until = values(head, rest, 9)[:9]
-                known("class", self.facts.types, kind)
-                return face.Asked(
+                known("class", self.facts.classes, kind)
+                return RequestReceived(
                     id=name,
                     key=key,
                     part=int(number(part)),
                     group=int(number(group)),
-                    type=kind,
+                    class_name=kind,
                     work=number(size) / self.flow,
-                    repeat=bool(int(number(flags)) & 2),
-                    until=seconds(until),
+                    is_retry=bool(int(number(flags)) & 2),
+                    deadline=seconds(until),
                 )
             case "report_back":
-                name, pull, _, result, took, closed, hint, waited, load = values(head, rest, 9)[:9]
-                return face.Ended(
+                name, attempt, _, result, took, closed, hint, waited, load = values(head, rest, 9)[:9]
+                return AttemptEnded(
                     id=name,
-                    pull=whole(pull),
+                    attempt=whole(attempt),
                     result=known("status", RESULTS, whole(result)),
-                    took=seconds(took),
-                    closed=closed == "1",
-                    hint=known("info", HINTS, int(number(hint))),
+                    duration=seconds(took),
+                    request_closed=closed == "1",
+                    fill_hint=known("info", HINTS, int(number(hint))),
                     waited=seconds(waited),
                     load=gauge(load),
                 )
             case "established":
-                name, pull = values(head, rest, 4)[:2]
-                return face.Began(name, whole(pull))
+                name, attempt = values(head, rest, 4)[:2]
+                return ResponseStarted(name, whole(attempt))
             case "dropped":
-                return face.Left(values(head, rest, 1)[0])
+                return RequestCancelled(values(head, rest, 1)[0])
             case "timeout_fired":
-                return face.Woke(values(head, rest, 1)[0])
+                return TimerFired(values(head, rest, 1)[0])
             case "purged":
                 key, age, group = values(head, rest, 3)[:3]
-                return face.Purged(None if not key.strip("0-") else key, int(number(group)), seconds(age))
+                return ObjectsPurged(None if not key.strip("0-") else key, int(number(group)), seconds(age))
             case "echo":
                 cache, result, took, load = values(head, rest, 4)[:4]
-                return face.Probed(
+                return HealthCheckDone(
                     whole(cache), known("status", RESULTS, whole(result)), seconds(took), gauge(load)
                 )
             case "datagram":
                 front, text = values(head, rest, 2)[:2]
-                return face.Told(whole(front), b"" if text == "-" else base64.b64decode(text))
+                return MessageReceived(whole(front), b"" if text == "-" else base64.b64decode(text))
         raise Malformed(f"unknown event {head!r}")
 
 
@@ -154,28 +154,28 @@
     return {name: number(value) for name, _, value in pairs}
 
 
-def action_text(action: face.Action) -> str:
+def action_text(action: Action) -> str:
     match action:
-        case face.SendPull(name, cache, None, _, _, patience):
+        case SendAttempt(name, cache, None, _, _, patience):
             return f"place {name} {cache} {micros(patience)}"
-        case face.SendPull():
-            mode = action.join + 2 * action.only_held + 4 * action.leave_no_copy + 8 * action.renew
-            age, patience = micros(action.age), micros(action.patience)
+        case SendAttempt():
+            mode = action.join_fill + 2 * action.only_cached + 4 * action.leave_no_copy + 8 * action.revalidate
+            age, patience = micros(action.max_age), micros(action.timeout)
             return f"obtain {action.id} {action.source} {action.rank} {age} {patience} {action.cache} {mode}"
-        case face.CallOff(name, pull):
-            return f"stop_attempt {name} {pull}"
-        case face.Throttle(name, wait):
+        case CancelAttempt(name, attempt):
+            return f"stop_attempt {name} {attempt}"
+        case RejectRequest(name, wait):
             return f"say_no {name} {micros(wait)}"
-        case face.Abandon(name):
+        case FailRequest(name):
             return f"end_failed {name}"
-        case face.Wake(delay, token):
+        case SetTimer(delay, token):
             return f"wake_at {micros(delay)} {token}"
-        case face.Probe(cache):
+        case SendHealthCheck(cache):
             return f"ask_load {cache}"
-        case face.Tell(front, text):
+        case SendMessage(front, text):
             return f"memo_to {-1 if front is None else front} {base64.b64encode(text).decode()}"
-        case face.Watch():
+        case WatchEndpoints():
             return "tail 1"
-        case face.Remark(text):
+        case WriteLog(text):
             return f"record {text}"
     raise TypeError(f"no action: {action!r}")
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -17,7 +17,7 @@
 
 from weldbend.fleet.lease_ledger import PARTS, Times
 from weldbend.fleet.lease_service import Limits, Rate
-from weldbend.routing.measures import Chance
+from weldbend.routing.measures import RandomSource
 
 LIMIT = "type:order"
 SEEN_LATE = 1.5  # seconds after which a view knows that somebody is gone, or back
@@ -66,7 +66,7 @@
         self.rate = Rate(shape.most * shape.times.window, shape.times)
         now = lab.clock(number)
         until = now + shape.times.quiet if quiet else now
-        chance = Chance(lab.rng.randrange(1 << 30))
+        chance = RandomSource(lab.rng.randrange(1 << 30))
         self.limits = Limits(self.name, epoch, chance, until, lambda limit: None, lambda: lab.unix(number))
         self.limits.open(LIMIT, lab.names, shape.most * shape.times.window, shape.times, self.rate, now)
 
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -52,16 +52,16 @@
     """One broken rule, with the messages that prove it."""
 
     rule: str
-    download: str
+    request: str
     at: float
     proof: tuple[str, ...]
 
     def __str__(self) -> str:
-        return f"{self.rule}: download {self.download} at {self.at:.4f}: {'; '.join(self.proof)}"
+        return f"{self.rule}: download {self.request} at {self.at:.4f}: {'; '.join(self.proof)}"
 
 
 @dataclass(slots=True)
-class Pull:
+class Attempt:
     at: float
     cache: str
     link: int
@@ -85,10 +85,10 @@
     link: int
     seqid: int
     asked: float
-    expiry: float
+    deadline_after: float
     work: float  # seconds that one flow takes to send it
     answers: list[tuple[float, Heard]] = field(default_factory=list)
-    pulls: list[Pull] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
     withdrawn: float | None = None  # when its client stopped waiting, or its connection ended
     excused: str = ""
 
@@ -147,7 +147,7 @@
         """Nothing could be told to it; frozen, it could not answer either."""
         self.deaf[front].append((since, until))
         for (name, _), case in self.cases.items() if frozen else ():
-            if name == front and not case.answers and case.expiry > since:
+            if name == front and not case.answers and case.deadline_after > since:
                 case.excused = case.excused or "its front was frozen"
 
     def knew(self, front: str, told: float) -> float:
@@ -203,26 +203,26 @@
             before, first = case.answers[0]
             self.breach("one answer", case, seen.at, f"{first.outcome} at {before:.4f}, then {heard.outcome}")
         case.answers.append((seen.at, heard))
-        if seen.at > case.expiry + SLACK and not case.excused:
-            self.breach("one answer", case, seen.at, f"{heard.outcome} after its expiry {case.expiry:.4f}")
-        ran = [pull for pull in case.pulls if pull.may_have_run()]
+        if seen.at > case.deadline_after + SLACK and not case.excused:
+            self.breach("one answer", case, seen.at, f"{heard.outcome} after its expiry {case.deadline_after:.4f}")
+        ran = [attempt for attempt in case.attempts if attempt.may_have_run()]
         if heard.outcome == "throttled" and ran and self.rules.effects[case.type] == "non-retriable":
             self.breach("no effect twice", case, seen.at, f"throttled, though {shown(ran[0])}")
         if heard.outcome == "fulfilled" and not heard.fields.get("ok304"):
             self.check_purges(seen.at, case, seen.front)
 
     def check_purges(self, at: float, case: Case, front: str) -> None:
-        pull = next((p for p in reversed(case.pulls) if p.word == "DONE"), None)
-        if pull is None:
+        attempt = next((p for p in reversed(case.attempts) if p.word == "DONE"), None)
+        if attempt is None:
             self.breach("one answer", case, at, "fulfilled, though no cache had made it")
             return
         for told, key, group, stamp in self.purges:
             hit = key == case.key if key else group == case.group
-            late = pull.at > self.knew(front, told) + self.rules.purge + SLACK
-            if hit and late and pull.born is not None and pull.born < stamp:
+            late = attempt.at > self.knew(front, told) + self.rules.purge + SLACK
+            if hit and late and attempt.born is not None and attempt.born < stamp:
                 self.breach(
                     "purges kept", case, at, f"purge of {stamp} told at {told:.4f}",
-                    f"copy born {pull.born:.0f} served by {shown(pull)}",
+                    f"copy born {attempt.born:.0f} served by {shown(attempt)}",
                 )  # fmt: skip
 
     def command(self, seen: Seen, command: Command) -> None:
@@ -232,35 +232,35 @@
                 self.breach("one answer", command.name, seen.at, "a pull that no client asked for")
             return
         if command.word == "undo":
-            for pull in case.pulls:
-                if pull.ended is None and pull.link == seen.link:
-                    pull.ended, pull.word = seen.at, "undone"
+            for attempt in case.attempts:
+                if attempt.ended is None and attempt.link == seen.link:
+                    attempt.ended, attempt.word = seen.at, "undone"
             return
         if command.word != "do":
             return
         self.counts["pulls"] += 1
-        pull = Pull(seen.at, seen.other, seen.link, command.fields.get("from"))
+        attempt = Attempt(seen.at, seen.other, seen.link, command.fields.get("from"))
         self.check_effects(seen.at, case)
-        self.check_drains(seen.at, case, pull, seen.front)
-        for uid in {pull.cache: None, pull.source: None}:
+        self.check_drains(seen.at, case, attempt, seen.front)
+        for uid in {attempt.cache: None, attempt.source: None}:
             if uid in self.starts:
                 self.check_start(seen.at, case, uid, self.starts[uid], seen.front)
-        case.pulls.append(pull)
+        case.attempts.append(attempt)
         self.links[seen.link].add((seen.front, case.name))
 
     def check_effects(self, at: float, case: Case) -> None:
-        for pull in case.pulls:
-            if pull.ended is None:
-                self.breach("no effect twice", case, at, f"a second copy: {shown(pull)} is still out")
-        ran = [pull for pull in case.pulls if pull.may_have_run()]
+        for attempt in case.attempts:
+            if attempt.ended is None:
+                self.breach("no effect twice", case, at, f"a second copy: {shown(attempt)} is still out")
+        ran = [attempt for attempt in case.attempts if attempt.may_have_run()]
         effect = self.rules.effects[case.type]
         if ran and effect == "non-retriable":
             self.breach("no effect twice", case, at, f"pulled again, though {shown(ran[0])}")
         if ran and effect == "deduped" and at > ran[0].at + self.rules.windows[case.type] + SLACK:
             self.breach("no effect twice", case, at, f"pulled again past the window of {shown(ran[0])}")
 
-    def check_drains(self, at: float, case: Case, pull: Pull, front: str) -> None:
-        for uid, role in ((pull.cache, "cache"), (pull.source, "source")):
+    def check_drains(self, at: float, case: Case, attempt: Attempt, front: str) -> None:
+        for uid, role in ((attempt.cache, "cache"), (attempt.source, "source")):
             if uid in self.draining and at > self.knew(front, self.draining[uid]) + self.rules.drain + SLACK:
                 self.breach(
                     "drains kept",
@@ -292,18 +292,18 @@
 
     def cache_answer(self, seen: Seen, answer: Answer) -> None:
         case = self.cases.get((seen.front, answer.name))
-        for pull in case.pulls if case else ():
-            if pull.ended is None and pull.link == seen.link:
-                pull.ended, pull.word = seen.at, answer.word
+        for attempt in case.attempts if case else ():
+            if attempt.ended is None and attempt.link == seen.link:
+                attempt.ended, attempt.word = seen.at, answer.word
                 born = answer.fields.get("born", "")
-                pull.born = float(born) if born.isdigit() else None
+                attempt.born = float(born) if born.isdigit() else None
 
     def gone(self, seen: Seen) -> None:
         """A connection has ended for the front: pulls on it are over, and so is waiting for answers on it."""
         for key in sorted(self.links.pop(seen.link, ())):
-            for pull in self.cases[key].pulls:
-                if pull.ended is None and pull.link == seen.link:
-                    pull.ended, pull.word = seen.at, "reset"
+            for attempt in self.cases[key].attempts:
+                if attempt.ended is None and attempt.link == seen.link:
+                    attempt.ended, attempt.word = seen.at, "reset"
         for (link, _), case in self.by_call.items():
             if link == seen.link and case.withdrawn is None:
                 case.withdrawn = seen.at
@@ -311,13 +311,13 @@
     def verdict(self, end: float) -> list[Breach]:
         """All breaches, once no download is open any more at `end`."""
         for case in self.cases.values():
-            waited = case.withdrawn is None or case.withdrawn > case.expiry + SLACK
-            if not case.answers and waited and not case.excused and case.expiry + SLACK < end:
-                proof = [f"asked at {case.asked:.4f}", *map(shown, case.pulls)]
-                self.breach("one answer", case, case.expiry, "none before its expiry", *proof)
+            waited = case.withdrawn is None or case.withdrawn > case.deadline_after + SLACK
+            if not case.answers and waited and not case.excused and case.deadline_after + SLACK < end:
+                proof = [f"asked at {case.asked:.4f}", *map(shown, case.attempts)]
+                self.breach("one answer", case, case.deadline_after, "none before its expiry", *proof)
         return self.breaches
 
 
-def shown(pull: Pull) -> str:
-    how = f"{pull.word} at {pull.ended:.4f}" if pull.ended is not None else "out"
-    return f"pull to {pull.cache} at {pull.at:.4f} ({how})"
+def shown(attempt: Attempt) -> str:
+    how = f"{attempt.word} at {attempt.ended:.4f}" if attempt.ended is not None else "out"
+    return f"pull to {attempt.cache} at {attempt.at:.4f} ({how})"
