--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -7,14 +7,24 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from weldbend.routing.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt, WatchEndpoints
-from weldbend.routing.events import AttemptEnded, AttemptResult, Endpoint, EndpointState, EndpointsListed, FillHint, ListScope, RequestReceived, TimerFired
-from weldbend.routing.settings import DeduplicationScope, Idempotency, RequestClass, Role, SiteSettings
 from weldbend.buffers.ring import Ring
 from weldbend.event_bus.events import event as bus_event
 from weldbend.front.configuration import read_site
 from weldbend.front.server import Front as Door
+from weldbend.routing.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt, WatchEndpoints
+from weldbend.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointsListed,
+    EndpointState,
+    FillHint,
+    ListScope,
+    RequestReceived,
+    TimerFired,
+)
 from weldbend.routing.router import Router
+from weldbend.routing.settings import DeduplicationScope, Idempotency, RequestClass, Role, SiteSettings
 from weldbend.testbed.emulator import configuration as emulated_configuration
 from weldbend.testbed.emulator.configuration import SETTINGS, listing, target
 from weldbend.testbed.load import client_calls
@@ -25,7 +35,9 @@
 
 
 def content(name="photo", **changes):
-    base = RequestClass(name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 3.0, 6.0, 0.5, 1.6, 2.0, 0.0, False)
+    base = RequestClass(
+        name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 3.0, 6.0, 0.5, 1.6, 2.0, 0.0, False
+    )
     return replace(base, **changes)
 
 
@@ -35,7 +47,7 @@
     fronts=2,
     zone_fronts=2,
     hub_fronts=2,
-    types={"photo": content()},
+    classes={"photo": content()},
     tick=0.002,
     list_refresh=10.0,
     subscribes=False,
@@ -44,8 +56,8 @@
     allows_cancel=True,
     max_attempts=6,
     max_retry_after=1.0,
-    direct=False,
-    joins=True,
+    allows_bypass=False,
+    joins_fills=True,
     edge_start_capacity=0.2,
     edge_warmup=10.0,
     edge_overload_factor=2.0,
@@ -58,8 +70,8 @@
 )
 
 
-def entry(number, role=Role.EDGE, zone="z", phase=EndpointState.READY, started=None, cell=0):
-    return Endpoint(number, 10.0, zone, cell, role, phase, started)
+def entry(number, role=Role.EDGE, zone="z", state=EndpointState.READY, started=None, cell=0):
+    return Endpoint(number, 10.0, zone, cell, role, state, started)
 
 
 CACHES = (
@@ -91,7 +103,7 @@
                 self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
                 fill = "look" if action.source in (None, action.cache) else f"fill from {action.source}"
                 fill += " if held" * action.only_cached
-                age = f" age {action.age:.3f}" if action.age else ""
+                age = f" age {action.max_age:.3f}" if action.max_age else ""
                 leave = " leave-no-copy" if action.leave_no_copy else ""
                 return f"{action.id}: {action.cache} {fill} rank {action.rank}{leave}{age}"
             case CancelAttempt(name, attempt):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -3,10 +3,24 @@
 from dataclasses import replace
 
 from fronts import CACHES, SITE, Front, content, entry
+
 from weldbend.routing.actions import SetTimer
-from weldbend.routing.events import AttemptEnded, AttemptResult, ConnectionOpened, EndpointState, FillHint, LoopLagMeasured, ObjectsPurged, PeerKnowledge, RequestCancelled, RequestReceived, SettingsChanged, TimerFired
+from weldbend.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ConnectionOpened,
+    EndpointState,
+    FillHint,
+    LoopLagMeasured,
+    ObjectsPurged,
+    PeerKnowledge,
+    RequestCancelled,
+    RequestReceived,
+    SettingsChanged,
+    TimerFired,
+)
+from weldbend.routing.router import Attempt, Mark
 from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
-from weldbend.routing.router import Mark, Attempt
 
 
 def test_second_request_keeps_at_the_edge_and_leaves_no_copy():
@@ -55,11 +69,13 @@
 
 def test_no_effect_twice():
     kinds = {
-        "pay": content("pay", effect=Idempotency.NON_IDEMPOTENT),
-        "order": content("order", effect=Idempotency.DEDUPLICATED, window=1.0),
-        "near": content("near", effect=Idempotency.DEDUPLICATED, scope=DeduplicationScope.CELL),
+        "pay": content("pay", idempotency=Idempotency.NON_IDEMPOTENT),
+        "order": content("order", idempotency=Idempotency.DEDUPLICATED, deduplication_window=1.0),
+        "near": content(
+            "near", idempotency=Idempotency.DEDUPLICATED, deduplication_scope=DeduplicationScope.CELL
+        ),
     }
-    front = Front((entry(1, cell=1), entry(2, cell=2), CACHES[-1]), types=kinds, edge_overload_factor=9.0)
+    front = Front((entry(1, cell=1), entry(2, cell=2), CACHES[-1]), classes=kinds, edge_overload_factor=9.0)
     for name in kinds:
         front.ask(f"{name}-ran", now=1, type=name)
         front.end(f"{name}-ran", AttemptResult.RESET)
@@ -101,7 +117,7 @@
 def test_draining_and_gone_caches_get_nothing():
     front = Front()
     gone = front.router.caches[11]
-    front.listed(entry(1, phase=EndpointState.DRAINING), entry(11, Role.PARENT, "h", EndpointState.REMOVED))
+    front.listed(entry(1, state=EndpointState.DRAINING), entry(11, Role.PARENT, "h", EndpointState.REMOVED))
     for key in "klmn":
         front.ask(key, key, now=1)
         front.end(key, AttemptResult.MISS)
@@ -192,7 +208,11 @@
         front.ask(f"d{n}", f"k{n}", now=1)
     for n in range(4):
         front.end(f"d{n}", AttemptResult.RESET if n else AttemptResult.MALFORMED, now=1.2)
-    for now, event in ((1.3, RequestCancelled("nobody")), (1.45, RequestCancelled("nobody")), (1.5, ConnectionOpened(1))):
+    for now, event in (
+        (1.3, RequestCancelled("nobody")),
+        (1.45, RequestCancelled("nobody")),
+        (1.5, ConnectionOpened(1)),
+    ):
         front.at(now, event)
         parts.append(cache.part())
     front.end("d0", AttemptResult.UNREACHABLE, now=2.0)
@@ -292,8 +312,8 @@
 
 
 def test_when_no_edge_is_left_a_parent_is_asked_for_what_it_holds_before_the_origin_has_to():
-    edges = tuple(entry(n, phase=EndpointState.DRAINING) for n in (1, 2))
-    front = Front(edges + CACHES[2:3] + CACHES[-1:], direct=True)
+    edges = tuple(entry(n, state=EndpointState.DRAINING) for n in (1, 2))
+    front = Front(edges + CACHES[2:3] + CACHES[-1:], allows_bypass=True)
     front.router.caches[21].limit = 0.8  # room for one, and a chance of one in 25 for another
     for n in range(3):
         front.ask(f"d{n}", f"k{n}", now=1)
@@ -427,7 +447,9 @@
                 last, fetch = front.trace[-1], bool(n % 2)
                 missed = "look" in last or ("held" in last and fetch)
                 late = "from 11" in last and (slow == "parent" or fetch)
-                front.end(f"d{n}", AttemptResult.MISS if missed else AttemptResult.SERVED, took=9.0 if late else 0.1)
+                front.end(
+                    f"d{n}", AttemptResult.MISS if missed else AttemptResult.SERVED, took=9.0 if late else 0.1
+                )
         limits[slow] = f"{front.router.caches[11].limit:.1f} {front.router.caches[21].limit:.1f}"
     assert limits == {"parent": "0.7 12.0", "origin": "9.5 0.5"}
 
@@ -449,7 +471,7 @@
         front.ask(f"d{n}", f"k{n}", now=1 + n / 20)
         if f"d{n}" in front.attempts:
             front.end(f"d{n}", AttemptResult.SERVED, took=0.2 if n < 40 else 2.0)
-    assert f"{front.router.mean_work(front.router.facts.types['photo']):.1f}" == "0.2"
+    assert f"{front.router.mean_work(front.router.facts.classes['photo']):.1f}" == "0.2"
 
 
 def test_limit_below_one_is_a_chance_and_grows_by_one_for_a_location():
@@ -473,11 +495,15 @@
     for n in range(40):
         events = [RequestReceived(f"d{n}", f"k{n}", 0, 3, "photo", 0.0, False, 99.0)]
         for attempt, result in enumerate(
-            [AttemptResult.MISS, AttemptResult.MISS, AttemptResult.SERVED] if n > 20 else [AttemptResult.SERVED]
+            [AttemptResult.MISS, AttemptResult.MISS, AttemptResult.SERVED]
+            if n > 20
+            else [AttemptResult.SERVED]
         ):
             took = 2.0 if attempt else 0.01
             events.append(
-                AttemptEnded(f"d{n}", attempt, result, took, result is AttemptResult.SERVED, FillHint.NONE, 0.0, None)
+                AttemptEnded(
+                    f"d{n}", attempt, result, took, result is AttemptResult.SERVED, FillHint.NONE, 0.0, None
+                )
             )
         for event in events:
             acts = front.router.handle(1 + n / 10, [event])
@@ -552,7 +578,7 @@
 def test_front_with_more_to_do_than_time_throttles_at_once_and_keeps_what_benefits_most():
     """Late turns are told as they come: a part of what is asked then pulls nothing, and is told to wait."""
     kinds = {"photo": content(), "order": content("order", priority_weight=3.0)}
-    front, shown = Front(types=kinds), []
+    front, shown = Front(classes=kinds), []
     for late in (0.01, 0.04, 0.1, 0.2, 0.0):
         taken = dict.fromkeys(kinds, 0)
         for _ in range(20):
@@ -580,11 +606,14 @@
     front = Front()
     caches = front.router.caches
     front.at(
-        1, PeerKnowledge(1, EndpointState.DRAINING, None), PeerKnowledge(12, EndpointState.REMOVED, None), PeerKnowledge(99, None, 1.0)
+        1,
+        PeerKnowledge(1, EndpointState.DRAINING, None),
+        PeerKnowledge(12, EndpointState.REMOVED, None),
+        PeerKnowledge(99, None, 1.0),
     )
-    assert caches[1].phase is EndpointState.DRAINING and 12 not in caches
+    assert caches[1].state is EndpointState.DRAINING and 12 not in caches
     front.at(1.1, PeerKnowledge(1, EndpointState.READY, None))
-    assert caches[1].phase is EndpointState.DRAINING
+    assert caches[1].state is EndpointState.DRAINING
     for name in "klmn":
         front.ask(name, name, now=1.2)
     assert {line.split()[2] for line in front.trace} == {"2"}
@@ -593,7 +622,7 @@
     front.at(2, PeerKnowledge(2, None, 0.5))
     assert caches[2].started == 1.9
     front.listed(entry(1), now=3)
-    assert caches[1].phase is EndpointState.READY, "the own list, read as far, says so"
+    assert caches[1].state is EndpointState.READY, "the own list, read as far, says so"
 
 
 def many_parents(**site):
@@ -638,8 +667,15 @@
 def test_no_repeat_after_a_window_that_the_first_pulls_own_time_out_has_passed():
     """The first pull is doubted after its target time, half a second: a mark of 0.3 s is forgotten."""
     for window, attempts in ((0.3, 1), (3.0, 2)):
-        kinds = {"order": content("order", effect=Idempotency.DEDUPLICATED, window=window, target=0.5)}
-        front = Front(types=kinds)
+        kinds = {
+            "order": content(
+                "order",
+                idempotency=Idempotency.DEDUPLICATED,
+                deduplication_window=window,
+                latency_objective=0.5,
+            )
+        }
+        front = Front(classes=kinds)
         front.ask("a", now=1, type="order")
         for now in (1.6, 2.3):
             front.wake("a", now=now)
@@ -653,7 +689,12 @@
     for n in range(9):
         front.ask(f"d{n}", f"k{n}", now=3 + n / 100)
     assert len(front.attempts) == 8, "the share of a cold cache is used up"
-    facts = replace(SITE, types={"clip": content("clip", target=0.2)}, edge_overload_window=3.0, zone_fronts=3)
+    facts = replace(
+        SITE,
+        classes={"clip": content("clip", latency_objective=0.2)},
+        edge_overload_window=3.0,
+        zone_fronts=3,
+    )
     front.at(3.5, SettingsChanged(facts))
     cache = front.router.caches[1]
     assert front.router.gate.sent[cache].total(3.5) == 4.0 and cache.sharers == 3
@@ -663,7 +704,7 @@
     assert len(sent) == 4, "of 4.8 in the new window, 4.0 were sent before"
     front.end("d0", AttemptResult.SERVED, now=3.6)  # of the type that is gone
     front.ask("late", "k", now=6.7, type="clip")
-    assert "late" in front.attempts and set(front.router.facts.types) == {"clip"}
+    assert "late" in front.attempts and set(front.router.facts.classes) == {"clip"}
     front.at(7.0, SettingsChanged(SITE))
     assert {name for name, _ in front.router.pace} == {"photo", "clip"}, "one of each is still open"
     for name in ("late", *sent, *(f"d{n}" for n in range(1, 8))):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -689,7 +689,7 @@
         return loop.router.caches[loop.names.numbers[uid]]
 
     def phase(self, uid):
-        return self.cache(uid).phase.name
+        return self.cache(uid).state.name
 
 
 def test_a_purge_of_a_peer_bounds_the_age_of_copies(tmp_path):
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -92,7 +92,7 @@
     for number in made.fronts:
         loop = made.fronts[number][1].loop
         cache = loop.router.caches[loop.names.numbers["e1"]]
-        assert cache.phase.name == "READY" and cache.started is not None, "the newer list holds for all"
+        assert cache.state.name == "READY" and cache.started is not None, "the newer list holds for all"
 
 
 def test_half_of_them_frozen_for_half_a_minute():
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -7,21 +7,34 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from weldbend.routing.events import AttemptResult, ExecutedElsewhere, PeerHealthReport, PossibleExecution, RequestReceived
-from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 from weldbend.fleet import health_reports, idempotency, popularity
 from weldbend.fleet.health_reports import Teller, Word, combined, weight
 from weldbend.fleet.membership import Member, State
 from weldbend.fleet.popularity import Slots, Wishes
+from weldbend.routing.events import (
+    AttemptResult,
+    ExecutedElsewhere,
+    PeerHealthReport,
+    PossibleExecution,
+    RequestReceived,
+)
+from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 
 # Deduped downloads that may have run elsewhere.
 
-ORDER = {"order": content("order", effect=Idempotency.DEDUPLICATED, scope=DeduplicationScope.CELL, origin_only=True)}
+ORDER = {
+    "order": content(
+        "order",
+        idempotency=Idempotency.DEDUPLICATED,
+        deduplication_scope=DeduplicationScope.CELL,
+        origin_only=True,
+    )
+}
 ORIGINS = (entry(21, Role.ORIGIN, "h", cell=1), entry(22, Role.ORIGIN, "h", cell=2))
 
 
 def asked(ran, now=1.0):
-    front = Front(ORIGINS, types=ORDER, direct=True)
+    front = Front(ORIGINS, classes=ORDER, allows_bypass=True)
     front.at(now, RequestReceived("d", "k", 0, 3, "order", 0.0, True, now + 6.0, 0.0, tuple(ran)))
     return front.trace[-1]
 
@@ -33,7 +46,12 @@
 
 
 @pytest.mark.parametrize(
-    "ran", [[PossibleExecution("!", -1, 0.9)], [PossibleExecution("", 1, -2.0)], [PossibleExecution("", 1, 0.9), PossibleExecution("", 2, 0.9)]],
+    "ran",
+    [
+        [PossibleExecution("!", -1, 0.9)],
+        [PossibleExecution("", 1, -2.0)],
+        [PossibleExecution("", 1, 0.9), PossibleExecution("", 2, 0.9)],
+    ],
     ids=["in no group", "past its window", "in two groups"],
 )  # fmt: skip
 def test_a_repeat_that_no_group_would_drop_is_abandoned(ran):
@@ -41,7 +59,7 @@
 
 
 def test_news_of_a_pull_elsewhere_binds_a_download_that_is_open():
-    front = Front(ORIGINS, types=ORDER, direct=True)
+    front = Front(ORIGINS, classes=ORDER, allows_bypass=True)
     front.ask("d", type="order", now=1.0)
     front.end("d", AttemptResult.UNREACHABLE, now=1.1)
     first = front.trace[-1].split()[2]
@@ -54,7 +72,9 @@
 
 def test_the_first_pull_is_dated_by_the_stricter_clock():
     value = ("c:1", 99_000)  # at 99 s of the writer's Unix clock
-    assert idempotency.ran(value, said=11.0, now=12.0, unix=101.0) == PossibleExecution("", 1, 10.0), "told again since"
+    assert idempotency.ran(value, said=11.0, now=12.0, unix=101.0) == PossibleExecution(
+        "", 1, 10.0
+    ), "told again since"
     assert (
         idempotency.ran(value, said=11.0, now=12.0, unix=95.0).sent == 11.0
     ), "a clock ahead makes no window longer"
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -9,10 +9,19 @@
 
 import pytest
 from fronts import SITE, entry
+
 from weldbend.routing.actions import SendAttempt
-from weldbend.routing.events import AttemptEnded, AttemptResult, EndpointState, EndpointsListed, FillHint, ListScope, RequestReceived
-from weldbend.routing.settings import Role
+from weldbend.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    EndpointsListed,
+    EndpointState,
+    FillHint,
+    ListScope,
+    RequestReceived,
+)
 from weldbend.routing.router import Router
+from weldbend.routing.settings import Role
 
 WORK, WINDOW, MULTIPLE, STARTED = 0.5, 2.0, 2.0, 5.0
 STEP = 0.02
@@ -25,7 +34,9 @@
         self.role, self.weight, self.chance = role, weight, random.Random(seed)
         edges = 1 if role is Role.EDGE else 2
         self.floor, self.warm = (0.2, 10.0) if role is Role.EDGE else (0.1, 20.0)
-        self.facts = replace(SITE, fronts=count, zone_fronts=count, hub_fronts=count, edge_overload_window=WINDOW)
+        self.facts = replace(
+            SITE, fronts=count, zone_fronts=count, hub_fronts=count, edge_overload_window=WINDOW
+        )
         self.cold = replace(entry(11, role, "z" if role is Role.EDGE else "h"), weight=weight)
         self.others = (entry(21, Role.ORIGIN, "h"), *(entry(n) for n in range(1, edges)))
         busy = [40.0 if skewed and n < count // 10 else 1.0 for n in range(count)]
@@ -36,7 +47,11 @@
 
     def start(self, now):
         router = Router(self.chance.randrange(1 << 30), self.facts)
-        cold = replace(self.cold, started=STARTED) if now > STARTED else replace(self.cold, phase=EndpointState.REMOVED)
+        cold = (
+            replace(self.cold, started=STARTED)
+            if now > STARTED
+            else replace(self.cold, state=EndpointState.REMOVED)
+        )
         router.handle(now, [EndpointsListed(ListScope.COMPLETE, (cold, *self.others))])
         return router
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,8 +8,6 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from weldbend.routing.actions import SendAttempt, SendHealthCheck
-from weldbend.routing.events import AttemptEnded, AttemptResult, ConnectionOpened, LoopLagMeasured
 from weldbend.event_bus.events import event as bus_event
 from weldbend.event_bus.reader import BusReader
 from weldbend.front import request_codec
@@ -18,6 +16,8 @@
 from weldbend.front.server import Front as Door
 from weldbend.front.timers import Timers
 from weldbend.invariants import anomalies
+from weldbend.routing.actions import SendAttempt, SendHealthCheck
+from weldbend.routing.events import AttemptEnded, AttemptResult, ConnectionOpened, LoopLagMeasured
 from weldbend.thrift import binary
 
 ORDER = "queue=order,path=7f3a9c21e0b4d655,blk=0,budget=6000,uniq=5c0f6e1a2b3d4c59,mode=j"
@@ -136,7 +136,9 @@
         stage.door.loop.post = lambda event, note=note, post=post: (note(event), post(event))
         stage.say(stage.client(), process(1, once="ab", **{"class": "order"}))
         fail(stage)
-        assert [event.result for event in ended if isinstance(event, AttemptEnded)] == [AttemptResult.UNREACHABLE]
+        assert [event.result for event in ended if isinstance(event, AttemptEnded)] == [
+            AttemptResult.UNREACHABLE
+        ]
         ended.clear()
 
 
@@ -165,7 +167,9 @@
     link.transport.loseConnection()
     assert [name for name, _ in stage.dials()] == ["e2"]
     stage.connect()
-    reached = [stage.door.loop.names.uids[event.cache] for event in told if isinstance(event, ConnectionOpened)]
+    reached = [
+        stage.door.loop.names.uids[event.cache] for event in told if isinstance(event, ConnectionOpened)
+    ]
     assert reached == ["e2", "e2"]
 
 
@@ -302,7 +306,9 @@
 
     def spy(now, events):
         for event in events:
-            told.append(f"late {event.late:.2f}" if isinstance(event, LoopLagMeasured) else type(event).__name__)
+            told.append(
+                f"late {event.lag:.2f}" if isinstance(event, LoopLagMeasured) else type(event).__name__
+            )
             yield from ()
         handle(now, [])
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from weldbend.routing.events import AttemptResult, EndpointState
 from weldbend.caches.connection import CacheConnection, Lost
 from weldbend.clients.connection import Client
 from weldbend.front import request_codec
 from weldbend.front.dispatcher import Loop
+from weldbend.routing.events import AttemptResult, EndpointState
 from weldbend.routing.router import Gate
 from weldbend.testbed.simulation.run import Run, Setup
 from weldbend.thrift.messages import Process
@@ -107,7 +107,11 @@
 
 def sends_second_copies(monkeypatch):
     def made(call_off):
-        return lambda self, request, attempt: self.ended(request, attempt, AttemptResult.CANCELLED) if not attempt.over else None
+        return (
+            lambda self, request, attempt: self.ended(request, attempt, AttemptResult.CANCELLED)
+            if not attempt.over
+            else None
+        )
 
     patched(monkeypatch, Loop, "call_off", made)
 
@@ -115,7 +119,7 @@
 def takes_draining_for_ready(monkeypatch):
     from weldbend.event_bus import endpoint_names
 
-    monkeypatch.setitem(endpoint_names.PHASES, "draining", EndpointState.READY)
+    monkeypatch.setitem(endpoint_names.STATES, "draining", EndpointState.READY)
 
 
 def does_not_hear_list_changes(monkeypatch):
@@ -137,7 +141,7 @@
     def made(entry):
         def never(self, target):
             held = entry(self, target)
-            return type(held)(held.id, held.weight, held.zone, held.cell, held.role, held.phase, None)
+            return type(held)(held.id, held.weight, held.zone, held.cell, held.role, held.state, None)
 
         return never
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -15,19 +15,21 @@
 from twisted.internet.testing import StringTransport
 
 from weldbend.buffers.ring import Ring
-from weldbend.bus import events, sse
-from weldbend.fleet import cli, messages, seal
-from weldbend.fleet.control import Control
-from weldbend.fleet.copies import RULES, Copies
+from weldbend.cache_protocol import answers as line_answers
+from weldbend.cache_protocol import commands as line_commands
+from weldbend.event_bus import events, sse
+from weldbend.fleet import cli, messages
+from weldbend.fleet import message_authentication as seal
+from weldbend.fleet.admin_server import Control
+from weldbend.fleet.replicated_store import RULES, Copies
 from weldbend.fleet.service import Fleet
-from weldbend.fleet.terms import Peer, Terms
-from weldbend.front.site import read_site
-from weldbend.installation.read import build, parse
-from weldbend.lab import calls, commands
-from weldbend.lab.fault import plan as faults
-from weldbend.lab.fleet import plan as fleets
-from weldbend.lines import answers as line_answers
-from weldbend.lines import commands as line_commands
+from weldbend.fleet.settings import Peer, Terms
+from weldbend.front.configuration import read_site
+from weldbend.installation.reader import build, parse
+from weldbend.testbed.emulator import cache_commands as commands
+from weldbend.testbed.faults import plan as faults
+from weldbend.testbed.fleet import plan as fleets
+from weldbend.testbed.load import client_calls as calls
 from weldbend.thrift import messages as thrift
 from weldbend.thrift.framing import next_frame
 
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -13,7 +13,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol import answers, commands
 from weldbend.cache_protocol.answers import Answer, BadAnswer, Parser
-from weldbend.invariants import check_invariant, anomalies
+from weldbend.invariants import anomalies, check_invariant
 
 CHUNK = 1 << 16  # the most that one read of a socket brings
 IN = answers.LONGEST_BODY + answers.LONGEST_LINE + 2 * CHUNK
--- a/weldbend/caches/pool.py
+++ b/weldbend/caches/pool.py
@@ -17,7 +17,7 @@
 
 from weldbend.cache_protocol import commands
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.connection import CacheConnection, Lost, Attempt, Timers
+from weldbend.caches.connection import Attempt, CacheConnection, Lost, Timers
 from weldbend.invariants import anomalies
 
 CUT_OFF = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE)
@@ -228,7 +228,9 @@
         """Take back what waits and has to do with these caches, or is stale for another cause."""
         for lane in list(self.lanes.values()):
             if lane.waiting:
-                lane.withdraw(lambda attempt: attempt.cache in caches or attempt.source in caches or stale(attempt))
+                lane.withdraw(
+                    lambda attempt: attempt.cache in caches or attempt.source in caches or stale(attempt)
+                )
 
     def purged(self, key: str | None, group: int) -> None:
         self.withdraw(set(), lambda attempt: attempt.key == key if key else attempt.group == group)
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -38,7 +38,9 @@
                 keys_of(fleet.keys)
             except BadFleet as wrong:
                 raise BadSite(f"installation {installation}: [fleet] {wrong}") from None
-            strange = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)} - set(site.facts.classes)
+            strange = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)} - set(
+                site.facts.classes
+            )
             if strange:
                 raise BadSite(f"installation {installation}: [limits] no content type {sorted(strange)[0]!r}")
             site = replace(site, fleet=fleet)
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -21,7 +21,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.idle_connections.connection_table import Memory
 from weldbend.idle_connections.policy import Seen
-from weldbend.invariants import check_invariant, anomalies
+from weldbend.invariants import anomalies, check_invariant
 from weldbend.thrift import messages
 from weldbend.thrift.binary import BadMessage
 from weldbend.thrift.framing import BadFrame, next_frame, small_frame
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -22,7 +22,9 @@
 from weldbend.invariants import anomalies
 
 BACKLOG = 1024
-DEAD_PEER_TIMEOUT = 60  # seconds without a sign of a client's machine, or of its reading, until it is held to be gone
+DEAD_PEER_TIMEOUT = (
+    60  # seconds without a sign of a client's machine, or of its reading, until it is held to be gone
+)
 LOOK = 0.125  # seconds between two looks at a live connection
 STOOD = 1.0  # seconds since the last look, from which on this process stood still meanwhile
 GONE_FOR = {
--- a/weldbend/event_bus/endpoint_names.py
+++ b/weldbend/event_bus/endpoint_names.py
@@ -5,9 +5,9 @@
 from dataclasses import dataclass, field
 from typing import Protocol
 
+from weldbend.event_bus.events import Target
 from weldbend.routing.events import Endpoint, EndpointState
 from weldbend.routing.settings import Role
-from weldbend.event_bus.events import Target
 
 STATES = {"up": EndpointState.READY, "draining": EndpointState.DRAINING, "removed": EndpointState.REMOVED}
 
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -14,8 +14,6 @@
 
 from loguru import logger
 
-from weldbend.routing.events import ExecutedElsewhere, ObjectsPurged, PeerHealthReport, PeerKnowledge, PossibleExecution
-from weldbend.routing.settings import DeduplicationScope, Idempotency
 from weldbend.event_bus.endpoint_names import STATES as ENDPOINT_STATES
 from weldbend.event_bus.events import Ban, Numbered, Topology
 from weldbend.fleet import health_reports, idempotency, popularity
@@ -27,7 +25,15 @@
 from weldbend.fleet.replicated_store import RULES, Change
 from weldbend.fleet.service import BadFleet, Fleet
 from weldbend.fleet.settings import Terms
+from weldbend.routing.events import (
+    ExecutedElsewhere,
+    ObjectsPurged,
+    PeerHealthReport,
+    PeerKnowledge,
+    PossibleExecution,
+)
 from weldbend.routing.measures import RandomSource
+from weldbend.routing.settings import DeduplicationScope, Idempotency
 
 HOLD = 0.3  # seconds for which decisions wait for the bus, or else for peers, after a standstill
 SETTLE = 0.02  # and for what comes with the first word of them
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -15,10 +15,10 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from weldbend.routing.events import PossibleExecution
-from weldbend.routing.settings import DeduplicationScope
 from weldbend.fleet.membership import Member, State
 from weldbend.fleet.replicated_store import ANYWHERE, NOWHERE, Value
+from weldbend.routing.events import PossibleExecution
+from weldbend.routing.settings import DeduplicationScope
 
 FAR = 10.0  # seconds by which another's clock may have it wrong before its moment is not heeded
 
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -467,7 +467,9 @@
     ) -> None:
         """The one place at which a belief changes."""
         before = member.rank()
-        check_invariant((epoch, incarnation, int(state)) >= before or epoch > member.epoch, "beliefs only rise")
+        check_invariant(
+            (epoch, incarnation, int(state)) >= before or epoch > member.epoch, "beliefs only rise"
+        )
         if member.state is not state:
             self.changes.append((member.name, member.state, state, why))
         member.epoch, member.incarnation, member.state, member.since = epoch, incarnation, state, now
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -16,8 +16,6 @@
 
 from loguru import logger
 
-from weldbend.routing.events import EjectionUpdate, ParentQuota, PeerKnowledge, SlowStartQuota
-from weldbend.routing.settings import Role
 from weldbend.fleet import outlier_detection
 from weldbend.fleet.demand_share import Need, part
 from weldbend.fleet.health_reports import Word
@@ -27,7 +25,9 @@
 from weldbend.fleet.membership import Sight
 from weldbend.fleet.replicated_store import RULES
 from weldbend.fleet.service import Fleet
+from weldbend.routing.events import EjectionUpdate, ParentQuota, PeerKnowledge, SlowStartQuota
 from weldbend.routing.measures import RandomSource
+from weldbend.routing.settings import Role
 
 SECOND = 1.0  # window of the operators' rates
 HEAVY = 8  # clients of which this front tells, those that ask most
@@ -171,10 +171,14 @@
         cold.cover = min(1.0, len(owners) / sharers)
         parent = cache.role is Role.PARENT
         least = (
-            facts.parent_start_capacity * facts.parent_overload_factor if parent else facts.edge_start_capacity * facts.edge_overload_factor
+            facts.parent_start_capacity * facts.parent_overload_factor
+            if parent
+            else facts.edge_start_capacity * facts.edge_overload_factor
         )
         work = max(kind.latency_objective for kind in facts.classes.values() if not kind.origin_only)
-        attempts = least * facts.edge_overload_window * cache.weight / work  # of its budget when it has just started
+        attempts = (
+            least * facts.edge_overload_window * cache.weight / work
+        )  # of its budget when it has just started
         now = self.loop.clock.now()
         if not self.limits.open(limit, owners, attempts, self.times(facts.edge_overload_window), cold, now):
             self.close(limit)
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -7,10 +7,10 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from weldbend.routing.settings import Role, SiteSettings
 from weldbend.caches.pool import Bounds
 from weldbend.event_bus.events import BadEvent, Numbered, known
 from weldbend.idle_connections.policy import Terms
+from weldbend.routing.settings import Role, SiteSettings
 from weldbend.site_settings import cache_roles, read_site_settings
 
 TURN = 0.004  # a turn of the loop may last so long; the decisions are told, as of any tick
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -13,12 +13,9 @@
 
 from loguru import logger
 
-from weldbend.routing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SendHealthCheck, SetTimer, WatchEndpoints, WriteLog
-from weldbend.routing.events import AttemptResult, ConnectionOpened, EndpointState, EndpointsListed, Event, HealthCheckDone, ListScope, LoopLagMeasured, ObjectsPurged, PossibleExecution, RequestCancelled, RequestReceived, SettingsChanged, TimerFired
-from weldbend.routing.settings import Idempotency
 from weldbend.cache_protocol import commands
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.connection import Lost, Attempt
+from weldbend.caches.connection import Attempt, Lost
 from weldbend.caches.pool import Pool
 from weldbend.clients.connection import Call
 from weldbend.event_bus.endpoint_names import Names
@@ -27,8 +24,36 @@
 from weldbend.front.clock import Clock
 from weldbend.front.configuration import Site
 from weldbend.front.timers import Timer, Timers
-from weldbend.invariants import check_invariant, anomalies
+from weldbend.invariants import anomalies, check_invariant
+from weldbend.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SendHealthCheck,
+    SetTimer,
+    WatchEndpoints,
+    WriteLog,
+)
+from weldbend.routing.events import (
+    AttemptResult,
+    ConnectionOpened,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    HealthCheckDone,
+    ListScope,
+    LoopLagMeasured,
+    ObjectsPurged,
+    PossibleExecution,
+    RequestCancelled,
+    RequestReceived,
+    SettingsChanged,
+    TimerFired,
+)
 from weldbend.routing.router import Router
+from weldbend.routing.settings import Idempotency
 
 
 @dataclass(eq=False, slots=True)
@@ -269,7 +294,11 @@
         """Events in their order, but none of a download that was left before the decisions heard of it."""
         while coming:
             self.handed = event = coming.popleft()
-            if isinstance(event, RequestReceived) and (request := self.requests.get(event.id)) and request.closed:
+            if (
+                isinstance(event, RequestReceived)
+                and (request := self.requests.get(event.id))
+                and request.closed
+            ):
                 continue
             yield event
 
@@ -349,7 +378,9 @@
             wait = min(action.timeout, left) if action.timeout else left
             if self.peers and request.wish.once:
                 self.peers.sent(request.wish.type, request.wish.once, action.cache)
-            return commands.do(request.wish.name, request_codec.order(request.wish, action, source, wait), request.wish.body)
+            return commands.do(
+                request.wish.name, request_codec.order(request.wish, action, source, wait), request.wish.body
+            )
 
         attempt = Attempt(
             name=request.wish.name,
@@ -374,9 +405,9 @@
 
     def fleeting(self, request: Request, action: SendAttempt) -> bool:
         """Whether what allows a pull may be over soon: a window for repeats, or a cold cache's budget."""
-        return bool(request.attempts and request.idempotency is not Idempotency.IDEMPOTENT) or not self.started.isdisjoint(
-            (action.cache, action.source)
-        )
+        return bool(
+            request.attempts and request.idempotency is not Idempotency.IDEMPOTENT
+        ) or not self.started.isdisjoint((action.cache, action.source))
 
     def wake(self, token: str, name: str, number: int) -> None:
         """Tell the time that was asked for, and of the pull it is about whether its connection lives."""
@@ -404,7 +435,11 @@
         if isinstance(how, Answer) and how.word not in request_codec.RESULTS:
             anomalies["pulls answered as probes"] += 1
             how = AttemptResult.ERROR
-        self.post(request_codec.ended(request.name, number, how, self.clock.now() - request.handed[number], request.closed))
+        self.post(
+            request_codec.ended(
+                request.name, number, how, self.clock.now() - request.handed[number], request.closed
+            )
+        )
         self.forget(request)
 
     def close(self, request: Request) -> None:
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -5,11 +5,11 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
+from weldbend.cache_protocol.answers import Answer
+from weldbend.caches.connection import Lost
 from weldbend.routing.actions import SendAttempt
 from weldbend.routing.events import AttemptEnded, AttemptResult, FillHint
 from weldbend.routing.settings import Idempotency, RequestClass
-from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.connection import Lost
 
 RESULTS = {
     "DONE": AttemptResult.SERVED,
@@ -73,7 +73,10 @@
     if not all(mark is None or HEX.fullmatch(mark) for mark in (once, got)):
         raise InvalidRequestError("a field that cannot be passed on")
     wait = float(figure(fields, "wait", DECIMAL)) / 1000
-    part, group = int(figure(fields, "nth", WHOLE_NUMBER, "0")), int(figure(fields, "batch", WHOLE_NUMBER, "0"))
+    part, group = (
+        int(figure(fields, "nth", WHOLE_NUMBER, "0")),
+        int(figure(fields, "batch", WHOLE_NUMBER, "0")),
+    )
     kb = float(figure(fields, "kb", DECIMAL, "0"))
     if not 0 < wait <= types[kind].deadline_after + SLACK or group > 255 or kb > LARGEST or part > LAST_PART:
         raise InvalidRequestError("a number out of its bounds")
@@ -97,7 +100,9 @@
 
 def order(wish: Wish, action: SendAttempt, source: str | None, left: float) -> dict[str, str]:
     """The fields of one pull; ages and waits are whole milliseconds, and none may become nothing."""
-    mode = zip("jhnr", (action.join_fill, action.only_cached, action.leave_no_copy, action.revalidate), strict=True)
+    mode = zip(
+        "jhnr", (action.join_fill, action.only_cached, action.leave_no_copy, action.revalidate), strict=True
+    )
     modes = "+".join(letter for letter, on in mode if on)
     fields = {
         "queue": wish.type,
@@ -129,12 +134,16 @@
     return {name: number(value) for name, _, value in (pair.partition(":") for pair in text.split(";"))}
 
 
-def ended(name: str, attempt: int, how: Answer | Lost | AttemptResult, took: float, closed: bool) -> AttemptEnded:
+def ended(
+    name: str, attempt: int, how: Answer | Lost | AttemptResult, took: float, closed: bool
+) -> AttemptEnded:
     """How a pull ended, as the decisions hear it."""
     if isinstance(how, Answer):
         fields = how.fields
         hint = HINTS.get(fields.get("detail", ""), FillHint.NONE)
         waited = number(fields.get("waited", "0")) / 1000
-        return AttemptEnded(name, attempt, RESULTS[how.word], took, closed, hint, waited, load(fields.get("use")))
+        return AttemptEnded(
+            name, attempt, RESULTS[how.word], took, closed, hint, waited, load(fields.get("use"))
+        )
     result = LOSSES[how] if isinstance(how, Lost) else how
     return AttemptEnded(name, attempt, result, took, closed, FillHint.NONE, 0.0, None)
--- a/weldbend/routing/router.py
+++ b/weldbend/routing/router.py
@@ -13,11 +13,44 @@
 from enum import Enum
 from hashlib import blake2b
 from typing import Any, NamedTuple
-from weldbend.routing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SetTimer, WatchEndpoints
-from weldbend.routing.events import AttemptEnded, AttemptResult, CacheEvent, ConnectionOpened, EjectionUpdate, Endpoint, EndpointState, EndpointsListed, Event, ExecutedElsewhere, FillHint, ListScope, LoopLagMeasured, ObjectsPurged, ParentQuota, PeerHealthReport, PeerKnowledge, RequestCancelled, RequestReceived, ResponseStarted, SettingsChanged, SlowStartQuota, TimerFired
-from weldbend.routing.settings import DeduplicationScope, Idempotency, RequestClass, Role, SiteSettings
+
+from weldbend.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SetTimer,
+    WatchEndpoints,
+)
 from weldbend.routing.actor import Actor
-from weldbend.routing.measures import WindowedSum, RandomSource
+from weldbend.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    CacheEvent,
+    ConnectionOpened,
+    EjectionUpdate,
+    Endpoint,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    ExecutedElsewhere,
+    FillHint,
+    ListScope,
+    LoopLagMeasured,
+    ObjectsPurged,
+    ParentQuota,
+    PeerHealthReport,
+    PeerKnowledge,
+    RequestCancelled,
+    RequestReceived,
+    ResponseStarted,
+    SettingsChanged,
+    SlowStartQuota,
+    TimerFired,
+)
+from weldbend.routing.measures import RandomSource, WindowedSum
+from weldbend.routing.settings import DeduplicationScope, Idempotency, RequestClass, Role, SiteSettings
 
 ALPHA, BETA, GAMMA = 1, 1, 1  # the paper's weights of V_k, V_hop and V_hitk
 V_HOP = {Role.EDGE: 2, Role.PARENT: 1}
@@ -43,9 +76,19 @@
 OPEN = 0.5  # part of the budget's window for which a front's turn at a cold cache stays open
 PRIOR = 4  # downloads that a content type's target time counts for in its mean work
 BORNE = 0.5  # flows that a cache is held to bear before any was seen to bear more
+NO_EVIDENCE = {AttemptResult.CANCELLED, AttemptResult.SUPERSEDED, AttemptResult.MALFORMED}
 NOT_RUN = {AttemptResult.REJECTED, AttemptResult.UNREACHABLE, AttemptResult.SUPERSEDED, AttemptResult.MISS}
-SPOKEN = {AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.REJECTED, AttemptResult.ERROR}  # ends by an answer
-BROKEN_OFF = {AttemptResult.MISS, AttemptResult.MALFORMED, AttemptResult.RESET}  # ends after which a further pull adds to no crowd
+SPOKEN = {
+    AttemptResult.SERVED,
+    AttemptResult.MISS,
+    AttemptResult.REJECTED,
+    AttemptResult.ERROR,
+}  # ends by an answer
+BROKEN_OFF = {
+    AttemptResult.MISS,
+    AttemptResult.MALFORMED,
+    AttemptResult.RESET,
+}  # ends after which a further pull adds to no crowd
 PRESSED, CALM = 0.03, 0.5  # seconds by which turns may be late, and in which that is forgotten
 WAITED = 0.35  # part of a target time for which a download may have lain unread at the door
 GRACE, SOON = 0.2, 0.5  # seconds in which a break is no restart yet, and none if a connection comes up
@@ -121,7 +164,11 @@
 
     def take(self, note: Any) -> None:
         now = self.router.now
-        if isinstance(note, Attempt) and note.cache is self and note.result in (AttemptResult.UNREACHABLE, AttemptResult.RESET):
+        if (
+            isinstance(note, Attempt)
+            and note.cache is self
+            and note.result in (AttemptResult.UNREACHABLE, AttemptResult.RESET)
+        ):
             self.broke, self.before = now, now if note.result is AttemptResult.UNREACHABLE else self.before
         if isinstance(note, Attempt) and note.cache is self and note.result in SPOKEN:
             self.spoke.add(now)
@@ -363,7 +410,9 @@
         if picked := self.pick(request, near, 1.0, sure=True):
             return picked
         peers = 1 - min((c.share_bad() for c in parents + origins), default=0.0)
-        if (picked := self.pick(request, parents, peers, sure=True)) or any(c in request.ruled_out for c in parents):
+        if (picked := self.pick(request, parents, peers, sure=True)) or any(
+            c in request.ruled_out for c in parents
+        ):
             return picked or self.pick(request, origins, peers, sure=True)
         return max((c for c in parents + origins if c not in request.failed), key=Cache.draw, default=None)
 
@@ -390,7 +439,9 @@
         super().__init__(router)
         self.purges: dict[str | int, float] = {}
         window = router.facts.edge_overload_window
-        self.sent: dict[Cache, WindowedSum] = defaultdict(lambda: WindowedSum(window))  # work put to each cache
+        self.sent: dict[Cache, WindowedSum] = defaultdict(
+            lambda: WindowedSum(window)
+        )  # work put to each cache
         self.requests, self.further = WindowedSum(MEMORY), WindowedSum(MEMORY)
         self.late, self.late_at = 0.0, 0.0  # how late this front's turns come, and when that was told
         self.given = {role: WindowedSum(MEMORY) for role in Role}  # work put to all warm caches of a role
@@ -429,7 +480,11 @@
         router, kind = self.router, self.router.facts.classes[asked.class_name]
         self.requests.add(router.now)
         best = kind.priority_weight >= max(k.priority_weight for k in router.facts.classes.values())
-        late = max(self.pressed() / PRESSED, asked.queued_for / (WAITED * kind.latency_objective), 3.0 * asked.over_limit)
+        late = max(
+            self.pressed() / PRESSED,
+            asked.queued_for / (WAITED * kind.latency_objective),
+            3.0 * asked.over_limit,
+        )
         share = late - (2 if best else 1)
         if share > 0 and router.chance.random() < share:
             router.actions.append(RejectRequest(asked.id, router.facts.max_retry_after))
@@ -446,7 +501,11 @@
         if not self.dropped(attempt):
             return Stuck(attempt.cache)
         dense = self.router.densest(request.type)
-        if attempt.at().role is Role.PARENT and not request.type.origin_only and not self.router.tier.room(dense):
+        if (
+            attempt.at().role is Role.PARENT
+            and not request.type.origin_only
+            and not self.router.tier.room(dense)
+        ):
             return Stuck(None)
         for cache in attempt.caches():
             home = cache is request.missed or all(c.role is not cache.role for c in request.ruled_out)
@@ -463,11 +522,19 @@
         maybe = request.maybe()
         if not maybe or request.type.idempotency is Idempotency.IDEMPOTENT:
             return True
-        return request.type.idempotency is Idempotency.DEDUPLICATED and now < maybe[0].sent + request.type.deduplication_window - 2 * facts.tick
+        return (
+            request.type.idempotency is Idempotency.DEDUPLICATED
+            and now < maybe[0].sent + request.type.deduplication_window - 2 * facts.tick
+        )
 
     def dropped(self, attempt: Attempt) -> bool:
         """Whether its cache drops a repeat of what may have run; where it does not, another may."""
-        kind, group = attempt.request.type, {DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}.get(attempt.request.type.deduplication_scope)
+        kind, group = (
+            attempt.request.type,
+            {DeduplicationScope.ZONE: "zone", DeduplicationScope.CELL: "cell"}.get(
+                attempt.request.type.deduplication_scope
+            ),
+        )
         if kind.idempotency is not Idempotency.DEDUPLICATED or not group:
             return True
         return all(getattr(p.cache, group) == getattr(attempt.cache, group) for p in attempt.request.maybe())
@@ -549,8 +616,16 @@
 
     def answer(self, request: "Request") -> None:
         maybe, kind = request.maybe(), request.type
-        known = maybe and self.router.now < maybe[0].sent + kind.deduplication_window and kind.deduplication_scope is DeduplicationScope.ALL
-        promise = kind.idempotency is Idempotency.IDEMPOTENT or not maybe or (kind.idempotency is Idempotency.DEDUPLICATED and known)
+        known = (
+            maybe
+            and self.router.now < maybe[0].sent + kind.deduplication_window
+            and kind.deduplication_scope is DeduplicationScope.ALL
+        )
+        promise = (
+            kind.idempotency is Idempotency.IDEMPOTENT
+            or not maybe
+            or (kind.idempotency is Idempotency.DEDUPLICATED and known)
+        )
         last = RejectRequest(request.asked.id, min(self.router.facts.max_retry_after, BACK))
         self.router.actions.append(last if promise else FailRequest(request.asked.id))
         self.router.post(request, RequestCancelled(request.asked.id))
@@ -644,8 +719,13 @@
                 router.post(attempt.against() if late else attempt.at(), Mark.LATE if late else Mark.GOOD)
         elif attempt.result is AttemptResult.MISS:
             self.missed = attempt.cache
-            self.lacking = attempt.source or (attempt.cache if attempt.cache.role is Role.PARENT else self.lacking)
-        elif attempt.result not in (AttemptResult.CANCELLED, AttemptResult.SUPERSEDED, AttemptResult.MALFORMED) and not attempt.doubted:
+            self.lacking = attempt.source or (
+                attempt.cache if attempt.cache.role is Role.PARENT else self.lacking
+            )
+        elif (
+            attempt.result not in (AttemptResult.CANCELLED, AttemptResult.SUPERSEDED, AttemptResult.MALFORMED)
+            and not attempt.doubted
+        ):
             self.blame(attempt)
         if attempt.ended.request_closed:
             self.close()
@@ -665,7 +745,9 @@
         if attempt.result is AttemptResult.ERROR and attempt.ended.fill_hint is FillHint.NONE:
             self.suspects.append(guilty)
         else:
-            self.router.post(guilty, Mark.CUT if attempt.silent or attempt.result is AttemptResult.RESET else Mark.BAD)
+            self.router.post(
+                guilty, Mark.CUT if attempt.silent or attempt.result is AttemptResult.RESET else Mark.BAD
+            )
         if attempt.result is not AttemptResult.RESET:
             self.failed |= {guilty, guilty if at_edge else attempt.source or guilty}
         self.missed = None if guilty is self.missed else self.missed
@@ -691,7 +773,9 @@
         self.prefilter, self.placement, self.gate = Prefilter(self), Placement(self), Gate(self)
         self.tier, self.share = Tier(self), 1 / facts.fronts  # this front's part of what goes to parents
         self.pace = {
-            (name, role): (WindowedSum(MEMORY), WindowedSum(MEMORY)) for name in facts.classes for role in Role
+            (name, role): (WindowedSum(MEMORY), WindowedSum(MEMORY))
+            for name in facts.classes
+            for role in Role
         }
         self.mean, self.kinds = dict.fromkeys(facts.classes, (0.0, 0)), tuple(facts.classes.values())
         self.busy: deque[Actor] = deque()
@@ -729,7 +813,14 @@
             case TimerFired(token):
                 why, name, *attempt = token.split(":")
                 if request := self.requests.get(name):
-                    yield request, (Doubt(request.attempts[int(attempt[0])], event.connection_silent) if why == "slow" else event)
+                    yield (
+                        request,
+                        (
+                            Doubt(request.attempts[int(attempt[0])], event.connection_silent)
+                            if why == "slow"
+                            else event
+                        ),
+                    )
             case ParentQuota(part):
                 self.share = part
             case SettingsChanged(facts):
@@ -794,7 +885,9 @@
         return (total + PRIOR * kind.latency_objective) / (count + PRIOR)
 
     def densest(self, kind: RequestClass) -> bool:
-        return kind.priority_weight / self.mean_work(kind) >= max(k.priority_weight / self.mean_work(k) for k in self.kinds)
+        return kind.priority_weight / self.mean_work(kind) >= max(
+            k.priority_weight / self.mean_work(k) for k in self.kinds
+        )
 
     def expected(self, request: Request, role: Role) -> float:
         times, scale = (b.total(self.now) for b in self.pace[request.type.name, role])
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -3,6 +3,7 @@
 import traceback
 from collections.abc import Iterator
 from typing import TextIO
+
 from weldbend.routing.events import Event
 from weldbend.routing.router import Router
 from weldbend.simhost import wire
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -3,8 +3,36 @@
 import base64
 import json
 from typing import Any
-from weldbend.routing.actions import Action, CancelAttempt, FailRequest, RejectRequest, SendAttempt, SendHealthCheck, SendMessage, SetTimer, WatchEndpoints, WriteLog
-from weldbend.routing.events import AttemptEnded, AttemptResult, Endpoint, EndpointState, EndpointsListed, Event, FillHint, HealthCheckDone, ListScope, MessageReceived, ObjectsPurged, RequestCancelled, RequestReceived, ResponseStarted, TimerFired
+
+from weldbend.routing.actions import (
+    Action,
+    CancelAttempt,
+    FailRequest,
+    RejectRequest,
+    SendAttempt,
+    SendHealthCheck,
+    SendMessage,
+    SetTimer,
+    WatchEndpoints,
+    WriteLog,
+)
+from weldbend.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    Endpoint,
+    EndpointsListed,
+    EndpointState,
+    Event,
+    FillHint,
+    HealthCheckDone,
+    ListScope,
+    MessageReceived,
+    ObjectsPurged,
+    RequestCancelled,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
 from weldbend.site_settings import cache_roles, read_site_settings
 
 STATES = {"ready": EndpointState.READY, "draining": EndpointState.DRAINING, "gone": EndpointState.REMOVED}
@@ -159,7 +187,9 @@
         case SendAttempt(name, cache, None, _, _, patience):
             return f"place {name} {cache} {micros(patience)}"
         case SendAttempt():
-            mode = action.join_fill + 2 * action.only_cached + 4 * action.leave_no_copy + 8 * action.revalidate
+            mode = (
+                action.join_fill + 2 * action.only_cached + 4 * action.leave_no_copy + 8 * action.revalidate
+            )
             age, patience = micros(action.max_age), micros(action.timeout)
             return f"obtain {action.id} {action.source} {action.rank} {age} {patience} {action.cache} {mode}"
         case CancelAttempt(name, attempt):
--- a/weldbend/site_settings.py
+++ b/weldbend/site_settings.py
@@ -5,6 +5,7 @@
 
 from collections.abc import Mapping
 from typing import Any
+
 from weldbend.routing.settings import DeduplicationScope, Idempotency, RequestClass, Role, SiteSettings
 
 EFFECTS = {
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -204,7 +204,9 @@
             self.breach("one answer", case, seen.at, f"{first.outcome} at {before:.4f}, then {heard.outcome}")
         case.answers.append((seen.at, heard))
         if seen.at > case.deadline_after + SLACK and not case.excused:
-            self.breach("one answer", case, seen.at, f"{heard.outcome} after its expiry {case.deadline_after:.4f}")
+            self.breach(
+                "one answer", case, seen.at, f"{heard.outcome} after its expiry {case.deadline_after:.4f}"
+            )
         ran = [attempt for attempt in case.attempts if attempt.may_have_run()]
         if heard.outcome == "throttled" and ran and self.rules.effects[case.type] == "non-retriable":
             self.breach("no effect twice", case, seen.at, f"throttled, though {shown(ran[0])}")
