--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -12,7 +12,7 @@
 FAILED = 1  # pytest's exit status where tests ran and some failed
 
 
-class BadList(Exception):
+class InvalidListError(Exception):
     """A list that does not hold to its form; its text is one line for people."""
 
 
@@ -20,17 +20,17 @@
     """Test, cause and issue of each line; none where there is no file. Raises BadList."""
     lines = path.read_text("utf-8").splitlines() if path.exists() else []
     if len(lines) > MOST:
-        raise BadList(f"{path.name} has {len(lines)} lines, {MOST} are the most")
+        raise InvalidListError(f"{path.name} has {len(lines)} lines, {MOST} are the most")
     found = []
     for number, line in enumerate(lines, 1):
         test, cause, issue = (
             parts if len(parts := [part.strip() for part in line.split("|")]) == 3 else ("",) * 3
         )
         if not (test and cause and issue) or "::" not in test or test.startswith("-"):
-            raise BadList(f"{path.name}, line {number}: not of the form `test id | cause | issue`")
+            raise InvalidListError(f"{path.name}, line {number}: not of the form `test id | cause | issue`")
         found.append((test, cause, issue))
     if len({test for test, _, _ in found}) < len(found):
-        raise BadList(f"{path.name} lists a test twice")
+        raise InvalidListError(f"{path.name} lists a test twice")
     return found
 
 
@@ -42,7 +42,7 @@
 def main(path: Path) -> int:
     try:
         red = listed(path)
-    except BadList as wrong:
+    except InvalidListError as wrong:
         print(wrong)
         return 2
     wrong = 0
--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -201,7 +201,7 @@
         return data
 
 
-class Rim:
+class EpollSet:
     """Parked connections in memory; numbers stand for descriptors, the lowest free one as the system does."""
 
     def __init__(self, stage):
@@ -271,7 +271,7 @@
         self.reactor = MemoryReactorClock()
         held = read_site(configuration(**caps))
         self.door = Door(self.reactor, replace(held, terms=terms or held.terms))
-        self.rim = Rim(self)
+        self.rim = EpollSet(self)
         if parks:
             self.door.listener.rim = lambda reactor: self.rim
         self.door.clock.now = lambda: self.reactor.seconds() + 1.0
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -471,7 +471,7 @@
         front.ask(f"d{n}", f"k{n}", now=1 + n / 20)
         if f"d{n}" in front.attempts:
             front.end(f"d{n}", AttemptResult.SERVED, took=0.2 if n < 40 else 2.0)
-    assert f"{front.router.mean_work(front.router.facts.classes['photo']):.1f}" == "0.2"
+    assert f"{front.router.mean_work(front.router.settings.classes['photo']):.1f}" == "0.2"
 
 
 def test_limit_below_one_is_a_chance_and_grows_by_one_for_a_location():
@@ -689,13 +689,13 @@
     for n in range(9):
         front.ask(f"d{n}", f"k{n}", now=3 + n / 100)
     assert len(front.attempts) == 8, "the share of a cold cache is used up"
-    facts = replace(
+    settings = replace(
         SITE,
         classes={"clip": content("clip", latency_objective=0.2)},
         edge_overload_window=3.0,
         zone_fronts=3,
     )
-    front.at(3.5, SettingsChanged(facts))
+    front.at(3.5, SettingsChanged(settings))
     cache = front.router.caches[1]
     assert front.router.gate.sent[cache].total(3.5) == 4.0 and cache.sharers == 3
     for n in range(8):
@@ -704,10 +704,10 @@
     assert len(sent) == 4, "of 4.8 in the new window, 4.0 were sent before"
     front.end("d0", AttemptResult.SERVED, now=3.6)  # of the type that is gone
     front.ask("late", "k", now=6.7, type="clip")
-    assert "late" in front.attempts and set(front.router.facts.classes) == {"clip"}
+    assert "late" in front.attempts and set(front.router.settings.classes) == {"clip"}
     front.at(7.0, SettingsChanged(SITE))
     assert {name for name, _ in front.router.pace} == {"photo", "clip"}, "one of each is still open"
     for name in ("late", *sent, *(f"d{n}" for n in range(1, 8))):
         front.end(name, AttemptResult.SERVED, now=7.1)
-    front.at(7.2, SettingsChanged(facts))
+    front.at(7.2, SettingsChanged(settings))
     assert {name for name, _ in front.router.pace} == {"clip"} == set(front.router.mean)
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -392,7 +392,7 @@
 def test_a_stop_lasts_no_longer_than_the_sites_own_expiries_allow():
     """SIGKILL comes 0.7 s after the longest of them, or after 3 s: a site with short ones is killed early."""
     stage = Stage()
-    kinds = stage.door.site.facts.classes.values()
+    kinds = stage.door.site.settings.classes.values()
     for kind in kinds:
         object.__setattr__(kind, "expiry", 1.0)
     client = stage.client()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,9 +13,9 @@
 
 from weldbend.cache_protocol import commands
 from weldbend.event_bus.sse import Parser as EventParser
-from weldbend.testbed.faults.engine import Deed, Injector, What
+from weldbend.testbed.faults.engine import FaultAction, Injector, What
 from weldbend.testbed.faults.messages import Message, Splitter, read_line, read_thrift, rewrite
-from weldbend.testbed.faults.plan import BadPlan, Direction, plan, read_plan
+from weldbend.testbed.faults.plan import Direction, InvalidPlanError, plan, read_plan
 from weldbend.testbed.load import client_calls
 from weldbend.thrift import messages
 from weldbend.thrift.messages import read_call
@@ -29,12 +29,12 @@
 
 def played(made, frames, direction=Direction.BACK, now=0.0):
     stream = made.stream(1, direction, 0.0)
-    deeds = [deed for frame in frames for deed in stream.feed(now, frame)]
-    return deeds + stream.end(now)
+    fault_actions = [fault_action for frame in frames for fault_action in stream.feed(now, frame)]
+    return fault_actions + stream.end(now)
 
 
-def joined(deeds):
-    return b"".join(deed.data for deed in deeds)
+def joined(fault_actions):
+    return b"".join(fault_action.data for fault_action in fault_actions)
 
 
 @pytest.mark.parametrize(
@@ -55,18 +55,18 @@
     ],
 )
 def test_a_plan_that_cannot_be_played_is_one_clear_line(held, told):
-    with pytest.raises(BadPlan) as wrong:
+    with pytest.raises(InvalidPlanError) as wrong:
         plan(held, "thrift")
     assert told in str(wrong.value)
 
 
 def test_messages_are_no_triggers_where_there_are_only_bytes(tmp_path):
-    with pytest.raises(BadPlan, match="strikes at messages, but there is raw bytes"):
+    with pytest.raises(InvalidPlanError, match="strikes at messages, but there is raw bytes"):
         plan({"f": {"kind": "drop", "direction": "there"}}, "sse")
     path = tmp_path / "plan.ini"
     path.write_text("[one]\nkind = cut\nmessage = 2\n[two]\nkind = stall\nfor = 1 s\nfield = word=DONE\n")
     assert [fault.name for fault in read_plan(str(path), "lines").faults] == ["one", "two"]
-    with pytest.raises(BadPlan, match="cannot be read"):
+    with pytest.raises(InvalidPlanError, match="cannot be read"):
         read_plan(str(tmp_path / "none"), "raw")
 
 
@@ -81,8 +81,10 @@
             cut = rng.randint(1, len(data))
             pieces.append(data[:cut])
             data = data[cut:]
-        deeds = played(made, pieces)
-        results.append((joined(deeds), made.strikes, [d.what for d in deeds if d.what is not What.DATA]))
+        fault_actions = played(made, pieces)
+        results.append(
+            (joined(fault_actions), made.strikes, [d.what for d in fault_actions if d.what is not What.DATA])
+        )
     assert results[0] == results[1]
 
 
@@ -174,7 +176,7 @@
     assert [m.raw for m in Splitter("commands").feed(b"".join(parts))] == parts
     half = injector(x={"kind": "drop", "message": "9"}).stream(1, Direction.BACK, 0.0)
     assert half.feed(0.0, ANSWERS[0][:9]) == []
-    assert half.end(0.0) == [Deed(0.0, What.DATA, ANSWERS[0][:9]), Deed(0.0, What.END)]
+    assert half.end(0.0) == [FaultAction(0.0, What.DATA, ANSWERS[0][:9]), FaultAction(0.0, What.END)]
 
 
 def test_a_half_close_in_the_middle_of_a_thrift_reply_between_real_sockets(tmp_path):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -12,13 +12,18 @@
 from hypothesis import strategies as st
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import Exchange, Weight, awake, neighbours
+from weldbend.fleet.anti_entropy import AntiEntropy, Weight, awake, neighbours
 from weldbend.fleet.conservative_merge import FAR_OFFSET, MOST_PURGES, Purges, held_state
-from weldbend.fleet.front_adapter import Bridge
-from weldbend.fleet.membership import LEAP, Membership, Sight, State
-from weldbend.fleet.message_authentication import BadKeys, BadSeal, Sealer, read_keys
+from weldbend.fleet.front_adapter import FleetAdapter
+from weldbend.fleet.membership import LEAP, Membership, Reachability, State
+from weldbend.fleet.message_authentication import (
+    AuthenticationError,
+    InvalidKeyFileError,
+    MessageAuthenticator,
+    read_keys,
+)
 from weldbend.fleet.outbox import Outbox
-from weldbend.fleet.replicated_store import RULES, Copies, Log
+from weldbend.fleet.replicated_store import RULES, Log, ReplicatedStore
 from weldbend.fleet.settings import Peer, Terms
 from weldbend.testbed.fleet import auditor as auditor
 from weldbend.testbed.fleet.fleet_model import Fleet, Setup
@@ -30,11 +35,11 @@
 
 
 def ends(keys=ONE, other=ONE):
-    return Sealer("f", "a", 10, keys), Sealer("f", "b", 20, other)
+    return MessageAuthenticator("f", "a", 10, keys), MessageAuthenticator("f", "b", 20, other)
 
 
 def cause(sealer, data, **held):
-    with pytest.raises(BadSeal) as wrong:
+    with pytest.raises(AuthenticationError) as wrong:
         sealer.open(data, **held)
     assert sealer.dropped[str(wrong.value)] >= 1
     return str(wrong.value)
@@ -53,15 +58,15 @@
     for place in range(len(data)):
         changed = bytearray(data)
         changed[place] ^= 1
-        with pytest.raises(BadSeal):
+        with pytest.raises(AuthenticationError):
             b.open(bytes(changed))
     assert b.open(data).body == b"hello", "what was tampered with took no number"
     a, b = ends()
     assert cause(a, a.seal("b", b"x")) == "reflected"
     assert cause(b, a.seal("c", b"x")) == "meant for another"
-    assert cause(b, Sealer("g", "a", 10, ONE).seal("b", b"x")) == "of another fleet"
-    assert cause(b, Sealer("f", "a", 10, TWO).seal("b", b"x")) == "unknown key"
-    assert cause(b, Sealer("f", "a", 10, {b"aaaa": b"3" * 32}).seal("b", b"x")) == "wrong MAC"
+    assert cause(b, MessageAuthenticator("g", "a", 10, ONE).seal("b", b"x")) == "of another fleet"
+    assert cause(b, MessageAuthenticator("f", "a", 10, TWO).seal("b", b"x")) == "unknown key"
+    assert cause(b, MessageAuthenticator("f", "a", 10, {b"aaaa": b"3" * 32}).seal("b", b"x")) == "wrong MAC"
     assert cause(b, a.seal("b", b"x", True)) == "of the other kind of path"
     assert cause(b, a.seal("b", b"x", True, b"one link"), link=True, session=b"another") == "wrong MAC"
     assert cause(b, b"\x01") == "too short"
@@ -92,7 +97,7 @@
 
 @pytest.mark.parametrize("text", ["", "zz", "61616161 " + "31" * 31, ("61616161 " + "31" * 32 + "\n") * 2])
 def test_a_bad_key_file_is_one_line(text):
-    with pytest.raises(BadKeys) as wrong:
+    with pytest.raises(InvalidKeyFileError) as wrong:
         read_keys(text)
     assert "\n" not in str(wrong.value)
 
@@ -103,20 +108,20 @@
     for read in (m.read_datagram, m.read_linked):
         try:
             read(data)
-        except m.BadBody:
+        except m.InvalidPeerMessageError:
             continue
 
 
 def test_lengths_are_bounded_before_decoding():
-    with pytest.raises(m.BadBody, match="too long"):
+    with pytest.raises(m.InvalidPeerMessageError, match="too long"):
         m.read_linked(bytes(3 << 20))
-    rumour = m.Rumour("x", 1, 0, 0, "y")
-    with pytest.raises(m.BadBody):
+    rumour = m.MemberUpdate("x", 1, 0, 0, "y")
+    with pytest.raises(m.InvalidPeerMessageError):
         m.read_datagram(m.encode(m.Probe(1, [rumour] * 30)))
-    op = m.Op("w", 1, 1, "purge", "k:1", [1], 0.0)
-    with pytest.raises(m.BadBody):
+    op = m.Operation("w", 1, 1, "purge", "k:1", [1], 0.0)
+    with pytest.raises(m.InvalidPeerMessageError):
         m.read_linked(m.encode(m.Delta([op] * 10_000)))
-    with pytest.raises(m.BadBody):
+    with pytest.raises(m.InvalidPeerMessageError):
         m.read_linked(msgspec.msgpack.encode([99, "a message of a newer version"]))
 
 
@@ -152,7 +157,7 @@
     pair = Pair(*"abcde")
     pair.run(12)
     assert {pair.state(x, y) for x in "abcde" for y in "abcde" if x != y} == {State.ALIVE}
-    assert {front.sight(pair.now) for front in pair.fronts.values()} == {Sight.CLEAR}
+    assert {front.sight(pair.now) for front in pair.fronts.values()} == {Reachability.CLEAR}
 
 
 def test_a_silent_front_is_suspected_then_dead_and_never_before_its_time():
@@ -180,7 +185,7 @@
     pair.lost = {(x, y) for x in "abcde" for y in "abcde" if "e" in (x, y)}
     pair.run(60)
     assert State.DEAD not in {pair.state("e", x) for x in "abcd"}
-    assert pair.fronts["e"].sight(pair.now) is Sight.ALONE
+    assert pair.fronts["e"].sight(pair.now) is Reachability.ALONE
     pair.lost = set()
     pair.run(90)
     assert {pair.state(x, "e") for x in "abcd"} == {State.ALIVE}
@@ -229,15 +234,17 @@
     pair.run(12)
     a = pair.fronts["a"]
     before = a.members["c"].rank()
-    a.rumour(pair.now, m.Rumour("c", 10**9, 0, int(State.DEAD), "b"))  # another start, by hearsay
-    a.rumour(pair.now, m.Rumour("c", 100, LEAP + 9, int(State.DEAD), "b"))  # a leap of its incarnation
-    a.rumour(pair.now, m.Rumour("nobody", 1, 0, int(State.ALIVE), "b"))
+    a.rumour(pair.now, m.MemberUpdate("c", 10**9, 0, int(State.DEAD), "b"))  # another start, by hearsay
+    a.rumour(pair.now, m.MemberUpdate("c", 100, LEAP + 9, int(State.DEAD), "b"))  # a leap of its incarnation
+    a.rumour(pair.now, m.MemberUpdate("nobody", 1, 0, int(State.ALIVE), "b"))
     assert a.members["c"].rank() == before
     a.overtaken(1 << 52, pair.now)
     assert a.epoch == 100
     for cause in ("leaps of an incarnation", "rumours of nobody", "leaps of an epoch"):
         assert a.counts[cause] == 1
-    a.rumour(pair.now, m.Rumour("c", 100, before[1], int(State.DEAD), "b"))  # within the format: it refutes
+    a.rumour(
+        pair.now, m.MemberUpdate("c", 100, before[1], int(State.DEAD), "b")
+    )  # within the format: it refutes
     pair.run(30)
     assert pair.state("a", "c") is State.ALIVE
 
@@ -262,7 +269,7 @@
         front = Membership("a", 1, Terms(), ["a", "b"], 1, 0.0)
         front.hear(0.0, "b", 5, m.Probe(1))
         for incarnation, state in order:
-            front.rumour(0.0, m.Rumour("b", 5, incarnation, state, "c"))
+            front.rumour(0.0, m.MemberUpdate("b", 5, incarnation, state, "c"))
         believed.add(front.members["b"].rank())
     assert len(believed) == 1
 
@@ -342,11 +349,11 @@
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 2), SAID), max_size=25), st.randoms(), st.integers(2, 30))
 def test_changes_in_any_order_lost_or_doubled_come_to_the_plain_model(said, rng, ops):
-    writers = [Copies(f"w{n}", 1, ops) for n in range(3)]
+    writers = [ReplicatedStore(f"w{n}", 1, ops) for n in range(3)]
     for who, (kind, key, value) in said:
         writers[who].say(1.0, kind, key, *value)
     told = [op for writer in writers for log in writer.logs.values() for op, _ in log.ops]
-    reader = Copies("r", 1, ops)
+    reader = ReplicatedStore("r", 1, ops)
     arriving = [op for op in told if rng.random() < 0.7] + [op for op in told if rng.random() < 0.3]
     rng.shuffle(arriving)
     for op in arriving:
@@ -394,13 +401,15 @@
 
 
 def test_a_peer_can_make_stricter_and_never_looser():
-    held = Copies("a", 1)
+    held = ReplicatedStore("a", 1)
     held.say(0.0, "drain", "x", 5, 1)
-    assert held.take(m.Op("b", 1, 1, "drain", "x", [4, 0], 0.0), 1.0) is None, "an older list"
+    assert held.take(m.Operation("b", 1, 1, "drain", "x", [4, 0], 0.0), 1.0) is None, "an older list"
     assert held.items["drain", "x"].value == (5, 1)
-    assert held.take(m.Op("b", 1, 2, "drain", "x", [5, 2], 0.0), 1.0).value == (5, 2)
-    assert held.take(m.Op("b", 1, 3, "purge", "nothing", [1], 0.0), 1.0) is None
-    assert held.take(m.Op("b", 1, 4, "evidence", "x|c", [1, 1, 1.0, 0.0], 0.0), 1.0) is None, "another's word"
+    assert held.take(m.Operation("b", 1, 2, "drain", "x", [5, 2], 0.0), 1.0).value == (5, 2)
+    assert held.take(m.Operation("b", 1, 3, "purge", "nothing", [1], 0.0), 1.0) is None
+    assert (
+        held.take(m.Operation("b", 1, 4, "evidence", "x|c", [1, 1, 1.0, 0.0], 0.0), 1.0) is None
+    ), "another's word"
     assert held.counts["changes that fit no rule"] == 2
     assert held.vector()["b/1"] == 4
 
@@ -410,12 +419,14 @@
 
 def test_a_snapshot_goes_on_with_another_donor_where_the_first_broke_off():
     terms = Terms(ops=16, rate=10_000_000)
-    donors = {name: Exchange(name, Copies(name, 1, 16), terms, 1, lambda _: None, 0.0) for name in "bc"}
+    donors = {
+        name: AntiEntropy(name, ReplicatedStore(name, 1, 16), terms, 1, lambda _: None, 0.0) for name in "bc"
+    }
     for n in range(700):
         for donor in donors.values():
-            donor.copies.take(m.Op("w", 1, n + 1, "purge", f"k:{n:04}", [n], 0.0), 0.0)
+            donor.copies.take(m.Operation("w", 1, n + 1, "purge", f"k:{n:04}", [n], 0.0), 0.0)
     changed = []
-    late = Exchange("a", Copies("a", 1, 16), terms, 2, changed.append, 0.0)
+    late = AntiEntropy("a", ReplicatedStore("a", 1, 16), terms, 2, changed.append, 0.0)
     for name, donor in donors.items():
         donor.complete(0.0)
         donor.up("a", 0.0)
@@ -424,7 +435,7 @@
     for name, donor in donors.items():
         donor.hear(0.1, "a", late.have(name, 0.1).body)
         asked += late.hear(0.1, name, donor.have("a", 0.1).body)
-    wanted = [say for say in asked if isinstance(say.body, m.Want)]
+    wanted = [say for say in asked if isinstance(say.body, m.SnapshotRequest)]
     assert len(wanted) == 1
     first = wanted[0].to
     (piece,) = donors[first].hear(0.2, "a", wanted[0].body)
@@ -438,7 +449,7 @@
         late.hear(now, again.to, say.body)
         now += 0.1
         says = donors[again.to].turn(now)
-        says = [say for say in says if isinstance(say.body, m.Piece)]
+        says = [say for say in says if isinstance(say.body, m.SnapshotChunk)]
     assert late.whole and len(late.copies.items) == len(changed) == 700
     assert late.copies.vector() == {"w/1": 700}
 
@@ -446,19 +457,21 @@
 def donors_and_late(ops=16, names="bc", **terms):
     """Some donors that have caught up, with 700 items, and one that lacks all of it."""
     held = Terms(ops=ops, **{"rate": 10_000_000, **terms})
-    donors = {name: Exchange(name, Copies(name, 1, ops), held, 1, lambda _: None, 0.0) for name in names}
+    donors = {
+        name: AntiEntropy(name, ReplicatedStore(name, 1, ops), held, 1, lambda _: None, 0.0) for name in names
+    }
     for donor in donors.values():
         for n in range(700):
-            donor.copies.take(m.Op("w", 1, n + 1, "purge", f"k:{n:04}", [n], 0.0), 0.0)
+            donor.copies.take(m.Operation("w", 1, n + 1, "purge", f"k:{n:04}", [n], 0.0), 0.0)
         donor.complete(0.0)
         donor.up("a", 0.0)
-    late = Exchange("a", Copies("a", 1, ops), held, 2, lambda _: None, 0.0)
+    late = AntiEntropy("a", ReplicatedStore("a", 1, ops), held, 2, lambda _: None, 0.0)
     asked = []
     for name, donor in donors.items():
         late.up(name, 0.0)
         donor.hear(0.1, "a", late.have(name, 0.1).body)
         asked += late.hear(0.1, name, donor.have("a", 0.1).body)
-    (want,) = [say for say in asked if isinstance(say.body, m.Want)]
+    (want,) = [say for say in asked if isinstance(say.body, m.SnapshotRequest)]
     return donors, late, want
 
 
@@ -468,11 +481,11 @@
     late.hear(0.3, want.to, piece.body)
     (again,) = late.down(want.to, 0.4)
     # only the second one has this change, and its key lies in what the first one sent
-    donors[again.to].copies.take(m.Op("w", 1, 701, "purge", "k:0000x", [9], 0.0), 0.4)
+    donors[again.to].copies.take(m.Operation("w", 1, 701, "purge", "k:0000x", [9], 0.0), 0.4)
     says = donors[again.to].hear(0.5, "a", again.body)
     while says:
         late.hear(0.6, again.to, says[0].body)
-        says = [say for say in donors[again.to].turn(0.6) if isinstance(say.body, m.Piece)]
+        says = [say for say in donors[again.to].turn(0.6) if isinstance(say.body, m.SnapshotChunk)]
     assert ("purge", "k:0000x") not in late.copies.items
     assert late.copies.vector() == {"w/1": 700}, "so that the next comparison finds it missing"
 
@@ -492,15 +505,15 @@
     while says:
         late.hear(now, want.to, says[0].body)
         now += 0.1
-        says = [say for say in donors[want.to].turn(now) if isinstance(say.body, m.Piece)]
+        says = [say for say in donors[want.to].turn(now) if isinstance(say.body, m.SnapshotChunk)]
     assert late.whole and len(late.copies.items) == 700 and late.counts["donors lost"] == 2
 
 
 def test_a_donor_that_falls_silent_is_left_for_another():
     _, late, want = donors_and_late()
     late.fetch.heard = 0.1
-    assert not any(isinstance(say.body, m.Want) for say in late.turn(2.0))
-    (again,) = [say for say in late.turn(2.2) if isinstance(say.body, m.Want)]
+    assert not any(isinstance(say.body, m.SnapshotRequest) for say in late.turn(2.0))
+    (again,) = [say for say in late.turn(2.2) if isinstance(say.body, m.SnapshotRequest)]
     assert again.to != want.to
     assert late.counts["donors that fell silent"] == 1
 
@@ -511,7 +524,7 @@
     sent, now = 0, 0.2
     says = donor.hear(now, "a", want.body)
     while donor.links["a"].serving is not None or says:
-        sent += sum(len(m.encode(say.body)) for say in says if isinstance(say.body, m.Piece))
+        sent += sum(len(m.encode(say.body)) for say in says if isinstance(say.body, m.SnapshotChunk))
         now += 0.05
         assert now < 20.0
         says = donor.turn(now)
@@ -521,7 +534,9 @@
 
 
 def test_a_comparison_that_lay_here_during_a_standstill_says_nothing():
-    fronts = {name: Exchange(name, Copies(name, 1), Terms(), 1, lambda _: None, 0.0) for name in "ab"}
+    fronts = {
+        name: AntiEntropy(name, ReplicatedStore(name, 1), Terms(), 1, lambda _: None, 0.0) for name in "ab"
+    }
     fronts["b"].complete(0.0)
     for one, other in ("ab", "ba"):
         fronts[one].up(other, 0.0)
@@ -539,7 +554,7 @@
 
 def test_a_standstill_is_noticed_before_anything_is_acted_on():
     members = Membership("a", 1, Terms(), "ab", 1, 0.0)
-    exchange = Exchange("a", Copies("a", 1), Terms(), 1, lambda _: None, 0.0)
+    exchange = AntiEntropy("a", ReplicatedStore("a", 1), Terms(), 1, lambda _: None, 0.0)
     exchange.complete(0.0)
     members.turn(0.1)
     assert awake(members, exchange, 0.2) == [] and exchange.whole
@@ -550,10 +565,10 @@
 
 def test_one_that_has_not_caught_up_gives_no_snapshot():
     terms = Terms()
-    held = Exchange("a", Copies("a", 1), terms, 1, lambda _: None, 0.0)
+    held = AntiEntropy("a", ReplicatedStore("a", 1), terms, 1, lambda _: None, 0.0)
     held.up("b", 0.0)
-    (say,) = held.hear(0.1, "b", m.Want(""))
-    assert isinstance(say.body, m.Refusal) and say.body.why == "not caught up"
+    (say,) = held.hear(0.1, "b", m.SnapshotRequest(""))
+    assert isinstance(say.body, m.SnapshotRefusal) and say.body.why == "not caught up"
 
 
 # Whole fleets from one integer.
@@ -631,17 +646,17 @@
     "the oldest purge holds": patch_join("purge", min),
     "two groups of a keyed download are one": patch_join("keyed", lambda a, b: b),
     "words of an earlier run are not joined": lambda mp: mp.setattr(
-        Copies, "take", only_the_newest_run(Copies.take)
+        ReplicatedStore, "take", only_the_newest_run(ReplicatedStore.take)
     ),
-    "a gap in the numbers is passed over": patch(Copies, "count", counted_at_once),
-    "what is missing is never sent": patch(Copies, "missing", lambda self, vector, now, most: []),
-    "a snapshot is counted and not loaded": patch(Copies, "load", lambda self, ops, now: []),
+    "a gap in the numbers is passed over": patch(ReplicatedStore, "count", counted_at_once),
+    "what is missing is never sent": patch(ReplicatedStore, "missing", lambda self, vector, now, most: []),
+    "a snapshot is counted and not loaded": patch(ReplicatedStore, "load", lambda self, ops, now: []),
     "an older epoch is taken for the newer": lambda mp: mp.setattr(
         Membership, "hear", hears_any_epoch(Membership.hear)
     ),
     "a rumour of one's own death is let stand": patch(Membership, "refute", lambda self, rumour: None),
     "an own epoch is never raised": patch(Membership, "overtaken", lambda self, epoch, now: None),
-    "one that caught up never says so": patch(Exchange, "complete", lambda self, now: None),
+    "one that caught up never says so": patch(AntiEntropy, "complete", lambda self, now: None),
 }
 
 
@@ -674,12 +689,12 @@
         self.stage = Stage()
         terms = Terms(keys=str(folder / "keys"), peers=(Peer("n2", "127.0.0.1", 7402),))
         door = self.stage.door
-        self.bridge = Bridge(door.loop, "n1", terms, self.stage.reactor, door.timers, 5)
+        self.bridge = FleetAdapter(door.loop, "n1", terms, self.stage.reactor, door.timers, 5)
         self.number = 0
 
     def peer(self, kind, key, *value, writer="n2"):
         self.number += 1
-        op = m.Op(writer, 9, self.number, kind, key, list(value), 0.0)
+        op = m.Operation(writer, 9, self.number, kind, key, list(value), 0.0)
         if change := self.bridge.fleet.copies.take(op, self.stage.door.clock.now()):
             self.bridge.changed(change)
         self.stage.turn()
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -5,9 +5,9 @@
 
 from weldbend.fleet import messages as m
 from weldbend.fleet.anti_entropy import Weight
-from weldbend.fleet.front_adapter import Bridge
+from weldbend.fleet.front_adapter import FleetAdapter
 from weldbend.fleet.membership import State
-from weldbend.fleet.peer_connections import LinkEnd, framed
+from weldbend.fleet.peer_connections import PeerConnection, framed
 from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
 from weldbend.testbed.simulation.auditor import Auditor
 
@@ -143,13 +143,13 @@
 
 
 def test_a_peer_that_answers_probes_and_reads_nothing_costs_the_others_nothing(monkeypatch):
-    heard = LinkEnd.dataReceived
+    heard = PeerConnection.dataReceived
 
     def deaf(self, data):
         if self.links.sealer.name != "n4" or not self.session:
             heard(self, data)
 
-    monkeypatch.setattr(LinkEnd, "dataReceived", deaf)
+    monkeypatch.setattr(PeerConnection, "dataReceived", deaf)
     made = run((3.0, purge_group), (4.0, drain("e1")), seconds=10.0)
     assert violations(made) == []
     for number in (1, 2, 3):
@@ -160,7 +160,7 @@
 
 
 def test_one_of_a_newer_version_is_left_alone_and_no_harm_to_the_others(monkeypatch):
-    hello = LinkEnd.hello
+    hello = PeerConnection.hello
 
     def newer(self):
         if self.links.sealer.name == "n4":
@@ -170,7 +170,7 @@
         else:
             hello(self)
 
-    monkeypatch.setattr(LinkEnd, "hello", newer)
+    monkeypatch.setattr(PeerConnection, "hello", newer)
     made = run((3.0, purge_group), seconds=8.0)
     assert violations(made) == []
     links = shared(made, 1).fleet.links
@@ -195,8 +195,8 @@
 
 
 SABOTAGE = {
-    "drains kept": lambda mp: mp.setattr(Bridge, "hold", lambda self, uid: None),
-    "purges kept": lambda mp: mp.setattr(Bridge, "purged", lambda self, change: None),
+    "drains kept": lambda mp: mp.setattr(FleetAdapter, "hold", lambda self, uid: None),
+    "purges kept": lambda mp: mp.setattr(FleetAdapter, "purged", lambda self, change: None),
 }
 
 
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from weldbend.testbed.faults.plan import BadPlan
+from weldbend.testbed.faults.plan import InvalidPlanError
 from weldbend.testbed.fleet.plan import plan
 from weldbend.testbed.fleet.plan_player import Player
 from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
@@ -70,7 +70,7 @@
     ],
 )
 def test_a_bad_plan_is_one_line_with_its_section_and_key(said, wrong):
-    with pytest.raises(BadPlan) as told:
+    with pytest.raises(InvalidPlanError) as told:
         plan({"strange": said})
     assert wrong in str(told.value) and "[strange]" in str(told.value) and "\n" not in str(told.value)
 
--- a/tests/test_installation.py
+++ b/tests/test_installation.py
@@ -7,11 +7,11 @@
 import pytest
 from fronts import configuration
 
-from weldbend.fleet.settings import Limited
+from weldbend.fleet.settings import LimitSettings
 from weldbend.fleet.settings import Terms as Fleet
 from weldbend.idle_connections.policy import Terms
 from weldbend.installation.keys import SECTIONS, shown
-from weldbend.installation.reader import BadInstallation, read_installation
+from weldbend.installation.reader import InstallationError, read_installation
 
 
 def written(tmp_path, text):
@@ -25,7 +25,7 @@
     assert (
         held.sections
         == read_installation(None).sections
-        == {"clients": Terms(), "fleet": Fleet(), "limits": Limited()}
+        == {"clients": Terms(), "fleet": Fleet(), "limits": LimitSettings()}
     )
     assert len(held.settings) == sum(len(section.keys) for section in SECTIONS.values())
 
@@ -66,7 +66,7 @@
     ],
 )
 def test_what_cannot_be_used_is_one_clear_line(tmp_path, text, told):
-    with pytest.raises(BadInstallation) as wrong:
+    with pytest.raises(InstallationError) as wrong:
         read_installation(written(tmp_path, text))
     assert told in str(wrong.value) and "\n" not in str(wrong.value)
 
@@ -118,6 +118,6 @@
 )
 def test_a_wrong_fleet_is_one_line(tmp_path, text, wrong):
     held = "" if "without" in wrong or "listen" in text else "listen = 127.0.0.1:7400\nkeys = k\n"
-    with pytest.raises(BadInstallation) as said:
+    with pytest.raises(InstallationError) as said:
         read_installation(written(tmp_path, f"[fleet]\n{held}{text}\n"))
     assert wrong in str(said.value) and "[fleet]" in str(said.value) and "\n" not in str(said.value)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -8,9 +8,9 @@
 from hypothesis import strategies as st
 
 from weldbend.fleet import health_reports, idempotency, popularity
-from weldbend.fleet.health_reports import Teller, Word, combined, weight
+from weldbend.fleet.health_reports import HealthReport, HealthReporter, combined, weight
 from weldbend.fleet.membership import Member, State
-from weldbend.fleet.popularity import Slots, Wishes
+from weldbend.fleet.popularity import PopularityCounts, PopularitySlots
 from weldbend.routing.events import (
     AttemptResult,
     ExecutedElsewhere,
@@ -101,7 +101,7 @@
 
 
 def words(*records, whole=(100.0, 0.0), **held):
-    return [Word(f"w{n}", held.get("near", True), held.get("age", 0.0), record, whole)
+    return [HealthReport(f"w{n}", held.get("near", True), held.get("age", 0.0), record, whole)
             for n, record in enumerate(records)]  # fmt: skip
 
 
@@ -125,13 +125,15 @@
     st.tuples(st.floats(0, 1e9), st.floats(0, 1e9)),
 )
 def test_whatever_is_claimed_evidence_is_bounded(told, whole):
-    found = [Word(f"w{n}", near, age, (good, bad), whole) for n, (good, bad, age, near) in enumerate(told)]
+    found = [
+        HealthReport(f"w{n}", near, age, (good, bad), whole) for n, (good, bad, age, near) in enumerate(told)
+    ]
     good, bad = combined(found)
     assert math.isfinite(good) and good + bad <= health_reports.MOST * max(len(found) - 1, 0) + 1e-6
 
 
 def test_a_front_speaks_of_what_ends_badly_and_says_when_it_is_well_again():
-    teller = Teller()
+    teller = HealthReporter()
     assert teller.words(0.0, {"e1": (9.0, 0.0)}) == []
     assert teller.words(1.0, {"e1": (9.0, 2.0), "e2": (5.0, 0.0)}) == [("e1", (9.0, 2.0)), ("*", (14.0, 2.0))]
     assert teller.words(2.0, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)}) == [], "no news"
@@ -161,14 +163,14 @@
 
 
 def test_a_slot_is_told_whole_and_counted_once_for_each_front():
-    slots = Slots()
+    slots = PopularitySlots()
     assert slots.turn(0.0) is None
     names = [popularity.hash_of("a", part) for part in range(50)]
     for name in names * 3:
         slots.asked(name)
     assert slots.turn(1.0) is None
     number, text = slots.turn(popularity.SLOT)
-    wishes = Wishes()
+    wishes = PopularityCounts()
     for item in ("1|n2", "1|n3", "1|n3"):
         wishes.take(item, text, 100.0)
     assert number == 1 and {wishes.of(name) for name in names} == {2}
@@ -181,13 +183,13 @@
 
 
 def test_slots_and_what_is_held_of_them_are_bounded(monkeypatch):
-    slots = Slots(begun=0.0)
+    slots = PopularitySlots(begun=0.0)
     for name in range(popularity.NAMES + 10):
         slots.asked(name)
     assert slots.left_out == 10
     _, text = slots.turn(5.0)
     assert len(text) <= 2048, "the codec's bound on one text"
-    wishes = Wishes()
+    wishes = PopularityCounts()
     for bad in ("not base85 \x01", popularity.packed(list(range(popularity.NAMES + 1))), text + "00"):
         wishes.take("1|n2", bad, 9.0)
     assert wishes.unread == 3 and wishes.names == 0
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol import commands
-from weldbend.testbed.emulator.cache_commands import BadCommand, Command, Parser, answer
+from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, answer
 from weldbend.testbed.emulator.cache_model import Box, World
 from weldbend.testbed.emulator.objects import Sizes, body, key_of
 from weldbend.testbed.load.generator import Plan
@@ -85,7 +85,7 @@
 def test_what_is_no_command_is_told(bad):
     ring = Ring(1 << 13)
     ring.write(bad)
-    with pytest.raises(BadCommand):
+    with pytest.raises(InvalidCommandError):
         Parser(ring).next()
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,18 +10,18 @@
 from hypothesis import strategies as st
 
 from weldbend.fleet import lease_policy
-from weldbend.fleet.demand_share import FLOOR, Need, part
-from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, Ledger, Loan, Times, owned
-from weldbend.fleet.lease_policy import Borrow, Demand, GiveBack, Turn, Use, rank
+from weldbend.fleet.demand_share import FLOOR, DemandEstimate, part
+from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, LeaseLedger, LeaseTimes, Loan, owned
+from weldbend.fleet.lease_policy import LeasePolicy, PlannedAcquire, PlannedRelease, Turn, Use, rank
 from weldbend.routing.measures import RandomSource
 from weldbend.testbed.fleet.lease_model import Model, Scope
 from weldbend.testbed.fleet.quota_experiment import LIMIT, Rates, Shape, drawn, search
 
-TIMES = Times(term=2.0, window=1.0, drift=0.01)
+TIMES = LeaseTimes(term=2.0, window=1.0, drift=0.01)
 
 
 def book(own=100, **held):
-    return Ledger(own, TIMES, 1, **held)
+    return LeaseLedger(own, TIMES, 1, **held)
 
 
 # One book.
@@ -125,23 +125,23 @@
     assert found.states > 30_000
 
 
-class IgnoresUse(Ledger):
+class IgnoresUse(LeaseLedger):
     def lend(self, now, to, parts, used):
         return super().lend(now, to, parts, 0)
 
 
-class NotQuiet(Ledger):
+class NotQuiet(LeaseLedger):
     def kept(self, now):
         self.quiet_until = 0
         return super().kept(now)
 
 
-class BackAtOnce(Ledger):
+class BackAtOnce(LeaseLedger):
     def given_back(self, now, by, unspent):
         super().given_back(now, by, True)
 
 
-class NeverEnds(Ledger):
+class NeverEnds(LeaseLedger):
     def borrowed(self, now):
         return sum(loan.parts for loan in self.came.values())
 
@@ -151,24 +151,24 @@
         self.came = came
 
 
-class CountsFromTheAnswer(Ledger):
+class CountsFromTheAnswer(LeaseLedger):
     def grant(self, now, lender, told):
         if told.epoch == self.epoch and told.parts:
             self.came[lender] = Loan(told.parts, now + self.times.short, told.number)
         return bool(told.parts)
 
 
-class TakesAnswersToAnotherRun(Ledger):
+class TakesAnswersToAnotherRun(LeaseLedger):
     def grant(self, now, lender, told):
         return super().grant(now, lender, replace(told, epoch=self.epoch))
 
 
-class KeepsWhatItLends(Ledger):
+class KeepsWhatItLends(LeaseLedger):
     def kept(self, now):
         return 0 if now < self.quiet_until else self.own
 
 
-class LendsOn(Ledger):
+class LendsOn(LeaseLedger):
     def lend(self, now, to, parts, used):
         own, self.own = self.own, self.own + self.borrowed(now)
         try:
@@ -177,14 +177,14 @@
             self.own = own
 
 
-class FreesTheRestAtOnce(Ledger):
+class FreesTheRestAtOnce(LeaseLedger):
     def lend(self, now, to, parts, used):
         told = super().lend(now, to, parts, used)
         self.out = {one: loan for one, loan in self.out.items() if one == to or not loan.over}
         return told
 
 
-class CountsNoWindow(Ledger):
+class CountsNoWindow(LeaseLedger):
     def lend(self, now, to, parts, used):
         told = super().lend(now, to, parts, used)
         if told.parts:
@@ -192,7 +192,7 @@
         return told
 
 
-class CountsNoDrift(Ledger):
+class CountsNoDrift(LeaseLedger):
     def grant(self, now, lender, told):
         asked = self.asked.get(lender)
         came = super().grant(now, lender, told)
@@ -202,9 +202,9 @@
 
 
 NOTHING = {"deaths": 0, "doubles": 0, "skips": 0, "backs": 0}
-EXACT = Times(term=3, window=1, drift=Fraction(0))
-WINDOWS = Times(term=2, window=2, drift=Fraction(0))
-APART = Times(term=6, window=3, drift=Fraction(1, 6))
+EXACT = LeaseTimes(term=3, window=1, drift=Fraction(0))
+WINDOWS = LeaseTimes(term=2, window=2, drift=Fraction(0))
+APART = LeaseTimes(term=6, window=3, drift=Fraction(1, 6))
 REFUTED = {
     IgnoresUse: Scope(asks=1, **NOTHING),
     NotQuiet: Scope(asks=1, **NOTHING | {"deaths": 1}),
@@ -236,7 +236,7 @@
 
 
 def wants(attempts, unit=10.0, name="a", owners=None):
-    held = Demand("limit", name, TIMES, owners or {"a": 100, "b": 100, "c": 100}, RandomSource(1))
+    held = LeasePolicy("limit", name, TIMES, owners or {"a": 100, "b": 100, "c": 100}, RandomSource(1))
     held.looked(0.0, Use(0.0, attempts * unit, unit))
     return held
 
@@ -249,7 +249,7 @@
 
 
 def test_a_hoarder_and_a_liar_get_no_more_than_lies_idle_and_no_longer_than_a_term():
-    owner, ledger = wants(8), Ledger(100, TIMES, 1)
+    owner, ledger = wants(8), LeaseLedger(100, TIMES, 1)
     got = ledger.lend(0.0, Borrower("liar", 1, 1), owner.lends("liar", PARTS, 100, 0.0, 1), 0.0).parts
     assert got <= 40 and ledger.kept(0.0) >= 60
     for look in range(20):  # now it needs all of it itself
@@ -267,9 +267,9 @@
 
 
 def test_it_asks_for_what_it_lacks_prolongs_what_it_needs_and_gives_back_the_rest():
-    held, ledger = wants(20), Ledger(100, TIMES, 1)
+    held, ledger = wants(20), LeaseLedger(100, TIMES, 1)
     plans = held.plans(0.1, ledger, ["b", "c"], NOW)
-    assert {type(plan) for plan in plans} == {Borrow} and sum(plan.parts for plan in plans) == 140
+    assert {type(plan) for plan in plans} == {PlannedAcquire} and sum(plan.parts for plan in plans) == 140
     for plan in plans:
         number = ledger.ask(0.1, plan.lender, plan.parts)
         ledger.grant(0.2, plan.lender, Granted(1, number, plan.parts))
@@ -278,17 +278,17 @@
     assert sorted(plan.lender for plan in held.plans(1.4, ledger, ["b", "c"], NOW)) == ["b", "c"], "prolonged"
     held.lasts = 1.4
     held.looked(1.5, Use(0.0, 50.0, 10.0))
-    assert {type(plan) for plan in held.plans(1.5, ledger, ["b", "c"], NOW)} == {GiveBack}
+    assert {type(plan) for plan in held.plans(1.5, ledger, ["b", "c"], NOW)} == {PlannedRelease}
 
 
 def test_less_than_a_pull_gathered_in_vain_is_given_back():
-    held, ledger = wants(1, unit=150.0), Ledger(100, TIMES, 1)
+    held, ledger = wants(1, unit=150.0), LeaseLedger(100, TIMES, 1)
     number = ledger.ask(0.0, "b", 20)
     ledger.grant(0.1, "b", Granted(1, number, 20))
     held.refused = {"b": 99.0, "c": 99.0}
     assert held.plans(0.2, ledger, ["b", "c"], NOW) == []
     held.looked(1.2, Use(0.0, 150.0, 150.0))
-    assert held.plans(0.2 + lease_policy.PATIENCE, ledger, ["b", "c"], NOW) == [GiveBack("b")]
+    assert held.plans(0.2 + lease_policy.PATIENCE, ledger, ["b", "c"], NOW) == [PlannedRelease("b")]
 
 
 # Many fronts, their network and clocks.
@@ -390,7 +390,7 @@
 
 
 def test_a_need_is_a_running_mean():
-    need = Need()
+    need = DemandEstimate()
     need.turn(0.0)
     for second in range(1, 12):
         for _ in range(10):
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -11,7 +11,7 @@
 from weldbend.idle_connections import policy
 from weldbend.idle_connections.connection_table import Memory, Table
 from weldbend.idle_connections.policy import Pace, Seen, Terms, Verdict
-from weldbend.idle_connections.timer_wheel import Wheel
+from weldbend.idle_connections.timer_wheel import TimerWheel
 from weldbend.invariants import anomalies
 
 LOOKED = 0.25  # seconds between two looks
@@ -74,7 +74,7 @@
 @given(st.lists(st.tuples(st.integers(0, 40), st.floats(0, 9), st.booleans()), max_size=120))
 def test_the_wheel_gives_what_is_due_and_nothing_else(steps):
     """Against a model, a dictionary of when each falls due: none is late by more than a bucket."""
-    wheel, model, now = Wheel(9.0, 0.5), {}, 0.0
+    wheel, model, now = TimerWheel(9.0, 0.5), {}, 0.0
     for slot, ahead, take in steps:
         if slot in model:
             assert slot in wheel and wheel.remove(slot)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,10 +10,10 @@
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol import answers
 from weldbend.event_bus import sse
-from weldbend.event_bus.events import BadEvent, Ban, Topology, read_event
+from weldbend.event_bus.events import Ban, InvalidEventError, Topology, read_event
 from weldbend.thrift import binary, framing, messages
-from weldbend.thrift.binary import BadMessage
-from weldbend.thrift.framing import BadFrame
+from weldbend.thrift.binary import InvalidMessageError
+from weldbend.thrift.framing import InvalidFrameError
 
 CALLS = process(1, b"abc", got="4be0c1927d55a6f3") + give_up(1) + probe(2) + process(3)
 ANSWERS = (
@@ -93,13 +93,13 @@
     ],
 )
 def test_no_answer(line):
-    with pytest.raises(answers.BadAnswer):
+    with pytest.raises(answers.InvalidAnswerError):
         read_answers([line])
 
 
 def test_no_frame_and_no_message():
     for length in (0, -1, 1 << 15 | 1, 2**31 - 1):
-        with pytest.raises(BadFrame):
+        with pytest.raises(InvalidFrameError):
             read_calls([struct.pack(">i", length)])
     good = process(1)[4:]
     wrong = {
@@ -109,7 +109,7 @@
         "a oneway that is cut": give_up(1)[4:-4],
     }
     for data in wrong.values():
-        with pytest.raises(BadMessage):
+        with pytest.raises(InvalidMessageError):
             messages.read_call(data)
 
 
@@ -138,17 +138,17 @@
         data = bytearray(process(1, b"abc")[4:])
         for _ in range(chance.randrange(1, 4)):
             data[chance.randrange(len(data))] = chance.randrange(256)
-        with suppress(BadMessage):
+        with suppress(InvalidMessageError):
             messages.read_call(bytes(data))
         line = bytearray(ANSWERS)
         line[chance.randrange(len(line))] = chance.randrange(256)
-        with suppress(answers.BadAnswer):
+        with suppress(answers.InvalidAnswerError):
             read_answers([bytes(line)])
 
 
 def test_stream_is_bounded():
     for data in (b"data: " + b"x" * 2000, b"data: xxxxxxxxxxxxxxxxxxxxxxxx\n" * 60):
-        with pytest.raises(sse.BadStream):
+        with pytest.raises(sse.InvalidStreamError):
             read_stream([data])
 
 
@@ -177,7 +177,7 @@
         '{"offset":1,"ban":{"ts":1}}',
         "[" * 9999,
     ):
-        with pytest.raises(BadEvent):
+        with pytest.raises(InvalidEventError):
             read_event(bad)
     violations = (
         {"endpoint": "127.0.0.1:99999"},
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -34,7 +34,7 @@
         self.role, self.weight, self.chance = role, weight, random.Random(seed)
         edges = 1 if role is Role.EDGE else 2
         self.floor, self.warm = (0.2, 10.0) if role is Role.EDGE else (0.1, 20.0)
-        self.facts = replace(
+        self.settings = replace(
             SITE, fronts=count, zone_fronts=count, hub_fronts=count, edge_overload_window=WINDOW
         )
         self.cold = replace(entry(11, role, "z" if role is Role.EDGE else "h"), weight=weight)
@@ -46,7 +46,7 @@
         self.routers = [self.start(0.0) for _ in range(count)]
 
     def start(self, now):
-        router = Router(self.chance.randrange(1 << 30), self.facts)
+        router = Router(self.chance.randrange(1 << 30), self.settings)
         cold = (
             replace(self.cold, started=STARTED)
             if now > STARTED
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -4,9 +4,9 @@
 from loguru import logger
 
 from weldbend.fleet import outlier_detection
-from weldbend.fleet.health_reports import Word
-from weldbend.fleet.outlier_detection import Court, Stand, cast_out, judged, started
-from weldbend.fleet.settings import Limited
+from weldbend.fleet.health_reports import HealthReport
+from weldbend.fleet.outlier_detection import EjectionState, OutlierDetector, cast_out, judged, started
+from weldbend.fleet.settings import LimitSettings
 from weldbend.testbed.fleet.simulated_fleet import QUICK, FleetRun, FleetSetup
 from weldbend.testbed.simulation.auditor import Auditor
 
@@ -15,7 +15,7 @@
 
 
 def words(whole=(50.0, 0.0), **records):
-    return [Word(name, True, 0.5, record, tuple(map(sum, zip(whole, record, strict=True))))
+    return [HealthReport(name, True, 0.5, record, tuple(map(sum, zip(whole, record, strict=True))))
             for name, record in records.items()]  # fmt: skip
 
 
@@ -42,7 +42,7 @@
 
 def test_what_is_bad_for_one_zone_is_that_zones_verdict():
     records = {"a": BAD, "b": BAD, "c": WELL, "d": WELL}
-    assert verdict("u", **records) == outlier_detection.Judged(True, ("a", "b"), "u")
+    assert verdict("u", **records) == outlier_detection.Accusation(True, ("a", "b"), "u")
     assert not verdict("l", **records).bad
     assert verdict("u", a=BAD, b=BAD, c=BAD, d=BAD).zone == ""
 
@@ -59,7 +59,7 @@
 
 
 def test_a_verdict_ends_one_tries_and_the_others_follow_by_a_ramp():
-    courts = {name: Court(name) for name in "abcd"}
+    courts = {name: OutlierDetector(name) for name in "abcd"}
 
     def turn(now, **said):
         return {
@@ -77,26 +77,26 @@
     assert set(ramp.values()) == {outlier_detection.FIRST}
     assert {round(part, 2) for part in turn(6.0).values()} == {0.55}
     assert set(turn(8.0).values()) == {1.0}
-    assert courts["a"].cases["e1"].stand is Stand.OPEN
+    assert courts["a"].cases["e1"].stand is EjectionState.OPEN
     turn(80.0)
     assert "e1" not in courts["a"].cases
 
 
 def test_a_relapse_makes_the_next_term_longer_and_a_failed_trial_is_one():
-    court = Court("a")
+    court = OutlierDetector("a")
     held(court, 0.0, e1=words(a=BAD, b=BAD))
     case, terms = court.cases["e1"], [2.0]
     for _ in range(7):
         held(court, now := case.until)
         for bad in (8.0, 11.0):
             held(court, now := now + 0.5, e1=words(**{trier_of("e1", case.round): (1.0, bad)}))
-        assert case.stand is Stand.SHUT
+        assert case.stand is EjectionState.SHUT
         terms.append(case.until - now)
     assert terms[:3] == [2.0, 3.0, 4.5] and terms[-1] == outlier_detection.SHUT_MOST
 
 
 def test_where_who_tries_says_nothing_another_one_does():
-    court = Court("a")
+    court = OutlierDetector("a")
     held(court, 0.0, e1=words(a=BAD, b=BAD))
     rounds = []
     for step in range(5):
@@ -107,10 +107,12 @@
 
 
 def test_no_more_than_a_third_of_a_kind_is_shut():
-    court = Court("a")
+    court = OutlierDetector("a")
     found = held(court, 0.0, **{uid: words(a=BAD, b=BAD) for uid in KINDS})
     assert len(found) == 2, "all failing at once is the site's trouble, not six caches'"
-    assert [change[:3] for change in court.said()] == [(u, Stand.OPEN, Stand.SHUT) for u in ("e1", "e2")]
+    assert [change[:3] for change in court.said()] == [
+        (u, EjectionState.OPEN, EjectionState.SHUT) for u in ("e1", "e2")
+    ]
 
 
 def test_a_client_is_cast_out_by_two_and_for_a_time():
@@ -161,7 +163,7 @@
         "edits": 0.0,
     }
     terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3,
-                            limits=Limited(verdicts=verdicts_on))  # fmt: skip
+                            limits=LimitSettings(verdicts=verdicts_on))  # fmt: skip
     made = FleetRun(seed, FleetSetup(**held | {"edges": 6, "terms": terms} | shape))
     made.failing = Failing(made)
     made.world.plan(4.0, lambda: made.failing.bad.add("e1"))
@@ -216,7 +218,7 @@
 
 
 def test_strict_rates_hold_for_the_whole_fleet_and_a_split():
-    limits = Limited(strict=(("photo", 30.0),), cold=False)
+    limits = LimitSettings(strict=(("photo", 30.0),), cold=False)
     terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3, limits=limits)
     shape = FleetSetup(
         faults=0, between=0, rate=60.0, seconds=20.0, calm=0.0, orders=0.0, edits=0.0, terms=terms
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -9,7 +9,7 @@
 from weldbend.caches.connection import CacheConnection, Lost
 from weldbend.clients.connection import Client
 from weldbend.front import request_codec
-from weldbend.front.dispatcher import Loop
+from weldbend.front.dispatcher import Dispatcher
 from weldbend.routing.events import AttemptResult, EndpointState
 from weldbend.routing.router import Gate
 from weldbend.testbed.simulation.run import Run, Setup
@@ -113,7 +113,7 @@
             else None
         )
 
-    patched(monkeypatch, Loop, "call_off", made)
+    patched(monkeypatch, Dispatcher, "call_off", made)
 
 
 def takes_draining_for_ready(monkeypatch):
@@ -125,7 +125,7 @@
 def does_not_hear_list_changes(monkeypatch):
     patched(
         monkeypatch,
-        Loop,
+        Dispatcher,
         "relist",
         lambda relist: lambda self, whole, to: relist(self, whole, to) if whole else None,
     )
@@ -136,7 +136,7 @@
 
 
 def does_not_believe_in_starts(monkeypatch):
-    from weldbend.event_bus.endpoint_names import Names
+    from weldbend.event_bus.endpoint_names import EndpointNames
 
     def made(entry):
         def never(self, target):
@@ -145,7 +145,7 @@
 
         return never
 
-    patched(monkeypatch, Names, "entry", made)
+    patched(monkeypatch, EndpointNames, "entry", made)
 
 
 def does_not_hear_purges(monkeypatch):
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -20,8 +20,8 @@
 from weldbend.event_bus import events, sse
 from weldbend.fleet import cli, messages
 from weldbend.fleet import message_authentication as seal
-from weldbend.fleet.admin_server import Control
-from weldbend.fleet.replicated_store import RULES, Copies
+from weldbend.fleet.admin_server import AdminServer
+from weldbend.fleet.replicated_store import RULES, ReplicatedStore
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.settings import Peer, Terms
 from weldbend.front.configuration import read_site
@@ -38,11 +38,22 @@
 
 CALLS = {"process": thrift.Process, "giveUp": thrift.GiveUp, "probe": thrift.Probe, "wrong": thrift.Wrong}
 BETWEEN_FRONTS = {
-    "probe": messages.Probe, "ack": messages.Ack, "ask": messages.Ask, "nack": messages.Nack,
-    "ahead": messages.Ahead, "leaving": messages.Leaving, "borrow": messages.Borrow,
-    "grant": messages.Grant, "back": messages.Back, "hello": messages.Hello, "have": messages.Have,
-    "delta": messages.Delta, "want": messages.Want, "piece": messages.Piece, "refusal": messages.Refusal,
-}  # fmt: skip
+    "probe": messages.Probe,
+    "ack": messages.Ack,
+    "ask": messages.Ask,
+    "nack": messages.Nack,
+    "ahead": messages.StaleEpoch,
+    "leaving": messages.Leaving,
+    "borrow": messages.AcquireLease,
+    "grant": messages.GrantLease,
+    "back": messages.ReleaseLease,
+    "hello": messages.Hello,
+    "have": messages.Summary,
+    "delta": messages.Delta,
+    "want": messages.SnapshotRequest,
+    "piece": messages.SnapshotChunk,
+    "refusal": messages.SnapshotRefusal,
+}
 ON_LINKS = ("hello", "have", "delta", "want", "piece", "refusal")
 ON_THE_BUS = {"list": events.Topology, "purge": events.Ban}
 
@@ -171,10 +182,12 @@
 def test_a_sealed_message_has_its_recorded_bytes_and_is_opened_as_it_was(case):
     fleet, sender, to, epoch, number, link = case["header"]
     body, session = bytes.fromhex(case["body"]), bytes.fromhex(case["session"])
-    sealer = seal.Sealer(fleet, sender, epoch, seal.read_keys(KEYS))
+    sealer = seal.MessageAuthenticator(fleet, sender, epoch, seal.read_keys(KEYS))
     sealer.number = number - 1
     assert sealer.seal(to, body, link, session).hex() == case["hex"]
-    opened = seal.Sealer(fleet, to, 1, seal.read_keys(KEYS)).open(bytes.fromhex(case["hex"]), link, session)
+    opened = seal.MessageAuthenticator(fleet, to, 1, seal.read_keys(KEYS)).open(
+        bytes.fromhex(case["hex"]), link, session
+    )
     assert plain(opened.header) == case["header"]
     assert opened.body == body
 
@@ -183,7 +196,7 @@
 def test_a_recorded_item_is_taken_and_passed_on_as_it_was(case):
     (op,) = messages.read_linked(bytes.fromhex(case["hex"])).ops
     assert plain(op) == case["values"]
-    copies = Copies("n9", 5)
+    copies = ReplicatedStore("n9", 5)
     assert plain(copies.take(op, 100.0)) == case["change"]
     assert messages.encode(messages.Delta(copies.missing({}, 100.0, 10))).hex() == case["hex"]
     ((ops, _, last),) = copies.pieces("", 100.0, 10)
@@ -220,7 +233,7 @@
     for case in recorded("items.json"):
         for op in messages.read_linked(bytes.fromhex(case["hex"])).ops:
             fleet.copies.take(op, 100.0)
-    return Control(fleet, {})
+    return AdminServer(fleet, {})
 
 
 def test_questions_at_the_control_port_get_their_recorded_answers(tmp_path):
@@ -264,4 +277,4 @@
     case = recorded("configuration.json")
     held = read_site((ROOT / case["file"]).read_text("utf-8"))
     found = [held.name, held.host, held.port, held.seed, held.bus, held.offset, held.known, held.roles]
-    assert plain([*found, held.bounds, held.facts]) == case["values"]
+    assert plain([*found, held.bounds, held.settings]) == case["values"]
--- a/weldbend/cache_protocol/answers.py
+++ b/weldbend/cache_protocol/answers.py
@@ -9,7 +9,7 @@
 WORDS = frozenset(("DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST", "FIT", "UNFIT"))
 
 
-class BadAnswer(Exception):
+class InvalidAnswerError(Exception):
     """Bytes that are no answer."""
 
 
@@ -24,7 +24,7 @@
 def read_fields(text: str) -> dict[str, str]:
     pairs = () if text == "-" else [pair.partition("=") for pair in text.split(",")]
     if any(not equals or not name for name, equals, _ in pairs):
-        raise BadAnswer(f"fields {text[:80]!r}")
+        raise InvalidAnswerError(f"fields {text[:80]!r}")
     return {name: value for name, _, value in pairs}
 
 
@@ -45,7 +45,7 @@
             return None
         body = self.ring.read(self.length)
         if self.ring.read(2) != b"\r\n":
-            raise BadAnswer("a body that does not end where it should")
+            raise InvalidAnswerError("a body that does not end where it should")
         name, word, fields = self.line
         self.line = None
         return Answer(name, word, read_fields(fields), body)
@@ -54,7 +54,7 @@
         end = self.ring.find(b"\r\n", max(self.seen - 1, 0), LONGEST_LINE)
         if end < 0:
             if len(self.ring) >= LONGEST_LINE:
-                raise BadAnswer("a line too long")
+                raise InvalidAnswerError("a line too long")
             self.seen = len(self.ring)
             return False
         raw = self.ring.read(end)
@@ -63,8 +63,8 @@
         try:
             name, word, fields, length = raw.decode("ascii").split(" ")
         except ValueError:
-            raise BadAnswer(f"line {raw[:80]!r}") from None
+            raise InvalidAnswerError(f"line {raw[:80]!r}") from None
         if word not in WORDS or not length.isdigit() or len(length) > 6 or int(length) > LONGEST_BODY:
-            raise BadAnswer(f"line {raw[:80]!r}")
+            raise InvalidAnswerError(f"line {raw[:80]!r}")
         self.line, self.length = (name, word, fields), int(length)
         return True
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -12,7 +12,7 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol import answers, commands
-from weldbend.cache_protocol.answers import Answer, BadAnswer, Parser
+from weldbend.cache_protocol.answers import Answer, InvalidAnswerError, Parser
 from weldbend.invariants import anomalies, check_invariant
 
 CHUNK = 1 << 16  # the most that one read of a socket brings
@@ -181,7 +181,7 @@
         try:
             while not self.resting and (answer := self.parser.next()):
                 self.answered(answer)
-        except BadAnswer:  # nothing that follows can be trusted
+        except InvalidAnswerError:  # nothing that follows can be trusted
             self.spoilt("garbage from a cache")
         if self.incoming and not (self.watched or self.lost or self.dropped or self.resting):
             self.watch()
@@ -283,7 +283,7 @@
         try:
             while answer := self.parser.next():
                 self.answered(answer)
-        except BadAnswer:
+        except InvalidAnswerError:
             anomalies["garbage from a cache"] += 1
 
     def end(self, how: Lost) -> None:
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -8,7 +8,7 @@
 import click
 
 from weldbend import __version__, logs
-from weldbend.front.configuration import BadSite, Site, read_site
+from weldbend.front.configuration import ConfigurationError, Site, read_site
 
 if TYPE_CHECKING:
     from weldbend.installation.reader import Installation
@@ -16,12 +16,12 @@
 
 def installed(path: str | None) -> "Installation":
     """What an installation file sets; raises BadSite. Imported only where it is asked for: see README."""
-    from weldbend.installation.reader import BadInstallation, read_installation
+    from weldbend.installation.reader import InstallationError, read_installation
 
     try:
         return read_installation(path)
-    except BadInstallation as wrong:
-        raise BadSite(f"installation {wrong}") from None
+    except InstallationError as wrong:
+        raise ConfigurationError(f"installation {wrong}") from None
 
 
 def read(path: str | None, installation: str | None = None) -> Site:
@@ -32,17 +32,19 @@
         terms, fleet = sections["clients"], replace(sections["fleet"], limits=sections["limits"])
         site = replace(site, terms=terms, clients=min(terms.most or site.clients, site.clients))
         if fleet.listen:
-            from weldbend.fleet.service import BadFleet, keys_of
+            from weldbend.fleet.service import FleetConfigurationError, keys_of
 
             try:
                 keys_of(fleet.keys)
-            except BadFleet as wrong:
-                raise BadSite(f"installation {installation}: [fleet] {wrong}") from None
+            except FleetConfigurationError as wrong:
+                raise ConfigurationError(f"installation {installation}: [fleet] {wrong}") from None
             strange = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)} - set(
-                site.facts.classes
+                site.settings.classes
             )
             if strange:
-                raise BadSite(f"installation {installation}: [limits] no content type {sorted(strange)[0]!r}")
+                raise ConfigurationError(
+                    f"installation {installation}: [limits] no content type {sorted(strange)[0]!r}"
+                )
             site = replace(site, fleet=fleet)
     return site
 
@@ -55,7 +57,7 @@
         return read(path, installation)
     except (OSError, UnicodeDecodeError) as wrong:
         raise click.ClickException(f"configuration cannot be read: {wrong}") from None
-    except BadSite as wrong:
+    except ConfigurationError as wrong:
         raise click.ClickException(str(wrong)) from None
 
 
@@ -120,8 +122,10 @@
 def check(config: str | None, installation: str | None) -> None:
     """Read configuration and installation file, and say what a front would make of them."""
     site = load(config, installation)
-    kinds = ", ".join(site.facts.classes)
-    click.echo(f"front {site.name} on {site.host}:{site.port}, zone {site.facts.zone}, hub {site.facts.hub}")
+    kinds = ", ".join(site.settings.classes)
+    click.echo(
+        f"front {site.name} on {site.host}:{site.port}, zone {site.settings.zone}, hub {site.settings.hub}"
+    )
     click.echo(f"content types {kinds}; bus {site.bus} after event {site.offset}")
     click.echo(f"connections: {site.clients} of clients, {site.bounds.descriptors} to caches at most")
     for setting in installed(installation).settings:
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -23,8 +23,8 @@
 from weldbend.idle_connections.policy import Seen
 from weldbend.invariants import anomalies, check_invariant
 from weldbend.thrift import messages
-from weldbend.thrift.binary import BadMessage
-from weldbend.thrift.framing import BadFrame, next_frame, small_frame
+from weldbend.thrift.binary import InvalidMessageError
+from weldbend.thrift.framing import InvalidFrameError, next_frame, small_frame
 
 CHUNK = 1 << 16  # the most that one read of a socket brings
 LONGEST_FRAME = 48_000 + (1 << 14)  # the longest body, and what comes with it
@@ -152,7 +152,7 @@
                 self.called(messages.read_call(data))
             if not self.ended:
                 self.look_ahead()
-        except (BadFrame, BadMessage):
+        except (InvalidFrameError, InvalidMessageError):
             self.cast_out("clients that break the protocol")
         finally:
             self.reading = False
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -17,7 +17,7 @@
 from weldbend.idle_connections import policy
 from weldbend.idle_connections.connection_table import Memory
 from weldbend.idle_connections.epoll_set import Descriptors, Hangups
-from weldbend.idle_connections.idle_pool import Lot, Rim
+from weldbend.idle_connections.idle_pool import EpollSet, IdlePool
 from weldbend.idle_connections.policy import Terms, Verdict
 from weldbend.invariants import anomalies
 
@@ -37,13 +37,13 @@
     """Keeps the clients' connections, at most so many; those beyond wait in the kernel's queue."""
 
     noisy = False
-    rim: Callable[[Any], Rim] = Descriptors
+    rim: Callable[[Any], EpollSet] = Descriptors
 
     def __init__(self, taker: Taker, most: int, terms: Terms) -> None:
         self.taker, self.most, self.terms = taker, most, terms
         self.clients: dict[Client, None] = {}  # those that are live, in the order in which they came
         self.looks: deque[tuple[float, Client]] = deque()  # when each is looked at, the next first
-        self.lot: Lot | None = None
+        self.lot: IdlePool | None = None
         self.port: Any = None
         self.resting = False
         self.hangups: Hangups | None = None
@@ -57,7 +57,7 @@
 
     def listen(self, reactor: Any, host: str, port: int) -> None:
         rim = self.rim(reactor)
-        self.lot = Lot(reactor, rim, self.terms, self.taker.now, self.woken, self.rest)
+        self.lot = IdlePool(reactor, rim, self.terms, self.taker.now, self.woken, self.rest)
         self.hangups = Hangups(reactor)
         self.port = reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
         self.watch()
--- a/weldbend/event_bus/endpoint_names.py
+++ b/weldbend/event_bus/endpoint_names.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Names:
+class EndpointNames:
     """The same name gives the same number at every front, and after a restart: the hash goes by numbers."""
 
     clock: Clock
--- a/weldbend/event_bus/events.py
+++ b/weldbend/event_bus/events.py
@@ -14,7 +14,7 @@
 UID = re.compile(r"[\w.:/-]{1,64}", re.ASCII)  # it is passed on as a word of the caches' lines
 
 
-class BadEvent(Exception):
+class InvalidEventError(Exception):
     """Something that is no event of the bus."""
 
 
@@ -57,7 +57,7 @@
     try:
         return event(json.loads(text))
     except (ValueError, RecursionError):
-        raise BadEvent(f"no JSON: {text[:80]!r}") from None
+        raise InvalidEventError(f"no JSON: {text[:80]!r}") from None
 
 
 def event(raw: Any) -> Numbered:
@@ -70,14 +70,14 @@
         held = raw["ban"]
         key = held.get("url")
         if key is not None and not isinstance(key, str):
-            raise BadEvent(f"ban of {key!r}")
+            raise InvalidEventError(f"ban of {key!r}")
         if not 0 <= held["ts"] < LATEST:
-            raise BadEvent(f"ban at {held['ts']!r}")
+            raise InvalidEventError(f"ban at {held['ts']!r}")
         return Numbered(
             offset, Ban(key, int(held.get("tag", 0)) if key else int(held["tag"]), held["ts"] / 1000)
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as wrong:
-        raise BadEvent(f"{type(wrong).__name__} {wrong} in {str(raw)[:80]!r}") from None
+        raise InvalidEventError(f"{type(wrong).__name__} {wrong} in {str(raw)[:80]!r}") from None
 
 
 def targets(raw: list[Any]) -> Iterator[Target]:
@@ -115,4 +115,4 @@
     try:
         return [event(item) for item in raw["batch"]]
     except (KeyError, TypeError) as wrong:
-        raise BadEvent(f"known: {wrong}") from None
+        raise InvalidEventError(f"known: {wrong}") from None
--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -16,8 +16,8 @@
 from twisted.web.iweb import IAgentEndpointFactory
 from zope.interface import implementer
 
-from weldbend.event_bus.events import BadEvent, Numbered, read_event
-from weldbend.event_bus.sse import BadStream, Parser
+from weldbend.event_bus.events import InvalidEventError, Numbered, read_event
+from weldbend.event_bus.sse import InvalidStreamError, Parser
 
 SHORTEST, LONGEST = 0.05, 0.5  # seconds before asking again
 SILENCE = 1.8  # a comment comes each second: after so long without a byte the bus is lost
@@ -68,7 +68,7 @@
         try:
             for message in self.parser.feed(data):
                 self.reader.message(message.id, message.data)
-        except BadStream as wrong:
+        except InvalidStreamError as wrong:
             self.end(str(wrong))
 
     def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
@@ -169,7 +169,7 @@
         """One event; what is no event is passed over, what was seen before too."""
         try:
             numbered = read_event(data)
-        except BadEvent as wrong:
+        except InvalidEventError as wrong:
             logger.warning("bus: event {} passed over: {}", number[:20], wrong)
             if number.isascii() and number.isdigit() and len(number) < 19:
                 self.last = max(self.last, int(number))
--- a/weldbend/event_bus/sse.py
+++ b/weldbend/event_bus/sse.py
@@ -8,7 +8,7 @@
 LONGEST = 1 << 20  # bytes of one line, and of one event's data
 
 
-class BadStream(Exception):
+class InvalidStreamError(Exception):
     """A stream that cannot be read on."""
 
 
@@ -37,7 +37,7 @@
     def line(self) -> bytes | None:
         end = self.ring.find(b"\n", self.seen, len(self.ring))
         if max(end, len(self.ring) if end < 0 else 0) > self.bound:
-            raise BadStream("a line too long")
+            raise InvalidStreamError("a line too long")
         if end < 0:
             self.seen = len(self.ring)
             return None
@@ -58,6 +58,6 @@
         elif name == "data":
             self.length += len(line)
             if self.length > self.bound:
-                raise BadStream("an event too long")
+                raise InvalidStreamError("an event too long")
             self.data.append(value)
         return None
--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -22,7 +22,7 @@
     delimiter = b"\n"
     MAX_LENGTH = 4096
 
-    def __init__(self, control: "Control") -> None:
+    def __init__(self, control: "AdminServer") -> None:
         self.control = control
 
     def connectionMade(self) -> None:
@@ -42,7 +42,7 @@
         self.sendLine(json.dumps(answer).encode())
 
 
-class Control(ServerFactory):
+class AdminServer(ServerFactory):
     noisy = False
 
     def __init__(self, fleet: Fleet, more: Mapping[str, Callable[[dict[str, Any]], Any]]) -> None:
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -16,7 +16,7 @@
 
 from weldbend.fleet import messages as m
 from weldbend.fleet.membership import Membership, Send
-from weldbend.fleet.replicated_store import RULES, Change, Copies, run_of
+from weldbend.fleet.replicated_store import RULES, Change, ReplicatedStore, run_of
 from weldbend.fleet.settings import Terms
 from weldbend.routing.measures import RandomSource
 
@@ -92,13 +92,13 @@
     floor: dict[str, int] | None = None  # what all its donors held when each began
 
 
-class Exchange:
+class AntiEntropy:
     """Hand it what comes, and `turn(now)` when `due()` comes; carry out what both give back."""
 
     def __init__(
         self,
         name: str,
-        copies: Copies,
+        copies: ReplicatedStore,
         terms: Terms,
         seed: int,
         changed: Callable[[Change], None],
@@ -138,7 +138,7 @@
         link = self.links[peer]
         link.sent += 1
         digest = self.copies.digest(now, margin)
-        body = m.Have(self.copies.vector(), digest, self.whole, link.sent, link.got)
+        body = m.Summary(self.copies.vector(), digest, self.whole, link.sent, link.got)
         return Say(peer, body, Weight.COMPARISON)
 
     # This front's own changes.
@@ -151,7 +151,7 @@
             return []
         return self.spread([log.ops[-1][0]], "")
 
-    def spread(self, ops: list[m.Op], but: str) -> list[Say]:
+    def spread(self, ops: list[m.Operation], but: str) -> list[Say]:
         if not ops:
             return []
         weight = (
@@ -167,25 +167,25 @@
         if link is None:
             return []
         match body:
-            case m.Have():
+            case m.Summary():
                 return self.compare(link, body, now)
             case m.Delta(ops):
                 return self.take(link, ops, now)
-            case m.Want(after):
+            case m.SnapshotRequest(after):
                 if not self.whole:
-                    return [Say(peer, m.Refusal("not caught up"), Weight.SNAPSHOT)]
+                    return [Say(peer, m.SnapshotRefusal("not caught up"), Weight.SNAPSHOT)]
                 if sum(one.serving is not None for one in self.links.values()) >= 2 and link.serving is None:
-                    return [Say(peer, m.Refusal("busy"), Weight.SNAPSHOT)]
+                    return [Say(peer, m.SnapshotRefusal("busy"), Weight.SNAPSHOT)]
                 link.serving, link.begun = after, False
                 self.counts["snapshots asked for"] += not after
                 return self.serve(link, now)
-            case m.Piece():
+            case m.SnapshotChunk():
                 return self.piece(link, body, now)
-            case m.Refusal(why):
+            case m.SnapshotRefusal(why):
                 return self.refusal(link, why, now)
         return []
 
-    def take(self, link: Link, ops: list[m.Op], now: float) -> list[Say]:
+    def take(self, link: Link, ops: list[m.Operation], now: float) -> list[Say]:
         news = []
         for op in ops:
             run = run_of(op.writer, op.epoch)
@@ -204,7 +204,7 @@
                 news.append(op)
         return self.spread(news, link.peer)
 
-    def compare(self, link: Link, told: m.Have, now: float) -> list[Say]:
+    def compare(self, link: Link, told: m.Summary, now: float) -> list[Say]:
         first, link.got = link.compared == -math.inf, told.number
         if told.seen < link.asked:  # it may have lain here while this process stood still
             return [self.have(link.peer, now)] if first and self.reply(link, now) else []
@@ -258,7 +258,7 @@
         self.whole, self.fetch = True, None
         self.counts["caught up"] += 1
 
-    def deltas(self, link: Link, ops: list[m.Op], now: float) -> list[Say]:
+    def deltas(self, link: Link, ops: list[m.Operation], now: float) -> list[Say]:
         """As much as its rate allows; what is left over the next comparison finds."""
         out = []
         body = m.Delta(ops)
@@ -293,7 +293,7 @@
         donor = but if but in fit else fit[int(self.chance.random() * len(fit))]
         had = self.fetch if self.fetch and after else Fetch(donor)
         self.fetch = Fetch(donor, after, now, had.floor)
-        return [Say(donor, m.Want(after), Weight.SNAPSHOT)]
+        return [Say(donor, m.SnapshotRequest(after), Weight.SNAPSHOT)]
 
     def serve(self, link: Link, now: float) -> list[Say]:
         """The next piece for one that asked, if its rate allows it now."""
@@ -301,13 +301,13 @@
             return []
         ops, after, last = next(self.copies.pieces(link.serving, now, BATCH))
         # what is changed meanwhile comes as changes: the snapshot amounts to what was held when it began
-        body = m.Piece(ops, after, last, {} if link.begun else self.copies.vector())
+        body = m.SnapshotChunk(ops, after, last, {} if link.begun else self.copies.vector())
         if not self.pay(link, len(m.encode(body)), now):
             return []
         link.serving, link.begun = None if last else after, True
         return [Say(link.peer, body, Weight.SNAPSHOT)]
 
-    def piece(self, link: Link, body: m.Piece, now: float) -> list[Say]:
+    def piece(self, link: Link, body: m.SnapshotChunk, now: float) -> list[Say]:
         if self.fetch is None or self.fetch.donor != link.peer:
             self.counts["pieces not asked for"] += 1
             return []
@@ -361,7 +361,7 @@
         return out
 
 
-def awake(members: Membership, exchange: Exchange, now: float) -> list[Send]:
+def awake(members: Membership, exchange: AntiEntropy, now: float) -> list[Send]:
     """Called before anything that comes is acted on: a process that stood still finds out first.
 
     Guards against acting on what was known before, and on what lay in the sockets meanwhile. Harm: one
--- a/weldbend/fleet/demand_share.py
+++ b/weldbend/fleet/demand_share.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(slots=True)
-class Need:
+class DemandEstimate:
     """How much this front has to do, a second: a running mean, so that parts do not leap."""
 
     mean: float = 0.0
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -17,13 +17,13 @@
 from weldbend.event_bus.endpoint_names import STATES as ENDPOINT_STATES
 from weldbend.event_bus.events import Ban, Numbered, Topology
 from weldbend.fleet import health_reports, idempotency, popularity
-from weldbend.fleet.admin_server import Control
+from weldbend.fleet.admin_server import AdminServer
 from weldbend.fleet.conservative_merge import STATES, Purges, held_state
-from weldbend.fleet.health_reports import Teller, Word
-from weldbend.fleet.popularity import Slots, Wishes
-from weldbend.fleet.quota_service import Sharing
+from weldbend.fleet.health_reports import HealthReport, HealthReporter
+from weldbend.fleet.popularity import PopularityCounts, PopularitySlots
+from weldbend.fleet.quota_service import QuotaService
 from weldbend.fleet.replicated_store import RULES, Change
-from weldbend.fleet.service import BadFleet, Fleet
+from weldbend.fleet.service import Fleet, FleetConfigurationError
 from weldbend.fleet.settings import Terms
 from weldbend.routing.events import (
     ExecutedElsewhere,
@@ -40,7 +40,7 @@
 TICK = 1.0  # seconds between two looks at what to say of caches and wishes, and at what others say
 
 
-class Bridge:
+class FleetAdapter:
     """Made by a front that has a fleet; `loop` is its loop round the decisions."""
 
     def __init__(self, loop: Any, name: str, terms: Terms, reactor: Any, timers: Any, offset: int) -> None:
@@ -53,14 +53,21 @@
         self.held = (-math.inf, 0)  # since when, at most, decisions wait after a standstill; hearings by then
         self.fresh = math.inf  # until when, once the bus or a peer was heard: for what came with it
         self.counts: Counter[str] = Counter()
-        self.purges, self.teller, self.slots, self.wishes = Purges(), Teller(), Slots(), Wishes()
+        self.purges, self.teller, self.slots, self.wishes = (
+            Purges(),
+            HealthReporter(),
+            PopularitySlots(),
+            PopularityCounts(),
+        )
         self.number = 0  # of what this run says in its own words
         self.doubted: dict[int, tuple[float, float]] = {}  # the evidence that the decisions hold
-        deduped = [t for t in loop.site.facts.classes.values() if t.idempotency is Idempotency.DEDUPLICATED]
+        deduped = [
+            t for t in loop.site.settings.classes.values() if t.idempotency is Idempotency.DEDUPLICATED
+        ]
         self.doubt = idempotency.Doubt(max((t.deduplication_window for t in deduped), default=0.0))
         loop.peers = self
-        self.sharing = Sharing(loop, self.fleet, RandomSource(int.from_bytes(clock.drawn(4), "big")))
-        self.control = Control(self.fleet, self.sharing.questions())
+        self.sharing = QuotaService(loop, self.fleet, RandomSource(int.from_bytes(clock.drawn(4), "big")))
+        self.control = AdminServer(self.fleet, self.sharing.questions())
 
     def start(self, known: list[Numbered]) -> None:
         self.fleet.start()
@@ -79,7 +86,7 @@
         try:
             self.fleet.reload(terms)
             self.sharing.renamed()
-        except BadFleet as wrong:
+        except FleetConfigurationError as wrong:
             logger.error("fleet: new installation not taken, the old one stays: {}", wrong)
 
     # What the front's own bus told, after the loop heard it.
@@ -104,7 +111,7 @@
 
     def asked(self, type: str, key: str, part: int, repeat: bool) -> int:
         """A client's wish, counted here; how often other fronts of the zone had it lately."""
-        if self.loop.site.facts.classes[type].origin_only or not self.fleet.terms.popularity:
+        if self.loop.site.settings.classes[type].origin_only or not self.fleet.terms.popularity:
             return 0
         name = popularity.hash_of(key, part)
         if not repeat:
@@ -126,7 +133,7 @@
 
     def ran(self, type: str, once: str, repeat: bool) -> tuple[PossibleExecution, ...]:
         """Earlier pulls of a deduped download, at any front, that may have run."""
-        kind, now = self.loop.site.facts.classes[type], self.timers.now()
+        kind, now = self.loop.site.settings.classes[type], self.timers.now()
         if kind.idempotency is not Idempotency.DEDUPLICATED:
             return ()
         item = self.fleet.copies.items.get(("keyed", once))
@@ -151,7 +158,7 @@
 
     def sent(self, type: str, once: str, cache: int) -> None:
         """A pull of a deduped download goes out: others are told before its bytes leave."""
-        kind, held = self.loop.site.facts.classes[type], self.loop.router.caches.get(cache)
+        kind, held = self.loop.site.settings.classes[type], self.loop.router.caches.get(cache)
         if kind.idempotency is Idempotency.DEDUPLICATED and held:
             group = idempotency.group_of(kind.deduplication_scope, held.zone, held.cell)
             self.fleet.say("keyed", once, group, int(self.loop.clock.unix() * 1000))
@@ -242,7 +249,7 @@
         self.weigh(words)
         self.sharing.tick(now, self.with_own(now, words))
 
-    def say_evidence(self, now: float, words: dict[str, list[Word]]) -> None:
+    def say_evidence(self, now: float, words: dict[str, list[HealthReport]]) -> None:
         uids, record = self.loop.names.uids, self.loop.router.record(now)
         mine = {uids[n]: r for n, r in record.items() if n in uids}
         for uid, held in self.teller.words(now, mine, words):
@@ -251,7 +258,7 @@
                 "evidence", f"{uid}|{self.fleet.name}", self.fleet.copies.epoch, self.number, *held
             )
 
-    def words(self, now: float) -> dict[str, list[Word]]:
+    def words(self, now: float) -> dict[str, list[HealthReport]]:
         """What other members say of each cache now."""
         said: dict[str, dict[str, tuple[float, tuple[float, float]]]] = defaultdict(dict)
         for (kind, key), item in self.fleet.copies.items.items():
@@ -263,14 +270,14 @@
         whole = {writer: record for writer, (_, record) in said.pop(health_reports.ALL, {}).items()}
         return {
             uid: [
-                Word(writer, near[writer], age, record, whole.get(writer, record))
+                HealthReport(writer, near[writer], age, record, whole.get(writer, record))
                 for writer, (age, record) in sorted(words.items())
                 if writer in near
             ]
             for uid, words in said.items()
         }
 
-    def with_own(self, now: float, words: dict[str, list[Word]]) -> dict[str, list[Word]]:
+    def with_own(self, now: float, words: dict[str, list[HealthReport]]) -> dict[str, list[HealthReport]]:
         """The same with what this front has to say itself: a verdict goes by the words of all."""
         uids, record = self.loop.names.uids, self.loop.router.record(now)
         whole = sum(good for good, _ in record.values()), sum(bad for _, bad in record.values())
@@ -278,10 +285,10 @@
         for number, held in record.items():
             uid = uids.get(number)
             if uid and (uid in words or held[1]):
-                found[uid] = [*words.get(uid, ()), Word(self.fleet.name, True, 0.0, held, whole)]
+                found[uid] = [*words.get(uid, ()), HealthReport(self.fleet.name, True, 0.0, held, whole)]
         return found
 
-    def weigh(self, words: dict[str, list[Word]]) -> None:
+    def weigh(self, words: dict[str, list[HealthReport]]) -> None:
         """Tell the decisions what others' evidence on each cache amounts to, where that has changed."""
         numbers = self.loop.names.numbers
         found = {numbers[uid]: health_reports.combined(said) for uid, said in words.items() if uid in numbers}
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class Teller:
+class HealthReporter:
     """What this front says of its own pulls."""
 
     said: dict[str, tuple[float, Record]] = field(default_factory=dict)  # of each cache: when, and what
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class HealthReport:
     """What one front says of one cache, and of all together; `age` in seconds."""
 
     writer: str
@@ -72,20 +72,20 @@
     whole: Record
 
 
-def credit(word: Word) -> float:
+def credit(word: HealthReport) -> float:
     """From 0 to 1: how well its writer does with everybody else; one whose own line is bad does not."""
     good, bad = (max(a - b, 0.0) for a, b in zip(word.whole, word.record, strict=True))
     return ((good + 1) / (good + bad + 1)) ** 2
 
 
-def weight(word: Word) -> float:
+def weight(word: HealthReport) -> float:
     """From 0 to 1: how far a word counts."""
     fresh = max(1 - word.age / SPAN, 0.0)
     total = sum(word.record)
     return credit(word) * fresh * (1.0 if word.near else ABROAD) * min(1.0, MOST / total if total else 1.0)
 
 
-def combined(words: Iterable[Word]) -> Record:
+def combined(words: Iterable[HealthReport]) -> Record:
     """Answers that all words about one cache amount to, the heaviest accuser left out."""
     weighed = [(w * word.record[1], w * word.record[0]) for word in words if (w := weight(word))]
     weighed.sort(reverse=True)
--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class LeaseTimes:
     """Seconds. `drift` is the share by which any steady clock may run too fast or too slow."""
 
     term: float = 1.0  # of a loan
@@ -100,7 +100,7 @@
     spare: int = 0
 
 
-class Ledger:
+class LeaseLedger:
     """One front's book. `used` is always what it has spent in the last window, in parts, by its own clock.
 
     From each lender there is one loan at most, and one asking. An asking is for all that is wanted from that
@@ -109,7 +109,7 @@
 
     __slots__ = ("asked", "came", "epoch", "number", "out", "own", "quiet_until", "times")
 
-    def __init__(self, own: int, times: Times, epoch: int, quiet_until: float = 0.0) -> None:
+    def __init__(self, own: int, times: LeaseTimes, epoch: int, quiet_until: float = 0.0) -> None:
         self.own, self.times, self.epoch, self.quiet_until = own, times, epoch, quiet_until
         self.number = 0
         self.out: dict[Borrower, Loan] = {}
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from weldbend.fleet.lease_ledger import PARTS, Asking, Ledger, Times
+from weldbend.fleet.lease_ledger import PARTS, Asking, LeaseLedger, LeaseTimes
 from weldbend.routing.measures import RandomSource
 
 FAN, MOST_FAN = 4, 64  # lenders asked at a time; and where a whole pull is still to be gathered
@@ -45,7 +45,7 @@
     since: float
 
 
-def turn_at(unix: float, times: Times) -> Turn:
+def turn_at(unix: float, times: LeaseTimes) -> Turn:
     """In one turn shares are gathered, used, and have come back."""
     lasts = 2 * times.term + times.window
     number = int(unix / lasts)
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Borrow:
+class PlannedAcquire:
     """Ask that lender for so many in all."""
 
     lender: str
@@ -61,20 +61,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class GiveBack:
+class PlannedRelease:
     lender: str
 
 
-Plan = Borrow | GiveBack
+Plan = PlannedAcquire | PlannedRelease
 
 
 @dataclass
-class Demand:
+class LeasePolicy:
     """One front's choices about one limit. `owners` says how many parts each member owns."""
 
     limit: str
     name: str
-    times: Times
+    times: LeaseTimes
     owners: Mapping[str, int]
     chance: RandomSource
     unit: float = 1.0  # parts that one pull takes
@@ -180,7 +180,7 @@
         if not (more or spare):
             self.refused[lender] = now + self.times.term / 2
 
-    def plans(self, now: float, book: Ledger, alive: Iterable[str], turn: Turn) -> list[Plan]:
+    def plans(self, now: float, book: LeaseLedger, alive: Iterable[str], turn: Turn) -> list[Plan]:
         """What to ask for, prolong and give back now; `alive` are members that may answer."""
         held = book.held(now)
         surplus = held - self.wanted()
@@ -192,7 +192,7 @@
             return [*found, *later.values()]
         whole = held >= self.attempt
         if not whole and (not self.gathers(turn, alive) or self.in_vain(now)):
-            return [GiveBack(lender) for lender in book.came]
+            return [PlannedRelease(lender) for lender in book.came]
         if whole or now >= self.rests:
             for more in self.borrow(now, book, -surplus - self.awaited(now, book), alive, turn):
                 later[more.lender] = more
@@ -212,22 +212,22 @@
         waits = max(before - PARTS // self.attempt + 1, 0) * STEP
         return waits <= turn.since < self.times.term + self.times.window
 
-    def surplus(self, book: Ledger, surplus: int) -> Iterable[GiveBack]:
+    def surplus(self, book: LeaseLedger, surplus: int) -> Iterable[PlannedRelease]:
         """Whole loans that are not needed any more, the smallest first."""
         for lender, loan in sorted(book.came.items(), key=lambda one: one[1].parts):
             if loan.parts > surplus:
                 return
             surplus -= loan.parts
-            yield GiveBack(lender)
+            yield PlannedRelease(lender)
 
-    def prolong(self, now: float, book: Ledger) -> Iterable[Borrow]:
+    def prolong(self, now: float, book: LeaseLedger) -> Iterable[PlannedAcquire]:
         """Loans that are needed on, in the second half of their term; each asked for once in a while."""
         for lender, loan in book.came.items():
             waits = lender in book.asked and self.fresh(book.asked[lender], now)
             if loan.end - now < self.times.term / 2 and not waits and self.need > 0:
-                yield Borrow(lender, loan.parts)
+                yield PlannedAcquire(lender, loan.parts)
 
-    def awaited(self, now: float, book: Ledger) -> int:
+    def awaited(self, now: float, book: LeaseLedger) -> int:
         """What may come of what was asked for, beyond what is held already."""
         came = {lender: loan.parts for lender, loan in book.came.items()}
         return sum(
@@ -250,8 +250,8 @@
         return True
 
     def borrow(
-        self, now: float, book: Ledger, short: int, alive: Iterable[str], turn: Turn
-    ) -> Iterable[Borrow]:
+        self, now: float, book: LeaseLedger, short: int, alive: Iterable[str], turn: Turn
+    ) -> Iterable[PlannedAcquire]:
         """Ask some that may have something to spare: those that said so first, the others by chance.
 
         Who gathers a whole pull asks those first that come next in this turn: they then leave it to this one.
@@ -281,7 +281,7 @@
             parts = min(parts, self.owners[lender] - before, short)
             if parts <= 0:
                 continue
-            yield Borrow(lender, before + parts)
+            yield PlannedAcquire(lender, before + parts)
             short -= parts
             if short <= 0:
                 return
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -11,8 +11,8 @@
 from typing import Any, Protocol
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, Ledger, Times, owned
-from weldbend.fleet.lease_policy import Borrow, Demand, Use, turn_at
+from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, LeaseLedger, LeaseTimes, owned
+from weldbend.fleet.lease_policy import LeasePolicy, PlannedAcquire, Use, turn_at
 from weldbend.fleet.membership import Send
 from weldbend.routing.measures import RandomSource
 
@@ -41,14 +41,14 @@
     limit: str
     names: tuple[str, ...]
     attempts: float
-    ledger: Ledger
-    demand: Demand
+    ledger: LeaseLedger
+    demand: LeasePolicy
     spender: Spender
     told: tuple[int, int, float] = (-1, -1, 0.0)  # what the spender holds
     again: dict[int, int] = field(default_factory=dict)  # how often an asking was said again
 
 
-class Limits:
+class LeaseService:
     """`opens` is asked for a limit that somebody else spends from and this front does not yet.
 
     By the Unix clock (`unix`) goes whose turn it is, and nothing that must hold.
@@ -73,7 +73,13 @@
     # Opening and closing.
 
     def open(
-        self, limit: str, names: Iterable[str], attempts: float, times: Times, spender: Spender, now: float
+        self,
+        limit: str,
+        names: Iterable[str],
+        attempts: float,
+        times: LeaseTimes,
+        spender: Spender,
+        now: float,
     ) -> Book | None:
         """Spend from it from now on; the same one where it is open. None beyond the bound on limits.
 
@@ -85,8 +91,8 @@
             self.counts["limits over the bound"] += 1
             return None
         owners = owned(limit, names, attempts)
-        book = Ledger(self.own(owners), times, self.epoch, self.quiet_until)
-        demand = Demand(limit, self.name, times, owners, self.chance)
+        book = LeaseLedger(self.own(owners), times, self.epoch, self.quiet_until)
+        demand = LeasePolicy(limit, self.name, times, owners, self.chance)
         held = self.books[limit] = Book(limit, tuple(sorted(owners)), attempts, book, demand, spender)
         self.tell(held, now)
         return held
@@ -117,17 +123,17 @@
 
     def hear(self, now: float, sender: str, epoch: int, body: m.Shared) -> list[Send]:
         """A message of a member, in the run that is known of it."""
-        if body.limit not in self.books and isinstance(body, m.Borrow):
+        if body.limit not in self.books and isinstance(body, m.AcquireLease):
             self.opens(body.limit)
         book = self.books.get(body.limit)
         if book is None or sender not in book.names:
             self.counts["of no limit here"] += 1
-            refused = isinstance(body, m.Borrow)
-            return [Send(sender, m.Grant(body.limit, epoch, body.number, 0))] if refused else []
+            refused = isinstance(body, m.AcquireLease)
+            return [Send(sender, m.GrantLease(body.limit, epoch, body.number, 0))] if refused else []
         match body:
-            case m.Borrow(_, number, parts):
+            case m.AcquireLease(_, number, parts):
                 return [Send(sender, self.lend(now, book, Borrower(sender, epoch, number), parts))]
-            case m.Grant(_, asked, number, parts, spare):
+            case m.GrantLease(_, asked, number, parts, spare):
                 before = book.ledger.came.get(sender)
                 came = book.ledger.grant(now, sender, Granted(asked, number, parts, spare))
                 if asked == self.epoch:
@@ -135,12 +141,12 @@
                     book.demand.answered(now, sender, spare, more)
                 self.counts["loans had"] += came
                 self.tell(book, now)
-            case m.Back(_, number, unspent):
+            case m.ReleaseLease(_, number, unspent):
                 book.ledger.given_back(now, Borrower(sender, epoch, number), unspent)
                 self.counts["loans back early"] += 1
         return []
 
-    def lend(self, now: float, book: Book, to: Borrower, parts: int) -> m.Grant:
+    def lend(self, now: float, book: Book, to: Borrower, parts: int) -> m.GrantLease:
         use, turn = book.spender.use(now), turn_at(self.unix(), book.ledger.times).number
         book.demand.looked(now, use)
         had = book.ledger.had(now, to.name, to.epoch)
@@ -150,7 +156,7 @@
         self.counts["loans given"] += told.parts > 0
         self.tell(book, now)  # before the answer leaves
         spare = book.demand.lends(to.name, PARTS, book.ledger.kept(now), use.used, turn)
-        return m.Grant(book.limit, told.epoch, told.number, told.parts, spare)
+        return m.GrantLease(book.limit, told.epoch, told.number, told.parts, spare)
 
     # Time.
 
@@ -187,20 +193,20 @@
             if times < len(AGAIN) and now - one.at >= AGAIN[times]:
                 book.again[one.number] = times + 1
                 self.counts["askings said again"] += 1
-                found.append(Send(lender, m.Borrow(book.limit, one.number, one.parts)))
+                found.append(Send(lender, m.AcquireLease(book.limit, one.number, one.parts)))
         return found
 
     def carry(self, now: float, book: Book, plan: Any, said: int) -> list[Send]:
-        if not isinstance(plan, Borrow):
+        if not isinstance(plan, PlannedAcquire):
             number = book.ledger.give_back(now, plan.lender)
             self.tell(book, now)  # nothing of it is spent once that is said
             unspent = not book.spender.use(now).used
-            return [Send(plan.lender, m.Back(book.limit, number, unspent))] if number else []
+            return [Send(plan.lender, m.ReleaseLease(book.limit, number, unspent))] if number else []
         if said >= MOST_SAID:
             return []
         number = book.ledger.ask(now, plan.lender, plan.parts)
         self.counts["askings"] += 1
-        return [Send(plan.lender, m.Borrow(book.limit, number, plan.parts))]
+        return [Send(plan.lender, m.AcquireLease(book.limit, number, plan.parts))]
 
     def tell(self, book: Book, now: float) -> None:
         """Have the spender hold what the book holds, where that has changed."""
@@ -232,7 +238,7 @@
 class Rate:
     """A limit of so many downloads in a window: spends at the door."""
 
-    def __init__(self, most: float, times: Times) -> None:
+    def __init__(self, most: float, times: LeaseTimes) -> None:
         self.most, self.window = most, times.span
         self.taken: deque[float] = deque()
         self.came: deque[float] = deque(maxlen=4096)  # all that asked, lately
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -41,7 +41,7 @@
     LEFT = 3
 
 
-class Sight(IntEnum):
+class Reachability(IntEnum):
     """How much a front's view is worth, by its own judgement."""
 
     CLEAR = 0
@@ -107,7 +107,7 @@
     """What a front believed at a time; never a bare yes or no."""
 
     at: float
-    sight: Sight
+    sight: Reachability
     health: int  # 0 is well, up to SICKEST
     contested: bool  # another process runs under this front's name
     members: tuple[Seen, ...]
@@ -167,19 +167,23 @@
         )
         return View(now, self.sight(now), self.health, self.contested, lines)
 
-    def sight(self, now: float) -> Sight:
+    def sight(self, now: float) -> Reachability:
         """Guards against judging others by a front's own trouble.
 
         Should cover a lost line, a standstill of this machine and a start. Harm: where all others have died
         at once, the last one goes on calling them suspected.
         """
         if not self.members:
-            return Sight.CLEAR
+            return Reachability.CLEAR
         if now - max(max(o.heard for o in self.members.values()), self.started) > self.terms.alone:
-            return Sight.ALONE
+            return Reachability.ALONE
         since = [o for o in self.members.values() if o.heard >= self.started]
         dead = sum(o.state >= State.DEAD for o in self.members.values() if o not in since)
-        return Sight.CLEAR if 2 * (len(since) + dead) >= len(self.members) and since else Sight.WAKING
+        return (
+            Reachability.CLEAR
+            if 2 * (len(since) + dead) >= len(self.members) and since
+            else Reachability.WAKING
+        )
 
     # Time.
 
@@ -197,7 +201,7 @@
                 out += self.ask_others(trial)
             if now >= trial.over_at:
                 self.end(trial, now)
-        if self.sight(now) is not Sight.ALONE:
+        if self.sight(now) is not Reachability.ALONE:
             self.judge(now)
         else:
             for member in self.members.values():
@@ -324,7 +328,7 @@
             return []
         if epoch < member.epoch:
             self.counts["of an older run"] += 1
-            return [Send(sender, m.Ahead(member.epoch))]
+            return [Send(sender, m.StaleEpoch(member.epoch))]
         if epoch > member.epoch:
             self.believe(member, epoch, 0, State.ALIVE, now, "a new start")
             member.voices = set()
@@ -347,14 +351,14 @@
             case m.Nack(number):
                 if (trial := self.trials.get(number)) and trial.nacks:
                     trial.nacks -= 1
-            case m.Ahead(ahead):
+            case m.StaleEpoch(ahead):
                 self.overtaken(ahead, now)
             case m.Leaving(rumours):
                 self.learn(now, rumours)
                 self.believe(member, epoch, member.incarnation, State.LEFT, now, "left")
         return out
 
-    def vouched(self, helper: Member, number: int, rumours: Iterable[m.Rumour], now: float) -> None:
+    def vouched(self, helper: Member, number: int, rumours: Iterable[m.MemberUpdate], now: float) -> None:
         """A helper that was asked has just heard the one we cannot reach: its start is taken from there.
 
         Guards against a path that never worked between two fronts which others reach. Harm: a helper that
@@ -416,11 +420,11 @@
             self.contested = True
             self.changes.append((self.name, State.ALIVE, State.LEFT, "another process runs under this name"))
 
-    def learn(self, now: float, rumours: Iterable[m.Rumour]) -> None:
+    def learn(self, now: float, rumours: Iterable[m.MemberUpdate]) -> None:
         for rumour in rumours:
             self.rumour(now, rumour)
 
-    def rumour(self, now: float, rumour: m.Rumour) -> None:
+    def rumour(self, now: float, rumour: m.MemberUpdate) -> None:
         if rumour.name == self.name:
             self.refute(rumour)
             return
@@ -450,7 +454,7 @@
         elif told > member.rank():
             self.believe(member, rumour.epoch, rumour.incarnation, state, now, f"told by {rumour.by}")
 
-    def refute(self, rumour: m.Rumour) -> None:
+    def refute(self, rumour: m.MemberUpdate) -> None:
         """Somebody holds this front for suspect or dead: say that it is not, louder than they did."""
         if rumour.epoch != self.epoch or rumour.state == State.ALIVE or self.leaving:
             return
@@ -478,10 +482,10 @@
             member.voices = set()
         self.rumours[member.name] = 0
 
-    def gossip(self, to: Member) -> list[m.Rumour]:
+    def gossip(self, to: Member) -> list[m.MemberUpdate]:
         """Rumours to pass on, the least told first; what concerns the listener itself goes before all."""
         most = self.terms.repeats(len(self.members) + 1)
-        told: list[m.Rumour] = []
+        told: list[m.MemberUpdate] = []
         if to.state >= State.SUSPECT and to.epoch:
             told.append(self.word(to))
         for name, times in sorted(self.rumours.items(), key=lambda held: held[1])[:PIGGYBACK]:
@@ -495,16 +499,16 @@
             told.append(self.own())  # one's own word costs little, and ends many a suspicion
         return told
 
-    def own(self) -> m.Rumour:
-        return m.Rumour(self.name, self.epoch, self.incarnation, int(State.ALIVE), self.name)
+    def own(self) -> m.MemberUpdate:
+        return m.MemberUpdate(self.name, self.epoch, self.incarnation, int(State.ALIVE), self.name)
 
-    def word(self, member: Member) -> m.Rumour:
+    def word(self, member: Member) -> m.MemberUpdate:
         by = (
             self.name
             if member.state is not State.SUSPECT or self.name in member.voices
             else min(member.voices)
         )
-        return m.Rumour(member.name, member.epoch, member.incarnation, int(member.state), by)
+        return m.MemberUpdate(member.name, member.epoch, member.incarnation, int(member.state), by)
 
     def leave(self) -> list[Send]:
         """This front stops in an orderly way."""
--- a/weldbend/fleet/message_authentication.py
+++ b/weldbend/fleet/message_authentication.py
@@ -33,11 +33,11 @@
 MOST_RUNS = 4  # runs of one name whose numbers are remembered
 
 
-class BadSeal(ValueError):
+class AuthenticationError(ValueError):
     """A message that is dropped; the text is the cause it is counted under."""
 
 
-class BadKeys(ValueError):
+class InvalidKeyFileError(ValueError):
     """A key file that cannot be used, in one line."""
 
 
@@ -51,7 +51,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opened:
+class AuthenticatedMessage:
     header: Header
     body: bytes
 
@@ -72,17 +72,17 @@
         if not line:
             continue
         if not (found := KEY_LINE.fullmatch(line)):
-            raise BadKeys(f"line {number}: not an id of 8 and a secret of 64 hex digits")
+            raise InvalidKeyFileError(f"line {number}: not an id of 8 and a secret of 64 hex digits")
         name = bytes.fromhex(found[1])
         if name in keys:
-            raise BadKeys(f"line {number}: key {found[1]} stands there twice")
+            raise InvalidKeyFileError(f"line {number}: key {found[1]} stands there twice")
         keys[name] = bytes.fromhex(found[2])
     if not 1 <= len(keys) <= 8:
-        raise BadKeys(f"{len(keys)} keys, not 1 to 8")
+        raise InvalidKeyFileError(f"{len(keys)} keys, not 1 to 8")
     return keys
 
 
-class Numbers:
+class ReplayWindow:
     """The numbers of one run that have come: each once, and none below the window (as RFC 4303, 3.4.3)."""
 
     __slots__ = ("bits", "highest")
@@ -102,14 +102,14 @@
         return True
 
 
-class Sealer:
+class MessageAuthenticator:
     """Seals what this run of a front says, and opens what is said to it."""
 
     def __init__(self, fleet: str, name: str, epoch: int, keys: Mapping[bytes, bytes]) -> None:
         self.fleet, self.name, self.epoch = fleet, name, epoch
         self.keys = dict(keys)
         self.number = 0
-        self.seen: dict[tuple[str, bool], dict[int, Numbers]] = {}
+        self.seen: dict[tuple[str, bool], dict[int, ReplayWindow]] = {}
         self.dropped: Counter[str] = Counter()
 
     def rekey(self, keys: Mapping[bytes, bytes]) -> None:
@@ -123,45 +123,45 @@
         rest = len(header).to_bytes(2, "big") + header + body
         return bytes((VERSION,)) + key + mac(secret, key, rest, session) + rest
 
-    def open(self, data: bytes, link: bool = False, session: bytes = b"") -> Opened:
+    def open(self, data: bytes, link: bool = False, session: bytes = b"") -> AuthenticatedMessage:
         """What a message holds; raises BadSeal, and counts the cause."""
         try:
             return self.opened(data, link, session)
-        except BadSeal as wrong:
+        except AuthenticationError as wrong:
             self.dropped[str(wrong)] += 1
             raise
 
-    def opened(self, data: bytes, link: bool, session: bytes) -> Opened:
+    def opened(self, data: bytes, link: bool, session: bytes) -> AuthenticatedMessage:
         if len(data) < HEAD:
-            raise BadSeal("too short")
+            raise AuthenticationError("too short")
         if len(data) > LONGEST:
-            raise BadSeal("too long")
+            raise AuthenticationError("too long")
         if data[0] != VERSION:
-            raise BadSeal("another version of the seal")
+            raise AuthenticationError("another version of the seal")
         key, told, rest = data[1:5], data[5 : 5 + MAC], data[5 + MAC :]
         secret = self.keys.get(key)
         if secret is None:
-            raise BadSeal("unknown key")
+            raise AuthenticationError("unknown key")
         if not hmac.compare_digest(told, mac(secret, key, rest, session)):
-            raise BadSeal("wrong MAC")
+            raise AuthenticationError("wrong MAC")
         length = int.from_bytes(rest[:2], "big")
         try:
             header = _decoder.decode(rest[2 : 2 + length])
         except (msgspec.DecodeError, msgspec.ValidationError):
-            raise BadSeal("unreadable header") from None
+            raise AuthenticationError("unreadable header") from None
         if header.fleet != self.fleet:
-            raise BadSeal("of another fleet")
+            raise AuthenticationError("of another fleet")
         if header.sender == self.name and header.epoch == self.epoch:
-            raise BadSeal("reflected")
+            raise AuthenticationError("reflected")
         if header.to != self.name:
-            raise BadSeal("meant for another")
+            raise AuthenticationError("meant for another")
         if header.link is not link:
-            raise BadSeal("of the other kind of path")
+            raise AuthenticationError("of the other kind of path")
         if not self.numbers(header).fresh(header.number):
-            raise BadSeal("replayed")
-        return Opened(header, rest[2 + length :])
+            raise AuthenticationError("replayed")
+        return AuthenticatedMessage(header, rest[2 + length :])
 
-    def numbers(self, header: Header) -> Numbers:
+    def numbers(self, header: Header) -> ReplayWindow:
         """What has come of this run; of each name only the runs heard last are remembered.
 
         An older run than all of them is refused: its numbers would be new here, and it could be played back.
@@ -169,8 +169,8 @@
         runs = self.seen.setdefault((header.sender, header.link), {})
         if header.epoch not in runs:
             if runs and header.epoch < min(runs) and len(runs) >= MOST_RUNS:
-                raise BadSeal("of a run long gone")
-            runs[header.epoch] = Numbers()
+                raise AuthenticationError("of a run long gone")
+            runs[header.epoch] = ReplayWindow()
             if len(runs) > MOST_RUNS:
                 del runs[min(runs)]
         return runs[header.epoch]
--- a/weldbend/fleet/messages.py
+++ b/weldbend/fleet/messages.py
@@ -27,7 +27,7 @@
     pass
 
 
-class Rumour(msgspec.Struct, frozen=True, array_like=True):
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What somebody believes of a member. `state` is one of members.State by its number."""
 
     name: Name
@@ -37,17 +37,17 @@
     by: Name  # who first said so: voices are counted by it
 
 
-Rumours = Annotated[list[Rumour], Meta(max_length=MOST_RUMOURS)]
+MemberUpdates = Annotated[list[MemberUpdate], Meta(max_length=MOST_RUMOURS)]
 
 
 class Probe(Body, tag=1, frozen=True, array_like=True):
     number: Count
-    rumours: Rumours = []
+    rumours: MemberUpdates = []
 
 
 class Ack(Body, tag=2, frozen=True, array_like=True):
     number: Count
-    rumours: Rumours = []
+    rumours: MemberUpdates = []
 
 
 class Ask(Body, tag=3, frozen=True, array_like=True):
@@ -55,7 +55,7 @@
 
     number: Count
     target: Name
-    rumours: Rumours = []
+    rumours: MemberUpdates = []
 
 
 class Nack(Body, tag=4, frozen=True, array_like=True):
@@ -64,7 +64,7 @@
     number: Count
 
 
-class Ahead(Body, tag=5, frozen=True, array_like=True):
+class StaleEpoch(Body, tag=5, frozen=True, array_like=True):
     """You say an epoch that your name has passed already."""
 
     epoch: Count
@@ -73,7 +73,7 @@
 class Leaving(Body, tag=6, frozen=True, array_like=True):
     """I stop in an orderly way."""
 
-    rumours: Rumours = []
+    rumours: MemberUpdates = []
 
 
 # Shares of limits, lent and given back (see shares).
@@ -82,7 +82,7 @@
 Parts = Annotated[int, Meta(ge=0, le=10_000)]
 
 
-class Borrow(Body, tag=7, frozen=True, array_like=True):
+class AcquireLease(Body, tag=7, frozen=True, array_like=True):
     """Lend me so many parts in all, in place of what I have from you."""
 
     limit: Limit
@@ -90,7 +90,7 @@
     parts: Parts
 
 
-class Grant(Body, tag=8, frozen=True, array_like=True):
+class GrantLease(Body, tag=8, frozen=True, array_like=True):
     """The answer to the asking of that run and number; `spare` is what could be had yet."""
 
     limit: Limit
@@ -100,7 +100,7 @@
     spare: Parts = 0
 
 
-class Back(Body, tag=9, frozen=True, array_like=True):
+class ReleaseLease(Body, tag=9, frozen=True, array_like=True):
     """I spend no more of that loan; `unspent`: nor have I spent anything in the last window."""
 
     limit: Limit
@@ -111,7 +111,7 @@
 # What goes over links: replicated state. Ages, not moments, cross: clocks may be apart.
 
 
-class Op(msgspec.Struct, frozen=True, array_like=True):
+class Operation(msgspec.Struct, frozen=True, array_like=True):
     """One change of one writer; `value` is read by its kind's own rule (copies.RULES)."""
 
     writer: Name
@@ -123,7 +123,7 @@
     age: Seconds  # since the writer said it
 
 
-Ops = Annotated[list[Op], Meta(max_length=MOST_OPS)]
+Operations = Annotated[list[Operation], Meta(max_length=MOST_OPS)]
 Run = Annotated[str, Meta(min_length=3, max_length=LONGEST_NAME + 20)]  # name/epoch of a writer
 Vector = Annotated[dict[Run, Count], Meta(max_length=1024)]
 
@@ -137,7 +137,7 @@
     zone: Text = ""
 
 
-class Have(Body, tag=21, frozen=True, array_like=True):
+class Summary(Body, tag=21, frozen=True, array_like=True):
     """What the sender holds of every writer, a checksum over it, and whether it has caught up itself."""
 
     vector: Vector
@@ -148,33 +148,33 @@
 
 
 class Delta(Body, tag=22, frozen=True, array_like=True):
-    ops: Ops
+    ops: Operations
 
 
-class Want(Body, tag=23, frozen=True, array_like=True):
+class SnapshotRequest(Body, tag=23, frozen=True, array_like=True):
     """Send a snapshot from this place on; `after` is the last key had, empty from the start."""
 
     after: Annotated[str, Meta(max_length=120)] = ""
 
 
-class Piece(Body, tag=24, frozen=True, array_like=True):
+class SnapshotChunk(Body, tag=24, frozen=True, array_like=True):
     """Part of a snapshot, in order of its keys. A donor's first says in `vector` what it held by then."""
 
-    ops: Ops
+    ops: Operations
     after: Annotated[str, Meta(max_length=120)]  # the last key in this piece
     last: bool
     vector: Vector
 
 
-class Refusal(Body, tag=25, frozen=True, array_like=True):
+class SnapshotRefusal(Body, tag=25, frozen=True, array_like=True):
     """No snapshot from here: the asked one has not caught up itself, or serves others."""
 
     why: Annotated[str, Meta(max_length=32)]
 
 
-Shared = Borrow | Grant | Back
-Datagram = Probe | Ack | Ask | Nack | Ahead | Leaving | Shared
-Linked = Hello | Have | Delta | Want | Piece | Refusal
+Shared = AcquireLease | GrantLease | ReleaseLease
+Datagram = Probe | Ack | Ask | Nack | StaleEpoch | Leaving | Shared
+Linked = Hello | Summary | Delta | SnapshotRequest | SnapshotChunk | SnapshotRefusal
 Any_ = Datagram | Linked
 
 _encoder = msgspec.msgpack.Encoder()
@@ -182,7 +182,7 @@
 _linked = msgspec.msgpack.Decoder(Linked)
 
 
-class BadBody(ValueError):
+class InvalidPeerMessageError(ValueError):
     """Bytes that are no message of this version."""
 
 
@@ -193,14 +193,14 @@
 def read_datagram(data: bytes) -> Datagram:
     """One message of a probe's port; raises BadBody."""
     if len(data) > DATAGRAM:
-        raise BadBody("too long for a datagram")
+        raise InvalidPeerMessageError("too long for a datagram")
     return _read(_datagrams, data)
 
 
 def read_linked(data: bytes) -> Linked:
     """One message of a link; raises BadBody."""
     if len(data) > FRAME:
-        raise BadBody("too long for a link")
+        raise InvalidPeerMessageError("too long for a link")
     return _read(_linked, data)
 
 
@@ -208,4 +208,4 @@
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, OverflowError) as wrong:
-        raise BadBody(str(wrong)[:80]) from None
+        raise InvalidPeerMessageError(str(wrong)[:80]) from None
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -18,7 +18,7 @@
 from enum import Enum, auto
 from itertools import pairwise
 
-from weldbend.fleet.health_reports import Word, credit
+from weldbend.fleet.health_reports import HealthReport, credit
 from weldbend.fleet.lease_policy import rank
 
 ACCUSED = 0.5  # share of bad answers from which a front accuses
@@ -36,7 +36,7 @@
 TOGETHER = 3.0  # seconds within which two fronts must have seen a cache break off
 
 
-class Stand(Enum):
+class EjectionState(Enum):
     OPEN = auto()
     SHUT = auto()
     TRIAL = auto()
@@ -44,10 +44,10 @@
 
 
 @dataclass(slots=True)
-class Case:
+class EjectionRecord:
     """What this front holds of one cache."""
 
-    stand: Stand = Stand.OPEN
+    stand: EjectionState = EjectionState.OPEN
     since: float = -math.inf
     until: float = math.inf
     relapses: int = 0
@@ -59,7 +59,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Judged:
+class Accusation:
     """What the evidence says now."""
 
     bad: bool
@@ -67,43 +67,45 @@
     zone: str = ""
 
 
-def knows(word: Word) -> bool:
+def knows(word: HealthReport) -> bool:
     return sum(word.record) >= TRIED and credit(word) >= TRUSTED
 
 
-def accuses(word: Word) -> bool:
+def accuses(word: HealthReport) -> bool:
     return word.record[1] > ACCUSED * sum(word.record)
 
 
-def judged(words: Iterable[Word], zones: Mapping[str, str], own: str) -> Judged:
+def judged(words: Iterable[HealthReport], zones: Mapping[str, str], own: str) -> Accusation:
     """Whether a cache is bad for those in the zone `own`, by the words of all, this front's among them."""
     heard = [word for word in words if knows(word)]
     voices = sorted(word.writer for word in heard if accuses(word))
     if len(voices) < 2:
-        return Judged(False)
+        return Accusation(False)
     here = [word for word in heard if zones.get(word.writer, "") == own]
     against = [word for word in here if accuses(word)]
     if here and 2 * len(against) <= len(here):
-        return Judged(False)  # most of those that stand where this front does fare well
+        return Accusation(False)  # most of those that stand where this front does fare well
     if len(against) >= 2:
         elsewhere = [word for word in heard if word not in here]
         split = elsewhere and 2 * sum(map(accuses, elsewhere)) <= len(elsewhere)
-        return Judged(True, tuple(voices), own if split else "")
-    return Judged(2 * len(voices) > len(heard), tuple(voices))
+        return Accusation(True, tuple(voices), own if split else "")
+    return Accusation(2 * len(voices) > len(heard), tuple(voices))
 
 
 @dataclass
-class Court:
+class OutlierDetector:
     """All caches of this front; `turn` is told the evidence each second."""
 
     name: str
-    cases: dict[str, Case] = field(default_factory=dict)
-    changes: list[tuple[str, Stand, Stand, Case]] = field(default_factory=list)  # for the log
+    cases: dict[str, EjectionRecord] = field(default_factory=dict)
+    changes: list[tuple[str, EjectionState, EjectionState, EjectionRecord]] = field(
+        default_factory=list
+    )  # for the log
 
     def turn(
         self,
         now: float,
-        words: Mapping[str, list[Word]],
+        words: Mapping[str, list[HealthReport]],
         kinds: Mapping[str, str],
         zones: Mapping[str, str],
         alive: Iterable[str],
@@ -121,7 +123,7 @@
             verdict = judged(said, zones, own)
             case = self.cases.get(uid)
             if case is None and verdict.bad and self.may_shut(uid, kinds):
-                case = self.cases[uid] = Case()
+                case = self.cases[uid] = EjectionRecord()
             if case:
                 self.move(uid, case, now, verdict, said, here, zones)
         return {uid: self.part(uid, case, now, here, zones) for uid, case in self.cases.items()}
@@ -130,43 +132,43 @@
         """Guards against shutting what fails for one common cause, the line of a whole site. Harm: where more
         than a third are bad indeed, the rest is left to what each front sees itself."""
         alike = [one for one, kind in kinds.items() if kind == kinds[uid]]
-        shut = sum(one in self.cases and self.cases[one].stand is not Stand.OPEN for one in alike)
+        shut = sum(one in self.cases and self.cases[one].stand is not EjectionState.OPEN for one in alike)
         return shut + 1 <= max(AT_ONCE * len(alike), 1) and len(alike) > 1
 
     def move(
         self,
         uid: str,
-        case: Case,
+        case: EjectionRecord,
         now: float,
-        verdict: Judged,
-        said: list[Word],
+        verdict: Accusation,
+        said: list[HealthReport],
         here: list[str],
         zones: Mapping[str, str],
     ) -> None:
         match case.stand:
-            case Stand.OPEN if verdict.bad:
+            case EjectionState.OPEN if verdict.bad:
                 self.shut(uid, case, now, verdict)
-            case Stand.OPEN if now - case.since > FORGIVEN:
+            case EjectionState.OPEN if now - case.since > FORGIVEN:
                 del self.cases[uid]
-            case Stand.SHUT if now >= case.until:
-                self.stands(uid, case, Stand.TRIAL, now, now + TRIAL)
-            case Stand.TRIAL:
+            case EjectionState.SHUT if now >= case.until:
+                self.stands(uid, case, EjectionState.TRIAL, now, now + TRIAL)
+            case EjectionState.TRIAL:
                 trier = self.trier(uid, case, here, zones)
                 self.follow(case, next((word for word in said if word.writer == trier), None))
                 good, bad = case.tried
                 if good >= TRIES and good > 2 * bad:
-                    self.stands(uid, case, Stand.RAMP, now, now + RAMP)
+                    self.stands(uid, case, EjectionState.RAMP, now, now + RAMP)
                 elif bad >= FAILS:
-                    self.shut(uid, case, now, Judged(True, case.voices, case.zone))
+                    self.shut(uid, case, now, Accusation(True, case.voices, case.zone))
                 elif now >= case.until:
                     case.round, case.until = case.round + 1, now + TRIAL
                     case.heard, case.tried = None, (0.0, 0.0)
-            case Stand.RAMP if verdict.bad:
+            case EjectionState.RAMP if verdict.bad:
                 self.shut(uid, case, now, verdict)
-            case Stand.RAMP if now >= case.until:
-                self.stands(uid, case, Stand.OPEN, now, math.inf)
+            case EjectionState.RAMP if now >= case.until:
+                self.stands(uid, case, EjectionState.OPEN, now, math.inf)
 
-    def follow(self, case: Case, told: Word | None) -> None:
+    def follow(self, case: EjectionRecord, told: HealthReport | None) -> None:
         """What is new in the record of the one that tries: what it holds from before counts for nothing."""
         if told is None:
             return
@@ -175,33 +177,35 @@
             case.tried = case.tried[0] + next(grown), case.tried[1] + next(grown)
         case.heard = told.record
 
-    def shut(self, uid: str, case: Case, now: float, verdict: Judged) -> None:
+    def shut(self, uid: str, case: EjectionRecord, now: float, verdict: Accusation) -> None:
         term = min(SHUT * GROWS**case.relapses, SHUT_MOST)
         case.relapses = min(case.relapses + 1, 8)
         case.voices, case.zone, case.round = verdict.voices, verdict.zone, case.round + 1
-        self.stands(uid, case, Stand.SHUT, now, now + term)
+        self.stands(uid, case, EjectionState.SHUT, now, now + term)
 
-    def stands(self, uid: str, case: Case, stand: Stand, now: float, until: float) -> None:
+    def stands(self, uid: str, case: EjectionRecord, stand: EjectionState, now: float, until: float) -> None:
         self.changes.append((uid, case.stand, stand, case))
         case.stand, case.since, case.until = stand, now, until
         case.heard, case.tried = None, (0.0, 0.0)
 
-    def trier(self, uid: str, case: Case, here: list[str], zones: Mapping[str, str]) -> str:
+    def trier(self, uid: str, case: EjectionRecord, here: list[str], zones: Mapping[str, str]) -> str:
         """The one front that tries in this round: drawn alike by all that hold the verdict."""
         fit = [one for one in here if not case.zone or zones.get(one, "") == case.zone]
         return max(fit or [self.name], key=lambda one: rank(uid, case.round, one))
 
-    def part(self, uid: str, case: Case, now: float, here: list[str], zones: Mapping[str, str]) -> float:
+    def part(
+        self, uid: str, case: EjectionRecord, now: float, here: list[str], zones: Mapping[str, str]
+    ) -> float:
         match case.stand:
-            case Stand.SHUT:
+            case EjectionState.SHUT:
                 return 0.0
-            case Stand.TRIAL:
+            case EjectionState.TRIAL:
                 return TRIES_WITH if self.trier(uid, case, here, zones) == self.name else 0.0
-            case Stand.RAMP:
+            case EjectionState.RAMP:
                 return min(1.0, FIRST + (1 - FIRST) * (now - case.since) / RAMP)
         return 1.0
 
-    def said(self) -> list[tuple[str, Stand, Stand, Case]]:
+    def said(self) -> list[tuple[str, EjectionState, EjectionState, EjectionRecord]]:
         changes, self.changes = self.changes, []
         return changes
 
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -20,7 +20,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.fleet import messages as m
 from weldbend.fleet.anti_entropy import VERSIONS, Say, Weight
-from weldbend.fleet.message_authentication import LONGEST, BadSeal, Sealer
+from weldbend.fleet.message_authentication import LONGEST, AuthenticationError, MessageAuthenticator
 from weldbend.fleet.outbox import Outbox
 from weldbend.fleet.settings import Peer, Terms
 
@@ -45,10 +45,10 @@
 
 
 @implementer(IPushProducer)
-class LinkEnd(Connection):
+class PeerConnection(Connection):
     """One end of a link."""
 
-    def __init__(self, links: "Links", peer: str = "") -> None:
+    def __init__(self, links: "PeerConnections", peer: str = "") -> None:
         self.links, self.peer, self.dialled = links, peer, bool(peer)
         self.ring, self.outbox = Ring(2 * LONGEST + (1 << 17)), Outbox(links.terms.outbox)
         self.drawn, self.session = links.drawn(16), b""
@@ -122,10 +122,10 @@
         try:
             opened = self.links.sealer.open(data, True, self.session)
             body = m.read_linked(opened.body)
-        except BadSeal as wrong:
+        except AuthenticationError as wrong:
             self.drop(f"seal: {wrong}")
             return
-        except m.BadBody:
+        except m.InvalidPeerMessageError:
             self.links.counts["messages that cannot be read"] += 1
             if not self.session:
                 self.drop("no hello")
@@ -174,10 +174,10 @@
 class Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, links: "Links", peer: str) -> None:
+    def __init__(self, links: "PeerConnections", peer: str) -> None:
         self.links, self.peer = links, peer
 
-    def buildProtocol(self, addr: IAddress | None) -> LinkEnd:
+    def buildProtocol(self, addr: IAddress | None) -> PeerConnection:
         return self.links.end(self.peer)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
@@ -187,24 +187,24 @@
 class Accept(ServerFactory):
     noisy = False
 
-    def __init__(self, links: "Links") -> None:
+    def __init__(self, links: "PeerConnections") -> None:
         self.links = links
 
-    def buildProtocol(self, addr: IAddress | None) -> LinkEnd | None:
+    def buildProtocol(self, addr: IAddress | None) -> PeerConnection | None:
         if sum(not end.session for end in self.links.ends) >= STRANGERS:
             self.links.counts["strangers turned away"] += 1
             return None
         return self.links.end()
 
 
-class Links:
+class PeerConnections:
     """All links of this front; `wanted` is told which peers it is to be linked to."""
 
     def __init__(
         self,
         reactor: Any,
         timers: Timers,
-        sealer: Sealer,
+        sealer: MessageAuthenticator,
         terms: Terms,
         owner: Owner,
         drawn: Callable[[int], bytes] = os.urandom,
@@ -213,8 +213,8 @@
         self.drawn = drawn
         self.named: dict[str, Peer] = {}
         self.near: set[str] = set()
-        self.ends: dict[LinkEnd, None] = {}
-        self.up: dict[str, LinkEnd] = {}
+        self.ends: dict[PeerConnection, None] = {}
+        self.up: dict[str, PeerConnection] = {}
         self.dialling: set[str] = set()
         self.waits: dict[str, float] = {}
         self.counts: Counter[str] = Counter()
@@ -247,12 +247,12 @@
         wait = self.waits[peer] = min(max(self.waits.get(peer, 0.0) * 2, AGAIN), AGAIN_MOST)
         self.timers.after(wait, lambda: self.dial(peer))
 
-    def end(self, peer: str = "") -> LinkEnd:
-        end = LinkEnd(self, peer)
+    def end(self, peer: str = "") -> PeerConnection:
+        end = PeerConnection(self, peer)
         self.ends[end] = None
         return end
 
-    def came(self, end: LinkEnd, epoch: int) -> None:
+    def came(self, end: PeerConnection, epoch: int) -> None:
         """Both have said hello. A newer link of the same pair takes the older one's place."""
         self.dialling.discard(end.peer)
         self.waits.pop(end.peer, None)
@@ -262,7 +262,7 @@
         self.up[end.peer] = end
         self.owner.link_up(end.peer, epoch)
 
-    def went(self, end: LinkEnd) -> None:
+    def went(self, end: PeerConnection) -> None:
         if self.ends.pop(end, False) is False:
             return
         if self.up.get(end.peer) is end:
--- a/weldbend/fleet/popularity.py
+++ b/weldbend/fleet/popularity.py
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class Slots:
+class PopularitySlots:
     """What this front was asked for, until it is said."""
 
     number: int = 0
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class Wishes:
+class PopularityCounts:
     """What others were asked for, counted by object. Every slot is held as long as its item counts."""
 
     counts: Counter[int] = field(default_factory=Counter)
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -17,12 +17,12 @@
 from loguru import logger
 
 from weldbend.fleet import outlier_detection
-from weldbend.fleet.demand_share import Need, part
-from weldbend.fleet.health_reports import Word
-from weldbend.fleet.lease_ledger import PARTS, Times
+from weldbend.fleet.demand_share import DemandEstimate, part
+from weldbend.fleet.health_reports import HealthReport
+from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
 from weldbend.fleet.lease_policy import Use
-from weldbend.fleet.lease_service import Limits, Rate
-from weldbend.fleet.membership import Sight
+from weldbend.fleet.lease_service import LeaseService, Rate
+from weldbend.fleet.membership import Reachability
 from weldbend.fleet.replicated_store import RULES
 from weldbend.fleet.service import Fleet
 from weldbend.routing.events import EjectionUpdate, ParentQuota, PeerKnowledge, SlowStartQuota
@@ -40,7 +40,7 @@
 class Cold:
     """A cold cache, as the spender of its budget."""
 
-    sharing: "Sharing"
+    sharing: "QuotaService"
     uid: str
     number: int
     cover: float  # the part of the fronts that may send to it which share by leases
@@ -67,7 +67,7 @@
     """A rate that is divided by need: this front's part of it in each second."""
 
     most: float
-    need: Need = field(default_factory=Need)
+    need: DemandEstimate = field(default_factory=DemandEstimate)
     part: float = 1.0
     taken: deque[float] = field(default_factory=deque)
 
@@ -81,25 +81,25 @@
         return True
 
 
-class Sharing:
+class QuotaService:
     """Made by the bridge of a front that has a fleet."""
 
     def __init__(self, loop: Any, fleet: Fleet, chance: RandomSource) -> None:
         self.loop, self.fleet, self.chance = loop, fleet, chance
         self.counts: Counter[str] = Counter()
         now, terms = loop.clock.now(), fleet.terms.limits
-        longest = max(loop.site.facts.edge_overload_window, SECOND)
-        quiet = Times(terms.lease, longest, terms.drift).quiet
-        self.limits = fleet.limits = Limits(
+        longest = max(loop.site.settings.edge_overload_window, SECOND)
+        quiet = LeaseTimes(terms.lease, longest, terms.drift).quiet
+        self.limits = fleet.limits = LeaseService(
             fleet.name, fleet.members.epoch, chance, now + quiet, self.opens, loop.clock.unix
         )
         self.limits.newcomer = bool(fleet.members.members)
         self.rates: dict[str, Rate] = {}
         self.softs: dict[str, Soft] = {name: Soft(rate) for name, rate in terms.soft}
-        self.parents = Need()
+        self.parents = DemandEstimate()
         self.part = 0.0
         self.colds: dict[str, Cold] = {}  # by limit
-        self.court = outlier_detection.Court(fleet.name)
+        self.court = outlier_detection.OutlierDetector(fleet.name)
         self.parts: dict[int, float] = {}  # of their work that caches may have, as the decisions hold it
         self.clients: Counter[str] = Counter()  # that asked since the last tick
         self.rated: dict[str, float] = {}  # and a second, as a running mean
@@ -114,9 +114,9 @@
 
     # Names.
 
-    def times(self, window: float) -> Times:
+    def times(self, window: float) -> LeaseTimes:
         terms = self.fleet.terms.limits
-        return Times(terms.lease, window, terms.drift)
+        return LeaseTimes(terms.lease, window, terms.drift)
 
     def everybody(self) -> list[str]:
         return sorted({peer.name for peer in self.fleet.terms.peers} | {self.fleet.name})
@@ -146,7 +146,7 @@
         """A cache may have started: nothing is sent on a share of it until its book is open, a turn later."""
         cache = self.loop.names.numbers.get(uid)
         limits = self.fleet.terms.limits
-        if cache is not None and limits.cold and self.loop.site.facts.weighted:
+        if cache is not None and limits.cold and self.loop.site.settings.weighted:
             self.loop.post(SlowStartQuota(cache, True))
             self.loop.timers.after(0.0, lambda: self.cold(uid))
 
@@ -154,7 +154,7 @@
         """A cache has started, as this front knows: its budget is shared from now on."""
         names, item = self.loop.names, self.fleet.copies.items.get(("start", uid))
         cache = self.loop.router.caches.get(names.numbers.get(uid, -1))
-        if not (self.fleet.terms.limits.cold and item and cache and self.loop.site.facts.weighted):
+        if not (self.fleet.terms.limits.cold and item and cache and self.loop.site.settings.weighted):
             return
         limit = f"cold:{uid}@{int(item.value[0])}"
         if limit in self.colds:
@@ -164,23 +164,25 @@
             return
         for older in [one for one in self.colds if one.startswith(f"cold:{uid}@")]:
             self.close(older)
-        facts = self.loop.site.facts
+        settings = self.loop.site.settings
         cold = self.colds[limit] = Cold(self, uid, cache.id, 1.0)
         owners = self.owners(limit)
-        sharers = facts.zone_fronts if cache.role is Role.EDGE else facts.fronts
+        sharers = settings.zone_fronts if cache.role is Role.EDGE else settings.fronts
         cold.cover = min(1.0, len(owners) / sharers)
         parent = cache.role is Role.PARENT
         least = (
-            facts.parent_start_capacity * facts.parent_overload_factor
+            settings.parent_start_capacity * settings.parent_overload_factor
             if parent
-            else facts.edge_start_capacity * facts.edge_overload_factor
+            else settings.edge_start_capacity * settings.edge_overload_factor
         )
-        work = max(kind.latency_objective for kind in facts.classes.values() if not kind.origin_only)
+        work = max(kind.latency_objective for kind in settings.classes.values() if not kind.origin_only)
         attempts = (
-            least * facts.edge_overload_window * cache.weight / work
+            least * settings.edge_overload_window * cache.weight / work
         )  # of its budget when it has just started
         now = self.loop.clock.now()
-        if not self.limits.open(limit, owners, attempts, self.times(facts.edge_overload_window), cold, now):
+        if not self.limits.open(
+            limit, owners, attempts, self.times(settings.edge_overload_window), cold, now
+        ):
             self.close(limit)
 
     def close(self, limit: str) -> None:
@@ -203,7 +205,7 @@
     def over(self, type: str, client: str) -> bool:
         """Whether a download is beyond a limit of the fleet's; what is not counts from now on."""
         now = self.loop.clock.now()
-        if not self.loop.site.facts.classes[type].origin_only:
+        if not self.loop.site.settings.classes[type].origin_only:
             self.parents.add()
         if self.fleet.terms.limits.client:
             self.clients[client] += 1
@@ -268,7 +270,7 @@
 
     # Time: once a second.
 
-    def tick(self, now: float, words: dict[str, list[Word]]) -> None:
+    def tick(self, now: float, words: dict[str, list[HealthReport]]) -> None:
         here = self.fleet.here()
         self.confirm(now)
         self.warm()
@@ -297,7 +299,7 @@
             return
         said = self.said("names", "")
         alike = bool(said) and all(int(figure) == names for _, figure in said.values())
-        alone = self.fleet.members.sight(now) is Sight.ALONE and now >= self.limits.quiet_until
+        alone = self.fleet.members.sight(now) is Reachability.ALONE and now >= self.limits.quiet_until
         if alike or alone or not self.fleet.members.members:
             self.limits.rename(self.owners, False, now)
 
@@ -319,9 +321,9 @@
         """Soft: what is out at all parents is divided by need."""
         if not self.fleet.terms.limits.parents:
             return
-        need, facts = self.parents.turn(now), self.loop.site.facts
+        need, settings = self.parents.turn(now), self.loop.site.settings
         self.say("need", PARENTS, round(need, 2))
-        cover = min(1.0, len(self.everybody()) / facts.fronts)
+        cover = min(1.0, len(self.everybody()) / settings.fronts)
         found = round(part(self.fleet.name, need, self.said("need", PARENTS), here) * cover, 4)
         if abs(found - self.part) > 0.02 * self.part:
             self.part = found
@@ -346,7 +348,7 @@
 
     # Verdicts.
 
-    def judge(self, now: float, words: dict[str, list[Word]], here: Iterable[str]) -> None:
+    def judge(self, now: float, words: dict[str, list[HealthReport]], here: Iterable[str]) -> None:
         caches, uids = self.loop.router.caches, self.loop.names.uids
         kinds = {uids[n]: f"{c.role.name} {c.zone}" for n, c in caches.items() if n in uids}
         found = self.court.turn(now, words, kinds, self.zones(), here)
--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass, field
 from hashlib import blake2b
 
-from weldbend.fleet.messages import Op
+from weldbend.fleet.messages import Operation
 
 Value = tuple[int | float | str, ...]
 MOST_ITEMS = 65_536
@@ -134,8 +134,8 @@
     """The changes of one run of one writer."""
 
     number: int = 0  # nothing up to here is missing
-    ops: deque[tuple[Op, float]] = field(default_factory=deque)  # with the moment each was said
-    early: dict[int, tuple[Op, float]] = field(default_factory=dict)
+    ops: deque[tuple[Operation, float]] = field(default_factory=deque)  # with the moment each was said
+    early: dict[int, tuple[Operation, float]] = field(default_factory=dict)
     last: float = -math.inf
 
 
@@ -150,7 +150,7 @@
     writer: str
 
 
-class Copies:
+class ReplicatedStore:
     def __init__(self, name: str, epoch: int, ops: int = 4096) -> None:
         self.name, self.epoch, self.most = name, epoch, ops
         self.items: dict[tuple[str, str], Item] = {}
@@ -171,10 +171,10 @@
         if held and lasts and held.live(rule, now) and rule.join(held.value, value) == held.value:
             return None
         log = self.logs.setdefault(self.run, Log())
-        op = Op(self.name, self.epoch, log.number + 1, kind, key, list(value), 0.0)
+        op = Operation(self.name, self.epoch, log.number + 1, kind, key, list(value), 0.0)
         return self.take(op, now)
 
-    def take(self, op: Op, now: float) -> Change | None:
+    def take(self, op: Operation, now: float) -> Change | None:
         """One change, of anybody and by any path; the item that it made stricter, if it did."""
         rule = RULES.get(op.kind)
         value = tuple(op.value)
@@ -186,7 +186,7 @@
             return self.join(op, value, now)
         return None
 
-    def join(self, op: Op, value: Value, now: float) -> Change | None:
+    def join(self, op: Operation, value: Value, now: float) -> Change | None:
         rule, said = RULES[op.kind], now - op.age
         if now >= said + rule.keep:
             return None
@@ -204,7 +204,7 @@
         held.value = joined
         return Change(op.kind, op.key, joined, now - held.said, op.writer) if stricter else None
 
-    def count(self, op: Op, now: float) -> bool:
+    def count(self, op: Operation, now: float) -> bool:
         """Keep a change for those who lack it; false for one that was here before."""
         run = run_of(op.writer, op.epoch)
         log = self.logs.get(run)
@@ -225,7 +225,7 @@
             self.append(log, *following)
         return True
 
-    def append(self, log: Log, op: Op, said: float) -> None:
+    def append(self, log: Log, op: Operation, said: float) -> None:
         log.number = op.number
         log.ops.append((op, said))
         if len(log.ops) > self.most:
@@ -244,9 +244,9 @@
         log = self.logs.get(run)
         return log.number if log else 0
 
-    def missing(self, vector: dict[str, int], now: float, most: int) -> list[Op] | None:
+    def missing(self, vector: dict[str, int], now: float, most: int) -> list[Operation] | None:
         """Changes that the holder of that vector lacks, oldest first; None where they are no longer kept."""
-        found: list[Op] = []
+        found: list[Operation] = []
         for run, log in self.logs.items():
             had = vector.get(run, 0)
             if had >= log.number:
@@ -274,7 +274,7 @@
 
     # Snapshots.
 
-    def pieces(self, after: str, now: float, most: int) -> Iterator[tuple[list[Op], str, bool]]:
+    def pieces(self, after: str, now: float, most: int) -> Iterator[tuple[list[Operation], str, bool]]:
         """The items behind that place in the order of their keys, so many at a time."""
         keys = sorted(f"{kind} {key}" for kind, key in self.items)
         rest = [key for key in keys if key > after]
@@ -285,12 +285,14 @@
                 kind, _, key = text.partition(" ")
                 if (item := self.items.get((kind, key))) and item.live(RULES[kind], now):
                     writer = key.rpartition("|")[2] if kind in BY_WRITER else self.name
-                    ops.append(Op(writer, 0, 0, kind, key, list(item.value), max(now - item.said, 0.0)))
+                    ops.append(
+                        Operation(writer, 0, 0, kind, key, list(item.value), max(now - item.said, 0.0))
+                    )
             yield ops, part[-1] if part else after, not rest
             if not rest:
                 return
 
-    def load(self, ops: Iterable[Op], now: float) -> list[Change]:
+    def load(self, ops: Iterable[Operation], now: float) -> list[Change]:
         """Items of a snapshot: joined, not numbered."""
         changes = []
         for op in ops:
@@ -328,5 +330,5 @@
         return len(gone)
 
 
-def aged(op: Op, age: float) -> Op:
-    return Op(op.writer, op.epoch, op.number, op.kind, op.key, op.value, max(age, 0.0))
+def aged(op: Operation, age: float) -> Operation:
+    return Operation(op.writer, op.epoch, op.number, op.kind, op.key, op.value, max(age, 0.0))
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -15,12 +15,17 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import Exchange, Say, awake, neighbours
-from weldbend.fleet.lease_service import Limits
-from weldbend.fleet.membership import Membership, Send, Sight, State, View
-from weldbend.fleet.message_authentication import BadKeys, BadSeal, Sealer, read_keys
-from weldbend.fleet.peer_connections import Links, Timers
-from weldbend.fleet.replicated_store import Change, Copies
+from weldbend.fleet.anti_entropy import AntiEntropy, Say, awake, neighbours
+from weldbend.fleet.lease_service import LeaseService
+from weldbend.fleet.membership import Membership, Reachability, Send, State, View
+from weldbend.fleet.message_authentication import (
+    AuthenticationError,
+    InvalidKeyFileError,
+    MessageAuthenticator,
+    read_keys,
+)
+from weldbend.fleet.peer_connections import PeerConnections, Timers
+from weldbend.fleet.replicated_store import Change, ReplicatedStore
 from weldbend.fleet.settings import Peer, Terms, split
 
 TURN = 0.05  # seconds between two turns at most, so that a standstill shows
@@ -28,7 +33,7 @@
 REPORT = 10.0
 
 
-class BadFleet(Exception):
+class FleetConfigurationError(Exception):
     """A fleet that cannot be started from; one line for people."""
 
 
@@ -36,9 +41,9 @@
     try:
         return read_keys(Path(path).read_text("ascii"))
     except (OSError, UnicodeDecodeError) as wrong:
-        raise BadFleet(f"key file {path}: cannot be read: {wrong}") from None
-    except BadKeys as wrong:
-        raise BadFleet(f"key file {path}: {wrong}") from None
+        raise FleetConfigurationError(f"key file {path}: cannot be read: {wrong}") from None
+    except InvalidKeyFileError as wrong:
+        raise FleetConfigurationError(f"key file {path}: {wrong}") from None
 
 
 class Ear(DatagramProtocol):
@@ -72,22 +77,22 @@
     ) -> None:
         self.reactor, self.timers, self.name, self.terms, self.changed = reactor, timers, name, terms, changed
         seed = int.from_bytes(drawn(4), "big")
-        self.sealer = Sealer(terms.fleet, name, epoch, keys_of(terms.keys))
+        self.sealer = MessageAuthenticator(terms.fleet, name, epoch, keys_of(terms.keys))
         now = timers.now()
         peers = [peer.name for peer in terms.peers]
         self.members = Membership(name, epoch, terms, peers, seed, now)
-        self.copies = Copies(name, epoch, terms.ops)
-        self.exchange = Exchange(name, self.copies, terms, seed + 1, changed, now)
-        self.links = Links(reactor, timers, self.sealer, terms, self, drawn)
+        self.copies = ReplicatedStore(name, epoch, terms.ops)
+        self.exchange = AntiEntropy(name, self.copies, terms, seed + 1, changed, now)
+        self.links = PeerConnections(reactor, timers, self.sealer, terms, self, drawn)
         self.ear = Ear(self.datagram)
         self.udp: Any = None
         self.counts: Counter[str] = Counter()
         self.second, self.heard_in_it = 0, 0
         self.woke = -math.inf  # when this process last went on after a standstill
         self.lost: dict[str, float] = {}  # when each peer's link was lost last
-        self.sight = Sight.WAKING
+        self.sight = Reachability.WAKING
         self.stopped = False
-        self.limits: Limits | None = None  # strict limits shared with others, where there are some
+        self.limits: LeaseService | None = None  # strict limits shared with others, where there are some
 
     # Start, stop, change.
 
@@ -115,7 +120,7 @@
         keys = keys_of(terms.keys)
         fixed = [f for f in ("listen", "fleet", "zone") if getattr(terms, f) != getattr(self.terms, f)]
         if fixed:
-            raise BadFleet(f"[fleet] {', '.join(fixed)}: changed by a restart only")
+            raise FleetConfigurationError(f"[fleet] {', '.join(fixed)}: changed by a restart only")
         self.sealer.rekey(keys)
         self.terms = self.members.terms = self.exchange.terms = self.links.terms = terms
         self.members.rename([peer.name for peer in terms.peers], self.timers.now())
@@ -218,9 +223,9 @@
         try:
             opened = self.sealer.open(data)
             body = m.read_datagram(opened.body)
-        except BadSeal:
+        except AuthenticationError:
             return  # counted by its cause
-        except m.BadBody:
+        except m.InvalidPeerMessageError:
             self.counts["messages that cannot be read"] += 1
             return
         self.wake(now)
--- a/weldbend/fleet/settings.py
+++ b/weldbend/fleet/settings.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Limited:
+class LimitSettings:
     """What is limited for the whole fleet. Rates are downloads a second of all fronts together; seconds."""
 
     lease: float = 1.0  # term of what is lent
@@ -59,7 +59,7 @@
     outbox: int = 1_000_000  # bytes that wait for one peer at most
     ops: int = 4096  # of each writer, kept for deltas
     exchange: float = 2.0  # between two comparisons of copies with one peer
-    limits: Limited = field(default_factory=Limited)
+    limits: LimitSettings = field(default_factory=LimitSettings)
     popularity: bool = False  # whether fronts of a zone count their clients' wishes together
 
     def suspicion(self, members: int, voices: int) -> float:
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from weldbend.caches.pool import Bounds
-from weldbend.event_bus.events import BadEvent, Numbered, known
+from weldbend.event_bus.events import InvalidEventError, Numbered, known
 from weldbend.idle_connections.policy import Terms
 from weldbend.routing.settings import Role, SiteSettings
 from weldbend.site_settings import cache_roles, read_site_settings
@@ -21,7 +21,7 @@
 PLATFORM = Terms()  # what holds where there is no installation file
 
 
-class BadSite(Exception):
+class ConfigurationError(Exception):
     """A configuration that no front can start from; its text is one line for people."""
 
 
@@ -34,7 +34,7 @@
     bus: str
     known: list[Numbered]
     offset: int
-    facts: SiteSettings
+    settings: SiteSettings
     roles: dict[str, Role]
     flow: float  # KB in one second of sending at a client's top pace
     reports: bool  # whether caches report their load
@@ -51,9 +51,9 @@
     try:
         return site(json.loads(text))
     except KeyError as missing:
-        raise BadSite(f"configuration lacks {missing}") from None
-    except (ValueError, TypeError, AttributeError, IndexError, RecursionError, BadEvent) as wrong:
-        raise BadSite(f"configuration cannot be used: {wrong}") from None
+        raise ConfigurationError(f"configuration lacks {missing}") from None
+    except (ValueError, TypeError, AttributeError, IndexError, RecursionError, InvalidEventError) as wrong:
+        raise ConfigurationError(f"configuration cannot be used: {wrong}") from None
 
 
 def address(text: str) -> str:
@@ -66,8 +66,8 @@
 
 
 def site(raw: Mapping[str, Any]) -> Site:
-    settings, limits = raw["settings"], raw["limits"]
-    caps, facts = settings["caps"], read_site_settings(settings)
+    raw_settings, limits = raw["settings"], raw["limits"]
+    caps, settings = raw_settings["caps"], read_site_settings(raw_settings)
     host, _, port = raw["listen"].rpartition(":")
     sockets = int(limits["sockets"])
     clients = max(sockets // 2, sockets - FOR_CACHES - RESERVE)  # ours hold a third
@@ -79,10 +79,10 @@
         bus=address(raw["bus"]),
         known=known(raw["known"]),
         offset=int(raw["known"]["offset"]),
-        facts=replace(facts, tick=max(facts.tick, TURN)),
-        roles=cache_roles(settings),
-        flow=float(settings["family_info"]["one_flow_kb_per_s"]),
-        reports=settings["report"]["source"] != "none",
+        settings=replace(settings, tick=max(settings.tick, TURN)),
+        roles=cache_roles(raw_settings),
+        flow=float(raw_settings["family_info"]["one_flow_kb_per_s"]),
+        reports=raw_settings["report"]["source"] != "none",
         most_open=int(caps["open_cap"]),
         bounds=Bounds(
             streams=int(caps["max_streams"]),
@@ -90,7 +90,7 @@
             dial=caps["dial_timeout_us"] / 1e6,
             turn=TURN,
             descriptors=sockets - clients - RESERVE,
-            longest=max(kind.deadline_after for kind in facts.classes.values()),
+            longest=max(kind.deadline_after for kind in settings.classes.values()),
         ),
         sockets=sockets,
         clients=clients,
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -18,7 +18,7 @@
 from weldbend.caches.connection import Attempt, Lost
 from weldbend.caches.pool import Pool
 from weldbend.clients.connection import Call
-from weldbend.event_bus.endpoint_names import Names
+from weldbend.event_bus.endpoint_names import EndpointNames
 from weldbend.event_bus.events import Ban, Numbered, Target, Topology
 from weldbend.front import request_codec
 from weldbend.front.clock import Clock
@@ -61,7 +61,7 @@
     """One download that was taken, and its pulls."""
 
     name: str
-    wish: request_codec.Wish
+    wish: request_codec.ParsedRequest
     call: Call
     until: float
     idempotency: Idempotency  # by the settings under which it was taken
@@ -88,11 +88,11 @@
 MOST_SHOWN = 10  # faults logged between two lines of counters
 
 
-class Loop:
+class Dispatcher:
     def __init__(self, reactor: Any, site: Site, clock: Clock, timers: Timers) -> None:
         self.reactor, self.site, self.clock, self.timers = reactor, site, clock, timers
-        self.router = Router(site.seed, site.facts)
-        self.names = Names(clock, site.roles, {}, {})
+        self.router = Router(site.seed, site.settings)
+        self.names = EndpointNames(clock, site.roles, {}, {})
         self.pool = Pool(reactor, timers, site.bounds, self.probed, self.reached)
         self.requests: dict[str, Request] = {}
         self.open: dict[str, Request] = {}  # those not yet answered or left, by their clients' ids
@@ -125,7 +125,7 @@
 
     def admit(self, call: Call) -> None:
         try:
-            wish = request_codec.read_wish(call.fields, call.body, self.site.facts.classes)
+            wish = request_codec.read_request(call.fields, call.body, self.site.settings.classes)
         except request_codec.InvalidRequestError as wrong:
             self.counts["turned back"] += 1
             call.turn_back(str(wrong))
@@ -135,12 +135,12 @@
             self.clash(call, self.open[wish.name].call)
             return
         if len(self.requests) >= self.site.most_open:
-            call.throttle(self.site.facts.max_retry_after)
+            call.throttle(self.site.settings.max_retry_after)
             return
         self.serial += 1
         call.serial = name = f"{self.serial:x}"
         until = self.clock.now() - call.waited + wish.wait
-        idempotency = self.site.facts.classes[wish.type].idempotency
+        idempotency = self.site.settings.classes[wish.type].idempotency
         request = self.requests[name] = self.open[wish.name] = Request(name, wish, call, until, idempotency)
         request.timers.append(self.timers.at(until, lambda: self.guard(request, self.expire)))
         self.counts["downloads"] += 1
@@ -229,10 +229,10 @@
 
     def settle(self, site: Site) -> None:
         """Go by another site from now on: its settings, not its place."""
-        facts, self.site = self.site.facts, site
+        settings, self.site = self.site.settings, site
         self.pool.bounds = site.bounds
-        if site.facts != facts:
-            self.post(SettingsChanged(site.facts))
+        if site.settings != settings:
+            self.post(SettingsChanged(site.settings))
 
     # What the decisions want.
 
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class ParsedRequest:
     """What a client asks for."""
 
     name: str
@@ -57,7 +57,7 @@
     body: bytes
 
 
-def read_wish(fields: Mapping[str, str], body: bytes, types: Mapping[str, RequestClass]) -> Wish:
+def read_request(fields: Mapping[str, str], body: bytes, types: Mapping[str, RequestClass]) -> ParsedRequest:
     """What a client asks for; raises BadDownload.
 
     Guards caches, and what the decisions learn, against figures and names that no client of ours sends.
@@ -82,7 +82,7 @@
         raise InvalidRequestError("a number out of its bounds")
     if len(body) > LONGEST_BODY:
         raise InvalidRequestError("a body too large")
-    return Wish(name, kind, wait, fields.get("retry") == "1", key, part, group, kb, once, got, body)
+    return ParsedRequest(name, kind, wait, fields.get("retry") == "1", key, part, group, kb, once, got, body)
 
 
 def text(fields: Mapping[str, str], name: str) -> str:
@@ -98,7 +98,7 @@
     return value
 
 
-def order(wish: Wish, action: SendAttempt, source: str | None, left: float) -> dict[str, str]:
+def order(wish: ParsedRequest, action: SendAttempt, source: str | None, left: float) -> dict[str, str]:
     """The fields of one pull; ages and waits are whole milliseconds, and none may become nothing."""
     mode = zip(
         "jhnr", (action.join_fill, action.only_cached, action.leave_no_copy, action.revalidate), strict=True
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -22,8 +22,8 @@
 from weldbend.event_bus.events import Numbered
 from weldbend.event_bus.reader import BusReader
 from weldbend.front.clock import Clock
-from weldbend.front.configuration import BadSite, Site
-from weldbend.front.dispatcher import Loop
+from weldbend.front.configuration import ConfigurationError, Site
+from weldbend.front.dispatcher import Dispatcher
 from weldbend.front.timers import Timers
 
 LINGER = 0.7  # the least time from SIGTERM to the end: clients still come
@@ -53,10 +53,10 @@
 
 def shared(front: "Front") -> Any:
     """A front's fleet, where its installation names one: loaded only then."""
-    from weldbend.fleet.front_adapter import Bridge as Shared
+    from weldbend.fleet.front_adapter import FleetAdapter
 
     site = front.site
-    return Shared(front.loop, site.name, site.fleet, front.reactor, front.timers, site.offset)
+    return FleetAdapter(front.loop, site.name, site.fleet, front.reactor, front.timers, site.offset)
 
 
 class Front:
@@ -71,7 +71,7 @@
         self.again = again  # reads the configuration anew
         self.clock = clock or Clock()
         self.timers = Timers(reactor, self.clock)
-        self.loop = Loop(reactor, site, self.clock, self.timers)
+        self.loop = Dispatcher(reactor, site, self.clock, self.timers)
         self.listener = Listener(self, site.clients, site.terms)
         self.shared = shared(self) if site.fleet else None
         self.bus = BusReader(reactor, self.timers, site.bus, site.offset, self.tell, self.caught_up)
@@ -149,7 +149,7 @@
 
     def last(self) -> float:
         """Seconds from SIGTERM to the moment in which what is still open is abandoned."""
-        return min(max(kind.deadline_after for kind in self.site.facts.classes.values()), LONGEST) + LAST
+        return min(max(kind.deadline_after for kind in self.site.settings.classes.values()), LONGEST) + LAST
 
     def reload(self) -> None:
         """SIGHUP: read the whole configuration anew, and go to the bus that it names.
@@ -162,7 +162,7 @@
             return
         try:
             site = self.again()
-        except (BadSite, OSError, UnicodeDecodeError) as wrong:
+        except (ConfigurationError, OSError, UnicodeDecodeError) as wrong:
             logger.error("new configuration not taken, the old one stays: {}", wrong)
             return
         if self.shared and site.fleet:
@@ -288,7 +288,7 @@
 
 
 @implementer(ILogObserver)
-class Bridge:
+class TwistedLogObserver:
     """Faults that Twisted caught go to the same log, and are counted."""
 
     def __init__(self, front: Front) -> None:
@@ -308,7 +308,9 @@
     from twisted.internet import reactor  # installs the reactor: only a process that serves wants one
 
     front = Front(reactor, site, again)
-    globalLogBeginner.beginLoggingTo([Bridge(front)], redirectStandardIO=False, discardBuffer=True)
+    globalLogBeginner.beginLoggingTo(
+        [TwistedLogObserver(front)], redirectStandardIO=False, discardBuffer=True
+    )
     running: Any = reactor
     running.callWhenRunning(front.run)
     running.run()
--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from weldbend.idle_connections.policy import KINDS, OTHERS, Terms, kind, limit, prompt
-from weldbend.idle_connections.timer_wheel import Wheel
+from weldbend.idle_connections.timer_wheel import TimerWheel
 from weldbend.invariants import check_invariant
 
 AWAY, PARKED, WAKING = 0, 1, 2
@@ -34,7 +34,7 @@
         self.state, self.flaws, self.withdrawn = array("B"), array("B"), array("B")
         self.calls, self.heard = array("I"), array("d")
         limits = [limit(terms, kind) for kind in range(KINDS)]
-        self.kinds = [Wheel(keep, max(keep / BUCKETS, 0.01)) for keep in limits]
+        self.kinds = [TimerWheel(keep, max(keep / BUCKETS, 0.01)) for keep in limits]
         # Those with something to read, in the order in which that was noticed; `prompt` goes first.
         self.prompt: deque[int] = deque()
         self.queue: deque[int] = deque()
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -18,7 +18,7 @@
 NOTED = 1024  # descriptors noted as ready in one go
 
 
-class Rim(Protocol):
+class EpollSet(Protocol):
     """What `weldbend.idle_connections.epoll_set` does for the lot; see there."""
 
     def fileno(self) -> int: ...
@@ -32,7 +32,7 @@
 
 
 @implementer(IReadDescriptor)
-class Lot:
+class IdlePool:
     """Parks connections and wakes them.
 
     `woken(fd, memory, data)` is told of each that brought bytes: it adopts the descriptor. `ended()` is told
@@ -42,7 +42,7 @@
     def __init__(
         self,
         reactor: Any,
-        rim: Rim,
+        rim: EpollSet,
         terms: Terms,
         now: Callable[[], float],
         woken: Callable[[int, Memory, bytes], None],
--- a/weldbend/idle_connections/timer_wheel.py
+++ b/weldbend/idle_connections/timer_wheel.py
@@ -13,7 +13,7 @@
 FREE = -1
 
 
-class Wheel:
+class TimerWheel:
     """Slots in buckets of `width` seconds, at most `span` seconds ahead."""
 
     def __init__(self, span: float, width: float) -> None:
--- a/weldbend/installation/keys.py
+++ b/weldbend/installation/keys.py
@@ -18,7 +18,7 @@
 NUMBER = re.compile(r"[0-9]{1,9}")
 
 
-class BadValue(ValueError):
+class InvalidValueError(ValueError):
     """A value that a key cannot have; its text goes on after section and key."""
 
 
@@ -28,15 +28,17 @@
     def check(text: str) -> float:
         found = DURATION.fullmatch(text)
         if not found:
-            raise BadValue(f"{text!r:.40} is no duration such as '500 ms', '4.5 s', '2 min' or '1 h'")
+            raise InvalidValueError(
+                f"{text!r:.40} is no duration such as '500 ms', '4.5 s', '2 min' or '1 h'"
+            )
         figure, unit = found.groups()
         if not unit:
-            raise BadValue(f"{text!r:.40} lacks its unit (ms, s, min, h)")
+            raise InvalidValueError(f"{text!r:.40} lacks its unit (ms, s, min, h)")
         if unit not in UNITS:
-            raise BadValue(f"unit {unit!r:.20} is none of ms, s, min, h")
+            raise InvalidValueError(f"unit {unit!r:.20} is none of ms, s, min, h")
         value = float(figure) * UNITS[unit]
         if not least <= value <= most:
-            raise BadValue(f"{text} is not between {shown(least)} and {shown(most)}")
+            raise InvalidValueError(f"{text} is not between {shown(least)} and {shown(most)}")
         return value
 
     return check
@@ -50,9 +52,9 @@
             return words[text]
         if not NUMBER.fullmatch(text):
             named = "".join(f" or {word!r}" for word in words)
-            raise BadValue(f"{text!r:.40} is no whole number{named}")
+            raise InvalidValueError(f"{text!r:.40} is no whole number{named}")
         if not least <= int(text) <= most:
-            raise BadValue(f"{text} is not between {least} and {most}")
+            raise InvalidValueError(f"{text} is not between {least} and {most}")
         return int(text)
 
     return check
@@ -97,16 +99,16 @@
     for part in filter(None, (part.strip() for part in word_or_none(text).split(","))):
         said = PEER.fullmatch(part)
         if not said or not ipv4(said[2]) or not 0 < int(said[3]) < 65536:
-            raise BadValue(f"{part!r:.60} is no peer such as 'n1@127.0.0.1:7401/zone'")
+            raise InvalidValueError(f"{part!r:.60} is no peer such as 'n1@127.0.0.1:7401/zone'")
         peer = fleet.Peer(said[1], said[2], int(said[3]), said[4] or "")
         if peer.name in found:
-            raise BadValue(f"peer {peer.name} stands there twice")
+            raise InvalidValueError(f"peer {peer.name} stands there twice")
         if (peer.host, peer.port) in places:
-            raise BadValue(f"{peer.host}:{peer.port} belongs to two peers")
+            raise InvalidValueError(f"{peer.host}:{peer.port} belongs to two peers")
         places.add((peer.host, peer.port))
         found[peer.name] = peer
     if len(found) > fleet.MOST_PEERS:
-        raise BadValue(f"{len(found)} peers, more than {fleet.MOST_PEERS}")
+        raise InvalidValueError(f"{len(found)} peers, more than {fleet.MOST_PEERS}")
     return tuple(found.values())
 
 
@@ -119,14 +121,14 @@
     text = word_or_none(text)
     host, _, port = text.rpartition(":")
     if text and not (ipv4(host) and port.isdigit() and 0 < int(port) < 65536):
-        raise BadValue(f"{text!r:.60} is no address such as '127.0.0.1:7401'")
+        raise InvalidValueError(f"{text!r:.60} is no address such as '127.0.0.1:7401'")
     return text
 
 
 def loopback(text: str) -> str:
     held = place(text)
     if held and not held.startswith("127."):
-        raise BadValue(f"{text} is not on loopback")
+        raise InvalidValueError(f"{text} is not on loopback")
     return held
 
 
@@ -137,13 +139,13 @@
 def word(text: str) -> str:
     text = word_or_none(text)
     if text and not WORD.fullmatch(text):
-        raise BadValue(f"{text!r:.60} is no word of letters, digits, '.', '-' and '_'")
+        raise InvalidValueError(f"{text!r:.60} is no word of letters, digits, '.', '-' and '_'")
     return text
 
 
 def switch(text: str) -> bool:
     if text not in ("on", "off"):
-        raise BadValue(f"{text!r:.40} is neither on nor off")
+        raise InvalidValueError(f"{text!r:.40} is neither on nor off")
     return text == "on"
 
 
@@ -153,10 +155,10 @@
     def check(text: str) -> float:
         found = re.fullmatch(r"([0-9]{1,3}(?:\.[0-9]{1,4})?)\s*%", text)
         if not found:
-            raise BadValue(f"{text!r:.40} is no share such as '1 %'")
+            raise InvalidValueError(f"{text!r:.40} is no share such as '1 %'")
         value = float(found[1]) / 100
         if not least <= value <= most:
-            raise BadValue(f"{text} is not between {least * 100:g} % and {most * 100:g} %")
+            raise InvalidValueError(f"{text} is not between {least * 100:g} % and {most * 100:g} %")
         return value
 
     return check
@@ -168,11 +170,11 @@
     for part in filter(None, (part.strip() for part in word_or_none(text).split(","))):
         name, _, figure = (one.strip() for one in part.partition("="))
         if not WORD.fullmatch(name) or not re.fullmatch(r"[0-9]{1,7}(\.[0-9]{1,3})?", figure):
-            raise BadValue(f"{part!r:.60} is no limit such as 'order=50'")
+            raise InvalidValueError(f"{part!r:.60} is no limit such as 'order=50'")
         if not 0.1 <= float(figure) <= 1e6:
-            raise BadValue(f"{part}: not between 0.1 and 1000000 a second")
+            raise InvalidValueError(f"{part}: not between 0.1 and 1000000 a second")
         if name in found:
-            raise BadValue(f"{name} stands there twice")
+            raise InvalidValueError(f"{name} stands there twice")
         found[name] = float(figure)
     return tuple(found.items())
 
@@ -181,7 +183,7 @@
     return ", ".join(f"{name}={rate:g}" for name, rate in held) or "none"
 
 
-def limits_agree(held: fleet.Limited) -> str | None:
+def limits_agree(held: fleet.LimitSettings) -> str | None:
     both = {name for name, _ in held.strict} & {name for name, _ in held.soft}
     return f"{sorted(both)[0]} has a strict limit and a soft one" if both else None
 
@@ -260,7 +262,7 @@
             Key("soft", "soft", rates, shown_rates),
             Key("client", "client", lambda text: float(whole(0, 1_000_000)(text)), lambda held: f"{held:g}"),
         ),
-        fleet.Limited(),
+        fleet.LimitSettings(),
         limits_agree,
     ),
 }
--- a/weldbend/routing/router.py
+++ b/weldbend/routing/router.py
@@ -153,14 +153,16 @@
         self.cut = self.broke = self.before = self.marked = -math.inf
         self.saved: float | None = None  # work that this front may put to it while cold, where below a pull
         self.counted = self.rate = 0.0  # when that was added up last, and by how much a second it grew then
-        facts = self.router.facts
-        told, share = facts.weighted and self.role is not Role.ORIGIN, self.weight / self.sharers
+        settings = self.router.settings
+        told, share = settings.weighted and self.role is not Role.ORIGIN, self.weight / self.sharers
         self.limit = share + SPREAD * math.sqrt(share) if told else START
 
     def settle(self) -> None:
-        facts = self.router.facts
-        self.sharers = [facts.zone_fronts, facts.hub_fronts, facts.fronts][list(Role).index(self.role)]
-        self.wanted = WindowedSum(facts.edge_overload_window)
+        settings = self.router.settings
+        self.sharers = [settings.zone_fronts, settings.hub_fronts, settings.fronts][
+            list(Role).index(self.role)
+        ]
+        self.wanted = WindowedSum(settings.edge_overload_window)
 
     def take(self, note: Any) -> None:
         now = self.router.now
@@ -209,7 +211,9 @@
                 self.good.add(now)
                 self.timely.add(now)
                 if 2 * len(self.out) + 1 >= self.limit:
-                    self.limit += 1 / max(self.limit, 1) / self.router.facts.zone_fronts  # one for all there
+                    self.limit += (
+                        1 / max(self.limit, 1) / self.router.settings.zone_fronts
+                    )  # one for all there
             case Mark.CUT if now > self.marked:  # one connection, whatever it held
                 self.marked = now
                 self.bad.add(now)
@@ -235,14 +239,16 @@
 
         Guards against restarts that the list does not tell yet: one that broke its connections, and cannot be
         reached again at once, may have just started. Harm: one cut off gets little until it would be warm."""
-        facts, parent = self.router.facts, self.role is Role.PARENT
+        settings, parent = self.router.settings, self.role is Role.PARENT
         broke = self.before if self.router.now < self.broke + GRACE else self.broke
         started = broke if self.started is None else max(self.started, broke)
         if started == -math.inf or self.role is Role.ORIGIN:
             return 1.0
-        floor = facts.parent_start_capacity if parent else facts.edge_start_capacity
+        floor = settings.parent_start_capacity if parent else settings.edge_start_capacity
         age = max(self.router.now - started, 0.0)
-        return min(1.0, floor + (1 - floor) * age / (facts.parent_warmup if parent else facts.edge_warmup))
+        return min(
+            1.0, floor + (1 - floor) * age / (settings.parent_warmup if parent else settings.edge_warmup)
+        )
 
     def turn(self, now: float, most: float, work: float, window: float) -> bool:
         """Whether it is this front's turn at a cold cache whose budget gives it less than a pull a window.
@@ -300,16 +306,16 @@
         if mark is Mark.GOOD:
             limit = self.limit()
             if 2 * self.out + 1 >= limit:
-                self.part = min(1.0, self.part + 1 / max(limit, 1) ** 2 / self.router.facts.zone_fronts)
+                self.part = min(1.0, self.part + 1 / max(limit, 1) ** 2 / self.router.settings.zone_fronts)
         elif now >= self.cut + REST and len(parents) > 1:
             others = sorted(parents, key=lambda c: c.late.total(now))[:-1]
             if crowded(others, now):
                 self.cut, self.part = now, self.part * SHARE
 
     def room(self, dense: bool) -> bool:
-        facts = self.router.facts
+        settings = self.router.settings
         free = max(self.limit(), LEAST * self.router.share) * (HEADROOM if dense else 1.0) - self.out
-        return not facts.weighted or free >= 1 or (free > 0 and self.router.chance.random() < free)
+        return not settings.weighted or free >= 1 or (free > 0 and self.router.chance.random() < free)
 
 
 def crowded(caches: list[Cache], now: float) -> bool:
@@ -349,18 +355,18 @@
             del self.router.caches[cache.id]  # ids are ever new: nothing may be kept by one
             self.router.gate.sent.pop(cache, None)
         ready = [c for c in self.router.caches.values() if c.state is EndpointState.READY]
-        near = [c for c in ready if c.role is not Role.EDGE or c.zone == self.router.facts.zone]
+        near = [c for c in ready if c.role is not Role.EDGE or c.zone == self.router.settings.zone]
         self.ready = {role: [c for c in near if c.role is role] for role in Role}
 
     def place(self, request: "Request") -> None:
         """A look at the edge first, then a fill there: what missed is then known at every site."""
-        now, facts, (edges, parents, origins) = self.router.now, self.router.facts, self.ready.values()
+        now, settings, (edges, parents, origins) = self.router.now, self.router.settings, self.ready.values()
         bad = sum(c.bad.total(now) for c in edges)
         good = sum(c.good.total(now) for c in edges) if bad else 0.0
         well = (good + 1) / (good + bad + 1)
         edge = request.missed if request.missed in edges and request.missed not in request.ruled_out else None
         look = edge is None and not request.type.origin_only
-        if request.type.origin_only and facts.allows_bypass:
+        if request.type.origin_only and settings.allows_bypass:
             target = self.pick(request, origins, 0.0)
             plan = Attempt(request, target) if target else None
         # a cold edge is filled without a look: it holds little, and each pull counts against its budget
@@ -370,7 +376,7 @@
             source = self.source(request, parents, origins)
             plan = self.keep(self.staged(request, edge, source, origins)) if source else None
         else:
-            target = self.pick(request, parents, 0.0) if facts.allows_bypass and origins else None
+            target = self.pick(request, parents, 0.0) if settings.allows_bypass and origins else None
             lacks = target and (request.lacking or target.part() < 1 or request.type.origin_only)
             plan = Attempt(request, target, origins[0] if lacks else None) if target else None
         self.router.post(self.router.gate if plan else request, plan or Stuck(None))
@@ -406,7 +412,7 @@
     def source(self, request: "Request", parents: list[Cache], origins: list[Cache]) -> Cache | None:
         """The hub's parent by hash, then any by hash; the origin where no parent does as well."""
         strained = request.lacking is not None and self.router.now - request.lacking.cut < MEMORY
-        near = [c for c in parents if c.zone == self.router.facts.hub and not strained] or parents
+        near = [c for c in parents if c.zone == self.router.settings.hub and not strained] or parents
         if picked := self.pick(request, near, 1.0, sure=True):
             return picked
         peers = 1 - min((c.share_bad() for c in parents + origins), default=0.0)
@@ -428,7 +434,7 @@
         if cache not in request.ranks:
             digest = blake2b(f"{request.name} {cache.id}".encode(), digest_size=7).digest()
             drawn = math.log((int.from_bytes(digest) + 1) / (2**56 + 1))
-            request.ranks[cache] = drawn / (cache.weight if self.router.facts.weighted else 1.0)
+            request.ranks[cache] = drawn / (cache.weight if self.router.settings.weighted else 1.0)
         return request.ranks[cache]
 
 
@@ -438,7 +444,7 @@
     def __init__(self, router: "Router") -> None:
         super().__init__(router)
         self.purges: dict[str | int, float] = {}
-        window = router.facts.edge_overload_window
+        window = router.settings.edge_overload_window
         self.sent: dict[Cache, WindowedSum] = defaultdict(
             lambda: WindowedSum(window)
         )  # work put to each cache
@@ -458,13 +464,13 @@
                 self.router.post(note.request, stuck) if stuck else self.send(note)
             case AttemptEnded():
                 self.end(note)
-            case Doubt(attempt) if attempt.result is None and self.router.facts.allows_cancel:
+            case Doubt(attempt) if attempt.result is None and self.router.settings.allows_cancel:
                 self.router.actions.append(CancelAttempt(attempt.request.asked.id, attempt.number))
             case ObjectsPurged():
                 self.purged(note)
-            case SettingsChanged(facts):  # what was sent counts in the new window as if sent now
+            case SettingsChanged(settings):  # what was sent counts in the new window as if sent now
                 before, now = self.sent, self.router.now
-                self.sent = defaultdict(lambda: WindowedSum(facts.edge_overload_window))
+                self.sent = defaultdict(lambda: WindowedSum(settings.edge_overload_window))
                 for cache, sent in before.items():
                     self.sent[cache].add(now, sent.total(now))
             case Request() if not note.closed:
@@ -477,9 +483,9 @@
         """Guards against more downloads than this front has time for, where all would come late: a part is
         throttled at once, least benefit first; so is one that lay at the door itself for too long.
         Harm: a standstill of the machine costs some downloads."""
-        router, kind = self.router, self.router.facts.classes[asked.class_name]
+        router, kind = self.router, self.router.settings.classes[asked.class_name]
         self.requests.add(router.now)
-        best = kind.priority_weight >= max(k.priority_weight for k in router.facts.classes.values())
+        best = kind.priority_weight >= max(k.priority_weight for k in router.settings.classes.values())
         late = max(
             self.pressed() / PRESSED,
             asked.queued_for / (WAITED * kind.latency_objective),
@@ -487,15 +493,17 @@
         )
         share = late - (2 if best else 1)
         if share > 0 and router.chance.random() < share:
-            router.actions.append(RejectRequest(asked.id, router.facts.max_retry_after))
+            router.actions.append(RejectRequest(asked.id, router.settings.max_retry_after))
         else:
             router.post(router.requests.setdefault(asked.id, Request(router, asked, kind)), asked)
 
     def refusal(self, attempt: Attempt) -> Stuck | None:
-        request, now, facts = attempt.request, self.router.now, self.router.facts
+        request, now, settings = attempt.request, self.router.now, self.router.settings
         hopeless = sum(p.result is AttemptResult.ERROR for p in request.attempts) >= MOST_ERRORS
         spent = request.further() and self.further.total(now) >= FURTHER * self.requests.total(now) + 2
-        over = request.closed or now >= request.asked.deadline or len(request.attempts) >= facts.max_attempts
+        over = (
+            request.closed or now >= request.asked.deadline or len(request.attempts) >= settings.max_attempts
+        )
         if hopeless or spent or over or not self.harmless(attempt):
             return Stuck(None)
         if not self.dropped(attempt):
@@ -516,15 +524,15 @@
 
     def harmless(self, attempt: Attempt) -> bool:
         """No effect twice, and never two pulls out where a site forbids it."""
-        request, now, facts = attempt.request, self.router.now, self.router.facts
-        if not facts.allows_hedging and any(p.result is None for p in request.attempts):
+        request, now, settings = attempt.request, self.router.now, self.router.settings
+        if not settings.allows_hedging and any(p.result is None for p in request.attempts):
             return False
         maybe = request.maybe()
         if not maybe or request.type.idempotency is Idempotency.IDEMPOTENT:
             return True
         return (
             request.type.idempotency is Idempotency.DEDUPLICATED
-            and now < maybe[0].sent + request.type.deduplication_window - 2 * facts.tick
+            and now < maybe[0].sent + request.type.deduplication_window - 2 * settings.tick
         )
 
     def dropped(self, attempt: Attempt) -> bool:
@@ -543,33 +551,37 @@
         """A cache that started lately gets this front's share of what it can bear, and no more.
 
         A front that has itself just started may have sent some before: share grows over a window."""
-        facts = self.router.facts
+        settings = self.router.settings
         if cache.part() >= 1:
             return True
         most = self.budget(cache) * self.capacity(cache)
         now, work = self.router.now, self.router.mean_work(request.type)
         cache.wanted.add(now, work)
         if most >= work or cache.share.is_leased:
-            begun = min(1.0, (now - self.router.born) / facts.edge_overload_window)
+            begun = min(1.0, (now - self.router.born) / settings.edge_overload_window)
             return self.sent[cache].total(now) + work <= most * begun
-        return cache.turn(now, most, work, facts.edge_overload_window)
+        return cache.turn(now, most, work, settings.edge_overload_window)
 
     def budget(self, cache: Cache) -> float:
         """Work for each flow of its link that a cold cache bears in a window of the rule."""
-        facts = self.router.facts
-        multiple = facts.parent_overload_factor if cache.role is Role.PARENT else facts.edge_overload_factor
-        return multiple * cache.part() * facts.edge_overload_window * CARE
+        settings = self.router.settings
+        multiple = (
+            settings.parent_overload_factor if cache.role is Role.PARENT else settings.edge_overload_factor
+        )
+        return multiple * cache.part() * settings.edge_overload_window * CARE
 
     def capacity(self, cache: Cache) -> float:
         """This front's share of a cache's link in flows: as listed, else what warm ones were given lately.
 
         Fronts that share by leases have what they hold now of the whole: what is lent ends."""
-        facts, held = self.router.facts, cache.share
-        if not facts.weighted:
+        settings, held = self.router.settings, cache.share
+        if not settings.weighted:
             return max(self.borne.get(cache.role, 0.0), BORNE / cache.sharers)
         if held.is_leased:
             return cache.weight * (held.owned + held.leased * (self.router.now < held.lease_end))
-        return cache.weight / (cache.sharers if cache.role is Role.EDGE else facts.fronts)  # all at a parent
+        return cache.weight / (
+            cache.sharers if cache.role is Role.EDGE else settings.fronts
+        )  # all at a parent
 
     def send(self, attempt: Attempt) -> None:
         request, now, work = attempt.request, self.router.now, self.router.mean_work(attempt.request.type)
@@ -578,7 +590,7 @@
         for cache in attempt.caches():
             self.sent[cache].add(now, work)
             cache.saved = None if cache.saved is None else cache.saved - work
-        join = self.router.facts.joins_fills and not any(p.source and not p.held for p in request.attempts)
+        join = self.router.settings.joins_fills and not any(p.source and not p.held for p in request.attempts)
         name, at, age = request.asked.id, attempt.cache.id, self.age(attempt)
         by = attempt.source.id if attempt.source else None if attempt.cache.role is Role.ORIGIN else at
         go = SendAttempt(name, at, by, attempt.rank, age, 0.0, join, attempt.held, attempt.leave, False)
@@ -595,8 +607,8 @@
         return min(since, fresh or since)
 
     def purged(self, note: ObjectsPurged) -> None:
-        facts, now = self.router.facts, self.router.now
-        name, kept = note.key or note.group, facts.purge_complete_after + 2 * facts.purge_grace
+        settings, now = self.router.settings, self.router.now
+        name, kept = note.key or note.group, settings.purge_complete_after + 2 * settings.purge_grace
         self.purges = {n: at for n, at in self.purges.items() if now - at < kept}
         self.purges[name] = max(now - note.age, self.purges.get(name, -math.inf))
 
@@ -607,7 +619,7 @@
         attempt.result, attempt.ended = note.result, note
         for actor in (*attempt.caches(), request):
             self.router.post(actor, attempt)
-        served = note.result is AttemptResult.SERVED and not self.router.facts.weighted
+        served = note.result is AttemptResult.SERVED and not self.router.settings.weighted
         for cache in attempt.caches() if served else ():
             alike, now = self.router.placement.ready[cache.role], self.router.now
             if 2 * sum(c.part() >= 1 for c in alike) > len(alike) and cache.part() >= 1:
@@ -626,7 +638,7 @@
             or not maybe
             or (kind.idempotency is Idempotency.DEDUPLICATED and known)
         )
-        last = RejectRequest(request.asked.id, min(self.router.facts.max_retry_after, BACK))
+        last = RejectRequest(request.asked.id, min(self.router.settings.max_retry_after, BACK))
         self.router.actions.append(last if promise else FailRequest(request.asked.id))
         self.router.post(request, RequestCancelled(request.asked.id))
 
@@ -664,7 +676,7 @@
             case _ if self.closed:
                 pass
             case RequestReceived():
-                left = max(self.asked.deadline - router.now - 2 * router.facts.tick, 0.0)
+                left = max(self.asked.deadline - router.now - 2 * router.settings.tick, 0.0)
                 router.actions.append(SetTimer(left, f"end:{self.asked.id}", self.asked.id))
                 router.post(router.prefilter, self)
             case (int(level), float(v_k)):
@@ -696,7 +708,7 @@
         silent = silent and (attempt.doubted or due >= DUE)
         again, attempt.doubted, attempt.silent = attempt.doubted, True, silent
         sound = not again and self.blame(attempt).trusted(1.0)
-        two = self.router.facts.allows_hedging
+        two = self.router.settings.allows_hedging
         if not (again or silent) and (sound or not two):
             self.wait(attempt)
         elif self.type.idempotency is not Idempotency.NON_IDEMPOTENT:
@@ -754,7 +766,7 @@
         return guilty
 
     def close(self) -> None:
-        if not self.closed and self.router.facts.allows_cancel:
+        if not self.closed and self.router.settings.allows_cancel:
             for attempt in self.out():
                 self.router.actions.append(CancelAttempt(self.asked.id, attempt.number))
         self.closed = True
@@ -765,19 +777,19 @@
 class Router:
     """The door: ids become objects here, and one loop empties every inbox."""
 
-    def __init__(self, seed: int, facts: SiteSettings) -> None:
-        self.facts, self.now, self.born = facts, 0.0, math.inf
+    def __init__(self, seed: int, settings: SiteSettings) -> None:
+        self.settings, self.now, self.born = settings, 0.0, math.inf
         self.chance = RandomSource(seed)
         self.caches: dict[int, Cache] = {}
         self.requests: dict[str, Request] = {}
         self.prefilter, self.placement, self.gate = Prefilter(self), Placement(self), Gate(self)
-        self.tier, self.share = Tier(self), 1 / facts.fronts  # this front's part of what goes to parents
+        self.tier, self.share = Tier(self), 1 / settings.fronts  # this front's part of what goes to parents
         self.pace = {
             (name, role): (WindowedSum(MEMORY), WindowedSum(MEMORY))
-            for name in facts.classes
+            for name in settings.classes
             for role in Role
         }
-        self.mean, self.kinds = dict.fromkeys(facts.classes, (0.0, 0)), tuple(facts.classes.values())
+        self.mean, self.kinds = dict.fromkeys(settings.classes, (0.0, 0)), tuple(settings.classes.values())
         self.busy: deque[Actor] = deque()
         self.actions: list[Action] = []
         self.watched = False
@@ -788,7 +800,7 @@
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Action]:
         self.now, self.born, self.actions = now, min(now, self.born), []
-        if self.facts.subscribes and not self.watched:
+        if self.settings.subscribes and not self.watched:
             self.watched = True
             self.actions.append(WatchEndpoints())
         for event in events:
@@ -823,19 +835,19 @@
                     )
             case ParentQuota(part):
                 self.share = part
-            case SettingsChanged(facts):
-                self.settle(facts)
+            case SettingsChanged(settings):
+                self.settle(settings)
                 yield from ((actor, event) for actor in (*self.caches.values(), self.gate, self.placement))
             case _ if isinstance(event, CacheEvent) and event.cache in self.caches:
                 yield self.caches[event.cache], event
                 if isinstance(event, PeerKnowledge):
                     yield self.placement, event
 
-    def settle(self, facts: SiteSettings) -> None:
+    def settle(self, settings: SiteSettings) -> None:
         """Go by other facts. What was learned of content types that are still asked for, or open, stays."""
-        self.share = self.share if facts.fronts == self.facts.fronts else 1 / facts.fronts
-        self.facts, self.kinds = facts, tuple(facts.classes.values())
-        names = facts.classes.keys() | {request.type.name for request in self.requests.values()}
+        self.share = self.share if settings.fronts == self.settings.fronts else 1 / settings.fronts
+        self.settings, self.kinds = settings, tuple(settings.classes.values())
+        names = settings.classes.keys() | {request.type.name for request in self.requests.values()}
         self.pace = {
             (name, role): self.pace.get((name, role)) or (WindowedSum(MEMORY), WindowedSum(MEMORY))
             for name in names
@@ -845,8 +857,8 @@
 
     def listed(self, event: EndpointsListed) -> Iterator[tuple[Actor, Any]]:
         if event.scope is ListScope.FAILED:
-            if self.facts.subscribes:
-                self.actions.append(SetTimer(self.facts.list_refresh / 20, "watch"))
+            if self.settings.subscribes:
+                self.actions.append(SetTimer(self.settings.list_refresh / 20, "watch"))
             return
         named = {entry.id for entry in event.endpoints}
         for entry in event.endpoints:
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -14,7 +14,7 @@
 
     def __init__(self, rest: str) -> None:
         self.door = wire.Door(rest)
-        self.router = Router(self.door.seed, self.door.facts)
+        self.router = Router(self.door.seed, self.door.settings)
         self.waiting: list[Event] = []
 
     def answer(self, now: float) -> list[str]:
@@ -41,11 +41,11 @@
     def need(self) -> tuple[str, str]:
         for part in self.read():
             return part
-        raise wire.Malformed("input ended inside a batch")
+        raise wire.MalformedLineError("input ended inside a batch")
 
     def front(self, who: int | None) -> Front:
         if who not in self.fronts:
-            raise wire.Malformed(f"event for unknown instance {who}")
+            raise wire.MalformedLineError(f"event for unknown instance {who}")
         return self.fronts[who]
 
     def batch(self, now: float) -> str:
@@ -91,10 +91,10 @@
     try:
         for head, rest in host.read():
             if head != "sync":
-                raise wire.Malformed(f"expected sync, got {head!r}")
+                raise wire.MalformedLineError(f"expected sync, got {head!r}")
             out.write(host.batch(wire.seconds(rest)))
             out.flush()
-    except wire.Malformed as wrong:
+    except wire.MalformedLineError as wrong:
         print(f"line {host.number}: {wrong}", file=err)
         return 1
     return 0
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -46,7 +46,7 @@
 HINTS = dict(enumerate(FillHint))
 
 
-class Malformed(Exception):
+class MalformedLineError(Exception):
     """A line that the wire does not allow."""
 
 
@@ -59,14 +59,14 @@
     try:
         return int(text)
     except ValueError:
-        raise Malformed(f"not a whole number: {text!r}") from None
+        raise MalformedLineError(f"not a whole number: {text!r}") from None
 
 
 def number(text: str) -> float:
     try:
         return 0.0 if text == "-" else float(text)
     except ValueError:
-        raise Malformed(f"not a number: {text!r}") from None
+        raise MalformedLineError(f"not a number: {text!r}") from None
 
 
 def seconds(text: str) -> float:
@@ -80,13 +80,13 @@
 def values(name: str, rest: str, count: int) -> list[str]:
     found = rest.split(" ") if rest else []
     if len(found) < count:
-        raise Malformed(f"{name}: {len(found)} values, {count} wanted")
+        raise MalformedLineError(f"{name}: {len(found)} values, {count} wanted")
     return found
 
 
 def known(name: str, table: dict[Any, Any], word: Any) -> Any:
     if word not in table:
-        raise Malformed(f"unknown {name}: {word!r}")
+        raise MalformedLineError(f"unknown {name}: {word!r}")
     return table[word]
 
 
@@ -98,14 +98,14 @@
         try:
             conf = json.loads(text)
         except ValueError as wrong:
-            raise Malformed(f"provision: settings are not JSON: {wrong}") from None
+            raise MalformedLineError(f"provision: settings are not JSON: {wrong}") from None
         self.seed = whole(seed)
         try:
-            self.facts = read_site_settings(conf)
+            self.settings = read_site_settings(conf)
             self.flow = conf["family_info"]["one_flow_kb_per_s"]
             self.roles = cache_roles(conf)
         except KeyError as missing:
-            raise Malformed(f"provision: settings lack {missing}") from None
+            raise MalformedLineError(f"provision: settings lack {missing}") from None
 
     def listed(self, rest: str, lines: list[str]) -> EndpointsListed:
         scale = known("scope", SCALES, values("view", rest, 3)[0])
@@ -114,7 +114,7 @@
     def entry(self, line: str) -> Endpoint:
         head, rest = split(line)
         if head != "cache":
-            raise Malformed(f"expected a list entry, got {head!r}")
+            raise MalformedLineError(f"expected a list entry, got {head!r}")
         weight, zone, cache, started, kind, state, cell = values("cache", rest, 7)[:7]
         return Endpoint(
             id=whole(cache),
@@ -131,7 +131,7 @@
         match head:
             case "call":
                 name, key, flags, kind, group, _, part, size, until = values(head, rest, 9)[:9]
-                known("class", self.facts.classes, kind)
+                known("class", self.settings.classes, kind)
                 return RequestReceived(
                     id=name,
                     key=key,
@@ -172,7 +172,7 @@
             case "datagram":
                 front, text = values(head, rest, 2)[:2]
                 return MessageReceived(whole(front), b"" if text == "-" else base64.b64decode(text))
-        raise Malformed(f"unknown event {head!r}")
+        raise MalformedLineError(f"unknown event {head!r}")
 
 
 def gauge(text: str) -> dict[str, float] | None:
--- a/weldbend/testbed/cli.py
+++ b/weldbend/testbed/cli.py
@@ -262,7 +262,7 @@
 def fault_command(listen: str, target: str, plan_path: str, framing: str, seed: int) -> None:
     """Sit between two sockets and do to their traffic what a plan says, exactly by seed."""
     from weldbend.testbed.faults.engine import Injector
-    from weldbend.testbed.faults.plan import BadPlan, read_plan
+    from weldbend.testbed.faults.plan import InvalidPlanError, read_plan
     from weldbend.testbed.faults.proxy import Proxy
 
     for address in (listen, target):
@@ -271,7 +271,7 @@
             raise click.ClickException(f"{address}: no address of loopback with a port")
     try:
         injector = Injector(read_plan(plan_path, framing), seed)
-    except BadPlan as wrong:
+    except InvalidPlanError as wrong:
         raise click.ClickException(str(wrong)) from None
     shown = [0]
 
@@ -309,7 +309,7 @@
     folder: str | None,
 ) -> None:
     """Fronts that know of each other, as real processes, and faults between them; a verdict at the end."""
-    from weldbend.testbed.faults.plan import BadPlan
+    from weldbend.testbed.faults.plan import InvalidPlanError
     from weldbend.testbed.fleet import plan_runner
     from weldbend.testbed.fleet.plan import names, read_plan
 
@@ -321,7 +321,7 @@
         raise click.ClickException("give --plan FILE, or --lines")
     try:
         plan = read_plan(plan_path)
-    except BadPlan as wrong:
+    except InvalidPlanError as wrong:
         raise click.ClickException(str(wrong)) from None
     if virtual:
         from weldbend.testbed.simulation.seed_search import quiet
--- a/weldbend/testbed/emulator/cache_commands.py
+++ b/weldbend/testbed/emulator/cache_commands.py
@@ -10,7 +10,7 @@
 LONGEST_BODY = 48_000
 
 
-class BadCommand(Exception):
+class InvalidCommandError(Exception):
     """Bytes that are no command."""
 
 
@@ -40,7 +40,7 @@
             end = self.ring.find(b"\r\n", 0, LONGEST_LINE)
             if end < 0:
                 if len(self.ring) >= LONGEST_LINE:
-                    raise BadCommand("a line too long")
+                    raise InvalidCommandError("a line too long")
                 return None
             self.head = self.ring.read(end).decode("ascii", "replace").split(" ")
             self.ring.skip(2)
@@ -49,13 +49,13 @@
             self.head = None
             return Command(head[0], head[1], {})
         if head[0] != "do" or len(head) != 4 or not head[3].isdigit() or int(head[3]) > LONGEST_BODY:
-            raise BadCommand(f"line {' '.join(head)[:80]!r}")
+            raise InvalidCommandError(f"line {' '.join(head)[:80]!r}")
         length = int(head[3])
         if len(self.ring) < length + 2:
             return None
         data = self.ring.read(length)
         if self.ring.read(2) != b"\r\n":
-            raise BadCommand("a body that does not end where it should")
+            raise InvalidCommandError("a body that does not end where it should")
         self.head = None
         return Command("do", head[1], read_fields(head[2]), data)
 
--- a/weldbend/testbed/emulator/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -11,8 +11,8 @@
 from twisted.python.failure import Failure
 
 from weldbend.buffers.ring import Ring
-from weldbend.cache_protocol.answers import BadAnswer
-from weldbend.testbed.emulator.cache_commands import BadCommand, Command, Parser, answer
+from weldbend.cache_protocol.answers import InvalidAnswerError
+from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, answer
 from weldbend.testbed.emulator.cache_model import Box, World
 from weldbend.testbed.emulator.configuration import listing
 
@@ -39,7 +39,7 @@
                 rest = rest[self.ring.write(rest) :]
                 for command in self.parser.all():
                     self.take(command)
-        except (BadCommand, BadAnswer):
+        except (InvalidCommandError, InvalidAnswerError):
             self.close()
 
     def take(self, command: Command) -> None:
