--- a/weldbend/testbed/faults/engine.py
+++ b/weldbend/testbed/faults/engine.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deed:
+class FaultAction:
     at: float  # seconds of the caller's clock; never before the deed ahead of it
     what: What
     data: bytes = b""
@@ -79,24 +79,24 @@
         self.over = False
         self.once: dict[str, bool] = {}  # on raw streams chance is drawn once a connection
 
-    def feed(self, now: float, data: bytes) -> list[Deed]:
+    def feed(self, now: float, data: bytes) -> list[FaultAction]:
         """Bytes that came; what is to be done about them, and when."""
-        deeds: list[Deed] = []
+        fault_actions: list[FaultAction] = []
         for message in self.splitter.feed(data):
             if self.over:
                 break
             self.messages += 1
-            self.pass_on(now, message, deeds)
+            self.pass_on(now, message, fault_actions)
             self.offset += len(message.raw)
-        return deeds
+        return fault_actions
 
-    def end(self, now: float) -> list[Deed]:
+    def end(self, now: float) -> list[FaultAction]:
         """The sender says no more: so is the receiver told, after all that went before."""
-        deeds: list[Deed] = []
+        fault_actions: list[FaultAction] = []
         if not self.over:
-            self.emit(now, self.held + self.splitter.rest(), deeds)
-            self.finish(now, What.END, deeds)
-        return deeds
+            self.emit(now, self.held + self.splitter.rest(), fault_actions)
+            self.finish(now, What.END, fault_actions)
+        return fault_actions
 
     # One message.
 
@@ -128,7 +128,7 @@
             return self.once.setdefault(fault.name, drawn < fault.chance)
         return self.injector.drawn(fault.name, self.connection, self.messages) < fault.chance
 
-    def pass_on(self, now: float, message: Message, deeds: list[Deed]) -> None:
+    def pass_on(self, now: float, message: Message, fault_actions: list[FaultAction]) -> None:
         raw, wait, copies, swap = message.raw, 0.0, 1, False
         ends: Fault | None = None
         for fault in self.strikes(now, message):
@@ -152,35 +152,35 @@
                 case Kind.STALL | Kind.HANG | Kind.CUT | Kind.HALF_CLOSE:
                     ends = ends or fault
         if ends:
-            self.interrupt(now + wait, ends, raw, deeds)
+            self.interrupt(now + wait, ends, raw, fault_actions)
             return
         if swap and not self.held:
             self.held = raw
             return
-        self.emit(now + wait, raw * copies, deeds)
+        self.emit(now + wait, raw * copies, fault_actions)
         held, self.held = self.held, b""
-        self.emit(now, held, deeds)
+        self.emit(now, held, fault_actions)
 
     def place(self, fault: Fault) -> int:
         """Where in the message a fault strikes: at its byte of the stream, or so far inside."""
         return fault.byte - self.offset if fault.byte is not None else fault.inside or 0
 
-    def interrupt(self, now: float, fault: Fault, raw: bytes, deeds: list[Deed]) -> None:
+    def interrupt(self, now: float, fault: Fault, raw: bytes, fault_actions: list[FaultAction]) -> None:
         """Part of a message, then a standstill or an end."""
         place = min(self.place(fault), len(raw))
-        self.emit(now, raw[:place], deeds)
+        self.emit(now, raw[:place], fault_actions)
         match fault.kind:
             case Kind.STALL:
                 self.clear = max(self.clear, now) + fault.lasts
-                self.emit(now, raw[place:], deeds)
+                self.emit(now, raw[place:], fault_actions)
             case Kind.HANG:
                 self.over = True
             case Kind.HALF_CLOSE:
-                self.finish(now, What.END, deeds)
+                self.finish(now, What.END, fault_actions)
             case _:
-                self.finish(now, What.RESET if fault.how == "reset" else What.CLOSE, deeds)
+                self.finish(now, What.RESET if fault.how == "reset" else What.CLOSE, fault_actions)
 
-    def emit(self, at: float, data: bytes, deeds: list[Deed]) -> None:
+    def emit(self, at: float, data: bytes, fault_actions: list[FaultAction]) -> None:
         """Hand bytes on, not before the time given and not before what went ahead."""
         if not data:
             return
@@ -189,12 +189,12 @@
         for start in range(0, len(data), size):
             piece = data[start : start + size]
             self.clear += len(piece) / self.rate if self.rate else 0.0
-            deeds.append(Deed(self.clear, What.DATA, piece))
+            fault_actions.append(FaultAction(self.clear, What.DATA, piece))
 
-    def finish(self, at: float, what: What, deeds: list[Deed]) -> None:
+    def finish(self, at: float, what: What, fault_actions: list[FaultAction]) -> None:
         self.over = True
         self.clear = max(self.clear, at)
-        deeds.append(Deed(self.clear, what))
+        fault_actions.append(FaultAction(self.clear, what))
 
 
 def corrupt(raw: bytes, place: int, count: int) -> bytes:
--- a/weldbend/testbed/faults/messages.py
+++ b/weldbend/testbed/faults/messages.py
@@ -13,7 +13,7 @@
 from weldbend.cache_protocol.answers import LONGEST_LINE
 from weldbend.cache_protocol.commands import fields_text
 from weldbend.thrift import binary
-from weldbend.thrift.binary import BadMessage, Reader
+from weldbend.thrift.binary import InvalidMessageError, Reader
 from weldbend.thrift.framing import HEAD
 
 LONGEST = 1 << 19
@@ -97,7 +97,7 @@
         fields = {"message.name": head.name, "seqid": str(head.seqid), "message.kind": str(head.kind)}
         found = first_map(reader)
         return fields | found if found else fields
-    except BadMessage:
+    except InvalidMessageError:
         return None
 
 
@@ -147,7 +147,7 @@
         return message.raw
     try:
         return WRITERS[framing](message, name, to)
-    except (BadMessage, ValueError, KeyError, struct.error):
+    except (InvalidMessageError, ValueError, KeyError, struct.error):
         return message.raw
 
 
--- a/weldbend/testbed/faults/plan.py
+++ b/weldbend/testbed/faults/plan.py
@@ -18,8 +18,8 @@
 from enum import Enum
 from typing import Any
 
-from weldbend.installation.keys import BadValue, seconds, whole
-from weldbend.installation.reader import BadInstallation, parse
+from weldbend.installation.keys import InvalidValueError, seconds, whole
+from weldbend.installation.reader import InstallationError, parse
 
 MANY = 1_000_000_000
 FIELD = re.compile(r"([\w.]{1,40})\s*=\s*(.{0,200})")
@@ -51,7 +51,7 @@
     BACK = "back"
 
 
-class BadPlan(Exception):
+class InvalidPlanError(Exception):
     """A plan that cannot be played; its text is one line with the fault's name and the key."""
 
 
@@ -99,7 +99,9 @@
         try:
             return kind(text)
         except ValueError:
-            raise BadValue(f"{text!r:.40} is none of {', '.join(str(k.value) for k in kind)}") from None
+            raise InvalidValueError(
+                f"{text!r:.40} is none of {', '.join(str(k.value) for k in kind)}"
+            ) from None
 
     return check
 
@@ -107,7 +109,7 @@
 def word(*words: str) -> Callable[[str], str]:
     def check(text: str) -> str:
         if text not in words:
-            raise BadValue(f"{text!r:.40} is none of {', '.join(words)}")
+            raise InvalidValueError(f"{text!r:.40} is none of {', '.join(words)}")
         return text
 
     return check
@@ -117,15 +119,15 @@
     try:
         value = float(text)
     except ValueError:
-        raise BadValue(f"{text!r:.40} is no number") from None
+        raise InvalidValueError(f"{text!r:.40} is no number") from None
     if not 0 < value <= 1:
-        raise BadValue(f"{text} is not above 0 and at most 1")
+        raise InvalidValueError(f"{text} is not above 0 and at most 1")
     return value
 
 
 def pair(text: str) -> tuple[str, str]:
     if not (found := FIELD.fullmatch(text)):
-        raise BadValue(f"{text!r:.40} is no 'name=value'")
+        raise InvalidValueError(f"{text!r:.40} is no 'name=value'")
     return found[1], found[2]
 
 
@@ -167,27 +169,27 @@
     """A plan from its file; raises BadPlan."""
     try:
         held = parse(path)
-    except BadInstallation as wrong:
-        raise BadPlan(str(wrong)) from None
+    except InstallationError as wrong:
+        raise InvalidPlanError(str(wrong)) from None
     return plan(held, framing, path)
 
 
 def plan(held: Mapping[str, Any], framing: str, path: str = "plan") -> Plan:
     """A plan from its sections; raises BadPlan for the first thing wrong."""
     if framing not in FRAMINGS:
-        raise BadPlan(f"framing {framing!r:.20} is none of {', '.join(FRAMINGS)}")
+        raise InvalidPlanError(f"framing {framing!r:.20} is none of {', '.join(FRAMINGS)}")
     faults = []
     for name, said in held.items():
         if not isinstance(said, Mapping):
-            raise BadPlan(f"{path}: key '{name}' stands before any fault")
+            raise InvalidPlanError(f"{path}: key '{name}' stands before any fault")
         faults.append(fault(name, said, path))
         way = FRAMINGS[framing][faults[-1].direction is Direction.BACK]
         if way == "raw" and needs_messages(faults[-1]):
-            raise BadPlan(
+            raise InvalidPlanError(
                 f"{path}: [{name}] strikes at messages, but {faults[-1].direction.value} is raw bytes"
             )
     if not faults:
-        raise BadPlan(f"{path}: no fault")
+        raise InvalidPlanError(f"{path}: no fault")
     return Plan(framing, tuple(faults))
 
 
@@ -197,25 +199,25 @@
 
 def fault(name: str, said: Mapping[str, Any], path: str) -> Fault:
     if "kind" not in said:
-        raise BadPlan(f"{path}: [{name}] lacks 'kind'")
+        raise InvalidPlanError(f"{path}: [{name}] lacks 'kind'")
     values = {}
     for key, text in said.items():
         if key not in KEYS:
-            raise BadPlan(f"{path}: [{name}] unknown key '{key}'; known: {', '.join(KEYS)}")
+            raise InvalidPlanError(f"{path}: [{name}] unknown key '{key}'; known: {', '.join(KEYS)}")
         field, check = KEYS[key]
         try:
             values[field] = check(str(text).strip())
-        except BadValue as wrong:
-            raise BadPlan(f"{path}: [{name}] {key}: {wrong}") from None
+        except InvalidValueError as wrong:
+            raise InvalidPlanError(f"{path}: [{name}] {key}: {wrong}") from None
     made = Fault(name, **values)
     for key in said:
         if key in OWN and made.kind not in OWN[key]:
-            raise BadPlan(f"{path}: [{name}] {key}: means nothing for {made.kind.value}")
+            raise InvalidPlanError(f"{path}: [{name}] {key}: means nothing for {made.kind.value}")
     for key in NEEDS.get(made.kind, ()):
         if key not in said:
-            raise BadPlan(f"{path}: [{name}] {made.kind.value} lacks '{key}'")
+            raise InvalidPlanError(f"{path}: [{name}] {made.kind.value} lacks '{key}'")
     if made.kind is Kind.DELAY and not (made.lasts or made.jitter or made.growth):
-        raise BadPlan(f"{path}: [{name}] delay lacks 'for', 'jitter' or 'growth'")
+        raise InvalidPlanError(f"{path}: [{name}] delay lacks 'for', 'jitter' or 'growth'")
     if made.byte is not None and (made.message or made.field):
-        raise BadPlan(f"{path}: [{name}] byte and message or field exclude each other")
+        raise InvalidPlanError(f"{path}: [{name}] byte and message or field exclude each other")
     return made
--- a/weldbend/testbed/faults/proxy.py
+++ b/weldbend/testbed/faults/proxy.py
@@ -16,7 +16,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from weldbend.testbed.faults.engine import Deed, Injector, Stream, What
+from weldbend.testbed.faults.engine import FaultAction, Injector, Stream, What
 from weldbend.testbed.faults.plan import Direction
 
 WAITING = 1 << 20  # bytes that wait in one direction, beyond which its sender is read no further
@@ -31,7 +31,7 @@
         self.reactor = reactor
         self.other: Side | None = None
         self.stream: Stream | None = None  # what happens to bytes that come here
-        self.deeds: deque[Deed] = deque()  # towards this side
+        self.fault_actions: deque[FaultAction] = deque()  # towards this side
         self.early: list[bytes] = []  # came before the other side was up
         self.waiting, self.planned = 0, False
         self.full = self.gone = self.shut = False
@@ -67,32 +67,34 @@
 
     # Towards this side.
 
-    def plan(self, deeds: list[Deed]) -> None:
-        self.deeds.extend(deeds)
-        self.waiting += sum(len(deed.data) for deed in deeds)
+    def plan(self, fault_actions: list[FaultAction]) -> None:
+        self.fault_actions.extend(fault_actions)
+        self.waiting += sum(len(fault_action.data) for fault_action in fault_actions)
         self.carry_out()
 
     def carry_out(self) -> None:
         """All that is due, in order, while the socket takes it; then one delayed call for the next."""
         now = time.monotonic()
-        while self.deeds and not (self.gone or self.full) and self.deeds[0].at <= now + 0.0005:
-            deed = self.deeds.popleft()
-            self.waiting -= len(deed.data)
-            self.carry(deed)
-        if self.deeds and not (self.planned or self.gone or self.full):
+        while (
+            self.fault_actions and not (self.gone or self.full) and self.fault_actions[0].at <= now + 0.0005
+        ):
+            fault_action = self.fault_actions.popleft()
+            self.waiting -= len(fault_action.data)
+            self.carry(fault_action)
+        if self.fault_actions and not (self.planned or self.gone or self.full):
             self.planned = True
-            self.reactor.callLater(max(self.deeds[0].at - now, 0.0), self.again)
+            self.reactor.callLater(max(self.fault_actions[0].at - now, 0.0), self.again)
         self.press()
 
     def again(self) -> None:
         self.planned = False
         self.carry_out()
 
-    def carry(self, deed: Deed) -> None:
+    def carry(self, fault_action: FaultAction) -> None:
         transport: Any = self.transport
-        match deed.what:
+        match fault_action.what:
             case What.DATA:
-                transport.write(deed.data)
+                transport.write(fault_action.data)
             case What.END:
                 transport.loseWriteConnection()
             case What.RESET:
@@ -128,7 +130,7 @@
         """One side is gone altogether: the other follows, once it has what was on its way."""
         self.gone = True
         if self.other and not self.other.gone and self.stream and not self.shut:
-            self.other.plan([Deed(self.stream.clear, What.CLOSE)])
+            self.other.plan([FaultAction(self.stream.clear, What.CLOSE)])
 
 
 class Dial(ClientFactory):
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import Exchange, Say, awake, neighbours
+from weldbend.fleet.anti_entropy import AntiEntropy, Say, awake, neighbours
 from weldbend.fleet.membership import Membership, Send
-from weldbend.fleet.replicated_store import Change, Copies
+from weldbend.fleet.replicated_store import Change, ReplicatedStore
 from weldbend.fleet.settings import Terms
 
 KEEPALIVE = 3.0  # seconds after which a link that carries nothing breaks
@@ -46,9 +46,9 @@
         now, terms = fleet.now, fleet.setup.terms
         seed = fleet.rng.randrange(1 << 30)
         self.members = Membership(name, epoch, terms, fleet.names, seed, now)
-        self.copies = Copies(name, epoch, terms.ops)
+        self.copies = ReplicatedStore(name, epoch, terms.ops)
         self.changes: list[Change] = []
-        self.exchange = Exchange(name, self.copies, terms, seed + 1, self.changes.append, now)
+        self.exchange = AntiEntropy(name, self.copies, terms, seed + 1, self.changes.append, now)
         self.frozen_until = -math.inf
         self.waiting: list[Callable[[], None]] = []  # what comes while it is frozen
         self.up = True
@@ -186,7 +186,7 @@
         size = len(data) + 80
         self.counts["link messages"] += 1
         self.counts["link bytes"] += size
-        self.counts["snapshot bytes"] += size * isinstance(say.body, m.Piece)
+        self.counts["snapshot bytes"] += size * isinstance(say.body, m.SnapshotChunk)
         way = node.name, say.to
         delay = 0.001 + self.rng.random() * 0.01 + self.slow.get(way, 0.0)
         at = max(self.now + delay, self.arrival.get(way, 0.0))
--- a/weldbend/testbed/fleet/lease_model.py
+++ b/weldbend/testbed/fleet/lease_model.py
@@ -12,9 +12,9 @@
 from fractions import Fraction
 from typing import Any, NamedTuple
 
-from weldbend.fleet.lease_ledger import Asking, Borrower, Granted, Ledger, Loan, Times
+from weldbend.fleet.lease_ledger import Asking, Borrower, Granted, LeaseLedger, LeaseTimes, Loan
 
-TICKS = Times(term=3, window=1, drift=Fraction(1, 6))  # type: ignore[arg-type]
+TICKS = LeaseTimes(term=3, window=1, drift=Fraction(1, 6))  # type: ignore[arg-type]
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,7 +22,7 @@
     """How much is explored; a tick is one second of `times`. `own` says what each front owns."""
 
     own: tuple[int, ...] = (1, 1, 0)
-    times: Times = TICKS
+    times: LeaseTimes = TICKS
     depth: int = 60
     asks: int = 2  # in all
     parts: int = 1  # asked for at a time, at most, beyond what the other owns
@@ -69,17 +69,17 @@
 
 
 class Model:
-    def __init__(self, scope: Scope, ledger: type[Ledger] = Ledger) -> None:
+    def __init__(self, scope: Scope, ledger: type[LeaseLedger] = LeaseLedger) -> None:
         self.scope, self.ledger = scope, ledger
         self.limit, self.window = sum(scope.own), scope.times.window
 
-    def book(self, number: int, front: Front) -> Ledger:
+    def book(self, number: int, front: Front) -> LeaseLedger:
         made = self.ledger(self.scope.own[number], self.scope.times, front.epoch, front.quiet)
         made.number = front.number
         made.out, made.came, made.asked = dict(front.out), dict(front.came), dict(front.asked)
         return made
 
-    def shut(self, front: Front, book: Ledger) -> Front:
+    def shut(self, front: Front, book: LeaseLedger) -> Front:
         book.forget(0)
         out = sorted(book.out.items(), key=lambda held: (held[0].name, held[0].epoch, held[0].number))
         came, asked = (tuple(sorted(d.items(), key=lambda held: held[0])) for d in (book.came, book.asked))
--- a/weldbend/testbed/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -19,9 +19,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from weldbend.installation.keys import BadValue, seconds, whole
-from weldbend.installation.reader import BadInstallation, parse
-from weldbend.testbed.faults.plan import BadPlan, chance, word
+from weldbend.installation.keys import InvalidValueError, seconds, whole
+from weldbend.installation.reader import InstallationError, parse
+from weldbend.testbed.faults.plan import InvalidPlanError, chance, word
 
 DOES = {  # what an event does, and the keys that it needs beside `at` and `who`
     "split": ("for",),  # the sides do not reach each other
@@ -45,7 +45,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Deed:
+class FleetAction:
     """Times in seconds. `sides` are fronts by number."""
 
     name: str
@@ -71,7 +71,7 @@
     calm: float = 15.0  # after the last event has ended, at least: all must agree by then
     rate: float = 10.0
     zones: tuple[str, ...] = ()
-    deeds: tuple[Deed, ...] = field(default=())
+    fleet_actions: tuple[FleetAction, ...] = field(default=())
 
 
 def names(text: str) -> tuple[str, ...]:
@@ -102,20 +102,27 @@
     """A plan from its file; raises BadPlan, one line."""
     try:
         return plan(parse(path), path)
-    except BadInstallation as wrong:
-        raise BadPlan(str(wrong)) from None
+    except InstallationError as wrong:
+        raise InvalidPlanError(str(wrong)) from None
 
 
 def plan(held: Mapping[str, Any], path: str = "plan") -> FleetPlan:
     """A plan from its sections; raises BadPlan for the first thing wrong."""
     for name, said in held.items():
         if not isinstance(said, Mapping):
-            raise BadPlan(f"{path}: key '{name}' stands before any section")
+            raise InvalidPlanError(f"{path}: key '{name}' stands before any section")
     made = FleetPlan(**values(held.get("fleet", {}), FLEET, f"{path}: [fleet]"))
-    deeds = [deed(n, said, made.fronts, f"{path}: [{n}]") for n, said in held.items() if n != "fleet"]
-    last = max((one.at + one.lasts for one in deeds), default=0.0)
+    fleet_actions = [
+        fleet_action(n, said, made.fronts, f"{path}: [{n}]") for n, said in held.items() if n != "fleet"
+    ]
+    last = max((one.at + one.lasts for one in fleet_actions), default=0.0)
     return FleetPlan(
-        made.fronts, max(made.seconds, last + made.calm), made.calm, made.rate, made.zones, tuple(deeds)
+        made.fronts,
+        max(made.seconds, last + made.calm),
+        made.calm,
+        made.rate,
+        made.zones,
+        tuple(fleet_actions),
     )
 
 
@@ -125,30 +132,30 @@
     found = {}
     for key, text in said.items():
         if key not in keys:
-            raise BadPlan(f"{at} unknown key '{key}'; known: {', '.join(keys)}")
+            raise InvalidPlanError(f"{at} unknown key '{key}'; known: {', '.join(keys)}")
         field_, check = keys[key]
         try:
             found[field_] = check(str(text).strip())
-        except BadValue as wrong:
-            raise BadPlan(f"{at} {key}: {wrong}") from None
+        except InvalidValueError as wrong:
+            raise InvalidPlanError(f"{at} {key}: {wrong}") from None
     return found
 
 
-def deed(name: str, said: Mapping[str, Any], fronts: int, at: str) -> Deed:
+def fleet_action(name: str, said: Mapping[str, Any], fronts: int, at: str) -> FleetAction:
     found = values(said, KEYS, at)
     if "do" not in found:
-        raise BadPlan(f"{at} lacks 'do'")
+        raise InvalidPlanError(f"{at} lacks 'do'")
     for key in DOES[found["do"]]:
         if key not in said:
-            raise BadPlan(f"{at} {found['do']} lacks '{key}'")
+            raise InvalidPlanError(f"{at} {found['do']} lacks '{key}'")
     who = found.pop("who", "")
     if found["do"] in OF_THE_SITE:
         if who or not found.get("what"):
-            raise BadPlan(f"{at} {found['do']} is of the site: it has 'what', and no 'who'")
+            raise InvalidPlanError(f"{at} {found['do']} is of the site: it has 'what', and no 'who'")
     else:
         found["sides"] = sides(who, fronts, found["do"] in SIDES, at)
     found.setdefault("at", 0.0)
-    return Deed(name, **found)
+    return FleetAction(name, **found)
 
 
 def sides(text: str, fronts: int, parted: bool, at: str) -> tuple[tuple[int, ...], ...]:
@@ -159,17 +166,17 @@
         if said == ["all"]:
             said = list(known)
         if strange := [one for one in said if one not in known]:
-            raise BadPlan(f"{at} who: {strange[0]!r:.20} is none of n1 to n{fronts}")
+            raise InvalidPlanError(f"{at} who: {strange[0]!r:.20} is none of n1 to n{fronts}")
         found.append(tuple(known[one] for one in said))
     if not all(found):
-        raise BadPlan(f"{at} lacks 'who'")
+        raise InvalidPlanError(f"{at} lacks 'who'")
     if len({n for side in found for n in side}) < sum(map(len, found)):
-        raise BadPlan(f"{at} who: a front on two sides")
+        raise InvalidPlanError(f"{at} who: a front on two sides")
     if len(found) > 1 and not parted:
-        raise BadPlan(f"{at} who: this event has no sides")
+        raise InvalidPlanError(f"{at} who: this event has no sides")
     if parted and len(found) == 1:
         rest = tuple(n for n in known.values() if n not in found[0])
         if not rest:
-            raise BadPlan(f"{at} who: nobody is on the other side")
+            raise InvalidPlanError(f"{at} who: nobody is on the other side")
         found.append(rest)
     return tuple(found)
--- a/weldbend/testbed/fleet/plan_player.py
+++ b/weldbend/testbed/fleet/plan_player.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from weldbend.testbed.fleet.plan import Deed, FleetPlan
+from weldbend.testbed.fleet.plan import FleetAction, FleetPlan
 
 Ways = set[tuple[int, int]]  # (from, to), fronts by number
 
@@ -30,10 +30,10 @@
         self.stage = stage
 
     def play(self, plan: FleetPlan) -> None:
-        for one in plan.deeds:
+        for one in plan.fleet_actions:
             self.stage.later(one.at, lambda one=one: self.do(one))  # type: ignore[misc]
 
-    def do(self, one: Deed) -> None:
+    def do(self, one: FleetAction) -> None:
         """One event, begun now."""
         stage = self.stage
         self.say(one, "begins")
@@ -75,18 +75,18 @@
         if one.lasts:
             stage.later(one.lasts, lambda: self.say(one, "ends"))
 
-    def apart(self, one: Deed, ways: Ways, lasts: float) -> None:
+    def apart(self, one: FleetAction, ways: Ways, lasts: float) -> None:
         self.stage.cut(ways)
         self.stage.later(lasts, lambda: self.stage.mend(ways))
 
-    def worse(self, one: Deed) -> None:
+    def worse(self, one: FleetAction) -> None:
         others = {n for n in range(1, 1000) if n not in one.who}
         ways = {(a, b) for a in one.who for b in others}
         much = one.by if one.do == "slow" else one.share
         self.stage.worsen(ways, one.do, much)
         self.stage.later(one.lasts, lambda: self.stage.worsen(ways, one.do, 0.0))
 
-    def say(self, one: Deed, how: str) -> None:
+    def say(self, one: FleetAction, how: str) -> None:
         held = {"event": one.name, "do": one.do, "is": how}
         sides = [[f"n{n}" for n in side] for side in one.sides]
         self.stage.event(**held, **({"who": sides} if sides else {"what": one.what}))
--- a/weldbend/testbed/fleet/plan_runner.py
+++ b/weldbend/testbed/fleet/plan_runner.py
@@ -12,8 +12,8 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from weldbend.testbed.emulator.emulated_site import Shape
-from weldbend.testbed.faults.plan import BadPlan
-from weldbend.testbed.fleet.plan import Deed, FleetPlan, deed
+from weldbend.testbed.faults.plan import InvalidPlanError
+from weldbend.testbed.fleet.plan import FleetAction, FleetPlan, fleet_action
 from weldbend.testbed.fleet.plan_player import Player
 from weldbend.testbed.fleet.processes import FleetSite
 from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
@@ -99,7 +99,7 @@
     def lineReceived(self, line: bytes) -> None:
         try:
             self.take(json.loads(line))
-        except (BadPlan, ValueError, KeyError, TypeError) as wrong:
+        except (InvalidPlanError, ValueError, KeyError, TypeError) as wrong:
             show({"wrong": f"{type(wrong).__name__}: {wrong}"})
 
     def take(self, said: dict[str, Any]) -> None:
@@ -126,8 +126,8 @@
                 self.player.do(self.read(held))
         show({"done": said})
 
-    def read(self, said: dict[str, Any]) -> Deed:
-        return deed("told", said, self.site.shape.fronts, "line:")
+    def read(self, said: dict[str, Any]) -> FleetAction:
+        return fleet_action("told", said, self.site.shape.fronts, "line:")
 
     def numbers(self, said: dict[str, Any]) -> list[int]:
         held = str(said.get("who", "all")).split()
--- a/weldbend/testbed/fleet/processes.py
+++ b/weldbend/testbed/fleet/processes.py
@@ -23,7 +23,7 @@
 
 from weldbend.fleet.view_comparison import differences
 from weldbend.testbed.emulator.emulated_site import LOOPBACK, FrontProcess, Shape, Site
-from weldbend.testbed.faults.engine import Deed, What
+from weldbend.testbed.faults.engine import FaultAction, What
 from weldbend.testbed.faults.plan import Direction
 from weldbend.testbed.faults.proxy import Proxy, Side
 from weldbend.testbed.fleet.plan_player import Ways
@@ -85,21 +85,21 @@
 
     def __init__(self, network: Network, way: tuple[int, int], now: float) -> None:
         self.network, self.way, self.clear = network, way, now
-        self.held: deque[Deed] = deque()
+        self.held: deque[FaultAction] = deque()
         self.side: Side | None = None  # what is released goes to its other end
 
-    def feed(self, now: float, data: bytes) -> list[Deed]:
+    def feed(self, now: float, data: bytes) -> list[FaultAction]:
         return self.pass_on(now, What.DATA, data)
 
-    def end(self, now: float) -> list[Deed]:
+    def end(self, now: float) -> list[FaultAction]:
         return self.pass_on(now, What.END, b"")
 
-    def pass_on(self, now: float, what: What, data: bytes) -> list[Deed]:
+    def pass_on(self, now: float, what: What, data: bytes) -> list[FaultAction]:
         self.clear = max(self.clear, now + self.network.worse["slow"].get(self.way, 0.0))
-        deed = Deed(self.clear, what, data)
+        fault_action = FaultAction(self.clear, what, data)
         if self.network.passes(self.way) and not self.held:
-            return [deed]
-        self.held.append(deed)
+            return [fault_action]
+        self.held.append(fault_action)
         return []
 
     def release(self) -> None:
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from weldbend.fleet.lease_ledger import PARTS, Times
-from weldbend.fleet.lease_service import Limits, Rate
+from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
+from weldbend.fleet.lease_service import LeaseService, Rate
 from weldbend.routing.measures import RandomSource
 
 LIMIT = "type:order"
@@ -38,7 +38,7 @@
     drift: float = 0.01
     beyond: float = 0.0  # by which clocks drift more than is stated
     loss: float = 0.02
-    times: Times = field(default_factory=lambda: Times(1.0, 1.0, 0.01))
+    times: LeaseTimes = field(default_factory=lambda: LeaseTimes(1.0, 1.0, 0.01))
 
 
 def pace(shape: Shape, number: int, at: float) -> float:
@@ -67,7 +67,9 @@
         now = lab.clock(number)
         until = now + shape.times.quiet if quiet else now
         chance = RandomSource(lab.rng.randrange(1 << 30))
-        self.limits = Limits(self.name, epoch, chance, until, lambda limit: None, lambda: lab.unix(number))
+        self.limits = LeaseService(
+            self.name, epoch, chance, until, lambda limit: None, lambda: lab.unix(number)
+        )
         self.limits.open(LIMIT, lab.names, shape.most * shape.times.window, shape.times, self.rate, now)
 
     def take(self, now: float) -> bool:
--- a/weldbend/testbed/load/client_calls.py
+++ b/weldbend/testbed/load/client_calls.py
@@ -70,7 +70,7 @@
     head = reader.head()
     held = read_struct(reader)
     if reader.at != len(data):
-        raise binary.BadMessage("bytes after the answer")
+        raise binary.InvalidMessageError("bytes after the answer")
     if head.kind == binary.EXCEPTION:
         return Heard(head.seqid, "exception", held[1], {"kind": str(held[2])}, False)
     ((number, struct),) = held.items()
--- a/weldbend/testbed/simulation/machines.py
+++ b/weldbend/testbed/simulation/machines.py
@@ -24,7 +24,7 @@
 from twisted.internet.interfaces import IHalfCloseableProtocol
 from twisted.python.failure import Failure
 
-from weldbend.testbed.faults.engine import Deed, Stream, What
+from weldbend.testbed.faults.engine import FaultAction, Stream, What
 
 WINDOW = 1 << 17  # bytes on their way or unread, beyond which a sender is held back
 EPOCH = 1_700_000_000.0  # Unix seconds at the virtual start
@@ -377,17 +377,19 @@
             self.held_back = True
             self.producer.pauseProducing()
 
-    def carry_out(self, deeds: list[Deed]) -> None:
+    def carry_out(self, fault_actions: list[FaultAction]) -> None:
         """What an injector makes of bytes written here, each at its time."""
-        for deed in deeds:
-            self.world.plan(deed.at - self.world.now, lambda deed=deed: self.carry(deed))  # type: ignore[misc]
+        for fault_action in fault_actions:
+            self.world.plan(
+                fault_action.at - self.world.now, lambda fault_action=fault_action: self.carry(fault_action)
+            )  # type: ignore[misc]
 
-    def carry(self, deed: Deed) -> None:
+    def carry(self, fault_action: FaultAction) -> None:
         if self.ended or not self.peer or self.peer.ended:
             return
-        match deed.what:
+        match fault_action.what:
             case What.DATA:
-                self.hand_over(deed.data)
+                self.hand_over(fault_action.data)
             case What.END:
                 self.send(None)
             case What.RESET:
--- a/weldbend/testbed/simulation/observer.py
+++ b/weldbend/testbed/simulation/observer.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from weldbend.buffers.ring import Ring
-from weldbend.cache_protocol.answers import Answer, BadAnswer
+from weldbend.cache_protocol.answers import Answer, InvalidAnswerError
 from weldbend.cache_protocol.answers import Parser as AnswerParser
 from weldbend.testbed.emulator import cache_commands
 from weldbend.testbed.load import client_calls
-from weldbend.thrift.binary import BadMessage
-from weldbend.thrift.framing import BadFrame, next_frame
+from weldbend.thrift.binary import InvalidMessageError
+from weldbend.thrift.framing import InvalidFrameError, next_frame
 from weldbend.thrift.messages import GiveUp, Probe, Process, Wrong, read_call
 
 LONGEST = 1 << 20
@@ -71,7 +71,14 @@
         """The next message; `garbage` once where there can be none any more."""
         try:
             return next(found, None)
-        except (BadMessage, BadFrame, BadAnswer, cache_commands.BadCommand, ValueError, KeyError):
+        except (
+            InvalidMessageError,
+            InvalidFrameError,
+            InvalidAnswerError,
+            cache_commands.InvalidCommandError,
+            ValueError,
+            KeyError,
+        ):
             self.dead = True
             return "garbage"
 
--- a/weldbend/testbed/simulation/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -217,7 +217,7 @@
         raw = json.loads(text)
         raw["known"] = {"offset": self.bus.events[-1]["offset"], "batch": self.bus.events}
         front = self.made(machine, read_site(json.dumps(raw)))
-        front.listener.rim = NoRim
+        front.listener.rim = NoEpollSet
         if self.change:
             self.change(front)
         self.fronts[number] = machine, front
@@ -453,7 +453,7 @@
         return []
 
 
-class NoRim:
+class NoEpollSet:
     """Descriptors where there are none: nothing is parked."""
 
     def __init__(self, reactor: Any) -> None:
--- a/weldbend/thrift/binary.py
+++ b/weldbend/thrift/binary.py
@@ -19,7 +19,7 @@
 _I16, _I32, _U32 = struct.Struct(">h"), struct.Struct(">i"), struct.Struct(">I")
 
 
-class BadMessage(Exception):
+class InvalidMessageError(Exception):
     """Bytes that the strict binary protocol does not allow."""
 
 
@@ -37,7 +37,7 @@
 
     def take(self, count: int) -> bytes:
         if count < 0 or count > len(self.data) - self.at:
-            raise BadMessage(f"{count} bytes wanted, {len(self.data) - self.at} left")
+            raise InvalidMessageError(f"{count} bytes wanted, {len(self.data) - self.at} left")
         self.at += count
         return self.data[self.at - count : self.at]
 
@@ -55,12 +55,12 @@
         try:
             return self.binary().decode()
         except UnicodeDecodeError:
-            raise BadMessage("text that is not UTF-8") from None
+            raise InvalidMessageError("text that is not UTF-8") from None
 
     def head(self) -> Head:
         version = _U32.unpack(self.take(4))[0]
         if version & 0xFFFFFF00 != VERSION:
-            raise BadMessage(f"version {version:#x}")
+            raise InvalidMessageError(f"version {version:#x}")
         return Head(version & 0xFF, self.string(), self.i32())
 
     def count(self, *kinds: int) -> int:
@@ -68,7 +68,7 @@
         count = self.i32()
         least = sum(WIDTHS.get(kind) or LEAST.get(kind, 1) for kind in kinds)
         if count < 0 or count * least > len(self.data) - self.at:
-            raise BadMessage(f"{count} elements")
+            raise InvalidMessageError(f"{count} elements")
         return count
 
     def fields(self) -> Iterator[tuple[int, int]]:
@@ -80,7 +80,7 @@
         kinds = self.byte(), self.byte()
         count = self.count(*kinds)
         if count and kinds != (STRING, STRING):
-            raise BadMessage(f"a map of kinds {kinds}")
+            raise InvalidMessageError(f"a map of kinds {kinds}")
         data, at, end = (
             self.data,
             self.at,
@@ -92,16 +92,16 @@
                 start = at + 4
                 at = start + _I32.unpack_from(data, at)[0]
                 if not start <= at <= end:
-                    raise BadMessage(f"{at - start} bytes wanted, {end - start} left")
+                    raise InvalidMessageError(f"{at - start} bytes wanted, {end - start} left")
                 texts.append(data[start:at].decode())
         except (UnicodeDecodeError, struct.error):
-            raise BadMessage("text that is not UTF-8, or not all there") from None
+            raise InvalidMessageError("text that is not UTF-8, or not all there") from None
         self.at = at
         return dict(zip(texts[::2], texts[1::2], strict=True))
 
     def skip(self, kind: int, depth: int = 0) -> None:
         if depth > DEEPEST:
-            raise BadMessage("nested too deep")
+            raise InvalidMessageError("nested too deep")
         if kind in WIDTHS:
             self.take(WIDTHS[kind])
         elif kind == STRING:
@@ -119,7 +119,7 @@
             for _ in range(self.count(inner)):
                 self.skip(inner, depth + 1)
         else:
-            raise BadMessage(f"kind {kind}")
+            raise InvalidMessageError(f"kind {kind}")
 
 
 def head(kind: int, name: str, seqid: int) -> bytes:
--- a/weldbend/thrift/framing.py
+++ b/weldbend/thrift/framing.py
@@ -7,7 +7,7 @@
 HEAD = struct.Struct(">i")
 
 
-class BadFrame(Exception):
+class InvalidFrameError(Exception):
     """A length that no message of ours can have."""
 
 
@@ -33,7 +33,7 @@
         return None
     (length,) = HEAD.unpack(ring.peek(HEAD.size))
     if not 0 < length <= most:
-        raise BadFrame(f"frame of {length} bytes")
+        raise InvalidFrameError(f"frame of {length} bytes")
     if len(ring) < HEAD.size + length:
         return None
     ring.skip(HEAD.size)
--- a/weldbend/thrift/messages.py
+++ b/weldbend/thrift/messages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from weldbend.thrift import binary
-from weldbend.thrift.binary import MAP, REPLY, STRING, STRUCT, BadMessage, Head, Reader
+from weldbend.thrift.binary import MAP, REPLY, STRING, STRUCT, Head, InvalidMessageError, Reader
 from weldbend.thrift.framing import HEAD, frame
 
 UNKNOWN_METHOD, WRONG_KIND, PROTOCOL_ERROR = 1, 2, 7  # kinds of application exception
@@ -49,7 +49,7 @@
         return Wrong(head.name, head.seqid, WRONG_KIND, f"message kind {head.kind}")
     try:
         return arguments(reader, head)
-    except BadMessage as wrong:
+    except InvalidMessageError as wrong:
         if head.kind == binary.ONEWAY:
             raise
         return Wrong(head.name, head.seqid, PROTOCOL_ERROR, str(wrong))
@@ -69,15 +69,15 @@
             case _:
                 reader.skip(kind)
     if reader.at != len(reader.data):
-        raise BadMessage(f"{len(reader.data) - reader.at} bytes after the message")
+        raise InvalidMessageError(f"{len(reader.data) - reader.at} bytes after the message")
     if head.name == "probe":
         return Probe(head.seqid)
     if head.name == "giveUp":
         if given_up is None:
-            raise BadMessage("giveUp without a seqid")
+            raise InvalidMessageError("giveUp without a seqid")
         return GiveUp(given_up)
     if fields is None:
-        raise BadMessage("process without fields")
+        raise InvalidMessageError("process without fields")
     return Process(head.seqid, fields, body)
 
 
