--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -19,7 +19,8 @@
     SettingsChanged,
     TimerFired,
 )
-from weldbend.routing.router import Attempt, Mark
+from weldbend.routing.messages import Outcome
+from weldbend.routing.records import Attempt
 from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 
 
@@ -122,9 +123,9 @@
         front.ask(key, key, now=1)
         front.end(key, AttemptResult.MISS)
     request = front.router.requests["k"]
-    front.router.post(front.router.gate, Attempt(request, front.router.caches[1]))
+    front.router.context.post(front.router.admission, Attempt(request, front.router.caches[1]))
     front.at(1.1, RequestCancelled("nobody"))
-    front.router.post(front.router.gate, Attempt(request, front.router.caches[2], gone))
+    front.router.context.post(front.router.admission, Attempt(request, front.router.caches[2], gone))
     front.at(1.2, RequestCancelled("nobody"))
     front.shows("""
         1.00 k: 2 look rank 0
@@ -214,11 +215,13 @@
         (1.5, ConnectionOpened(1)),
     ):
         front.at(now, event)
-        parts.append(cache.part())
+        parts.append(cache.slow_start.capacity_fraction())
     front.end("d0", AttemptResult.UNREACHABLE, now=2.0)
     front.at(2.1, ConnectionOpened(1))
-    assert cache.bad.total(1.4) == 2 and cache.limit > 5
-    front.trace.append("parts " + " ".join(f"{part:.2f}" for part in (*parts, cache.part())))
+    assert cache.failures.total(1.4) == 2 and cache.concurrency.limit > 5
+    front.trace.append(
+        "parts " + " ".join(f"{part:.2f}" for part in (*parts, cache.slow_start.capacity_fraction()))
+    )
     front.shows("""
         1.00 d0: 1 look rank 0
         1.00 d1: 1 look rank 0
@@ -285,13 +288,13 @@
     most = {}
     for fronts in (2, 200):
         front = Front((CACHES[0], *parents, CACHES[-1]), fronts=fronts, hub_fronts=fronts, zone_fronts=2)
-        front.router.caches[1].limit = 1000.0
+        front.router.caches[1].concurrency.limit = 1000.0
         for n in range(60):
             front.ask(f"d{n}", f"k{n}", now=1)
             if f"d{n}" in front.attempts:
                 front.end(f"d{n}", AttemptResult.MISS)
         most[fronts] = sum(" if held" in line for line in front.trace)
-        assert front.router.tier.out == most[fronts]
+        assert front.router.context.parents_in_flight == most[fronts]
     assert most == {2: 60, 200: 3}
 
 
@@ -299,22 +302,22 @@
     """None of them answers often enough to this front to cut its own limit."""
     parents = tuple(entry(30 + n, Role.PARENT, "h") for n in range(8))
     front = Front((CACHES[0], *parents, CACHES[-1]), fronts=200, hub_fronts=200, zone_fronts=2)
-    front.router.chance.start = 3
-    before = front.router.tier.limit()
+    front.router.context.random.seed_number = 3
+    before = front.router.context.parents.limit()
     for n in range(12):
         front.ask(f"d{n}", f"k{n}", now=1 + n / 5)
         front.end(f"d{n}", AttemptResult.MISS)
         if "held" in front.trace[-1]:
             front.end(f"d{n}", AttemptResult.SERVED, took=9.0)
-    limits = {cache.limit for cache in front.router.caches.values() if cache.role is Role.PARENT}
+    limits = {cache.concurrency.limit for cache in front.router.caches.values() if cache.role is Role.PARENT}
     assert len(limits) == 1, "no parent had a crowd of its own"
-    assert front.router.tier.limit() < 0.4 * before
+    assert front.router.context.parents.limit() < 0.4 * before
 
 
 def test_when_no_edge_is_left_a_parent_is_asked_for_what_it_holds_before_the_origin_has_to():
     edges = tuple(entry(n, state=EndpointState.DRAINING) for n in (1, 2))
     front = Front(edges + CACHES[2:3] + CACHES[-1:], allows_bypass=True)
-    front.router.caches[21].limit = 0.8  # room for one, and a chance of one in 25 for another
+    front.router.caches[21].concurrency.limit = 0.8  # room for one, and a chance of one in 25 for another
     for n in range(3):
         front.ask(f"d{n}", f"k{n}", now=1)
     front.end("d0", AttemptResult.SERVED)
@@ -331,13 +334,13 @@
 
 def test_download_that_no_cache_can_use_is_given_up_and_speaks_against_none():
     front = Front()
-    front.router.gate.requests.add(1, 100)
+    front.router.admission.requests.add(1, 100)
     for name, last in (("bad", AttemptResult.ERROR), ("good", AttemptResult.SERVED)):
         front.ask(name, "k", now=1)
         front.end(name, AttemptResult.ERROR)
         front.end(name, AttemptResult.ERROR)
         front.end(name, last)
-    marks = {c.id: c.bad.total(1) for c in front.router.caches.values() if c.bad.total(1)}
+    marks = {c.id: c.failures.total(1) for c in front.router.caches.values() if c.failures.total(1)}
     assert marks == {1: 1, 2: 1}
     front.shows("""
         1.00 bad: 1 look rank 0
@@ -354,7 +357,7 @@
     sends = []
     for seed in range(6):
         front = Front((entry(1, started=0.0), CACHES[-1]), zone_fronts=60)
-        front.router.chance.start = 7919 * seed
+        front.router.context.random.seed_number = 7919 * seed
         for n in range(120):
             front.ask(f"d{n}", f"k{n}", now=n / 20)
         sends.append(" ".join(line.split()[0] for line in front.trace if "fill" in line))
@@ -420,7 +423,7 @@
         front.end(f"d{n}", AttemptResult.SERVED, now=2, took=9.0)
     front.trace.clear()
     for name in "efg":
-        front.router.caches[21].limit = 0.0 if name == "g" else 9.0
+        front.router.caches[21].concurrency.limit = 0.0 if name == "g" else 9.0
         front.ask(name, f"new {name}", now=3)
         front.end(name, AttemptResult.MISS)
         front.end(name, AttemptResult.MISS)
@@ -450,7 +453,9 @@
                 front.end(
                     f"d{n}", AttemptResult.MISS if missed else AttemptResult.SERVED, took=9.0 if late else 0.1
                 )
-        limits[slow] = f"{front.router.caches[11].limit:.1f} {front.router.caches[21].limit:.1f}"
+        limits[slow] = (
+            f"{front.router.caches[11].concurrency.limit:.1f} {front.router.caches[21].concurrency.limit:.1f}"
+        )
     assert limits == {"parent": "0.7 12.0", "origin": "9.5 0.5"}
 
 
@@ -461,7 +466,7 @@
         front.ask(f"d{n}", f"k{n}", now=1 + n / 20)
         if f"d{n}" in front.attempts:
             front.end(f"d{n}", AttemptResult.SERVED, took=9.0 if n > 30 or n % 15 == 0 else 0.1)
-        limits.append(f"{front.router.caches[1].limit:.1f}")
+        limits.append(f"{front.router.caches[1].concurrency.limit:.1f}")
     assert limits[28::6] == ["9.5", "5.7", "2.0", "0.7", "0.5", "0.5"]
 
 
@@ -471,7 +476,8 @@
         front.ask(f"d{n}", f"k{n}", now=1 + n / 20)
         if f"d{n}" in front.attempts:
             front.end(f"d{n}", AttemptResult.SERVED, took=0.2 if n < 40 else 2.0)
-    assert f"{front.router.mean_work(front.router.settings.classes['photo']):.1f}" == "0.2"
+    context = front.router.context
+    assert f"{context.statistics.mean_work(context.settings.classes['photo']):.1f}" == "0.2"
 
 
 def test_limit_below_one_is_a_chance_and_grows_by_one_for_a_location():
@@ -479,14 +485,14 @@
     shown = []
     for seed in range(10):
         front = Front(CACHES[:1], zone_fronts=20)
-        front.router.chance.start = seed
+        front.router.context.random.seed_number = seed
         edge = front.router.caches[1]
         for n in range(40):
-            edge.limit = min(edge.limit, 0.3)
+            edge.concurrency.limit = min(edge.concurrency.limit, 0.3)
             front.ask(f"d{n}", f"k{n}", now=n / 20)
             if f"d{n}" in front.attempts:
                 front.end(f"d{n}", AttemptResult.SERVED)
-                shown.append(f"{edge.limit:.2f}")
+                shown.append(f"{edge.concurrency.limit:.2f}")
     assert 150 < len(shown) < 186 and set(shown) == {"0.35"}
 
 
@@ -515,7 +521,11 @@
     front = Front(weighted=False)
     for n in range(100):
         front.fill(f"d{n}", f"k{n}", now=1 + n / 10)
-    assert [f"{flows:.2f}" for flows in front.router.gate.borne.values()] == ["0.76", "0.38", "0.38"]
+    assert [f"{flows:.2f}" for flows in front.router.admission.warm_load.flows.values()] == [
+        "0.76",
+        "0.38",
+        "0.38",
+    ]
 
 
 def test_full_edge_spills_then_throttles_at_once():
@@ -559,7 +569,7 @@
 
 def test_fronts_agree_on_the_hash_whatever_their_seed():
     one, other = Front(), Front()
-    other.router.chance.start = 99
+    other.router.context.random.seed_number = 99
     for n in range(12):
         for front in (one, other):
             front.fill(f"d{n}", f"k{n}", now=1 + n)
@@ -618,7 +628,7 @@
         front.ask(name, name, now=1.2)
     assert {line.split()[2] for line in front.trace} == {"2"}
     front.at(2, PeerKnowledge(2, None, 1.9))
-    assert caches[2].part() < 1, "a start that the own list has not told"
+    assert caches[2].slow_start.capacity_fraction() < 1, "a start that the own list has not told"
     front.at(2, PeerKnowledge(2, None, 0.5))
     assert caches[2].started == 1.9
     front.listed(entry(1), now=3)
@@ -633,35 +643,35 @@
 
 def test_one_parent_that_is_late_cuts_its_own_limit_and_not_that_of_all():
     front = many_parents()
-    before = front.router.tier.limit()
+    before = front.router.context.parents.limit()
     late = front.router.caches[30]
     for n in range(12):
-        front.router.now = 1 + n / 10
-        late.take(Mark.LATE)
-    assert late.cut > 0
-    assert front.router.tier.limit() == before
+        front.router.context.now = 1 + n / 10
+        late.handle(Outcome.LATE)
+    assert late.concurrency.decreased_at > 0
+    assert front.router.context.parents.limit() == before
 
 
 def test_the_limit_of_all_parents_grows_back_by_answers_in_time():
     front = many_parents()
-    tier = front.router.tier
-    tier.part = 0.2
+    tier = front.router.context.parents
+    tier.fraction = 0.2
     for n in range(40):
-        front.router.now = 1 + n
-        front.router.caches[30 + n % 8].take(Mark.GOOD)
-    assert tier.part > 0.5
+        front.router.context.now = 1 + n
+        front.router.caches[30 + n % 8].handle(Outcome.SUCCESS)
+    assert tier.fraction > 0.5
 
 
 def test_what_a_restarted_parent_had_out_counts_no_longer_against_all():
     front = many_parents()
     front.ask("d", "k", now=1)
     front.end("d", AttemptResult.MISS)
-    assert "held" in front.trace[-1] and front.router.tier.out == 1
+    assert "held" in front.trace[-1] and front.router.context.parents_in_flight == 1
     at = front.router.requests["d"].attempts[-1].source
     front.listed(entry(at.id, Role.PARENT, "h", started=1.5), now=2)
-    assert front.router.tier.out == 0
+    assert front.router.context.parents_in_flight == 0
     front.end("d", AttemptResult.RESET, now=2.1)
-    assert front.router.tier.out == 0, "its end is not counted a second time"
+    assert front.router.context.parents_in_flight == 0, "its end is not counted a second time"
 
 
 def test_no_repeat_after_a_window_that_the_first_pulls_own_time_out_has_passed():
@@ -697,17 +707,24 @@
     )
     front.at(3.5, SettingsChanged(settings))
     cache = front.router.caches[1]
-    assert front.router.gate.sent[cache].total(3.5) == 4.0 and cache.sharers == 3
+    assert cache.sent_work.total(3.5) == 4.0 and cache.sharers == 3
     for n in range(8):
         front.ask(f"new{n}", f"new{n}", now=3.5, type="clip")
     sent = [name for name in front.attempts if "new" in name]
     assert len(sent) == 4, "of 4.8 in the new window, 4.0 were sent before"
     front.end("d0", AttemptResult.SERVED, now=3.6)  # of the type that is gone
     front.ask("late", "k", now=6.7, type="clip")
-    assert "late" in front.attempts and set(front.router.settings.classes) == {"clip"}
+    assert "late" in front.attempts and set(front.router.context.settings.classes) == {"clip"}
     front.at(7.0, SettingsChanged(SITE))
-    assert {name for name, _ in front.router.pace} == {"photo", "clip"}, "one of each is still open"
+    assert {name for name, _ in front.router.context.statistics.pace} == {
+        "photo",
+        "clip",
+    }, "one of each is still open"
     for name in ("late", *sent, *(f"d{n}" for n in range(1, 8))):
         front.end(name, AttemptResult.SERVED, now=7.1)
     front.at(7.2, SettingsChanged(settings))
-    assert {name for name, _ in front.router.pace} == {"clip"} == set(front.router.mean)
+    assert (
+        {name for name, _ in front.router.context.statistics.pace}
+        == {"clip"}
+        == set(front.router.context.statistics.work)
+    )
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -13,7 +13,7 @@
 from weldbend.fleet.demand_share import FLOOR, DemandEstimate, part
 from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, LeaseLedger, LeaseTimes, Loan, owned
 from weldbend.fleet.lease_policy import LeasePolicy, PlannedAcquire, PlannedRelease, Turn, Use, rank
-from weldbend.routing.measures import RandomSource
+from weldbend.routing.random_source import RandomSource
 from weldbend.testbed.fleet.lease_model import Model, Scope
 from weldbend.testbed.fleet.quota_experiment import LIMIT, Rates, Shape, drawn, search
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -519,7 +519,8 @@
         loop = stage.door.loop
         router, timers = loop.router, stage.door.timers
         by_cache = (loop.names.uids, loop.names.numbers, loop.listed, loop.started, loop.pool.lanes)
-        by_cache += (router.caches, router.gate.sent.keys() - router.caches.values())
+        ready = {cache.id for caches in router.context.ready.values() for cache in caches}
+        by_cache += (router.caches, ready - router.caches.keys())
         by_request = (loop.requests, loop.open, router.requests, stage.door.listener.clients)
         return [len(held) for held in by_cache], [len(held) for held in by_request], len(timers.heap) < 200
 
@@ -635,8 +636,8 @@
 def test_a_fault_in_one_download_abandons_that_one():
     stage = Stage()
     router = stage.door.loop.router
-    inner = router.prefilter.take
-    router.prefilter.take = lambda request: 1 / 0 if request.asked.part == 7 else inner(request)
+    inner = router.prefilter.handle
+    router.prefilter.handle = lambda request: 1 / 0 if request.received.part == 7 else inner(request)
     stage.say(stage.client(), process(1, nth="7"), process(2))
     stage.connect()
     stage.answer("e2", 2, "DONE", "-", b"photo")
@@ -892,7 +893,7 @@
     door.loop.tell(bus_event({"offset": 9, "ban": {"url": KEY, "ts": 1}}))
     reactor.advance(0.02)
     assert len(reactor.tcpServers) == 1 and door.serving()
-    assert KEY in door.loop.router.gate.purges
+    assert KEY in door.loop.router.admission.purges.moments
 
 
 def test_a_start_without_its_bus_waits_for_a_bounded_time_only():
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -10,8 +10,8 @@
 from weldbend.clients.connection import Client
 from weldbend.front import request_codec
 from weldbend.front.dispatcher import Dispatcher
+from weldbend.routing.admission import Admission
 from weldbend.routing.events import AttemptResult, EndpointState
-from weldbend.routing.router import Gate
 from weldbend.testbed.simulation.run import Run, Setup
 from weldbend.thrift.messages import Process
 
@@ -94,7 +94,7 @@
 
 
 def lets_every_repeat_pass(monkeypatch):
-    monkeypatch.setattr(Gate, "harmless", lambda self, attempt: True)
+    monkeypatch.setattr(Admission, "is_safe", lambda self, attempt: True)
 
 
 def forgets_to_undo(monkeypatch):
@@ -132,7 +132,7 @@
 
 
 def sends_all_to_cold_caches(monkeypatch):
-    monkeypatch.setattr(Gate, "bears", lambda self, cache, request: True)
+    monkeypatch.setattr(Admission, "is_bearable", lambda self, cache, request: True)
 
 
 def does_not_believe_in_starts(monkeypatch):
@@ -149,11 +149,11 @@
 
 
 def does_not_hear_purges(monkeypatch):
-    monkeypatch.setattr(Gate, "purged", lambda self, note: None)
+    monkeypatch.setattr(Admission, "record_purge", lambda self, purge: None)
 
 
 def asks_for_any_age(monkeypatch):
-    monkeypatch.setattr(Gate, "age", lambda self, attempt: 0.0)
+    monkeypatch.setattr(Admission, "max_age", lambda self, attempt: 0.0)
 
 
 @pytest.mark.parametrize(
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -18,7 +18,7 @@
 from weldbend.fleet.membership import Membership, Send
 from weldbend.fleet.replicated_store import RULES, Change, ReplicatedStore, run_of
 from weldbend.fleet.settings import Terms
-from weldbend.routing.measures import RandomSource
+from weldbend.routing.random_source import RandomSource
 
 MESH = 12  # fronts up to which each is linked to all others
 BATCH = 256  # changes or items in one message
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -32,7 +32,8 @@
     PeerKnowledge,
     PossibleExecution,
 )
-from weldbend.routing.measures import RandomSource
+from weldbend.routing.random_source import RandomSource
+from weldbend.routing.reports import health_counts
 from weldbend.routing.settings import DeduplicationScope, Idempotency
 
 HOLD = 0.3  # seconds for which decisions wait for the bus, or else for peers, after a standstill
@@ -250,7 +251,7 @@
         self.sharing.tick(now, self.with_own(now, words))
 
     def say_evidence(self, now: float, words: dict[str, list[HealthReport]]) -> None:
-        uids, record = self.loop.names.uids, self.loop.router.record(now)
+        uids, record = self.loop.names.uids, health_counts(self.loop.router, now)
         mine = {uids[n]: r for n, r in record.items() if n in uids}
         for uid, held in self.teller.words(now, mine, words):
             self.number += 1
@@ -279,7 +280,7 @@
 
     def with_own(self, now: float, words: dict[str, list[HealthReport]]) -> dict[str, list[HealthReport]]:
         """The same with what this front has to say itself: a verdict goes by the words of all."""
-        uids, record = self.loop.names.uids, self.loop.router.record(now)
+        uids, record = self.loop.names.uids, health_counts(self.loop.router, now)
         whole = sum(good for good, _ in record.values()), sum(bad for _, bad in record.values())
         found = dict(words)
         for number, held in record.items():
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -12,7 +12,7 @@
 from hashlib import blake2b
 
 from weldbend.fleet.lease_ledger import PARTS, Asking, LeaseLedger, LeaseTimes
-from weldbend.routing.measures import RandomSource
+from weldbend.routing.random_source import RandomSource
 
 FAN, MOST_FAN = 4, 64  # lenders asked at a time; and where a whole pull is still to be gathered
 WAITS = 0.45  # seconds for which an answer is waited for
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -14,7 +14,7 @@
 from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, LeaseLedger, LeaseTimes, owned
 from weldbend.fleet.lease_policy import LeasePolicy, PlannedAcquire, Use, turn_at
 from weldbend.fleet.membership import Send
-from weldbend.routing.measures import RandomSource
+from weldbend.routing.random_source import RandomSource
 
 LOOK = 0.08  # seconds between two looks at what is needed
 MOST_LIMITS = 512
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -23,7 +23,7 @@
 from weldbend.fleet import messages as m
 from weldbend.fleet.settings import Terms
 from weldbend.invariants import check_invariant
-from weldbend.routing.measures import RandomSource
+from weldbend.routing.random_source import RandomSource
 
 LEAP = 1 << 16  # by which a rumour may raise an incarnation
 AHEAD = 1 << 40  # by which another may tell a front to raise its own epoch
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -26,7 +26,8 @@
 from weldbend.fleet.replicated_store import RULES
 from weldbend.fleet.service import Fleet
 from weldbend.routing.events import EjectionUpdate, ParentQuota, PeerKnowledge, SlowStartQuota
-from weldbend.routing.measures import RandomSource
+from weldbend.routing.random_source import RandomSource
+from weldbend.routing.reports import slow_start_demand
 from weldbend.routing.settings import Role
 
 SECOND = 1.0  # window of the operators' rates
@@ -49,10 +50,11 @@
         router = self.sharing.loop.router
         if self.number not in router.caches:  # it has left the list
             return Use(0.0, 0.0)
-        whole, sent, wanted, work = router.cold(self.number, now)
-        whole *= self.cover
+        demand = slow_start_demand(router, self.number, now)
+        whole = demand.fleet_budget * self.cover
         if not 0 < whole < math.inf:
             return Use(0.0, 0.0)
+        sent, wanted, work = demand.sent, demand.wanted, demand.attempt_work
         return Use(sent / whole * PARTS, wanted / whole * PARTS, work / whole * PARTS)
 
     def holds(self, kept: int, borrowed: int, until: float) -> None:
@@ -159,7 +161,7 @@
         limit = f"cold:{uid}@{int(item.value[0])}"
         if limit in self.colds:
             return
-        if cache.role is Role.ORIGIN or cache.part() >= 1:
+        if cache.role is Role.ORIGIN or cache.is_warm():
             self.loop.post(SlowStartQuota(cache.id))
             return
         for older in [one for one in self.colds if one.startswith(f"cold:{uid}@")]:
@@ -194,7 +196,7 @@
         """Let go of what is warm by now, or gone."""
         for limit, cold in list(self.colds.items()):
             cache = self.loop.router.caches.get(cold.number)
-            if cache is None or cache.part() >= 1:
+            if cache is None or cache.is_warm():
                 self.close(limit)
         for kind, uid in list(self.fleet.copies.items):
             if kind == "start":
@@ -384,7 +386,7 @@
         numbers, caches = self.loop.names.numbers, self.loop.router.caches
         for uid, number in numbers.items():
             cache = caches.get(number)
-            at = cache.before if cache else -math.inf
+            at = cache.breaks.unreachable_at if cache else -math.inf
             if at > self.broke.get(uid, -math.inf) and now - at < outlier_detection.TOGETHER:
                 self.broke[uid] = at
                 self.say("broke", uid, round(now - at, 3))
--- /dev/null
+++ b/weldbend/routing/admission.py
@@ -0,0 +1,181 @@
+"""Every request, every attempt and every final answer passes here, and each rule is kept here once."""
+
+from weldbend.routing import actions, events
+from weldbend.routing.actor import Actor
+from weldbend.routing.cache_state import Cache
+from weldbend.routing.context import Context
+from weldbend.routing.events import AttemptResult, EndpointState
+from weldbend.routing.messages import AdmissionMessage, Blocked, Suspicion
+from weldbend.routing.purge_table import PurgeTable
+from weldbend.routing.records import Attempt, is_same_group
+from weldbend.routing.requests import Request
+from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
+from weldbend.routing.warm_load import WarmLoad
+from weldbend.routing.windows import DecayingAverage, WindowedSum
+
+RETRY_BUDGET, RETRY_ALLOWANCE = 0.15, 2  # retries for each request within RETRY_WINDOW, and so many more
+RETRY_WINDOW = 10.0  # seconds
+RETRY_AFTER = 0.5  # seconds after which a rejected client may come back
+LAG_LIMIT = 0.03  # seconds by which events may come late
+LAG_MEMORY, LAG_SMOOTHING = 0.5, 0.3  # seconds in which that is forgotten; weight of the newest measurement
+QUEUED_LIMIT = 0.35  # part of a latency objective for which a request may have lain unread
+OVER_LIMIT_LOAD = 3.0  # what being over a fleet's limit counts as, one being where rejecting begins
+MAX_ERRORS = 3  # caches that may answer one request with an error before it fails
+WARM_LOAD_WINDOW = 10.0  # seconds over which is measured what warm caches bear
+PURGE_MARGIN, LEAST_AGE = 0.001, 2e-6  # seconds; an age of 0 would mean any
+
+
+class Admission(Actor[AdmissionMessage]):
+    """The one gate of a router."""
+
+    def __init__(self, context: Context) -> None:
+        super().__init__()
+        self.context = context
+        self.warm_load = WarmLoad(context, WARM_LOAD_WINDOW)
+        self.purges = PurgeTable()
+        self.requests = WindowedSum(RETRY_WINDOW)
+        self.retries = WindowedSum(RETRY_WINDOW)
+        self.lag = DecayingAverage(LAG_SMOOTHING, LAG_MEMORY)
+
+    def handle(self, message: AdmissionMessage) -> None:
+        """Pass or stop what has come."""
+        match message:
+            case events.RequestReceived():
+                self.admit(message)
+            case events.LoopLagMeasured(lag):
+                self.lag.add(self.context.now, lag)
+            case Attempt():
+                if blocked := self.refusal(message):
+                    self.context.post(message.request, blocked)
+                else:
+                    self.send(message)
+            case events.AttemptEnded():
+                self.end(message)
+            case Suspicion(attempt) if attempt.result is None and self.context.settings.allows_cancel:
+                self.context.actions.append(
+                    actions.CancelAttempt(attempt.request.received.id, attempt.number)
+                )
+            case events.ObjectsPurged():
+                self.record_purge(message)
+            case Request() if not message.is_closed:
+                self.answer(message)
+
+    def admit(self, received: events.RequestReceived) -> None:
+        """Guards against more requests than this front has time for, where all would come late.
+
+        A part is rejected at once, least priority weight first; so is one that lay unread for too long.
+        Harm: a standstill of the machine costs some requests.
+        """
+        context, request_class = self.context, self.context.settings.classes[received.class_name]
+        self.requests.add(context.now)
+        highest = max(other.priority_weight for other in context.settings.classes.values())
+        queued = received.queued_for / (QUEUED_LIMIT * request_class.latency_objective)
+        lag = self.lag.value(context.now) / LAG_LIMIT
+        excess = max(lag, queued, OVER_LIMIT_LOAD * received.over_limit)
+        excess -= 2 if request_class.priority_weight >= highest else 1
+        if excess > 0 and context.random.random() < excess:
+            context.actions.append(actions.RejectRequest(received.id, context.settings.max_retry_after))
+        else:
+            request = Request(context, received, request_class)
+            context.post(context.requests.setdefault(received.id, request), received)
+
+    def refusal(self, attempt: Attempt) -> Blocked | None:
+        """Why an attempt may not be sent; None where it may."""
+        request, statistics = attempt.request, self.context.statistics
+        if self.is_exhausted(request) or not self.is_safe(attempt):
+            return Blocked(None)
+        if not self.is_deduplicated(attempt):
+            return Blocked(attempt.cache)
+        is_densest = statistics.is_densest(request.request_class)
+        is_limited = not request.request_class.origin_only
+        at_parent = is_limited and attempt.limited_by().role is Role.PARENT
+        if at_parent and not self.context.parents.has_capacity(is_densest):
+            return Blocked(None)
+        for cache in attempt.caches():
+            is_primary = cache is request.missed_at or all(
+                c.role is not cache.role for c in request.ruled_out
+            )
+            is_free = not is_limited or cache.concurrency.has_capacity(is_densest, is_primary)
+            if not is_free or cache.state is not EndpointState.READY or not self.is_bearable(cache, request):
+                return Blocked(cache)
+        return None
+
+    def is_exhausted(self, request: Request) -> bool:
+        """Whether a request gets no further attempt: no time, no attempts, or no retry budget is left."""
+        now = self.context.now
+        errors = sum(attempt.result is AttemptResult.ERROR for attempt in request.attempts)
+        budget = RETRY_BUDGET * self.requests.total(now) + RETRY_ALLOWANCE
+        is_spent = request.needs_retry() and self.retries.total(now) >= budget
+        is_over = request.is_closed or now >= request.received.deadline
+        is_last = len(request.attempts) >= self.context.settings.max_attempts
+        return errors >= MAX_ERRORS or is_spent or is_over or is_last
+
+    def is_safe(self, attempt: Attempt) -> bool:
+        """No effect twice, and never two attempts in flight where a site forbids it."""
+        request, settings = attempt.request, self.context.settings
+        executions, request_class = request.possible_executions(), request.request_class
+        if not settings.allows_hedging and request.in_flight():
+            return False
+        if not executions or request_class.idempotency is Idempotency.IDEMPOTENT:
+            return True
+        until = executions[0].sent + request_class.deduplication_window - 2 * settings.tick
+        return request_class.idempotency is Idempotency.DEDUPLICATED and self.context.now < until
+
+    def is_deduplicated(self, attempt: Attempt) -> bool:
+        """Whether its cache recognises the key of what may have run; where it does not, another may."""
+        request_class, executions = attempt.request.request_class, attempt.request.possible_executions()
+        if request_class.idempotency is not Idempotency.DEDUPLICATED:
+            return True
+        return all(is_same_group(request_class.deduplication_scope, e, attempt) for e in executions)
+
+    def is_bearable(self, cache: Cache, request: Request) -> bool:
+        """Whether a cache that may be warming up bears the request."""
+        warm_load = self.warm_load.flows.get(cache.role, 0.0)
+        return cache.slow_start.admits(self.context.mean_work(request), warm_load)
+
+    def send(self, attempt: Attempt) -> None:
+        """Hand an attempt over, counted with all that it touches; it joins no fill that may be its own."""
+        request, now, work = attempt.request, self.context.now, self.context.mean_work(attempt.request)
+        attempt.number = len(request.attempts)
+        attempt.sent = now
+        self.retries.add(now, request.needs_retry())
+        for cache in attempt.caches():
+            cache.sent_work.add(now, work)
+            cache.slow_start.credit.spend(work)
+        joins = self.context.settings.joins_fills and not any(other.is_fill() for other in request.attempts)
+        self.context.actions.append(attempt.action(self.max_age(attempt), joins))
+        request.attempts.append(attempt)
+        self.context.post_to_touched(attempt)
+
+    def max_age(self, attempt: Attempt) -> float:
+        """Oldest copy that will do: never one older than a purge that this front knows of."""
+        received, fresh_for = attempt.request.received, attempt.request.request_class.fresh_for
+        purged = self.purges.latest((received.key, received.group))
+        age = 0.0 if purged is None else max(self.context.now - purged - PURGE_MARGIN, LEAST_AGE)
+        return min(age, fresh_for or age)
+
+    def record_purge(self, purge: events.ObjectsPurged) -> None:
+        """Remember a purge for as long as an older copy may be met."""
+        now, keep = self.context.now, self.context.settings.purge_lifetime()
+        self.purges.record(purge.key or purge.group, now - purge.age, now, keep)
+
+    def end(self, ended: events.AttemptEnded) -> None:
+        """An attempt has ended; what it brought is measured where the sizes of links are not told."""
+        if request := self.context.requests.get(ended.id):
+            attempt = request.end_attempt(ended)
+            self.context.post_to_touched(attempt)
+            if ended.result is AttemptResult.SERVED and not self.context.settings.weighted:
+                self.warm_load.record_served(attempt)
+
+    def answer(self, request: Request) -> None:
+        """The final answer: rejected with Retry-After where a repeat does no harm, else failed."""
+        executions, request_class = request.possible_executions(), request.request_class
+        is_deduplicated = request_class.idempotency is Idempotency.DEDUPLICATED
+        if executions and is_deduplicated and request_class.deduplication_scope is DeduplicationScope.ALL:
+            is_harmless = self.context.now < executions[0].sent + request_class.deduplication_window
+        else:
+            is_harmless = not executions or request_class.idempotency is Idempotency.IDEMPOTENT
+        name, retry_after = request.received.id, min(self.context.settings.max_retry_after, RETRY_AFTER)
+        answer = actions.RejectRequest(name, retry_after) if is_harmless else actions.FailRequest(name)
+        self.context.actions.append(answer)
+        self.context.post(request, events.RequestCancelled(name))
--- /dev/null
+++ b/weldbend/routing/class_statistics.py
@@ -0,0 +1,73 @@
+"""Measured duration and size of answers, by request class and by the role of the cache that gave them."""
+
+from collections.abc import Iterable
+
+from weldbend.routing.settings import RequestClass, Role
+from weldbend.routing.windows import WindowedSum
+
+
+class ClassStatistics:
+    """What answers took and how large they were, as far as this front has seen.
+
+    Args:
+        classes: the request classes of the site.
+        window: seconds that durations are remembered for.
+        prior: answers that a class's latency objective counts for in its mean work.
+        least: least duration and least work in seconds that anything is expected to have.
+    """
+
+    def __init__(self, classes: Iterable[RequestClass], window: float, prior: int, least: float) -> None:
+        self.window = window
+        self.prior = prior
+        self.least = least
+        self.classes = tuple(classes)
+        self.pace: dict[tuple[str, Role], tuple[WindowedSum, WindowedSum]] = {}
+        self.work: dict[str, tuple[float, int]] = {}
+        self.keep_classes({request_class.name for request_class in self.classes})
+
+    def change_classes(self, classes: Iterable[RequestClass], still_open: set[str]) -> None:
+        """Go by other classes; what was learned of those that go on, or have open requests, stays."""
+        self.classes = tuple(classes)
+        self.keep_classes({request_class.name for request_class in self.classes} | still_open)
+
+    def keep_classes(self, names: set[str]) -> None:
+        """Have figures of the classes named, and of no others."""
+        self.pace = {
+            (name, role): self.pace.get((name, role)) or (WindowedSum(self.window), WindowedSum(self.window))
+            for name in names
+            for role in Role
+        }
+        self.work = {name: self.work.get(name, (0.0, 0)) for name in names}
+
+    def record(
+        self, request_class: RequestClass, role: Role, now: float, duration: float, work: float
+    ) -> None:
+        """Count an answer that took `duration` seconds; `work` is its size, 0 where that is not told."""
+        durations, sizes = self.pace[request_class.name, role]
+        durations.add(now, duration)
+        sizes.add(now, work or 1.0)
+
+    def record_work(self, request_class: RequestClass, work: float) -> None:
+        """Count the size of an answer, in seconds of sending."""
+        total, count = self.work[request_class.name]
+        self.work[request_class.name] = total + work, count + 1
+
+    def mean_work(self, request_class: RequestClass) -> float:
+        """Mean seconds of sending: as seen so far, and at first the latency objective."""
+        total, count = self.work[request_class.name]
+        return (total + self.prior * request_class.latency_objective) / (count + self.prior)
+
+    def priority_density(self, request_class: RequestClass) -> float:
+        """Priority weight for each second of sending."""
+        return request_class.priority_weight / self.mean_work(request_class)
+
+    def is_densest(self, request_class: RequestClass) -> bool:
+        """Whether no other class has more priority weight for its work."""
+        return self.priority_density(request_class) >= max(map(self.priority_density, self.classes))
+
+    def expected_duration(self, request_class: RequestClass, role: Role, now: float, work: float) -> float:
+        """Seconds that an answer of this size (0: not told) from a cache of this role is expected to take."""
+        durations, sizes = (window.total(now) for window in self.pace[request_class.name, role])
+        size = max(work, self.least) if work else 1.0
+        expected = size * (durations + request_class.latency_objective) / (sizes + size)
+        return max(expected, self.least)
--- a/weldbend/routing/events.py
+++ b/weldbend/routing/events.py
@@ -53,6 +53,16 @@
     """Its connection brought what is no answer: it may have been executed."""
 
 
+NEVER_EXECUTED = frozenset(
+    {AttemptResult.REJECTED, AttemptResult.UNREACHABLE, AttemptResult.SUPERSEDED, AttemptResult.MISS}
+)
+"""Results that prove that an attempt was not executed."""
+ANSWERED = frozenset({AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.REJECTED, AttemptResult.ERROR})
+"""Results that an answer brought."""
+BROKEN = frozenset({AttemptResult.UNREACHABLE, AttemptResult.RESET})
+"""Results that a connection brought which broke, or never came up."""
+
+
 class FillHint(Enum):
     """What an answer tells of its fill, where a site tells it."""
 
@@ -261,6 +271,10 @@
     leased: float = 0.0
     lease_end: float = 0.0
 
+    def fraction(self, now: float) -> float:
+        """What this front holds at the moment `now`: leases end."""
+        return self.owned + self.leased * (now < self.lease_end)
+
 
 @dataclass(frozen=True, slots=True)
 class ParentQuota:
--- /dev/null
+++ b/weldbend/routing/placement.py
@@ -0,0 +1,131 @@
+"""The paper's placement: prefilter, value and cache rate of a copy, and the hash that picks caches."""
+
+from weldbend.routing.actor import Actor
+from weldbend.routing.cache_rates import CacheRates
+from weldbend.routing.cache_state import Cache
+from weldbend.routing.context import Context
+from weldbend.routing.messages import Blocked, PlacementMessage
+from weldbend.routing.records import Attempt, success_rate
+from weldbend.routing.rendezvous import rank_by_hash
+from weldbend.routing.requests import Request
+from weldbend.routing.settings import Role
+
+ALPHA, BETA, GAMMA = 1, 1, 1  # the paper's weights of V_k, V_hop and V_hitk
+HOP_VALUE = {Role.EDGE: 2, Role.PARENT: 1}  # V_hop
+HIGHEST_LEVEL = 5  # the paper's highest prefilter level
+EDGE_LEVEL = 2  # prefilter level from which the edge may keep a copy
+COPY_RANK = 2  # the rank of such a copy
+TABLE_SIZE = 8192  # objects that the prefilter remembers
+RATE_WINDOW = 10.0  # seconds over which cache rates are measured
+LACK_WINDOW = 10.0  # seconds after a decrease for which a parent that lacks an object is not preferred
+
+
+class Placement(Actor[PlacementMessage]):
+    """Picks the cache that answers, the source that a miss is filled from, and where a copy stays."""
+
+    def __init__(self, context: Context) -> None:
+        super().__init__()
+        self.context = context
+        self.rates = CacheRates(HOP_VALUE, RATE_WINDOW)
+
+    def handle(self, message: PlacementMessage) -> None:
+        """Place a request, or see which caches can be used now."""
+        if not isinstance(message, Request):
+            self.context.update_ready()
+        elif attempt := self.plan(message):
+            self.context.post(self.context.admission, attempt)
+        else:
+            self.context.post(message, Blocked(None))
+
+    def plan(self, request: Request) -> Attempt | None:
+        """The next attempt: at the origin where a class is for it, else at an edge, else at a parent."""
+        if request.request_class.origin_only and self.context.settings.allows_bypass:
+            origin = self.pick(request, self.context.ready[Role.ORIGIN], 0.0)
+            return Attempt(request, origin) if origin else None
+        edges, missed_at = self.context.ready[Role.EDGE], request.missed_at
+        if missed_at in edges and missed_at not in request.ruled_out:
+            return self.plan_fill(request, missed_at)
+        edge = self.pick(request, edges, success_rate(edges, self.context.now))
+        if edge is None:
+            return self.plan_at_parent(request)
+        # a warming edge is filled without a lookup: it holds little, and each attempt counts in its budget
+        if request.request_class.origin_only or not edge.is_warm():
+            return self.plan_fill(request, edge)
+        return Attempt(request, edge, rank=COPY_RANK if request.popularity.level >= EDGE_LEVEL else 0)
+
+    def plan_at_parent(self, request: Request) -> Attempt | None:
+        """No edge is left: a parent is asked for what it holds, before the origin has to."""
+        origins, parent = self.context.ready[Role.ORIGIN], None
+        if self.context.settings.allows_bypass and origins:
+            parent = self.pick(request, self.context.ready[Role.PARENT], 0.0)
+        if parent is None:
+            return None
+        lacks = request.lacking_parent or not parent.is_warm() or request.request_class.origin_only
+        return Attempt(request, parent, origins[0] if lacks else None)
+
+    def plan_fill(self, request: Request, edge: Cache) -> Attempt | None:
+        """A parent first gives what it holds: wanted before, if at another front, the edge may keep that.
+
+        Guards its copies from the origin's faults, whose limit what it lacks goes under. Harm: one trip.
+        """
+        source = self.pick_source(request)
+        if source is None:
+            return None
+        attempt, origins = Attempt(request, edge, source), self.context.ready[Role.ORIGIN]
+        is_parent = source.role is Role.PARENT and not request.request_class.origin_only
+        if is_parent and origins and edge.is_warm():
+            attempt.origin = origins[0] if request.lacking_parent else None
+            attempt.only_cached = not request.lacking_parent and source.is_warm()
+        self.decide_copies(attempt)
+        return attempt
+
+    def decide_copies(self, attempt: Attempt) -> None:
+        """The two tests: best value and lowest cache rate keep the copy, the others leave none."""
+        request = attempt.request
+        if attempt.only_cached:  # the edge alone may keep what a parent holds already
+            attempt.rank = min(COPY_RANK, request.popularity.level)
+            return
+        keeps = not request.request_class.origin_only
+        tiers = {cache.role for cache in attempt.caches() if cache.role in HOP_VALUE and keeps}
+        chosen = self.choose_tiers(request, tiers)
+        self.rates.record(tiers, chosen, self.context.now)
+        attempt.rank = COPY_RANK if Role.EDGE in chosen else 0
+        attempt.leave_no_copy = Role.PARENT in tiers and Role.PARENT not in chosen
+
+    def choose_tiers(self, request: Request, tiers: set[Role]) -> set[Role]:
+        """Of the tiers that the prefilter admits, the one of best value and that of the lowest cache rate."""
+        popularity, levels = request.popularity, {Role.EDGE: EDGE_LEVEL, Role.PARENT: 0}
+        admitted = [tier for tier in HOP_VALUE if tier in tiers and popularity.level >= levels[tier]]
+        value, rate = {}, {}
+        for tier in admitted:
+            value[tier] = ALPHA * popularity.free_fraction + BETA * HOP_VALUE[tier] + GAMMA * popularity.level
+            rate[tier] = self.rates.rate(tier, self.context.now)
+        return {max(value, key=value.__getitem__), min(rate, key=rate.__getitem__)} if admitted else set()
+
+    def pick_source(self, request: Request) -> Cache | None:
+        """The hub's parent by hash, then any by hash; the origin where no parent does as well."""
+        parents, origins = self.context.ready[Role.PARENT], self.context.ready[Role.ORIGIN]
+        lacking, near = request.lacking_parent, [c for c in parents if c.zone == self.context.settings.hub]
+        if lacking and self.context.now - lacking.concurrency.decreased_at < LACK_WINDOW:
+            near = parents
+        if picked := self.pick_trusted(request, near or parents, 1.0):
+            return picked
+        success = 1 - min((cache.failure_rate() for cache in parents + origins), default=0.0)
+        picked = self.pick_trusted(request, parents, success)
+        if picked or any(parent in request.ruled_out for parent in parents):
+            return picked or self.pick_trusted(request, origins, success)
+        sound = (cache for cache in parents + origins if cache not in request.failed_at)
+        return max(sound, key=Cache.draw_success, default=None)
+
+    def pick(self, request: Request, caches: list[Cache], peer_success: float) -> Cache | None:
+        """The first by hash that is trusted, else the best draw of those not ruled out."""
+        if picked := self.pick_trusted(request, caches, peer_success):
+            return picked
+        ranked = rank_by_hash(request, caches)
+        sound = [cache for cache in ranked if cache not in request.failed_at]
+        return max(sound or ranked, key=Cache.draw_success, default=None)
+
+    def pick_trusted(self, request: Request, caches: list[Cache], peer_success: float) -> Cache | None:
+        """The first by hash that is trusted and has not failed the request."""
+        sound = (cache for cache in rank_by_hash(request, caches) if cache not in request.failed_at)
+        return next((cache for cache in sound if cache.is_trusted(peer_success)), None)
--- /dev/null
+++ b/weldbend/routing/requests.py
@@ -0,0 +1,145 @@
+"""One request from its admission to its last attempt: retries, suspicion of slow attempts, and its end."""
+
+from weldbend.routing import events
+from weldbend.routing.actions import CancelAttempt
+from weldbend.routing.cache_state import Cache, slow_side
+from weldbend.routing.events import AttemptResult, FillHint
+from weldbend.routing.messages import Blocked, Outcome, Popularity, RequestMessage, Suspicion
+from weldbend.routing.records import Attempt, RequestRecord
+from weldbend.routing.settings import Idempotency
+
+TIMEOUT_FACTOR = 2.5  # expected durations that an attempt may take before it is suspected
+ANSWERS_DUE = 3.0  # answers that would have come meanwhile, from which on a cache's silence says something
+NO_EVIDENCE = {AttemptResult.CANCELLED, AttemptResult.SUPERSEDED, AttemptResult.MALFORMED}
+NO_RETRY = {AttemptResult.MISS, AttemptResult.MALFORMED, AttemptResult.RESET}  # a further attempt is no retry
+
+
+class Request(RequestRecord):
+    """A client's request that was admitted."""
+
+    def needs_retry(self) -> bool:
+        """Whether another attempt would repeat one, rather than fill what a lookup found missing."""
+        return any(a.result not in NO_RETRY and not a.is_silent for a in self.attempts)
+
+    def handle(self, message: RequestMessage) -> None:
+        """Go on by what has come: ends count to the last, all else only until the final answer."""
+        match message:
+            case Attempt() if message.result is not None:
+                self.attempt_ended(message)
+            case events.RequestCancelled():
+                self.close()
+            case _ if not self.is_closed:
+                self.handle_open(message)
+
+    def handle_open(self, message: RequestMessage) -> None:
+        """Go on, where the final answer is still to come."""
+        match message:
+            case events.RequestReceived():
+                left = max(self.received.deadline - self.context.now - 2 * self.context.settings.tick, 0.0)
+                self.context.start_timer(left, f"end:{self.received.id}", self.received.id)
+                self.context.post(self.context.prefilter, self)
+            case Popularity():
+                self.popularity = message
+                self.context.post(self.context.placement, self)
+            case Attempt():
+                self.set_timeout(message)
+            case Blocked(cache) if cache is not None and cache not in self.ruled_out:
+                self.ruled_out.add(cache)
+                self.context.post(self.context.placement, self)
+            case Blocked() if not self.in_flight():
+                self.context.post(self.context.admission, self)
+            case events.ResponseStarted():
+                self.is_closed = True
+            case events.ExecutedElsewhere():
+                self.executions.append(message.execution)
+            case Suspicion() if message.attempt.result is None:
+                self.suspect(message)
+            case events.TimerFired():
+                self.context.post(self.context.admission, self)
+
+    def set_timeout(self, attempt: Attempt) -> None:
+        """Have an attempt suspected that takes much longer than expected, and longer than the objective."""
+        role, now, work = attempt.limited_by().role, self.context.now, self.received.work
+        expected = self.context.statistics.expected_duration(self.request_class, role, now, work)
+        delay = max(TIMEOUT_FACTOR * expected, self.request_class.latency_objective)
+        self.context.start_timer(delay, attempt.timeout_token(), self.received.id, attempt.number)
+
+    def suspect(self, suspicion: Suspicion) -> None:
+        """Guards against attempts that do not end: one more beside it, or in its place without hedging.
+
+        Most slow attempts are large objects, so a sound cache whose connection lives gets a second timeout.
+        Silence speaks only where answers were due. Harm: what a silent cache holds first is late.
+        """
+        context, attempt = self.context, suspicion.attempt
+        is_due = attempt.cache.answer_rate() * (context.now - attempt.sent) >= ANSWERS_DUE
+        is_repeated = attempt.is_suspected
+        attempt.is_silent = suspicion.is_silent and (is_repeated or is_due)
+        attempt.is_suspected = True
+        is_sound = not is_repeated and self.blame(attempt).is_trusted(1.0)
+        hedges = context.settings.allows_hedging
+        if not (is_repeated or attempt.is_silent) and (is_sound or not hedges):
+            self.set_timeout(attempt)
+        elif hedges and self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT:
+            context.post(context.placement, self)
+        elif self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT:
+            context.post(context.admission, Suspicion(attempt))
+
+    def attempt_ended(self, attempt: Attempt) -> None:
+        """Learn from the end of an attempt, and go on with another where none is left."""
+        assert attempt.ended is not None
+        if attempt.result is AttemptResult.SERVED:
+            self.record_served(attempt, attempt.ended.duration)
+        elif attempt.result is AttemptResult.MISS:
+            self.record_miss(attempt)
+        elif attempt.result not in NO_EVIDENCE and not attempt.is_suspected:
+            self.blame(attempt)
+        if attempt.ended.request_closed:
+            self.close()
+        elif not self.is_closed and all(other.is_suspected for other in self.in_flight()):
+            self.context.post(self.context.placement, self)
+        else:
+            self.forget_if_done()
+
+    def record_served(self, attempt: Attempt, duration: float) -> None:
+        """Learn duration and size; a late answer must not pass for a large object."""
+        context, request_class, work = self.context, self.request_class, self.received.work
+        stretch = request_class.objective_stretch * (work or context.mean_work(self))
+        is_late = duration > request_class.latency_objective + stretch
+        limited_by = attempt.limited_by()
+        context.statistics.record(request_class, limited_by.role, context.now, duration, work)
+        if work or not is_late:
+            context.statistics.record_work(request_class, work or duration)
+        for cache in self.error_suspects:
+            context.post(cache, Outcome.FAILURE)
+        if not is_late:
+            context.post(limited_by, Outcome.SUCCESS)
+        elif not attempt.is_suspected:
+            context.post(slow_side(attempt), Outcome.LATE)
+
+    def blame(self, attempt: Attempt) -> Cache:
+        """A lookup speaks for its edge, a fill for its source: the edge had answered the lookup before.
+
+        A bare error speaks against a cache once another serves the same request. Guards against requests that
+        no cache can use. Harm: one that fails all it is asked is left out a little later.
+        """
+        hint, is_reset = attempt.ended and attempt.ended.fill_hint, attempt.result is AttemptResult.RESET
+        at_edge = attempt.is_silent or attempt.result in events.BROKEN or hint is FillHint.NO_PLACE
+        guilty = attempt.cache if at_edge else slow_side(attempt)
+        if attempt.result is AttemptResult.ERROR and hint is FillHint.NONE:
+            self.error_suspects.append(guilty)
+        else:
+            is_lost = attempt.is_silent or is_reset
+            self.context.post(guilty, Outcome.CONNECTION_LOST if is_lost else Outcome.FAILURE)
+        if not is_reset:
+            self.failed_at |= {guilty, guilty if at_edge else attempt.source or guilty}
+        if guilty is self.missed_at:
+            self.missed_at = None
+        return guilty
+
+    def close(self) -> None:
+        """It has its final answer, or needs none: cancel what is in flight, where the site allows that."""
+        if not self.is_closed and self.context.settings.allows_cancel:
+            for attempt in self.in_flight():
+                self.context.actions.append(CancelAttempt(self.received.id, attempt.number))
+        self.is_closed = True
+        self.forget_if_done()
--- a/weldbend/routing/settings.py
+++ b/weldbend/routing/settings.py
@@ -63,6 +63,21 @@
     origin_only: bool
 
 
+@dataclass(frozen=True, slots=True)
+class WarmUp:
+    """What a cache bears after its start.
+
+    Attributes:
+        start_capacity: part of its full capacity that it bears at first.
+        seconds: until it bears all of it; the part grows evenly meanwhile.
+        overload_factor: times its present capacity at which it fails.
+    """
+
+    start_capacity: float
+    seconds: float
+    overload_factor: float
+
+
 @dataclass(frozen=True, slots=True)
 class SiteSettings:
     """What a front is given when it starts, or reads anew while it runs.
@@ -120,3 +135,17 @@
     parent_overload_factor: float
     purge_grace: float
     purge_complete_after: float
+
+    def warm_up(self, role: Role) -> WarmUp:
+        """How a cache of this role warms up."""
+        if role is Role.PARENT:
+            return WarmUp(self.parent_start_capacity, self.parent_warmup, self.parent_overload_factor)
+        return WarmUp(self.edge_start_capacity, self.edge_warmup, self.edge_overload_factor)
+
+    def sharers(self, role: Role) -> int:
+        """Fronts among which a cache of this role is shared."""
+        return {Role.EDGE: self.zone_fronts, Role.PARENT: self.hub_fronts}.get(role, self.fronts)
+
+    def purge_lifetime(self) -> float:
+        """Seconds for which a copy older than a purge may be met."""
+        return self.purge_complete_after + 2 * self.purge_grace
--- /dev/null
+++ b/weldbend/routing/windows.py
@@ -0,0 +1,65 @@
+"""Sums over the last seconds, in constant memory. They decide nothing."""
+
+
+class WindowedSum:
+    """A sum over about the last `span` seconds, in fixed buckets that are used again in a ring.
+
+    Args:
+        span: seconds that the sum covers.
+        buckets: parts that it is divided into; the sum covers up to one part more than `span`.
+    """
+
+    __slots__ = ("bucket", "bucket_end", "sum", "sums", "width")
+
+    def __init__(self, span: float, buckets: int = 10) -> None:
+        self.width = span / buckets
+        self.bucket = 0
+        self.bucket_end = self.width
+        self.sum = 0.0
+        self.sums = [0.0] * (buckets + 1)
+
+    def add(self, now: float, amount: float = 1.0) -> None:
+        """Add an amount at the moment `now`, which never goes back."""
+        if now >= self.bucket_end:
+            self._advance(now)
+        self.sums[self.bucket % len(self.sums)] += amount
+        self.sum += amount
+
+    def total(self, now: float) -> float:
+        """The sum as of the moment `now`."""
+        if now >= self.bucket_end:
+            self._advance(now)
+        return self.sum
+
+    def _advance(self, now: float) -> None:
+        """Go on to the bucket of `now`, and empty those that were passed over."""
+        current = max(int(now / self.width), self.bucket + 1)
+        for passed in range(max(self.bucket + 1, current - len(self.sums) + 1), current + 1):
+            self.sums[passed % len(self.sums)] = 0.0
+        self.bucket = current
+        self.sum = sum(self.sums)
+        self.bucket_end = (current + 1) * self.width
+
+
+class DecayingAverage:
+    """A smoothed measurement that is forgotten linearly when no new one comes.
+
+    Args:
+        smoothing: weight of the newest measurement, in (0, 1].
+        memory: seconds after which the last value counts for nothing.
+    """
+
+    def __init__(self, smoothing: float, memory: float) -> None:
+        self.smoothing = smoothing
+        self.memory = memory
+        self.last = 0.0
+        self.measured_at = 0.0
+
+    def add(self, now: float, measured: float) -> None:
+        """Take in a measurement of the moment `now`."""
+        self.last = (1 - self.smoothing) * self.value(now) + self.smoothing * measured
+        self.measured_at = now
+
+    def value(self, now: float) -> float:
+        """What is left of it at the moment `now`."""
+        return self.last * max(1 - (now - self.measured_at) / self.memory, 0.0)
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -17,7 +17,7 @@
 
 from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
 from weldbend.fleet.lease_service import LeaseService, Rate
-from weldbend.routing.measures import RandomSource
+from weldbend.routing.random_source import RandomSource
 
 LIMIT = "type:order"
 SEEN_LATE = 1.5  # seconds after which a view knows that somebody is gone, or back
