--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -386,7 +386,7 @@
 }
 
 
-@pytest.mark.parametrize("broken", CAST_OUT.values(), ids=CAST_OUT)
+@pytest.mark.parametrize("violations", CAST_OUT.values(), ids=CAST_OUT)
 def test_what_no_client_of_ours_does_ends_its_connection_and_is_never_fulfilled(violations):
     stage = Stage()
     client, usual = stage.client(), stage.client()
