--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -394,7 +394,7 @@
     stage = Stage()
     kinds = stage.door.site.settings.classes.values()
     for kind in kinds:
-        object.__setattr__(kind, "expiry", 1.0)
+        object.__setattr__(kind, "deadline_after", 1.0)
     client = stage.client()
     stage.say(client, process(1, wait="1000"))
     stage.connect()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -211,7 +211,7 @@
         assert heard(clients[100]) == "3 process: 'ok'"
         told = json.loads(program.told('"message": "counts'))
         assert program.process.wait(LONG) == 0 and time.monotonic() - since < 3.4
-        assert told["woken"] >= 200 and told["most_parked"] >= 290 and not told["broken"]
+        assert told["woken"] >= 200 and told["most_parked"] >= 290 and not told["violations"]
         assert all(client.read() == b"" for client in (*again, *clients[100:]))
         for each in (*again, *clients[100:], link, stream):
             each.close()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -183,7 +183,7 @@
         dial.clientConnectionFailed(None, Failure(ConnectError(errno.ECONNRESET, "reset")))
         stage.turn()
         shown.append(f"{uid} {[event.result.name for event in told if isinstance(event, AttemptEnded)]}")
-    assert shown == ["e2 []"] * 4 + ["e2 ['UNREACHED']", "e1 ['UNREACHED']"]
+    assert shown == ["e2 []"] * 4 + ["e2 ['UNREACHABLE']", "e1 ['UNREACHABLE']"]
 
 
 def test_given_up_pulls_leave_no_trace_and_a_silent_connection_is_used_no_more():
@@ -319,7 +319,7 @@
         client.dataReceived(process(number))
         stage.reactor.advance(wait)  # other sockets have their turn first
         stage.turn()
-    assert told == ["Asked", "late 0.05", "Asked", "late 0.30", "Asked"]
+    assert told == ["RequestReceived", "late 0.05", "RequestReceived", "late 0.30", "RequestReceived"]
 
 
 def test_more_than_the_site_allows_open_is_throttled():
@@ -683,8 +683,8 @@
     stage.caches["e2", 0].dataReceived(b"p1 FIT use=util:0.61;inflight:7 0\r\n\r\n")
     assert stage.trace[-1] == "e2/0 < top p1"
     assert [(note.result.name, note.load) for note in told] == [
-        ("UNREACHED", None),
-        ("FULFILLED", {"util": 0.61, "inflight": 7.0}),
+        ("UNREACHABLE", None),
+        ("SERVED", {"util": 0.61, "inflight": 7.0}),
     ]
 
 
