--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -201,7 +201,7 @@
         return data
 
 
-class EpollSet:
+class DescriptorSetInMemory:
     """Parked connections in memory; numbers stand for descriptors, the lowest free one as the system does."""
 
     def __init__(self, stage):
@@ -211,14 +211,14 @@
     def fileno(self):
         return 1000
 
-    def release(self, transport):
+    def detach(self, transport):
         fd = next(n for n in range(5, 1 << 20) if n not in self.places)
         self.places[fd] = transport.place
         self.stage.read(transport.place, transport)
         transport.protocol = None
         return fd
 
-    def adopt(self, fd, protocol):
+    def attach(self, fd, protocol):
         self.told.discard(fd)
         place = self.places.pop(fd)
         transport = self.stage.attach(protocol, place)
@@ -231,12 +231,12 @@
         self.came.setdefault(fd, []).append(data)
         return fd
 
-    def ready(self, most):
-        found = [fd for fd in self.came if fd not in self.told][:most]
+    def poll_readable(self, limit):
+        found = [fd for fd in self.came if fd not in self.told][:limit]
         self.told.update(found)
         return found
 
-    def again(self, fd):
+    def rearm(self, fd):
         self.told.discard(fd)
 
     def read(self, fd):
@@ -255,7 +255,7 @@
         self.came.pop(fd, None)
         self.told.discard(fd)
 
-    def shut(self):
+    def close_set(self):
         pass
 
 
@@ -271,7 +271,7 @@
         self.reactor = MemoryReactorClock()
         held = read_site(configuration(**caps))
         self.door = Door(self.reactor, replace(held, terms=terms or held.terms))
-        self.rim = EpollSet(self)
+        self.rim = DescriptorSetInMemory(self)
         if parks:
             self.door.listener.rim = lambda reactor: self.rim
         self.door.clock.now = lambda: self.reactor.seconds() + 1.0
--- a/tests/test_installation.py
+++ b/tests/test_installation.py
@@ -9,7 +9,7 @@
 
 from weldbend.fleet.settings import LimitSettings
 from weldbend.fleet.settings import Terms as Fleet
-from weldbend.idle_connections.policy import Terms
+from weldbend.idle_connections.policy import ConnectionSettings
 from weldbend.installation.keys import SECTIONS, shown
 from weldbend.installation.reader import InstallationError, read_installation
 
@@ -25,7 +25,7 @@
     assert (
         held.sections
         == read_installation(None).sections
-        == {"clients": Terms(), "fleet": Fleet(), "limits": LimitSettings()}
+        == {"clients": ConnectionSettings(), "fleet": Fleet(), "limits": LimitSettings()}
     )
     assert len(held.settings) == sum(len(section.keys) for section in SECTIONS.values())
 
@@ -37,7 +37,9 @@
         "park-after = 0 s\nmost = auto\nwake-batch = 7\n",
     )
     held = read_installation(path)
-    assert held.sections["clients"] == Terms(idle=120.0, speak=1.5, park=0.0, wakes=7)
+    assert held.sections["clients"] == ConnectionSettings(
+        idle_timeout=120.0, request_timeout=1.5, pool_after=0.0, wake_batch=7
+    )
     told = {setting.key: (setting.value, setting.origin) for setting in held.settings}
     assert told["idle"] == ("120 s", path) and told["close-batch"] == ("256", "default")
     assert told["most"] == ("auto", path) and shown(0.25) == "250 ms"
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -9,8 +9,13 @@
 from hypothesis import strategies as st
 
 from weldbend.idle_connections import policy
-from weldbend.idle_connections.connection_table import Memory, Table
-from weldbend.idle_connections.policy import Pace, Seen, Terms, Verdict
+from weldbend.idle_connections.connection_table import ConnectionRecord, ConnectionTable
+from weldbend.idle_connections.policy import (
+    ConnectionAction,
+    ConnectionSettings,
+    ConnectionState,
+    WakeBatchSizer,
+)
 from weldbend.idle_connections.timer_wheel import TimerWheel
 from weldbend.invariants import anomalies
 
@@ -32,42 +37,56 @@
 
 
 def test_what_a_look_decides():
-    terms = Terms()
-    seen = Seen(busy=False, partial=False, calls=1, heard=10.0, begun=0.0)
-    for when, change, verdict in [
-        (10.4, {}, Verdict.STAY),
-        (10.6, {}, Verdict.PARK),
-        (10.6, {"busy": True}, Verdict.STAY),
-        (99.0, {"busy": True, "partial": True}, Verdict.STAY),
-        (14.6, {}, Verdict.CLOSE),
-        (11.9, {"calls": 0}, Verdict.PARK),
-        (12.1, {"calls": 0}, Verdict.MUTE),
-        (11.9, {"partial": True, "begun": 10.0}, Verdict.STAY),
-        (12.1, {"partial": True, "begun": 10.0}, Verdict.HALF),
-        (12.1, {"partial": True, "begun": 10.0, "calls": 0}, Verdict.HALF),
+    limits = ConnectionSettings()
+    state = ConnectionState(
+        is_busy=False, has_partial_request=False, request_count=1, last_active=10.0, request_started=0.0
+    )
+    for when, change, action in [
+        (10.4, {}, ConnectionAction.KEEP),
+        (10.6, {}, ConnectionAction.MOVE_TO_POOL),
+        (10.6, {"is_busy": True}, ConnectionAction.KEEP),
+        (99.0, {"is_busy": True, "has_partial_request": True}, ConnectionAction.KEEP),
+        (14.6, {}, ConnectionAction.CLOSE_IDLE),
+        (11.9, {"request_count": 0}, ConnectionAction.MOVE_TO_POOL),
+        (12.1, {"request_count": 0}, ConnectionAction.CLOSE_SILENT),
+        (11.9, {"has_partial_request": True, "request_started": 10.0}, ConnectionAction.KEEP),
+        (12.1, {"has_partial_request": True, "request_started": 10.0}, ConnectionAction.CLOSE_INCOMPLETE),
+        (
+            12.1,
+            {"has_partial_request": True, "request_started": 10.0, "request_count": 0},
+            ConnectionAction.CLOSE_INCOMPLETE,
+        ),
     ]:
-        assert policy.verdict(terms, replace(seen, **change), when) is verdict, (when, change)
-    assert policy.verdict(replace(terms, park=0.0), seen, 14.4, live=9999) is Verdict.STAY
-    assert [policy.verdict(terms, seen, 10.2, live) for live in (256, 257)] == [Verdict.STAY, Verdict.PARK]
-    assert policy.verdict(terms, replace(seen, calls=8), 10.2, 999) is Verdict.STAY
+        assert policy.decide(limits, replace(state, **change), when) is action, (when, change)
+    assert (
+        policy.decide(replace(limits, pool_after=0.0), state, 14.4, active_connections=9999)
+        is ConnectionAction.KEEP
+    )
+    assert [policy.decide(limits, state, 10.2, live) for live in (256, 257)] == [
+        ConnectionAction.KEEP,
+        ConnectionAction.MOVE_TO_POOL,
+    ]
+    assert policy.decide(limits, replace(state, request_count=8), 10.2, 999) is ConnectionAction.KEEP
 
 
 def test_who_makes_room_and_when_the_port_rests():
     shown = [(0, 1.0), (2, 0.5), (1, 0.9), (0, 0.2), (1, 9.99)]
-    assert sorted(shown, key=lambda one: policy.precedence(*one, 10.0)) == [
+    assert sorted(shown, key=lambda one: policy.eviction_order(*one, 10.0)) == [
         (0, 0.2), (0, 1.0), (1, 0.9), (2, 0.5), (1, 9.99),
     ]  # fmt: skip
-    assert [policy.leaving(n, 32) for n in (0, 31, 32, 40)] == [0, 0, 2, 2] and policy.leaving(1, 1) == 1
-    assert [policy.rests(n, 32) for n in (31, 32)] == [False, True]
+    assert [policy.eviction_count(n, 32) for n in (0, 31, 32, 40)] == [0, 0, 2, 2] and policy.eviction_count(
+        1, 1
+    ) == 1
+    assert [policy.is_accept_paused(n, 32) for n in (31, 32)] == [False, True]
 
 
 def test_a_batch_grows_while_turns_are_short_and_halves_when_they_are_long():
-    pace, now, sizes = Pace(16), 0.0, []
+    sizer, now, sizes = WakeBatchSizer(16), 0.0, []
     for took in [0.001] * 8 + [0.02] * 3 + [0.005] + [0.001]:
-        sizes.append(pace.batch(now, 1000))
+        sizes.append(sizer.next_size(now, 1000))
         now += took
     assert sizes == [4, 5, 6, 7, 8, 9, 10, 11, 12, 6, 3, 1, 1]
-    assert pace.batch(now, 1) == 1 and pace.batch(now + 99.0, 1000) == 2  # a pause is no long turn
+    assert sizer.next_size(now, 1) == 1 and sizer.next_size(now + 99.0, 1000) == 2  # a pause is no long turn
 
 
 @settings(max_examples=200, deadline=None)
@@ -80,38 +99,38 @@
             assert slot in wheel and wheel.remove(slot)
             del model[slot]
         elif take:
-            wheel.put(slot, now + ahead, now)
+            wheel.schedule(slot, now + ahead, now)
             model[slot] = now + ahead
         else:
             now += 0.4
-            for found in wheel.due(now, 5):
+            for found in wheel.pop_due(now, 5):
                 assert model.pop(found) <= now
-            while found := wheel.due(now, 5):
+            while found := wheel.pop_due(now, 5):
                 for one in found:
                     assert model.pop(one) <= now
             assert all(due > now - 0.5 for due in model.values())
-        assert len(wheel) == len(model) and sorted(wheel.first()) == sorted(model)
-        order = [int(model[slot] / 0.5) for slot in wheel.first()]
+        assert len(wheel) == len(model) and sorted(wheel.in_order()) == sorted(model)
+        order = [int(model[slot] / 0.5) for slot in wheel.in_order()]
         assert order == sorted(order)
     assert not wheel.remove(99)
 
 
 def test_what_is_remembered_comes_back_and_only_once():
-    table = Table(Terms())
-    table.enter(700, Memory(1 << 40, 3, 300, 5.0), 5.5)
-    assert len(table) == 1 and table.ready(700, 6.0) and not table.ready(700, 6.0)
-    assert table.wake() == 700 and table.wake() is None
-    assert table.leave(700) == Memory((1 << 32) - 1, 3, 255, 6.0) and len(table) == 0
-    assert not table.ready(700, 7.0) and not table.ready(9999, 7.0) and not table.holds(700)
+    table = ConnectionTable(ConnectionSettings())
+    table.add(700, ConnectionRecord(1 << 40, 3, 300, 5.0), 5.5)
+    assert len(table) == 1 and table.queue_readable(700, 6.0) and not table.queue_readable(700, 6.0)
+    assert table.next_waking() == 700 and table.next_waking() is None
+    assert table.remove(700) == ConnectionRecord((1 << 32) - 1, 3, 255, 6.0) and len(table) == 0
+    assert not table.queue_readable(700, 7.0) and not table.queue_readable(9999, 7.0) and 700 not in table
 
 
 def test_those_idle_for_a_short_time_wake_first_and_the_others_are_not_starved():
-    table = Table(Terms())
+    table = ConnectionTable(ConnectionSettings())
     for slot in range(20):
-        table.enter(slot, Memory(1, 0, 0, 9.0 if slot < 10 else 5.0), 9.5)
+        table.add(slot, ConnectionRecord(1, 0, 0, 9.0 if slot < 10 else 5.0), 9.5)
     for slot in reversed(range(20)):
-        table.ready(slot, 10.0)
-    order = [table.wake() for _ in range(20)]
+        table.queue_readable(slot, 10.0)
+    order = [table.next_waking() for _ in range(20)]
     assert order == [9, 8, 7, 19, 6, 5, 4, 18, 3, 2, 1, 17, 0, 16, 15, 14, 13, 12, 11, 10]
 
 
@@ -151,7 +170,7 @@
     for place in range(count):
         stage.rim.bring(place, process(2, id=f"{place:016x}", key=f"{place:016x}"))
     lot, sizes = stage.door.listener.lot, []
-    wake = lot.wake
+    wake = lot.wake_batch
 
     def turn():
         before = lot.count()
@@ -159,10 +178,10 @@
         sizes.append(before - lot.count())
         stage.reactor.rightNow += 0.004  # a turn takes so long
 
-    lot.wake = turn
+    lot.wake_batch = turn
     lot.doRead()
     stage.turn()
-    assert max(sizes) <= stage.door.site.terms.wakes and lot.latest > 0.3
+    assert max(sizes) <= stage.door.site.terms.wake_batch and lot.max_wake_delay > 0.3
     throttled = [line for line in stage.trace if "throttled {'after': '1000'}" in line]
     assert len({line.split()[1] for line in throttled}) == len(throttled) > count // 2
     for _ in range(4):
@@ -231,8 +250,8 @@
     stage = parked(2)
     lot = stage.door.listener.lot
     first = stage.rim.bring(0, probe(2))
-    assert lot.note() == 1 and lot.table.waking == 1
-    lot.shed(first)
+    assert lot.queue_readable() == 1 and lot.table.waking_count == 1
+    lot.close(first)
     stage.say(stage.client(), probe(1))
     for _ in range(3):
         stage.turn(LOOKED)
@@ -260,7 +279,7 @@
     while not stage.reactor.hasStopped:
         before = len(stage.rim.closed)
         stage.turn(0.02)
-        assert len(stage.rim.closed) - before <= 10 * stage.door.site.terms.closes
+        assert len(stage.rim.closed) - before <= 10 * stage.door.site.terms.close_batch
         turns += 1
     assert turns < 30 and sorted(stage.rim.closed) == [n for n in range(2000) if n != 7]
     assert {"client 2000 < 1 process: 'one'", "client 7 < 2 process: 'two'"} <= set(stage.trace)
@@ -302,14 +321,14 @@
                 stage.bring(place, probe(number))
         for _ in range(3):
             stage.turn(LOOKED)
-        wheels = [len(wheel.next) for wheel in table.kinds]
-        sizes.append((len(table.state), wheels, len(table.queue), len(stage.door.listener.looks)))
+        wheels = [len(wheel.next) for wheel in table.wheels]
+        sizes.append((len(table.states), wheels, len(table.long_idle_queue), len(stage.door.listener.looks)))
     assert sizes[5:] == sizes[5:6] * 95 and stage.door.listener.parked() == 3
     assert sum("client 1 <" in line for line in stage.trace) == 100 and not stage.rim.closed
 
 
 def test_closing_a_mass_that_fell_due_together_is_spread_over_turns():
-    stage = parked(700, terms=Terms(closes=50))
+    stage = parked(700, terms=ConnectionSettings(close_batch=50))
     closed = []
     for _ in range(2000):
         before = len(stage.rim.closed)
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -30,7 +30,7 @@
     if installation:
         sections = installed(installation).sections
         terms, fleet = sections["clients"], replace(sections["fleet"], limits=sections["limits"])
-        site = replace(site, terms=terms, clients=min(terms.most or site.clients, site.clients))
+        site = replace(site, terms=terms, clients=min(terms.max_connections or site.clients, site.clients))
         if fleet.listen:
             from weldbend.fleet.service import FleetConfigurationError, keys_of
 
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -19,8 +19,8 @@
 from zope.interface import implementer
 
 from weldbend.buffers.ring import Ring
-from weldbend.idle_connections.connection_table import Memory
-from weldbend.idle_connections.policy import Seen
+from weldbend.idle_connections.connection_table import ConnectionRecord
+from weldbend.idle_connections.policy import ConnectionState
 from weldbend.invariants import anomalies, check_invariant
 from weldbend.thrift import messages
 from weldbend.thrift.binary import InvalidMessageError
@@ -108,7 +108,7 @@
         self.heard = self.taker.now()
         self.taker.opened(self)
 
-    def resume(self, transport: Any, memory: Memory) -> None:
+    def resume(self, transport: Any, memory: ConnectionRecord) -> None:
         """Go on as the connection that was parked."""
         self.transport, self.connected = transport, 1
         self.calls, self.flaws, self.withdrawn, self.heard = memory
@@ -257,12 +257,12 @@
         """The address that it comes from."""
         return str(getattr(self.transport.getPeer(), "host", ""))
 
-    def seen(self, now: float) -> Seen:
+    def seen(self, now: float) -> ConnectionState:
         """What a look at it finds, at the moment `now` (seconds)."""
         busy = bool(self.open or self.behind or self.going or self.lost or self.transport.disconnecting)
         if busy:
             self.heard = now
-        return Seen(busy, bool(self.came), self.calls, self.heard, self.begun)
+        return ConnectionState(busy, bool(self.came), self.calls, self.heard, self.begun)
 
     def silent(self) -> None:
         self.ended = True
@@ -272,8 +272,8 @@
         """Whether all that there is to know of it is its memory."""
         return self.idle() and not (self.ended or self.lost or self.paused or self.resting or self.reading)
 
-    def memory(self) -> Memory:
-        return Memory(self.calls, self.flaws, self.withdrawn, self.heard)
+    def memory(self) -> ConnectionRecord:
+        return ConnectionRecord(self.calls, self.flaws, self.withdrawn, self.heard)
 
     def parted(self) -> None:
         """Its descriptor has left it: whatever is said to it from here on goes nowhere."""
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -9,7 +9,7 @@
 
 from weldbend.caches.pool import Bounds
 from weldbend.event_bus.events import InvalidEventError, Numbered, known
-from weldbend.idle_connections.policy import Terms
+from weldbend.idle_connections.policy import ConnectionSettings
 from weldbend.routing.settings import Role, SiteSettings
 from weldbend.site_settings import cache_roles, read_site_settings
 
@@ -18,7 +18,7 @@
 RESERVE = 32  # descriptors for the process itself: log, reactor, bus, listening port
 
 
-PLATFORM = Terms()  # what holds where there is no installation file
+PLATFORM = ConnectionSettings()  # what holds where there is no installation file
 
 
 class ConfigurationError(Exception):
@@ -43,7 +43,7 @@
     sockets: int  # descriptors that the process may hold
     clients: int  # connections of clients
     held: int  # bytes of answers that wait for slow readers
-    terms: Terms = PLATFORM
+    terms: ConnectionSettings = PLATFORM
     fleet: Any = None  # fleet.terms.Terms of an installation that has one; the platform's has none
 
 
--- a/weldbend/idle_connections/__init__.py
+++ b/weldbend/idle_connections/__init__.py
@@ -1,1 +1,1 @@
-"""Connections that wait for nothing: parked as a descriptor and a few figures, woken in bounded batches."""
+"""Idle client connections, each kept as a descriptor and a few numbers and woken in bounded batches."""
--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -1,7 +1,7 @@
-"""What is remembered of parked connections: flat arrays by descriptor, no object a connection. No I/O.
+"""Records of idle connections: flat arrays indexed by file descriptor, no object per connection. No I/O.
 
-About fifty bytes a connection: its state, when it was heard last, its calls, flaws and withdrawals, and its
-place in the buckets of its kind.
+A connection takes about fifty bytes: its state, the time of its last activity, its counts of requests,
+rejections and cancellations, and its entry in the timer wheel of its usage class.
 """
 
 from array import array
@@ -10,107 +10,162 @@
 from itertools import islice
 from typing import NamedTuple
 
-from weldbend.idle_connections.policy import KINDS, OTHERS, Terms, kind, limit, prompt
+from weldbend.idle_connections.policy import (
+    LONG_IDLE_INTERVAL,
+    USAGE_CLASSES,
+    ConnectionSettings,
+    idle_timeout,
+    is_short_idle,
+    usage_class,
+)
 from weldbend.idle_connections.timer_wheel import TimerWheel
 from weldbend.invariants import check_invariant
 
-AWAY, PARKED, WAKING = 0, 1, 2
-BUCKETS = 64  # in the time for which a kind is kept
-MOST_CALLS = (1 << 32) - 1
-
-
-class Memory(NamedTuple):
-    """What a connection is given back when it wakes."""
-
-    calls: int
-    flaws: int
-    withdrawn: int
-    heard: float
-
-
-class Table:
-    def __init__(self, terms: Terms) -> None:
-        self.terms = terms
-        self.state, self.flaws, self.withdrawn = array("B"), array("B"), array("B")
-        self.calls, self.heard = array("I"), array("d")
-        limits = [limit(terms, kind) for kind in range(KINDS)]
-        self.kinds = [TimerWheel(keep, max(keep / BUCKETS, 0.01)) for keep in limits]
-        # Those with something to read, in the order in which that was noticed; `prompt` goes first.
-        self.prompt: deque[int] = deque()
-        self.queue: deque[int] = deque()
-        self.waking = self.turns = 0
+# States of a descriptor: one byte each, so no enum.
+ABSENT = 0
+IDLE = 1
+WAKING = 2
+
+BUCKETS = 64  # in the idle timeout of a usage class
+MIN_BUCKET_SECONDS = 0.01
+MAX_REQUEST_COUNT = (1 << 32) - 1  # of an array of type "I"
+MAX_SMALL_COUNT = 255  # of an array of type "B"
+MIN_GROWTH = 256  # entries by which the arrays grow at least
+
+
+class ConnectionRecord(NamedTuple):
+    """What is kept of an idle connection, and restored when it wakes.
+
+    Attributes:
+        request_count: Requests so far.
+        rejection_count: Malformed requests that were rejected so far.
+        cancellation_count: Consecutive requests that the client cancelled at once.
+        last_active: When the connection was last active, or became readable (seconds of the front's clock).
+    """
+
+    request_count: int
+    rejection_count: int
+    cancellation_count: int
+    last_active: float
+
+
+class ConnectionTable:
+    """All idle connections of a front; a slot is the number of a file descriptor."""
+
+    def __init__(self, settings: ConnectionSettings) -> None:
+        self.settings = settings
+        self.states = array("B")
+        self.rejection_counts = array("B")
+        self.cancellation_counts = array("B")
+        self.request_counts = array("I")
+        self.last_active = array("d")
+        timeouts = [idle_timeout(settings, usage) for usage in range(USAGE_CLASSES)]
+        self.wheels = [TimerWheel(keep, max(keep / BUCKETS, MIN_BUCKET_SECONDS)) for keep in timeouts]
+        # Readable connections, in the order in which that was noticed.
+        self.short_idle_queue: deque[int] = deque()
+        self.long_idle_queue: deque[int] = deque()
+        self.waking_count = 0
+        self.dequeue_count = 0
 
     def __len__(self) -> int:
-        """All that are parked, those about to wake too."""
-        return sum(map(len, self.kinds)) + self.waking
-
-    def holds(self, slot: int) -> bool:
-        return slot < len(self.state) and self.state[slot] != AWAY
-
-    def enter(self, slot: int, memory: Memory, now: float) -> None:
-        if slot >= len(self.state):
-            more = max(slot + 1 - len(self.state), 256)
-            for column in (self.state, self.flaws, self.withdrawn, self.calls, self.heard):
-                column.extend([0] * more)
-        check_invariant(self.state[slot] == AWAY, "a descriptor is parked once")
-        self.state[slot] = PARKED
-        self.calls[slot] = min(memory.calls, MOST_CALLS)
-        self.flaws[slot], self.withdrawn[slot] = min(memory.flaws, 255), min(memory.withdrawn, 255)
-        self.heard[slot] = memory.heard
-        self.place(slot, now)
-
-    def place(self, slot: int, now: float) -> None:
-        which = kind(self.calls[slot])
-        self.kinds[which].put(slot, self.heard[slot] + limit(self.terms, which), now)
-
-    def ready(self, slot: int, now: float) -> bool:
-        """Something came, or it ended: it waits to be woken. False for one that is not parked any more."""
-        if slot >= len(self.state) or self.state[slot] != PARKED:
+        """Return the number of connections, including those about to wake."""
+        return sum(map(len, self.wheels)) + self.waking_count
+
+    def __contains__(self, slot: int) -> bool:
+        return slot < len(self.states) and self.states[slot] != ABSENT
+
+    def add(self, slot: int, record: ConnectionRecord, now: float) -> None:
+        """Add a connection; counts are capped at what their arrays hold."""
+        if slot >= len(self.states):
+            self.grow(slot)
+        check_invariant(self.states[slot] == ABSENT, "a descriptor is added to the idle table once")
+        self.states[slot] = IDLE
+        self.request_counts[slot] = min(record.request_count, MAX_REQUEST_COUNT)
+        self.rejection_counts[slot] = min(record.rejection_count, MAX_SMALL_COUNT)
+        self.cancellation_counts[slot] = min(record.cancellation_count, MAX_SMALL_COUNT)
+        self.last_active[slot] = record.last_active
+        self.schedule_timeout(slot, now)
+
+    def grow(self, slot: int) -> None:
+        """Extend all arrays to contain a slot."""
+        growth = max(slot + 1 - len(self.states), MIN_GROWTH)
+        for column in (
+            self.states,
+            self.rejection_counts,
+            self.cancellation_counts,
+            self.request_counts,
+            self.last_active,
+        ):
+            column.extend([0] * growth)
+
+    def schedule_timeout(self, slot: int, now: float) -> None:
+        """Schedule the check of a connection for the end of its idle timeout."""
+        usage = usage_class(self.request_counts[slot])
+        self.wheels[usage].schedule(slot, self.last_active[slot] + idle_timeout(self.settings, usage), now)
+
+    def queue_readable(self, slot: int, now: float) -> bool:
+        """Queue a connection to be woken, since bytes or its end arrived.
+
+        Returns:
+            Whether it was queued; False if it isn't idle any more.
+        """
+        if slot >= len(self.states) or self.states[slot] != IDLE:
             return False
-        self.kinds[kind(self.calls[slot])].remove(slot)
-        (self.prompt if prompt(now - self.heard[slot]) else self.queue).append(slot)
-        self.state[slot], self.heard[slot] = WAKING, now
-        self.waking += 1
+        self.wheels[usage_class(self.request_counts[slot])].remove(slot)
+        short = is_short_idle(now - self.last_active[slot])
+        (self.short_idle_queue if short else self.long_idle_queue).append(slot)
+        self.states[slot] = WAKING
+        self.last_active[slot] = now
+        self.waking_count += 1
         return True
 
-    def wake(self) -> int | None:
-        """The next to be woken, if any is: its number stays taken until `leave` or `back`."""
-        while self.prompt or self.queue:
-            self.turns += 1
-            others = self.queue and (not self.prompt or self.turns % OTHERS == 0)
-            slot = (self.queue if others else self.prompt).popleft()
-            if self.state[slot] == WAKING:  # else it left meanwhile, and its number may be another's
+    def next_waking(self) -> int | None:
+        """Dequeue the next connection to be woken, or return None.
+
+        Its slot remains in use until `remove` or `return_to_idle`.
+        """
+        while self.short_idle_queue or self.long_idle_queue:
+            self.dequeue_count += 1
+            prefers_long_idle = not self.short_idle_queue or self.dequeue_count % LONG_IDLE_INTERVAL == 0
+            use_long_idle = self.long_idle_queue and prefers_long_idle
+            slot = (self.long_idle_queue if use_long_idle else self.short_idle_queue).popleft()
+            if self.states[slot] == WAKING:  # else it was removed, and the slot may be used by another
                 return slot
         return None
 
-    def back(self, slot: int, now: float) -> None:
-        """There was nothing to read after all."""
-        self.waking -= 1
-        self.state[slot] = PARKED
-        self.place(slot, now)
-
-    def leave(self, slot: int) -> Memory:
-        """Forget a connection, and say what was known of it."""
-        check_invariant(self.holds(slot), "only what is parked leaves")
-        if self.state[slot] == WAKING:
-            self.waking -= 1
+    def return_to_idle(self, slot: int, now: float) -> None:
+        """Make a connection idle again: there was nothing to read."""
+        self.waking_count -= 1
+        self.states[slot] = IDLE
+        self.schedule_timeout(slot, now)
+
+    def remove(self, slot: int) -> ConnectionRecord:
+        """Remove a connection and return its record."""
+        check_invariant(slot in self, "only idle connections are removed from the idle table")
+        if self.states[slot] == WAKING:
+            self.waking_count -= 1
         else:
-            self.kinds[kind(self.calls[slot])].remove(slot)
-        self.state[slot] = AWAY
-        return Memory(self.calls[slot], self.flaws[slot], self.withdrawn[slot], self.heard[slot])
-
-    def due(self, now: float, most: int) -> list[int]:
-        """At most so many that were idle for longer than their kind is kept; they stay until they leave."""
-        found: list[int] = []
-        for which, wheel in enumerate(self.kinds):
-            late = limit(self.terms, which)
-            for slot in wheel.due(now, most - len(found)):
-                if now > self.heard[slot] + late:
-                    found.append(slot)
-                wheel.put(slot, self.heard[slot] + late, now)
-        return found
-
-    def longest(self, count: int) -> Iterator[int]:
-        """The first so many of each kind, those idle longest first."""
-        for wheel in self.kinds:
-            yield from islice(wheel.first(), count)
+            self.wheels[usage_class(self.request_counts[slot])].remove(slot)
+        self.states[slot] = ABSENT
+        return ConnectionRecord(
+            self.request_counts[slot],
+            self.rejection_counts[slot],
+            self.cancellation_counts[slot],
+            self.last_active[slot],
+        )
+
+    def expired(self, now: float, limit: int) -> list[int]:
+        """Return at most `limit` connections past their idle timeout; they stay until they are removed."""
+        expired: list[int] = []
+        for usage, wheel in enumerate(self.wheels):
+            timeout = idle_timeout(self.settings, usage)
+            for slot in wheel.pop_due(now, limit - len(expired)):
+                if now > self.last_active[slot] + timeout:
+                    expired.append(slot)
+                wheel.schedule(slot, self.last_active[slot] + timeout, now)
+        return expired
+
+    def longest_idle(self, count: int) -> Iterator[int]:
+        """Yield the first `count` connections of each usage class, the longest idle first."""
+        for wheel in self.wheels:
+            yield from islice(wheel.in_order(), count)
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -1,6 +1,6 @@
-"""The rim of parking: a second epoll set, and descriptors that leave Twisted's transports and come back.
+"""System calls for idle connections: a second epoll set, and descriptors detached from Twisted's transports.
 
-All that touches the system or the inside of a transport is here, so that a stand-in can take its place.
+All access to the system and to the inside of a transport is here, so that tests can replace it.
 """
 
 import errno
@@ -9,125 +9,161 @@
 import socket
 from collections.abc import Callable
 from contextlib import suppress
-from typing import Any
+from typing import TYPE_CHECKING, Protocol
 
 from twisted.internet import tcp
 from twisted.internet.interfaces import IReadDescriptor
 from twisted.python.failure import Failure
-from zope.interface import implementer
+from zope.interface import implementer  # type: ignore[import-untyped]  # it ships no type hints
 
-CHUNK = 1 << 14  # bytes of the first read after a wake; what is left comes through the transport
-READY = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLONESHOT
-NOTHING = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
+if TYPE_CHECKING:
+    from twisted.internet.protocol import Protocol as ConnectionProtocol
+
+FIRST_READ_BYTES = 1 << 14  # read when a connection wakes; the rest arrives through its transport
+READABLE_ONCE = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLONESHOT
+HANGUP_ONCE = select.EPOLLRDHUP | select.EPOLLONESHOT
+NOTHING_TO_READ = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
+
+
+class Reactor(Protocol):
+    """What this package calls on Twisted's reactor."""
+
+    def addReader(self, reader: object) -> object:
+        """Watch a descriptor for bytes."""
+
+    def removeReader(self, reader: object) -> object:
+        """Stop watching a descriptor."""
+
+    def callLater(self, delay: float, callback: Callable[..., object], *args: object) -> object:
+        """Schedule a call in `delay` seconds."""
 
 
 @implementer(IReadDescriptor)
-class Hangups:
-    """Hears of the end of connections that are not read for now: behind what lies unread it would be hidden.
+class HangupWatcher:
+    """Notifies of the end of connections that are not read for now; unread bytes would hide it.
 
-    Guards caches against pulls for clients that have gone. Harm: one descriptor more, and none where no
-    connection rests.
+    Protects caches against attempts for clients that have disconnected. Cost: one more descriptor, and only
+    while some connection is not read.
     """
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
-        self.poll: select.epoll | None = None
-        self.held: dict[int, Callable[[], None]] = {}  # by descriptor: whom to tell
+        self.epoll: select.epoll | None = None
+        self.callbacks: dict[int, Callable[[], None]] = {}  # by descriptor
 
     def fileno(self) -> int:
-        return self.poll.fileno() if self.poll else -1
+        """Return the descriptor of the epoll set, or -1 before it is needed."""
+        return self.epoll.fileno() if self.epoll else -1
 
     def logPrefix(self) -> str:
+        """Return the name under which Twisted logs about this reader."""
         return "connections that are not read"
 
-    def heed(self, transport: Any, told: Callable[[], None]) -> None:
+    def watch(self, transport: object, callback: Callable[[], None]) -> None:
+        """Call back once when the peer ends the connection; ignored for other kinds of transports."""
         if type(transport) is not tcp.Server or not transport.connected:
             return
-        if self.poll is None:
-            self.poll = select.epoll()
+        if self.epoll is None:
+            self.epoll = select.epoll()
             self.reactor.addReader(self)
-        self.poll.register(transport.fileno(), select.EPOLLRDHUP | select.EPOLLONESHOT)
-        self.held[transport.fileno()] = told
+        self.epoll.register(transport.fileno(), HANGUP_ONCE)
+        self.callbacks[transport.fileno()] = callback
 
-    def drop(self, told: Callable[[], None]) -> None:
-        """Hear no more of it. A descriptor that was closed meanwhile has left the set by itself."""
-        for fd in [fd for fd, held in self.held.items() if held == told]:
-            del self.held[fd]
+    def unwatch(self, callback: Callable[[], None]) -> None:
+        """Stop watching; a descriptor that was closed meanwhile has left the set by itself."""
+        for fd in [fd for fd, registered in self.callbacks.items() if registered == callback]:
+            del self.callbacks[fd]
             with suppress(OSError):
-                if self.poll:
-                    self.poll.unregister(fd)
+                if self.epoll:
+                    self.epoll.unregister(fd)
 
     def doRead(self) -> None:
-        for fd, _ in self.poll.poll(0) if self.poll else ():
-            if told := self.held.get(fd):
-                self.drop(told)
-                told()
+        """Call back for each connection that has ended."""
+        for fd, _ in self.epoll.poll(0) if self.epoll else ():
+            if callback := self.callbacks.get(fd):
+                self.unwatch(callback)
+                callback()
 
     def connectionLost(self, reason: Failure) -> None:
-        if self.poll:
+        """Close the epoll set when the reactor ends."""
+        if self.epoll:
             self.reactor.removeReader(self)
-            self.poll.close()
-            self.poll = None
+            self.epoll.close()
+            self.epoll = None
 
 
-class Descriptors:
-    """Parked sockets as the system knows them; a descriptor is the number of a connection."""
+class EpollSet:
+    """The sockets of idle connections; a connection is identified by its descriptor."""
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
-        self.poll = select.epoll()
+        self.epoll = select.epoll()
 
     def fileno(self) -> int:
-        """The set itself is one descriptor, readable as soon as any of those in it is."""
-        return self.poll.fileno()
+        """Return the set's own descriptor, which is readable as soon as any connection in it is."""
+        return self.epoll.fileno()
+
+    def detach(self, transport: object) -> int | None:
+        """Remove a connection from the reactor, and keep its descriptor.
 
-    def release(self, transport: Any) -> int | None:
-        """Take a connection out of the reactor and keep its descriptor; None where it cannot be taken.
+        The transport is dead afterwards: its protocol receives nothing more from it.
 
-        One whose transport still has bytes to write stays, and so does one of another kind (a transport in
-        memory). The transport is dead afterwards: its protocol hears nothing more from it.
+        Returns:
+            The descriptor; None if the transport has bytes left to send, is closing, or is not a socket's
+            (one in memory).
         """
         if type(transport) is not tcp.Server or not transport.connected or transport.disconnecting:
             return None
+        # Twisted has no public access to what was written but not sent yet.
         if transport.dataBuffer or transport._tempDataBuffer:
             return None
-        transport.stopReading()
-        transport.stopWriting()
-        transport.unregisterProducer()
+        transport.stopReading()  # type: ignore[no-untyped-call]  # Twisted's method has no hints
+        transport.stopWriting()  # type: ignore[no-untyped-call]  # Twisted's method has no hints
+        transport.unregisterProducer()  # type: ignore[no-untyped-call]  # Twisted's method has no hints
         fd: int = transport.socket.detach()
-        transport.connected, transport.disconnected = 0, 1
-        del transport.protocol, transport.socket, transport.fileno  # no circles: freed at once
-        self.poll.register(fd, READY)
+        transport.connected = 0
+        transport.disconnected = 1
+        del transport.protocol, transport.socket, transport.fileno  # no reference cycles: freed at once
+        self.epoll.register(fd, READABLE_ONCE)
         return fd
 
-    def adopt(self, fd: int, protocol: Any) -> Any:
-        """Give a descriptor a transport again, with its options as they were; it is read from now on."""
-        self.poll.unregister(fd)
-        held = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
-        transport = tcp.Server(held, protocol, ("", 0), None, 0, self.reactor)  # type: ignore[arg-type]
+    def attach(self, fd: int, protocol: "ConnectionProtocol") -> tcp.Server:
+        """Return a new transport for a descriptor, with its socket options unchanged; reading starts."""
+        self.epoll.unregister(fd)
+        connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
+        # Twisted's interfaces are nominal to mypy; the port (None) is used for its address only.
+        transport = tcp.Server(connection, protocol, ("", 0), None, 0, self.reactor)  # type: ignore[arg-type]
         transport.repstr = f"<woken connection {fd}>"
         return transport
 
-    def ready(self, most: int) -> list[int]:
-        """Descriptors with something to read or at their end, each told once until `again` is said."""
-        return [fd for fd, _ in self.poll.poll(0, most)]
+    def poll_readable(self, limit: int) -> list[int]:
+        """Return descriptors with bytes to read or at their end, each once until `rearm`."""
+        return [fd for fd, _ in self.epoll.poll(0, limit)]
 
-    def again(self, fd: int) -> None:
-        """Tell of it anew when something comes."""
-        self.poll.modify(fd, READY)
+    def rearm(self, fd: int) -> None:
+        """Report a descriptor again when it next becomes readable."""
+        self.epoll.modify(fd, READABLE_ONCE)
 
     def read(self, fd: int) -> bytes | None:
-        """The first bytes that wait; none if nothing does, empty at the end, raises OSError if it broke."""
+        """Read the first bytes that wait.
+
+        Returns:
+            The bytes; empty at the connection's end, None if there is nothing to read.
+
+        Raises:
+            OSError: The connection has failed.
+        """
         try:
-            return os.read(fd, CHUNK)
-        except OSError as wrong:
-            if wrong.errno in NOTHING:
+            return os.read(fd, FIRST_READ_BYTES)
+        except OSError as error:
+            if error.errno in NOTHING_TO_READ:
                 return None
             raise
 
     def close(self, fd: int) -> None:
-        """End a connection; the set forgets it by itself, since nobody else holds the descriptor."""
+        """Close a connection; it leaves the set by itself, since nothing else holds the descriptor."""
         os.close(fd)
 
-    def shut(self) -> None:
-        self.poll.close()
+    def close_set(self) -> None:
+        """Close the epoll set."""
+        self.epoll.close()
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -1,176 +1,240 @@
-"""The parked connections: out of the reactor's table, in one epoll set that is itself one reader of it.
+"""The pool of idle connections: outside the reactor's table, in one epoll set that is one reader of it.
 
-What becomes readable is noted at once and in order, and woken a batch a turn; how long it waited for that is
-known for each. What ends while parked is closed without ever becoming an object again.
+Connections that become readable are queued at once and in order, and woken in batches, one batch an
+event-loop iteration; the time each has waited is recorded. A connection that ends while idle is closed
+without a protocol object.
 """
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from twisted.internet.interfaces import IReadDescriptor
 from twisted.python.failure import Failure
-from zope.interface import implementer
+from zope.interface import implementer  # type: ignore[import-untyped]  # it ships no type hints
 
-from weldbend.idle_connections.connection_table import PARKED, Memory, Table
-from weldbend.idle_connections.policy import Pace, Terms
+from weldbend.idle_connections.connection_table import IDLE, ConnectionRecord, ConnectionTable
+from weldbend.idle_connections.epoll_set import Reactor
+from weldbend.idle_connections.policy import ConnectionSettings, WakeBatchSizer
 from weldbend.invariants import anomalies
 
-NOTED = 1024  # descriptors noted as ready in one go
+if TYPE_CHECKING:
+    from twisted.internet import tcp
+    from twisted.internet.protocol import Protocol as ConnectionProtocol
 
+POLL_BATCH = 1024  # descriptors queued as readable in one poll
 
-class EpollSet(Protocol):
-    """What `weldbend.idle_connections.epoll_set` does for the lot; see there."""
 
-    def fileno(self) -> int: ...
-    def release(self, transport: Any) -> int | None: ...
-    def adopt(self, fd: int, protocol: Any) -> Any: ...
-    def ready(self, most: int) -> list[int]: ...
-    def again(self, fd: int) -> None: ...
-    def read(self, fd: int) -> bytes | None: ...
-    def close(self, fd: int) -> None: ...
-    def shut(self) -> None: ...
+class DescriptorSet(Protocol):
+    """The system calls that the pool needs; see `weldbend.idle_connections.epoll_set.EpollSet`."""
+
+    def fileno(self) -> int:
+        """Return the set's own descriptor."""
+        ...
+
+    def detach(self, transport: object) -> int | None:
+        """Remove a connection from the reactor; None if that is not possible now."""
+        ...
+
+    def attach(self, fd: int, protocol: "ConnectionProtocol") -> "tcp.Server":
+        """Return a new transport for a descriptor."""
+        ...
+
+    def poll_readable(self, limit: int) -> list[int]:
+        """Return descriptors that have become readable."""
+        ...
+
+    def rearm(self, fd: int) -> None:
+        """Report a descriptor again when it next becomes readable."""
+
+    def read(self, fd: int) -> bytes | None:
+        """Read; empty at the end, None if nothing waits, raises OSError on failure."""
+        ...
+
+    def close(self, fd: int) -> None:
+        """Close a connection."""
+
+    def close_set(self) -> None:
+        """Close the set."""
 
 
 @implementer(IReadDescriptor)
 class IdlePool:
-    """Parks connections and wakes them.
-
-    `woken(fd, memory, data)` is told of each that brought bytes: it adopts the descriptor. `ended()` is told
-    after some have closed. `now` gives the front's time in seconds.
+    """Holds idle connections, wakes them when they become readable, and closes them.
+
+    Attributes:
+        descriptors: The system calls.
+        on_woken: Called with descriptor, record and first bytes of each connection that received bytes; it
+            attaches the descriptor to a transport.
+        on_closed: Called after a connection was closed because its peer ended it.
+        now: Returns the front's time in seconds.
+        peak_size: Largest number of idle connections so far.
+        wake_count: Connections woken by bytes so far.
+        max_wake_delay: Longest time (seconds) from readable to woken so far.
     """
 
     def __init__(
         self,
-        reactor: Any,
-        rim: EpollSet,
-        terms: Terms,
+        reactor: Reactor,
+        descriptors: DescriptorSet,
+        settings: ConnectionSettings,
         now: Callable[[], float],
-        woken: Callable[[int, Memory, bytes], None],
-        ended: Callable[[], None],
+        on_woken: Callable[[int, ConnectionRecord, bytes], None],
+        on_closed: Callable[[], None],
     ) -> None:
-        self.reactor, self.rim, self.now, self.woken, self.ended = reactor, rim, now, woken, ended
-        self.table, self.pace = Table(terms), Pace(terms.wakes)
-        self.planned = self.reading = False
-        self.most = self.wakes = 0
-        self.latest = 0.0  # seconds that one waited to be woken, at most
+        self.reactor = reactor
+        self.descriptors = descriptors
+        self.now = now
+        self.on_woken = on_woken
+        self.on_closed = on_closed
+        self.table = ConnectionTable(settings)
+        self.batch_sizer = WakeBatchSizer(settings.wake_batch)
+        self.is_wake_scheduled = False
+        self.is_reading = False
+        self.peak_size = 0
+        self.wake_count = 0
+        self.max_wake_delay = 0.0
 
     def count(self) -> int:
+        """Return the number of idle connections."""
         return len(self.table)
 
-    # What the reactor asks of a reader.
+    # Twisted's IReadDescriptor.
 
     def fileno(self) -> int:
-        return self.rim.fileno()
+        """Return the descriptor of the epoll set."""
+        return self.descriptors.fileno()
 
     def logPrefix(self) -> str:
-        return "parked connections"
+        """Return the name under which Twisted logs about this reader."""
+        return "idle connections"
 
     def doRead(self) -> None:
-        self.note()
-        if not self.planned:
-            self.wake()
+        """Queue what became readable, and wake a batch unless one is scheduled."""
+        self.queue_readable()
+        if not self.is_wake_scheduled:
+            self.wake_batch()
 
     def connectionLost(self, reason: Failure) -> None:
+        """Stop when the reactor ends."""
         self.stop()
 
-    # Parking and waking.
+    # Adding and waking.
 
-    def park(self, transport: Any, memory: Memory) -> bool:
-        """Take a connection in; false where its transport cannot let go of it now."""
-        fd = self.rim.release(transport)
+    def add(self, transport: object, record: ConnectionRecord) -> bool:
+        """Move a connection into the pool; False if its transport cannot be detached now."""
+        fd = self.descriptors.detach(transport)
         if fd is None:
             return False
-        if not self.reading:
-            self.reading = True
+        if not self.is_reading:
+            self.is_reading = True
             self.reactor.addReader(self)
-        self.table.enter(fd, memory, self.now())
-        self.most = max(self.most, len(self.table))
+        self.table.add(fd, record, self.now())
+        self.peak_size = max(self.peak_size, len(self.table))
         return True
 
-    def note(self) -> int:
-        """Note what has become readable since; how many that is."""
-        now, found = self.now(), self.rim.ready(NOTED)
-        for fd in found:
-            self.table.ready(fd, now)
-        return len(found)
-
-    def plan(self) -> None:
-        if not self.planned:
-            self.planned = True
-            self.reactor.callLater(0, self.wake)
-
-    def wake(self) -> None:
-        """Wake one batch; the rest in turns to come, so that the reactor gets round to the busy between."""
-        self.planned = False
-        for _ in range(self.pace.batch(self.now(), self.table.waking)):
-            if (fd := self.table.wake()) is None:
+    def queue_readable(self) -> int:
+        """Queue connections that have become readable, and return how many were reported."""
+        now = self.now()
+        readable = self.descriptors.poll_readable(POLL_BATCH)
+        for fd in readable:
+            self.table.queue_readable(fd, now)
+        return len(readable)
+
+    def schedule_wake(self) -> None:
+        """Schedule a batch for the next event-loop iteration, unless one is scheduled."""
+        if not self.is_wake_scheduled:
+            self.is_wake_scheduled = True
+            self.reactor.callLater(0, self.wake_batch)
+
+    def wake_batch(self) -> None:
+        """Wake one batch; later iterations wake the rest, so that busy connections are served between."""
+        self.is_wake_scheduled = False
+        for _ in range(self.batch_sizer.next_size(self.now(), self.table.waking_count)):
+            if (fd := self.table.next_waking()) is None:
                 break
-            self.rouse(fd)
-        if self.table.waking:
-            self.plan()
+            self.wake(fd)
+        if self.table.waking_count:
+            self.schedule_wake()
 
-    def rouse(self, fd: int) -> None:
-        """One that was noted: bytes make it a connection again, an end closes it."""
+    def wake(self, fd: int) -> None:
+        """Read from a queued connection: bytes make it active, an end or a failure closes it."""
         try:
-            data = self.rim.read(fd)
+            data = self.descriptors.read(fd)
         except OSError:
             data = b""
-            anomalies["parked connections that broke"] += 1
+            anomalies["idle connections that failed"] += 1
         if data:
-            memory = self.table.leave(fd)
-            self.wakes += 1
-            self.latest = max(self.latest, self.now() - memory.heard)
-            self.woken(fd, memory, data)
+            record = self.table.remove(fd)
+            self.wake_count += 1
+            self.max_wake_delay = max(self.max_wake_delay, self.now() - record.last_active)
+            self.on_woken(fd, record, data)
         elif data is None:
-            self.table.back(fd, self.now())
-            self.rim.again(fd)
+            self.table.return_to_idle(fd, self.now())
+            self.descriptors.rearm(fd)
         else:
-            self.shed(fd)
-            self.ended()
+            self.close(fd)
+            self.on_closed()
+
+    # Closing.
+
+    def close(self, fd: int) -> ConnectionRecord:
+        """Close a connection and return its last record."""
+        record = self.table.remove(fd)
+        self.descriptors.close(fd)
+        return record
 
-    def shed(self, fd: int) -> Memory:
-        memory = self.table.leave(fd)
-        self.rim.close(fd)
-        return memory
+    def close_if_idle(self, fd: int) -> bool:
+        """Close a connection unless bytes have just arrived on it, which wake it instead.
 
-    def dismiss(self, fd: int) -> bool:
-        """Close one as idle, unless something has come on it in this very moment: that wakes it instead."""
-        if self.table.state[fd] != PARKED:
+        Returns:
+            Whether it was closed.
+        """
+        if self.table.states[fd] != IDLE:
             return False
         try:
-            data = self.rim.read(fd)
+            data = self.descriptors.read(fd)
         except OSError:
             data = b""
         if not data:
-            self.shed(fd)
+            self.close(fd)
             return True
-        self.table.ready(fd, self.now())
-        self.woken(fd, self.table.leave(fd), data)
+        self.table.queue_readable(fd, self.now())
+        self.on_woken(fd, self.table.remove(fd), data)
         return False
 
-    def expire(self, most: int) -> tuple[int, int]:
-        """Close at most so many idle for too long: how many were due, and how many of those never spoke."""
-        self.note()
-        due, mute = self.table.due(self.now(), most), 0
-        for fd in due:
-            silent = not self.table.calls[fd]
-            mute += self.dismiss(fd) and silent
-        return len(due), mute
-
-    def still(self) -> bool:
-        """Whether nothing waits to be read on any parked connection."""
-        self.note()
-        return not self.table.waking
-
-    def close_some(self, most: int) -> int:
-        """Close so many, whoever they are: the front ends."""
-        count = 0
-        for fd in list(self.table.longest(most))[:most]:
-            count += self.dismiss(fd)
-        return count
+    def close_expired(self, limit: int) -> tuple[int, int]:
+        """Close at most `limit` connections that are past their idle timeout.
+
+        Returns:
+            How many were due, and how many of the closed ones never sent a request.
+        """
+        self.queue_readable()
+        expired = self.table.expired(self.now(), limit)
+        silent_count = 0
+        for fd in expired:
+            is_silent = not self.table.request_counts[fd]
+            silent_count += self.close_if_idle(fd) and is_silent
+        return len(expired), silent_count
+
+    def has_nothing_to_read(self) -> bool:
+        """Return whether no idle connection has bytes or an end waiting."""
+        self.queue_readable()
+        return not self.table.waking_count
+
+    def close_longest_idle(self, limit: int) -> int:
+        """Close at most `limit` connections, the longest idle of each class first, when the front ends.
+
+        Returns:
+            How many were closed.
+        """
+        closed = 0
+        for fd in list(self.table.longest_idle(limit))[:limit]:
+            closed += self.close_if_idle(fd)
+        return closed
 
     def stop(self) -> None:
-        if self.reading:
-            self.reading = False
+        """Leave the reactor and close the epoll set."""
+        if self.is_reading:
+            self.is_reading = False
             self.reactor.removeReader(self)
-            self.rim.shut()
+            self.descriptors.close_set()
--- a/weldbend/idle_connections/policy.py
+++ b/weldbend/idle_connections/policy.py
@@ -1,155 +1,181 @@
-"""The choices about clients' connections, without I/O: who stays, who is parked, who goes, how many a turn.
+"""Decisions about client connections: which are kept, made idle or closed, and how many at a time.
 
-Nothing here touches a socket or a clock. The limits are those of the site's pages on silent clients, half
-calls and the bound on descriptors; an installation may set others (`weldbend.installation`).
+Nothing here does I/O or reads a clock. The defaults are the platform's limits on silent clients, incomplete
+requests and file descriptors; an installation file may set others (`weldbend.installation`).
 """
 
 from dataclasses import dataclass
 from enum import Enum, auto
 
-FRESH = 0.05  # seconds without a byte after which a client's call is hardly on its way
-QUIET = 0.1  # seconds without a byte after which nothing is held to be on its way from a client
-CROWD = 256  # live connections above which those that are still are parked at once
-REGULAR = 8  # calls by which a client is known to go on asking
-PROMPT = 2.0  # seconds for which one was idle that is woken before others
-OTHERS = 4  # one wake in so many is of the others, if any wait
-SHARE = 16  # at the bound, one part in so many makes room at once
-KINDS = 3  # of idle clients, by what they asked so far: nothing, one call, more
+RECENT_BYTE_SECONDS = 0.05  # seconds since the last byte, within which a request may be on its way
+QUIESCENT_SECONDS = 0.1  # seconds since the last byte, after which no request can be on its way
+OVERLOAD_CONNECTIONS = 256  # active connections above which idle ones are moved to the pool early
+REGULAR_CLIENT_REQUESTS = 8  # requests after which a client is expected to send more
+SHORT_IDLE_SECONDS = 2.0  # seconds of idleness below which a connection is woken before others
+LONG_IDLE_INTERVAL = 4  # one wake in so many is of a connection that was idle for long, if any waits
+EVICTION_DIVISOR = 16  # at the connection limit, one connection in so many is evicted at once
+USAGE_CLASSES = 3  # classes of idle connections by requests so far: none, one, more
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """What an installation may set. Times are seconds, the rest are counts; defaults are the platform's."""
-
-    speak: float = 2.0  # in which a client has to bring its first call, and to end each call that it began
-    idle: float = 4.5  # without an open download: clients close such a connection themselves after 4
-    park: float = 0.5  # without a byte after which an idle connection is parked; 0 parks none
-    wakes: int = 32  # connections woken in one turn at most
-    closes: int = 256  # connections closed or parked in one turn at most
-    accepts: int = 64  # connections accepted in one turn, about
-    most: int = 0  # connections of clients at once; 0: what the limit on descriptors leaves
+class ConnectionSettings:
+    """Settings of an installation for client connections.
 
+    Times are in seconds, all others are counts. The defaults are the platform's.
+    """
 
-class Verdict(Enum):
-    """What becomes of a connection that is looked at."""
+    request_timeout: float = 2.0  # for the first request, and for the rest of each request that has begun
+    idle_timeout: float = 4.5  # without an open request; clients close such a connection after 4 s
+    pool_after: float = 0.5  # idle time after which a connection moves to the idle pool; 0: never
+    wake_batch: int = 32  # connections woken in one event-loop iteration at most
+    close_batch: int = 256  # connections closed or moved to the pool in one event-loop iteration at most
+    accept_batch: int = 64  # connections accepted in one event-loop iteration, approximately
+    max_connections: int = 0  # client connections at once; 0: derived from the limit on descriptors
 
-    STAY = auto()
-    PARK = auto()
-    CLOSE = auto()  # idle for too long
-    MUTE = auto()  # it never said anything
-    HALF = auto()  # it stopped in the middle of a call
 
+class ConnectionAction(Enum):
+    """What is done about a connection after a check."""
 
-@dataclass(frozen=True, slots=True)
-class Seen:
-    """What one look at a connection finds; times in seconds of the front's clock."""
+    KEEP = auto()
+    MOVE_TO_POOL = auto()
+    CLOSE_IDLE = auto()  # it was idle for too long
+    CLOSE_SILENT = auto()  # it never sent a request
+    CLOSE_INCOMPLETE = auto()  # it stopped in the middle of a request
 
-    busy: bool  # a download is open, or bytes wait to leave
-    partial: bool  # a call has begun to come
-    calls: int
-    heard: float  # when it last was not idle
-    begun: float  # since when a call is on its way
 
+@dataclass(frozen=True, slots=True)
+class ConnectionState:
+    """State of an active connection at the time of a check; times are in seconds of the front's clock."""
 
-def verdict(terms: Terms, seen: Seen, now: float, live: int = 0) -> Verdict:
-    """What becomes of one of so many that are live.
+    is_busy: bool  # a request is open, or bytes wait to be sent
+    has_partial_request: bool
+    request_count: int
+    last_active: float  # when it was last not idle
+    request_started: float  # when the first byte of the request that is arriving came
 
-    Guards descriptors against clients that say nothing, stop in the middle, or never close.
 
-    Harm: a client that needs longer for one call than any of ours is closed in the middle of it.
-    """
-    if seen.busy:
-        return Verdict.STAY
-    if seen.partial:
-        return Verdict.HALF if now > seen.begun + terms.speak else Verdict.STAY
-    if now > seen.heard + limit(terms, kind(seen.calls)):
-        return Verdict.CLOSE if seen.calls else Verdict.MUTE
-    return Verdict.PARK if terms.park and now > seen.heard + still(terms, seen.calls, live) else Verdict.STAY
+def decide(
+    settings: ConnectionSettings, state: ConnectionState, now: float, active_connections: int = 0
+) -> ConnectionAction:
+    """Decide what is done about a connection.
 
+    Protects descriptors against clients that send nothing, stop in the middle of a request, or never close.
+    Cost: a client that needs longer than `request_timeout` for one request is disconnected.
 
-def still(terms: Terms, calls: int, live: int) -> float:
-    """Seconds without a byte after which an idle connection is parked, where so many are live.
+    Args:
+        settings: Limits to apply.
+        state: The connection as it is now.
+        now: Seconds of the front's clock.
+        active_connections: How many connections are active, this one included.
 
-    Guards memory against rushes: thousands that come in a second would all be live at once, and what the
-    allocator took for them is not given back. Regulars are spared. Harm: one that asks again soon costs a
-    wake, a twentieth of a download's CPU.
+    Returns:
+        The action to carry out.
+    """
+    if state.is_busy:
+        return ConnectionAction.KEEP
+    if state.has_partial_request:
+        overdue = now > state.request_started + settings.request_timeout
+        return ConnectionAction.CLOSE_INCOMPLETE if overdue else ConnectionAction.KEEP
+    if now > state.last_active + idle_timeout(settings, usage_class(state.request_count)):
+        return ConnectionAction.CLOSE_IDLE if state.request_count else ConnectionAction.CLOSE_SILENT
+    delay = pool_delay(settings, state.request_count, active_connections)
+    if settings.pool_after and now > state.last_active + delay:
+        return ConnectionAction.MOVE_TO_POOL
+    return ConnectionAction.KEEP
+
+
+def pool_delay(settings: ConnectionSettings, request_count: int, active_connections: int) -> float:
+    """Return the seconds without a byte after which an idle connection moves to the idle pool.
+
+    Protects memory against bursts: thousands of connections opened in one second would all be active at
+    once, and the allocator does not give back what they took. Regular clients are exempt. Cost: a client
+    that sends its next request soon afterwards costs a wake, about a twentieth of a request's CPU time.
     """
-    return terms.park if live <= CROWD or calls >= REGULAR else min(terms.park, QUIET)
+    if active_connections <= OVERLOAD_CONNECTIONS or request_count >= REGULAR_CLIENT_REQUESTS:
+        return settings.pool_after
+    return min(settings.pool_after, QUIESCENT_SECONDS)
 
 
-def prompt(idle: float) -> bool:
-    """Whether one that was idle for so many seconds is woken before others.
+def is_short_idle(idle_seconds: float) -> bool:
+    """Return whether a connection with this idle time is woken before others.
 
-    Guards those in the middle of their downloads against a mass that has been away. Harm: those wait a
-    little longer; every OTHERS-th wake is theirs all the same.
+    Protects clients in the middle of their work against many that return after a long pause. Cost: those
+    wait a little longer; every `LONG_IDLE_INTERVAL`-th wake is still one of theirs.
     """
-    return idle < PROMPT
+    return idle_seconds < SHORT_IDLE_SECONDS
 
 
-def kind(calls: int) -> int:
-    """Which of the kinds of idle clients: those that asked least go first."""
-    return min(calls, KINDS - 1)
+def usage_class(request_count: int) -> int:
+    """Return the usage class, from 0 to `USAGE_CLASSES - 1`; lower classes are evicted first."""
+    return min(request_count, USAGE_CLASSES - 1)
 
 
-def limit(terms: Terms, kind: int) -> float:
-    """Seconds for which an idle connection of a kind is kept."""
-    return terms.idle if kind else min(terms.speak, terms.idle)
+def idle_timeout(settings: ConnectionSettings, usage: int) -> float:
+    """Return the seconds for which an idle connection of a usage class is kept open."""
+    return settings.idle_timeout if usage else min(settings.request_timeout, settings.idle_timeout)
 
 
-def precedence(calls: int, heard: float, now: float) -> tuple[bool, int, float]:
-    """Sorts idle connections by who makes room first.
+def eviction_order(request_count: int, last_active: float, now: float) -> tuple[bool, int, float]:
+    """Return the sort key by which idle connections are evicted, the first one first.
 
-    Those heard of just now go last, since a call may be on its way there; else those that said nothing, then
-    those that asked once, the longest first.
+    Connections that sent a byte just now come last, since a request may be on its way. Otherwise the order
+    is by usage class, and within a class the longest idle comes first.
     """
-    return heard > now - FRESH, kind(calls), heard
+    return last_active > now - RECENT_BYTE_SECONDS, usage_class(request_count), last_active
 
 
-def leaving(count: int, most: int) -> int:
-    """How many idle ones make room when `count` connections stand against a bound of `most`.
+def eviction_count(connections: int, max_connections: int) -> int:
+    """Return how many idle connections are evicted.
 
-    Guards the port against clients that connect in hundreds and stay. Harm: an idle usual one has to connect
-    anew, when more are in use at once than the site has descriptors for.
+    Protects the port against clients that open connections in hundreds and leave them open. Cost: an
+    ordinary idle client has to reconnect when the site has fewer descriptors than clients.
     """
-    return max(most // SHARE, 1) if count >= most else 0
+    if connections < max_connections:
+        return 0
+    return max(max_connections // EVICTION_DIVISOR, 1)
 
 
-def rests(count: int, most: int) -> bool:
-    """Whether the port accepts nobody: those who come wait in the kernel's queue."""
-    return count >= most
+def is_accept_paused(connections: int, max_connections: int) -> bool:
+    """Return whether no connection is accepted; new ones wait in the kernel's backlog."""
+    return connections >= max_connections
 
 
-def quiet(idle: bool, heard: float, now: float) -> bool:
-    """Whether nothing can be on its way: no part of a call is here, and none came or was answered lately.
+def is_quiescent(idle: bool, last_active: float, now: float) -> bool:
+    """Return whether no request can be on its way on a connection.
 
-    Holds also for one that has just been accepted: its first call may lie unread.
+    True only if no part of a request is here and none was received or answered lately. This covers a
+    connection that has just been accepted: its first request may still be unread.
     """
-    return idle and now > heard + QUIET
+    return idle and now > last_active + QUIESCENT_SECONDS
 
 
-class Pace:
-    """How many parked connections wake in one turn: as many as leave the turn short.
+class WakeBatchSizer:
+    """Adapts the number of idle connections woken in one event-loop iteration to the iterations' length.
 
-    Guards the deadlines of busy downloads, and the timers, against a large share that wakes in the same
-    moment. Additive growth and halving by how long turns last while connections wait to be woken. Harm: the
-    last of a mass wakes late; how late is told to the decisions, which throttle what has no time left.
+    Protects the deadlines of open requests, and the timers, when many idle connections become readable at
+    the same time. The size grows by one and is halved (additive increase, multiplicative decrease) by how
+    long iterations last while connections wait to be woken. Cost: the last of them wakes late; the router
+    is notified of that delay and rejects requests whose deadline has become too close.
     """
 
-    SHORT, LONG = 0.003, 0.008  # seconds of a turn under which the batch grows, and over which it is halved
-    START = 4
-
-    def __init__(self, most: int) -> None:
-        self.most, self.size = most, min(self.START, most)
-        self.last: float | None = None  # when the batch before was begun, if others had to wait behind it
-
-    def batch(self, now: float, waiting: int) -> int:
-        """How many of those waiting wake now."""
-        if self.last is not None:
-            took = now - self.last
-            if took > self.LONG:
+    SHORT_ITERATION = 0.003  # seconds below which the size grows
+    LONG_ITERATION = 0.008  # seconds above which the size is halved
+    START_SIZE = 4
+
+    def __init__(self, max_size: int) -> None:
+        self.max_size = max_size
+        self.size = min(self.START_SIZE, max_size)
+        # When the previous batch began, if connections still waited behind it.
+        self.previous_start: float | None = None
+
+    def next_size(self, now: float, waiting: int) -> int:
+        """Return how many of the `waiting` connections are woken now (`now` in seconds)."""
+        if self.previous_start is not None:
+            elapsed = now - self.previous_start
+            if elapsed > self.LONG_ITERATION:
                 self.size = max(self.size // 2, 1)
-            elif took < self.SHORT:
-                self.size = min(self.size + 1, self.most)
+            elif elapsed < self.SHORT_ITERATION:
+                self.size = min(self.size + 1, self.max_size)
         count = min(self.size, waiting)
-        self.last = now if waiting > count else None
+        self.previous_start = now if waiting > count else None
         return count
--- a/weldbend/idle_connections/timer_wheel.py
+++ b/weldbend/idle_connections/timer_wheel.py
@@ -1,8 +1,8 @@
-"""Time buckets over small numbers: who is due costs what is due, not what waits. No I/O.
+"""Hashed timing wheel over small numbers: the cost of expiry grows with what is due, not with what waits.
 
-Each bucket is a ring of doubly linked slots held in flat arrays, twelve bytes a slot; a slot is any small
-number, such as a descriptor. Within a bucket, slots keep the order in which they came (hashed timing wheel,
-Varghese and Lauck 1987, with one turn of the wheel only: nothing is put further ahead than its span).
+Each bucket is a ring of doubly linked slots in flat arrays, twelve bytes a slot; a slot is any small number,
+such as a file descriptor. Slots of one bucket keep the order of insertion. Source: Varghese and Lauck 1987,
+hashed timing wheel, with one revolution only: no slot is scheduled further ahead than the wheel's span.
 """
 
 from array import array
@@ -10,87 +10,93 @@
 
 from weldbend.invariants import check_invariant
 
-FREE = -1
+NO_BUCKET = -1
+MIN_GROWTH = 256  # entries by which the arrays grow at least
 
 
 class TimerWheel:
-    """Slots in buckets of `width` seconds, at most `span` seconds ahead."""
+    """Slots in buckets of `bucket_seconds`, scheduled at most `span` seconds ahead."""
 
-    def __init__(self, span: float, width: float) -> None:
-        self.width = width
-        self.size = int(span / width) + 3
-        self.next = array("i", range(self.size))  # the first entries are the buckets' own, then the slots
-        self.prev = array("i", range(self.size))
-        self.bucket = array("i", [FREE]) * self.size
-        self.tick = 0  # of the first bucket that may hold anything
+    def __init__(self, span: float, bucket_seconds: float) -> None:
+        self.bucket_seconds = bucket_seconds
+        self.bucket_count = int(span / bucket_seconds) + 3
+        # The first entries are the heads of the buckets, the entries of slots follow.
+        self.next = array("i", range(self.bucket_count))
+        self.previous = array("i", range(self.bucket_count))
+        self.bucket = array("i", [NO_BUCKET]) * self.bucket_count
+        self.tick = 0  # of the first bucket that may hold a slot
         self.count = 0
 
     def __len__(self) -> int:
         return self.count
 
     def __contains__(self, slot: int) -> bool:
-        at = slot + self.size
-        return at < len(self.bucket) and self.bucket[at] != FREE
+        entry = slot + self.bucket_count
+        return entry < len(self.bucket) and self.bucket[entry] != NO_BUCKET
 
-    def reach(self, slot: int) -> int:
-        """The entry of a slot; the arrays grow to hold it."""
-        at = slot + self.size
-        if at >= len(self.next):
-            more = max(at + 1 - len(self.next), 256)
-            self.next.extend([FREE] * more)
-            self.prev.extend([FREE] * more)
-            self.bucket.extend([FREE] * more)
-        return at
+    def reserve(self, slot: int) -> int:
+        """Grow the arrays to contain a slot, and return the index of its entry."""
+        entry = slot + self.bucket_count
+        if entry >= len(self.next):
+            growth = max(entry + 1 - len(self.next), MIN_GROWTH)
+            self.next.extend([NO_BUCKET] * growth)
+            self.previous.extend([NO_BUCKET] * growth)
+            self.bucket.extend([NO_BUCKET] * growth)
+        return entry
 
-    def put(self, slot: int, due: float, now: float) -> None:
-        """Have a slot fall due in the bucket of a moment (seconds); one in the past falls due at once.
+    def schedule(self, slot: int, due: float, now: float) -> None:
+        """Put a slot into the bucket of the time `due` (seconds); one in the past is due at once.
 
-        Where `due` was not asked for long, what is far ahead may fall due early; none falls due late.
+        If `pop_due` was not called for long, a slot far ahead may become due early, but never late.
         """
-        at, tick = self.reach(slot), int(due / self.width)
-        check_invariant(self.bucket[at] == FREE, "a slot waits in one bucket")
+        entry = self.reserve(slot)
+        check_invariant(self.bucket[entry] == NO_BUCKET, "a slot waits in one bucket")
         if not self.count:
-            self.tick = int(now / self.width)
-        tick = min(max(tick, self.tick), self.tick + self.size - 1)  # beyond the span: with the last bucket
-        bucket = tick % self.size
-        last = self.prev[bucket]
-        self.next[last] = self.prev[bucket] = at
-        self.prev[at], self.next[at], self.bucket[at] = last, bucket, bucket
+            self.tick = int(now / self.bucket_seconds)
+        # What lies beyond the span goes into the last bucket.
+        tick = min(max(int(due / self.bucket_seconds), self.tick), self.tick + self.bucket_count - 1)
+        bucket = tick % self.bucket_count
+        last = self.previous[bucket]
+        self.next[last] = self.previous[bucket] = entry
+        self.previous[entry] = last
+        self.next[entry] = self.bucket[entry] = bucket
         self.count += 1
 
     def remove(self, slot: int) -> bool:
-        """Take a slot out of its bucket; false if it was in none."""
+        """Remove a slot from its bucket, and return whether it was in one."""
         if slot not in self:
             return False
-        at = slot + self.size
-        before, after = self.prev[at], self.next[at]
-        self.next[before], self.prev[after] = after, before
-        self.bucket[at] = FREE
+        entry = slot + self.bucket_count
+        before = self.previous[entry]
+        after = self.next[entry]
+        self.next[before] = after
+        self.previous[after] = before
+        self.bucket[entry] = NO_BUCKET
         self.count -= 1
         return True
 
-    def due(self, now: float, most: int) -> list[int]:
-        """Take out at most so many slots whose buckets are over."""
-        found: list[int] = []
-        end = int(now / self.width)
+    def pop_due(self, now: float, limit: int) -> list[int]:
+        """Remove and return at most `limit` slots whose buckets have passed."""
+        due: list[int] = []
+        end = int(now / self.bucket_seconds)
         while self.tick < end:
-            bucket = self.tick % self.size
-            while (at := self.next[bucket]) != bucket:
-                if len(found) >= most:
-                    return found
-                found.append(at - self.size)
-                self.remove(at - self.size)
+            bucket = self.tick % self.bucket_count
+            while (entry := self.next[bucket]) != bucket:
+                if len(due) >= limit:
+                    return due
+                due.append(entry - self.bucket_count)
+                self.remove(entry - self.bucket_count)
             if not self.count:
                 self.tick = end
                 break
             self.tick += 1
-        return found
+        return due
 
-    def first(self) -> Iterator[int]:
-        """All slots, those that fall due first coming first, left where they are."""
-        for tick in range(self.tick, self.tick + self.size):
-            bucket = tick % self.size
-            at = self.next[bucket]
-            while at != bucket:
-                yield at - self.size
-                at = self.next[at]
+    def in_order(self) -> Iterator[int]:
+        """Yield all slots in the order in which they become due, without removing them."""
+        for tick in range(self.tick, self.tick + self.bucket_count):
+            bucket = tick % self.bucket_count
+            entry = self.next[bucket]
+            while entry != bucket:
+                yield entry - self.bucket_count
+                entry = self.next[entry]
--- a/weldbend/installation/keys.py
+++ b/weldbend/installation/keys.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from weldbend.fleet import settings as fleet
-from weldbend.idle_connections.policy import Terms
+from weldbend.idle_connections.policy import ConnectionSettings
 
 UNITS = {"ms": 0.001, "s": 1.0, "min": 60.0, "h": 3600.0}
 DURATION = re.compile(r"([0-9]{1,9}(?:\.[0-9]{1,6})?)\s*([A-Za-z]*)")
@@ -208,24 +208,25 @@
     return None
 
 
-def clients_agree(terms: Terms) -> str | None:
-    if terms.park and terms.park >= terms.idle:
-        return f"park-after ({shown(terms.park)}) must be shorter than idle ({shown(terms.idle)})"
+def clients_agree(settings: ConnectionSettings) -> str | None:
+    if settings.pool_after and settings.pool_after >= settings.idle_timeout:
+        delay, timeout = shown(settings.pool_after), shown(settings.idle_timeout)
+        return f"park-after ({delay}) must be shorter than idle ({timeout})"
     return None
 
 
 SECTIONS: dict[str, Section] = {
     "clients": Section(
         (
-            Key("first-call", "speak", seconds(0.1, 600.0), shown),
-            Key("idle", "idle", seconds(0.5, 86_400.0), shown),
-            Key("park-after", "park", seconds(0.0, 3600.0), shown),
-            Key("wake-batch", "wakes", whole(1, 4096)),
-            Key("close-batch", "closes", whole(1, 65_536)),
-            Key("accept-batch", "accepts", whole(1, 4096)),
-            Key("most", "most", whole(1, 1_000_000, auto=0), lambda held: str(held or "auto")),
+            Key("first-call", "request_timeout", seconds(0.1, 600.0), shown),
+            Key("idle", "idle_timeout", seconds(0.5, 86_400.0), shown),
+            Key("park-after", "pool_after", seconds(0.0, 3600.0), shown),
+            Key("wake-batch", "wake_batch", whole(1, 4096)),
+            Key("close-batch", "close_batch", whole(1, 65_536)),
+            Key("accept-batch", "accept_batch", whole(1, 4096)),
+            Key("most", "max_connections", whole(1, 1_000_000, auto=0), lambda held: str(held or "auto")),
         ),
-        Terms(),
+        ConnectionSettings(),
         clients_agree,
     ),
     "fleet": Section(
--- a/weldbend/testbed/simulation/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -459,14 +459,14 @@
     def __init__(self, reactor: Any) -> None:
         pass
 
-    def release(self, transport: Any) -> int | None:
+    def detach(self, transport: Any) -> int | None:
         return None
 
     def fileno(self) -> int:
         return -1
 
-    def ready(self, most: int) -> list[int]:
+    def poll_readable(self, most: int) -> list[int]:
         return []
 
-    def shut(self) -> None:
+    def close_set(self) -> None:
         pass
