--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -8,7 +8,7 @@
 from twisted.python.failure import Failure
 
 from weldbend.buffers.ring import Ring
-from weldbend.event_bus.events import event as bus_event
+from weldbend.event_bus.events import parse_event as bus_event
 from weldbend.front.configuration import read_site
 from weldbend.front.server import Front as Door
 from weldbend.routing.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt, WatchEndpoints
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -10,7 +10,8 @@
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol import answers
 from weldbend.event_bus import sse
-from weldbend.event_bus.events import Ban, InvalidEventError, Topology, read_event
+from weldbend.event_bus.errors import InvalidEventError, InvalidStreamError
+from weldbend.event_bus.events import EndpointListUpdate, Purge, read_event
 from weldbend.thrift import binary, framing, messages
 from weldbend.thrift.binary import InvalidMessageError
 from weldbend.thrift.framing import InvalidFrameError
@@ -148,7 +149,7 @@
 
 def test_stream_is_bounded():
     for data in (b"data: " + b"x" * 2000, b"data: xxxxxxxxxxxxxxxxxxxxxxxx\n" * 60):
-        with pytest.raises(sse.InvalidStreamError):
+        with pytest.raises(InvalidStreamError):
             read_stream([data])
 
 
@@ -163,9 +164,13 @@
     }
     text = str({"offset": 4, "topology": {"rev": 1, "all": False, "targets": [held]}}).replace("'", '"')
     read = read_event(text.replace("False", "true"))
-    assert isinstance(read.event, Topology) and read.event.whole and read.event.targets[0].port == 7
-    assert read_event('{"offset":5,"ban":{"url":"ab","ts":1500}}').event == Ban("ab", 0, 1.5)
-    assert read_event('{"offset":6,"ban":{"tag":17,"ts":1500}}').event == Ban(None, 17, 1.5)
+    assert (
+        isinstance(read.event, EndpointListUpdate)
+        and read.event.is_complete
+        and read.event.records[0].port == 7
+    )
+    assert read_event('{"offset":5,"ban":{"url":"ab","ts":1500}}').event == Purge("ab", 0, 1.5)
+    assert read_event('{"offset":6,"ban":{"tag":17,"ts":1500}}').event == Purge(None, 17, 1.5)
     nan = '{"offset":7,"ban":{"tag":17,"ts":NaN}}'
     for bad in (
         nan,
@@ -189,7 +194,7 @@
     for wrong in violations:  # one bad entry hides no other
         bad = held | wrong
         raw = str({"offset": 4, "topology": {"rev": 1, "all": 0, "targets": [bad, held]}}).replace("'", '"')
-        assert [target.port for target in read_event(raw).event.targets] == [7]
+        assert [record.port for record in read_event(raw).event.records] == [7]
 
 
 def test_ring_against_a_plain_list_of_bytes():
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -8,7 +8,7 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from weldbend.event_bus.events import event as bus_event
+from weldbend.event_bus.events import parse_event as bus_event
 from weldbend.event_bus.reader import BusReader
 from weldbend.front import request_codec
 from weldbend.front.clock import Clock
@@ -811,7 +811,7 @@
     old, asked = bus(stage)
     seen = [asked]
     old.dataReceived(HEAD + told(listing(2, target("e7", port=7))))
-    reading = stage.door.bus.reading
+    reading = stage.door.bus.attempt
     for port in (9093, 9094, 9094):
         stage.door.again = lambda port=port: read_site(configuration(bus=f"127.0.0.1:{port}"))
         stage.door.reload()
@@ -887,7 +887,7 @@
 def test_a_start_takes_no_download_before_the_bus_told_what_came_while_it_loaded():
     reactor, door = starting()
     assert not reactor.tcpServers and not door.serving()
-    door.bus.answered()
+    door.bus.on_connected()
     reactor.advance(0.01)
     assert not reactor.tcpServers
     door.loop.tell(bus_event({"offset": 9, "ban": {"url": KEY, "ts": 1}}))
@@ -920,14 +920,14 @@
     timers = Timers(reactor, Clock())
     reader = BusReader(reactor, timers, "127.0.0.1:9092", 0, heard.append, lambda: heard.append("answered"))
     reader.start()
-    reader.reading.asking.cancel = lambda: None
-    reader.reading.answered(Response())
+    reader.attempt.pending_request.cancel = lambda: None
+    reader.attempt.response_received(Response())
     assert heard == ["answered", "body"]
     Response.code = 503
     reader.start()
-    reader.reading.asking.cancel = lambda: None
-    reader.reading.transport = None
-    reader.reading.answered(Response())
+    reader.attempt.pending_request.cancel = lambda: None
+    reader.attempt.transport = None
+    reader.attempt.response_received(Response())
     assert heard.count("answered") == 1, "one that refuses has told nothing"
 
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -117,9 +117,9 @@
 
 
 def takes_draining_for_ready(monkeypatch):
-    from weldbend.event_bus import endpoint_names
+    from weldbend.event_bus import endpoint_registry
 
-    monkeypatch.setitem(endpoint_names.STATES, "draining", EndpointState.READY)
+    monkeypatch.setitem(endpoint_registry.ENDPOINT_STATES, "draining", EndpointState.READY)
 
 
 def does_not_hear_list_changes(monkeypatch):
@@ -136,7 +136,7 @@
 
 
 def does_not_believe_in_starts(monkeypatch):
-    from weldbend.event_bus.endpoint_names import EndpointNames
+    from weldbend.event_bus.endpoint_registry import EndpointRegistry
 
     def made(entry):
         def never(self, target):
@@ -145,7 +145,7 @@
 
         return never
 
-    patched(monkeypatch, EndpointNames, "entry", made)
+    patched(monkeypatch, EndpointRegistry, "endpoint", made)
 
 
 def does_not_hear_purges(monkeypatch):
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -55,7 +55,7 @@
     "refusal": messages.SnapshotRefusal,
 }
 ON_LINKS = ("hello", "have", "delta", "want", "piece", "refusal")
-ON_THE_BUS = {"list": events.Topology, "purge": events.Ban}
+ON_THE_BUS = {"list": events.EndpointListUpdate, "purge": events.Purge}
 
 
 def recorded(file):
--- a/weldbend/event_bus/__init__.py
+++ b/weldbend/event_bus/__init__.py
@@ -1,1 +1,1 @@
-"""The event bus: its stream, its reader, and its events as the decisions know them."""
+"""The event bus: its stream of server-sent events, the client that reads it, and the events on it."""
--- a/weldbend/event_bus/events.py
+++ b/weldbend/event_bus/events.py
@@ -1,4 +1,4 @@
-"""The bus's events, read from JSON: the list of caches and purges, still in the bus's own units."""
+"""The events of the bus, parsed from JSON: endpoint list updates and purges, in the bus's own units."""
 
 import json
 import math
@@ -10,19 +10,33 @@
 
 from loguru import logger
 
-STATES = ("up", "draining", "removed")
-UID = re.compile(r"[\w.:/-]{1,64}", re.ASCII)  # it is passed on as a word of the caches' lines
+from weldbend.event_bus.errors import InvalidEventError, InvalidRecordError
 
+RECORD_STATES = ("up", "draining", "removed")
+UID = re.compile(r"[\w.:/-]{1,64}", re.ASCII)  # it is sent as a word of the cache protocol's lines
+END_OF_TIME = 1e15  # milliseconds of Unix time, above any that a purge may name
+MAX_PORT = 65535
 
-class InvalidEventError(Exception):
-    """Something that is no event of the bus."""
-
-
-LATEST = 1e15  # the last millisecond that a stamp may name
+# What reading a field of the wrong type or with an impossible value raises.
+FIELD_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 @dataclass(frozen=True, slots=True)
-class Target:
+class EndpointRecord:
+    """One cache as the bus describes it.
+
+    Attributes:
+        uid: Its name.
+        host: Its IPv4 address.
+        port: Its port.
+        zone: Its availability zone.
+        kind: Its model, which the site's configuration maps to a role.
+        cell: The number of its failure domain, 0 for none.
+        state: One of `RECORD_STATES`.
+        weight: Its capacity relative to others.
+        started_at: Unix seconds of its start, 0 if that is long ago.
+    """
+
     uid: str
     host: str
     port: int
@@ -31,73 +45,119 @@
     cell: int
     state: str
     weight: float
-    booted: float  # Unix seconds; 0 for long ago
+    started_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Topology:
-    whole: bool
-    targets: tuple[Target, ...]
+class EndpointListUpdate:
+    """A new endpoint list or, if not `is_complete`, the records that have changed."""
+
+    is_complete: bool
+    records: tuple[EndpointRecord, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class Ban:
+class Purge:
+    """Cached copies made before `purged_at` (Unix seconds) are invalid.
+
+    Attributes:
+        key: The object's key; None for a whole group.
+        group: The group, if `key` is None.
+        purged_at: Unix seconds.
+    """
+
     key: str | None
     group: int
-    at: float  # Unix seconds
+    purged_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Numbered:
+class SequencedEvent:
+    """An event with its offset in the bus's stream."""
+
     offset: int
-    event: Topology | Ban
+    event: EndpointListUpdate | Purge
+
 
+def read_event(text: str) -> SequencedEvent:
+    """Parse the JSON text of an event.
 
-def read_event(text: str) -> Numbered:
+    Raises:
+        InvalidEventError: The text is not JSON, or not an event.
+    """
     try:
-        return event(json.loads(text))
+        return parse_event(json.loads(text))
     except (ValueError, RecursionError):
-        raise InvalidEventError(f"no JSON: {text[:80]!r}") from None
+        raise InvalidEventError(text, "no JSON") from None
+
 
+def parse_event(raw: Mapping[str, Any]) -> SequencedEvent:
+    """Return the event in decoded JSON, as the bus and the configuration contain it.
 
-def event(raw: Any) -> Numbered:
-    """One event as the bus or the configuration holds it."""
+    Raises:
+        InvalidEventError: It is not an event.
+    """
     try:
         offset = int(raw["offset"])
         if "topology" in raw:
-            held = raw["topology"]
-            return Numbered(offset, Topology(bool(held["all"]), tuple(targets(held["targets"]))))
-        held = raw["ban"]
-        key = held.get("url")
-        if key is not None and not isinstance(key, str):
-            raise InvalidEventError(f"ban of {key!r}")
-        if not 0 <= held["ts"] < LATEST:
-            raise InvalidEventError(f"ban at {held['ts']!r}")
-        return Numbered(
-            offset, Ban(key, int(held.get("tag", 0)) if key else int(held["tag"]), held["ts"] / 1000)
-        )
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as wrong:
-        raise InvalidEventError(f"{type(wrong).__name__} {wrong} in {str(raw)[:80]!r}") from None
-
-
-def targets(raw: list[Any]) -> Iterator[Target]:
-    """All entries that can be used; one that cannot must not hide the others."""
+            update = raw["topology"]
+            is_complete = bool(update["all"])
+            return SequencedEvent(
+                offset, EndpointListUpdate(is_complete, tuple(parse_records(update["targets"])))
+            )
+        return SequencedEvent(offset, parse_purge(raw["ban"]))
+    except FIELD_ERRORS as error:
+        raise InvalidEventError(raw, f"{type(error).__name__} {error}") from None
+
+
+def parse_purge(raw: Mapping[str, Any]) -> Purge:
+    """Return the purge in decoded JSON.
+
+    Raises:
+        InvalidEventError: Its key is not text, or its time is out of range.
+    """
+    key = raw.get("url")
+    if key is not None and not isinstance(key, str):
+        raise InvalidEventError(raw, "invalid url")
+    if not 0 <= raw["ts"] < END_OF_TIME:
+        raise InvalidEventError(raw, "invalid ts")
+    group = int(raw.get("tag", 0)) if key else int(raw["tag"])
+    return Purge(key, group, raw["ts"] / 1000)
+
+
+def parse_records(raw: list[Any]) -> Iterator[EndpointRecord]:
+    """Yield all valid records of a list; an invalid one is logged and must not hide the others."""
     for item in raw:
         try:
-            yield target(item)
-        except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as wrong:
-            logger.warning("list entry passed over: {} {} in {:.80}", type(wrong).__name__, wrong, str(item))
+            yield parse_record(item)
+        except (*FIELD_ERRORS, InvalidRecordError) as error:
+            logger.warning(
+                "invalid endpoint record ignored: {} {} in {:.80}", type(error).__name__, error, str(item)
+            )
 
 
-def target(raw: Mapping[str, Any]) -> Target:
+def parse_record(raw: Mapping[str, Any]) -> EndpointRecord:
+    """Return the endpoint record in decoded JSON.
+
+    Raises:
+        InvalidRecordError: A field has a value that cannot be used.
+        KeyError, TypeError, ValueError, AttributeError, OverflowError: A field is absent or of another type.
+    """
     host, _, port = raw["endpoint"].rpartition(":")
-    IPv4Address(host)  # raises ValueError: no names are looked up
-    weight, booted = float(raw.get("capacity_hint") or 1), float(raw.get("boot_ms") or 0) / 1000
-    if raw["state"] not in STATES or not 0 < int(port) < 65536 or not UID.fullmatch(raw["uid"]):
-        raise ValueError("no target")
-    if not 0 < weight < math.inf or not 0 <= booted < math.inf:
-        raise ValueError("no weight, or no time of start")
-    return Target(
+    IPv4Address(host)  # raises ValueError: host names are not resolved
+    weight = float(raw.get("capacity_hint") or 1)
+    started_at = float(raw.get("boot_ms") or 0) / 1000
+    if raw["state"] not in RECORD_STATES:
+        raise InvalidRecordError("state", raw["state"])
+    if not 0 < int(port) <= MAX_PORT:
+        raise InvalidRecordError("endpoint", raw["endpoint"])
+    if not UID.fullmatch(raw["uid"]):
+        raise InvalidRecordError("uid", raw["uid"])
+    if not 0 < weight < math.inf:
+        raise InvalidRecordError("capacity_hint", weight)
+    if not 0 <= started_at < math.inf:
+        raise InvalidRecordError("boot_ms", started_at)
+    return EndpointRecord(
         uid=raw["uid"],
         host=host,
         port=int(port),
@@ -106,13 +166,17 @@
         cell=int(raw.get("pod_group") or 0),
         state=raw["state"],
         weight=weight,
-        booted=booted,
+        started_at=started_at,
     )
 
 
-def known(raw: Any) -> list[Numbered]:
-    """The events that the configuration holds, and with the last its offset."""
+def parse_known_events(raw: Mapping[str, Any]) -> list[SequencedEvent]:
+    """Return the events that the configuration contains.
+
+    Raises:
+        InvalidEventError: There is no list of events, or one is not an event.
+    """
     try:
-        return [event(item) for item in raw["batch"]]
-    except (KeyError, TypeError) as wrong:
-        raise InvalidEventError(f"known: {wrong}") from None
+        return [parse_event(item) for item in raw["batch"]]
+    except (KeyError, TypeError) as error:
+        raise InvalidEventError(raw, f"known: {error}") from None
--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -1,179 +1,237 @@
-"""Reads the event bus without end: asks again after every loss, from the last whole event seen.
+"""A client of the event bus: reads its stream, and reconnects after each loss from the last event received.
 
-One `Reading` is one go at it, over once; only the newest tells anything. The bus may move to another
-address at any time: the numbers go on.
+One `StreamAttempt` is one connection, finished once; only the latest reports anything. The bus may move to
+another address at any time: offsets continue there.
 """
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from loguru import logger
 from twisted.internet.endpoints import TCP4ClientEndpoint
 from twisted.internet.protocol import Protocol as Connection
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 from twisted.web.client import URI, Agent
 from twisted.web.http_headers import Headers
 from twisted.web.iweb import IAgentEndpointFactory
-from zope.interface import implementer
+from zope.interface import implementer  # type: ignore[import-untyped]  # it ships no type hints
 
-from weldbend.event_bus.events import InvalidEventError, Numbered, read_event
-from weldbend.event_bus.sse import InvalidStreamError, Parser
+from weldbend.event_bus.errors import InvalidEventError, InvalidStreamError
+from weldbend.event_bus.events import SequencedEvent, read_event
+from weldbend.event_bus.sse import Parser
 
-SHORTEST, LONGEST = 0.05, 0.5  # seconds before asking again
-SILENCE = 1.8  # a comment comes each second: after so long without a byte the bus is lost
+if TYPE_CHECKING:
+    from twisted.internet.defer import Deferred
+    from twisted.internet.interfaces import IReactorTCP
+    from twisted.web.iweb import IResponse
+
+MIN_RETRY_DELAY = 0.05  # seconds before the first reconnection; doubled each time
+MAX_RETRY_DELAY = 0.5  # seconds
+SILENCE_TIMEOUT = 1.8  # seconds without a byte after which the bus is lost; it sends a comment every second
+HTTP_OK = 200
+MAX_OFFSET_DIGITS = 18  # of an id that counts as an offset
+MAX_SHOWN_ID = 20  # characters of an id in the log
 
 
 class Timer(Protocol):
-    def cancel(self) -> None: ...
+    """A scheduled call."""
+
+    def cancel(self) -> None:
+        """Cancel it; no effect if it was called or cancelled."""
 
 
 class Timers(Protocol):
-    def after(self, delay: float, call: Callable[[], object]) -> Timer: ...
+    """Schedules calls."""
+
+    def after(self, delay: float, call: Callable[[], object]) -> Timer:
+        """Schedule a call in `delay` seconds."""
+        ...
 
 
 @implementer(IAgentEndpointFactory)
-class Endpoints:
-    """Connects to plain addresses; no names are looked up."""
+class AddressEndpoints:
+    """Connects to IPv4 addresses; host names are not resolved."""
 
-    def __init__(self, reactor: Any) -> None:
+    def __init__(self, reactor: "IReactorTCP") -> None:
         self.reactor = reactor
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
-        return TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=SILENCE)
+        """Return the endpoint for a URI whose host is an address."""
+        return TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=SILENCE_TIMEOUT)
 
 
-class Reading(Connection):
-    """One go at the bus: a request, and the stream that answers it."""
+class StreamAttempt(Connection):
+    """One request to the bus, and the stream that answers it."""
 
     def __init__(self, reader: "BusReader") -> None:
-        self.reader, self.parser, self.over = reader, Parser(), False
-        headers = Headers({"Last-Event-ID": [str(reader.last)], "Accept": ["text/event-stream"]})
-        self.asking: Any = reader.agent.request(b"GET", reader.url, headers)
-        self.asking.addCallbacks(self.answered, lambda failure: self.end(failure.getErrorMessage()))
-
-    def answered(self, response: Any) -> None:
-        self.asking = None
-        if response.code != 200:
-            self.end(f"it answers {response.code}")
-        elif not self.over:
-            self.reader.answered()
-        response.deliverBody(self)
-        if self.over and self.transport:
-            self.transport.loseConnection()
+        self.reader = reader
+        self.parser = Parser()
+        self.is_finished = False
+        headers = Headers({"Last-Event-ID": [str(reader.last_offset)], "Accept": ["text/event-stream"]})
+        # None once the response has arrived.
+        self.pending_request: Deferred[IResponse] | None = reader.agent.request(b"GET", reader.url, headers)
+        self.pending_request.addCallbacks(
+            self.response_received, lambda failure: self.finish(failure.getErrorMessage())
+        )
+
+    def response_received(self, response: "IResponse") -> None:
+        """Read the body of the response; any other status than 200 finishes the attempt."""
+        self.pending_request = None
+        if response.code != HTTP_OK:
+            self.finish(f"status {response.code}")
+        elif not self.is_finished:
+            self.reader.on_connected()
+        response.deliverBody(self)  # type: ignore[no-untyped-call, call-arg, misc]  # zope: no self
+        if self.is_finished and self.transport:
+            self.transport.loseConnection()  # type: ignore[misc]  # zope: no self
 
     def dataReceived(self, data: bytes) -> None:
-        if self.over:
+        """Pass on all messages that are complete; an invalid stream finishes the attempt."""
+        if self.is_finished:
             return
-        self.reader.heard()
+        self.reader.record_activity()
         try:
             for message in self.parser.feed(data):
-                self.reader.message(message.id, message.data)
-        except InvalidStreamError as wrong:
-            self.end(str(wrong))
-
-    def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
-        self.end("it ended the stream")
-
-    def end(self, why: str) -> None:
-        """Let go of it, once: whatever the old connection still brings counts no more."""
-        if not self.over:
-            self.over = True
-            if self.asking:
-                self.asking.cancel()
+                self.reader.handle_message(message.id, message.data)
+        except InvalidStreamError as error:
+            self.finish(str(error))
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Finish: the bus has ended the stream."""
+        self.finish("stream ended")
+
+    def finish(self, reason: str) -> None:
+        """Close the connection, and report its loss to the reader once.
+
+        Whatever the connection receives afterwards is ignored.
+        """
+        if not self.is_finished:
+            self.is_finished = True
+            if self.pending_request:
+                self.pending_request.cancel()
             elif self.transport:
-                self.transport.loseConnection()
-            self.reader.lost(self, why)
+                self.transport.loseConnection()  # type: ignore[misc]  # zope: no self
+            self.reader.attempt_finished(self, reason)
 
 
 class BusReader:
-    """`asked` is called at each answer, right before what it holds of the past comes."""
+    """Reads the bus until it is stopped, with retries after each loss.
+
+    Attributes:
+        on_event: Called with each event, in the order of offsets and each offset once.
+        on_connected: Called at each successful response, right before the past events it contains.
+        last_offset: Offset of the last event received.
+        loss_count: Lost or failed connections so far.
+        receive_count: How often bytes were received so far.
+    """
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: "IReactorTCP",
         timers: Timers,
         address: str,
-        last: int,
-        told: Callable[[Numbered], None],
-        asked: Callable[[], None] = lambda: None,
+        last_offset: int,
+        on_event: Callable[[SequencedEvent], None],
+        on_connected: Callable[[], None] = lambda: None,
     ) -> None:
-        self.agent, self.answered = Agent.usingEndpointFactory(reactor, Endpoints(reactor)), asked
-        self.timers, self.address, self.last, self.told = timers, address, last, told
-        self.delay, self.stopped, self.away, self.losses = SHORTEST, False, False, 0
-        self.hearings = 0  # times that anything came
-        self.reading: Reading | None = None
-        self.silence: Timer | None = None  # until the bus is held to be lost
-        self.next: Timer | None = None  # until it is asked again
+        endpoints = AddressEndpoints(reactor)
+        self.agent: Agent = Agent.usingEndpointFactory(reactor, endpoints)  # type: ignore[no-untyped-call]
+        self.timers = timers
+        self.address = address
+        self.last_offset = last_offset
+        self.on_event = on_event
+        self.on_connected = on_connected
+        self.retry_delay = MIN_RETRY_DELAY
+        self.is_stopped = False
+        self.is_lost = False
+        self.loss_count = 0
+        self.receive_count = 0
+        self.attempt: StreamAttempt | None = None
+        self.silence_timer: Timer | None = None
+        self.retry_timer: Timer | None = None
 
     @property
     def url(self) -> bytes:
+        """The URL of the stream."""
         return f"http://{self.address}/bus/read".encode()
 
     def start(self) -> None:
-        self.next = None
-        if not self.stopped:
-            self.watch()
-            self.reading = Reading(self)
-            if self.reading.over:  # it failed before it had a name
-                self.lost(self.reading, "it cannot be asked")
+        """Connect, now or again."""
+        self.retry_timer = None
+        if not self.is_stopped:
+            self.restart_silence_timer()
+            self.attempt = StreamAttempt(self)
+            if self.attempt.is_finished:  # it failed within its constructor, before it was this attempt
+                self.attempt_finished(self.attempt, "request failed")
 
     def stop(self) -> None:
-        self.stopped = True
-        self.drop("stopped")
+        """Disconnect, and do not reconnect."""
+        self.is_stopped = True
+        self.abort("stopped")
 
     def move(self, address: str) -> None:
-        """Read on at another address, at once: the old one tells nothing more, though it stays open."""
+        """Continue at another address at once; nothing more is read from the old one."""
         if address == self.address:
             return
-        logger.info("bus moves from {} to {}, after event {}", self.address, address, self.last)
-        self.address, self.delay = address, SHORTEST
-        reading, self.reading = self.reading, None
-        if reading:
-            reading.end("moved")
-        if self.next:
-            self.next.cancel()
+        logger.info("bus moves from {} to {}, after event {}", self.address, address, self.last_offset)
+        self.address = address
+        self.retry_delay = MIN_RETRY_DELAY
+        previous = self.attempt
+        self.attempt = None
+        if previous:
+            previous.finish("moved")
+        if self.retry_timer:
+            self.retry_timer.cancel()
         self.start()
 
-    def watch(self) -> None:
-        if self.silence:
-            self.silence.cancel()
-        self.silence = self.timers.after(SILENCE, lambda: self.drop("silent"))
-
-    def heard(self) -> None:
-        if self.away:
-            logger.info("bus read again from event {}, lost {} times so far", self.last, self.losses)
-        self.delay, self.away = SHORTEST, False
-        self.hearings += 1
-        self.watch()
-
-    def drop(self, why: str) -> None:
-        if self.reading:
-            self.reading.end(why)
-
-    def lost(self, reading: Reading, why: str) -> None:
-        if reading is not self.reading:
+    def restart_silence_timer(self) -> None:
+        """Start to wait for the next byte."""
+        if self.silence_timer:
+            self.silence_timer.cancel()
+        self.silence_timer = self.timers.after(SILENCE_TIMEOUT, lambda: self.abort("silent"))
+
+    def record_activity(self) -> None:
+        """Reset retries and the silence timer, since bytes were received."""
+        if self.is_lost:
+            logger.info(
+                "bus connected again after event {}, lost {} times so far", self.last_offset, self.loss_count
+            )
+        self.retry_delay = MIN_RETRY_DELAY
+        self.is_lost = False
+        self.receive_count += 1
+        self.restart_silence_timer()
+
+    def abort(self, reason: str) -> None:
+        """Finish the current attempt, if there is one."""
+        if self.attempt:
+            self.attempt.finish(reason)
+
+    def attempt_finished(self, attempt: StreamAttempt, reason: str) -> None:
+        """Schedule the next attempt; only the current attempt counts."""
+        if attempt is not self.attempt:
             return
-        self.reading = None
-        if self.silence:
-            self.silence.cancel()
-        if self.stopped:
+        self.attempt = None
+        if self.silence_timer:
+            self.silence_timer.cancel()
+        if self.is_stopped:
             return
-        self.losses += 1
-        if not self.away:  # one line a loss, however long it lasts
-            logger.warning("bus lost after event {}: {}; trying again without end", self.last, why)
-        self.away = True
-        self.next = self.timers.after(self.delay, self.start)
-        self.delay = min(2 * self.delay, LONGEST)
-
-    def message(self, number: str, data: str) -> None:
-        """One event; what is no event is passed over, what was seen before too."""
+        self.loss_count += 1
+        if not self.is_lost:  # one log line for each loss, however long it lasts
+            logger.warning("bus lost after event {}: {}; retrying", self.last_offset, reason)
+        self.is_lost = True
+        self.retry_timer = self.timers.after(self.retry_delay, self.start)
+        self.retry_delay = min(2 * self.retry_delay, MAX_RETRY_DELAY)
+
+    def handle_message(self, message_id: str, data: str) -> None:
+        """Pass on a new event; malformed events are logged, and those received before are ignored."""
         try:
-            numbered = read_event(data)
-        except InvalidEventError as wrong:
-            logger.warning("bus: event {} passed over: {}", number[:20], wrong)
-            if number.isascii() and number.isdigit() and len(number) < 19:
-                self.last = max(self.last, int(number))
+            event = read_event(data)
+        except InvalidEventError as error:
+            logger.warning("bus: malformed event {} ignored: {}", message_id[:MAX_SHOWN_ID], error)
+            if message_id.isascii() and message_id.isdigit() and len(message_id) <= MAX_OFFSET_DIGITS:
+                self.last_offset = max(self.last_offset, int(message_id))
             return
-        if numbered.offset > self.last:
-            self.last = numbered.offset
-            self.told(numbered)
+        if event.offset > self.last_offset:
+            self.last_offset = event.offset
+            self.on_event(event)
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -14,8 +14,8 @@
 
 from loguru import logger
 
-from weldbend.event_bus.endpoint_names import STATES as ENDPOINT_STATES
-from weldbend.event_bus.events import Ban, Numbered, Topology
+from weldbend.event_bus.endpoint_registry import ENDPOINT_STATES
+from weldbend.event_bus.events import EndpointListUpdate, Purge, SequencedEvent
 from weldbend.fleet import health_reports, idempotency, popularity
 from weldbend.fleet.admin_server import AdminServer
 from weldbend.fleet.conservative_merge import STATES, Purges, held_state
@@ -70,7 +70,7 @@
         self.sharing = QuotaService(loop, self.fleet, RandomSource(int.from_bytes(clock.drawn(4), "big")))
         self.control = AdminServer(self.fleet, self.sharing.questions())
 
-    def start(self, known: list[Numbered]) -> None:
+    def start(self, known: list[SequencedEvent]) -> None:
         self.fleet.start()
         if self.fleet.terms.control:
             self.control.listen(self.reactor)
@@ -92,19 +92,19 @@
 
     # What the front's own bus told, after the loop heard it.
 
-    def told(self, numbered: Numbered) -> None:
+    def told(self, numbered: SequencedEvent) -> None:
         self.offset = max(self.offset, numbered.offset)
         match numbered.event:
-            case Topology(_, targets):
+            case EndpointListUpdate(_, targets):
                 for target in targets:
                     if target.state != "up" or ("drain", target.uid) in self.fleet.copies.items:
                         self.fleet.say("drain", target.uid, numbered.offset, STATES.index(target.state))
-                    if target.booted:
-                        self.fleet.say("start", target.uid, round(target.booted * 1000))
+                    if target.started_at:
+                        self.fleet.say("start", target.uid, round(target.started_at * 1000))
                     self.hold(target.uid)
-                    if target.booted:
+                    if target.started_at:
                         self.sharing.restarted(target.uid)
-            case Ban(key, group, at):
+            case Purge(key, group, at):
                 self.fleet.say("purge", f"k:{key}" if key else f"g:{group}", int(at * 1000))
         self.fleet.say("bus", self.fleet.name, self.offset)
 
@@ -201,7 +201,7 @@
         state_known = ENDPOINT_STATES[state] if state else None
         started = None
         if start:
-            started = names.started(uid, start.value[0] / 1000, self.loop.clock.now())
+            started = names.start_time(uid, start.value[0] / 1000, self.loop.clock.now())
         if state_known is None and started is None:
             return
         number = names.numbers[uid]
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -8,7 +8,8 @@
 from typing import Any
 
 from weldbend.caches.pool import Bounds
-from weldbend.event_bus.events import InvalidEventError, Numbered, known
+from weldbend.event_bus.errors import InvalidEventError
+from weldbend.event_bus.events import SequencedEvent, parse_known_events
 from weldbend.idle_connections.policy import ConnectionSettings
 from weldbend.routing.settings import Role, SiteSettings
 from weldbend.site_settings import cache_roles, read_site_settings
@@ -32,7 +33,7 @@
     port: int
     seed: int
     bus: str
-    known: list[Numbered]
+    known: list[SequencedEvent]
     offset: int
     settings: SiteSettings
     roles: dict[str, Role]
@@ -77,7 +78,7 @@
         port=int(port),
         seed=zlib.crc32(str(raw["seed"]).encode()),
         bus=address(raw["bus"]),
-        known=known(raw["known"]),
+        known=parse_known_events(raw["known"]),
         offset=int(raw["known"]["offset"]),
         settings=replace(settings, tick=max(settings.tick, TURN)),
         roles=cache_roles(raw_settings),
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -18,8 +18,8 @@
 from weldbend.caches.connection import Attempt, Lost
 from weldbend.caches.pool import Pool
 from weldbend.clients.connection import Call
-from weldbend.event_bus.endpoint_names import EndpointNames
-from weldbend.event_bus.events import Ban, Numbered, Target, Topology
+from weldbend.event_bus.endpoint_registry import EndpointRegistry
+from weldbend.event_bus.events import EndpointListUpdate, EndpointRecord, Purge, SequencedEvent
 from weldbend.front import request_codec
 from weldbend.front.clock import Clock
 from weldbend.front.configuration import Site
@@ -92,7 +92,7 @@
     def __init__(self, reactor: Any, site: Site, clock: Clock, timers: Timers) -> None:
         self.reactor, self.site, self.clock, self.timers = reactor, site, clock, timers
         self.router = Router(site.seed, site.settings)
-        self.names = EndpointNames(clock, site.roles, {}, {})
+        self.names = EndpointRegistry(clock, site.roles, {}, {})
         self.pool = Pool(reactor, timers, site.bounds, self.probed, self.reached)
         self.requests: dict[str, Request] = {}
         self.open: dict[str, Request] = {}  # those not yet answered or left, by their clients' ids
@@ -186,7 +186,7 @@
 
     # What the bus tells.
 
-    def tell(self, numbered: Numbered) -> None:
+    def tell(self, numbered: SequencedEvent) -> None:
         """An event of the bus: told to the decisions first, then what waits and is stale for it is withdrawn.
 
         The other way round they would hear of the withdrawal alone, and send the same pull again.
@@ -196,18 +196,18 @@
         except Exception:
             self.show(numbered)
 
-    def hear(self, event: Topology | Ban) -> None:
+    def hear(self, event: EndpointListUpdate | Purge) -> None:
         match event:
-            case Topology(whole, targets):
+            case EndpointListUpdate(whole, targets):
                 known = [target for target in targets if target.kind in self.site.roles]
                 anomalies["list entries of unknown kind"] += len(targets) - len(known)
                 self.relist(whole, known)
-            case Ban(key, group, at):
+            case Purge(key, group, at):
                 self.post(ObjectsPurged(key, group, self.clock.age(at)))
                 self.pool.purged(key, group)
 
-    def relist(self, whole: bool, targets: list[Target]) -> None:
-        entries = tuple(self.names.entry(target) for target in targets)
+    def relist(self, whole: bool, targets: list[EndpointRecord]) -> None:
+        entries = tuple(self.names.endpoint(target) for target in targets)
         named = {entry.id for entry in entries}
         here = {entry.id for entry in entries if entry.state is not EndpointState.REMOVED}
         gone = self.listed - named if whole else named - here
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -19,7 +19,7 @@
 from weldbend import early_signals, invariants
 from weldbend.clients.connection import Call, Client
 from weldbend.clients.listener import Listener
-from weldbend.event_bus.events import Numbered
+from weldbend.event_bus.events import SequencedEvent
 from weldbend.event_bus.reader import BusReader
 from weldbend.front.clock import Clock
 from weldbend.front.configuration import ConfigurationError, Site
@@ -76,7 +76,7 @@
         self.shared = shared(self) if site.fleet else None
         self.bus = BusReader(reactor, self.timers, site.bus, site.offset, self.tell, self.caught_up)
         if self.shared:
-            self.shared.hearings = lambda: self.bus.hearings
+            self.shared.hearings = lambda: self.bus.receive_count
         self.ready = self.opened_port = False
         self.told: float | None = None  # when SIGTERM came
         self.waiting = self.most_waiting = self.most_clients = self.most_caches = 0
@@ -133,7 +133,7 @@
         self.timers.after(LOOK, self.look)
         logger.info("front {} serves on {}:{}", self.site.name, self.site.host, self.site.port)
 
-    def tell(self, numbered: Numbered) -> None:
+    def tell(self, numbered: SequencedEvent) -> None:
         """An event of the bus: to the decisions first, then to the other fronts, where there is a fleet."""
         self.loop.tell(numbered)
         if self.shared:
@@ -225,7 +225,7 @@
             "answers_waiting_kb": self.most_waiting // 1000,
             "timers_late_ms": round(self.timers.latest * 1e3, 1),
             "turns_ms": round(self.loop.longest * 1e3, 1),
-            "bus_lost": self.bus.losses,
+            "bus_lost": self.bus.loss_count,
             "anomalies": dict(+invariants.anomalies),
             "violations": dict(invariants.violations),
         }
