--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -16,7 +16,8 @@
 
 def installed(path: str | None) -> "Installation":
     """What an installation file sets; raises BadSite. Imported only where it is asked for: see README."""
-    from weldbend.installation.reader import InstallationError, read_installation
+    from weldbend.installation.errors import InstallationError
+    from weldbend.installation.reader import read_installation
 
     try:
         return read_installation(path)
--- a/weldbend/installation/__init__.py
+++ b/weldbend/installation/__init__.py
@@ -1,1 +1,1 @@
-"""The installation file: what those who run weldbend may set, checked as a whole before anything starts."""
+"""The installation file: settings of the operators, validated as a whole before anything starts."""
--- a/weldbend/installation/reader.py
+++ b/weldbend/installation/reader.py
@@ -1,6 +1,6 @@
-"""Reads and checks an installation file: INI by ConfigObj, every key held against `keys.SECTIONS`.
+"""Reads and validates an installation file: INI parsed by ConfigObj, each key as `keys.SECTIONS` defines it.
 
-ConfigObj is loaded for a file only: neither a front nor `check` needs it without one.
+ConfigObj is imported only if there is a file: neither a front nor `check` needs it without one.
 """
 
 from collections.abc import Mapping
@@ -8,18 +8,22 @@
 from pathlib import Path
 from typing import Any
 
-from weldbend.installation.keys import SECTIONS, InvalidValueError
+from weldbend.installation.errors import InstallationError, InvalidValueError
+from weldbend.installation.keys import SECTIONS, Section
 
-LARGEST = 1 << 20  # bytes of a file
-
-
-class InstallationError(Exception):
-    """A file that nothing can be made of; its text is one line for people, with section and key."""
+MAX_FILE_BYTES = 1 << 20
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One key as it holds, for people, and where that comes from."""
+    """One key, for people.
+
+    Attributes:
+        section: Its section.
+        key: Its name.
+        value: The text of its value.
+        origin: The path of the file that sets it, or "default".
+    """
 
     section: str
     key: str
@@ -29,59 +33,95 @@
 
 @dataclass(frozen=True, slots=True)
 class Installation:
-    sections: dict[str, Any]  # the dataclass of each section, by its name
+    """All settings.
+
+    Attributes:
+        sections: The settings object of each section, by its name.
+        settings: All keys, for people.
+    """
+
+    sections: dict[str, Any]
     settings: tuple[Setting, ...]
 
 
 def read_installation(path: str | None) -> Installation:
-    """What a file sets, or the defaults where there is no file; raises BadInstallation."""
+    """Return the settings of a file, or the defaults if `path` is None.
+
+    Raises:
+        InstallationError: The file cannot be read or used.
+    """
     return build(parse(path) if path else {}, path or "")
 
 
 def parse(path: str) -> Mapping[str, Any]:
-    """The sections of a file; a key before any section stands beside them."""
-    from configobj import ConfigObj, ConfigObjError
+    """Return the sections of an INI file by name; a key before any section is among them, as text.
+
+    Raises:
+        InstallationError: The file cannot be read, is too long, or is not INI in UTF-8.
+    """
+    from configobj import (  # type: ignore[import-untyped]  # it ships no type hints
+        ConfigObj,
+        ConfigObjError,
+    )
 
     try:
-        with Path(path).open("rb") as held:
-            raw = held.read(LARGEST + 1)
-        if len(raw) > LARGEST:
-            raise InstallationError(f"{path}: more than {LARGEST} bytes")
+        with Path(path).open("rb") as file:
+            raw = file.read(MAX_FILE_BYTES + 1)
+        if len(raw) > MAX_FILE_BYTES:
+            raise InstallationError(path, f"more than {MAX_FILE_BYTES} bytes")
         lines = raw.decode("utf-8").splitlines()
-        return ConfigObj(lines, list_values=False, interpolation=False, raise_errors=True)
-    except OSError as wrong:
-        raise InstallationError(f"{path}: cannot be read: {wrong.strerror}") from None
+        sections: Mapping[str, Any] = ConfigObj(
+            lines, list_values=False, interpolation=False, raise_errors=True
+        )
+    except OSError as error:
+        raise InstallationError(path, f"cannot be read: {error.strerror}") from None
     except UnicodeDecodeError:
-        raise InstallationError(f"{path}: not UTF-8") from None
-    except ConfigObjError as wrong:
-        raise InstallationError(f"{path}: {str(wrong).rstrip('.')}") from None
+        raise InstallationError(path, "not UTF-8") from None
+    except ConfigObjError as error:
+        raise InstallationError(path, str(error).rstrip(".")) from None
+    return sections
 
 
 def build(raw: Mapping[str, Any], path: str) -> Installation:
-    """Check everything that is said; the first thing wrong is told."""
-    for name, said in raw.items():
-        if not isinstance(said, Mapping):
-            raise InstallationError(f"{path}: key '{name}' stands before any section")
+    """Validate the sections of a file, and return its settings.
+
+    Raises:
+        InstallationError: Describes the first problem.
+    """
+    for name, values in raw.items():
+        if not isinstance(values, Mapping):
+            raise InstallationError(path, f"key '{name}' stands before any section")
         if name not in SECTIONS:
-            raise InstallationError(f"{path}: unknown section [{name}]; known: {', '.join(SECTIONS)}")
-    held, settings = {}, []
+            raise InstallationError(path, f"unknown section [{name}]; known: {', '.join(SECTIONS)}")
+    sections: dict[str, Any] = {}
+    settings: list[Setting] = []
     for name, section in SECTIONS.items():
-        said = raw.get(name, {})
-        known = {key.name: key for key in section.keys}
-        for key in said:
-            if key not in known:
-                raise InstallationError(f"{path}: [{name}] unknown key '{key}'; known: {', '.join(known)}")
-        values = {}
-        for key in section.keys:
-            if key.name in said:
-                try:
-                    values[key.field] = key.check(str(said[key.name]).strip())
-                except InvalidValueError as wrong:
-                    raise InstallationError(f"{path}: [{name}] {key.name}: {wrong}") from None
-        held[name] = replace(section.defaults, **values)
-        if wrong := section.agree(held[name]):
-            raise InstallationError(f"{path}: [{name}] {wrong}")
+        texts = raw.get(name, {})
+        sections[name] = replace(section.defaults, **parse_values(section, name, texts, path))
+        if conflict := section.find_conflict(sections[name]):
+            raise InstallationError(path, conflict, name)
         for key in section.keys:
-            origin = path if key.name in said else "default"
-            settings.append(Setting(name, key.name, key.show(getattr(held[name], key.field)), origin))
-    return Installation(held, tuple(settings))
+            origin = path if key.name in texts else "default"
+            value = key.format(getattr(sections[name], key.field))
+            settings.append(Setting(name, key.name, value, origin))
+    return Installation(sections, tuple(settings))
+
+
+def parse_values(section: Section, name: str, texts: Mapping[str, Any], path: str) -> dict[str, Any]:
+    """Return the values that a file sets in a section, by settings field.
+
+    Raises:
+        InstallationError: A key is unknown, or has an invalid value.
+    """
+    known = [key.name for key in section.keys]
+    for key_name in texts:
+        if key_name not in known:
+            raise InstallationError(path, f"unknown key '{key_name}'; known: {', '.join(known)}", name)
+    values = {}
+    for key in section.keys:
+        if key.name in texts:
+            try:
+                values[key.field] = key.parse(str(texts[key.name]).strip())
+            except InvalidValueError as error:
+                raise InstallationError(path, f"{key.name}: {error}", name) from None
+    return values
--- a/weldbend/testbed/faults/plan.py
+++ b/weldbend/testbed/faults/plan.py
@@ -18,8 +18,9 @@
 from enum import Enum
 from typing import Any
 
-from weldbend.installation.keys import InvalidValueError, seconds, whole
-from weldbend.installation.reader import InstallationError, parse
+from weldbend.installation.errors import InstallationError, InvalidValueError
+from weldbend.installation.reader import parse
+from weldbend.installation.values import duration_between, integer_between
 
 MANY = 1_000_000_000
 FIELD = re.compile(r"([\w.]{1,40})\s*=\s*(.{0,200})")
@@ -134,20 +135,20 @@
 KEYS: dict[str, tuple[str, Callable[[str], Any]]] = {
     "kind": ("kind", one_of(Kind)),
     "direction": ("direction", one_of(Direction)),
-    "after": ("after", seconds(0.0, 3600.0)),
-    "byte": ("byte", whole(0, MANY)),
-    "message": ("message", whole(1, MANY)),
-    "connection": ("connection", whole(1, MANY)),
+    "after": ("after", duration_between(0.0, 3600.0)),
+    "byte": ("byte", integer_between(0, MANY)),
+    "message": ("message", integer_between(1, MANY)),
+    "connection": ("connection", integer_between(1, MANY)),
     "field": ("field", pair),
     "chance": ("chance", chance),
-    "times": ("times", whole(1, MANY)),
-    "for": ("lasts", seconds(0.0, 3600.0)),
-    "jitter": ("jitter", seconds(0.0, 3600.0)),
-    "growth": ("growth", seconds(0.0, 60.0)),
-    "rate": ("rate", whole(1, MANY)),
+    "times": ("times", integer_between(1, MANY)),
+    "for": ("lasts", duration_between(0.0, 3600.0)),
+    "jitter": ("jitter", duration_between(0.0, 3600.0)),
+    "growth": ("growth", duration_between(0.0, 60.0)),
+    "rate": ("rate", integer_between(1, MANY)),
     "how": ("how", word("reset", "close")),
-    "inside": ("inside", whole(0, MANY)),
-    "bytes": ("bytes", whole(1, 1 << 20)),
+    "inside": ("inside", integer_between(0, MANY)),
+    "bytes": ("bytes", integer_between(1, 1 << 20)),
     "set": ("set_field", str),
     "to": ("to", str),
 }
--- a/weldbend/testbed/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -19,8 +19,9 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from weldbend.installation.keys import InvalidValueError, seconds, whole
-from weldbend.installation.reader import InstallationError, parse
+from weldbend.installation.errors import InstallationError, InvalidValueError
+from weldbend.installation.reader import parse
+from weldbend.installation.values import duration_between, float_between, integer_between
 from weldbend.testbed.faults.plan import InvalidPlanError, chance, word
 
 DOES = {  # what an event does, and the keys that it needs beside `at` and `who`
@@ -79,20 +80,20 @@
 
 
 FLEET: dict[str, tuple[str, Callable[[str], Any]]] = {
-    "fronts": ("fronts", whole(1, MOST)),
-    "seconds": ("seconds", lambda text: float(whole(1, 3600)(text))),
-    "calm": ("calm", seconds(1.0, 600.0)),
-    "rate": ("rate", lambda text: float(whole(0, 2000)(text))),
+    "fronts": ("fronts", integer_between(1, MOST)),
+    "seconds": ("seconds", float_between(1, 3600)),
+    "calm": ("calm", duration_between(1.0, 600.0)),
+    "rate": ("rate", float_between(0, 2000)),
     "zones": ("zones", names),
 }
 KEYS: dict[str, tuple[str, Callable[[str], Any]]] = {
-    "at": ("at", seconds(0.0, 3600.0)),
+    "at": ("at", duration_between(0.0, 3600.0)),
     "do": ("do", word(*DOES)),
     "who": ("who", str),
-    "for": ("lasts", seconds(0.0, 3600.0)),
-    "by": ("by", seconds(0.001, 3600.0)),
+    "for": ("lasts", duration_between(0.0, 3600.0)),
+    "by": ("by", duration_between(0.001, 3600.0)),
     "share": ("share", chance),
-    "every": ("every", seconds(0.05, 600.0)),
+    "every": ("every", duration_between(0.05, 600.0)),
     "how": ("how", word("back", "forward")),
     "what": ("what", str),
 }
