--- a/Makefile
+++ b/Makefile
@@ -21,6 +21,7 @@
 lint: build
 	.venv/bin/ruff check .
 	.venv/bin/ruff format --check .
+	.venv/bin/mypy
 
 run: build
 	$(PYTHON) -O -m weldbend serve --config $(CONFIG)
--- /dev/null
+++ b/tests/test_architecture.py
@@ -0,0 +1,121 @@
+"""The layers of docs/architecture.md: who may import whom, no circles, and what a front loads.
+
+Imports for type checkers alone do not count. An import inside a function counts for the layers, since it
+makes one package need another, and not for the circles, since it cannot fail while loading.
+"""
+
+import ast
+import subprocess
+import sys
+from collections.abc import Iterator
+from graphlib import CycleError, TopologicalSorter
+from pathlib import Path
+
+import pytest
+
+ROOT = Path(__file__).parent.parent
+PROTOCOLS = {"buffers", "thrift", "cache_protocol"}
+MAY_IMPORT = {
+    "__main__": {"cli", "early_signals"},
+    "buffers": {"invariants"},
+    "cache_protocol": {"buffers"},
+    "caches": {"buffers", "cache_protocol", "invariants"},
+    "cli": {"early_signals", "fleet", "front", "installation", "logs", "testbed"},
+    "clients": {"buffers", "idle_connections", "invariants", "thrift"},
+    "early_signals": set(),
+    "event_bus": {"buffers", "invariants", "routing"},
+    "fleet": {"buffers", "event_bus", "invariants", "routing"},
+    "front": PROTOCOLS
+    | {"caches", "clients", "early_signals", "event_bus", "fleet", "idle_connections", "invariants"}
+    | {"routing", "site_settings"},
+    "idle_connections": {"invariants"},
+    "installation": {"fleet", "idle_connections"},
+    "invariants": set(),
+    "logs": set(),
+    "routing": set(),
+    "simhost": {"routing", "site_settings"},
+    "site_settings": {"routing"},
+    "testbed": PROTOCOLS | {"event_bus", "fleet", "front", "idle_connections", "installation", "routing"},
+    "thrift": {"buffers", "invariants"},
+}
+NOT_IN_A_FRONT = ("weldbend.fleet", "weldbend.testbed", "weldbend.installation", "weldbend.simhost")
+LIBRARIES_NOT_IN_A_FRONT = ("msgspec", "configobj", "hdrh", "numpy", "matplotlib")
+
+
+def module_name(path: Path) -> str:
+    parts = path.relative_to(ROOT).with_suffix("").parts
+    return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
+
+
+MODULES = {module_name(path): path for path in sorted((ROOT / "weldbend").rglob("*.py"))}
+
+
+def is_for_type_checkers(node: ast.stmt) -> bool:
+    return isinstance(node, ast.If) and "TYPE_CHECKING" in ast.unparse(node.test)
+
+
+def imported(nodes: list[ast.stmt], inside_function: bool = False) -> Iterator[tuple[str, bool]]:
+    """Modules of weldbend that the statements import, and whether that waits for a call."""
+    for node in nodes:
+        if is_for_type_checkers(node):
+            continue
+        if isinstance(node, ast.Import):
+            names = [alias.name for alias in node.names]
+        elif isinstance(node, ast.ImportFrom):
+            inner = [f"{node.module}.{alias.name}" for alias in node.names]
+            names = [name if name in MODULES else str(node.module) for name in inner]
+        else:
+            names = []
+        yield from ((name, inside_function) for name in names if name.split(".")[0] == "weldbend")
+        is_function = inside_function or isinstance(node, ast.FunctionDef)
+        for field in ("body", "orelse", "handlers", "finalbody"):
+            yield from imported(getattr(node, field, []), is_function)
+
+
+def imports_of(module: str) -> list[tuple[str, bool]]:
+    return list(imported(ast.parse(MODULES[module].read_text("utf-8")).body))
+
+
+def package(module: str) -> str:
+    return module.split(".")[1] if "." in module else ""
+
+
+@pytest.mark.parametrize("name", sorted({package(module) for module in MODULES} - {""}))
+def test_a_package_imports_only_what_its_layer_may(name):
+    found = {
+        package(other)
+        for module in MODULES
+        if package(module) == name
+        for other, _ in imports_of(module)
+        if package(other) not in (name, "")
+    }
+    assert found <= MAY_IMPORT[name], f"{name} must not import {sorted(found - MAY_IMPORT[name])}"
+
+
+def test_no_modules_import_each_other_in_a_circle_while_loading():
+    graph = {
+        module: {other for other, waits in imports_of(module) if not waits and other != module}
+        for module in MODULES
+    }
+    try:
+        order = list(TopologicalSorter(graph).static_order())
+    except CycleError as circle:
+        pytest.fail(f"import circle: {' -> '.join(circle.args[1])}")
+    assert set(order) >= set(MODULES)
+
+
+def test_the_search_for_circles_would_notice_one():
+    with pytest.raises(CycleError):
+        list(TopologicalSorter({"one": {"two"}, "two": {"one"}}).static_order())
+
+
+def test_a_front_loads_no_fleet_no_testbed_and_none_of_their_libraries():
+    code = "import sys, weldbend.front.server, weldbend.cli; print('\\n'.join(sys.modules))"
+    done = subprocess.run(
+        [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT, check=True
+    )
+    loaded = done.stdout.split()
+    assert "weldbend.routing.router" in loaded
+    unwanted = [name for name in loaded if name.startswith(NOT_IN_A_FRONT)]
+    unwanted += [name for name in loaded if name.split(".")[0] in LIBRARIES_NOT_IN_A_FRONT]
+    assert unwanted == []
