--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -270,13 +270,13 @@
     def __init__(self, parks=False, terms=None, **caps):
         self.reactor = MemoryReactorClock()
         held = read_site(configuration(**caps))
-        self.door = Door(self.reactor, replace(held, terms=terms or held.terms))
+        self.door = Door(self.reactor, replace(held, client_settings=terms or held.client_settings))
         self.rim = DescriptorSetInMemory(self)
         if parks:
             self.door.listener.rim = lambda reactor: self.rim
         self.door.clock.now = lambda: self.reactor.seconds() + 1.0
         self.door.clock.age = lambda stamp: max(self.unix() - stamp, 0.0)
-        self.door.clock.moment = lambda stamp: self.door.clock.now() - (self.unix() - stamp)
+        self.door.clock.from_unix = lambda stamp: self.door.clock.now() - (self.unix() - stamp)
         self.trace, self.clients, self.caches = [], [], {}
         self.door.listener.watch = lambda: None  # a port in memory has no socket
         self.door.start()
@@ -284,6 +284,14 @@
         self.door.listener.port.doRead = lambda: None  # nobody waits to be accepted
         self.turn()
 
+    @property
+    def dispatcher(self):
+        return self.door.dispatcher
+
+    @property
+    def counts(self):
+        return self.door.context.counters.counts
+
     def unix(self):
         return 1000.0 + self.reactor.seconds()
 
@@ -335,8 +343,12 @@
 
     def dials(self):
         """Dials to caches that wait to come up, with the names of the caches."""
-        loop = self.door.loop
-        return [(loop.names.uids[n], dial) for n, lane in loop.pool.lanes.items() for dial in lane.dials]
+        dispatcher = self.dispatcher
+        return [
+            (dispatcher.names.uids[n], dial)
+            for n, lane in dispatcher.pool.lanes.items()
+            for dial in lane.dials
+        ]
 
     def connect(self):
         """Let every dial come up."""
@@ -359,7 +371,7 @@
         self.turn()
 
     def bus(self, raw):
-        self.door.loop.tell(bus_event(raw))
+        self.dispatcher.endpoints.handle(bus_event(raw))
         self.turn()
 
     def shows(self, kept):
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -120,5 +120,9 @@
         walk.check()
     door = walk.stage.door
     assert not walk.owed, walk.owed
-    assert not door.loop.requests and not door.loop.counts["faults"] and door.waiting == 0
-    assert not door.loop.router.requests and len(walk.answered) > 50
+    assert (
+        not door.dispatcher.requests
+        and not walk.stage.counts["internal errors"]
+        and door.gateway.unsent_bytes == 0
+    )
+    assert not door.dispatcher.router.requests and len(walk.answered) > 50
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -236,7 +236,7 @@
     program, address, cache = front
     link, stream = settled(address, cache)
     program.process.send_signal(signal.SIGTERM)
-    program.told("told to stop")
+    program.told("shutdown requested")
     with Stopped(program):
         client = ask(address, process(1, **{"class": "none"}))  # its answer hangs on nothing else
         time.sleep(0.8)  # by now it is time to close the port
@@ -258,7 +258,7 @@
         with Stopped(program):
             program.process.send_signal(signal.SIGTERM)
             resting.sendall(process(2))
-        program.told("told to stop")
+        program.told("shutdown requested")
         program.process.send_signal(signal.SIGTERM)
         assert commands(stream, 1) == [2]
         link.sendall(done(2))
@@ -364,11 +364,11 @@
     stage = Stage()
     stage.say(stage.client(), process(1, once="ab", **{"class": "order"}))
     stage.connect()
-    stage.door.held(stage.door.site.held + 1)
+    stage.door.gateway.held(stage.door.site.max_unsent_bytes + 1)
     stage.answer("o1", 1, "DONE", "-", b"ok")
     stage.caches["o1", 0].transport.loseConnection()
     stage.turn()
-    assert stage.trace[-1] == "client 0 < 1 process: 'ok'" and not stage.door.loop.requests
+    assert stage.trace[-1] == "client 0 < 1 process: 'ok'" and not stage.dispatcher.requests
 
 
 def test_an_answer_that_never_ends_holds_up_nobody_for_longer_than_an_expiry():
@@ -432,7 +432,7 @@
     text = (
         configuration(max_streams=3).replace('"photo"', '"clip"').replace('"deduplicated"', '"at_most_once"')
     )
-    stage.door.again = lambda: read_site(text)
+    stage.door.read_again = lambda: read_site(text)
     stage.door.reload()
     stage.turn()
     stage.say(
@@ -461,7 +461,7 @@
             raise FileNotFoundError("gone")
         return read_site(again)
 
-    stage.door.again = read
+    stage.door.read_again = read
     stage.door.reload()
     stage.say(stage.client(), process(1))
     stage.connect()
@@ -492,7 +492,7 @@
         configuration().replace('"deduplicated"', '"at_most_once"') if kind == "print" else configuration()
     )
     stage = Stage()
-    stage.door.loop.settle(read_site(lanes))
+    stage.dispatcher.apply_site(read_site(lanes))
     client = stage.client()
     wish = {} if kind == "photo" else {"class": "order", "once": "ab"}
     stage.say(client, process(1, wait="2000", **wish))
@@ -518,7 +518,7 @@
         assert (len(again), answers) == ((1, []) if kind != "print" else (0, ["client 0 < 1 abandoned"]))
     else:
         assert not again and len(answers) == (between == "the expiry"), stage.trace
-        assert not stage.door.loop.requests
+        assert not stage.dispatcher.requests
     assert (uid, at) in stage.caches and "process" not in str(answers)
 
 
@@ -538,17 +538,17 @@
             client.dataReceived(give_up(n))  # of some that are answered as well
         else:
             client.transport.loseConnection()
-    stage.door.again = lambda: read_site(configuration(bus="127.0.0.1:9093", max_streams=4))
+    stage.door.read_again = lambda: read_site(configuration(bus="127.0.0.1:9093", max_streams=4))
     stage.door.reload()
     stage.door.terminate()
     stage.trace.clear()
     stage.turn()
     while stage.dials():
         stage.connect()
-    loop = stage.door.loop
+    dispatcher = stage.dispatcher
     assert not any("< do" in line for line in stage.trace), stage.trace
-    assert not (loop.requests or loop.open or loop.router.requests)
-    assert not any(lane.waiting for lane in loop.pool.lanes.values())
+    assert not (dispatcher.requests or dispatcher.requests.by_client_id or dispatcher.router.requests)
+    assert not any(lane.waiting for lane in dispatcher.pool.lanes.values())
     for _ in range(90):
         stage.turn(0.01)
     assert stage.reactor.hasStopped
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -689,7 +689,7 @@
         self.stage = Stage()
         terms = Terms(keys=str(folder / "keys"), peers=(Peer("n2", "127.0.0.1", 7402),))
         door = self.stage.door
-        self.bridge = FleetAdapter(door.loop, "n1", terms, self.stage.reactor, door.timers, 5)
+        self.bridge = FleetAdapter(door.dispatcher, "n1", terms, self.stage.reactor, door.timers, 5)
         self.number = 0
 
     def peer(self, kind, key, *value, writer="n2"):
@@ -700,8 +700,8 @@
         self.stage.turn()
 
     def cache(self, uid):
-        loop = self.stage.door.loop
-        return loop.router.caches[loop.names.numbers[uid]]
+        dispatcher = self.stage.dispatcher
+        return dispatcher.router.caches[dispatcher.names.numbers[uid]]
 
     def phase(self, uid):
         return self.cache(uid).state.name
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -30,7 +30,7 @@
 
 
 def shared(made, number):
-    return made.fronts[number][1].shared
+    return made.fronts[number][1].fleet_adapter
 
 
 def drain(uid):
@@ -90,8 +90,8 @@
     )  # fmt: skip
     assert violations(made) == [] and made.result.differ == []
     for number in made.fronts:
-        loop = made.fronts[number][1].loop
-        cache = loop.router.caches[loop.names.numbers["e1"]]
+        dispatcher = made.fronts[number][1].dispatcher
+        cache = dispatcher.router.caches[dispatcher.names.numbers["e1"]]
         assert cache.state.name == "READY" and cache.started is not None, "the newer list holds for all"
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -117,7 +117,7 @@
     done = lab("idle", *words, "--wake", "1.0", "--wake-with", "photo")
     assert done.returncode == 0, done.stderr
     row, last = json.loads(path.read_text())["wakes"]
-    assert last["front"]["most_parked"] >= 600 and not last["front"]["broken"]
+    assert last["front"]["max_idle_connections"] >= 600 and not last["front"]["violations"]
     woken, counts = row["woken"], row["busy"]["counts"]
     assert woken["woken"] == 600 and not woken["unanswered"] and not woken["closed"]
     outcomes = woken["outcomes"]
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -181,7 +181,7 @@
     lot.wake_batch = turn
     lot.doRead()
     stage.turn()
-    assert max(sizes) <= stage.door.site.terms.wake_batch and lot.max_wake_delay > 0.3
+    assert max(sizes) <= stage.door.site.client_settings.wake_batch and lot.max_wake_delay > 0.3
     throttled = [line for line in stage.trace if "throttled {'after': '1000'}" in line]
     assert len({line.split()[1] for line in throttled}) == len(throttled) > count // 2
     for _ in range(4):
@@ -191,7 +191,7 @@
                 stage.answer(uid, int(name, 16), "DONE", "-", b"photo", number)
     answers = [line.split()[1] for line in stage.trace if line.startswith("client")]
     assert sorted(answers, key=int) == [str(n) for n in range(count + 1)]
-    assert not stage.door.loop.requests
+    assert not stage.dispatcher.requests
 
 
 def test_time_that_a_call_lay_unread_is_taken_from_its_expiry():
@@ -202,7 +202,7 @@
     begun = stage.door.clock.now()
     for _ in range(6):
         stage.reactor.advance(0.01)
-    assert {request.until for request in stage.door.loop.requests.values()} == {begun + 1.0}
+    assert {request.deadline for request in stage.dispatcher.requests.by_id.values()} == {begun + 1.0}
 
 
 def test_a_wake_lands_in_the_turn_in_which_the_connection_is_closed_as_idle():
@@ -279,7 +279,7 @@
     while not stage.reactor.hasStopped:
         before = len(stage.rim.closed)
         stage.turn(0.02)
-        assert len(stage.rim.closed) - before <= 10 * stage.door.site.terms.close_batch
+        assert len(stage.rim.closed) - before <= 10 * stage.door.site.client_settings.close_batch
         turns += 1
     assert turns < 30 and sorted(stage.rim.closed) == [n for n in range(2000) if n != 7]
     assert {"client 2000 < 1 process: 'one'", "client 7 < 2 process: 'two'"} <= set(stage.trace)
@@ -287,7 +287,7 @@
 
 def test_a_new_configuration_with_thousands_parked_moves_the_bus_and_leaves_them():
     stage = parked(2000)
-    stage.door.again = lambda: replace(stage.door.site, bus="127.0.0.1:9999")
+    stage.door.read_again = lambda: replace(stage.door.site, bus_address="127.0.0.1:9999")
     stage.door.reload()
     stage.turn()
     assert stage.door.bus.address == "127.0.0.1:9999" and stage.door.listener.parked() == 2000
@@ -344,7 +344,7 @@
     )
     stage.bring(0, probe(2))
     monkeypatch.undo()
-    assert stage.clients[0][0].transport.disconnecting and stage.door.loop.counts["faults"] == 1
+    assert stage.clients[0][0].transport.disconnecting and stage.counts["internal errors"] == 1
     stage.bring(1, probe(2))
     stage.turn()
     assert stage.trace == ["client 1 < 2 probe: good True"]
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -93,7 +93,7 @@
         assert commands(stream, 2) == [1, 2]
         since = time.monotonic()
         program.process.send_signal(signal.SIGTERM)
-        program.told("told to stop")
+        program.told("shutdown requested")
         second = ask(address, process(9), probe(1))
         assert heard(second) == "1 probe: good False"
         assert commands(stream, 1) == [9]
@@ -209,9 +209,9 @@
         program.process.send_signal(signal.SIGTERM)
         link.sendall(b"%016x DONE - 2\r\nok\r\n" % 3)
         assert heard(clients[100]) == "3 process: 'ok'"
-        told = json.loads(program.told('"message": "counts'))
+        told = json.loads(program.told('"message": "counters'))
         assert program.process.wait(LONG) == 0 and time.monotonic() - since < 3.4
-        assert told["woken"] >= 200 and told["most_parked"] >= 290 and not told["violations"]
+        assert told["idle_wakeups"] >= 200 and told["max_idle_connections"] >= 290 and not told["violations"]
         assert all(client.read() == b"" for client in (*again, *clients[100:]))
         for each in (*again, *clients[100:], link, stream):
             each.close()
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -38,7 +38,7 @@
         client 0 < 2 process: '' {{'ok304': '1'}}
         client 0 < 1 process: 'photo'
     """)
-    assert not stage.door.loop.requests
+    assert not stage.dispatcher.requests
 
 
 def test_a_miss_is_filled_and_a_write_goes_to_the_origin_with_its_mark():
@@ -119,8 +119,8 @@
         stage, told = Stage(), []
         stage.turn(2.0)  # a front that has itself just started takes less
         stage.bus(listing(2, target("e2", port=2, boot=boot * stage.unix() * 1000)))
-        post, loop = stage.door.loop.post, stage.door.loop
-        loop.post = lambda event, told=told, post=post: (told.append(event), post(event))
+        post, queue = stage.dispatcher.queue.post, stage.dispatcher.queue
+        queue.post = lambda event, told=told, post=post: (told.append(event), post(event))
         stage.say(stage.client(), process(1))
         stage.turn(0.3)
         stage.connect()
@@ -132,8 +132,8 @@
     ended = []
     for fail in (Stage.refuse, lambda stage: stage.turn(0.41)):
         stage = Stage()
-        note, post = ended.append, stage.door.loop.post
-        stage.door.loop.post = lambda event, note=note, post=post: (note(event), post(event))
+        note, post = ended.append, stage.dispatcher.queue.post
+        stage.dispatcher.queue.post = lambda event, note=note, post=post: (note(event), post(event))
         stage.say(stage.client(), process(1, once="ab", **{"class": "order"}))
         fail(stage)
         assert [event.result for event in ended if isinstance(event, AttemptEnded)] == [
@@ -160,7 +160,10 @@
 def test_a_connection_that_broke_under_a_pull_is_dialled_at_once_and_told_when_it_comes_up():
     """Whether its cache can be reached again tells a broken connection from a restart."""
     stage, told = Stage(), []
-    post, stage.door.loop.post = stage.door.loop.post, lambda event: (told.append(event), post(event))
+    post, stage.dispatcher.queue.post = (
+        stage.dispatcher.queue.post,
+        lambda event: (told.append(event), post(event)),
+    )
     stage.say(stage.client(), process(1))
     stage.connect()
     link = stage.caches["e2", 0]
@@ -168,14 +171,17 @@
     assert [name for name, _ in stage.dials()] == ["e2"]
     stage.connect()
     reached = [
-        stage.door.loop.names.uids[event.cache] for event in told if isinstance(event, ConnectionOpened)
+        stage.dispatcher.names.uids[event.cache] for event in told if isinstance(event, ConnectionOpened)
     ]
     assert reached == ["e2", "e2"]
 
 
 def test_a_dial_that_is_accepted_and_reset_is_made_again_and_says_nothing_against_its_cache():
     stage, told = Stage(), []
-    post, stage.door.loop.post = stage.door.loop.post, lambda event: (told.append(event), post(event))
+    post, stage.dispatcher.queue.post = (
+        stage.dispatcher.queue.post,
+        lambda event: (told.append(event), post(event)),
+    )
     stage.say(stage.client(), process(1))
     shown = []
     for _ in range(6):
@@ -200,7 +206,7 @@
         e2/1 < do 0000000000000002 {DO},budget=6000,rank=2,mode=j 0
         client 0 < 2 process: 'photo'
     """)
-    assert stage.caches["e2", 0].transport.disconnecting and not stage.door.loop.requests
+    assert stage.caches["e2", 0].transport.disconnecting and not stage.dispatcher.requests
 
 
 def test_an_undo_has_left_before_the_pull_that_takes_its_place_goes_out():
@@ -208,8 +214,8 @@
     stage, seen = Stage(), []
     stage.say(stage.client(), process(1))
     stage.connect()
-    link, end = stage.caches["e2", 0], stage.door.loop.ended
-    stage.door.loop.ended = lambda *told: (seen.append(link.transport.left), end(*told))
+    link, end = stage.caches["e2", 0], stage.dispatcher.attempts.end
+    stage.dispatcher.attempts.end = lambda *told: (seen.append(link.transport.left), end(*told))
     while not seen:
         stage.turn(0.3)
     assert seen == [len(b"undo 0000000000000001\r\n")]
@@ -250,7 +256,7 @@
         client 0 < 1 throttled {{'after': '500'}}
         e2/0 < undo 0000000000000001
     """)
-    assert not stage.door.loop.requests
+    assert not stage.dispatcher.requests
 
 
 def test_after_a_standstill_past_an_expiry_the_decisions_still_have_the_last_word():
@@ -258,7 +264,7 @@
     stage.say(stage.client(), process(1, wait="800"))
     stage.connect()
     stage.turn(0.9)
-    assert "client 0 < 1 throttled {'after': '500'}" in stage.trace and not stage.door.loop.requests
+    assert "client 0 < 1 throttled {'after': '500'}" in stage.trace and not stage.dispatcher.requests
 
 
 def test_a_purge_of_this_moment_is_no_leave_for_any_age():
@@ -273,7 +279,10 @@
     stage, told = Stage(), []
     client = stage.client()
     stage.say(client, process(1))
-    post, stage.door.loop.post = stage.door.loop.post, lambda event: (told.append(event), post(event))
+    post, stage.dispatcher.queue.post = (
+        stage.dispatcher.queue.post,
+        lambda event: (told.append(event), post(event)),
+    )
     stage.say(client, give_up(1))
     stage.connect()
     assert [event.result for event in told if isinstance(event, AttemptEnded)] == [AttemptResult.SUPERSEDED]
@@ -282,27 +291,30 @@
 
 def test_a_pull_decided_for_a_client_that_has_just_left_is_told_to_have_never_run():
     stage, told = Stage(), []
-    post, stage.door.loop.post = stage.door.loop.post, lambda event: (told.append(event), post(event))
+    post, stage.dispatcher.queue.post = (
+        stage.dispatcher.queue.post,
+        lambda event: (told.append(event), post(event)),
+    )
     client = stage.client()
     stage.say(client, process(1))
-    handle = stage.door.loop.router.handle
+    handle = stage.dispatcher.router.handle
 
     def leaves_meanwhile(now, events):
-        stage.door.loop.router.handle = handle
+        stage.dispatcher.router.handle = handle
         actions = handle(now, events)
         client.dataReceived(give_up(2))
         return actions
 
-    stage.door.loop.router.handle = leaves_meanwhile
+    stage.dispatcher.router.handle = leaves_meanwhile
     stage.say(client, give_up(1), process(2))
     results = [event.result for event in told if isinstance(event, AttemptEnded)]
     assert results == [AttemptResult.SUPERSEDED, AttemptResult.SUPERSEDED]
-    assert not stage.door.loop.requests and not stage.door.loop.router.requests
+    assert not stage.dispatcher.requests and not stage.dispatcher.router.requests
 
 
 def test_the_decisions_are_told_when_turns_come_late_and_not_after_a_pause():
     stage, told = Stage(), []
-    handle = stage.door.loop.router.handle
+    handle = stage.dispatcher.router.handle
 
     def spy(now, events):
         for event in events:
@@ -312,7 +324,7 @@
             yield from ()
         handle(now, [])
 
-    stage.door.loop.router.handle = lambda now, events: list(spy(now, events))
+    stage.dispatcher.router.handle = lambda now, events: list(spy(now, events))
     client = stage.client()
     for number, wait in ((1, 0.0), (2, 0.05), (3, 0.3)):
         stage.turn(1.0)
@@ -370,7 +382,7 @@
         client 4 < 14 exception 7: a field that is no number
         client 4 < 15 exception 7: id and key are 16 hex digits
     """)
-    assert not stage.door.loop.requests and not stage.door.loop.counts["downloads"]
+    assert not stage.dispatcher.requests and not stage.counts["requests"]
     stage.say(client, process(20, key=None), process(21))
     assert client.transport.disconnecting and len(stage.trace) == 1
 
@@ -399,7 +411,11 @@
     assert (
         sum("do " in line for line in stage.trace) == 1 and stage.trace[-1] == "client 1 < 7 process: 'photo'"
     )
-    assert not stage.door.loop.requests and not stage.door.loop.open and not stage.door.loop.router.requests
+    assert (
+        not stage.dispatcher.requests
+        and not stage.dispatcher.requests.by_client_id
+        and not stage.dispatcher.router.requests
+    )
 
 
 def test_a_usual_client_whose_withdrawals_are_read_with_their_calls_is_not_cast_out():
@@ -461,7 +477,11 @@
         while stage.dials():
             stage.connect()
         assert sorted(stage.trace) == [f"o1/0 < undo {n:016x}" for n in range(1, count + 1) if up]
-        assert not (stage.door.loop.requests or stage.door.loop.open or stage.door.loop.router.requests)
+        assert not (
+            stage.dispatcher.requests
+            or stage.dispatcher.requests.by_client_id
+            or stage.dispatcher.router.requests
+        )
 
 
 def test_a_slow_reader_is_heard_no_further_and_loses_nothing():
@@ -476,14 +496,18 @@
         stage.answer(uid, n, "DONE", "-", b"x" * 240_000)
     stage.trace.clear()
     stage.say(client, process(6))
-    assert stage.door.waiting > 5 * 240_000 and not client.open and len(client.going) <= client.going.bound
+    assert (
+        stage.door.gateway.unsent_bytes > 5 * 240_000
+        and not client.open
+        and len(client.going) <= client.going.bound
+    )
     stage.shows("")
     client.resumeProducing()
     stage.turn()
     assert [line for line in stage.trace if "client" in line] == [
         f"client 0 < {n} process: '240000 bytes'" for n in range(1, 6)
     ]
-    assert list(client.open) == [6] and stage.door.waiting == 0
+    assert list(client.open) == [6] and stage.door.gateway.unsent_bytes == 0
 
 
 def test_caches_are_read_no_further_while_too_much_waits_for_slow_readers():
@@ -491,10 +515,10 @@
     client = stage.client()
     stage.say(client, process(1))
     stage.connect()
-    stage.door.held(stage.door.site.held + 1)
+    stage.door.gateway.held(stage.door.site.max_unsent_bytes + 1)
     stage.answer("e2", 1, "DONE", "-", b"photo")
     assert stage.caches["e2", 0].transport.producerState == "paused" and list(client.open) == [1]
-    stage.door.held(-stage.door.site.held)
+    stage.door.gateway.held(-stage.door.site.max_unsent_bytes)
     stage.turn()
     assert stage.trace[-1] == "client 0 < 1 process: 'photo'"
 
@@ -516,12 +540,15 @@
     """Names are ever new, on addresses used again: what is kept by one of them must end with it."""
 
     def kept(stage):
-        loop = stage.door.loop
-        router, timers = loop.router, stage.door.timers
-        by_cache = (loop.names.uids, loop.names.numbers, loop.listed, loop.started, loop.pool.lanes)
+        dispatcher = stage.dispatcher
+        router, timers = dispatcher.router, stage.door.timers
+        endpoints = dispatcher.endpoints
+        by_cache = (dispatcher.names.uids, dispatcher.names.numbers, endpoints.listed)
+        by_cache += (endpoints.started, dispatcher.pool.lanes)
         ready = {cache.id for caches in router.context.ready.values() for cache in caches}
         by_cache += (router.caches, ready - router.caches.keys())
-        by_request = (loop.requests, loop.open, router.requests, stage.door.listener.clients)
+        requests = dispatcher.requests
+        by_request = (requests.by_id, requests.by_client_id, router.requests, stage.door.listener.clients)
         return [len(held) for held in by_cache], [len(held) for held in by_request], len(timers.heap) < 200
 
     stage = Stage()
@@ -591,8 +618,8 @@
     stage, told = Stage(), []
     stage.say(stage.client(), process(1))
     stage.connect()
-    link, end = stage.caches["e2", 0], stage.door.loop.ended
-    stage.door.loop.ended = lambda *ended: (told.append(link.transport.disconnecting), end(*ended))
+    link, end = stage.caches["e2", 0], stage.dispatcher.attempts.end
+    stage.dispatcher.attempts.end = lambda *ended: (told.append(link.transport.disconnecting), end(*ended))
     abort, link.transport.abortConnection = link.transport.abortConnection, lambda: None
     link.dataReceived(b"no answer\r\n")
     stage.turn()
@@ -635,7 +662,7 @@
 
 def test_a_fault_in_one_download_abandons_that_one():
     stage = Stage()
-    router = stage.door.loop.router
+    router = stage.dispatcher.router
     inner = router.prefilter.handle
     router.prefilter.handle = lambda request: 1 / 0 if request.received.part == 7 else inner(request)
     stage.say(stage.client(), process(1, nth="7"), process(2))
@@ -646,17 +673,17 @@
         e2/0 < do 0000000000000002 {DO},budget=6000,mode=j 0
         client 0 < 2 process: 'photo'
     """)
-    assert stage.door.loop.counts["faults"] == 1 and not stage.door.loop.requests
+    assert stage.counts["internal errors"] == 1 and not stage.dispatcher.requests
 
 
 def test_a_fault_at_the_door_leaves_the_connection_that_others_share(monkeypatch):
     stage = Stage()
-    ended = request_codec.ended
+    ended = request_codec.attempt_ended
     monkeypatch.setattr(
-        request_codec, "ended", lambda name, *rest: 1 / 0 if name == "1" else ended(name, *rest)
+        request_codec, "attempt_ended", lambda name, *rest: 1 / 0 if name == "1" else ended(name, *rest)
     )
-    loop, perform = stage.door.loop, stage.door.loop.perform
-    loop.perform = lambda act: 1 / 0 if isinstance(act, SendAttempt) and act.id == "3" else perform(act)
+    dispatcher, perform = stage.dispatcher, stage.dispatcher.perform
+    dispatcher.perform = lambda act: 1 / 0 if isinstance(act, SendAttempt) and act.id == "3" else perform(act)
     stage.say(stage.client(), process(1), process(2), process(3), process(4))
     stage.connect()
     for number in (1, 2, 4):
@@ -667,18 +694,18 @@
         "client 0 < 2 process: 'photo'",
         "client 0 < 4 process: 'photo'",
     ]
-    assert not stage.caches["e2", 0].lost and loop.counts["faults"] == 2
+    assert not stage.caches["e2", 0].lost and stage.counts["internal errors"] == 2
 
 
 def test_probes_of_caches():
     stage = Stage()
     stage.say(stage.client(), process(1))
     stage.connect()
-    loop, told = stage.door.loop, []
-    loop.post = told.append
-    cache = loop.names.number("e2")
-    loop.perform(SendHealthCheck(cache))
-    loop.perform(SendHealthCheck(loop.names.number("e1")))
+    dispatcher, told = stage.dispatcher, []
+    dispatcher.queue.post = told.append
+    cache = dispatcher.names.number("e2")
+    dispatcher.perform(SendHealthCheck(cache))
+    dispatcher.perform(SendHealthCheck(dispatcher.names.number("e1")))
     stage.turn()
     stage.caches["e2", 0].dataReceived(b"p1 FIT use=util:0.61;inflight:7 0\r\n\r\n")
     assert stage.trace[-1] == "e2/0 < top p1"
@@ -778,7 +805,7 @@
 
 
 def uids(stage):
-    return " ".join(sorted(stage.door.loop.names.uids[n] for n in stage.door.loop.pool.lanes))
+    return " ".join(sorted(stage.dispatcher.names.uids[n] for n in stage.dispatcher.pool.lanes))
 
 
 def test_the_bus_is_read_on_after_each_loss():
@@ -813,17 +840,17 @@
     old.dataReceived(HEAD + told(listing(2, target("e7", port=7))))
     reading = stage.door.bus.attempt
     for port in (9093, 9094, 9094):
-        stage.door.again = lambda port=port: read_site(configuration(bus=f"127.0.0.1:{port}"))
+        stage.door.read_again = lambda port=port: read_site(configuration(bus=f"127.0.0.1:{port}"))
         stage.door.reload()
     reading.dataReceived(told(listing(3, target("e8", port=8))))
     new, asked = bus(stage, 9094)
     seen.append(asked)
     stage.door.terminate()
     for wrong in ("{", configuration(bus="nowhere"), configuration().replace('"lanes"', '"lanez"')):
-        stage.door.again = lambda wrong=wrong: read_site(wrong)
+        stage.door.read_again = lambda wrong=wrong: read_site(wrong)
         stage.door.reload()
     new.dataReceived(HEAD + told(listing(3, target("e9", port=9))))
-    stage.door.again = lambda: read_site(configuration(bus="127.0.0.1:9095"))
+    stage.door.read_again = lambda: read_site(configuration(bus="127.0.0.1:9095"))
     stage.door.reload()
     seen.append(bus(stage, 9095)[1])
     stage.turn(1.0)
@@ -886,14 +913,14 @@
 
 def test_a_start_takes_no_download_before_the_bus_told_what_came_while_it_loaded():
     reactor, door = starting()
-    assert not reactor.tcpServers and not door.serving()
+    assert not reactor.tcpServers and not door.gateway.serving()
     door.bus.on_connected()
     reactor.advance(0.01)
     assert not reactor.tcpServers
-    door.loop.tell(bus_event({"offset": 9, "ban": {"url": KEY, "ts": 1}}))
+    door.dispatcher.endpoints.handle(bus_event({"offset": 9, "ban": {"url": KEY, "ts": 1}}))
     reactor.advance(0.02)
-    assert len(reactor.tcpServers) == 1 and door.serving()
-    assert KEY in door.loop.router.admission.purges.moments
+    assert len(reactor.tcpServers) == 1 and door.gateway.serving()
+    assert KEY in door.dispatcher.router.admission.purges.moments
 
 
 def test_a_start_without_its_bus_waits_for_a_bounded_time_only():
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -9,7 +9,8 @@
 from weldbend.caches.connection import CacheConnection, Lost
 from weldbend.clients.connection import Client
 from weldbend.front import request_codec
-from weldbend.front.dispatcher import Dispatcher
+from weldbend.front.attempts import AttemptManager
+from weldbend.front.endpoint_updates import EndpointUpdates
 from weldbend.routing.admission import Admission
 from weldbend.routing.events import AttemptResult, EndpointState
 from weldbend.testbed.simulation.run import Run, Setup
@@ -55,12 +56,12 @@
 def test_the_byte_digest_notices_one_byte_that_differs(monkeypatch):
     setup = Setup(seconds=3.0)
     before = Run(3, setup).play().byte_digest
-    order = request_codec.order
+    attempt_fields = request_codec.attempt_fields
 
-    def altered(wish, action, source, left):
-        return order(wish, action, source, left) | {"rank": "1"}
+    def altered(request, action, source, timeout):
+        return attempt_fields(request, action, source, timeout) | {"rank": "1"}
 
-    monkeypatch.setattr(request_codec, "order", altered)
+    monkeypatch.setattr(request_codec, "attempt_fields", altered)
     assert Run(3, setup).play().byte_digest != before
 
 
@@ -108,12 +109,12 @@
 def sends_second_copies(monkeypatch):
     def made(call_off):
         return (
-            lambda self, request, attempt: self.ended(request, attempt, AttemptResult.CANCELLED)
+            lambda self, request, attempt: self.end(request, attempt, AttemptResult.CANCELLED)
             if not attempt.over
             else None
         )
 
-    patched(monkeypatch, Dispatcher, "call_off", made)
+    patched(monkeypatch, AttemptManager, "cancel", made)
 
 
 def takes_draining_for_ready(monkeypatch):
@@ -125,9 +126,9 @@
 def does_not_hear_list_changes(monkeypatch):
     patched(
         monkeypatch,
-        Dispatcher,
-        "relist",
-        lambda relist: lambda self, whole, to: relist(self, whole, to) if whole else None,
+        EndpointUpdates,
+        "update_list",
+        lambda update: lambda self, is_complete, to: update(self, is_complete, to) if is_complete else None,
     )
 
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -276,5 +276,6 @@
 def test_the_example_configuration_gives_its_recorded_facts():
     case = recorded("configuration.json")
     held = read_site((ROOT / case["file"]).read_text("utf-8"))
-    found = [held.name, held.host, held.port, held.seed, held.bus, held.offset, held.known, held.roles]
+    found = [held.name, held.host, held.port, held.seed]
+    found += [held.bus_address, held.bus_offset, held.known_events, held.roles]
     assert plain([*found, held.bounds, held.settings]) == case["values"]
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -11,64 +11,114 @@
 from weldbend.front.configuration import ConfigurationError, Site, read_site
 
 if TYPE_CHECKING:
+    from weldbend.fleet.settings import Terms as FleetSettings
     from weldbend.installation.reader import Installation
 
 
-def installed(path: str | None) -> "Installation":
-    """What an installation file sets; raises BadSite. Imported only where it is asked for: see README."""
+class InvalidInstallationError(ConfigurationError):
+    """An installation file that cannot be used, with the reason that its reader gives."""
+
+    def __init__(self, reason: object) -> None:
+        super().__init__(f"installation {reason}")
+        self.reason = reason
+
+
+class InvalidSectionError(InvalidInstallationError):
+    """A section that does not fit what it names: files of keys, or the site's request classes."""
+
+    def __init__(self, path: str, section: str, reason: object) -> None:
+        super().__init__(f"{path}: [{section}] {reason}")
+        self.path = path
+        self.section = section
+
+
+def read_installation_file(path: str | None) -> "Installation":
+    """Return what an installation file sets; None gives the defaults.
+
+    The reader is imported only where it is asked for: a front without such a file never loads it.
+
+    Raises:
+        InvalidInstallationError: where the file cannot be used.
+    """
     from weldbend.installation.errors import InstallationError
     from weldbend.installation.reader import read_installation
 
     try:
         return read_installation(path)
-    except InstallationError as wrong:
-        raise ConfigurationError(f"installation {wrong}") from None
+    except InstallationError as error:
+        raise InvalidInstallationError(error) from None
+
 
+def read_configuration(path: str | None, installation: str | None = None) -> Site:
+    """Return a front's configuration together with its installation file.
 
-def read(path: str | None, installation: str | None = None) -> Site:
-    """A front's configuration together with its installation file; raises BadSite, OSError."""
+    Raises:
+        ConfigurationError: where one of them cannot be used.
+        OSError: where the configuration cannot be read.
+        UnicodeDecodeError: where it is no text.
+    """
     site = read_site(Path(path or "").read_text("utf-8"))
-    if installation:
-        sections = installed(installation).sections
-        terms, fleet = sections["clients"], replace(sections["fleet"], limits=sections["limits"])
-        site = replace(site, terms=terms, clients=min(terms.max_connections or site.clients, site.clients))
-        if fleet.listen:
-            from weldbend.fleet.service import FleetConfigurationError, keys_of
-
-            try:
-                keys_of(fleet.keys)
-            except FleetConfigurationError as wrong:
-                raise ConfigurationError(f"installation {installation}: [fleet] {wrong}") from None
-            strange = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)} - set(
-                site.settings.classes
-            )
-            if strange:
-                raise ConfigurationError(
-                    f"installation {installation}: [limits] no content type {sorted(strange)[0]!r}"
-                )
-            site = replace(site, fleet=fleet)
-    return site
-
-
-def load(path: str | None, installation: str | None = None) -> Site:
-    """Read a configuration, or end with one clear line."""
+    if not installation:
+        return site
+    sections = read_installation_file(installation).sections
+    clients, fleet = sections["clients"], replace(sections["fleet"], limits=sections["limits"])
+    max_clients = min(clients.max_connections or site.max_clients, site.max_clients)
+    site = replace(site, client_settings=clients, max_clients=max_clients)
+    if not fleet.listen:
+        return site
+    _check_fleet(fleet, site, installation)
+    return replace(site, fleet=fleet)
+
+
+def _check_fleet(fleet: "FleetSettings", site: Site, installation: str) -> None:
+    """Check what a fleet's settings name outside the installation file.
+
+    Raises:
+        InvalidSectionError: for keys that cannot be used, or a limit on a request class that the site lacks.
+    """
+    from weldbend.fleet.service import FleetConfigurationError, keys_of
+
+    try:
+        keys_of(fleet.keys)
+    except FleetConfigurationError as error:
+        raise InvalidSectionError(installation, "fleet", error) from None
+    limited = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)}
+    unknown = sorted(limited - set(site.settings.classes))
+    if unknown:
+        raise InvalidSectionError(installation, "limits", f"no request class {unknown[0]!r}")
+
+
+def load_configuration(path: str | None, installation: str | None = None) -> Site:
+    """Return a configuration, or end the command with one line that says why not.
+
+    Raises:
+        click.ClickException: where it cannot be read or used.
+    """
     if not path:
-        raise click.ClickException("no configuration: give --config or set ROUTER_CONFIG")
+        message = "no configuration: give --config or set ROUTER_CONFIG"
+        raise click.ClickException(message)
     try:
-        return read(path, installation)
-    except (OSError, UnicodeDecodeError) as wrong:
-        raise click.ClickException(f"configuration cannot be read: {wrong}") from None
-    except ConfigurationError as wrong:
-        raise click.ClickException(str(wrong)) from None
+        return read_configuration(path, installation)
+    except (OSError, UnicodeDecodeError) as error:
+        message = f"configuration cannot be read: {error}"
+        raise click.ClickException(message) from None
+    except ConfigurationError as error:
+        raise click.ClickException(str(error)) from None
 
 
 class Commands(click.Group):
-    """Loads the laboratory and the fleet's commands only when they are asked for: a front never does."""
+    """Loads the commands of testbed and fleet only when they are asked for: a front never does."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
+        """Return the commands' names, without loading the testbed or the fleet."""
         return [*super().list_commands(ctx), "fleet", "lab"]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
+        """Return a command; None for an unknown one.
+
+        Raises:
+            click.ClickException: for the testbed's, where its libraries are not installed.
+        """
         if cmd_name == "fleet":
             from weldbend.fleet.cli import fleet
 
@@ -77,10 +127,11 @@
             return super().get_command(ctx, cmd_name)
         try:
             from weldbend.testbed.cli import lab
-        except ImportError as wrong:
+        except ImportError as error:
             if ctx.resilient_parsing or cmd_name not in sys.argv:
-                return click.Command("lab", help="The laboratory (needs requirements-lab.txt).")
-            raise click.ClickException(f"the laboratory needs requirements-lab.txt: {wrong}") from None
+                return click.Command("lab", help="The testbed (needs requirements-lab.txt).")
+            message = f"the testbed needs requirements-lab.txt: {error}"
+            raise click.ClickException(message) from None
         return lab
 
 
@@ -96,7 +147,7 @@
 INSTALLATION = click.option(
     "--installation",
     envvar="WELDBEND_INSTALLATION",
-    help="our own file of keys (INI), see deploy/weldbend.ini",
+    help="our own file of settings (INI), see deploy/weldbend.ini",
 )
 
 
@@ -106,14 +157,16 @@
 @click.option("--log-level", default="INFO", show_default=True, envvar="WELDBEND_LOG")
 @click.option("--log-form", type=click.Choice(logs.FORMS), default="text", show_default=True)
 def serve(config: str | None, installation: str | None, log_level: str, log_form: str) -> None:
-    """Serve downloads until SIGTERM."""
+    """Serve requests until SIGTERM."""
     from weldbend.front import server
 
     try:
         logs.start(log_level, log_form)
     except ValueError:
-        raise click.ClickException(f"unknown log level {log_level!r:.40}") from None
-    if not server.serve(load(config, installation), lambda: read(config, installation)):
+        message = f"unknown log level {log_level!r:.40}"
+        raise click.ClickException(message) from None
+    site = load_configuration(config, installation)
+    if not server.serve(site, lambda: read_configuration(config, installation)):
         sys.exit(1)
 
 
@@ -121,15 +174,13 @@
 @CONFIG
 @INSTALLATION
 def check(config: str | None, installation: str | None) -> None:
-    """Read configuration and installation file, and say what a front would make of them."""
-    site = load(config, installation)
-    kinds = ", ".join(site.settings.classes)
-    click.echo(
-        f"front {site.name} on {site.host}:{site.port}, zone {site.settings.zone}, hub {site.settings.hub}"
-    )
-    click.echo(f"content types {kinds}; bus {site.bus} after event {site.offset}")
-    click.echo(f"connections: {site.clients} of clients, {site.bounds.descriptors} to caches at most")
-    for setting in installed(installation).settings:
+    """Read configuration and installation file, and print what a front would make of them."""
+    site = load_configuration(config, installation)
+    settings, classes = site.settings, ", ".join(site.settings.classes)
+    click.echo(f"front {site.name} on {site.host}:{site.port}, zone {settings.zone}, hub {settings.hub}")
+    click.echo(f"request classes {classes}; bus {site.bus_address} after event {site.bus_offset}")
+    click.echo(f"connections: {site.max_clients} of clients, {site.bounds.descriptors} to caches at most")
+    for setting in read_installation_file(installation).settings:
         click.echo(f"[{setting.section}] {setting.key} = {setting.value}  ({setting.origin})")
 
 
--- a/weldbend/event_bus/endpoint_registry.py
+++ b/weldbend/event_bus/endpoint_registry.py
@@ -19,7 +19,7 @@
 class Clock(Protocol):
     """The front's clock."""
 
-    def moment(self, stamp: float) -> float:
+    def from_unix(self, timestamp: float) -> float:
         """Return a Unix time (seconds) in seconds of the front's clock."""
         ...
 
@@ -75,7 +75,7 @@
         known = self.starts.get(uid)
         if known and known[0] == started_at:
             return known[1]
-        moment = min(self.clock.moment(started_at), latest)
+        moment = min(self.clock.from_unix(started_at), latest)
         if not known or started_at > known[0]:
             self.starts[uid] = started_at, moment
         return moment
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -48,7 +48,7 @@
         self.loop, self.offset, self.timers = loop, offset, timers
         clock = loop.clock
         epoch = int(clock.unix() * 1000)
-        self.fleet = Fleet(reactor, timers, name, terms, self.changed, epoch, clock.drawn)
+        self.fleet = Fleet(reactor, timers, name, terms, self.changed, epoch, clock.random_bytes)
         self.reactor = reactor
         self.hearings: Callable[[], int] = lambda: 0  # how often this front's bus was heard
         self.held = (-math.inf, 0)  # since when, at most, decisions wait after a standstill; hearings by then
@@ -66,8 +66,10 @@
             t for t in loop.site.settings.classes.values() if t.idempotency is Idempotency.DEDUPLICATED
         ]
         self.doubt = idempotency.Doubt(max((t.deduplication_window for t in deduped), default=0.0))
-        loop.peers = self
-        self.sharing = QuotaService(loop, self.fleet, RandomSource(int.from_bytes(clock.drawn(4), "big")))
+        loop.join_fleet(self)
+        self.sharing = QuotaService(
+            loop, self.fleet, RandomSource(int.from_bytes(clock.random_bytes(4), "big"))
+        )
         self.control = AdminServer(self.fleet, self.sharing.questions())
 
     def start(self, known: list[SequencedEvent]) -> None:
@@ -110,7 +112,7 @@
 
     # What the front does, as its loop tells it.
 
-    def asked(self, type: str, key: str, part: int, repeat: bool) -> int:
+    def count_request(self, type: str, key: str, part: int, repeat: bool) -> int:
         """A client's wish, counted here; how often other fronts of the zone had it lately."""
         if self.loop.site.settings.classes[type].origin_only or not self.fleet.terms.popularity:
             return 0
@@ -119,7 +121,7 @@
             self.slots.asked(name)
         return self.wishes.of(name)
 
-    def holds(self, now: float) -> bool:
+    def holds_decisions(self, now: float) -> bool:
         """Whether decisions wait a moment: this process stood still, and what it knows is old.
 
         Guards against sending to what was drained or purged meanwhile, before that is read. Should also cover
@@ -132,7 +134,7 @@
             self.fresh = min(self.fresh, now + SETTLE)
         return now < min(self.held[0] + HOLD, self.fresh)
 
-    def ran(self, type: str, once: str, repeat: bool) -> tuple[PossibleExecution, ...]:
+    def possible_executions(self, type: str, once: str, repeat: bool) -> tuple[PossibleExecution, ...]:
         """Earlier pulls of a deduped download, at any front, that may have run."""
         kind, now = self.loop.site.settings.classes[type], self.timers.now()
         if kind.idempotency is not Idempotency.DEDUPLICATED:
@@ -148,16 +150,16 @@
             return (PossibleExecution(idempotency.NOWHERE, -1, now),)
         return ()
 
-    def over(self, type: str, client: str) -> bool:
+    def is_over_limit(self, type: str, client: str) -> bool:
         return self.sharing.over(type, client)
 
-    def bars(self, client: str) -> bool:
+    def is_banned(self, client: str) -> bool:
         return self.sharing.bars(client)
 
-    def casts(self, client: str) -> None:
+    def report_protocol_violation(self, client: str) -> None:
         self.sharing.casts(client)
 
-    def sent(self, type: str, once: str, cache: int) -> None:
+    def attempt_sent(self, type: str, once: str, cache: int) -> None:
         """A pull of a deduped download goes out: others are told before its bytes leave."""
         kind, held = self.loop.site.settings.classes[type], self.loop.router.caches.get(cache)
         if kind.idempotency is Idempotency.DEDUPLICATED and held:
@@ -220,10 +222,10 @@
 
     def ran_too(self, change: Change) -> None:
         now, unix = self.timers.now(), self.loop.clock.unix()
-        for request in self.loop.open.values():
-            if request.wish.once == change.key:
+        for request in self.loop.requests.by_client_id.values():
+            if request.parsed.idempotency_key == change.key:
                 held = idempotency.ran(change.value, now - change.age, now, unix)
-                self.loop.post(ExecutedElsewhere(request.name, held))
+                self.loop.post(ExecutedElsewhere(request.id, held))
 
     def wished(self, change: Change) -> None:
         """Fronts of the same zone ask the same edges; words of this name are those of an earlier run."""
--- a/weldbend/front/__init__.py
+++ b/weldbend/front/__init__.py
@@ -1,1 +1,1 @@
-"""The running front: clock, timers, the loop round the decisions, start and stop."""
+"""The running front: clock, timers, event queue, attempts to caches, client connections, start and stop."""
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of one front, read and checked once at start."""
+"""The configuration of one front, read and checked at start and at each reload."""
 
 import json
 import zlib
@@ -14,10 +14,12 @@
 from weldbend.routing.settings import Role, SiteSettings
 from weldbend.site_settings import cache_roles, read_site_settings
 
-TURN = 0.004  # a turn of the loop may last so long; the decisions are told, as of any tick
-FOR_CACHES = 96  # descriptors for connections to caches, of which some tens are in use
-RESERVE = 32  # descriptors for the process itself: log, reactor, bus, listening port
-
+MAX_ITERATION = 0.004  # seconds that an event-loop iteration may take; the router's tick is at least that
+CACHE_DESCRIPTORS = 96  # descriptors for connections to caches, of which some tens are in use
+RESERVED_DESCRIPTORS = 32  # descriptors for the process itself: log, reactor, bus, listening port
+MEMORY_FRACTION = 4  # one part in so many of the memory may hold answers that slow readers have not read
+MAX_PORT = 65_535
+MICROSECONDS = 1e6  # in a second
 
 PLATFORM = ConnectionSettings()  # what holds where there is no installation file
 
@@ -26,74 +28,136 @@
     """A configuration that no front can start from; its text is one line for people."""
 
 
+class MissingSettingError(ConfigurationError):
+    """A configuration that lacks a key, named by the error that looking it up raised."""
+
+    def __init__(self, missing: KeyError) -> None:
+        super().__init__(f"configuration lacks {missing}")
+        self.missing = missing
+
+
+class UnusableSettingError(ConfigurationError):
+    """A configuration of which something cannot be used, as the error says that reading it raised."""
+
+    def __init__(self, cause: Exception) -> None:
+        super().__init__(f"configuration cannot be used: {cause}")
+        self.cause = cause
+
+
+class InvalidPortError(ValueError):
+    """An address whose port is none; it becomes the cause of an `UnusableSettingError`."""
+
+    def __init__(self, address: str) -> None:
+        super().__init__(f"no port: {address!r:.40}")
+        self.address = address
+
+
 @dataclass(frozen=True, slots=True)
 class Site:
+    """A front's configuration.
+
+    Attributes:
+        name: of this front.
+        host: address on which it listens.
+        port: on which it listens.
+        seed: of the router's random numbers.
+        bus_address: host:port of the bus.
+        known_events: events of the bus by the time at which the configuration was written.
+        bus_offset: number of the last of them.
+        settings: what the router reads.
+        roles: role of each machine kind.
+        flow_rate: kB that a client at its top pace receives in a second.
+        reports_load: whether caches report their load.
+        max_open_requests: open requests beyond which new ones are rejected.
+        bounds: of connections to caches.
+        max_descriptors: that the process may have.
+        max_clients: client connections.
+        max_unsent_bytes: of answers that slow readers have not read, beyond which caches are read no further.
+        client_settings: of client connections, from the installation file.
+        fleet: fleet settings of an installation that names one; None on the platform. Its type is loaded
+            only then.
+    """
+
     name: str
     host: str
     port: int
     seed: int
-    bus: str
-    known: list[SequencedEvent]
-    offset: int
+    bus_address: str
+    known_events: list[SequencedEvent]
+    bus_offset: int
     settings: SiteSettings
     roles: dict[str, Role]
-    flow: float  # KB in one second of sending at a client's top pace
-    reports: bool  # whether caches report their load
-    most_open: int
+    flow_rate: float
+    reports_load: bool
+    max_open_requests: int
     bounds: Bounds
-    sockets: int  # descriptors that the process may hold
-    clients: int  # connections of clients
-    held: int  # bytes of answers that wait for slow readers
-    terms: ConnectionSettings = PLATFORM
-    fleet: Any = None  # fleet.terms.Terms of an installation that has one; the platform's has none
+    max_descriptors: int
+    max_clients: int
+    max_unsent_bytes: int
+    client_settings: ConnectionSettings = PLATFORM
+    fleet: Any = None
 
 
 def read_site(text: str) -> Site:
+    """Return the configuration in a JSON text.
+
+    Raises:
+        ConfigurationError: where something is missing or cannot be used.
+    """
     try:
-        return site(json.loads(text))
+        return _site(json.loads(text))
     except KeyError as missing:
-        raise ConfigurationError(f"configuration lacks {missing}") from None
-    except (ValueError, TypeError, AttributeError, IndexError, RecursionError, InvalidEventError) as wrong:
-        raise ConfigurationError(f"configuration cannot be used: {wrong}") from None
+        raise MissingSettingError(missing) from None
+    except (ValueError, TypeError, AttributeError, IndexError, RecursionError, InvalidEventError) as error:
+        raise UnusableSettingError(error) from None
 
 
-def address(text: str) -> str:
-    """An address that can be dialled; raises ValueError: no names are looked up."""
+def _checked_address(text: str) -> str:
+    """Return an IPv4 host:port that can be dialled; names are not resolved.
+
+    Raises:
+        ValueError: for anything else.
+    """
     host, _, port = text.rpartition(":")
     IPv4Address(host)
-    if not 0 < int(port) < 65536:
-        raise ValueError(f"no port: {text!r:.40}")
+    if not 0 < int(port) <= MAX_PORT:
+        raise InvalidPortError(text)
     return text
 
 
-def site(raw: Mapping[str, Any]) -> Site:
+def _pool_bounds(caps: Mapping[str, Any], settings: SiteSettings, descriptors: int) -> Bounds:
+    return Bounds(
+        streams=int(caps["max_streams"]),
+        idle=caps["conn_idle_us"] / MICROSECONDS,
+        dial=caps["dial_timeout_us"] / MICROSECONDS,
+        turn=MAX_ITERATION,
+        descriptors=descriptors,
+        longest=max(request_class.deadline_after for request_class in settings.classes.values()),
+    )
+
+
+def _site(raw: Mapping[str, Any]) -> Site:
     raw_settings, limits = raw["settings"], raw["limits"]
     caps, settings = raw_settings["caps"], read_site_settings(raw_settings)
     host, _, port = raw["listen"].rpartition(":")
-    sockets = int(limits["sockets"])
-    clients = max(sockets // 2, sockets - FOR_CACHES - RESERVE)  # ours hold a third
+    descriptors = int(limits["sockets"])
+    # Client connections get what caches and the process leave, and half in any case.
+    max_clients = max(descriptors // 2, descriptors - CACHE_DESCRIPTORS - RESERVED_DESCRIPTORS)
     return Site(
         name=str(raw["name"]),
         host=host,
         port=int(port),
         seed=zlib.crc32(str(raw["seed"]).encode()),
-        bus=address(raw["bus"]),
-        known=parse_known_events(raw["known"]),
-        offset=int(raw["known"]["offset"]),
-        settings=replace(settings, tick=max(settings.tick, TURN)),
+        bus_address=_checked_address(raw["bus"]),
+        known_events=parse_known_events(raw["known"]),
+        bus_offset=int(raw["known"]["offset"]),
+        settings=replace(settings, tick=max(settings.tick, MAX_ITERATION)),
         roles=cache_roles(raw_settings),
-        flow=float(raw_settings["family_info"]["one_flow_kb_per_s"]),
-        reports=raw_settings["report"]["source"] != "none",
-        most_open=int(caps["open_cap"]),
-        bounds=Bounds(
-            streams=int(caps["max_streams"]),
-            idle=caps["conn_idle_us"] / 1e6,
-            dial=caps["dial_timeout_us"] / 1e6,
-            turn=TURN,
-            descriptors=sockets - clients - RESERVE,
-            longest=max(kind.deadline_after for kind in settings.classes.values()),
-        ),
-        sockets=sockets,
-        clients=clients,
-        held=int(limits["memory_mb"]) * 2**20 // 4,
+        flow_rate=float(raw_settings["family_info"]["one_flow_kb_per_s"]),
+        reports_load=raw_settings["report"]["source"] != "none",
+        max_open_requests=int(caps["open_cap"]),
+        bounds=_pool_bounds(caps, settings, descriptors - max_clients - RESERVED_DESCRIPTORS),
+        max_descriptors=descriptors,
+        max_clients=max_clients,
+        max_unsent_bytes=int(limits["memory_mb"]) * 2**20 // MEMORY_FRACTION,
     )
--- /dev/null
+++ b/weldbend/front/counters_log.py
@@ -0,0 +1,77 @@
+"""The line of counters: what was done, which invariants did not hold, and which resources it took."""
+
+import resource
+from typing import Any
+
+from loguru import logger
+
+from weldbend import invariants
+from weldbend.event_bus.reader import BusReader
+from weldbend.front.client_gateway import ClientGateway
+from weldbend.front.context import FrontContext
+from weldbend.front.dispatcher import Dispatcher
+
+MILLISECONDS = 1e3  # in a second
+LINE = (
+    "counters {counts}; cpu {cpu_ms} ms, {cpu_ms_per_request} per request; "
+    "memory {max_memory_mb} MB at most; "
+    "client connections {client_connections} ({max_client_connections} at most), "
+    "idle {idle_connections} ({max_idle_connections} at most), "
+    "{idle_wakeups} wakeups, {max_wakeup_delay_ms} ms late at most; "
+    "cache connections {cache_connections} ({max_cache_connections} at most); "
+    "unsent answers {max_unsent_kb} kB at most; timers {max_timer_delay_ms} ms late at most, "
+    "event-loop iterations {max_iteration_ms} ms at most; bus disconnects {bus_disconnects}; "
+    "anomalies {anomalies}; violations {violations}"
+)
+
+
+class CountersLog:
+    """Writes the line of counters; as JSON, each figure is a field of its own."""
+
+    def __init__(
+        self, context: FrontContext, dispatcher: Dispatcher, gateway: ClientGateway, bus: BusReader
+    ) -> None:
+        self.context = context
+        self.dispatcher = dispatcher
+        self.gateway = gateway
+        self.bus = bus
+        self._max_cache_connections = 0
+
+    def write(self) -> None:
+        """Write the line, and let the next internal errors be logged again."""
+        fields = self._process_fields() | self._connection_fields()
+        fields |= {
+            "max_unsent_kb": self.gateway.max_unsent_bytes // 1000,
+            "max_timer_delay_ms": round(self.context.timers.max_delay * MILLISECONDS, 1),
+            "max_iteration_ms": round(self.dispatcher.queue.max_iteration * MILLISECONDS, 1),
+            "bus_disconnects": self.bus.loss_count,
+            "anomalies": dict(+invariants.anomalies),
+            "violations": dict(invariants.violations),
+        }
+        logger.bind(**fields).info(LINE.format(**fields))
+        self.context.counters.reset_error_limit()
+
+    def _process_fields(self) -> dict[str, Any]:
+        usage, counts = resource.getrusage(resource.RUSAGE_SELF), self.context.counters.counts
+        cpu_ms = (usage.ru_utime + usage.ru_stime) * MILLISECONDS
+        return {
+            "counts": dict(counts),
+            "cpu_ms": round(cpu_ms),
+            "cpu_ms_per_request": round(cpu_ms / max(counts["requests"], 1), 2),
+            "max_memory_mb": round(usage.ru_maxrss / 1024),
+        }
+
+    def _connection_fields(self) -> dict[str, Any]:
+        listener, idle_pool = self.gateway.listener, self.gateway.listener.lot
+        cache_connections = sum(1 for _ in self.dispatcher.pool.all())
+        self._max_cache_connections = max(self._max_cache_connections, cache_connections)
+        return {
+            "client_connections": listener.count(),
+            "max_client_connections": self.gateway.max_connections,
+            "idle_connections": listener.parked(),
+            "max_idle_connections": idle_pool.peak_size if idle_pool else 0,
+            "idle_wakeups": idle_pool.wake_count if idle_pool else 0,
+            "max_wakeup_delay_ms": round(idle_pool.max_wake_delay * MILLISECONDS, 1) if idle_pool else 0.0,
+            "cache_connections": cache_connections,
+            "max_cache_connections": self._max_cache_connections,
+        }
--- /dev/null
+++ b/weldbend/front/health_checks.py
@@ -0,0 +1,46 @@
+"""Health checks of caches: each has a tag of its own and ends once, by an answer or a timeout."""
+
+from weldbend.cache_protocol.answers import Answer
+from weldbend.caches.pool import Pool
+from weldbend.front import request_codec
+from weldbend.front.context import FrontContext
+from weldbend.front.event_queue import EventQueue
+from weldbend.routing.events import AttemptResult, HealthCheckDone
+
+
+class HealthChecker:
+    """Sends health checks over connections that are up, and posts their results."""
+
+    def __init__(self, context: FrontContext, queue: EventQueue, pool: Pool) -> None:
+        self.context = context
+        self.queue = queue
+        self.pool = pool
+        self._pending: dict[str, tuple[int, float]] = {}  # by tag: the cache, and when it was sent
+        self._serial = 0
+
+    def send(self, cache: int) -> None:
+        """Check a cache; one without a connection is unreachable."""
+        self._serial += 1
+        tag = f"p{self._serial:x}"
+        self._pending[tag] = cache, self.context.clock.now()
+        if not self.pool.probe(cache, tag, self.context.site.reports_load):
+            self.context.reactor.callLater(0, self._end_unanswered, tag, AttemptResult.UNREACHABLE)
+            return
+        timeout = self.context.site.bounds.dial
+        self.context.timers.after(timeout, lambda: self._end_unanswered(tag, AttemptResult.TIMED_OUT))
+
+    def _end_unanswered(self, tag: str, result: AttemptResult) -> None:
+        if tag in self._pending:
+            cache, sent = self._pending.pop(tag)
+            self.queue.post(HealthCheckDone(cache, result, self.context.clock.now() - sent, None))
+
+    def handle_answer(self, cache: int, answer: Answer) -> bool:
+        """Handle an answer that belongs to no attempt; return whether it is a health check's."""
+        result = request_codec.HEALTH_RESULTS.get(answer.word)
+        pending_cache, sent = self._pending.get(answer.name, (None, 0.0))
+        if result is None or pending_cache != cache:
+            return False
+        del self._pending[answer.name]
+        load = request_codec.parse_load(answer.fields.get("use"))
+        self.queue.post(HealthCheckDone(cache, result, self.context.clock.now() - sent, load))
+        return True
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -1,9 +1,13 @@
-"""A download's fields between the two protocols and the decisions' events; nothing else knows their names."""
+"""Fields of requests and answers in both protocols, to and from the router's events.
+
+No other module knows the fields' names on the wire.
+"""
 
 import math
 import re
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import Enum
 
 from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.connection import Lost
@@ -19,107 +23,180 @@
     "BROKE": AttemptResult.ERROR,
     "PAST": AttemptResult.SUPERSEDED,
 }
-FITNESS = {"FIT": AttemptResult.SERVED, "UNFIT": AttemptResult.ERROR}
+HEALTH_RESULTS = {"FIT": AttemptResult.SERVED, "UNFIT": AttemptResult.ERROR}
 LOSSES = {
     Lost.UNREACHABLE: AttemptResult.UNREACHABLE,
     Lost.RESET: AttemptResult.RESET,
     Lost.MALFORMED: AttemptResult.MALFORMED,
     Lost.WITHDRAWN: AttemptResult.SUPERSEDED,
 }
-HINTS = dict(zip("hfojsrblnx", list(FillHint)[1:], strict=True))
-HEX16, HEX = re.compile(r"[0-9a-f]{16}"), re.compile(r"[0-9a-f]{1,64}")
-WHOLE_NUMBER = re.compile(r"0|[1-9][0-9]{0,8}")  # as it is passed on, letter for letter
+FILL_HINTS = dict(zip("hfojsrblnx", list(FillHint)[1:], strict=True))  # by the letter on the wire
+HEX16 = re.compile(r"[0-9a-f]{16}")
+HEX = re.compile(r"[0-9a-f]{1,64}")
+INTEGER = re.compile(r"0|[1-9][0-9]{0,8}")  # as it is forwarded, digit for digit
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
-LONGEST_BODY = 48_000
-LARGEST = 1e8  # KB of one part
-LAST_PART = 99_999
-SLACK = 0.05  # seconds by which a client may round its wait up
+MAX_BODY = 48_000  # bytes
+MAX_SIZE = 1e8  # kB of one part
+MAX_PART = 99_999
+MAX_GROUP = 255
+TIMEOUT_TOLERANCE = 0.05  # seconds by which a client may round its timeout up
+
+
+class RequestFlaw(Enum):
+    """What is wrong with a request; the client is sent these texts, so they are part of the wire."""
+
+    UNKNOWN_CLASS = "unknown content type"
+    MISSING_FIELD = "missing field"
+    MALFORMED_ID = "id and key are 16 hex digits"
+    MALFORMED_TOKEN = "a field that cannot be passed on"
+    MALFORMED_NUMBER = "a field that is no number"
+    NUMBER_BEYOND_BOUNDS = "a number out of its bounds"
+    BODY_TOO_LARGE = "a body too large"
 
 
 class InvalidRequestError(Exception):
-    """Fields that no download can have."""
+    """Fields that no request can have.
+
+    Attributes:
+        flaw: what is wrong.
+        field: name of the missing field, "" otherwise.
+    """
+
+    def __init__(self, flaw: RequestFlaw, field: str = "") -> None:
+        super().__init__(f"{flaw.value} {field!r}" if field else flaw.value)
+        self.flaw = flaw
+        self.field = field
 
 
 @dataclass(frozen=True, slots=True)
 class ParsedRequest:
-    """What a client asks for."""
+    """A client's request.
+
+    Attributes:
+        client_id: the client's name for it, 16 hex digits, unique while it is open.
+        class_name: its request class.
+        timeout: seconds for which the client waits.
+        is_retry: whether the client says that it asks again.
+        key: the object, 16 hex digits.
+        part: which part of the object.
+        group: the group of objects that may be purged together.
+        size_kb: the part's size; 0 where it is not told.
+        idempotency_key: None or "" where there is none.
+        known_version: of the copy that the client has; None where it has none.
+        body: what is sent along.
+    """
 
-    name: str
-    type: str
-    wait: float
-    repeat: bool
+    client_id: str
+    class_name: str
+    timeout: float
+    is_retry: bool
     key: str
     part: int
     group: int
-    kb: float
-    once: str | None
-    got: str | None
+    size_kb: float
+    idempotency_key: str | None
+    known_version: str | None
     body: bytes
 
 
-def read_request(fields: Mapping[str, str], body: bytes, types: Mapping[str, RequestClass]) -> ParsedRequest:
-    """What a client asks for; raises BadDownload.
+def read_request(
+    fields: Mapping[str, str], body: bytes, classes: Mapping[str, RequestClass]
+) -> ParsedRequest:
+    """Return a client's request.
 
-    Guards caches, and what the decisions learn, against figures and names that no client of ours sends.
+    Guards caches, and what the router learns, against figures and names that no client of ours sends.
+
+    Raises:
+        InvalidRequestError: for fields that no request can have.
     """
-    name, kind, key = (text(fields, field) for field in ("id", "class", "key"))
-    once, got = fields.get("once"), fields.get("got")
-    if kind not in types:
-        raise InvalidRequestError("unknown content type")
-    if types[kind].idempotency is Idempotency.DEDUPLICATED and not once:
-        raise InvalidRequestError("missing field 'once'")
-    if not HEX16.fullmatch(name) or not HEX16.fullmatch(key):
-        raise InvalidRequestError("id and key are 16 hex digits")
-    if not all(mark is None or HEX.fullmatch(mark) for mark in (once, got)):
-        raise InvalidRequestError("a field that cannot be passed on")
-    wait = float(figure(fields, "wait", DECIMAL)) / 1000
-    part, group = (
-        int(figure(fields, "nth", WHOLE_NUMBER, "0")),
-        int(figure(fields, "batch", WHOLE_NUMBER, "0")),
+    client_id, class_name, key = (_text(fields, name) for name in ("id", "class", "key"))
+    idempotency_key, known_version = fields.get("once"), fields.get("got")
+    if class_name not in classes:
+        raise InvalidRequestError(RequestFlaw.UNKNOWN_CLASS)
+    if classes[class_name].idempotency is Idempotency.DEDUPLICATED and not idempotency_key:
+        raise InvalidRequestError(RequestFlaw.MISSING_FIELD, "once")
+    if not HEX16.fullmatch(client_id) or not HEX16.fullmatch(key):
+        raise InvalidRequestError(RequestFlaw.MALFORMED_ID)
+    if not all(text is None or HEX.fullmatch(text) for text in (idempotency_key, known_version)):
+        raise InvalidRequestError(RequestFlaw.MALFORMED_TOKEN)
+    request = ParsedRequest(
+        client_id=client_id,
+        class_name=class_name,
+        timeout=float(_numeric(fields, "wait", DECIMAL)) / 1000,
+        is_retry=fields.get("retry") == "1",
+        key=key,
+        part=int(_numeric(fields, "nth", INTEGER, "0")),
+        group=int(_numeric(fields, "batch", INTEGER, "0")),
+        size_kb=float(_numeric(fields, "kb", DECIMAL, "0")),
+        idempotency_key=idempotency_key,
+        known_version=known_version,
+        body=body,
+    )
+    _check_bounds(request, classes[class_name].deadline_after)
+    return request
+
+
+def _check_bounds(request: ParsedRequest, max_timeout: float) -> None:
+    is_within_bounds = (
+        0 < request.timeout <= max_timeout + TIMEOUT_TOLERANCE
+        and request.group <= MAX_GROUP
+        and request.size_kb <= MAX_SIZE
+        and request.part <= MAX_PART
     )
-    kb = float(figure(fields, "kb", DECIMAL, "0"))
-    if not 0 < wait <= types[kind].deadline_after + SLACK or group > 255 or kb > LARGEST or part > LAST_PART:
-        raise InvalidRequestError("a number out of its bounds")
-    if len(body) > LONGEST_BODY:
-        raise InvalidRequestError("a body too large")
-    return ParsedRequest(name, kind, wait, fields.get("retry") == "1", key, part, group, kb, once, got, body)
+    if not is_within_bounds:
+        raise InvalidRequestError(RequestFlaw.NUMBER_BEYOND_BOUNDS)
+    if len(request.body) > MAX_BODY:
+        raise InvalidRequestError(RequestFlaw.BODY_TOO_LARGE)
 
 
-def text(fields: Mapping[str, str], name: str) -> str:
+def _text(fields: Mapping[str, str], name: str) -> str:
     if name not in fields:
-        raise InvalidRequestError(f"missing field {name!r}")
+        raise InvalidRequestError(RequestFlaw.MISSING_FIELD, name)
     return fields[name]
 
 
-def figure(fields: Mapping[str, str], name: str, form: re.Pattern[str], absent: str | None = None) -> str:
-    value = text(fields, name) if absent is None else fields.get(name, absent)
+def _numeric(fields: Mapping[str, str], name: str, form: re.Pattern[str], default: str | None = None) -> str:
+    """Return a numeric field's text; without a default it must be there."""
+    value = _text(fields, name) if default is None else fields.get(name, default)
     if not form.fullmatch(value):
-        raise InvalidRequestError("a field that is no number")
+        raise InvalidRequestError(RequestFlaw.MALFORMED_NUMBER)
     return value
 
 
-def order(wish: ParsedRequest, action: SendAttempt, source: str | None, left: float) -> dict[str, str]:
-    """The fields of one pull; ages and waits are whole milliseconds, and none may become nothing."""
-    mode = zip(
+def attempt_fields(
+    request: ParsedRequest, action: SendAttempt, source: str | None, timeout: float
+) -> dict[str, str]:
+    """Return the fields of the command for one attempt.
+
+    Ages and timeouts are whole milliseconds, and none may become 0, which stands for no bound.
+
+    Args:
+        request: what the client asks for.
+        action: what the router decided.
+        source: name of the cache that a miss is filled from; None where the cache is asked alone.
+        timeout: seconds that the attempt may take.
+    """
+    flags = zip(
         "jhnr", (action.join_fill, action.only_cached, action.leave_no_copy, action.revalidate), strict=True
     )
-    modes = "+".join(letter for letter, on in mode if on)
+    mode = "+".join(letter for letter, is_set in flags if is_set)
     fields = {
-        "queue": wish.type,
-        "path": wish.key,
-        "blk": str(wish.part),
-        "budget": str(max(int(left * 1000), 1)),
-        "uniq": wish.once,
+        "queue": request.class_name,
+        "path": request.key,
+        "blk": str(request.part),
+        "budget": str(max(int(timeout * 1000), 1)),
+        "uniq": request.idempotency_key,
         "from": source,
         "rank": str(action.rank) if action.rank else None,
         "oldest": str(max(int(action.max_age * 1000), 1)) if action.max_age else None,
-        "mode": modes or None,
-        "seen": wish.got,
+        "mode": mode or None,
+        "seen": request.known_version,
     }
     return {name: value for name, value in fields.items() if value is not None}
 
 
-def number(text: str) -> float:
+def _finite(text: str) -> float:
+    """Return a number of a cache's report, 0 for what is none or not finite."""
     try:
         value = float(text)
     except ValueError:
@@ -127,23 +204,32 @@
     return value if math.isfinite(value) else 0.0
 
 
-def load(text: str | None) -> dict[str, float] | None:
-    """A load report, as in `inflight:7;util:0.61`."""
+def parse_load(text: str | None) -> dict[str, float] | None:
+    """Return a load report, as in `inflight:7;util:0.61`; None where there is none."""
     if not text:
         return None
-    return {name: number(value) for name, _, value in (pair.partition(":") for pair in text.split(";"))}
+    return {name: _finite(value) for name, _, value in (pair.partition(":") for pair in text.split(";"))}
 
 
-def ended(
-    name: str, attempt: int, how: Answer | Lost | AttemptResult, took: float, closed: bool
+def attempt_ended(
+    request_id: str,
+    attempt: int,
+    outcome: Answer | Lost | AttemptResult,
+    duration: float,
+    request_closed: bool,
 ) -> AttemptEnded:
-    """How a pull ended, as the decisions hear it."""
-    if isinstance(how, Answer):
-        fields = how.fields
-        hint = HINTS.get(fields.get("detail", ""), FillHint.NONE)
-        waited = number(fields.get("waited", "0")) / 1000
+    """Return the event that tells the router how an attempt ended."""
+    if isinstance(outcome, Answer):
+        fields = outcome.fields
         return AttemptEnded(
-            name, attempt, RESULTS[how.word], took, closed, hint, waited, load(fields.get("use"))
+            id=request_id,
+            attempt=attempt,
+            result=RESULTS[outcome.word],
+            duration=duration,
+            request_closed=request_closed,
+            fill_hint=FILL_HINTS.get(fields.get("detail", ""), FillHint.NONE),
+            waited=_finite(fields.get("waited", "0")) / 1000,
+            load=parse_load(fields.get("use")),
         )
-    result = LOSSES[how] if isinstance(how, Lost) else how
-    return AttemptEnded(name, attempt, result, took, closed, FillHint.NONE, 0.0, None)
+    result = LOSSES[outcome] if isinstance(outcome, Lost) else outcome
+    return AttemptEnded(request_id, attempt, result, duration, request_closed, FillHint.NONE, 0.0, None)
--- a/weldbend/front/timers.py
+++ b/weldbend/front/timers.py
@@ -1,79 +1,118 @@
-"""All timers of the front: one heap, and one delayed call for the next of them."""
+"""All timers of the front: one heap, and one delayed call of the reactor for the earliest of them."""
 
 import heapq
 import itertools
 from collections.abc import Callable
-from typing import Any
+from typing import Protocol
 
 from weldbend.front.clock import Clock
 
+MIN_COMPACTION = 64  # cancelled timers in the heap below which it is not compacted
+
+
+class DelayedCall(Protocol):
+    """What the reactor returns for a delayed call."""
+
+    def active(self) -> bool:
+        """Return whether it is still to come."""
+        ...
+
+    def cancel(self) -> None:
+        """Cancel it."""
+        ...
+
+
+class ReactorClock(Protocol):
+    """The part of Twisted's reactor that delays calls."""
+
+    def callLater(self, delay: float, callback: Callable[..., object], /, *args: object) -> DelayedCall:
+        """Call back after `delay` seconds."""
+        ...
+
 
 class Timer:
-    __slots__ = ("call", "timers")
+    """A call that is due once."""
+
+    __slots__ = ("callback", "timers")
 
-    def __init__(self, timers: "Timers", call: Callable[[], object]) -> None:
+    def __init__(self, timers: "Timers", callback: Callable[[], object]) -> None:
         self.timers = timers
-        self.call: Callable[[], object] | None = call
+        self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
-        if self.call:
-            self.call = None
-            self.timers.cancelled()
+        """Cancel the call; nothing happens where it has run or was cancelled already."""
+        if self.callback:
+            self.callback = None
+            self.timers.count_cancelled()
 
 
 class Timers:
-    def __init__(self, reactor: Any, clock: Clock) -> None:
-        self.reactor, self.clock = reactor, clock
+    """The heap of timers.
+
+    Attributes:
+        max_delay: seconds by which a timer ran late, at most.
+    """
+
+    def __init__(self, reactor: ReactorClock, clock: Clock) -> None:
+        self.reactor = reactor
+        self.clock = clock
         self.heap: list[tuple[float, int, Timer]] = []
-        self.order = itertools.count()
-        self.delayed: Any = None
-        self.idle = 0  # timers in the heap that were cancelled
-        self.due = self.latest = 0.0  # when the next is due, and by how much one was late at most
+        self.max_delay = 0.0
+        self._sequence = itertools.count()
+        self._delayed_call: DelayedCall | None = None
+        self._next_due = 0.0
+        self._cancelled = 0  # cancelled timers that are still in the heap
 
     def now(self) -> float:
+        """Return the monotonic time in seconds."""
         return self.clock.now()
 
-    def after(self, delay: float, call: Callable[[], object]) -> Timer:
-        return self.at(self.now() + max(delay, 0.0), call)
+    def after(self, delay: float, callback: Callable[[], object]) -> Timer:
+        """Call back after `delay` seconds."""
+        return self.at(self.now() + max(delay, 0.0), callback)
 
-    def at(self, moment: float, call: Callable[[], object]) -> Timer:
-        timer = Timer(self, call)
-        heapq.heappush(self.heap, (moment, next(self.order), timer))
-        self.arm()
+    def at(self, moment: float, callback: Callable[[], object]) -> Timer:
+        """Call back at a moment of the monotonic clock."""
+        timer = Timer(self, callback)
+        heapq.heappush(self.heap, (moment, next(self._sequence), timer))
+        self._arm()
         return timer
 
-    def cancelled(self) -> None:
-        """Most timers are: the heap must not hold them until they would have been due."""
-        self.idle += 1
-        if self.idle > 64 and 2 * self.idle > len(self.heap):
-            self.heap = [entry for entry in self.heap if entry[2].call]
+    def count_cancelled(self) -> None:
+        """Compact the heap where more than half of it is cancelled.
+
+        Most timers are cancelled: the heap must not keep them until they would have been due.
+        """
+        self._cancelled += 1
+        if self._cancelled > MIN_COMPACTION and 2 * self._cancelled > len(self.heap):
+            self.heap = [entry for entry in self.heap if entry[2].callback]
             heapq.heapify(self.heap)
-            self.idle = 0
+            self._cancelled = 0
 
-    def arm(self) -> None:
-        """Have the one delayed call come when the first timer is due."""
+    def _arm(self) -> None:
+        """Schedule the one delayed call for the earliest timer."""
         if not self.heap:
             return
-        first = self.heap[0][0]
-        if self.delayed is not None and self.delayed.active():
-            if self.due <= first:
+        earliest = self.heap[0][0]
+        if self._delayed_call is not None and self._delayed_call.active():
+            if self._next_due <= earliest:
                 return
-            self.delayed.cancel()
-        self.due = first
-        self.delayed = self.reactor.callLater(max(first - self.now(), 0.0), self.fire)
+            self._delayed_call.cancel()
+        self._next_due = earliest
+        self._delayed_call = self.reactor.callLater(max(earliest - self.now(), 0.0), self._run_due)
 
-    def fire(self) -> None:
-        """Run what is due; a fault in one call must not silence the others."""
+    def _run_due(self) -> None:
+        """Run all that is due; an exception in one call must not stop the others."""
         now = self.now()
         if self.heap:
-            self.latest = max(self.latest, now - self.heap[0][0])
+            self.max_delay = max(self.max_delay, now - self.heap[0][0])
         try:
             while self.heap and self.heap[0][0] <= now:
                 timer = heapq.heappop(self.heap)[2]
-                call, timer.call = timer.call, None
-                if call:
-                    call()
+                callback, timer.callback = timer.callback, None
+                if callback:
+                    callback()
                 else:
-                    self.idle -= 1
+                    self._cancelled -= 1
         finally:
-            self.arm()
+            self._arm()
--- a/weldbend/logs.py
+++ b/weldbend/logs.py
@@ -2,30 +2,37 @@
 
 import json
 import sys
-from typing import Any
+from typing import TYPE_CHECKING
 
 from loguru import logger
 
+if TYPE_CHECKING:
+    from loguru import Message
+
 FORMS = ("text", "json")
 FORMAT = "{time:HH:mm:ss.SSS} {level:<7} {message}"
 
 
 def start(level: str, form: str) -> None:
-    """Send what is logged from `level` on to standard error, in one of FORMS; raises ValueError."""
+    """Send what is logged from `level` on to standard error, in one of FORMS.
+
+    Raises:
+        ValueError: for an unknown level.
+    """
     logger.remove()
     if form == "json":
-        logger.add(write_object, level=level.upper(), format="{message}", backtrace=False, diagnose=False)
+        logger.add(write_json, level=level.upper(), format="{message}", backtrace=False, diagnose=False)
     else:
         logger.add(sys.stderr, format=FORMAT, level=level.upper(), backtrace=False, diagnose=False)
 
 
-def write_object(message: Any) -> None:
-    """One line: when, how grave, what, and the fields that were bound or counted, each under its name."""
+def write_json(message: "Message") -> None:
+    """Write one line: time, level, message, and the fields that were bound, each under its name."""
     record = message.record
-    held = {
+    line = {
         "time": record["time"].isoformat(timespec="milliseconds"),
         "level": record["level"].name,
         "message": record["message"],
     }
-    fields = {name: value for name, value in record["extra"].items() if name not in held}
-    sys.stderr.write(json.dumps(held | fields, default=str) + "\n")
+    bound = {name: value for name, value in record["extra"].items() if name not in line}
+    sys.stderr.write(json.dumps(line | bound, default=str) + "\n")
--- a/weldbend/site_settings.py
+++ b/weldbend/site_settings.py
@@ -1,6 +1,7 @@
-"""The settings object that a front is given, read once into the facts that the decisions go by.
+"""Reads the settings object that a front is given into the settings that the router goes by.
 
-Both doors use it: the simulator's adapter and the front on sockets. Unknown keys are ignored.
+Both programs that hold a router use it: the simulator's adapter and the front on sockets. Unknown keys are
+ignored.
 """
 
 from collections.abc import Mapping
@@ -8,70 +9,85 @@
 
 from weldbend.routing.settings import DeduplicationScope, Idempotency, RequestClass, Role, SiteSettings
 
-EFFECTS = {
+IDEMPOTENCIES = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.DEDUPLICATED,
     "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
-SCOPES = {"all": DeduplicationScope.ALL, "zone": DeduplicationScope.ZONE, "cell": DeduplicationScope.CELL}
+DEDUPLICATION_SCOPES = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
+
+
+MICROSECONDS = 1e6  # in a second
+
 
+def cache_roles(raw: Mapping[str, Any]) -> dict[str, Role]:
+    """Return the role of each machine kind.
 
-def cache_roles(conf: Mapping[str, Any]) -> dict[str, Role]:
-    """What each machine kind is for."""
-    kind = conf["family_info"]
-    roles = dict.fromkeys(conf["kinds"], Role.EDGE)
-    if kind["shield_kind"] >= 0:
-        roles[conf["kinds"][kind["shield_kind"]]] = Role.PARENT
-    roles[conf["kinds"][kind["root_kind"]]] = Role.ORIGIN
+    Raises:
+        KeyError: for a key that is missing.
+    """
+    family, kinds = raw["family_info"], raw["kinds"]
+    roles = dict.fromkeys(kinds, Role.EDGE)
+    if family["shield_kind"] >= 0:  # a site without parents has -1
+        roles[kinds[family["shield_kind"]]] = Role.PARENT
+    roles[kinds[family["root_kind"]]] = Role.ORIGIN
     return roles
 
 
-def read_site_settings(conf: Mapping[str, Any]) -> SiteSettings:
-    """All that the decisions read of the settings; raises KeyError for what is missing."""
-    kind = conf["family_info"]
-    caps, rules, zones = conf["caps"], conf["obligations"], conf["zones"]
-    zone = zones.index(conf["az"])
-    hubs, fronts = kind["hub_by_zone"], kind["count_by_zone"]
-    lanes = conf["lanes"]
-    classes = {
-        lane["name"]: RequestClass(
-            name=lane["name"],
-            idempotency=EFFECTS[lane["idempotency"]],
-            deduplication_scope=SCOPES[lane["key_scope"]],
-            deduplication_window=lane["window_us"] / 1e6,
-            deadline_after=lane["deadline_us"] / 1e6,
-            latency_objective=lane["goal_time_us"] / 1e6,
-            objective_stretch=lane.get("aim_stretch", 0.0),
-            priority_weight=lane["points"],
-            fresh_for=kind["lifetime_by_class_us"][place] / 1e6,
-            origin_only=kind["pass_on"][place],
-        )
-        for place, lane in enumerate(lanes)
-    }
+def _request_class(lane: Mapping[str, Any], family: Mapping[str, Any], place: int) -> RequestClass:
+    """Return the request class at a place of the settings' list."""
+    return RequestClass(
+        name=lane["name"],
+        idempotency=IDEMPOTENCIES[lane["idempotency"]],
+        deduplication_scope=DEDUPLICATION_SCOPES[lane["key_scope"]],
+        deduplication_window=lane["window_us"] / MICROSECONDS,
+        deadline_after=lane["deadline_us"] / MICROSECONDS,
+        latency_objective=lane["goal_time_us"] / MICROSECONDS,
+        objective_stretch=lane.get("aim_stretch", 0.0),
+        priority_weight=lane["points"],
+        fresh_for=family["lifetime_by_class_us"][place] / MICROSECONDS,
+        origin_only=family["pass_on"][place],
+    )
+
+
+def read_site_settings(raw: Mapping[str, Any]) -> SiteSettings:
+    """Return all that the router reads of a settings object.
+
+    Raises:
+        KeyError: for a key that is missing.
+    """
+    family, caps, rules = raw["family_info"], raw["caps"], raw["obligations"]
+    zones, hubs, fronts = raw["zones"], family["hub_by_zone"], family["count_by_zone"]
+    zone = zones.index(raw["az"])
+    lanes = enumerate(raw["lanes"])
     return SiteSettings(
-        zone=conf["az"],
+        zone=raw["az"],
         hub=zones[hubs[zone]],
-        fronts=conf["siblings"],
+        fronts=raw["siblings"],
         zone_fronts=fronts[zone],
         hub_fronts=sum(count for count, hub in zip(fronts, hubs, strict=True) if hub == hubs[zone]),
-        classes=classes,
-        tick=conf["tick_us"] / 1e6,
-        list_refresh=rules["ask_within_us"] / 1e6,
-        subscribes=conf["registry_mode"] == "subscribe",
-        weighted=conf["weights"] != "none",
+        classes={lane["name"]: _request_class(lane, family, place) for place, lane in lanes},
+        tick=raw["tick_us"] / MICROSECONDS,
+        list_refresh=rules["ask_within_us"] / MICROSECONDS,
+        subscribes=raw["registry_mode"] == "subscribe",
+        weighted=raw["weights"] != "none",
         allows_hedging=caps["second_copies"],
         allows_cancel=caps["cancelling"],
         max_attempts=caps["send_cap"],
-        max_retry_after=caps["max_retry_after_us"] / 1e6 if caps["retry_after"] else 0.0,
-        allows_bypass=kind["bypass_allowed"],
-        joins_fills=kind["shares_fills"],
+        max_retry_after=caps["max_retry_after_us"] / MICROSECONDS if caps["retry_after"] else 0.0,
+        allows_bypass=family["bypass_allowed"],
+        joins_fills=family["shares_fills"],
         edge_start_capacity=rules["cold_from"],
-        edge_warmup=rules["cold_us"] / 1e6,
+        edge_warmup=rules["cold_us"] / MICROSECONDS,
         edge_overload_factor=rules["fall_multiple"],
-        edge_overload_window=rules["overload_for_us"] / 1e6,
-        parent_start_capacity=kind["parent_starts_at"],
-        parent_warmup=kind["parent_warms_in_us"] / 1e6,
-        parent_overload_factor=kind["parent_breaks_at"],
-        purge_grace=kind["purge_slack_us"] / 1e6,
-        purge_complete_after=kind["gone_everywhere_us"] / 1e6,
+        edge_overload_window=rules["overload_for_us"] / MICROSECONDS,
+        parent_start_capacity=family["parent_starts_at"],
+        parent_warmup=family["parent_warms_in_us"] / MICROSECONDS,
+        parent_overload_factor=family["parent_breaks_at"],
+        purge_grace=family["purge_slack_us"] / MICROSECONDS,
+        purge_complete_after=family["gone_everywhere_us"] / MICROSECONDS,
     )
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -234,7 +234,8 @@
         """Each front's fleet as its auditor looks at it."""
         found = {}
         for machine, front in self.fronts.values():
-            fleet = front.shared.fleet
+            assert front.fleet_adapter
+            fleet = front.fleet_adapter.fleet
             found[machine.name] = SimpleNamespace(
                 name=machine.name, up=machine.alive, members=fleet.members, copies=fleet.copies,
                 exchange=fleet.exchange,
--- a/weldbend/testbed/load/idle_benchmark.py
+++ b/weldbend/testbed/load/idle_benchmark.py
@@ -18,7 +18,14 @@
 
 A_HOLDER = 16_000  # idle connections that one holder has at most; descriptors of a process may end at 20,000
 RESERVE = 600  # descriptors of a front beside its idle ones
-COUNTERS = ("timers_late_ms", "turns_ms", "wake_late_ms", "most_parked", "memory_mb", "broken")
+COUNTERS = (
+    "max_timer_delay_ms",
+    "max_iteration_ms",
+    "max_wakeup_delay_ms",
+    "max_idle_connections",
+    "max_memory_mb",
+    "violations",
+)
 SETTLE = 2.0  # seconds that are waited until all is parked
 
 
@@ -184,7 +191,7 @@
                     told = result(busy(held.fronts, rate, seconds, 7 + at))
             pair["with" if idle else "none"] = told | {"front": held.counters()[0]}
         row = {
-            name: told["latency_ms"] | {"timers_late": told["front"].get("timers_late_ms")}
+            name: told["latency_ms"] | {"timers_late": told["front"].get("max_timer_delay_ms")}
             for name, told in pair.items()
         }
         say(json.dumps(row))
--- a/weldbend/testbed/simulation/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -94,7 +94,7 @@
     def unix(self) -> float:  # type: ignore[override]
         return self.world.unix() + self.ahead + self.drift * (self.world.now - self.born)
 
-    def drawn(self, size: int) -> bytes:  # type: ignore[override]
+    def random_bytes(self, size: int) -> bytes:  # type: ignore[override]
         return self.world.chance.randbytes(size)
 
 
