--- a/weldbend/simhost/__main__.py
+++ b/weldbend/simhost/__main__.py
@@ -1,3 +1,5 @@
+"""`python -m weldbend.simhost`: answers the simulator until its input ends."""
+
 import sys
 
 from weldbend.simhost.host import serve
--- /dev/null
+++ b/weldbend/simhost/errors.py
@@ -0,0 +1,81 @@
+"""What is wrong with a line of the simulator's protocol."""
+
+
+class MalformedLineError(Exception):
+    """A line that the protocol does not allow."""
+
+
+class TruncatedBatchError(MalformedLineError):
+    """The input ended inside a batch."""
+
+    def __init__(self) -> None:
+        super().__init__("input ended inside a batch")
+
+
+class UnexpectedLineError(MalformedLineError):
+    """A line of another kind than must come here."""
+
+    def __init__(self, expected: str, found: str) -> None:
+        super().__init__(f"expected {expected}, got {found!r}")
+        self.expected = expected
+        self.found = found
+
+
+class UnknownInstanceError(MalformedLineError):
+    """An event for an instance that was never started, or has ended."""
+
+    def __init__(self, number: int | None) -> None:
+        super().__init__(f"event for unknown instance {number}")
+        self.number = number
+
+
+class UnknownEventError(MalformedLineError):
+    """An event that the protocol does not have."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__(f"unknown event {name!r}")
+        self.name = name
+
+
+class UnknownValueError(MalformedLineError):
+    """A word or number that stands for nothing."""
+
+    def __init__(self, name: str, value: object) -> None:
+        super().__init__(f"unknown {name}: {value!r}")
+        self.name = name
+        self.value = value
+
+
+class InvalidNumberError(MalformedLineError):
+    """A value that is not the number that it must be."""
+
+    def __init__(self, text: str, is_integer: bool = False) -> None:
+        super().__init__(f"not a {'whole ' * is_integer}number: {text!r}")
+        self.is_integer = is_integer
+        self.text = text
+
+
+class MissingValuesError(MalformedLineError):
+    """A line with fewer values than its kind has."""
+
+    def __init__(self, name: str, found: int, wanted: int) -> None:
+        super().__init__(f"{name}: {found} values, {wanted} wanted")
+        self.name = name
+        self.found = found
+        self.wanted = wanted
+
+
+class UnreadableSettingsError(MalformedLineError):
+    """Settings of a new instance that are no JSON."""
+
+    def __init__(self, cause: ValueError) -> None:
+        super().__init__(f"provision: settings are not JSON: {cause}")
+        self.cause = cause
+
+
+class MissingSettingError(MalformedLineError):
+    """Settings of a new instance that lack a key, named by the error that looking it up raised."""
+
+    def __init__(self, missing: KeyError) -> None:
+        super().__init__(f"provision: settings lack {missing}")
+        self.missing = missing
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -1,4 +1,4 @@
-"""Framing: batches in, one reply each, and the instances they are for."""
+"""Framing of the simulator's protocol: batches of events in, one reply each, and the instances meant."""
 
 import traceback
 from collections.abc import Iterator
@@ -7,94 +7,117 @@
 from weldbend.routing.events import Event
 from weldbend.routing.router import Router
 from weldbend.simhost import wire
+from weldbend.simhost.errors import (
+    MalformedLineError,
+    TruncatedBatchError,
+    UnexpectedLineError,
+    UnknownInstanceError,
+)
 
 
-class Front:
-    """One instance: its door, its decisions and the events that wait for them."""
+class Instance:
+    """One simulated front: its codec, its router, and the events of the batch being read."""
 
-    def __init__(self, rest: str) -> None:
-        self.door = wire.Door(rest)
-        self.router = Router(self.door.seed, self.door.settings)
-        self.waiting: list[Event] = []
+    def __init__(self, line_rest: str) -> None:
+        self.codec = wire.InstanceCodec(line_rest)
+        self.router = Router(self.codec.seed, self.codec.settings)
+        self.events: list[Event] = []
 
     def answer(self, now: float) -> list[str]:
-        events, self.waiting = self.waiting, []
+        """Hand the events to the router; return the lines of its actions, or one that reports an error."""
+        events, self.events = self.events, []
         try:
             return [wire.action_text(action) for action in self.router.handle(now, events)]
-        except Exception as bug:  # a bug in the decisions is reported, never swallowed
-            return ["panic " + "".join(traceback.format_exception(bug)).replace("\n", " | ")]
+        except Exception as error:  # noqa: BLE001, RUF100 - the simulator is told of any error
+            return ["panic " + "".join(traceback.format_exception(error)).replace("\n", " | ")]
 
 
 class Host:
-    """All instances of this process, and the reader of their batches."""
+    """All instances of this process, and the reader of their batches.
+
+    Attributes:
+        line_number: of the line read last, counted from 1.
+    """
 
     def __init__(self, lines: TextIO) -> None:
-        self.lines = lines
-        self.number = 0
-        self.fronts: dict[int, Front] = {}
+        self.line_number = 0
+        self._lines = lines
+        self._instances: dict[int, Instance] = {}
+        self._current: int | None = None  # the instance that the lines are for
+        self._replies: dict[int, list[str]] = {}  # by instance, in the order of its first event in the batch
 
     def read(self) -> Iterator[tuple[str, str]]:
-        for line in self.lines:
-            self.number += 1
+        """Yield each line as its first word and the rest."""
+        for line in self._lines:
+            self.line_number += 1
             yield wire.split(line)
 
-    def need(self) -> tuple[str, str]:
-        for part in self.read():
-            return part
-        raise wire.MalformedLineError("input ended inside a batch")
-
-    def front(self, who: int | None) -> Front:
-        if who not in self.fronts:
-            raise wire.MalformedLineError(f"event for unknown instance {who}")
-        return self.fronts[who]
-
-    def batch(self, now: float) -> str:
-        """Read one batch to its end and answer it, each instance in the order of its first event."""
-        who: int | None = None
-        replies: dict[int, list[str]] = {}
-        while (part := self.need())[0] != "over_to_you":
-            head, rest = part
-            match head:
-                case "for":
-                    who = wire.whole(rest)
-                case "provision" if who is not None:
-                    self.fronts[who] = Front(rest)
-                    replies[who] = []
-                case "retire":
-                    self.front(who)
-                    del self.fronts[who]
-                    replies.pop(who, None)
-                case "view":
-                    front = self.front(who)
-                    count = wire.whole(wire.values(head, rest, 3)[2])
-                    front.waiting.append(
-                        front.door.listed(rest, [" ".join(self.need()) for _ in range(count)])
-                    )
-                    replies.setdefault(who, [])
-                case _:
-                    front = self.front(who)
-                    front.waiting.append(front.door.event(head, rest))
-                    replies.setdefault(who, [])
-        for who, reply in replies.items():
-            reply += self.fronts[who].answer(now)
+    def _next_line(self) -> tuple[str, str]:
+        for parts in self.read():
+            return parts
+        raise TruncatedBatchError
+
+    def _instance(self) -> tuple[int, Instance]:
+        if self._current is None or self._current not in self._instances:
+            raise UnknownInstanceError(self._current)
+        return self._current, self._instances[self._current]
+
+    def batch(self, head: str, rest: str) -> str:
+        """Read one batch to its end and return the reply.
+
+        Args:
+            head: first word of its first line.
+            rest: the rest of that line, the batch's time.
+
+        Raises:
+            MalformedLineError: for a line that the protocol does not allow.
+        """
+        if head != "sync":
+            raise UnexpectedLineError("sync", head)
+        now = wire.seconds(rest)
+        self._current = None
+        self._replies = {}
+        while (parts := self._next_line())[0] != "over_to_you":
+            self._handle_line(*parts)
+        for number, reply in self._replies.items():
+            reply += self._instances[number].answer(now)
         texts = [
-            f"source {who}\n" + "".join(f"{line}\n" for line in reply)
-            for who, reply in replies.items()
+            f"source {number}\n" + "".join(f"{line}\n" for line in reply)
+            for number, reply in self._replies.items()
             if reply
         ]
         return "".join(texts) + "finished\n"
 
+    def _handle_line(self, head: str, rest: str) -> None:
+        if head == "for":
+            self._current = wire.integer(rest)
+        elif head == "provision" and self._current is not None:
+            self._instances[self._current] = Instance(rest)
+            self._replies[self._current] = []
+        elif head == "retire":
+            number, _ = self._instance()
+            del self._instances[number]
+            self._replies.pop(number, None)
+        else:
+            number, instance = self._instance()
+            instance.events.append(self._event(instance.codec, head, rest))
+            self._replies.setdefault(number, [])
+
+    def _event(self, codec: wire.InstanceCodec, head: str, rest: str) -> Event:
+        if head != "view":
+            return codec.event(head, rest)
+        count = wire.integer(wire.values(head, rest, 3)[2])
+        return codec.endpoints_listed(rest, [" ".join(self._next_line()) for _ in range(count)])
+
 
 def serve(lines: TextIO, out: TextIO, err: TextIO) -> int:
-    """Answer every batch until the input ends; 0, or 1 after a malformed line."""
+    """Answer every batch until the input ends; return 0, or 1 after a malformed line."""
     host = Host(lines)
     try:
         for head, rest in host.read():
-            if head != "sync":
-                raise wire.MalformedLineError(f"expected sync, got {head!r}")
-            out.write(host.batch(wire.seconds(rest)))
+            out.write(host.batch(head, rest))
             out.flush()
-    except wire.MalformedLineError as wrong:
-        print(f"line {host.number}: {wrong}", file=err)
+    except MalformedLineError as error:
+        print(f"line {host.line_number}: {error}", file=err)
         return 1
     return 0
