--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -273,12 +273,12 @@
         self.door = Door(self.reactor, replace(held, client_settings=terms or held.client_settings))
         self.rim = DescriptorSetInMemory(self)
         if parks:
-            self.door.listener.rim = lambda reactor: self.rim
+            self.door.listener.epoll_set_factory = lambda reactor: self.rim
         self.door.clock.now = lambda: self.reactor.seconds() + 1.0
         self.door.clock.age = lambda stamp: max(self.unix() - stamp, 0.0)
         self.door.clock.from_unix = lambda stamp: self.door.clock.now() - (self.unix() - stamp)
         self.trace, self.clients, self.caches = [], [], {}
-        self.door.listener.watch = lambda: None  # a port in memory has no socket
+        self.door.listener.set_keepalive = lambda: None  # a port in memory has no socket
         self.door.start()
         self.door.open()
         self.door.listener.port.doRead = lambda: None  # nobody waits to be accepted
@@ -334,7 +334,7 @@
     def bring(self, place, *frames):
         """Bytes for a parked client; they are noted at once, and woken in their turn."""
         fd = self.rim.bring(place, b"".join(frames))
-        self.door.listener.lot.doRead()
+        self.door.listener.idle_pool.doRead()
         return fd
 
     def say(self, client, *frames):
@@ -346,8 +346,8 @@
         dispatcher = self.dispatcher
         return [
             (dispatcher.names.uids[n], dial)
-            for n, lane in dispatcher.pool.lanes.items()
-            for dial in lane.dials
+            for n, lane in dispatcher.pool.endpoints.items()
+            for dial in lane.connecting
         ]
 
     def connect(self):
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -26,7 +26,7 @@
         return self.stage.reactor.seconds()
 
     def links(self):
-        return [link for link in self.stage.caches.values() if not link.lost]
+        return [link for link in self.stage.caches.values() if not link.is_lost]
 
     def ask(self):
         self.number += 1
@@ -34,7 +34,7 @@
         client = self.chance.randrange(3)
         kind = {"class": "order", "once": f"a{self.number}"} if self.chance.random() < 0.3 else {}
         key = f"{self.chance.randrange(9):016x}"
-        until = math.inf if self.members[client].paused else self.now() + wait + SLACK
+        until = math.inf if self.members[client].writer.is_paused else self.now() + wait + SLACK
         self.owed[self.number] = client, until
         self.stage.say(self.members[client], process(self.number, key=key, wait=str(wait * 1000), **kind))
 
@@ -45,10 +45,10 @@
             self.stage.say(self.members[self.owed.pop(number)[0]], give_up(number))
 
     def answer(self):
-        busy = [link for link in self.links() if link.out]
+        busy = [link for link in self.links() if link.in_flight]
         if busy:
             link = self.chance.choice(busy)
-            name = self.chance.choice(list(link.out))
+            name = self.chance.choice(list(link.in_flight))
             word = self.chance.choice(WORDS)
             body = b"x" * self.chance.choice((0, 5, 90_000)) if word == "DONE" else b""
             link.dataReceived(b"%b %b - %d\r\n%b\r\n" % (name.encode(), word.encode(), len(body), body))
@@ -98,7 +98,7 @@
             elif " < do " in line:
                 source = re.search(r"from=(\w+)", line)
                 assert not {line.partition("/")[0], source and source[1]} & self.closed, line
-        out = [name for link in self.links() for name in link.out]
+        out = [name for link in self.links() for name in link.in_flight]
         assert len(out) == len(set(out)), "two pulls of one download are out"
         self.stage.trace.clear()
 
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -20,7 +20,7 @@
 from fronts import KEY, Stage, configuration, give_up, probe, process
 from test_process import LONG, Program, ask, commands, heard, site
 
-from weldbend.caches.connection import STALL
+from weldbend.caches.stall_detector import STALL_TIMEOUT
 from weldbend.front.configuration import read_site
 from weldbend.invariants import anomalies
 
@@ -364,7 +364,7 @@
     stage = Stage()
     stage.say(stage.client(), process(1, once="ab", **{"class": "order"}))
     stage.connect()
-    stage.door.gateway.held(stage.door.site.max_unsent_bytes + 1)
+    stage.door.gateway.buffered_changed(stage.door.site.max_unsent_bytes + 1)
     stage.answer("o1", 1, "DONE", "-", b"ok")
     stage.caches["o1", 0].transport.loseConnection()
     stage.turn()
@@ -372,7 +372,7 @@
 
 
 def test_an_answer_that_never_ends_holds_up_nobody_for_longer_than_an_expiry():
-    stage, before = Stage(), anomalies["answers that never end"]
+    stage, before = Stage(), anomalies["cache answers over the time limit"]
     client = stage.client()
     stage.say(client, process(1))
     stage.connect()
@@ -380,13 +380,13 @@
     link.dataReceived(b"%016x DONE - 200000\r\n" % 1)
     for _ in range(20):
         link.dataReceived(b"x")
-        stage.turn(STALL / 2)
+        stage.turn(STALL_TIMEOUT / 2)
     stage.say(client, give_up(1), process(2, key=KEY))
-    assert link.retired and not any(f"{2:016x}" in c.out for c in [link])
-    while not link.lost and stage.reactor.seconds() < 30:
+    assert link.is_draining and not any(f"{2:016x}" in c.in_flight for c in [link])
+    while not link.is_lost and stage.reactor.seconds() < 30:
         link.dataReceived(b"x")
-        stage.turn(STALL / 2)
-    assert link.lost and anomalies["answers that never end"] in (before, before + 1)
+        stage.turn(STALL_TIMEOUT / 2)
+    assert link.is_lost and anomalies["cache answers over the time limit"] in (before, before + 1)
 
 
 def test_a_stop_lasts_no_longer_than_the_sites_own_expiries_allow():
@@ -477,7 +477,7 @@
     link = stage.caches["e2", 0]
     link.transport.loseConnection = lambda: ended.append("asked")
     link.transport.abortConnection = lambda: ended.append("let go")
-    link.retire()
+    link.drain()
     stage.turn(0.9)
     assert ended == ["asked"]
     stage.turn(0.2)
@@ -508,7 +508,7 @@
     else:
         client.dataReceived(give_up(1))
     stage.turn()
-    if not link.lost:
+    if not link.is_lost:
         link.dataReceived(text[-4:])
     stage.connect()
     stage.turn(0.05)
@@ -529,9 +529,9 @@
     for n, client in enumerate(clients, 1):
         stage.say(client, process(n, key=f"{n:016x}"))
     stage.connect()
-    answered = [n for link in stage.caches.values() for n in [int(name, 16) for name in link.out]][:10]
+    answered = [n for link in stage.caches.values() for n in [int(name, 16) for name in link.in_flight]][:10]
     for (uid, at), link in list(stage.caches.items()):
-        for n in [n for n in answered if f"{n:016x}" in link.out]:
+        for n in [n for n in answered if f"{n:016x}" in link.in_flight]:
             stage.answer(uid, n, "DONE", "-", b"ok", number=at)
     for n, client in enumerate(clients, 1):
         if n % 2:
@@ -548,7 +548,7 @@
     dispatcher = stage.dispatcher
     assert not any("< do" in line for line in stage.trace), stage.trace
     assert not (dispatcher.requests or dispatcher.requests.by_client_id or dispatcher.router.requests)
-    assert not any(lane.waiting for lane in dispatcher.pool.lanes.values())
+    assert not any(lane.waiting for lane in dispatcher.pool.endpoints.values())
     for _ in range(90):
         stage.turn(0.01)
     assert stage.reactor.hasStopped
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -25,13 +25,13 @@
 def parked(count, calls=1, **held):
     """A front with so many parked clients that asked one probe, and one place for each."""
     stage = Stage(parks=True, **held)
-    stage.door.listener.most = 10_000
+    stage.door.listener.max_connections = 10_000
     for _ in range(count):
         stage.client().dataReceived(b"".join(probe(n + 1) for n in range(calls)))
     for _ in range(100):
         stage.reactor.advance(0.01)
     stage.note()
-    assert stage.door.listener.parked() == count and not stage.door.listener.clients
+    assert stage.door.listener.idle_count() == count and not stage.door.listener.clients
     stage.trace.clear()
     return stage
 
@@ -138,13 +138,13 @@
     stage = Stage(parks=True)
     stage.client()
     stage.say(stage.client(), probe(1))
-    before, gone = anomalies["clients that say nothing"], {}
+    before, gone = anomalies["idle clients without a call"], {}
     for quarter in range(1, 24):
         stage.turn(LOOKED)
         for place in stage.rim.closed:
             gone.setdefault(place, quarter / 4)
-    assert 2.0 < gone[0] <= 2.5 and 4.5 < gone[1] <= 5.0 and not stage.door.listener.count()
-    assert anomalies["clients that say nothing"] == before + 1
+    assert 2.0 < gone[0] <= 2.5 and 4.5 < gone[1] <= 5.0 and not stage.door.listener.connection_count()
+    assert anomalies["idle clients without a call"] == before + 1
 
 
 def test_a_woken_client_goes_on_as_the_one_it_was():
@@ -152,13 +152,13 @@
     stage.bring(0, process(2))
     stage.turn()
     client = stage.clients[0][0]
-    assert client.calls == 2 and stage.door.listener.parked() == 0
+    assert client.call_count == 2 and stage.door.listener.idle_count() == 0
     stage.connect()
     stage.answer("e2", 2, "DONE", "-", b"photo")
     assert stage.trace[-1] == "client 0 < 2 process: 'photo'"
     for _ in range(3):
         stage.turn(LOOKED)
-    assert stage.door.listener.parked() == 1 and client.lost
+    assert stage.door.listener.idle_count() == 1 and client.is_lost
 
 
 def test_all_parked_wake_at_once_and_each_gets_its_one_answer():
@@ -169,7 +169,7 @@
     stage.connect()
     for place in range(count):
         stage.rim.bring(place, process(2, id=f"{place:016x}", key=f"{place:016x}"))
-    lot, sizes = stage.door.listener.lot, []
+    lot, sizes = stage.door.listener.idle_pool, []
     wake = lot.wake_batch
 
     def turn():
@@ -187,7 +187,7 @@
     for _ in range(4):
         stage.connect()
         for uid, number in list(stage.caches):
-            for name in list(stage.caches[uid, number].out):
+            for name in list(stage.caches[uid, number].in_flight):
                 stage.answer(uid, int(name, 16), "DONE", "-", b"photo", number)
     answers = [line.split()[1] for line in stage.trace if line.startswith("client")]
     assert sorted(answers, key=int) == [str(n) for n in range(count + 1)]
@@ -198,7 +198,7 @@
     stage = parked(40)
     for place in range(40):
         stage.rim.bring(place, process(2, id=f"{place:016x}", wait="1000"))
-    stage.door.listener.lot.doRead()
+    stage.door.listener.idle_pool.doRead()
     begun = stage.door.clock.now()
     for _ in range(6):
         stage.reactor.advance(0.01)
@@ -212,23 +212,27 @@
     stage.rim.told.update(stage.rim.came)  # the system has not told of it yet
     for _ in range(4):
         stage.turn(LOOKED)
-    assert not stage.rim.closed and stage.clients[0][0].open
+    assert not stage.rim.closed and stage.clients[0][0].open_requests
 
 
 @pytest.mark.parametrize("end", [ConnectionResetError(104, "reset"), b""])
 def test_a_peer_ends_or_resets_while_parked(end):
     stage = parked(2)
     stage.rim.bring(0, end)
-    stage.door.listener.lot.doRead()
-    assert stage.rim.closed == [0] and stage.door.listener.count() == 1 and not stage.door.listener.clients
+    stage.door.listener.idle_pool.doRead()
+    assert (
+        stage.rim.closed == [0]
+        and stage.door.listener.connection_count() == 1
+        and not stage.door.listener.clients
+    )
 
 
 def test_it_was_told_to_be_ready_and_nothing_had_come():
     stage = parked(1)
     stage.rim.came[5] = []
-    stage.door.listener.lot.doRead()
+    stage.door.listener.idle_pool.doRead()
     del stage.rim.came[5]
-    assert stage.door.listener.parked() == 1 and not stage.rim.told
+    assert stage.door.listener.idle_count() == 1 and not stage.rim.told
     stage.bring(0, probe(2))
     stage.turn()
     assert stage.trace == ["client 0 < 2 probe: good True"]
@@ -243,12 +247,12 @@
     assert list(stage.door.listener.clients) == [client] and not client.transport.disconnecting
     for _ in range(3):
         stage.turn(LOOKED)
-    assert client.transport.disconnecting and not stage.door.listener.count()
+    assert client.transport.disconnecting and not stage.door.listener.connection_count()
 
 
 def test_the_number_of_one_that_ended_while_it_waited_to_be_woken_is_given_to_another():
     stage = parked(2)
-    lot = stage.door.listener.lot
+    lot = stage.door.listener.idle_pool
     first = stage.rim.bring(0, probe(2))
     assert lot.queue_readable() == 1 and lot.table.waking_count == 1
     lot.close(first)
@@ -272,7 +276,7 @@
     stage.turn()
     stage.answer("e2", 1, "DONE", "-", b"one")
     for uid, number in list(stage.caches):
-        if "00000000000000aa" in stage.caches[uid, number].out:
+        if "00000000000000aa" in stage.caches[uid, number].in_flight:
             stage.answer(uid, 0xAA, "DONE", "-", b"two", number)
     stage.turn(0.41)
     turns = 0
@@ -290,7 +294,7 @@
     stage.door.read_again = lambda: replace(stage.door.site, bus_address="127.0.0.1:9999")
     stage.door.reload()
     stage.turn()
-    assert stage.door.bus.address == "127.0.0.1:9999" and stage.door.listener.parked() == 2000
+    assert stage.door.bus.address == "127.0.0.1:9999" and stage.door.listener.idle_count() == 2000
     stage.bring(5, probe(2))
     stage.turn()
     assert stage.trace == ["client 5 < 2 probe: good True"]
@@ -299,19 +303,19 @@
 def test_the_bound_is_reached_by_parked_ones_while_usual_clients_keep_coming():
     stage = parked(64)
     listener, port = stage.door.listener, []
-    listener.most = 64
+    listener.max_connections = 64
     for _ in range(30):
         usual = stage.client()
-        port.append(listener.resting)
+        port.append(listener.is_paused)
         stage.say(usual, process(1, id=f"{random.Random(len(port)).getrandbits(64):016x}"))
-        assert listener.count() <= 64 and usual in listener.clients and usual.open
+        assert listener.connection_count() <= 64 and usual in listener.clients and usual.open_requests
     assert not any(port) and len(stage.rim.closed) >= 26
     assert sorted(stage.rim.closed) == list(range(len(stage.rim.closed)))  # the longest idle went first
 
 
 def test_one_that_wakes_asks_once_and_idles_again_a_hundred_times_leaves_nothing_behind():
     stage = parked(3)
-    table, sizes = stage.door.listener.lot.table, []
+    table, sizes = stage.door.listener.idle_pool.table, []
     for number in range(2, 102):
         stage.bring(1, probe(number))
         for _ in range(4):
@@ -322,8 +326,8 @@
         for _ in range(3):
             stage.turn(LOOKED)
         wheels = [len(wheel.next) for wheel in table.wheels]
-        sizes.append((len(table.states), wheels, len(table.long_idle_queue), len(stage.door.listener.looks)))
-    assert sizes[5:] == sizes[5:6] * 95 and stage.door.listener.parked() == 3
+        sizes.append((len(table.states), wheels, len(table.long_idle_queue), len(stage.door.listener.checks)))
+    assert sizes[5:] == sizes[5:6] * 95 and stage.door.listener.idle_count() == 3
     assert sum("client 1 <" in line for line in stage.trace) == 100 and not stage.rim.closed
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -13,8 +13,7 @@
 from weldbend.event_bus.errors import InvalidEventError, InvalidStreamError
 from weldbend.event_bus.events import EndpointListUpdate, Purge, read_event
 from weldbend.thrift import binary, framing, messages
-from weldbend.thrift.binary import InvalidMessageError
-from weldbend.thrift.framing import InvalidFrameError
+from weldbend.thrift.errors import InvalidFrameError, InvalidMessageError
 
 CALLS = process(1, b"abc", got="4be0c1927d55a6f3") + give_up(1) + probe(2) + process(3)
 ANSWERS = (
@@ -36,7 +35,7 @@
 
 def read_answers(chunks):
     ring = Ring(1 << 16)
-    parser, found = answers.Parser(ring), []
+    parser, found = answers.AnswerParser(ring), []
     for chunk in chunks:
         ring.write(chunk)
         while answer := parser.next():
@@ -76,7 +75,7 @@
         {"ver": "ab", "born": "17", "detail": "h"},
         b"\r\nx\n",
     )
-    assert (lack.word, lack.fields, keep.fields) == ("LACK", {}, {"use": "util:0.5;x1:2"})
+    assert (lack.status, lack.fields, keep.fields) == ("LACK", {}, {"use": "util:0.5;x1:2"})
     assert read_stream([STREAM])[0] == [("41", "one"), ("42", "two\nlines"), ("43", "x")]
 
 
@@ -130,7 +129,7 @@
     }
     for why, call in calls.items():
         read = messages.read_call(call[4:])
-        assert (read.seqid, read.why) == (7, why)
+        assert (read.seqid, read.reason) == (7, why)
 
 
 def test_random_bytes_are_errors_at_most():
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -404,7 +404,7 @@
     client, usual = stage.client(), stage.client()
     stage.say(usual, process(7, id="00000000000000aa"))
     stage.say(client, process(1), *violations, process(3000))
-    assert client.transport.disconnecting and not client.open
+    assert client.transport.disconnecting and not client.open_requests
     stage.connect()
     stage.answer("e2", 0xAA, "DONE", "-", b"photo")
     assert "client 0 < 1 abandoned" in stage.trace and "fulfilled" not in str(stage.trace)
@@ -426,7 +426,7 @@
         left = [part for n in range(first, first + 19) for part in (process(n), give_up(n))]
         stage.say(client, *left, process(first + 19))
         stage.say(client, give_up(first + 19))
-    assert not client.transport.disconnecting and not client.open
+    assert not client.transport.disconnecting and not client.open_requests
 
 
 def test_the_id_of_a_download_that_is_open_for_another_client():
@@ -492,14 +492,14 @@
         stage.connect()
     client.pauseProducing()
     for n in range(1, 6):
-        uid = next(uid for (uid, _), c in stage.caches.items() if f"{n:016x}" in c.out)
+        uid = next(uid for (uid, _), c in stage.caches.items() if f"{n:016x}" in c.in_flight)
         stage.answer(uid, n, "DONE", "-", b"x" * 240_000)
     stage.trace.clear()
     stage.say(client, process(6))
     assert (
         stage.door.gateway.unsent_bytes > 5 * 240_000
-        and not client.open
-        and len(client.going) <= client.going.bound
+        and not client.open_requests
+        and len(client.writer.ring) <= client.writer.ring.capacity
     )
     stage.shows("")
     client.resumeProducing()
@@ -507,7 +507,7 @@
     assert [line for line in stage.trace if "client" in line] == [
         f"client 0 < {n} process: '240000 bytes'" for n in range(1, 6)
     ]
-    assert list(client.open) == [6] and stage.door.gateway.unsent_bytes == 0
+    assert list(client.open_requests) == [6] and stage.door.gateway.unsent_bytes == 0
 
 
 def test_caches_are_read_no_further_while_too_much_waits_for_slow_readers():
@@ -515,10 +515,10 @@
     client = stage.client()
     stage.say(client, process(1))
     stage.connect()
-    stage.door.gateway.held(stage.door.site.max_unsent_bytes + 1)
+    stage.door.gateway.buffered_changed(stage.door.site.max_unsent_bytes + 1)
     stage.answer("e2", 1, "DONE", "-", b"photo")
-    assert stage.caches["e2", 0].transport.producerState == "paused" and list(client.open) == [1]
-    stage.door.gateway.held(-stage.door.site.max_unsent_bytes)
+    assert stage.caches["e2", 0].transport.producerState == "paused" and list(client.open_requests) == [1]
+    stage.door.gateway.buffered_changed(-stage.door.site.max_unsent_bytes)
     stage.turn()
     assert stage.trace[-1] == "client 0 < 1 process: 'photo'"
 
@@ -527,13 +527,13 @@
     stage = Stage(max_streams=3)
     client = stage.client()
     stage.say(client, *(process(n, **{"class": "order", "once": f"a{n}"}) for n in range(1, 33)))
-    assert len(client.open) == 32
+    assert len(client.open_requests) == 32
     stage.connect()
-    assert {len(c.out) for c in stage.caches.values()} <= {1, 2, 3}
-    assert sum(len(c.out) for c in stage.caches.values()) == 32
+    assert {len(c.in_flight) for c in stage.caches.values()} <= {1, 2, 3}
+    assert sum(len(c.in_flight) for c in stage.caches.values()) == 32
     stage.answer("o1", 1, "DONE", "-", b"ok")
     stage.say(client, process(33, **{"class": "order", "once": "a33"}))
-    assert len(client.open) == 32 and 33 in client.open
+    assert len(client.open_requests) == 32 and 33 in client.open_requests
 
 
 def test_nothing_is_kept_of_caches_clients_and_downloads_that_are_gone():
@@ -544,7 +544,7 @@
         router, timers = dispatcher.router, stage.door.timers
         endpoints = dispatcher.endpoints
         by_cache = (dispatcher.names.uids, dispatcher.names.numbers, endpoints.listed)
-        by_cache += (endpoints.started, dispatcher.pool.lanes)
+        by_cache += (endpoints.started, dispatcher.pool.endpoints)
         ready = {cache.id for caches in router.context.ready.values() for cache in caches}
         by_cache += (router.caches, ready - router.caches.keys())
         requests = dispatcher.requests
@@ -564,7 +564,7 @@
         last, client = new, stage.client()
         stage.say(client, process(n, key=f"{n:016x}"))
         stage.connect()
-        uid, link = next((key, c) for key, c in stage.caches.items() if f"{n:016x}" in c.out)
+        uid, link = next((key, c) for key, c in stage.caches.items() if f"{n:016x}" in c.in_flight)
         stage.answer(uid[0], n, "DONE", "-", b"ok", number=uid[1])
         client.transport.loseConnection()
         stage.turn(0.05)
@@ -605,12 +605,12 @@
     stage.say(stage.client(), process(1))
     stage.connect()
     stage.answer("e2", 99, "DONE", "-", b"whose")
-    assert not stage.caches["e2", 0].lost
+    assert not stage.caches["e2", 0].is_lost
     stage.caches["e2", 0].dataReceived(b"0000000000000001 DONE - 999999\r\n")
     stage.turn()
     stage.connect()
     assert stage.trace[-1] == f"e2/1 < do 0000000000000001 {DO},budget=6000,mode=j 0"
-    assert anomalies == {"answers to nothing asked": 1, "garbage from a cache": 1}
+    assert anomalies == {"unmatched cache answers": 1, "malformed answers from caches": 1}
 
 
 def test_a_pull_on_a_dropped_connection_has_ended_when_its_socket_is_closed_and_not_before():
@@ -623,7 +623,7 @@
     abort, link.transport.abortConnection = link.transport.abortConnection, lambda: None
     link.dataReceived(b"no answer\r\n")
     stage.turn()
-    assert told == [] and not link.takes("x")
+    assert told == [] and not link.can_send("x")
     abort()
     assert told == [True]
 
@@ -636,7 +636,7 @@
     stage.turn(0.15)
     stage.caches["e2", 0].dataReceived(b"half")
     stage.turn(0.25)
-    assert not stage.caches["e2", 0].lost
+    assert not stage.caches["e2", 0].is_lost
     stage.turn(0.1)
     stage.connect()
     stage.shows(f"""
@@ -694,7 +694,7 @@
         "client 0 < 2 process: 'photo'",
         "client 0 < 4 process: 'photo'",
     ]
-    assert not stage.caches["e2", 0].lost and stage.counts["internal errors"] == 2
+    assert not stage.caches["e2", 0].is_lost and stage.counts["internal errors"] == 2
 
 
 def test_probes_of_caches():
@@ -773,7 +773,7 @@
     stage.answer("e2", 99, "FIT")
     stage.answer("o1", 99, "FIT")
     stage.turn(3.29)
-    assert len(client.open) == 2 and not stage.reactor.hasStopped
+    assert len(client.open_requests) == 2 and not stage.reactor.hasStopped
     stage.trace.clear()
     stage.turn(0.02)
     stage.shows("""
@@ -805,7 +805,7 @@
 
 
 def uids(stage):
-    return " ".join(sorted(stage.dispatcher.names.uids[n] for n in stage.dispatcher.pool.lanes))
+    return " ".join(sorted(stage.dispatcher.names.uids[n] for n in stage.dispatcher.pool.endpoints))
 
 
 def test_the_bus_is_read_on_after_each_loss():
@@ -862,7 +862,7 @@
 def test_at_the_bound_of_descriptors_idle_clients_make_room_and_no_more_are_accepted():
     stage = Stage()
     listener, port = stage.door.listener, []
-    listener.most = 3
+    listener.max_connections = 3
 
     class Port:
         def pauseProducing(self):
@@ -895,8 +895,8 @@
     stage.turn(0.6)
     fresh = stage.client()
     for most in (4, 3, 2, 1):
-        listener.most = most
-        listener.make_room()
+        listener.max_connections = most
+        listener.evict_idle()
         shown.append("".join(str(int(c.transport.disconnecting)) for c in (once, usual, silent, fresh)))
     assert shown == ["0010", "1010", "1110", "1111"]
 
@@ -905,7 +905,7 @@
     """A front that has started and not yet opened its port."""
     reactor = MemoryReactorClock()
     door = Door(reactor, read_site(configuration()))
-    door.listener.watch = lambda: None
+    door.listener.set_keepalive = lambda: None
     door.clock.now = lambda: reactor.seconds() + 1.0
     door.start()
     return reactor, door
@@ -913,13 +913,13 @@
 
 def test_a_start_takes_no_download_before_the_bus_told_what_came_while_it_loaded():
     reactor, door = starting()
-    assert not reactor.tcpServers and not door.gateway.serving()
+    assert not reactor.tcpServers and not door.gateway.is_serving()
     door.bus.on_connected()
     reactor.advance(0.01)
     assert not reactor.tcpServers
     door.dispatcher.endpoints.handle(bus_event({"offset": 9, "ban": {"url": KEY, "ts": 1}}))
     reactor.advance(0.02)
-    assert len(reactor.tcpServers) == 1 and door.gateway.serving()
+    assert len(reactor.tcpServers) == 1 and door.gateway.is_serving()
     assert KEY in door.dispatcher.router.admission.purges.moments
 
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -6,8 +6,9 @@
 
 import pytest
 
-from weldbend.caches.connection import CacheConnection, Lost
-from weldbend.clients.connection import Client
+from weldbend.caches.attempt import AttemptLoss
+from weldbend.caches.connection import CacheConnection
+from weldbend.clients.connection import ClientConnection
 from weldbend.front import request_codec
 from weldbend.front.attempts import AttemptManager
 from weldbend.front.endpoint_updates import EndpointUpdates
@@ -73,25 +74,25 @@
     def made(send):
         def twice(self, answer):
             send(self, answer)
-            if len(answer) > 1000 and self.calls % 40 == 0:
+            if len(answer) > 1000 and self.call_count % 40 == 0:
                 send(self, answer)
 
         return twice
 
-    patched(monkeypatch, Client, "send", made)
+    patched(monkeypatch, ClientConnection, "send_answer", made)
 
 
 def forgets_to_answer(monkeypatch):
     def made(fulfill):
         return lambda self, body, same: None if self.seqid % 50 == 7 else fulfill(self, body, same)
 
-    from weldbend.clients.connection import Call
+    from weldbend.clients.request import ClientRequest
 
-    patched(monkeypatch, Call, "fulfill", made)
+    patched(monkeypatch, ClientRequest, "answer_served", made)
 
 
 def takes_a_reset_for_never_run(monkeypatch):
-    monkeypatch.setitem(request_codec.LOSSES, Lost.RESET, AttemptResult.SUPERSEDED)
+    monkeypatch.setitem(request_codec.LOSSES, AttemptLoss.RESET, AttemptResult.SUPERSEDED)
 
 
 def lets_every_repeat_pass(monkeypatch):
@@ -99,18 +100,18 @@
 
 
 def forgets_to_undo(monkeypatch):
-    def undo(self, attempt):
-        self.out.pop(attempt.name, None)
-        self.undone[attempt.name] = None
+    def cancel(self, attempt):
+        self.in_flight.pop(attempt.name, None)
+        self.cancelled_names[attempt.name] = None
 
-    monkeypatch.setattr(CacheConnection, "undo", undo)
+    monkeypatch.setattr(CacheConnection, "cancel", cancel)
 
 
 def sends_second_copies(monkeypatch):
     def made(call_off):
         return (
             lambda self, request, attempt: self.end(request, attempt, AttemptResult.CANCELLED)
-            if not attempt.over
+            if not attempt.is_over
             else None
         )
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -36,7 +36,12 @@
 ROOT = Path(__file__).parent.parent
 DATA = ROOT / "tests" / "data" / "wire"
 
-CALLS = {"process": thrift.Process, "giveUp": thrift.GiveUp, "probe": thrift.Probe, "wrong": thrift.Wrong}
+CALLS = {
+    "process": thrift.Process,
+    "giveUp": thrift.GiveUp,
+    "probe": thrift.Probe,
+    "wrong": thrift.InvalidCall,
+}
 BETWEEN_FRONTS = {
     "probe": messages.Probe,
     "ack": messages.Ack,
@@ -117,7 +122,7 @@
             return thrift.overloaded(given[0], dict(given[1]))
         case "internal":
             return thrift.internal(given[0])
-    return thrift.application_exception(thrift.Wrong(*given))
+    return thrift.application_exception(thrift.InvalidCall(*given))
 
 
 @pytest.mark.parametrize("case", cases("thrift_answers.json"))
@@ -143,7 +148,7 @@
 @pytest.mark.parametrize("case", cases("line_answers.json"))
 def test_a_recorded_answer_of_a_cache_is_read_as_it_was(case):
     data = ring(bytes.fromhex(case["hex"]))
-    held = line_answers.Parser(data).next()
+    held = line_answers.AnswerParser(data).next()
     assert not len(data)
     assert plain(held) == case["values"]
 
--- a/weldbend/buffers/ring.py
+++ b/weldbend/buffers/ring.py
@@ -1,34 +1,48 @@
 """A bounded ring of bytes: no memory before its first byte, growth towards its bound, and back when empty.
 
-What it may keep of that memory is for the busiest connections, which would ask for it again at once.
+What it may retain of that memory is for the busiest connections, which would ask for it again at once.
 """
 
 from weldbend.invariants import check_invariant
 
-SMALL = 480  # bytes that a ring begins with: a short call, and small enough for Python's own allocator
-KEEP = 4096
+INITIAL_SIZE = 480  # bytes that a ring begins with: a short call, and within Python's own small allocator
+RETAINED = 4096  # bytes
 
 
 class Ring:
-    __slots__ = ("bound", "data", "head", "keep", "size")
+    """Bytes that are written at one end and read at the other.
 
-    def __init__(self, bound: int, keep: int = KEEP) -> None:
-        self.bound, self.keep, self.head, self.size = bound, keep, 0, 0
+    Attributes:
+        capacity: How many bytes it may hold.
+        retained: The most memory (bytes) that it keeps when it is empty.
+        data: The memory; bytes wrap round its end.
+        head: Where in `data` the first byte is.
+        size: How many bytes it holds.
+    """
+
+    __slots__ = ("capacity", "data", "head", "retained", "size")
+
+    def __init__(self, capacity: int, retained: int = RETAINED) -> None:
+        self.capacity = capacity
+        self.retained = retained
+        self.head = 0
+        self.size = 0
         self.data = bytearray()
 
     def __len__(self) -> int:
         return self.size
 
     def free(self) -> int:
-        return self.bound - self.size
+        """How many bytes may still be written."""
+        return self.capacity - self.size
 
     def write(self, data: bytes | memoryview) -> int:
-        """Take as much as fits; returns how much that was."""
+        """Write as much as fits; returns how many bytes that was."""
         count = min(len(data), self.free())
         if not count:
             return 0
         if self.size + count > len(self.data):
-            self.grow(self.size + count)
+            self._grow(self.size + count)
         tail = (self.head + self.size) % len(self.data)
         first = min(count, len(self.data) - tail)
         with memoryview(data) as given:
@@ -38,13 +52,14 @@
         self.size += count
         return count
 
-    def grow(self, need: int) -> None:
-        room = len(self.data) or min(SMALL, self.bound)
-        while room < need:
-            room *= 2
-        kept = self.peek(self.size)
-        self.data = bytearray(min(room, self.bound))
-        self.data[: len(kept)] = kept
+    def _grow(self, need: int) -> None:
+        """Have memory for `need` bytes, in powers of two of the initial size."""
+        memory = len(self.data) or min(INITIAL_SIZE, self.capacity)
+        while memory < need:
+            memory *= 2
+        content = self.peek(self.size)
+        self.data = bytearray(min(memory, self.capacity))
+        self.data[: len(content)] = content
         self.head = 0
 
     def peek(self, count: int, start: int = 0) -> bytes:
@@ -59,6 +74,7 @@
             return b"".join((data[begin:], data[: begin + count - len(data)]))
 
     def skip(self, count: int) -> None:
+        """Drop the first `count` bytes."""
         check_invariant(count <= self.size, "a ring is emptied only as far as it is filled")
         if not count:
             return
@@ -66,22 +82,23 @@
         self.size -= count
         if not self.size:
             self.head = 0
-            if len(self.data) > self.keep:
+            if len(self.data) > self.retained:
                 self.data = bytearray()
 
     def read(self, count: int) -> bytes:
+        """The first `count` bytes, which leave the ring."""
         data = self.peek(count)
         self.skip(count)
         return data
 
-    def find(self, mark: bytes, start: int, limit: int) -> int:
-        """Where `mark` begins, looked for from `start` in the first `limit` bytes; -1 if it is not there."""
+    def find(self, pattern: bytes, start: int, limit: int) -> int:
+        """Where `pattern` begins, searched from `start` in the first `limit` bytes; -1 where it is not."""
         end = min(self.size, limit)
         if end <= start:
             return -1
-        straight = len(self.data) - self.head
-        if end <= straight:
-            at = self.data.find(mark, self.head + start, self.head + end)
-            return at - self.head if at >= 0 else -1
-        at = self.peek(end - start, start).find(mark)
-        return at + start if at >= 0 else -1
+        contiguous = len(self.data) - self.head
+        if end <= contiguous:
+            position = self.data.find(pattern, self.head + start, self.head + end)
+            return position - self.head if position >= 0 else -1
+        position = self.peek(end - start, start).find(pattern)
+        return position + start if position >= 0 else -1
--- a/weldbend/cache_protocol/__init__.py
+++ b/weldbend/cache_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The caches' line protocol: commands out, answers in; no I/O."""
+"""The line protocol of caches: commands written, answers read; no I/O."""
--- a/weldbend/caches/__init__.py
+++ b/weldbend/caches/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to caches, parents and the origin, and the pool that keeps them."""
+"""Connections to caches, parents and origins, and the attempts and health checks that go over them."""
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -1,298 +1,305 @@
-"""One connection to a cache, a parent or the origin, and the pulls that are out on it."""
+"""One connection to a cache, a parent or the origin, and the attempts that are in flight on it."""
 
-from collections.abc import Callable
-from dataclasses import dataclass, field
-from enum import Enum, auto
 from typing import Any, Protocol
 
 from twisted.internet.interfaces import IPushProducer
-from twisted.internet.protocol import Protocol as Connection
+from twisted.internet.protocol import Protocol as TwistedProtocol
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol import answers, commands
-from weldbend.cache_protocol.answers import Answer, InvalidAnswerError, Parser
+from weldbend.cache_protocol.answers import Answer, AnswerParser, InvalidAnswerError
+from weldbend.caches.attempt import Attempt, AttemptLoss
+from weldbend.caches.interfaces import Timers
+from weldbend.caches.stall_detector import StallDetector
 from weldbend.invariants import anomalies, check_invariant
 
-CHUNK = 1 << 16  # the most that one read of a socket brings
-IN = answers.LONGEST_BODY + answers.LONGEST_LINE + 2 * CHUNK
-KEPT = 1 << 17  # memory that a connection's ring keeps: answers come one after another
-MOST_UNDONE = 1024  # names of pulls given up that a connection remembers
-STALL = 0.2  # seconds in which the next byte of an answer that has begun must come
-LAST = ("DONE", "KEEP")  # answers after which a download has no further pull
-AGAIN = 0.02  # seconds after which that is looked at once more
-LEAVE = 1.0  # seconds in which what was written to a connection that is closed has to leave it
-OUT = 1 << 17  # holds the longest command whole, and what comes behind it
+READ_SIZE = 1 << 16  # bytes: the most that one read of a socket brings, and one write hands on
+INCOMING_CAPACITY = answers.LONGEST_BODY + answers.LONGEST_LINE + 2 * READ_SIZE  # bytes
+INCOMING_RETAINED = 1 << 17  # bytes that an empty ring keeps: answers come one after another
+OUTGOING_CAPACITY = 1 << 17  # bytes; holds the longest command, and what comes behind it
+MAX_CANCELLED_NAMES = 1024  # names of cancelled attempts that a connection remembers
+CLOSE_TIMEOUT = 1.0  # seconds in which what was written to a connection that is closed has to leave it
+FINAL_STATUSES = ("DONE", "KEEP")  # answers after which a request has no further attempt
+MALFORMED = "malformed answers from caches"  # name of the anomaly counter, as it appears in the log
 
 
-class Lost(Enum):
-    """How a pull ended without an answer: what that proves is the decisions' business."""
+class ConnectionOwner(Protocol):
+    """Keeps the connections to one cache."""
 
-    UNREACHABLE = auto()  # no connection came up in time
-    RESET = auto()  # the connection ended after the first byte had gone out
-    MALFORMED = auto()  # the connection brought what is no answer, and was ended
-    WITHDRAWN = auto()  # taken back before any byte went out
+    @property
+    def max_streams(self) -> int:
+        """How many attempts may be in flight on one connection."""
 
+    @property
+    def max_answer_time(self) -> float:
+        """Seconds for which anyone waits for an answer."""
 
-@dataclass(eq=False, slots=True)
-class Attempt:
-    """One command to a cache, whose end is reported once: by an answer or by how it was lost."""
+    def connection_opened(self, connection: "CacheConnection") -> None:
+        """Use a connection that has come up."""
 
-    name: str
-    cache: int
-    source: int | None
-    key: str
-    group: int
-    command: Callable[[], bytes]  # written out when the first byte goes
-    ended: Callable[["Attempt", Answer | Lost], None]
-    fleeting: bool = False  # what allows it may be over soon: it waits no longer than a turn
-    connection: "CacheConnection | None" = None
-    queued: float = 0.0
-    sent: float = 0.0
-    over: bool = False
+    def connection_lost(self, connection: "CacheConnection") -> None:
+        """Forget a connection that has ended."""
 
-    def end(self, how: Answer | Lost) -> None:
-        if not self.over:
-            self.over = True
-            self.ended(self, how)
+    def send_waiting(self) -> None:
+        """Send what waits: a connection may have capacity now."""
 
-    def waits(self) -> bool:
-        """Whether no byte of it has gone out, and one may still."""
-        return not self.over and self.connection is None
-
-
-class Timer(Protocol):
-    def cancel(self) -> None: ...
-
-
-class Timers(Protocol):
-    def now(self) -> float: ...
-    def after(self, delay: float, call: Callable[[], object]) -> Timer: ...
-
-
-class Owner(Protocol):
-    """Who keeps the connections of one cache."""
-
-    streams: int
-    longest: float  # seconds for which anyone waits for an answer
-
-    def came(self, connection: "CacheConnection") -> None: ...
-    def room(self) -> None: ...
-    def went(self, connection: "CacheConnection") -> None: ...
-    def unknown(self, answer: Answer) -> None: ...
+    def handle_unmatched(self, answer: Answer) -> None:
+        """Handle an answer that belongs to no attempt of its connection."""
 
 
 @implementer(IPushProducer)
-@dataclass(eq=False)
-class CacheConnection(Connection):
-    owner: Owner
-    timers: Timers
-    incoming: Ring = field(default_factory=lambda: Ring(IN, KEPT))
-    going: Ring = field(default_factory=lambda: Ring(OUT))
-    out: dict[str, Attempt] = field(default_factory=dict)
-    undone: dict[str, None] = field(default_factory=dict)  # names whose answer may still be on its way
+class CacheConnection(TwistedProtocol):
+    """One connection to a cache. Moments are seconds of the front's clock.
+
+    Attributes:
+        in_flight: Attempts that wait for an answer, by name.
+        cancelled_names: Names whose answer may still come; kept in the order in which they were added.
+        outgoing: Bytes that the transport does not accept at present.
+        incoming: Bytes read and not yet parsed.
+        is_draining: Whether it takes no further attempts; it closes once those in flight have ended.
+        is_aborted: Whether this front has ended it; the transport has yet to report that.
+        is_lost: Whether it has ended.
+        loss: What is reported of the attempts in flight when it ends.
+        opened_at: When it came up.
+        used_at: When a command went out or an answer was handled last.
+        received_at: When bytes last came.
+        answer_started_at: When the answer that is under way began to come.
+        answer_completed_at: When the last answer was complete.
+    """
+
+    # Twisted declares an ITransport, which lacks most of what a TCP transport offers.
     transport: Any = None
-    paused = resting = retired = lost = watched = dropped = False
-    how = Lost.RESET  # what is told of the pulls that are out when it ends
-    made = used = heard = 0.0
-    answer_begun = answer_ended = 0.0  # when the answer on its way began to come, and when the last was whole
+    is_write_paused = False
+    is_read_paused = False
+    is_draining = False
+    is_aborted = False
+    is_lost = False
+    loss = AttemptLoss.RESET
+    opened_at = 0.0
+    used_at = 0.0
+    received_at = 0.0
+    answer_started_at = 0.0
+    answer_completed_at = 0.0
+
+    def __init__(self, owner: ConnectionOwner, timers: Timers) -> None:
+        self.owner, self.timers = owner, timers
+        self.incoming = Ring(INCOMING_CAPACITY, INCOMING_RETAINED)
+        self.outgoing = Ring(OUTGOING_CAPACITY)
+        self.parser = AnswerParser(self.incoming)
+        self.stall_detector = StallDetector(self, timers)
+        self.in_flight: dict[str, Attempt] = {}
+        self.cancelled_names: dict[str, None] = {}
 
     def connectionMade(self) -> None:
-        self.parser = Parser(self.incoming)
+        """Register with the owner; Twisted calls it when the connection has come up."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.made = self.used = self.heard = self.timers.now()
-        self.owner.came(self)
+        self.opened_at = self.used_at = self.received_at = self.timers.now()
+        self.owner.connection_opened(self)
 
-    def takes(self, name: str) -> bool:
-        """Whether a pull's first byte would go out at once, and its answer could be told from others."""
-        free = not (self.paused or self.going or self.retired or self.lost)
+    # Sending.
+
+    def can_send(self, name: str) -> bool:
+        """Whether an attempt's first byte would go out at once, and its answer could be told from others."""
+        is_free = not (self.is_write_paused or self.outgoing or self.is_draining or self.is_lost)
         return (
-            free and len(self.out) < self.owner.streams and name not in self.out and name not in self.undone
+            is_free
+            and len(self.in_flight) < self.owner.max_streams
+            and name not in self.in_flight
+            and name not in self.cancelled_names
         )
 
     def send(self, attempt: Attempt) -> None:
+        """Write out an attempt's command; from now on it is in flight here."""
         command = attempt.command()
-        attempt.connection, attempt.sent = self, self.timers.now()
-        self.out[attempt.name] = attempt
+        attempt.connection, attempt.sent_at = self, self.timers.now()
+        self.in_flight[attempt.name] = attempt
         self.write(command)
 
-    def undo(self, attempt: Attempt) -> None:
-        """Give a pull up; a connection on which nothing was heard since it went out takes no more, nor does
-        one that has been busy since with an answer which does not end."""
-        if self.out.pop(attempt.name, None) is not attempt or self.lost:
+    def cancel(self, attempt: Attempt) -> None:
+        """Give up an attempt that is in flight here, and tell the cache.
+
+        A connection on which nothing was received since it went out takes no more, nor does one that has been
+        busy since with an answer which does not end.
+        """
+        if self.in_flight.pop(attempt.name, None) is not attempt or self.is_lost:
             return
-        self.forgo(attempt.name)
+        self._reserve_name(attempt.name)
         self.write(commands.undo(attempt.name))
-        self.flush()
-        stuck = self.incoming and not self.resting and self.answer_ended <= attempt.sent
-        self.retired = self.retired or self.heard <= attempt.sent or bool(stuck)
-        self.settle()
-
-    def forgo(self, name: str) -> None:
-        """Take no further pull under a name whose answer may still be on its way, or come a second time.
-
-        Guards against second copies: a doubled answer would be taken for that of the next pull of the same
-        download, and another would go out while that one is. Harm: such pulls need a second connection.
+        self._flush()
+        is_silent = self.received_at <= attempt.sent_at
+        is_blocked = self.incoming and not self.is_read_paused and self.answer_completed_at <= attempt.sent_at
+        if is_silent or is_blocked:
+            self.is_draining = True
+        self._capacity_freed()
+
+    def _reserve_name(self, name: str) -> None:
+        """Take no further attempt under a name whose answer may still come, or come a second time.
+
+        Guards against unintended duplicate attempts: a doubled answer would be taken for that of the next
+        attempt of the same request, and another would go out while that one is in flight. Harm: such attempts
+        need a second connection.
         """
-        self.undone[name] = None
-        if len(self.undone) > MOST_UNDONE:
-            del self.undone[next(iter(self.undone))]
+        self.cancelled_names[name] = None
+        if len(self.cancelled_names) > MAX_CANCELLED_NAMES:
+            del self.cancelled_names[next(iter(self.cancelled_names))]
 
     def write(self, command: bytes) -> None:
-        self.used = self.timers.now()
-        check_invariant(self.going.write(command) == len(command), "a cache's ring has room for a command")
-        self.pump()
+        """Send a command, after what waits."""
+        self.used_at = self.timers.now()
+        has_capacity = self.outgoing.write(command) == len(command)
+        check_invariant(has_capacity, "a cache's ring has capacity for a command")
+        self._write_pending()
 
-    def flush(self) -> None:
+    def _flush(self) -> None:
         """Have what was written leave now, not when the reactor comes to it.
 
-        Guards against second copies: the pull that takes another's place goes over another connection, the
-        reactor writes to both in any order, and the process may be held up between them. Harm: none known.
+        Guards against unintended duplicate attempts: the attempt that replaces another goes over another
+        connection, the reactor writes to both in any order, and the process may be held up between them.
+        Harm: none known.
         """
-        if not (self.lost or self.dropped or self.transport.disconnecting):
+        if not (self.is_lost or self.is_aborted or self.transport.disconnecting):
             self.transport.doWrite()
 
-    def pump(self) -> None:
-        while self.going and not self.paused:
-            self.transport.write(self.going.read(min(len(self.going), CHUNK)))
+    def _write_pending(self) -> None:
+        while self.outgoing and not self.is_write_paused:
+            self.transport.write(self.outgoing.read(min(len(self.outgoing), READ_SIZE)))
 
     def pauseProducing(self) -> None:
-        self.paused = True
+        """Hold commands back; the transport calls it when its buffer is full."""
+        self.is_write_paused = True
 
     def resumeProducing(self) -> None:
-        self.paused = False
-        self.pump()
-        self.owner.room()
+        """Go on with what waits; the transport calls it when its buffer has drained."""
+        self.is_write_paused = False
+        self._write_pending()
+        self.owner.send_waiting()
 
     def stopProducing(self) -> None:
-        self.paused = True
+        """Write nothing more; the transport calls it when it has ended."""
+        self.is_write_paused = True
+
+    # Receiving.
 
     def dataReceived(self, data: bytes) -> None:
-        self.heard = self.timers.now()
+        """Read what one read of the socket brought; Twisted calls it."""
+        self.received_at = self.timers.now()
         if not self.incoming:
-            self.answer_begun = self.heard
-        check_invariant(self.incoming.write(data) == len(data), "a cache's ring has room for a chunk")
-        if not self.resting:
-            self.read()
+            self.answer_started_at = self.received_at
+        check_invariant(self.incoming.write(data) == len(data), "a cache's ring has capacity for a read")
+        if not self.is_read_paused:
+            self._read_answers()
 
-    def read(self) -> None:
+    def _read_answers(self) -> None:
         try:
-            while not self.resting and (answer := self.parser.next()):
-                self.answered(answer)
+            while not self.is_read_paused and (answer := self.parser.next()):
+                self._handle_answer(answer)
         except InvalidAnswerError:  # nothing that follows can be trusted
-            self.spoilt("garbage from a cache")
-        if self.incoming and not (self.watched or self.lost or self.dropped or self.resting):
-            self.watch()
-
-    def watch(self) -> None:
-        """Guards all that is out here against an answer that stops in the middle: what follows never comes.
+            self.abort_malformed(MALFORMED)
+        if self.is_answer_incomplete():
+            self.stall_detector.arm()
 
-        Answers are written whole, so one that has begun is as good as here; it ends before anyone's expiry.
-        Harm: one whose bytes do come on after a longer standstill is asked for again.
-        """
-        self.watched = True
-        self.timers.after(STALL, self.look)
+    def _handle_answer(self, answer: Answer) -> None:
+        self.answer_started_at = self.answer_completed_at = self.timers.now()
+        attempt = self.in_flight.pop(answer.name, None)
+        if attempt:
+            if answer.status not in FINAL_STATUSES:
+                self._reserve_name(answer.name)
+            attempt.finish(answer)
+        elif answer.name in self.cancelled_names:
+            del self.cancelled_names[answer.name]
+        else:
+            self.owner.handle_unmatched(answer)
+        self.used_at = self.timers.now()
+        self._capacity_freed()
 
-    def look(self, sure: bool = False) -> None:
-        """Looked at twice: when this front itself was held up, what came meanwhile is still to be read."""
-        self.watched = False
-        if self.lost or self.dropped or self.resting or not self.incoming:
+    def pause_reading(self, is_paused: bool) -> None:
+        """Stop or resume reading, for as long as what was read has nowhere to go."""
+        if is_paused is self.is_read_paused or self.is_lost:
             return
-        if self.timers.now() > self.answer_begun + self.owner.longest:
-            self.spoilt("answers that never end")
-        elif self.timers.now() < self.heard + STALL:
-            self.watch()
-        elif sure:
-            self.spoilt("answers that stop in the middle")
-        else:
-            self.watched = True
-            self.timers.after(AGAIN, lambda: self.look(sure=True))
+        self.is_read_paused = is_paused
+        (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
+        if not is_paused:
+            self.answer_started_at = self.timers.now()
+            self._read_answers()
 
-    def spoilt(self, what: str) -> None:
-        anomalies[what] += 1
-        self.drop(Lost.MALFORMED)
+    def is_answer_incomplete(self) -> bool:
+        """Whether a part of an answer is here, and the rest can still come."""
+        return bool(self.incoming) and not (self.is_lost or self.is_aborted or self.is_read_paused)
 
-    def rest(self, resting: bool) -> None:
-        """Stop or go on reading, for as long as what was read has nowhere to go."""
-        if resting is self.resting or self.lost:
-            return
-        self.resting = resting
-        (self.transport.pauseProducing if resting else self.transport.resumeProducing)()
-        if not resting:
-            self.answer_begun = self.timers.now()
-            self.read()
-
-    def answered(self, answer: Answer) -> None:
-        self.answer_begun = self.answer_ended = self.timers.now()
-        attempt = self.out.pop(answer.name, None)
-        if attempt:
-            if answer.word not in LAST:
-                self.forgo(answer.name)
-            attempt.end(answer)
-        elif answer.name in self.undone:
-            del self.undone[answer.name]
-        else:
-            self.owner.unknown(answer)
-        self.used = self.timers.now()
-        self.settle()
+    def max_answer_time(self) -> float:
+        """Seconds for which anyone waits for an answer."""
+        return self.owner.max_answer_time
+
+    # Ending.
 
-    def settle(self) -> None:
-        if self.retired and not self.out:
+    def _capacity_freed(self) -> None:
+        """Close if that was the last attempt, or let the next one go."""
+        if self.is_draining and not self.in_flight:
             self.close()
         else:
-            self.owner.room()
+            self.owner.send_waiting()
 
-    def retire(self) -> None:
-        """Take no more pulls, and close once those out have ended."""
-        self.retired = True
-        if not self.out:
+    def drain(self) -> None:
+        """Take no further attempts, and close once those in flight have ended."""
+        self.is_draining = True
+        if not self.in_flight:
             self.close()
 
     def close(self) -> None:
-        """Close once what was written has left, or soon: a cache that hangs might never take it."""
-        if not (self.lost or self.dropped):
+        """Close once what was written has left, or soon: a cache that hangs might never read it."""
+        if not (self.is_lost or self.is_aborted):
             self.transport.unregisterProducer()
             self.transport.loseConnection()
-            self.timers.after(LEAVE, self.let_go)
+            self.timers.after(CLOSE_TIMEOUT, self._disconnect)
 
-    def let_go(self) -> None:
-        if not self.lost:
+    def _disconnect(self) -> None:
+        if not self.is_lost:
             self.transport.abortConnection()
 
-    def drop(self, how: Lost = Lost.RESET) -> None:
-        """End it at once; what is out on it has ended when the socket is closed, not before.
+    def abort(self, loss: AttemptLoss = AttemptLoss.RESET) -> None:
+        """End it at once; what is in flight on it has ended when the socket is closed, not before.
 
-        Guards against second copies: a pull told to have ended may go out again before this one is closed.
+        Guards against unintended duplicate attempts: an attempt reported as ended may go out again before
+        this one is closed.
+
+        Args:
+            loss: What is reported of the attempts in flight.
         """
-        if not (self.lost or self.dropped):
-            self.how, self.dropped, self.retired = how, True, True
+        if not (self.is_lost or self.is_aborted):
+            self.loss = loss
+            self.is_aborted = self.is_draining = True
             self.transport.abortConnection()
 
-    def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
-        self.end(self.how)
+    def abort_malformed(self, reason: str) -> None:
+        """End it for what the cache sent; `reason` names the anomaly counter."""
+        anomalies[reason] += 1
+        self.abort(AttemptLoss.MALFORMED)
+
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Finish what is in flight; Twisted calls it when the connection has ended, for whatever reason."""
+        if self.is_lost:
+            return
+        self.is_lost = True
+        if not self.is_aborted:
+            self._read_remaining()
+        self.owner.connection_lost(self)
+        attempts, self.in_flight = list(self.in_flight.values()), {}
+        for attempt in attempts:
+            attempt.finish(self.loss)
 
-    def read_out(self) -> None:
-        """Take the answers that came whole before the end, and lay unread as nothing had room for them.
+    def _read_remaining(self) -> None:
+        """Handle answers that were complete before the end, and lay unread as nothing had capacity for them.
 
-        Guards pulls that ran from passing for lost, and downloads from being abandoned over an answer that
-        is here. Harm: answers beyond what slow readers may hold, one ring of them.
+        Guards attempts that were executed from passing for lost, and requests from failing over an answer
+        that is here. Harm: answers beyond what slow readers may hold, one ring of them.
         """
-        self.resting = False
+        self.is_read_paused = False
         try:
             while answer := self.parser.next():
-                self.answered(answer)
+                self._handle_answer(answer)
         except InvalidAnswerError:
-            anomalies["garbage from a cache"] += 1
-
-    def end(self, how: Lost) -> None:
-        if self.lost:
-            return
-        self.lost = True
-        if not self.dropped:
-            self.read_out()
-        self.owner.went(self)
-        attempts, self.out = list(self.out.values()), {}
-        for attempt in attempts:
-            attempt.end(how)
+            anomalies[MALFORMED] += 1
--- /dev/null
+++ b/weldbend/caches/endpoint_connections.py
@@ -0,0 +1,259 @@
+"""All connections to one cache, those under way too, and the attempts that wait for one.
+
+An attempt goes out at once on a connection with a free stream, or waits for one, at most for the time in
+which a connection must come up. While it waits it may become superseded: it is cancelled when the endpoint
+list or a purge says anything about its cache, its source or its object, and the router decides anew.
+"""
+
+import errno
+from collections import deque
+from collections.abc import Callable
+from typing import Protocol
+
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import ClientFactory
+from twisted.python.failure import Failure
+
+from weldbend.cache_protocol.answers import Answer
+from weldbend.caches.attempt import Attempt, AttemptLoss
+from weldbend.caches.connection import CacheConnection
+from weldbend.caches.interfaces import Connector, Reactor, Timers
+from weldbend.caches.limits import CacheLimits
+from weldbend.invariants import anomalies
+
+RESET_ERRORS = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE)
+MAX_RESETS = 5  # connects in a row that may be accepted and reset
+UNMATCHED = "unmatched cache answers"  # name of the anomaly counter, as it appears in the log
+
+
+class EndpointOwner(Protocol):
+    """The pool that the connections of one cache belong to."""
+
+    @property
+    def reactor(self) -> Reactor:
+        """What connects, and calls later."""
+
+    @property
+    def timers(self) -> Timers:
+        """The front's time and timers."""
+
+    @property
+    def limits(self) -> CacheLimits:
+        """What the site allows at present."""
+
+    @property
+    def is_read_paused(self) -> bool:
+        """Whether no connection is read at present."""
+
+    @property
+    def on_connected(self) -> Callable[[int], None]:
+        """Told of each cache to which a connection has come up."""
+
+    @property
+    def on_health_answer(self) -> Callable[[int, Answer], bool]:
+        """Told of each answer that belongs to no attempt; whether it is one to a health check."""
+
+    def connection_count(self) -> int:
+        """How many connections there are to all caches, those under way too."""
+
+
+class ConnectAttempt(ClientFactory):
+    """One connection that is being made."""
+
+    noisy = False
+
+    def __init__(self, endpoint: "EndpointConnections") -> None:
+        self.endpoint = endpoint
+
+    def buildProtocol(self, addr: IAddress | None) -> CacheConnection:
+        """The object for the connection that has come up."""
+        return self.endpoint.connect_succeeded(self)
+
+    def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
+        """Report that none came up; Twisted calls it."""
+        self.endpoint.connect_failed(self, getattr(reason.value, "osError", None) in RESET_ERRORS)
+
+
+class EndpointConnections:
+    """All that goes to one cache.
+
+    Attributes:
+        connections: Those that are up, the oldest first.
+        connecting: Those that are being made.
+        waiting: Attempts that wait for a connection, in their order.
+        is_closed: Whether the cache has left the list, or this address.
+    """
+
+    def __init__(self, pool: EndpointOwner, cache: int, host: str, port: int) -> None:
+        self.pool = pool
+        self.cache = cache
+        self.host = host
+        self.port = port
+        self.connections: list[CacheConnection] = []
+        self.connecting: dict[ConnectAttempt, Connector] = {}
+        self.waiting: deque[Attempt] = deque()
+        self.is_closed = False
+        self.resets = 0  # connects in a row that were accepted and reset
+        self.is_send_scheduled = False
+
+    @property
+    def max_streams(self) -> int:
+        """How many attempts may be in flight on one connection."""
+        return self.pool.limits.max_streams
+
+    @property
+    def max_answer_time(self) -> float:
+        """Seconds for which anyone waits for an answer."""
+        return self.pool.limits.max_answer_time
+
+    # Sending.
+
+    def send(self, attempt: Attempt) -> None:
+        """Send an attempt, or have it wait for a connection."""
+        if not self._send_now(attempt):
+            attempt.queued_at = self.pool.timers.now()
+            self.waiting.append(attempt)
+            self.pool.timers.after(self.pool.limits.connect_timeout, lambda: self._wait_expired(attempt))
+            self._connect()
+
+    def _send_now(self, attempt: Attempt) -> bool:
+        """Send an attempt on the connection with the fewest in flight; false where none can take it."""
+        usable = [c for c in self.connections if c.can_send(attempt.name) and not self._is_stale(c)]
+        if not usable or self.is_closed:
+            return False
+        min(usable, key=lambda c: len(c.in_flight)).send(attempt)
+        return True
+
+    def _is_stale(self, connection: CacheConnection) -> bool:
+        """Drain one that its cache is about to close for idleness: a command could cross the close."""
+        limits = self.pool.limits
+        stale_at = connection.used_at + limits.idle_timeout - limits.connect_timeout
+        is_stale = not connection.in_flight and self.pool.timers.now() > stale_at
+        if is_stale:
+            connection.drain()
+        return is_stale
+
+    def send_waiting(self) -> None:
+        """Let those who wait go, but read first what else has come in this moment.
+
+        Guards caches against attempts for clients whose end is read right after their connection came up.
+        Harm: none known: it is a matter of the poll of sockets that is under way.
+        """
+        if self.waiting and not self.is_send_scheduled:
+            self.is_send_scheduled = True
+            self.pool.reactor.callLater(0, self._send_waiting_now)
+
+    def _send_waiting_now(self) -> None:
+        """Let those who wait go, in their order.
+
+        Guards against retries of a request that must not be executed twice, allowed for a time that may be
+        over, and against a burst on a cache that warms up of all that was decided while connecting took long.
+        Harm: one more decision for each.
+        """
+        self.is_send_scheduled = False
+        now = self.pool.timers.now()
+        while self.waiting:
+            attempt = self.waiting[0]
+            if attempt.is_short_lived and now > attempt.queued_at + self.pool.limits.loop_iteration:
+                self.waiting.popleft()
+                attempt.finish(AttemptLoss.SUPERSEDED)
+            elif self._send_now(attempt):
+                self.waiting.popleft()
+            else:
+                break
+
+    def _wait_expired(self, attempt: Attempt) -> None:
+        if attempt in self.waiting:
+            self.waiting.remove(attempt)
+            attempt.finish(AttemptLoss.UNREACHABLE)
+
+    def cancel_waiting(self, is_superseded: Callable[[Attempt], bool]) -> None:
+        """Cancel those who wait and are superseded."""
+        cancelled = [attempt for attempt in self.waiting if is_superseded(attempt)]
+        self.waiting = deque(attempt for attempt in self.waiting if attempt not in cancelled)
+        for attempt in cancelled:
+            attempt.finish(AttemptLoss.SUPERSEDED)
+
+    def handle_unmatched(self, answer: Answer) -> None:
+        """Pass on an answer that belongs to no attempt: it should be one to a health check."""
+        if not self.pool.on_health_answer(self.cache, answer):
+            anomalies[UNMATCHED] += 1
+
+    # Connecting.
+
+    def _connect(self, minimum: int = 0) -> None:
+        """Have as many connections under way as those who wait need, or as a `minimum` of them would."""
+        while not self.is_closed and self._expected_streams() < max(len(self.waiting), minimum):
+            if self.pool.connection_count() >= self.pool.limits.max_connections:
+                break
+            attempt = ConnectAttempt(self)
+            timeout = self.pool.limits.connect_timeout
+            self.connecting[attempt] = self.pool.reactor.connectTCP(self.host, self.port, attempt, timeout)
+
+    def _expected_streams(self) -> int:
+        """How many attempts the connections that are being made will carry."""
+        return len(self.connecting) * self.max_streams
+
+    def connect_succeeded(self, attempt: ConnectAttempt) -> CacheConnection:
+        """The object for a connection that has come up."""
+        self.connecting.pop(attempt, None)
+        return CacheConnection(self, self.pool.timers)
+
+    def connect_failed(self, attempt: ConnectAttempt, is_reset: bool) -> None:
+        """End all who wait, since one that was refused or timed out speaks for them: none can be made.
+
+        One that was accepted and reset says that its cache is there, so it is tried again, not for ever.
+        Guards against taking it for one that is down. Harm: some connects more to one that always does so.
+        """
+        self.connecting.pop(attempt, None)
+        self.resets = self.resets + 1 if is_reset else MAX_RESETS
+        if self.resets < MAX_RESETS:
+            self._connect()
+            return
+        self.resets = 0
+        waiting, self.waiting = self.waiting, deque()
+        for waiting_attempt in waiting:
+            waiting_attempt.finish(AttemptLoss.UNREACHABLE)
+
+    def connection_opened(self, connection: CacheConnection) -> None:
+        """Use a connection that has come up, unless its cache has left meanwhile."""
+        if self.is_closed:
+            connection.close()
+            return
+        self.resets = 0
+        self.connections.append(connection)
+        self.pool.on_connected(self.cache)
+        connection.pause_reading(self.pool.is_read_paused)
+        self.send_waiting()
+
+    def connection_lost(self, connection: CacheConnection) -> None:
+        """Replace one that broke with attempts in flight at once: whether it can be tells what happened."""
+        if connection in self.connections:
+            self.connections.remove(connection)
+        self._connect(minimum=1 if connection.in_flight and not self.connections else 0)
+
+    # Ending.
+
+    def abort_older(self, started_at: float) -> None:
+        """Abort connections from before the cache's start.
+
+        They lead nowhere, though a machine that vanished never closed them.
+
+        Args:
+            started_at: When the cache started (seconds of the front's clock).
+        """
+        for connection in [c for c in self.connections if c.opened_at < started_at]:
+            connection.abort()
+
+    def close(self, is_moved: bool) -> None:
+        """Send nothing more here: the cache has left the list, or this address.
+
+        Args:
+            is_moved: Whether it is now at another address, so that what is in flight here ends at once.
+        """
+        self.is_closed = True
+        for connector in list(self.connecting.values()):
+            connector.disconnect()
+        self.cancel_waiting(lambda _: True)
+        for connection in list(self.connections):
+            (connection.abort if is_moved else connection.drain)()
--- a/weldbend/clients/__init__.py
+++ b/weldbend/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of clients, and the downloads they bring."""
+"""Connections of clients, and the requests that arrive on them."""
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -1,366 +1,379 @@
-"""A client's connection: calls in, answers out, each direction through one bounded ring.
-
-A download is open from its last byte until its one answer is handed to the connection, or until
-nobody waits for it. A client that ends its side has gone: nothing more is done for it. The connection
-never closes by itself while a download is open, unless its client does what no client of ours does: then
-all that is open is abandoned, and it is cast out at once. A close by this front is said first, and what
-still comes is thrown away for a moment: closed over unread bytes, the connection would be reset, and
-an answer that the system still holds would be lost with it.
+"""A client's connection: reads calls, hands requests to the front, and closes in an orderly way.
+
+A client that ends its side is gone: nothing more is done for it. The connection never closes by itself while
+a request is open, unless its client breaks the rules of the protocol: then all that is open fails, and the
+client is banned at once. A close by this front ends the sending direction first, and what still arrives is
+discarded for a moment: closing over unread bytes would reset the connection, and an answer that the system
+still holds would be lost with it.
 """
 
-from collections import deque
-from collections.abc import Callable
-from dataclasses import dataclass, field
 from typing import Any, Protocol
 
 from twisted.internet.interfaces import IPushProducer
-from twisted.internet.protocol import Protocol as Connection
+from twisted.internet.protocol import Protocol as TwistedProtocol
+from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
 from weldbend.buffers.ring import Ring
+from weldbend.clients import misbehaviour
+from weldbend.clients.answer_writer import AnswerWriter
+from weldbend.clients.interfaces import (
+    AccessControl,
+    BufferAccount,
+    ClientTransport,
+    RequestHandler,
+    Scheduler,
+)
+from weldbend.clients.misbehaviour import ClientConduct
+from weldbend.clients.request import ClientRequest
 from weldbend.idle_connections.connection_table import ConnectionRecord
 from weldbend.idle_connections.policy import ConnectionState
 from weldbend.invariants import anomalies, check_invariant
 from weldbend.thrift import messages
-from weldbend.thrift.binary import InvalidMessageError
-from weldbend.thrift.framing import InvalidFrameError, next_frame, small_frame
-
-CHUNK = 1 << 16  # the most that one read of a socket brings
-LONGEST_FRAME = 48_000 + (1 << 14)  # the longest body, and what comes with it
-OUT = 1 << 18  # holds the longest answer whole
-MOST_OPEN = 32  # the protocol's bound on open downloads of one connection
-MOST_FLAWS = 4  # calls turned back that a client may make
-MOST_WITHDRAWN = 64  # calls withdrawn with their own bytes, one after another, that a client may make
-SHORT = 64  # bytes that hold any withdrawal, and no download
-DRAIN, DRAINED = 0.25, 1 << 20  # seconds and bytes for which a client may go on after this front's close
-
-
-@dataclass(eq=False, slots=True)
-class Call:
-    """One download as its client asked for it."""
-
-    client: "Client"
-    seqid: int
-    fields: dict[str, str]
-    body: bytes
-    waited: float = 0.0  # seconds for which it lay here before it could be read
-    answered: bool = False
-    serial: str = ""  # what the taker calls it
-
-    def fulfill(self, body: bytes, same: bool) -> None:
-        self.end(messages.answer("process", self.seqid, body, {"ok304": "1"} if same else {}, True))
-
-    def throttle(self, wait: float) -> None:
-        self.end(messages.overloaded(self.seqid, {"after": str(int(wait * 1000))} if wait > 0 else {}))
-
-    def abandon(self) -> None:
-        self.end(messages.internal(self.seqid))
-
-    def turn_back(self, why: str) -> None:
-        wrong = messages.Wrong("process", self.seqid, messages.PROTOCOL_ERROR, why)
-        self.end(messages.application_exception(wrong))
-        self.client.flawed()
-
-    def end(self, answer: bytes) -> None:
-        if check_invariant(not self.answered, "a download has one answer"):
-            self.answered = True
-            self.client.finish(self, answer)
-
-
-class Taker(Protocol):
-    """Who takes the downloads that clients bring."""
-
-    def take(self, call: Call) -> None: ...
-    def leave(self, call: Call) -> None: ...
-    def serving(self) -> bool: ...
-    def opened(self, client: "Client") -> None: ...
-    def closed(self, client: "Client") -> None: ...
-    def held(self, change: int) -> None: ...
-    def heed(self, client: "Client", unread: bool) -> None: ...
-    def later(self, delay: float, call: Callable[[], None]) -> None: ...
-    def now(self) -> float: ...
-    def fault(self, at: str) -> None: ...
-    def welcome(self, host: str) -> bool: ...
-    def cast_out(self, host: str) -> None: ...
+from weldbend.thrift.errors import ThriftError
+from weldbend.thrift.framing import LENGTH_SIZE, next_frame, peek_small_frame
+
+READ_SIZE = 1 << 16  # bytes: the most that one read of a socket brings
+MAX_FRAME = 48_000 + (1 << 14)  # bytes: the longest body, and the fields that come with it
+INCOMING_CAPACITY = MAX_FRAME + LENGTH_SIZE + 2 * READ_SIZE  # bytes
+MAX_CANCELLATION = 64  # bytes that hold any giveUp call, and no process call
+DISCARD_TIME = 0.25  # seconds for which a client may go on sending after this front's close
+MAX_DISCARDED = 1 << 20  # bytes that a client may still send after this front's close
+
+
+class ConnectionRegistry(Protocol):
+    """Keeps track of live client connections."""
+
+    def client_connected(self, client: "ClientConnection") -> None:
+        """Register a connection that was accepted."""
+
+    def client_disconnected(self, client: "ClientConnection") -> None:
+        """Forget a connection that has ended."""
+
+    def watch_hangup(self, client: "ClientConnection", is_unread: bool) -> None:
+        """Watch for the end of a client that is not read at present, or stop watching."""
+
+
+class ClientOwner(RequestHandler, ConnectionRegistry, BufferAccount, AccessControl, Scheduler, Protocol):
+    """All that a client connection asks of its front."""
+
+    def log_fault(self, where: str) -> None:
+        """Count the exception that is being handled, and log it with its traceback."""
 
 
 @implementer(IPushProducer)
-@dataclass(eq=False)
-class Client(Connection):
-    taker: Taker
-    came: Ring = field(default_factory=lambda: Ring(LONGEST_FRAME + 4 + 2 * CHUNK))
-    going: Ring = field(default_factory=lambda: Ring(OUT))
-    behind: deque[bytes] = field(default_factory=deque)  # whole answers that the ring has no room for
-    open: dict[int, Call] = field(default_factory=dict)
+class ClientConnection(TwistedProtocol):
+    """One live connection of a client.
+
+    Attributes:
+        incoming: Bytes read and not yet parsed.
+        writer: The sending direction.
+        open_requests: Requests that wait for an answer, by sequence id.
+        conduct: What the client did wrong so far.
+        call_count: Calls of any kind read so far.
+        active_at: When it last was not idle (seconds of the front's clock, as all moments here).
+        call_started_at: Since when an incomplete call has been arriving.
+        is_draining: Whether no further calls are read; it closes once the open ones are answered.
+        is_closing: Whether this front has closed its side and discards what still arrives.
+        is_lost: Whether it has ended, or has become an idle connection without an object.
+        is_read_paused: Whether the socket is not read at present.
+    """
+
+    # Twisted declares an ITransport, which lacks most of what a TCP transport offers (see ClientTransport).
     transport: Any = None
-    paused = ended = lost = resting = reading = closing = False
-    calls = flaws = withdrawn = 0
-    seen_ahead = thrown = 0  # bytes looked at before their turn; bytes that came after this front's close
-    early: set[int] = field(default_factory=set)  # calls withdrawn before they were taken
-    heard = begun = 0.0  # when it last was not idle, and since when a call is on its way
-    waited = 0.0  # seconds for which what is read now lay there while others were woken
-    fresh: set[Call] = field(default_factory=set)  # calls of the read that is under way
+    is_draining = False
+    is_lost = False
+    is_read_paused = False
+    is_reading = False
+    is_closing = False
+    call_count = 0
+    scanned_bytes = 0  # bytes of `incoming` already searched for cancellations
+    discarded_bytes = 0
+    active_at = 0.0
+    call_started_at = 0.0
+    read_delay = 0.0  # seconds for which what is read now lay there while other connections were resumed
+
+    def __init__(self, owner: ClientOwner) -> None:
+        self.owner = owner
+        self.incoming = Ring(INCOMING_CAPACITY)
+        self.writer = AnswerWriter(owner)
+        self.open_requests: dict[int, ClientRequest] = {}
+        self.conduct = ClientConduct()
+        self.cancelled_early: set[int] = set()  # sequence ids cancelled before their calls were handled
+        self.new_requests: set[ClientRequest] = set()  # requests of the read that is under way
+
+    # Becoming live.
 
     def connectionMade(self) -> None:
+        """Register with the owner; Twisted calls it when the connection was accepted."""
         self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, True)
-        self.heard = self.taker.now()
-        self.taker.opened(self)
+        self._attach(self.transport)
+        self.active_at = self.owner.now()
+        self.owner.client_connected(self)
 
-    def resume(self, transport: Any, memory: ConnectionRecord) -> None:
-        """Go on as the connection that was parked."""
+    def resume(self, transport: ClientTransport, record: ConnectionRecord) -> None:
+        """Go on as the idle connection of which `record` was kept."""
         self.transport, self.connected = transport, 1
-        self.calls, self.flaws, self.withdrawn, self.heard = memory
+        self.call_count, self.conduct.invalid_calls, self.conduct.cancellations, self.active_at = record
+        self._attach(transport)
+
+    def _attach(self, transport: ClientTransport) -> None:
+        self.writer.transport = transport
         transport.registerProducer(self, True)
 
-    def take_late(self, data: bytes, waited: float) -> None:
-        """What a parked connection woke with, `waited` seconds after that was noticed."""
-        self.waited = waited
+    def receive_delayed(self, data: bytes, delay: float) -> None:
+        """Read what an idle connection woke with, `delay` seconds after that was noticed."""
+        self.read_delay = delay
         try:
             self.dataReceived(data)
-        except Exception:  # the reactor would end the connection just so
-            self.taker.fault("a woken connection")
+        except Exception:  # ends this connection only, as the reactor would; it is logged
+            self.owner.log_fault("a resumed connection")
             self.transport.abortConnection()
         finally:
-            self.waited = 0.0
+            self.read_delay = 0.0
+
+    # Reading calls.
 
     def dataReceived(self, data: bytes) -> None:
-        if self.closing:
-            self.thrown += len(data)
-            if self.thrown > DRAINED:
+        """Read what one read of the socket brought; Twisted calls it."""
+        if self.is_closing:
+            self.discarded_bytes += len(data)
+            if self.discarded_bytes > MAX_DISCARDED:
                 self.transport.abortConnection()
             return
-        self.heard = self.taker.now()
-        if not self.came:
-            self.begun = self.heard
-        check_invariant(self.came.write(data) == len(data), "a client's ring has room for a chunk")
-        self.read()
-
-    def read(self) -> None:
-        """Take what has come whole, but nothing of one that reads no answers."""
-        if self.reading:  # a call turned back at once makes room for the next: not one inside the other
+        self.active_at = self.owner.now()
+        if not self.incoming:
+            self.call_started_at = self.active_at
+        check_invariant(self.incoming.write(data) == len(data), "a client's ring has capacity for a read")
+        self.read_calls()
+
+    def read_calls(self) -> None:
+        """Handle the calls that are complete, but none of a client that does not read its answers."""
+        if self.is_reading:  # a call answered at once lets the next one in: in this loop, not inside it
             return
-        self.reading = True
+        self.is_reading = True
         try:
-            while not self.ended and not self.behind:
-                data = next_frame(self.came, LONGEST_FRAME)
+            while not self.is_draining and not self.writer.queue:
+                data = next_frame(self.incoming, MAX_FRAME)
                 if data is None:
                     break
-                self.begun = self.heard
-                self.seen_ahead = max(self.seen_ahead - len(data) - 4, 0)
-                self.called(messages.read_call(data))
-            if not self.ended:
-                self.look_ahead()
-        except (InvalidFrameError, InvalidMessageError):
-            self.cast_out("clients that break the protocol")
+                self.call_started_at = self.active_at
+                self.scanned_bytes = max(self.scanned_bytes - len(data) - LENGTH_SIZE, 0)
+                self._handle_call(messages.read_call(data))
+            if not self.is_draining:
+                self._scan_for_cancellations()
+        except ThriftError:
+            self.ban(misbehaviour.PROTOCOL_VIOLATION)
         finally:
-            self.reading = False
-            if not self.fresh.isdisjoint(self.open.values()):  # some that it still waits for
-                self.withdrawn = 0
-            self.fresh.clear()
-        if self.ended:
-            self.came.skip(len(self.came))
-        self.rest(self.came.free() < CHUNK)
-
-    def look_ahead(self) -> None:
-        """Heed withdrawals among calls that wait to be taken, since their client reads no answers.
-
-        Guards caches against pulls for a download that its client has withdrawn meanwhile. Harm: none known;
-        what lies unread beyond the ring is heeded only when it is read.
+            self.is_reading = False
+            if not self.new_requests.isdisjoint(self.open_requests.values()):  # some were not cancelled
+                self.conduct.cancellations = 0
+            self.new_requests.clear()
+        if self.is_draining:
+            self.incoming.skip(len(self.incoming))
+        self._pause_reading(self.incoming.free() < READ_SIZE)
+
+    def _scan_for_cancellations(self) -> None:
+        """Handle cancellations among calls that wait to be read, since their client reads no answers.
+
+        Guards caches against attempts for a request that its client has cancelled meanwhile. Harm: none
+        known; what lies unread beyond the ring is found only when it is read.
         """
-        while found := small_frame(self.came, self.seen_ahead, SHORT):
-            after, data = found
+        while found := peek_small_frame(self.incoming, self.scanned_bytes, MAX_CANCELLATION):
+            end, data = found
             if data is not None:
                 call = messages.read_call(data)
-                if isinstance(call, messages.GiveUp) and not self.withdraw(call.seqid):
-                    self.early.add(call.seqid)
-            self.seen_ahead = after
-
-    def rest(self, resting: bool) -> None:
-        """Read no more, or on. The end of a client is heard of all the same."""
-        if resting is not self.resting and not self.lost:
-            self.resting = resting
-            (self.transport.pauseProducing if resting else self.transport.resumeProducing)()
-            self.taker.heed(self, resting)
-
-    def gone(self) -> None:
-        """Its client has ended its side while nothing was read: what lies unread is of no use."""
-        if not self.lost:
-            self.transport.abortConnection()
+                if isinstance(call, messages.GiveUp) and not self._cancel(call.seqid):
+                    self.cancelled_early.add(call.seqid)
+            self.scanned_bytes = end
 
-    def called(self, call: messages.Process | messages.GiveUp | messages.Probe | messages.Wrong) -> None:
-        self.calls += 1
+    def _handle_call(self, call: messages.Call) -> None:
+        self.call_count += 1
         match call:
-            case messages.Process(seqid) if seqid in self.open:  # a second answer must never be sent
-                self.cast_out("clients with two calls under one number")
-            case messages.Process() if len(self.open) >= MOST_OPEN:
-                self.cast_out("clients with more open than they may have")
-            case messages.Process(seqid) if seqid in self.early:
-                self.early.discard(seqid)
+            case messages.Process(seqid) if seqid in self.open_requests:  # must never get a second answer
+                self.ban(misbehaviour.REUSED_SEQUENCE_ID)
+            case messages.Process() if len(self.open_requests) >= misbehaviour.MAX_OPEN_REQUESTS:
+                self.ban(misbehaviour.TOO_MANY_OPEN)
+            case messages.Process(seqid) if seqid in self.cancelled_early:
+                self.cancelled_early.discard(seqid)
             case messages.Process(seqid, fields, body):
-                taken = self.open[seqid] = Call(self, seqid, fields, body, self.waited)
-                self.fresh.add(taken)
-                self.taker.take(taken)
+                request = ClientRequest(self, seqid, fields, body, self.read_delay)
+                self.open_requests[seqid] = request
+                self.new_requests.add(request)
+                self.owner.handle_request(request)
             case messages.GiveUp(seqid):
-                self.early.discard(seqid)
-                self.withdraw(seqid)
+                self.cancelled_early.discard(seqid)
+                self._cancel(seqid)
             case messages.Probe(seqid):
-                self.send(messages.answer("probe", seqid, b"", {}, self.taker.serving()))
-            case messages.Wrong() if call.seqid in self.open:
-                self.cast_out("clients with two calls under one number")
-            case messages.Wrong():
-                self.send(messages.application_exception(call))
-                self.flawed()
-
-    def withdraw(self, seqid: int) -> bool:
-        """Nobody waits for this call any more; false where none is open under the number."""
-        left = self.open.pop(seqid, None)
-        if left:
-            left.answered = True
-            self.taker.leave(left)
-            self.withdrew(left in self.fresh)
-        return left is not None
-
-    def withdrew(self, at_once: bool) -> None:
-        """Guards against clients that withdraw calls by the hundred as they bring them.
-
-        One that soon stops waiting is none of them: when this front is late, its calls are read with their
-        withdrawals. Harm: none known; what is open then is little.
-        """
-        self.withdrawn = self.withdrawn + 1 if at_once else 0
-        if self.withdrawn >= MOST_WITHDRAWN:
-            self.cast_out("clients that withdraw what they bring")
+                self.send_answer(messages.answer("probe", seqid, b"", {}, self.owner.is_serving()))
+            case messages.InvalidCall() if call.seqid in self.open_requests:
+                self.ban(misbehaviour.REUSED_SEQUENCE_ID)
+            case messages.InvalidCall():
+                self.send_answer(messages.application_exception(call))
+                self.count_invalid_call()
+
+    def _cancel(self, seqid: int) -> bool:
+        """Cancel the request with this sequence id; false where none is open."""
+        request = self.open_requests.pop(seqid, None)
+        if request is None:
+            return False
+        request.is_answered = True
+        self.owner.cancel_request(request)
+        if self.conduct.count_cancellation(request in self.new_requests):
+            self.ban(misbehaviour.TOO_MANY_CANCELLATIONS)
+        return True
+
+    def _pause_reading(self, is_paused: bool) -> None:
+        """Stop or resume reading the socket. The end of a client is noticed all the same."""
+        if is_paused is not self.is_read_paused and not self.is_lost:
+            self.is_read_paused = is_paused
+            (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
+            self.owner.watch_hangup(self, is_paused)
+
+    def hung_up(self) -> None:
+        """Abort: the client has ended its side while nothing was read, and what lies unread is of no use."""
+        if not self.is_lost:
+            self.transport.abortConnection()
+
+    # Misbehaviour.
+
+    def count_invalid_call(self) -> None:
+        """Count a call that was answered as invalid, and ban a client with too many."""
+        if self.conduct.count_invalid_call():
+            self.ban(misbehaviour.TOO_MANY_INVALID_CALLS)
 
-    def flawed(self) -> None:
-        """Guards against clients that bring the same unusable call again as soon as it is turned back.
+    def ban(self, reason: str) -> None:
+        """End it with all that is open on it: what such a client asked for must not be served.
 
-        Harm: one with a bad call now and then connects anew.
+        Args:
+            reason: The anomaly counter that it is counted under.
         """
-        self.flaws += 1
-        if self.flaws >= MOST_FLAWS:
-            self.cast_out("clients turned back too often")
-
-    def cast_out(self, why: str) -> None:
-        """End it with all that is open on it: what such a client asked for must not be fulfilled."""
-        if not (self.ended or self.lost):
-            anomalies[why] += 1
-            self.ended = True
-            self.taker.cast_out(self.host())
-            for call in list(self.open.values()):
-                self.taker.leave(call)
-                if not call.answered:
-                    call.abandon()
-            self.close_if_done()
+        if self.is_draining or self.is_lost:
+            return
+        anomalies[reason] += 1
+        self.is_draining = True
+        self.owner.report_ban(self.host())
+        for request in list(self.open_requests.values()):
+            self.owner.cancel_request(request)
+            if not request.is_answered:
+                request.answer_failed()
+        self._close_if_done()
 
     def host(self) -> str:
-        """The address that it comes from."""
+        """The address that it comes from; empty where the transport knows none."""
         return str(getattr(self.transport.getPeer(), "host", ""))
 
-    def seen(self, now: float) -> ConnectionState:
-        """What a look at it finds, at the moment `now` (seconds)."""
-        busy = bool(self.open or self.behind or self.going or self.lost or self.transport.disconnecting)
-        if busy:
-            self.heard = now
-        return ConnectionState(busy, bool(self.came), self.calls, self.heard, self.begun)
-
-    def silent(self) -> None:
-        self.ended = True
-        self.close()
-
-    def parks(self) -> bool:
-        """Whether all that there is to know of it is its memory."""
-        return self.idle() and not (self.ended or self.lost or self.paused or self.resting or self.reading)
+    # Writing answers.
 
-    def memory(self) -> ConnectionRecord:
-        return ConnectionRecord(self.calls, self.flaws, self.withdrawn, self.heard)
-
-    def parted(self) -> None:
-        """Its descriptor has left it: whatever is said to it from here on goes nowhere."""
-        self.lost, self.transport = True, None
-
-    def finish(self, call: Call, answer: bytes) -> None:
-        self.heard = self.taker.now()
-        if self.open.pop(call.seqid, None) is not call or self.lost:
+    def finish_request(self, request: ClientRequest, answer: bytes) -> None:
+        """Send the answer to a request, unless it was cancelled meanwhile."""
+        self.active_at = self.owner.now()
+        if self.open_requests.pop(request.seqid, None) is not request or self.is_lost:
             return
-        self.send(answer)
-        self.go_on()
+        self.send_answer(answer)
+        self._continue()
 
-    def send(self, answer: bytes) -> None:
-        if self.lost:
-            return
-        if not (self.paused or self.behind or self.going):  # nothing waits: no need to wait behind it
-            self.transport.write(answer)
-            return
-        self.behind.append(answer)
-        self.taker.held(len(answer))
-        self.pump()
-
-    def pump(self) -> None:
-        """Move whole answers into the ring, and the ring's bytes on while the socket takes them."""
-        while True:
-            while self.behind and len(self.behind[0]) <= self.going.free():
-                self.going.write(self.behind.popleft())
-            if self.paused or not self.going:
-                break
-            data = self.going.read(min(len(self.going), CHUNK))
-            self.taker.held(-len(data))
-            self.transport.write(data)
+    def send_answer(self, answer: bytes) -> None:
+        """Send one whole answer, after those that wait."""
+        if not self.is_lost:
+            self.writer.write(answer)
 
     def pauseProducing(self) -> None:
-        self.paused = True
+        """Hold answers back; the transport calls it when its buffer is full."""
+        self.writer.is_paused = True
 
     def resumeProducing(self) -> None:
-        self.paused = False
-        self.pump()
-        self.go_on()
-
-    def go_on(self) -> None:
-        """Something has ended: take what waited for that, and close if it was the last."""
-        if self.came and not (self.ended or self.lost):
-            self.read()
-        self.close_if_done()
+        """Go on with the answers that wait; the transport calls it when its buffer has drained."""
+        self.writer.is_paused = False
+        self.writer.write_pending()
+        self._continue()
 
     def stopProducing(self) -> None:
-        self.paused = True
-
-    def idle(self) -> bool:
-        return not (self.open or self.came or self.going or self.behind)
+        """Write nothing more; the transport calls it when it has ended."""
+        self.writer.is_paused = True
+
+    def _continue(self) -> None:
+        """Read what waited for an answer to leave, and close if that was the last."""
+        if self.incoming and not (self.is_draining or self.is_lost):
+            self.read_calls()
+        self._close_if_done()
+
+    # Idleness.
+
+    def is_idle(self) -> bool:
+        """Whether no request is open, no byte of a call is here and no byte of an answer waits."""
+        return not (self.open_requests or self.incoming or self.writer.has_pending())
+
+    def can_become_idle(self) -> bool:
+        """Whether its state is no more than its `record`, so that no object is needed for it."""
+        return self.is_idle() and not (
+            self.is_draining
+            or self.is_lost
+            or self.writer.is_paused
+            or self.is_read_paused
+            or self.is_reading
+        )
+
+    def record(self) -> ConnectionRecord:
+        """What has to be kept of it while it is idle."""
+        return ConnectionRecord(
+            self.call_count, self.conduct.invalid_calls, self.conduct.cancellations, self.active_at
+        )
+
+    def release(self) -> None:
+        """Let go of the transport: its descriptor lives on as an idle connection, this object does not."""
+        self.is_lost = True
+        self.transport = self.writer.transport = None
+
+    def observe(self, now: float) -> ConnectionState:
+        """What a check at the moment `now` (seconds) has to know of it."""
+        is_busy = bool(
+            self.open_requests or self.writer.has_pending() or self.is_lost or self.transport.disconnecting
+        )
+        if is_busy:
+            self.active_at = now
+        return ConnectionState(
+            is_busy, bool(self.incoming), self.call_count, self.active_at, self.call_started_at
+        )
+
+    # Closing.
 
     def finish_and_close(self) -> None:
-        """Hear no more of a client; what is open still gets its answer."""
-        self.ended = True
-        self.close_if_done()
+        """Read no further calls, and close once the open ones are answered."""
+        self.is_draining = True
+        self._close_if_done()
 
-    def close_if_done(self) -> None:
-        if self.ended and not (self.open or self.going or self.behind or self.lost):
+    def _close_if_done(self) -> None:
+        if self.is_draining and not (self.open_requests or self.writer.has_pending() or self.is_lost):
             self.close()
 
     def close(self) -> None:
-        """Say that nothing more comes, and hear out what its client still sends until it closes as well.
+        """Close the sending direction, and discard what the client still sends until it closes as well.
 
-        Guards answers just written against a reset. Harm: a descriptor is held for DRAIN seconds at most
-        after the last answer has left, by a client that does not close.
+        Guards answers just written against a reset. Harm: a descriptor is held for DISCARD_TIME at most after
+        the last answer has left, by a client that does not close.
         """
-        if not (self.closing or self.lost):
-            self.ended = self.closing = True
-            self.came.skip(len(self.came))
-            self.rest(False)
+        if not (self.is_closing or self.is_lost):
+            self.is_draining = self.is_closing = True
+            self.incoming.skip(len(self.incoming))
+            self._pause_reading(False)
             self.transport.unregisterProducer()
             self.transport.loseWriteConnection()
-            self.taker.later(DRAIN, self.let_go)
+            self.owner.call_later(DISCARD_TIME, self._disconnect)
 
-    def let_go(self) -> None:
-        if not self.lost:
+    def _disconnect(self) -> None:
+        if not self.is_lost:
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
-        self.lost = True
-        self.taker.heed(self, False)
-        self.taker.held(-len(self.going) - sum(map(len, self.behind)))
-        self.behind.clear()
-        calls, self.open = list(self.open.values()), {}
-        for call in calls:
-            call.answered = True
-            self.taker.leave(call)
-        self.taker.closed(self)
+    def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Cancel all that is open; Twisted calls it when the connection has ended, for whatever reason."""
+        self.is_lost = True
+        self.owner.watch_hangup(self, False)
+        self.writer.discard()
+        requests = list(self.open_requests.values())
+        self.open_requests = {}
+        for request in requests:
+            request.is_answered = True
+            self.owner.cancel_request(request)
+        self.owner.client_disconnected(self)
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -1,227 +1,296 @@
-"""The clients' connections, live and parked: the listening port, who is looked at, and who makes room.
+"""The clients' listening port: accepts connections, checks live ones, and makes capacity at the bound.
 
-What is chosen stands in `weldbend.idle_connections.policy`; here it is carried out. A live connection is
-looked at eight times a second; a parked one when it is due or brings something.
+The choices stand in `weldbend.idle_connections.policy`; here they are carried out. A live connection is
+checked eight times a second; an idle one, which has no object, when it is due or brings something.
 """
 
 import heapq
 import socket
 from collections import deque
 from collections.abc import Callable
-from typing import Any
+from typing import Any, Protocol
 
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import Factory
 
-from weldbend.clients.connection import Client, Taker
+from weldbend.clients.connection import ClientConnection, ClientOwner
+from weldbend.clients.interfaces import ClientTransport
 from weldbend.idle_connections import policy
 from weldbend.idle_connections.connection_table import ConnectionRecord
-from weldbend.idle_connections.epoll_set import EpollSet, HangupWatcher
+from weldbend.idle_connections.epoll_set import EpollSet, HangupWatcher, Reactor
 from weldbend.idle_connections.idle_pool import DescriptorSet, IdlePool
 from weldbend.idle_connections.policy import ConnectionAction, ConnectionSettings
 from weldbend.invariants import anomalies
 
-BACKLOG = 1024
-DEAD_PEER_TIMEOUT = (
-    60  # seconds without a sign of a client's machine, or of its reading, until it is held to be gone
-)
-LOOK = 0.125  # seconds between two looks at a live connection
-STOOD = 1.0  # seconds since the last look, from which on this process stood still meanwhile
-GONE_FOR = {
-    ConnectionAction.CLOSE_SILENT: "clients that say nothing",
-    ConnectionAction.CLOSE_INCOMPLETE: "clients that stop in the middle of a call",
+BACKLOG = 1024  # connections that the kernel may queue for this port
+DEAD_PEER_TIMEOUT = 60  # seconds without a sign of a client's machine, or of its reading, until it is ended
+CHECK_INTERVAL = 0.125  # seconds between two checks of a live connection
+STANDSTILL = 1.0  # seconds between two rounds of checks from which on this process stood still meanwhile
+CLOSED_FOR = {  # anomaly counters, as they appear in the log
+    ConnectionAction.CLOSE_SILENT: "idle clients without a call",
+    ConnectionAction.CLOSE_INCOMPLETE: "clients with an incomplete call",
 }
+# Sorts idle connections by who is evicted first; then its descriptor, or -1 and its live connection.
+Candidate = tuple[tuple[bool, int, float], int, ClientConnection | None]
+
+
+class ListeningPort(Protocol):
+    """What is used of a Twisted TCP port; see `twisted.internet.tcp.Port`."""
+
+    numberAccepts: int
+    socket: socket.socket
+
+    def doRead(self) -> None:
+        """Accept up to `numberAccepts` connections."""
+
+    def pauseProducing(self) -> None:
+        """Accept nobody."""
+
+    def resumeProducing(self) -> None:
+        """Accept again."""
+
+    def stopListening(self) -> object:
+        """Close the port."""
+
+
+class ListeningReactor(Reactor, Protocol):
+    """What is used of the reactor here, and by what watches idle connections."""
+
+    def listenTCP(self, port: int, factory: Factory, backlog: int, interface: str) -> ListeningPort:
+        """Listen on an address; raises `twisted.internet.error.CannotListenError`."""
 
 
 class Listener(Factory):
-    """Keeps the clients' connections, at most so many; those beyond wait in the kernel's queue."""
+    """Keeps the clients' connections, at most so many; those beyond wait in the kernel's queue.
+
+    Attributes:
+        max_connections: How many connections there may be, live and idle.
+        clients: The live connections, in the order in which they came.
+        checks: When each live connection is checked next, the earliest first.
+        idle_pool: The idle connections; None before the port is open.
+        port: The listening port; None before it is open and once it is closed.
+        is_paused: Whether nobody is accepted, since the bound is reached.
+    """
 
     noisy = False
-    rim: Callable[[Any], DescriptorSet] = EpollSet
-
-    def __init__(self, taker: Taker, most: int, terms: ConnectionSettings) -> None:
-        self.taker, self.most, self.terms = taker, most, terms
-        self.clients: dict[Client, None] = {}  # those that are live, in the order in which they came
-        self.looks: deque[tuple[float, Client]] = deque()  # when each is looked at, the next first
-        self.lot: IdlePool | None = None
-        self.port: Any = None
-        self.resting = False
+    epoll_set_factory: Callable[[Any], DescriptorSet] = EpollSet
+
+    def __init__(self, owner: ClientOwner, max_connections: int, settings: ConnectionSettings) -> None:
+        self.owner = owner
+        self.max_connections = max_connections
+        self.settings = settings
+        self.clients: dict[ClientConnection, None] = {}
+        self.checks: deque[tuple[float, ClientConnection]] = deque()
+        self.idle_pool: IdlePool | None = None
+        self.port: ListeningPort | None = None
+        self.is_paused = False
         self.hangups: HangupWatcher | None = None
-        self.looked = 0.0  # when all was looked at last
+        self.checked_at = 0.0
+
+    def connection_count(self) -> int:
+        """How many clients are connected, live and idle."""
+        return len(self.clients) + self.idle_count()
 
-    def count(self) -> int:
-        return len(self.clients) + self.parked()
+    def idle_count(self) -> int:
+        """How many connections are idle, without an object of their own."""
+        return self.idle_pool.count() if self.idle_pool else 0
 
-    def parked(self) -> int:
-        return self.lot.count() if self.lot else 0
+    # The port.
 
-    def listen(self, reactor: Any, host: str, port: int) -> None:
-        rim = self.rim(reactor)
-        self.lot = IdlePool(reactor, rim, self.terms, self.taker.now, self.woken, self.rest)
+    def listen(self, reactor: ListeningReactor, host: str, port: int) -> None:
+        """Open the port; raises `twisted.internet.error.CannotListenError`."""
+        epoll_set = self.epoll_set_factory(reactor)
+        self.idle_pool = IdlePool(
+            reactor, epoll_set, self.settings, self.owner.now, self.resume, self.update_accepting
+        )
         self.hangups = HangupWatcher(reactor)
         self.port = reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
-        self.watch()
+        self.set_keepalive()
 
     def stop(self) -> bool:
-        """Accept nobody new; whether that is so by now. Those who wait in the kernel's queue are taken first.
+        """Accept nobody new, but first those in the kernel's queue; whether the port is closed by now.
 
         Guards requests that came on a connection which the system has accepted and this front has not:
         closing the port resets it. Harm: none known; nobody can get in after that.
         """
-        if self.port and not self.resting:
-            count = self.count()
-            self.port.numberAccepts = self.terms.accept_batch  # none after a look that found nobody
+        if self.port and not self.is_paused:
+            count = self.connection_count()
+            # Twisted lowers it when a round finds nobody.
+            self.port.numberAccepts = self.settings.accept_batch
             self.port.doRead()
-            if self.count() == count:
+            if self.connection_count() == count:
                 self.port.stopListening()
                 self.port = None
         return not self.port
 
-    def watch(self) -> None:
+    def set_keepalive(self) -> None:
         """Have the system end connections of machines that vanished; what is accepted inherits it.
 
         Guards descriptors and the memory of answers that nobody will read. Harm: a client that reads nothing
-        for a minute is cut off, long after its downloads are over.
+        for a minute is disconnected, long after its requests are over.
         """
-        listening: socket.socket = self.port.socket
+        if self.port is None:
+            return
+        listening = self.port.socket
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, DEAD_PEER_TIMEOUT // 2)
         listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, DEAD_PEER_TIMEOUT // 4)
         listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DEAD_PEER_TIMEOUT * 1000)
 
-    def buildProtocol(self, addr: IAddress | None) -> Client | None:
-        return Client(self.taker) if self.taker.welcome(getattr(addr, "host", "")) else None
+    def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
+        """The object for an accepted connection; None closes it, as its address is banned."""
+        return ClientConnection(self.owner) if self.owner.is_admitted(getattr(addr, "host", "")) else None
 
     # Live connections.
 
-    def opened(self, client: Client) -> None:
-        """One is accepted. Guards timers against rushes: the reactor would accept ever more in one turn."""
+    def client_connected(self, client: ClientConnection) -> None:
+        """Register one that was accepted, and make capacity for it.
+
+        Guards timers against rushes: the reactor would accept ever more in one iteration of its loop.
+        """
         if self.port:
-            self.port.numberAccepts = self.terms.accept_batch
-        self.enter(client)
-        self.make_room(client)
+            self.port.numberAccepts = self.settings.accept_batch
+        self._add(client)
+        self.evict_idle(client)
 
-    def enter(self, client: Client) -> None:
+    def _add(self, client: ClientConnection) -> None:
         self.clients[client] = None
-        self.looks.append((self.taker.now() + LOOK, client))
+        self.checks.append((self.owner.now() + CHECK_INTERVAL, client))
 
-    def heed(self, client: Client, unread: bool) -> None:
-        """Hear of a client's end while it is not read."""
-        if self.hangups and unread:
-            self.hangups.watch(client.transport, client.gone)
+    def watch_hangup(self, client: ClientConnection, is_unread: bool) -> None:
+        """Watch for a client's end while it is not read, or no longer where `is_unread` is false."""
+        if self.hangups and is_unread:
+            self.hangups.watch(client.transport, client.hung_up)
         elif self.hangups:
-            self.hangups.unwatch(client.gone)
+            self.hangups.unwatch(client.hung_up)
 
-    def closed(self, client: Client) -> None:
+    def client_disconnected(self, client: ClientConnection) -> None:
+        """Forget one that has ended."""
         self.clients.pop(client, None)
-        self.rest()
+        self.update_accepting()
 
-    def look(self) -> bool:
-        """Look at what is due, and close or park what has to go; whether some are left for another turn.
+    def check_connections(self) -> bool:
+        """Check what is due, and close or idle what has to go.
 
         Guards against closing for idleness, after a standstill, those whose calls lie unread: timers come
-        before sockets are read. Harm: one look less after it.
+        before sockets are read. Harm: one round of checks less after it.
+
+        Returns:
+            Whether some are due that this round had no budget for.
         """
-        now, left = self.taker.now(), self.terms.close_batch
-        before, self.looked = self.looked, now
-        if now > before + STOOD:
+        now = self.owner.now()
+        budget = self.settings.close_batch
+        previous, self.checked_at = self.checked_at, now
+        if now > previous + STANDSTILL:
             return False
-        while self.looks and self.looks[0][0] <= now and left:
-            client = self.looks.popleft()[1]
+        while self.checks and self.checks[0][0] <= now and budget:
+            client = self.checks.popleft()[1]
             if client in self.clients:
-                left -= self.judge(client, now)
+                budget -= self._check(client, now)
                 if client in self.clients:
-                    self.looks.append((now + LOOK, client))
-        if self.lot and left:
-            due, mute = self.lot.close_expired(left)
-            left -= due
+                    self.checks.append((now + CHECK_INTERVAL, client))
+        if self.idle_pool and budget:
+            due, mute = self.idle_pool.close_expired(budget)
+            budget -= due
             if mute:
-                anomalies[GONE_FOR[ConnectionAction.CLOSE_SILENT]] += mute
-        self.make_room()
-        return not left
+                anomalies[CLOSED_FOR[ConnectionAction.CLOSE_SILENT]] += mute
+        self.evict_idle()
+        return not budget
 
-    def judge(self, client: Client, now: float) -> bool:
-        """Look at one; whether anything was done about it."""
-        if client.closing:
+    def _check(self, client: ClientConnection, now: float) -> bool:
+        """Check one; whether anything was done about it."""
+        if client.is_closing:
             return False
-        verdict = policy.decide(self.terms, client.seen(now), now, len(self.clients))
-        match verdict:
+        decision = policy.decide(self.settings, client.observe(now), now, len(self.clients))
+        match decision:
             case ConnectionAction.MOVE_TO_POOL:
-                return self.park(client)
+                return self._make_idle(client)
             case ConnectionAction.CLOSE_IDLE:
                 client.close()
             case ConnectionAction.CLOSE_SILENT | ConnectionAction.CLOSE_INCOMPLETE:
-                anomalies[GONE_FOR[verdict]] += 1
-                client.silent()
-        return verdict is not ConnectionAction.KEEP
+                anomalies[CLOSED_FOR[decision]] += 1
+                client.close()
+        return decision is not ConnectionAction.KEEP
 
-    def park(self, client: Client) -> bool:
-        """Keep a connection's descriptor and figures only; false where it must stay as it is for now."""
-        if not (self.lot and client.parks() and self.lot.add(client.transport, client.memory())):
+    # Idle connections.
+
+    def _make_idle(self, client: ClientConnection) -> bool:
+        """Keep a connection's descriptor and counters only; false where it must stay as it is for now."""
+        can_leave = self.idle_pool and client.can_become_idle()
+        if not (can_leave and self.idle_pool and self.idle_pool.add(client.transport, client.record())):
             return False
-        client.parted()
+        client.release()
         self.clients.pop(client, None)
         return True
 
-    def woken(self, fd: int, memory: ConnectionRecord, data: bytes) -> None:
-        """A parked one has brought something: it is a connection again, as it was before.
+    def resume(self, fd: int, record: ConnectionRecord, data: bytes) -> None:
+        """Make an idle connection that has brought bytes a live one again.
 
-        A fault in it ends this connection, not the others that are parked.
+        A fault in it ends this connection, not the others that are idle.
         """
-        assert self.lot
-        client = Client(self.taker)
-        transport = self.lot.descriptors.attach(fd, client)
+        assert self.idle_pool
+        client = ClientConnection(self.owner)
+        transport: ClientTransport = self.idle_pool.descriptors.attach(fd, client)
         try:
-            self.enter(client)
-            client.resume(transport, memory)
-        except Exception:
-            self.taker.fault("a woken connection")
+            self._add(client)
+            client.resume(transport, record)
+        except Exception:  # ends this connection only; it is logged
+            self.owner.log_fault("a resumed connection")
             transport.abortConnection()
             return
-        client.take_late(data, self.taker.now() - memory.last_active)
+        client.receive_delayed(data, self.owner.now() - record.last_active)
 
     # The bound.
 
-    def make_room(self, new: Client | None = None) -> None:
-        """At the bound idle ones go, in the order of `policy.eviction_order`."""
-        going = sum(client.closing for client in self.clients) if self.count() >= self.most else 0
-        count = min(policy.eviction_count(self.count() - going, self.most), self.terms.close_batch)
-        if count and self.lot:
-            now, table = self.taker.now(), self.lot.table
-            spare: list[tuple[tuple[bool, int, float], int, Client | None]] = [
-                (policy.eviction_order(other.calls, other.heard, now), -1, other)
-                for other in self.clients
-                if other is not new and other.idle() and not other.closing
-            ]
-            for fd in table.longest_idle(count):
-                spare.append(
-                    (policy.eviction_order(table.request_counts[fd], table.last_active[fd], now), fd, None)
-                )
-            for _, fd, other in heapq.nsmallest(count, spare, key=lambda one: one[0]):
-                if other:
-                    other.close()
+    def evict_idle(self, new: ClientConnection | None = None) -> None:
+        """Close idle connections at the bound, in the order of `policy.eviction_order`; `new` is spared."""
+        is_full = self.connection_count() >= self.max_connections
+        closing = sum(client.is_closing for client in self.clients) if is_full else 0
+        excess = policy.eviction_count(self.connection_count() - closing, self.max_connections)
+        count = min(excess, self.settings.close_batch)
+        if count and self.idle_pool:
+            candidates = self._eviction_candidates(self.idle_pool, count, new)
+            for _, fd, client in heapq.nsmallest(count, candidates, key=lambda candidate: candidate[0]):
+                if client:
+                    client.close()
                 else:
-                    self.lot.close_if_idle(fd)
-        self.rest()
-
-    def rest(self) -> None:
-        resting = policy.is_accept_paused(self.count(), self.most)
-        if self.port and resting is not self.resting:
-            self.resting = resting
-            (self.port.pauseProducing if resting else self.port.resumeProducing)()
+                    self.idle_pool.close_if_idle(fd)
+        self.update_accepting()
+
+    def _eviction_candidates(
+        self, idle_pool: IdlePool, count: int, new: ClientConnection | None
+    ) -> list[Candidate]:
+        now, table = self.owner.now(), idle_pool.table
+        candidates: list[Candidate] = [
+            (policy.eviction_order(client.call_count, client.active_at, now), -1, client)
+            for client in self.clients
+            if client is not new and client.is_idle() and not client.is_closing
+        ]
+        for fd in table.longest_idle(count):
+            candidates.append(
+                (policy.eviction_order(table.request_counts[fd], table.last_active[fd], now), fd, None)
+            )
+        return candidates
+
+    def update_accepting(self) -> None:
+        """Accept nobody while the bound is reached, and everybody below it."""
+        is_paused = policy.is_accept_paused(self.connection_count(), self.max_connections)
+        if self.port and is_paused is not self.is_paused:
+            self.is_paused = is_paused
+            (self.port.pauseProducing if is_paused else self.port.resumeProducing)()
 
     # The end.
 
-    def quiet(self) -> bool:
+    def is_quiet(self) -> bool:
         """Whether nothing can be on its way on any connection."""
-        now = self.taker.now()
-        if self.lot and not self.lot.has_nothing_to_read():
+        now = self.owner.now()
+        if self.idle_pool and not self.idle_pool.has_nothing_to_read():
             return False
-        return all(c.closing or policy.is_quiescent(c.idle(), c.heard, now) for c in self.clients)
+        return all(c.is_closing or policy.is_quiescent(c.is_idle(), c.active_at, now) for c in self.clients)
 
-    def close_some(self) -> None:
-        """Close all that are live as soon as they are done, and a batch of those parked."""
+    def close_batch(self) -> None:
+        """Close all live connections as soon as they are done, and a batch of the idle ones."""
         for client in list(self.clients):
             client.finish_and_close()
-        if self.lot:
-            self.lot.close_longest_idle(self.terms.close_batch)
+        if self.idle_pool:
+            self.idle_pool.close_longest_idle(self.settings.close_batch)
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -188,7 +188,7 @@
         key, group = (change.key[2:], 0) if change.key.startswith("k:") else (None, int(change.key[2:]))
         self.counts["purges from peers"] += 1
         self.loop.post(ObjectsPurged(key, group, clock.age(at)))
-        self.loop.pool.purged(key, group)
+        self.loop.pool.cancel_purged(key, group)
 
     def hold(self, uid: str) -> None:
         """Keep a cache as strictly as the newest list says that any front has read.
@@ -212,7 +212,7 @@
         if started is not None:
             self.sharing.restarted(uid)
         if state_known is not None:
-            self.loop.pool.withdraw({number}, lambda attempt: False)
+            self.loop.pool.cancel_concerning({number})
             logger.bind(cache=uid).info(
                 "fleet: {} is {} by event {}, which this front's bus has not told",
                 uid,
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -4,8 +4,8 @@
 
 from weldbend.cache_protocol import commands
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.connection import Attempt, Lost
-from weldbend.caches.pool import Pool
+from weldbend.caches.attempt import Attempt, AttemptLoss
+from weldbend.caches.pool import CachePool
 from weldbend.front import request_codec
 from weldbend.front.context import FrontContext
 from weldbend.front.endpoint_updates import EndpointUpdates
@@ -26,7 +26,7 @@
         queue: EventQueue,
         requests: RequestTable,
         endpoints: EndpointUpdates,
-        pool: Pool,
+        pool: CachePool,
     ) -> None:
         self.context = context
         self.queue = queue
@@ -49,13 +49,13 @@
             key=request.parsed.key,
             group=request.parsed.group,
             command=lambda: self._command(request, action, source),
-            fleeting=self._is_permission_short_lived(request, action),
-            ended=lambda attempt, outcome: self.guard(request, self.end, attempt, outcome),
+            is_short_lived=self._is_permission_short_lived(request, action),
+            on_ended=lambda attempt, outcome: self.guard(request, self.end, attempt, outcome),
         )
         request.attempts.append(attempt)
         request.attempt_times.append(self.context.clock.now())
         if request.is_closed:  # cancelled or answered in the very iteration in which this was decided
-            attempt.over = True
+            attempt.is_over = True
             self.end(request, attempt, AttemptResult.SUPERSEDED)
             return
         self.context.counters.counts["attempts"] += 1
@@ -85,24 +85,26 @@
         return bool(is_guarded_retry) or not self.endpoints.started.isdisjoint((action.cache, action.source))
 
     def _timeout_attempt(self, request: OpenRequest, attempt: Attempt) -> None:
-        if not attempt.over:
-            self.pool.call_off(attempt)
+        if not attempt.is_over:
+            self.pool.cancel(attempt)
             self.end(request, attempt, AttemptResult.TIMED_OUT)
 
     def cancel(self, request: OpenRequest, attempt: Attempt) -> None:
         """Cancel an attempt; nothing happens where it has ended."""
-        if not attempt.over:
-            was_sent = self.pool.call_off(attempt)
+        if not attempt.is_over:
+            was_sent = self.pool.cancel(attempt)
             self.end(request, attempt, AttemptResult.CANCELLED if was_sent else AttemptResult.SUPERSEDED)
 
-    def end(self, request: OpenRequest, attempt: Attempt, outcome: Answer | Lost | AttemptResult) -> None:
+    def end(
+        self, request: OpenRequest, attempt: Attempt, outcome: Answer | AttemptLoss | AttemptResult
+    ) -> None:
         """Post the end of an attempt; the first that brings the object answers the request."""
-        if isinstance(outcome, Answer) and outcome.word in ("DONE", "KEEP") and not request.is_closed:
+        if isinstance(outcome, Answer) and outcome.status in ("DONE", "KEEP") and not request.is_closed:
             self.context.counters.counts["served"] += 1
-            request.call.fulfill(outcome.body, outcome.word == "KEEP")
+            request.call.answer_served(outcome.body, outcome.status == "KEEP")
             self.close(request)
         number = request.attempts.index(attempt)
-        if isinstance(outcome, Answer) and outcome.word not in request_codec.RESULTS:
+        if isinstance(outcome, Answer) and outcome.status not in request_codec.RESULTS:
             anomalies["attempts answered as health checks"] += 1
             outcome = AttemptResult.ERROR
         duration = self.context.clock.now() - request.attempt_times[number]
@@ -115,21 +117,21 @@
         """Answer a request with Retry-After in seconds; 0 tells none."""
         if not request.is_closed:
             self.context.counters.counts["rejected"] += 1
-            request.call.throttle(retry_after)
+            request.call.answer_rejected(retry_after)
             self.close(request)
 
     def fail(self, request: OpenRequest) -> None:
         """Answer a request as failed, by decision of the router."""
         if not request.is_closed:
             self.context.counters.counts["failed"] += 1
-            request.call.abandon()
+            request.call.answer_failed()
             self.close(request)
 
     def abort(self, request: OpenRequest) -> None:
         """Answer a request as failed without the router's decision, which is notified."""
         if not request.is_closed:
             self.context.counters.counts["failed"] += 1
-            request.call.abandon()
+            request.call.answer_failed()
             self.queue.post(RequestCancelled(request.id))
             self.close(request)
 
@@ -170,7 +172,7 @@
         """
         self.requests.mark_closed(request)
         for attempt in request.attempts:
-            if attempt.waits():
+            if attempt.is_waiting():
                 self.cancel(request, attempt)
         self.requests.finish_if_done(request)
 
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -2,8 +2,9 @@
 
 from collections.abc import Callable
 
-from weldbend.clients.connection import Call, Client
+from weldbend.clients.connection import ClientConnection
 from weldbend.clients.listener import Listener
+from weldbend.clients.request import ClientRequest
 from weldbend.front.context import FrontContext
 from weldbend.front.dispatcher import Dispatcher
 
@@ -35,35 +36,35 @@
 
     def _upkeep(self) -> None:
         """Do a bounded piece of upkeep: what is left goes on shortly, after what else is due."""
-        is_unfinished = self.listener.look()
+        is_unfinished = self.listener.check_connections()
         self.context.timers.after(UPKEEP_CONTINUATION if is_unfinished else UPKEEP_INTERVAL, self._upkeep)
 
-    def take(self, call: Call) -> None:
+    def handle_request(self, request: ClientRequest) -> None:
         """Handle a request that has come whole."""
-        self.dispatcher.admission.handle(call)
+        self.dispatcher.admission.handle(request)
 
-    def leave(self, call: Call) -> None:
+    def cancel_request(self, request: ClientRequest) -> None:
         """Cancel a request for which nobody waits any more."""
-        self.dispatcher.admission.cancel(call)
+        self.dispatcher.admission.cancel(request)
 
-    def fault(self, at: str) -> None:
+    def log_fault(self, where: str) -> None:
         """Record the error being handled."""
-        self.context.counters.record_error(at)
+        self.context.counters.record_error(where)
 
-    def heed(self, client: Client, unread: bool) -> None:
+    def watch_hangup(self, client: ClientConnection, is_unread: bool) -> None:
         """Note whether a client does not read its answers."""
-        self.listener.heed(client, unread)
+        self.listener.watch_hangup(client, is_unread)
 
-    def later(self, delay: float, call: Callable[[], None]) -> None:
+    def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """Call back after `delay` seconds."""
         self.context.timers.after(delay, call)
 
-    def welcome(self, host: str) -> bool:
+    def is_admitted(self, host: str) -> bool:
         """Return whether a client may connect: the fleet may have banned it."""
         fleet = self.context.fleet
         return not (fleet and fleet.is_banned(host))
 
-    def cast_out(self, host: str) -> None:
+    def report_ban(self, host: str) -> None:
         """Report to the fleet a client that broke the protocol."""
         if self.context.fleet:
             self.context.fleet.report_protocol_violation(host)
@@ -72,25 +73,21 @@
         """Return the monotonic time in seconds."""
         return self.context.clock.now()
 
-    def serving(self) -> bool:
-        """Return what health checks by clients are answered."""
-        return self.is_serving()
-
-    def opened(self, client: Client) -> None:
+    def client_connected(self, client: ClientConnection) -> None:
         """Count a client that has connected."""
-        self.listener.opened(client)
-        self.max_connections = max(self.max_connections, self.listener.count())
+        self.listener.client_connected(client)
+        self.max_connections = max(self.max_connections, self.listener.connection_count())
 
-    def closed(self, client: Client) -> None:
+    def client_disconnected(self, client: ClientConnection) -> None:
         """Forget a client that has disconnected."""
-        self.listener.closed(client)
+        self.listener.client_disconnected(client)
 
-    def held(self, change: int) -> None:
+    def buffered_changed(self, change: int) -> None:
         """Count bytes that wait for slow readers: beyond the bound, caches are read no further."""
         self.unsent_bytes += change
         self.max_unsent_bytes = max(self.max_unsent_bytes, self.unsent_bytes)
         pool, bound = self.dispatcher.pool, self.context.site.max_unsent_bytes
-        if self.unsent_bytes > bound and not pool.resting:
-            pool.rest(True)
-        elif self.unsent_bytes < bound // 2 and pool.resting:
-            pool.rest(False)
+        if self.unsent_bytes > bound and not pool.is_read_paused:
+            pool.pause_reading(True)
+        elif self.unsent_bytes < bound // 2 and pool.is_read_paused:
+            pool.pause_reading(False)
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -7,7 +7,7 @@
 from ipaddress import IPv4Address
 from typing import Any
 
-from weldbend.caches.pool import Bounds
+from weldbend.caches.limits import CacheLimits
 from weldbend.event_bus.errors import InvalidEventError
 from weldbend.event_bus.events import SequencedEvent, parse_known_events
 from weldbend.idle_connections.policy import ConnectionSettings
@@ -90,7 +90,7 @@
     flow_rate: float
     reports_load: bool
     max_open_requests: int
-    bounds: Bounds
+    bounds: CacheLimits
     max_descriptors: int
     max_clients: int
     max_unsent_bytes: int
@@ -125,14 +125,14 @@
     return text
 
 
-def _pool_bounds(caps: Mapping[str, Any], settings: SiteSettings, descriptors: int) -> Bounds:
-    return Bounds(
-        streams=int(caps["max_streams"]),
-        idle=caps["conn_idle_us"] / MICROSECONDS,
-        dial=caps["dial_timeout_us"] / MICROSECONDS,
-        turn=MAX_ITERATION,
-        descriptors=descriptors,
-        longest=max(request_class.deadline_after for request_class in settings.classes.values()),
+def _pool_bounds(caps: Mapping[str, Any], settings: SiteSettings, descriptors: int) -> CacheLimits:
+    return CacheLimits(
+        max_streams=int(caps["max_streams"]),
+        idle_timeout=caps["conn_idle_us"] / MICROSECONDS,
+        connect_timeout=caps["dial_timeout_us"] / MICROSECONDS,
+        loop_iteration=MAX_ITERATION,
+        max_connections=descriptors,
+        max_answer_time=max(request_class.deadline_after for request_class in settings.classes.values()),
     )
 
 
--- a/weldbend/front/counters_log.py
+++ b/weldbend/front/counters_log.py
@@ -62,13 +62,13 @@
         }
 
     def _connection_fields(self) -> dict[str, Any]:
-        listener, idle_pool = self.gateway.listener, self.gateway.listener.lot
-        cache_connections = sum(1 for _ in self.dispatcher.pool.all())
+        listener, idle_pool = self.gateway.listener, self.gateway.listener.idle_pool
+        cache_connections = sum(1 for _ in self.dispatcher.pool.all_connections())
         self._max_cache_connections = max(self._max_cache_connections, cache_connections)
         return {
-            "client_connections": listener.count(),
+            "client_connections": listener.connection_count(),
             "max_client_connections": self.gateway.max_connections,
-            "idle_connections": listener.parked(),
+            "idle_connections": listener.idle_count(),
             "max_idle_connections": idle_pool.peak_size if idle_pool else 0,
             "idle_wakeups": idle_pool.wake_count if idle_pool else 0,
             "max_wakeup_delay_ms": round(idle_pool.max_wake_delay * MILLISECONDS, 1) if idle_pool else 0.0,
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -11,7 +11,7 @@
 from loguru import logger
 
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.pool import Pool
+from weldbend.caches.pool import CachePool
 from weldbend.event_bus.endpoint_registry import EndpointRegistry
 from weldbend.front.admission import Admission
 from weldbend.front.attempts import AttemptManager
@@ -54,7 +54,7 @@
         self.names = EndpointRegistry(context.clock, site.roles, {}, {})
         self.requests = RequestTable()
         self.queue = EventQueue(context, self.run_iteration)
-        self.pool = Pool(
+        self.pool = CachePool(
             context.reactor,
             context.timers,
             site.bounds,
@@ -107,7 +107,7 @@
     def apply_site(self, site: Site) -> None:
         """Use another configuration from now on."""
         previous, self.context.site = self.context.site.settings, site
-        self.pool.bounds = site.bounds
+        self.pool.limits = site.bounds
         if site.settings != previous:
             self.post(SettingsChanged(site.settings))
 
@@ -186,7 +186,7 @@
         is_silent = False
         if request:
             attempt = request.attempts[action.attempt]
-            is_silent = bool(attempt.connection and attempt.connection.heard <= attempt.sent)
+            is_silent = bool(attempt.connection and attempt.connection.received_at <= attempt.sent_at)
         self.queue.post(TimerFired(action.token, is_silent))
 
     def _send_health_check(self, action: SendHealthCheck) -> None:
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -2,7 +2,7 @@
 
 import math
 
-from weldbend.caches.pool import Pool
+from weldbend.caches.pool import CachePool
 from weldbend.event_bus.endpoint_registry import EndpointRegistry
 from weldbend.event_bus.events import EndpointListUpdate, EndpointRecord, Purge, SequencedEvent
 from weldbend.front.context import FrontContext
@@ -19,7 +19,9 @@
         started: caches for which the list gives a start time: they may be warming up.
     """
 
-    def __init__(self, context: FrontContext, queue: EventQueue, names: EndpointRegistry, pool: Pool) -> None:
+    def __init__(
+        self, context: FrontContext, queue: EventQueue, names: EndpointRegistry, pool: CachePool
+    ) -> None:
         self.context = context
         self.queue = queue
         self.names = names
@@ -41,7 +43,7 @@
                     self.update_list(is_complete, known)
                 case Purge(key, group, issued):
                     self.queue.post(ObjectsPurged(key, group, self.context.clock.age(issued)))
-                    self.pool.purged(key, group)
+                    self.pool.cancel_purged(key, group)
         except Exception:  # noqa: BLE001, RUF100 - an event that cannot be applied must not stop the bus
             self.context.counters.record_error(sequenced)
 
@@ -62,18 +64,18 @@
         for record, endpoint in zip(records, endpoints, strict=True):
             self._update_pool(record, endpoint)
         for cache in removed - named:
-            self.pool.gone(cache)
+            self.pool.remove_endpoint(cache)
         self.listed = (set() if is_complete else self.listed - removed) | present
         self.started &= self.listed
         self._removed |= named - present | removed
 
     def _update_pool(self, record: EndpointRecord, endpoint: Endpoint) -> None:
         if endpoint.state is EndpointState.REMOVED:
-            self.pool.gone(endpoint.id)
+            self.pool.remove_endpoint(endpoint.id)
             return
         started = -math.inf if endpoint.started is None else endpoint.started
         is_usable = endpoint.state is EndpointState.READY
-        self.pool.listed(endpoint.id, record.host, record.port, started, is_usable)
+        self.pool.update_endpoint(endpoint.id, record.host, record.port, started, is_usable)
 
     def forget_removed(self) -> None:
         """Forget the names of removed caches at the end of an iteration: names are never used again."""
--- a/weldbend/front/health_checks.py
+++ b/weldbend/front/health_checks.py
@@ -1,7 +1,7 @@
 """Health checks of caches: each has a tag of its own and ends once, by an answer or a timeout."""
 
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.pool import Pool
+from weldbend.caches.pool import CachePool
 from weldbend.front import request_codec
 from weldbend.front.context import FrontContext
 from weldbend.front.event_queue import EventQueue
@@ -11,7 +11,7 @@
 class HealthChecker:
     """Sends health checks over connections that are up, and posts their results."""
 
-    def __init__(self, context: FrontContext, queue: EventQueue, pool: Pool) -> None:
+    def __init__(self, context: FrontContext, queue: EventQueue, pool: CachePool) -> None:
         self.context = context
         self.queue = queue
         self.pool = pool
@@ -23,10 +23,10 @@
         self._serial += 1
         tag = f"p{self._serial:x}"
         self._pending[tag] = cache, self.context.clock.now()
-        if not self.pool.probe(cache, tag, self.context.site.reports_load):
+        if not self.pool.send_health_check(cache, tag, self.context.site.reports_load):
             self.context.reactor.callLater(0, self._end_unanswered, tag, AttemptResult.UNREACHABLE)
             return
-        timeout = self.context.site.bounds.dial
+        timeout = self.context.site.bounds.connect_timeout
         self.context.timers.after(timeout, lambda: self._end_unanswered(tag, AttemptResult.TIMED_OUT))
 
     def _end_unanswered(self, tag: str, result: AttemptResult) -> None:
@@ -36,7 +36,7 @@
 
     def handle_answer(self, cache: int, answer: Answer) -> bool:
         """Handle an answer that belongs to no attempt; return whether it is a health check's."""
-        result = request_codec.HEALTH_RESULTS.get(answer.word)
+        result = request_codec.HEALTH_RESULTS.get(answer.status)
         pending_cache, sent = self._pending.get(answer.name, (None, 0.0))
         if result is None or pending_cache != cache:
             return False
--- a/weldbend/front/open_requests.py
+++ b/weldbend/front/open_requests.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
-from weldbend.caches.connection import Attempt
-from weldbend.clients.connection import Call
+from weldbend.caches.attempt import Attempt
+from weldbend.clients.request import ClientRequest
 from weldbend.front.request_codec import ParsedRequest
 from weldbend.front.timers import Timer
 from weldbend.routing.settings import Idempotency
@@ -27,7 +27,7 @@
 
     id: str
     parsed: ParsedRequest
-    call: Call
+    call: ClientRequest
     deadline: float
     idempotency: Idempotency
     attempts: list[Attempt] = field(default_factory=list)
@@ -37,7 +37,7 @@
 
     def has_attempt_in_flight(self) -> bool:
         """Return whether an attempt has not ended."""
-        return any(not attempt.over for attempt in self.attempts)
+        return any(not attempt.is_over for attempt in self.attempts)
 
 
 class RequestTable:
--- a/weldbend/front/reload.py
+++ b/weldbend/front/reload.py
@@ -31,7 +31,7 @@
 
 def merged(current: Site, new: Site) -> Site:
     """Return the new configuration with what a running process keeps."""
-    bounds = replace(new.bounds, descriptors=current.bounds.descriptors)
+    bounds = replace(new.bounds, max_connections=current.bounds.max_connections)
     retained = {
         name: getattr(current, name) for name in (*RESTART_ONLY, "known_events", "bus_offset", "seed")
     }
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -10,7 +10,7 @@
 from enum import Enum
 
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.connection import Lost
+from weldbend.caches.attempt import AttemptLoss
 from weldbend.routing.actions import SendAttempt
 from weldbend.routing.events import AttemptEnded, AttemptResult, FillHint
 from weldbend.routing.settings import Idempotency, RequestClass
@@ -25,10 +25,10 @@
 }
 HEALTH_RESULTS = {"FIT": AttemptResult.SERVED, "UNFIT": AttemptResult.ERROR}
 LOSSES = {
-    Lost.UNREACHABLE: AttemptResult.UNREACHABLE,
-    Lost.RESET: AttemptResult.RESET,
-    Lost.MALFORMED: AttemptResult.MALFORMED,
-    Lost.WITHDRAWN: AttemptResult.SUPERSEDED,
+    AttemptLoss.UNREACHABLE: AttemptResult.UNREACHABLE,
+    AttemptLoss.RESET: AttemptResult.RESET,
+    AttemptLoss.MALFORMED: AttemptResult.MALFORMED,
+    AttemptLoss.SUPERSEDED: AttemptResult.SUPERSEDED,
 }
 FILL_HINTS = dict(zip("hfojsrblnx", list(FillHint)[1:], strict=True))  # by the letter on the wire
 HEX16 = re.compile(r"[0-9a-f]{16}")
@@ -214,7 +214,7 @@
 def attempt_ended(
     request_id: str,
     attempt: int,
-    outcome: Answer | Lost | AttemptResult,
+    outcome: Answer | AttemptLoss | AttemptResult,
     duration: float,
     request_closed: bool,
 ) -> AttemptEnded:
@@ -224,12 +224,12 @@
         return AttemptEnded(
             id=request_id,
             attempt=attempt,
-            result=RESULTS[outcome.word],
+            result=RESULTS[outcome.status],
             duration=duration,
             request_closed=request_closed,
             fill_hint=FILL_HINTS.get(fields.get("detail", ""), FillHint.NONE),
             waited=_finite(fields.get("waited", "0")) / 1000,
             load=parse_load(fields.get("use")),
         )
-    result = LOSSES[outcome] if isinstance(outcome, Lost) else outcome
+    result = LOSSES[outcome] if isinstance(outcome, AttemptLoss) else outcome
     return AttemptEnded(request_id, attempt, result, duration, request_closed, FillHint.NONE, 0.0, None)
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -162,7 +162,7 @@
         if self._has_tried_to_open or self.stop_requested is not None:
             return
         self._has_tried_to_open = True
-        self.listener.listen(self.reactor, self.site.host, self.site.port)
+        self.listener.listen(self.context.reactor, self.site.host, self.site.port)
         self.is_open = True
         self.timers.after(COUNTERS_INTERVAL, self._log_counters)
         self.gateway.start_upkeep()
@@ -234,12 +234,14 @@
         now, requests = self.clock.now(), self.dispatcher.requests
         has_stopped_accepting = self.listener.stop()
         is_late = now > self.stop_requested + self._abort_after() + FORCED_END
-        if is_late or not (requests or self.listener.count()):
+        if is_late or not (requests or self.listener.connection_count()):
             self._end()
             return
-        if has_stopped_accepting and not requests and self.listener.quiet():
-            self.listener.close_some()
-        self.timers.after(SHUTDOWN_POLL_IDLE if self.listener.parked() else SHUTDOWN_POLL, self._end_if_done)
+        if has_stopped_accepting and not requests and self.listener.is_quiet():
+            self.listener.close_batch()
+        self.timers.after(
+            SHUTDOWN_POLL_IDLE if self.listener.idle_count() else SHUTDOWN_POLL, self._end_if_done
+        )
 
     def _end(self) -> None:
         self._log_counters()
--- a/weldbend/testbed/faults/messages.py
+++ b/weldbend/testbed/faults/messages.py
@@ -13,8 +13,9 @@
 from weldbend.cache_protocol.answers import LONGEST_LINE
 from weldbend.cache_protocol.commands import fields_text
 from weldbend.thrift import binary
-from weldbend.thrift.binary import InvalidMessageError, Reader
-from weldbend.thrift.framing import HEAD
+from weldbend.thrift.binary import Reader
+from weldbend.thrift.errors import InvalidMessageError
+from weldbend.thrift.framing import LENGTH
 
 LONGEST = 1 << 19
 BREAK = b"\r\n"
@@ -64,10 +65,10 @@
 
 def thrift_length(ring: Ring) -> int:
     """Bytes of the message at the head; 0 if that is not known yet, -1 where it can be none."""
-    if len(ring) < HEAD.size:
+    if len(ring) < LENGTH.size:
         return 0
-    (length,) = HEAD.unpack(ring.peek(HEAD.size))
-    return HEAD.size + length if 0 < length <= LONGEST - HEAD.size else -1
+    (length,) = LENGTH.unpack(ring.peek(LENGTH.size))
+    return LENGTH.size + length if 0 < length <= LONGEST - LENGTH.size else -1
 
 
 def line_length(ring: Ring) -> int:
@@ -91,7 +92,7 @@
 
 def read_thrift(raw: bytes) -> dict[str, str] | None:
     """`name`, `seqid` and `kind` of a call or an answer, and the fields of its first map."""
-    reader = Reader(raw[HEAD.size :])
+    reader = Reader(raw[LENGTH.size :])
     try:
         head = reader.head()
         fields = {"message.name": head.name, "seqid": str(head.seqid), "message.kind": str(head.kind)}
@@ -152,7 +153,7 @@
 
 
 def rewrite_thrift(message: Message, name: str, to: str | None) -> bytes:
-    data = message.raw[HEAD.size :]
+    data = message.raw[LENGTH.size :]
     if name == "seqid" and to is not None:
         at = 4 + len(binary.binary(Reader(data).head().name.encode()))
         data = data[:at] + binary.i32(int(to)) + data[at + 4 :]
@@ -167,7 +168,7 @@
             start = map_start(data, at)
             count = struct.unpack(">i", data[start : start + 4])[0] - 1
             data = data[:start] + binary.i32(count) + data[start + 4 : at] + data[at + len(old) :]
-    return HEAD.pack(len(data)) + data
+    return LENGTH.pack(len(data)) + data
 
 
 def map_start(data: bytes, at: int) -> int:
@@ -186,10 +187,10 @@
             continue
         for inner, number in reader.fields():
             if inner == binary.STRING and number == 1:
-                start = reader.at
+                start = reader.position
                 reader.binary()
-                data = data[:start] + binary.binary(body) + data[reader.at :]
-                return HEAD.pack(len(data)) + data
+                data = data[:start] + binary.binary(body) + data[reader.position :]
+                return LENGTH.pack(len(data)) + data
             reader.skip(inner)
     raise ValueError("no body")
 
--- a/weldbend/testbed/load/client_calls.py
+++ b/weldbend/testbed/load/client_calls.py
@@ -10,6 +10,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.thrift import binary
 from weldbend.thrift.binary import Reader
+from weldbend.thrift.errors import InvalidMessageError
 from weldbend.thrift.framing import frame, next_frame
 
 LONGEST = 1 << 20  # bytes of one answer
@@ -69,8 +70,8 @@
     reader = Reader(data)
     head = reader.head()
     held = read_struct(reader)
-    if reader.at != len(data):
-        raise binary.InvalidMessageError("bytes after the answer")
+    if reader.position != len(data):
+        raise InvalidMessageError("bytes after the answer")
     if head.kind == binary.EXCEPTION:
         return Heard(head.seqid, "exception", held[1], {"kind": str(held[2])}, False)
     ((number, struct),) = held.items()
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -296,7 +296,7 @@
         case = self.cases.get((seen.front, answer.name))
         for attempt in case.attempts if case else ():
             if attempt.ended is None and attempt.link == seen.link:
-                attempt.ended, attempt.word = seen.at, answer.word
+                attempt.ended, attempt.word = seen.at, answer.status
                 born = answer.fields.get("born", "")
                 attempt.born = float(born) if born.isdigit() else None
 
--- a/weldbend/testbed/simulation/observer.py
+++ b/weldbend/testbed/simulation/observer.py
@@ -9,13 +9,12 @@
 from typing import Any
 
 from weldbend.buffers.ring import Ring
-from weldbend.cache_protocol.answers import Answer, InvalidAnswerError
-from weldbend.cache_protocol.answers import Parser as AnswerParser
+from weldbend.cache_protocol.answers import Answer, AnswerParser, InvalidAnswerError
 from weldbend.testbed.emulator import cache_commands
 from weldbend.testbed.load import client_calls
-from weldbend.thrift.binary import InvalidMessageError
-from weldbend.thrift.framing import InvalidFrameError, next_frame
-from weldbend.thrift.messages import GiveUp, Probe, Process, Wrong, read_call
+from weldbend.thrift.errors import InvalidFrameError, InvalidMessageError
+from weldbend.thrift.framing import next_frame
+from weldbend.thrift.messages import GiveUp, InvalidCall, Probe, Process, read_call
 
 LONGEST = 1 << 20
 
@@ -28,7 +27,7 @@
     link: int
     front: str
     other: str  # the cache's address, or the client's machine
-    what: Any  # Process, GiveUp, Probe or Wrong of a client; Heard, Command, Answer; or a word
+    what: Any  # Process, GiveUp, Probe or InvalidCall of a client; Heard, Command, Answer; or a word
     # `gone`: the connection has ended; `garbage`: bytes that cannot be read
 
 
@@ -83,4 +82,4 @@
             return "garbage"
 
 
-__all__ = ["Ear", "GiveUp", "Probe", "Process", "Seen", "Witness", "Wrong"]
+__all__ = ["Ear", "GiveUp", "InvalidCall", "Probe", "Process", "Seen", "Witness"]
--- a/weldbend/testbed/simulation/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -217,7 +217,7 @@
         raw = json.loads(text)
         raw["known"] = {"offset": self.bus.events[-1]["offset"], "batch": self.bus.events}
         front = self.made(machine, read_site(json.dumps(raw)))
-        front.listener.rim = NoEpollSet
+        front.listener.epoll_set_factory = NoEpollSet
         if self.change:
             self.change(front)
         self.fronts[number] = machine, front
--- a/weldbend/thrift/__init__.py
+++ b/weldbend/thrift/__init__.py
@@ -1,1 +1,1 @@
-"""Framed transport, strict binary coding and the messages of the Front service; no I/O."""
+"""Framed transport, strict binary protocol and the messages of the Front service; no I/O."""
--- a/weldbend/thrift/framing.py
+++ b/weldbend/thrift/framing.py
@@ -1,40 +1,52 @@
-"""Frames: four bytes of length, big end first, then so many bytes."""
+"""Thrift's framed transport: four bytes of length, most significant first, then so many bytes."""
 
 import struct
 
 from weldbend.buffers.ring import Ring
+from weldbend.thrift.errors import InvalidFrameError
 
-HEAD = struct.Struct(">i")
+LENGTH = struct.Struct(">i")
+LENGTH_SIZE = LENGTH.size  # bytes
 
 
-class InvalidFrameError(Exception):
-    """A length that no message of ours can have."""
+def frame(message: bytes) -> bytes:
+    """A message with its length before it."""
+    return LENGTH.pack(len(message)) + message
 
 
-def frame(message: bytes) -> bytes:
-    return HEAD.pack(len(message)) + message
+def peek_small_frame(ring: Ring, start: int, max_length: int) -> tuple[int, bytes | None] | None:
+    """Look at the frame that begins `start` bytes into the ring, and leave it there.
 
+    Args:
+        ring: The bytes that came.
+        start: Where the frame begins, in bytes from the ring's first.
+        max_length: The longest content (bytes) that is worth a copy.
 
-def small_frame(ring: Ring, start: int, most: int) -> tuple[int, bytes | None] | None:
-    """The whole frame that begins `start` bytes into the ring: where it ends, and what it holds if that is
-    little; none if it is not all there."""
-    if len(ring) < start + HEAD.size:
+    Returns:
+        Where the frame ends, and its content, or None for that where it is longer. None where the frame is
+        not complete, or cannot be one: `next_frame` will tell.
+    """
+    if len(ring) < start + LENGTH_SIZE:
         return None
-    (length,) = HEAD.unpack(ring.peek(HEAD.size, start))
-    end = start + HEAD.size + length
+    (length,) = LENGTH.unpack(ring.peek(LENGTH_SIZE, start))
+    end = start + LENGTH_SIZE + length
     if length <= 0 or len(ring) < end:
         return None
-    return end, ring.peek(length, start + HEAD.size) if length <= most else None
+    return end, ring.peek(length, start + LENGTH_SIZE) if length <= max_length else None
+
 
+def next_frame(ring: Ring, max_length: int) -> bytes | None:
+    """Read the content of the next frame from the ring; None where it is not complete yet.
 
-def next_frame(ring: Ring, most: int) -> bytes | None:
-    """Take one whole frame from the ring; none if it is not all there yet."""
-    if len(ring) < HEAD.size:
+    Raises:
+        InvalidFrameError: It has no content, or one longer than `max_length` bytes.
+    """
+    if len(ring) < LENGTH_SIZE:
         return None
-    (length,) = HEAD.unpack(ring.peek(HEAD.size))
-    if not 0 < length <= most:
-        raise InvalidFrameError(f"frame of {length} bytes")
-    if len(ring) < HEAD.size + length:
+    (length,) = LENGTH.unpack(ring.peek(LENGTH_SIZE))
+    if not 0 < length <= max_length:
+        raise InvalidFrameError(length)
+    if len(ring) < LENGTH_SIZE + length:
         return None
-    ring.skip(HEAD.size)
+    ring.skip(LENGTH_SIZE)
     return ring.read(length)
--- a/weldbend/thrift/messages.py
+++ b/weldbend/thrift/messages.py
@@ -4,16 +4,24 @@
 from dataclasses import dataclass
 
 from weldbend.thrift import binary
-from weldbend.thrift.binary import MAP, REPLY, STRING, STRUCT, Head, InvalidMessageError, Reader
-from weldbend.thrift.framing import HEAD, frame
+from weldbend.thrift.binary import MAP, REPLY, STRING, STRUCT, Head, Reader
+from weldbend.thrift.errors import InvalidMessageError, MissingArgumentError, TrailingBytesError
+from weldbend.thrift.framing import LENGTH, frame
 
-UNKNOWN_METHOD, WRONG_KIND, PROTOCOL_ERROR = 1, 2, 7  # kinds of application exception
-KINDS = {"process": binary.CALL, "giveUp": binary.ONEWAY, "probe": binary.CALL}
+# Types of Thrift's application exception.
+UNKNOWN_METHOD = 1
+INVALID_MESSAGE_TYPE = 2
+PROTOCOL_ERROR = 7
+
+MESSAGE_TYPES = {"process": binary.CALL, "giveUp": binary.ONEWAY, "probe": binary.CALL}
+MAX_NAME = 100  # characters of a method's name that are sent back
 STOP = bytes((binary.STOP,))
 
 
 @dataclass(frozen=True, slots=True)
 class Process:
+    """A request."""
+
     seqid: int
     fields: dict[str, str]
     body: bytes
@@ -21,41 +29,61 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
+    """The cancellation of the request with this sequence id."""
+
     seqid: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """A client's health check."""
+
     seqid: int
 
 
 @dataclass(frozen=True, slots=True)
-class Wrong:
-    """A call that cannot be understood, but can be answered."""
+class InvalidCall:
+    """A call that cannot be understood, but can be answered.
+
+    Attributes:
+        name: The method that was called.
+        seqid: The call's sequence id.
+        kind: The type of application exception that answers it.
+        reason: What is wrong with it, in words for people.
+    """
 
     name: str
     seqid: int
     kind: int
-    why: str
+    reason: str
 
 
-def read_call(data: bytes) -> Process | GiveUp | Probe | Wrong:
-    """One frame as a call; raises BadMessage where not even its head can be read."""
+Call = Process | GiveUp | Probe | InvalidCall
+
+
+def read_call(data: bytes) -> Call:
+    """Read the content of one frame as a call.
+
+    Raises:
+        InvalidMessageError: Not even its head can be read, or it is a oneway call, which has no answer.
+    """
     reader = Reader(data)
     head = reader.head()
-    if head.name not in KINDS:
-        return Wrong(head.name, head.seqid, UNKNOWN_METHOD, f"unknown method {head.name!r}"[:100])
-    if head.kind != KINDS[head.name]:
-        return Wrong(head.name, head.seqid, WRONG_KIND, f"message kind {head.kind}")
+    if head.name not in MESSAGE_TYPES:
+        reason = f"unknown method {head.name!r}"[:MAX_NAME]
+        return InvalidCall(head.name, head.seqid, UNKNOWN_METHOD, reason)
+    if head.kind != MESSAGE_TYPES[head.name]:
+        return InvalidCall(head.name, head.seqid, INVALID_MESSAGE_TYPE, f"message kind {head.kind}")
     try:
-        return arguments(reader, head)
-    except InvalidMessageError as wrong:
+        return read_arguments(reader, head)
+    except InvalidMessageError as error:
         if head.kind == binary.ONEWAY:
             raise
-        return Wrong(head.name, head.seqid, PROTOCOL_ERROR, str(wrong))
+        return InvalidCall(head.name, head.seqid, PROTOCOL_ERROR, str(error))
 
 
-def arguments(reader: Reader, head: Head) -> Process | GiveUp | Probe:
+def read_arguments(reader: Reader, head: Head) -> Process | GiveUp | Probe:
+    """Read the rest of a call whose head was read; raises `InvalidMessageError`."""
     fields: dict[str, str] | None = None
     body, given_up = b"", None
     for kind, number in reader.fields():
@@ -68,45 +96,61 @@
                 given_up = reader.i32()
             case _:
                 reader.skip(kind)
-    if reader.at != len(reader.data):
-        raise InvalidMessageError(f"{len(reader.data) - reader.at} bytes after the message")
+    if reader.position != len(reader.data):
+        raise TrailingBytesError(len(reader.data) - reader.position)
     if head.name == "probe":
         return Probe(head.seqid)
     if head.name == "giveUp":
         if given_up is None:
-            raise InvalidMessageError("giveUp without a seqid")
+            raise MissingArgumentError(head.name, "a seqid")
         return GiveUp(given_up)
     if fields is None:
-        raise InvalidMessageError("process without fields")
+        raise MissingArgumentError(head.name, "fields")
     return Process(head.seqid, fields, body)
 
 
-SUCCESS, BODY = binary.field(STRUCT, 0, b""), binary.field(STRING, 1, b"")
-PLAIN = binary.field(MAP, 2, binary.text_map({}))
+# Parts of every answer, written out once.
+SUCCESS = binary.field(STRUCT, 0, b"")
+BODY = binary.field(STRING, 1, b"")
+NO_FIELDS = binary.field(MAP, 2, binary.text_map({}))
+
+
+def answer(name: str, seqid: int, body: bytes, fields: Mapping[str, str], is_ok: bool) -> bytes:
+    """An answer of a method that went well, as a frame.
 
+    It is joined once, since a body may be long: each further copy of it would cost.
 
-def answer(name: str, seqid: int, body: bytes, fields: Mapping[str, str], good: bool) -> bytes:
-    """Joined once, since a body may be long: each further copy of it would cost."""
+    Args:
+        name: The method.
+        seqid: The sequence id of the call.
+        body: The object that was asked for; empty for a probe.
+        fields: Further texts of the answer.
+        is_ok: The answer's flag: whether the front serves.
+    """
     head = binary.head(REPLY, name, seqid) + SUCCESS + BODY + binary.i32(len(body))
-    told = binary.field(MAP, 2, binary.text_map(fields)) if fields else PLAIN
-    tail = told + binary.field(binary.BOOL, 3, bytes((good,))) + STOP + STOP
-    return b"".join((HEAD.pack(len(head) + len(body) + len(tail)), head, body, tail))
+    encoded_fields = binary.field(MAP, 2, binary.text_map(fields)) if fields else NO_FIELDS
+    tail = encoded_fields + binary.field(binary.BOOL, 3, bytes((is_ok,))) + STOP + STOP
+    return b"".join((LENGTH.pack(len(head) + len(body) + len(tail)), head, body, tail))
 
 
-def declared(number: int, seqid: int, fields: Mapping[str, str]) -> bytes:
+def declared_exception(number: int, seqid: int, fields: Mapping[str, str]) -> bytes:
+    """A reply to `process` with the declared exception of this field id, as a frame."""
     struct = binary.field(MAP, 1, binary.text_map(fields)) + STOP
     return frame(binary.head(REPLY, "process", seqid) + binary.field(STRUCT, number, struct) + STOP)
 
 
 def overloaded(seqid: int, fields: Mapping[str, str]) -> bytes:
-    return declared(1, seqid, fields)
+    """The answer to a request that was rejected for overload, as a frame."""
+    return declared_exception(1, seqid, fields)
 
 
 def internal(seqid: int) -> bytes:
-    return declared(2, seqid, {})
+    """The answer to a request that failed, as a frame."""
+    return declared_exception(2, seqid, {})
 
 
-def application_exception(wrong: Wrong) -> bytes:
-    text = binary.field(STRING, 1, binary.binary(wrong.why.encode()))
-    struct = text + binary.field(binary.I32, 2, binary.i32(wrong.kind)) + STOP
-    return frame(binary.head(binary.EXCEPTION, wrong.name[:100], wrong.seqid) + struct)
+def application_exception(call: InvalidCall) -> bytes:
+    """The answer to a call that cannot be understood, as a frame."""
+    text = binary.field(STRING, 1, binary.binary(call.reason.encode()))
+    struct = text + binary.field(binary.I32, 2, binary.i32(call.kind)) + STOP
+    return frame(binary.head(binary.EXCEPTION, call.name[:MAX_NAME], call.seqid) + struct)
