--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -1,4 +1,4 @@
-"""Parked connections: who is parked, closed and woken, and each hard case of that by its name."""
+"""Idle connections: which move to the pool, wake and are closed, and each edge case by its name."""
 
 import random
 from dataclasses import replace
@@ -36,7 +36,7 @@
     return stage
 
 
-def test_what_a_look_decides():
+def test_the_action_decided_for_each_connection_state():
     limits = ConnectionSettings()
     state = ConnectionState(
         is_busy=False, has_partial_request=False, request_count=1, last_active=10.0, request_started=0.0
@@ -69,7 +69,7 @@
     assert policy.decide(limits, replace(state, request_count=8), 10.2, 999) is ConnectionAction.KEEP
 
 
-def test_who_makes_room_and_when_the_port_rests():
+def test_the_order_of_evictions_and_when_accepting_is_paused():
     shown = [(0, 1.0), (2, 0.5), (1, 0.9), (0, 0.2), (1, 9.99)]
     assert sorted(shown, key=lambda one: policy.eviction_order(*one, 10.0)) == [
         (0, 0.2), (0, 1.0), (1, 0.9), (2, 0.5), (1, 9.99),
@@ -80,7 +80,7 @@
     assert [policy.is_accept_paused(n, 32) for n in (31, 32)] == [False, True]
 
 
-def test_a_batch_grows_while_turns_are_short_and_halves_when_they_are_long():
+def test_a_wake_batch_grows_after_short_iterations_and_halves_after_long_ones():
     sizer, now, sizes = WakeBatchSizer(16), 0.0, []
     for took in [0.001] * 8 + [0.02] * 3 + [0.005] + [0.001]:
         sizes.append(sizer.next_size(now, 1000))
@@ -91,7 +91,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 40), st.floats(0, 9), st.booleans()), max_size=120))
-def test_the_wheel_gives_what_is_due_and_nothing_else(steps):
+def test_the_timer_wheel_returns_what_is_due_and_nothing_else(steps):
     """Against a model, a dictionary of when each falls due: none is late by more than a bucket."""
     wheel, model, now = TimerWheel(9.0, 0.5), {}, 0.0
     for slot, ahead, take in steps:
@@ -115,7 +115,7 @@
     assert not wheel.remove(99)
 
 
-def test_what_is_remembered_comes_back_and_only_once():
+def test_a_connection_record_is_restored_once():
     table = ConnectionTable(ConnectionSettings())
     table.add(700, ConnectionRecord(1 << 40, 3, 300, 5.0), 5.5)
     assert len(table) == 1 and table.queue_readable(700, 6.0) and not table.queue_readable(700, 6.0)
@@ -124,7 +124,7 @@
     assert not table.queue_readable(700, 7.0) and not table.queue_readable(9999, 7.0) and 700 not in table
 
 
-def test_those_idle_for_a_short_time_wake_first_and_the_others_are_not_starved():
+def test_short_idle_connections_wake_first_and_the_others_are_not_starved():
     table = ConnectionTable(ConnectionSettings())
     for slot in range(20):
         table.add(slot, ConnectionRecord(1, 0, 0, 9.0 if slot < 10 else 5.0), 9.5)
@@ -134,7 +134,7 @@
     assert order == [9, 8, 7, 19, 6, 5, 4, 18, 3, 2, 1, 17, 0, 16, 15, 14, 13, 12, 11, 10]
 
 
-def test_a_parked_client_is_closed_when_a_live_one_would_have_been():
+def test_an_idle_connection_in_the_pool_is_closed_when_an_active_one_would_have_been():
     stage = Stage(parks=True)
     stage.client()
     stage.say(stage.client(), probe(1))
@@ -147,7 +147,7 @@
     assert anomalies["idle clients without a call"] == before + 1
 
 
-def test_a_woken_client_goes_on_as_the_one_it_was():
+def test_a_woken_connection_continues_with_its_record():
     stage = parked(1)
     stage.bring(0, process(2))
     stage.turn()
@@ -161,7 +161,7 @@
     assert stage.door.listener.idle_count() == 1 and client.is_lost
 
 
-def test_all_parked_wake_at_once_and_each_gets_its_one_answer():
+def test_all_idle_connections_wake_at_once_and_each_gets_its_one_answer():
     """The first are pulled; what lay too long is throttled at once with a time, whoever is busy goes on."""
     count, stage = 600, parked(600, open_cap=10_000)
     busy = stage.client()
@@ -194,7 +194,7 @@
     assert not stage.dispatcher.requests
 
 
-def test_time_that_a_call_lay_unread_is_taken_from_its_expiry():
+def test_the_time_that_a_request_was_unread_counts_towards_its_deadline():
     stage = parked(40)
     for place in range(40):
         stage.rim.bring(place, process(2, id=f"{place:016x}", wait="1000"))
@@ -205,7 +205,7 @@
     assert {request.deadline for request in stage.dispatcher.requests.by_id.values()} == {begun + 1.0}
 
 
-def test_a_wake_lands_in_the_turn_in_which_the_connection_is_closed_as_idle():
+def test_bytes_arrive_in_the_iteration_in_which_the_connection_is_closed_as_idle():
     stage = parked(1)
     stage.turn(3.0)
     stage.rim.bring(0, process(2))
@@ -216,7 +216,7 @@
 
 
 @pytest.mark.parametrize("end", [ConnectionResetError(104, "reset"), b""])
-def test_a_peer_ends_or_resets_while_parked(end):
+def test_a_peer_ends_or_resets_an_idle_connection(end):
     stage = parked(2)
     stage.rim.bring(0, end)
     stage.door.listener.idle_pool.doRead()
@@ -227,7 +227,7 @@
     )
 
 
-def test_it_was_told_to_be_ready_and_nothing_had_come():
+def test_a_connection_is_reported_readable_without_bytes():
     stage = parked(1)
     stage.rim.came[5] = []
     stage.door.listener.idle_pool.doRead()
@@ -238,7 +238,7 @@
     assert stage.trace == ["client 0 < 2 probe: good True"]
 
 
-def test_half_a_frame_wakes_it_and_then_nothing_comes():
+def test_half_a_frame_wakes_a_connection_and_nothing_follows():
     stage = parked(1)
     stage.bring(0, process(2)[:40])
     client = stage.clients[0][0]
@@ -250,7 +250,7 @@
     assert client.transport.disconnecting and not stage.door.listener.connection_count()
 
 
-def test_the_number_of_one_that_ended_while_it_waited_to_be_woken_is_given_to_another():
+def test_the_descriptor_of_a_connection_that_ended_while_queued_is_reused():
     stage = parked(2)
     lot = stage.door.listener.idle_pool
     first = stage.rim.bring(0, probe(2))
@@ -266,7 +266,7 @@
     assert stage.trace == ["client 2 < 2 probe: good True"] and lot.count() == 1
 
 
-def test_told_to_stop_with_thousands_parked_it_ends_in_time_and_answers_those_that_wake():
+def test_a_shutdown_with_thousands_of_idle_connections_ends_in_time_and_answers_those_that_wake():
     stage = parked(2000)
     stage.say(stage.client(), process(1))
     stage.connect()
@@ -289,7 +289,7 @@
     assert {"client 2000 < 1 process: 'one'", "client 7 < 2 process: 'two'"} <= set(stage.trace)
 
 
-def test_a_new_configuration_with_thousands_parked_moves_the_bus_and_leaves_them():
+def test_a_reload_with_thousands_of_idle_connections_moves_the_bus_and_keeps_them():
     stage = parked(2000)
     stage.door.read_again = lambda: replace(stage.door.site, bus_address="127.0.0.1:9999")
     stage.door.reload()
@@ -300,7 +300,7 @@
     assert stage.trace == ["client 5 < 2 probe: good True"]
 
 
-def test_the_bound_is_reached_by_parked_ones_while_usual_clients_keep_coming():
+def test_at_the_connection_limit_idle_connections_are_evicted_for_regular_clients():
     stage = parked(64)
     listener, port = stage.door.listener, []
     listener.max_connections = 64
@@ -313,7 +313,7 @@
     assert sorted(stage.rim.closed) == list(range(len(stage.rim.closed)))  # the longest idle went first
 
 
-def test_one_that_wakes_asks_once_and_idles_again_a_hundred_times_leaves_nothing_behind():
+def test_a_hundred_wakes_and_returns_to_the_pool_leave_nothing_behind():
     stage = parked(3)
     table, sizes = stage.door.listener.idle_pool.table, []
     for number in range(2, 102):
@@ -331,7 +331,7 @@
     assert sum("client 1 <" in line for line in stage.trace) == 100 and not stage.rim.closed
 
 
-def test_closing_a_mass_that_fell_due_together_is_spread_over_turns():
+def test_closing_many_expired_connections_is_spread_over_iterations():
     stage = parked(700, terms=ConnectionSettings(close_batch=50))
     closed = []
     for _ in range(2000):
@@ -341,7 +341,7 @@
     assert sum(closed) == 700 and max(closed) <= 50
 
 
-def test_a_fault_in_what_one_woke_with_ends_that_one_only(monkeypatch):
+def test_a_fault_in_handling_first_bytes_ends_that_connection_only(monkeypatch):
     stage = parked(2)
     monkeypatch.setattr(
         "weldbend.clients.connection.next_frame", lambda *_: (_ for _ in ()).throw(RuntimeError("fault"))
