--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -101,7 +101,7 @@
 
 
 def words(*records, whole=(100.0, 0.0), **held):
-    return [HealthReport(f"w{n}", held.get("near", True), held.get("age", 0.0), record, whole)
+    return [HealthReport(f"w{n}", held.get("is_near", True), held.get("age", 0.0), record, whole)
             for n, record in enumerate(records)]  # fmt: skip
 
 
@@ -112,7 +112,7 @@
 
 
 def test_a_word_counts_less_the_older_the_further_and_the_worse_its_writer_does_everywhere():
-    (plain,), (old,), (far,) = words((0.0, 4.0)), words((0.0, 4.0), age=5.0), words((0.0, 4.0), near=False)
+    (plain,), (old,), (far,) = words((0.0, 4.0)), words((0.0, 4.0), age=5.0), words((0.0, 4.0), is_near=False)
     assert weight(old) == pytest.approx(weight(plain) / 2) and weight(far) == weight(plain) / 2
     (own_line,) = words((0.0, 4.0), whole=(2.0, 40.0))
     assert weight(own_line) < 0.02 * weight(plain)
@@ -129,17 +129,23 @@
         HealthReport(f"w{n}", near, age, (good, bad), whole) for n, (good, bad, age, near) in enumerate(told)
     ]
     good, bad = combined(found)
-    assert math.isfinite(good) and good + bad <= health_reports.MOST * max(len(found) - 1, 0) + 1e-6
+    assert math.isfinite(good) and good + bad <= health_reports.MOST_ANSWERS * max(len(found) - 1, 0) + 1e-6
 
 
 def test_a_front_speaks_of_what_ends_badly_and_says_when_it_is_well_again():
-    teller = HealthReporter()
-    assert teller.words(0.0, {"e1": (9.0, 0.0)}) == []
-    assert teller.words(1.0, {"e1": (9.0, 2.0), "e2": (5.0, 0.0)}) == [("e1", (9.0, 2.0)), ("*", (14.0, 2.0))]
-    assert teller.words(2.0, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)}) == [], "no news"
-    assert teller.words(4.5, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)})[0] == ("e1", (9.0, 2.0)), "said again"
-    assert ("e1", (9.0, 0.0)) in teller.words(5.0, {"e1": (9.0, 0.0)})
-    assert teller.words(9.0, {"e1": (9.0, 0.0)}) == []
+    reporter = HealthReporter()
+    assert reporter.due_reports(0.0, {"e1": (9.0, 0.0)}) == []
+    assert reporter.due_reports(1.0, {"e1": (9.0, 2.0), "e2": (5.0, 0.0)}) == [
+        ("e1", (9.0, 2.0)),
+        ("*", (14.0, 2.0)),
+    ]
+    assert reporter.due_reports(2.0, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)}) == [], "no news"
+    assert reporter.due_reports(4.5, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)})[0] == (
+        "e1",
+        (9.0, 2.0),
+    ), "said again"
+    assert ("e1", (9.0, 0.0)) in reporter.due_reports(5.0, {"e1": (9.0, 0.0)})
+    assert reporter.due_reports(9.0, {"e1": (9.0, 0.0)}) == []
 
 
 def test_evidence_of_peers_has_a_cache_passed_by_that_this_front_never_saw_fail():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -10,9 +10,18 @@
 from hypothesis import strategies as st
 
 from weldbend.fleet import lease_policy
-from weldbend.fleet.demand_share import FLOOR, DemandEstimate, part
-from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, LeaseLedger, LeaseTimes, Loan, owned
-from weldbend.fleet.lease_policy import LeasePolicy, PlannedAcquire, PlannedRelease, Turn, Use, rank
+from weldbend.fleet.demand_share import FLOOR, DemandEstimate, PeerFigure, demand_fraction
+from weldbend.fleet.lease_ledger import PARTS, Borrower, Grant, LeaseLedger, LeaseTimes, Loan, owned_parts
+from weldbend.fleet.lease_policy import (
+    LeasePolicy,
+    LeaseRequest,
+    LenderBalance,
+    PlannedAcquire,
+    PlannedRelease,
+    TimeSlot,
+    Usage,
+)
+from weldbend.fleet.rendezvous import rank
 from weldbend.routing.random_source import RandomSource
 from weldbend.testbed.fleet.lease_model import Model, Scope
 from weldbend.testbed.fleet.quota_experiment import LIMIT, Rates, Shape, drawn, search
@@ -20,7 +29,7 @@
 TIMES = LeaseTimes(term=2.0, window=1.0, drift=0.01)
 
 
-def book(own=100, **held):
+def ledger_of(own=100, **held):
     return LeaseLedger(own, TIMES, 1, **held)
 
 
@@ -34,86 +43,88 @@
     st.floats(0.1, 100.0),
 )
 def test_parts_are_owned_once_and_as_evenly_as_they_are_worth_anything(names, limit, attempts):
-    shares = owned(limit, names, attempts)
+    shares = owned_parts(limit, names, attempts)
     held = [parts for parts in shares.values() if parts]
     assert sum(held) == PARTS and max(held) - min(held) <= 1
     assert len(held) == min(len(names), max(int(attempts), 1))
-    assert shares == owned(limit, sorted(names, reverse=True), attempts)
+    assert shares == owned_parts(limit, sorted(names, reverse=True), attempts)
 
 
 def test_what_is_lent_is_out_until_the_term_and_a_window_are_surely_over():
-    lender, borrower = book(), book(0)
-    number = borrower.ask(10.0, "a", 30)
-    told = lender.lend(10.4, Borrower("b", 1, number), 30, used=0)
-    assert told.parts == 30 and lender.kept(10.4) == 70
-    assert borrower.grant(10.9, "a", told) and borrower.held(10.9) == 30
-    assert borrower.held(11.95) == 30 and borrower.held(11.97) == 0, "it counts from its asking, and shorter"
-    assert lender.kept(13.4) == 70 and lender.kept(13.43) == 100
+    lender, borrower = ledger_of(), ledger_of(0)
+    number = borrower.request(10.0, "a", 30)
+    grant = lender.grant(10.4, Borrower("b", 1, number), 30, used=0)
+    assert grant.parts == 30 and lender.retained(10.4) == 70
+    assert borrower.accept_grant(10.9, "a", grant) and borrower.available(10.9) == 30
+    assert (
+        borrower.available(11.95) == 30 and borrower.available(11.97) == 0
+    ), "it counts from its asking, and shorter"
+    assert lender.retained(13.4) == 70 and lender.retained(13.43) == 100
 
 
 def test_nothing_is_lent_that_the_own_last_window_needs():
-    lender = book()
-    assert lender.lend(0.0, Borrower("b", 1, 1), 100, used=60.5).parts == 39
-    assert lender.lend(0.0, Borrower("c", 1, 1), 100, used=60.5).parts == 0
+    lender = ledger_of()
+    assert lender.grant(0.0, Borrower("b", 1, 1), 100, used=60.5).parts == 39
+    assert lender.grant(0.0, Borrower("c", 1, 1), 100, used=60.5).parts == 0
 
 
 def test_the_same_asking_is_lent_once_however_often_it_comes():
-    lender = book()
-    first = lender.lend(0.0, Borrower("b", 1, 1), 30, 0)
-    assert lender.lend(0.5, Borrower("b", 1, 1), 30, 0) == replace(first, spare=0)
-    assert lender.kept(0.5) == 70
-    lender.lend(1.0, Borrower("b", 1, 2), 40, 0)
-    assert lender.kept(1.0) == 60, "a later asking takes the place of the one before"
-    assert lender.lend(1.1, Borrower("b", 1, 1), 30, 0).parts == 0, "and one that comes late is refused"
+    lender = ledger_of()
+    first = lender.grant(0.0, Borrower("b", 1, 1), 30, 0)
+    assert lender.grant(0.5, Borrower("b", 1, 1), 30, 0) == replace(first, spare=0)
+    assert lender.retained(0.5) == 70
+    lender.grant(1.0, Borrower("b", 1, 2), 40, 0)
+    assert lender.retained(1.0) == 60, "a later asking takes the place of the one before"
+    assert lender.grant(1.1, Borrower("b", 1, 1), 30, 0).parts == 0, "and one that comes late is refused"
 
 
 def test_what_a_borrower_gets_less_stays_out_as_long_as_it_was():
-    lender = book()
-    lender.lend(0.0, Borrower("b", 1, 1), 40, 0)
-    lender.lend(1.0, Borrower("b", 1, 2), 10, 0)
-    assert lender.kept(3.01) == 60 and lender.kept(3.03) == 90 and lender.kept(4.03) == 100
-    lender.lend(4.1, Borrower("b", 1, 3), 20, 0)
-    lender.lend(4.2, Borrower("b", 1, 4), 20, 0)
-    assert lender.kept(4.2) == 80, "what it has already is no more than that"
+    lender = ledger_of()
+    lender.grant(0.0, Borrower("b", 1, 1), 40, 0)
+    lender.grant(1.0, Borrower("b", 1, 2), 10, 0)
+    assert lender.retained(3.01) == 60 and lender.retained(3.03) == 90 and lender.retained(4.03) == 100
+    lender.grant(4.1, Borrower("b", 1, 3), 20, 0)
+    lender.grant(4.2, Borrower("b", 1, 4), 20, 0)
+    assert lender.retained(4.2) == 80, "what it has already is no more than that"
 
 
 @pytest.mark.parametrize("late", [1.97, 30.0])
 def test_an_answer_after_the_end_is_no_loan(late):
-    borrower = book(0)
-    number = borrower.ask(0.0, "a", 30)
-    assert not borrower.grant(late, "a", Granted(1, number, 30)) and borrower.held(late) == 0
+    borrower = ledger_of(0)
+    number = borrower.request(0.0, "a", 30)
+    assert not borrower.accept_grant(late, "a", Grant(1, number, 30)) and borrower.available(late) == 0
 
 
 def test_answers_to_nothing_asked_are_no_loans():
-    borrower = book(0)
-    number = borrower.ask(0.0, "a", 30)
-    for lender, told in (
-        ("b", Granted(1, number, 30)), ("a", Granted(9, number, 30)), ("a", Granted(1, number + 1, 30)),
-        ("a", Granted(1, number, 31)),
+    borrower = ledger_of(0)
+    number = borrower.request(0.0, "a", 30)
+    for lender, grant in (
+        ("b", Grant(1, number, 30)), ("a", Grant(9, number, 30)), ("a", Grant(1, number + 1, 30)),
+        ("a", Grant(1, number, 31)),
     ):  # fmt: skip
-        assert not borrower.grant(0.1, lender, told)
-    assert borrower.held(0.1) == 0
+        assert not borrower.accept_grant(0.1, lender, grant)
+    assert borrower.available(0.1) == 0
 
 
 def test_a_start_that_knows_nothing_holds_nothing_of_its_own_for_a_term_and_a_window():
-    held = book(quiet_until=TIMES.quiet)
-    assert held.kept(0.0) == held.kept(TIMES.quiet - 0.01) == 0
-    assert held.lend(1.0, Borrower("b", 1, 1), 10, 0).parts == 0
-    assert held.kept(TIMES.quiet) == 100
-    assert TIMES.quiet >= TIMES.term + TIMES.window
+    held = ledger_of(recovering_until=TIMES.recovery)
+    assert held.retained(0.0) == held.retained(TIMES.recovery - 0.01) == 0
+    assert held.grant(1.0, Borrower("b", 1, 1), 10, 0).parts == 0
+    assert held.retained(TIMES.recovery) == 100
+    assert TIMES.recovery >= TIMES.term + TIMES.window
 
 
 def test_a_loan_given_back_counts_for_a_window_yet():
-    lender, borrower = book(), book(0)
-    number = borrower.ask(0.0, "a", 30)
-    borrower.grant(0.1, "a", lender.lend(0.05, Borrower("b", 1, number), 30, 0))
-    assert borrower.give_back(0.2, "a") == number and borrower.held(0.2) == 0
-    lender.given_back(0.3, Borrower("b", 1, number), unspent=False)
-    assert lender.kept(1.31) == 70 and lender.kept(1.33) == 100
-    assert borrower.give_back(0.2, "a") == 0
-    lender.lend(2.0, Borrower("b", 1, 2), 30, 0)
-    lender.given_back(2.1, Borrower("b", 1, 2), unspent=True)
-    assert lender.kept(2.1) == 100, "of which nothing was spent"
+    lender, borrower = ledger_of(), ledger_of(0)
+    number = borrower.request(0.0, "a", 30)
+    borrower.accept_grant(0.1, "a", lender.grant(0.05, Borrower("b", 1, number), 30, 0))
+    assert borrower.release(0.2, "a") == number and borrower.available(0.2) == 0
+    lender.accept_release(0.3, Borrower("b", 1, number), unspent=False)
+    assert lender.retained(1.31) == 70 and lender.retained(1.33) == 100
+    assert borrower.release(0.2, "a") == 0
+    lender.grant(2.0, Borrower("b", 1, 2), 30, 0)
+    lender.accept_release(2.1, Borrower("b", 1, 2), unspent=True)
+    assert lender.retained(2.1) == 100, "of which nothing was spent"
 
 
 # All orders of events.
@@ -126,78 +137,80 @@
 
 
 class IgnoresUse(LeaseLedger):
-    def lend(self, now, to, parts, used):
-        return super().lend(now, to, parts, 0)
+    def grant(self, now, borrower, parts, used):
+        return super().grant(now, borrower, parts, 0)
 
 
 class NotQuiet(LeaseLedger):
-    def kept(self, now):
-        self.quiet_until = 0
-        return super().kept(now)
+    def retained(self, now):
+        self.recovering_until = 0
+        return super().retained(now)
 
 
 class BackAtOnce(LeaseLedger):
-    def given_back(self, now, by, unspent):
-        super().given_back(now, by, True)
+    def accept_release(self, now, borrower, unspent):
+        super().accept_release(now, borrower, True)
 
 
 class NeverEnds(LeaseLedger):
-    def borrowed(self, now):
-        return sum(loan.parts for loan in self.came.values())
+    def leased_parts(self, now):
+        return sum(loan.parts for loan in self.leased.values())
 
-    def forget(self, now):
-        came = dict(self.came)
-        super().forget(now)
-        self.came = came
+    def discard_ended(self, now):
+        leased = dict(self.leased)
+        super().discard_ended(now)
+        self.leased = leased
 
 
 class CountsFromTheAnswer(LeaseLedger):
-    def grant(self, now, lender, told):
-        if told.epoch == self.epoch and told.parts:
-            self.came[lender] = Loan(told.parts, now + self.times.short, told.number)
-        return bool(told.parts)
+    def accept_grant(self, now, lender, grant):
+        if grant.epoch == self.epoch and grant.parts:
+            self.leased[lender] = Loan(grant.parts, now + self.times.borrower_term, grant.number)
+        return bool(grant.parts)
 
 
 class TakesAnswersToAnotherRun(LeaseLedger):
-    def grant(self, now, lender, told):
-        return super().grant(now, lender, replace(told, epoch=self.epoch))
+    def accept_grant(self, now, lender, grant):
+        return super().accept_grant(now, lender, replace(grant, epoch=self.epoch))
 
 
 class KeepsWhatItLends(LeaseLedger):
-    def kept(self, now):
-        return 0 if now < self.quiet_until else self.own
+    def retained(self, now):
+        return 0 if now < self.recovering_until else self.own
 
 
 class LendsOn(LeaseLedger):
-    def lend(self, now, to, parts, used):
-        own, self.own = self.own, self.own + self.borrowed(now)
+    def grant(self, now, borrower, parts, used):
+        own, self.own = self.own, self.own + self.leased_parts(now)
         try:
-            return super().lend(now, to, parts, used)
+            return super().grant(now, borrower, parts, used)
         finally:
             self.own = own
 
 
 class FreesTheRestAtOnce(LeaseLedger):
-    def lend(self, now, to, parts, used):
-        told = super().lend(now, to, parts, used)
-        self.out = {one: loan for one, loan in self.out.items() if one == to or not loan.over}
-        return told
+    def grant(self, now, borrower, parts, used):
+        grant = super().grant(now, borrower, parts, used)
+        self.granted = {
+            one: loan for one, loan in self.granted.items() if one == borrower or not loan.is_ending
+        }
+        return grant
 
 
 class CountsNoWindow(LeaseLedger):
-    def lend(self, now, to, parts, used):
-        told = super().lend(now, to, parts, used)
-        if told.parts:
-            self.out[to] = Loan(told.parts, now + self.times.term)
-        return told
+    def grant(self, now, borrower, parts, used):
+        grant = super().grant(now, borrower, parts, used)
+        if grant.parts:
+            self.granted[borrower] = Loan(grant.parts, now + self.times.term)
+        return grant
 
 
 class CountsNoDrift(LeaseLedger):
-    def grant(self, now, lender, told):
-        asked = self.asked.get(lender)
-        came = super().grant(now, lender, told)
+    def accept_grant(self, now, lender, grant):
+        request = self.pending.get(lender)
+        came = super().accept_grant(now, lender, grant)
         if came:
-            self.came[lender] = Loan(told.parts, asked.at + self.times.term, told.number)
+            self.leased[lender] = Loan(grant.parts, request.sent_at + self.times.term, grant.number)
         return came
 
 
@@ -232,63 +245,67 @@
 # What is asked for, kept back and lent.
 
 
-NOW = Turn(1, 0.0)
+NOW = TimeSlot(1, 0.0)
+
+
+def grantable(policy, borrower, parts, available, used, slot, had=0):
+    return policy.grantable(LeaseRequest(borrower, parts, had), LenderBalance(available, used), slot)
 
 
 def wants(attempts, unit=10.0, name="a", owners=None):
     held = LeasePolicy("limit", name, TIMES, owners or {"a": 100, "b": 100, "c": 100}, RandomSource(1))
-    held.looked(0.0, Use(0.0, attempts * unit, unit))
+    held.observe(0.0, Usage(0.0, attempts * unit, unit))
     return held
 
 
 def test_a_need_of_its_own_is_not_lent_and_what_lies_idle_is():
     idle, busy = wants(0), wants(9)
-    assert idle.lends("b", 60, 100, 0.0, 1) == 60
-    assert busy.lends("b", 60, 100, 0.0, 1) == 40, "nine pulls, and three less by chance"
-    assert busy.lends("b", 60, 100, 95.0, 1) == 5, "what it has spent is spent"
+    assert grantable(idle, "b", 60, 100, 0.0, 1) == 60
+    assert grantable(busy, "b", 60, 100, 0.0, 1) == 40, "nine pulls, and three less by chance"
+    assert grantable(busy, "b", 60, 100, 95.0, 1) == 5, "what it has spent is spent"
 
 
 def test_a_hoarder_and_a_liar_get_no_more_than_lies_idle_and_no_longer_than_a_term():
     owner, ledger = wants(8), LeaseLedger(100, TIMES, 1)
-    got = ledger.lend(0.0, Borrower("liar", 1, 1), owner.lends("liar", PARTS, 100, 0.0, 1), 0.0).parts
-    assert got <= 40 and ledger.kept(0.0) >= 60
+    got = ledger.grant(0.0, Borrower("liar", 1, 1), grantable(owner, "liar", PARTS, 100, 0.0, 1), 0.0).parts
+    assert got <= 40 and ledger.retained(0.0) >= 60
     for look in range(20):  # now it needs all of it itself
-        owner.looked(0.1 + look / 10, Use(0.0, 130.0, 10.0))
-    assert owner.lends("liar", PARTS, 100, 0.0, 1, had=got) == 0, "nothing is prolonged"
-    assert ledger.kept(TIMES.quiet) == 100
+        owner.observe(0.1 + look / 10, Usage(0.0, 130.0, 10.0))
+    assert grantable(owner, "liar", PARTS, 100, 0.0, 1, had=got) == 0, "nothing is prolonged"
+    assert ledger.retained(TIMES.recovery) == 100
 
 
 def test_a_share_too_small_for_a_pull_goes_to_the_one_whose_turn_it_is():
     mine, other = wants(1, unit=150.0), wants(1, unit=150.0, name="b")
     for turn in range(20):
-        a_lends, b_lends = mine.lends("b", 50, 100, 0.0, turn), other.lends("a", 50, 100, 0.0, turn)
+        a_lends, b_lends = grantable(mine, "b", 50, 100, 0.0, turn), grantable(other, "a", 50, 100, 0.0, turn)
         assert sorted((a_lends, b_lends)) == [0, 50], "one of both, never both and never none"
         assert (a_lends > 0) == (rank("limit", turn, "b") > rank("limit", turn, "a"))
 
 
 def test_it_asks_for_what_it_lacks_prolongs_what_it_needs_and_gives_back_the_rest():
     held, ledger = wants(20), LeaseLedger(100, TIMES, 1)
-    plans = held.plans(0.1, ledger, ["b", "c"], NOW)
+    plans = held.plan(0.1, ledger, ["b", "c"], NOW)
     assert {type(plan) for plan in plans} == {PlannedAcquire} and sum(plan.parts for plan in plans) == 140
     for plan in plans:
-        number = ledger.ask(0.1, plan.lender, plan.parts)
-        ledger.grant(0.2, plan.lender, Granted(1, number, plan.parts))
-    assert held.plans(0.3, ledger, ["b", "c"], NOW) == []
-    held.looked(1.4, Use(200.0, 200.0, 10.0))
-    assert sorted(plan.lender for plan in held.plans(1.4, ledger, ["b", "c"], NOW)) == ["b", "c"], "prolonged"
-    held.lasts = 1.4
-    held.looked(1.5, Use(0.0, 50.0, 10.0))
-    assert {type(plan) for plan in held.plans(1.5, ledger, ["b", "c"], NOW)} == {PlannedRelease}
+        number = ledger.request(0.1, plan.lender, plan.parts)
+        ledger.accept_grant(0.2, plan.lender, Grant(1, number, plan.parts))
+    assert held.plan(0.3, ledger, ["b", "c"], NOW) == []
+    held.observe(1.4, Usage(200.0, 200.0, 10.0))
+    assert sorted(plan.lender for plan in held.plan(1.4, ledger, ["b", "c"], NOW)) == ["b", "c"], "prolonged"
+    held.demand_until = 1.4
+    held.observe(1.5, Usage(0.0, 50.0, 10.0))
+    assert {type(plan) for plan in held.plan(1.5, ledger, ["b", "c"], NOW)} == {PlannedRelease}
 
 
 def test_less_than_a_pull_gathered_in_vain_is_given_back():
     held, ledger = wants(1, unit=150.0), LeaseLedger(100, TIMES, 1)
-    number = ledger.ask(0.0, "b", 20)
-    ledger.grant(0.1, "b", Granted(1, number, 20))
-    held.refused = {"b": 99.0, "c": 99.0}
-    assert held.plans(0.2, ledger, ["b", "c"], NOW) == []
-    held.looked(1.2, Use(0.0, 150.0, 150.0))
-    assert held.plans(0.2 + lease_policy.PATIENCE, ledger, ["b", "c"], NOW) == [PlannedRelease("b")]
+    number = ledger.request(0.0, "b", 20)
+    ledger.accept_grant(0.1, "b", Grant(1, number, 20))
+    held.refused_until = {"b": 99.0, "c": 99.0}
+    assert held.plan(0.2, ledger, ["b", "c"], NOW) == []
+    held.observe(1.2, Usage(0.0, 150.0, 150.0))
+    assert held.plan(0.2 + lease_policy.GATHERING_TIMEOUT, ledger, ["b", "c"], NOW) == [PlannedRelease("b")]
 
 
 # Many fronts, their network and clocks.
@@ -344,7 +361,7 @@
         run.fronts[number].up = False
         run.start(number, 2)
     run.play()
-    assert min(run.spent) >= run.shape.times.quiet * 0.98 and run.worst() <= 60
+    assert min(run.spent) >= run.shape.times.recovery * 0.98 and run.worst() <= 60
 
 
 def test_a_lender_that_dies_and_returns_does_not_spend_what_is_still_lent():
@@ -357,7 +374,7 @@
     run.after(6.0, lambda: setattr(run.fronts[0], "frozen_until", 9.5))
     run.play()
     assert run.worst() <= 60
-    assert run.fronts[0].limits.counts["loans had"] > 0
+    assert run.fronts[0].limits.counts["leases acquired"] > 0
 
 
 def test_a_unix_clock_that_steps_changes_no_safety():
@@ -381,19 +398,24 @@
 
 def test_parts_by_need_add_up_to_one_where_views_are_alike():
     needs = {"a": 90.0, "b": 8.0, "c": 2.0}
-    parts = [part(one, needs[one], {n: (0.5, needs[n]) for n in needs if n != one}, needs) for one in needs]
+    parts = [
+        demand_fraction(one, needs[one], {n: PeerFigure(0.5, needs[n]) for n in needs if n != one}, needs)
+        for one in needs
+    ]
     assert parts == [0.9, 0.08, 0.02]
-    assert part("a", 0.0, {}, ["b"]) == 0.5, "nothing said yet: an equal share"
-    assert part("a", 0.0, {"b": (0.1, 50.0)}, ["b"]) == FLOOR / 2
-    assert part("a", 9.0, {"b": (99.0, 1.0)}, ["b"]) == 0.5, "an old word counts for nothing"
-    assert part("a", 9.0, {"b": (0.1, 9.0)}, []) == 1.0, "alone in its view"
+    assert demand_fraction("a", 0.0, {}, ["b"]) == 0.5, "nothing said yet: an equal share"
+    assert demand_fraction("a", 0.0, {"b": PeerFigure(0.1, 50.0)}, ["b"]) == FLOOR / 2
+    assert (
+        demand_fraction("a", 9.0, {"b": PeerFigure(99.0, 1.0)}, ["b"]) == 0.5
+    ), "an old word counts for nothing"
+    assert demand_fraction("a", 9.0, {"b": PeerFigure(0.1, 9.0)}, []) == 1.0, "alone in its view"
 
 
 def test_a_need_is_a_running_mean():
     need = DemandEstimate()
-    need.turn(0.0)
+    need.update(0.0)
     for second in range(1, 12):
         for _ in range(10):
             need.add()
-        need.turn(float(second))
+        need.update(float(second))
     assert need.mean == pytest.approx(10.0, rel=0.01)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -5,7 +5,15 @@
 
 from weldbend.fleet import outlier_detection
 from weldbend.fleet.health_reports import HealthReport
-from weldbend.fleet.outlier_detection import EjectionState, OutlierDetector, cast_out, judged, started
+from weldbend.fleet.outlier_detection import (
+    CacheBreak,
+    ClientBan,
+    EjectionState,
+    OutlierDetector,
+    accusation,
+    banned_clients,
+    unlisted_starts,
+)
 from weldbend.fleet.settings import LimitSettings
 from weldbend.testbed.fleet.simulated_fleet import QUICK, FleetRun, FleetSetup
 from weldbend.testbed.simulation.auditor import Auditor
@@ -20,113 +28,125 @@
 
 
 def verdict(own="u", **records):
-    return judged(words(**records), ZONES, own)
+    return accusation(words(**records), ZONES, own)
 
 
 def test_one_front_alone_brings_no_verdict_about():
-    assert not verdict(a=BAD).bad
-    assert not verdict(a=BAD, b=WELL, c=WELL).bad
-    assert verdict(a=BAD, b=BAD).bad
+    assert not verdict(a=BAD).is_outlier
+    assert not verdict(a=BAD, b=WELL, c=WELL).is_outlier
+    assert verdict(a=BAD, b=BAD).is_outlier
 
 
 def test_most_of_those_that_know_have_to_accuse():
-    assert not verdict(a=BAD, b=WELL, c=BAD, d=WELL).bad, "two verdicts that contradict are none"
-    assert verdict(a=BAD, b=BAD, c=WELL).voices == ("a", "b")
-    assert not verdict(a=BAD, b=(0.5, 1.0), c=WELL, d=WELL).bad, "who tried once does not know"
+    assert not verdict(a=BAD, b=WELL, c=BAD, d=WELL).is_outlier, "two verdicts that contradict are none"
+    assert verdict(a=BAD, b=BAD, c=WELL).reporters == ("a", "b")
+    assert not verdict(a=BAD, b=(0.5, 1.0), c=WELL, d=WELL).is_outlier, "who tried once does not know"
 
 
 def test_one_whose_own_line_is_bad_is_not_heard():
     said = [*words(whole=(2.0, 40.0), a=BAD, b=BAD), *words(c=WELL)]
-    assert not judged(said, ZONES, "u").bad
+    assert not accusation(said, ZONES, "u").is_outlier
 
 
 def test_what_is_bad_for_one_zone_is_that_zones_verdict():
     records = {"a": BAD, "b": BAD, "c": WELL, "d": WELL}
     assert verdict("u", **records) == outlier_detection.Accusation(True, ("a", "b"), "u")
-    assert not verdict("l", **records).bad
+    assert not verdict("l", **records).is_outlier
     assert verdict("u", a=BAD, b=BAD, c=BAD, d=BAD).zone == ""
 
 
 KINDS = {f"e{n}": "EDGE" for n in range(1, 7)}
 
 
-def held(court, now, alive="bcd", **said):
-    return court.turn(now, said, KINDS, dict.fromkeys("abcd", "u"), alive)
+def held(detector, now, alive="bcd", **said):
+    return detector.tick(now, said, KINDS, dict.fromkeys("abcd", "u"), alive)
 
 
-def trier_of(uid, round_, here="abcd"):
+def prober_of(uid, round_, here="abcd"):
     return max(here, key=lambda name: outlier_detection.rank(uid, round_, name))
 
 
 def test_a_verdict_ends_one_tries_and_the_others_follow_by_a_ramp():
-    courts = {name: OutlierDetector(name) for name in "abcd"}
+    detectors = {name: OutlierDetector(name) for name in "abcd"}
 
     def turn(now, **said):
         return {
-            n: held(c, now, "".join(o for o in "abcd" if o != n), **said).get("e1") for n, c in courts.items()
+            n: held(c, now, "".join(o for o in "abcd" if o != n), **said).get("e1")
+            for n, c in detectors.items()
         }
 
-    tries = trier_of("e1", 1)
+    tries = prober_of("e1", 1)
     assert set(turn(0.0, e1=words(a=BAD, b=BAD)).values()) == {0.0}
     assert set(turn(1.9).values()) == {0.0}
     trial = turn(2.0)
-    assert trial == {name: (outlier_detection.TRIES_WITH if name == tries else 0.0) for name in "abcd"}
+    assert trial == {
+        name: (outlier_detection.HALF_OPEN_FRACTION if name == tries else 0.0) for name in "abcd"
+    }
     turn(3.0, e1=words(**{tries: (1.0, 8.0)}))
     assert turn(3.5, e1=words(**{tries: (1.0, 8.0)})) == trial, "what it holds from before is no outcome"
     ramp = turn(4.0, e1=words(**{tries: (4.0, 7.0)}))
-    assert set(ramp.values()) == {outlier_detection.FIRST}
+    assert set(ramp.values()) == {outlier_detection.RAMP_START}
     assert {round(part, 2) for part in turn(6.0).values()} == {0.55}
     assert set(turn(8.0).values()) == {1.0}
-    assert courts["a"].cases["e1"].stand is EjectionState.OPEN
+    assert detectors["a"].records["e1"].state is EjectionState.ADMITTED
     turn(80.0)
-    assert "e1" not in courts["a"].cases
+    assert "e1" not in detectors["a"].records
 
 
 def test_a_relapse_makes_the_next_term_longer_and_a_failed_trial_is_one():
-    court = OutlierDetector("a")
-    held(court, 0.0, e1=words(a=BAD, b=BAD))
-    case, terms = court.cases["e1"], [2.0]
+    detector = OutlierDetector("a")
+    held(detector, 0.0, e1=words(a=BAD, b=BAD))
+    case, terms = detector.records["e1"], [2.0]
     for _ in range(7):
-        held(court, now := case.until)
+        held(detector, now := case.until)
         for bad in (8.0, 11.0):
-            held(court, now := now + 0.5, e1=words(**{trier_of("e1", case.round): (1.0, bad)}))
-        assert case.stand is EjectionState.SHUT
+            held(detector, now := now + 0.5, e1=words(**{prober_of("e1", case.round): (1.0, bad)}))
+        assert case.state is EjectionState.EJECTED
         terms.append(case.until - now)
-    assert terms[:3] == [2.0, 3.0, 4.5] and terms[-1] == outlier_detection.SHUT_MOST
+    assert terms[:3] == [2.0, 3.0, 4.5] and terms[-1] == outlier_detection.MOST_EJECTION_SECONDS
 
 
 def test_where_who_tries_says_nothing_another_one_does():
-    court = OutlierDetector("a")
-    held(court, 0.0, e1=words(a=BAD, b=BAD))
+    detector = OutlierDetector("a")
+    held(detector, 0.0, e1=words(a=BAD, b=BAD))
     rounds = []
     for step in range(5):
-        held(court, 2.0 + 5.0 * step)
-        rounds.append(court.cases["e1"].round)
+        held(detector, 2.0 + 5.0 * step)
+        rounds.append(detector.records["e1"].round)
     assert rounds == [1, 2, 3, 4, 5]
-    assert len({trier_of("e1", round_) for round_ in rounds}) > 1
+    assert len({prober_of("e1", round_) for round_ in rounds}) > 1
 
 
 def test_no_more_than_a_third_of_a_kind_is_shut():
-    court = OutlierDetector("a")
-    found = held(court, 0.0, **{uid: words(a=BAD, b=BAD) for uid in KINDS})
+    detector = OutlierDetector("a")
+    found = held(detector, 0.0, **{uid: words(a=BAD, b=BAD) for uid in KINDS})
     assert len(found) == 2, "all failing at once is the site's trouble, not six caches'"
-    assert [change[:3] for change in court.said()] == [
-        (u, EjectionState.OPEN, EjectionState.SHUT) for u in ("e1", "e2")
+    assert [(change.cache, change.before, change.after) for change in detector.pop_changes()] == [
+        (u, EjectionState.ADMITTED, EjectionState.EJECTED) for u in ("e1", "e2")
     ]
 
 
 def test_a_client_is_cast_out_by_two_and_for_a_time():
-    assert cast_out({"10.0.0.9": [("a", 5.0)]}, 600.0, 6.0) == {}
-    assert cast_out({"10.0.0.9": [("a", 5.0), ("a", 9.0)]}, 600.0, 10.0) == {}, "one front, twice"
-    assert cast_out({"10.0.0.9": [("a", 5.0), ("b", 9.0)]}, 600.0, 10.0) == {"10.0.0.9": 609.0}
-    assert cast_out({"10.0.0.9": [("a", 5.0), ("b", 95.0)]}, 600.0, 100.0) == {}, "too far apart"
-    assert cast_out({"10.0.0.9": [("a", 5.0), ("b", 9.0)]}, 600.0, 610.0) == {}
+    assert banned_clients({"10.0.0.9": [ClientBan("a", 5.0)]}, 600.0, 6.0) == {}
+    assert (
+        banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("a", 9.0)]}, 600.0, 10.0) == {}
+    ), "one front, twice"
+    assert banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("b", 9.0)]}, 600.0, 10.0) == {
+        "10.0.0.9": 609.0
+    }
+    assert (
+        banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("b", 95.0)]}, 600.0, 100.0) == {}
+    ), "too far apart"
+    assert banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("b", 9.0)]}, 600.0, 610.0) == {}
 
 
 def test_a_start_that_no_list_tells_is_one_that_two_saw():
-    assert started({"e1": {"a": 5.0}}) == {}
-    assert started({"e1": {"a": 5.0, "b": 7.0}}) == {"e1": 7.0}
-    assert started({"e1": {"a": 5.0, "b": 17.0, "c": 16.0}}) == {"e1": 17.0}
+    def starts(**moments):
+        return unlisted_starts(CacheBreak("e1", front, at) for front, at in moments.items())
+
+    assert starts(a=5.0) == {}
+    assert starts(a=5.0, b=7.0) == {"e1": 7.0}
+    assert starts(a=5.0, b=17.0, c=16.0) == {"e1": 17.0}
 
 
 # In whole fronts.
@@ -183,8 +203,8 @@
     wasted, alone = attempts(with_, "e1", 4.0, 13.0), attempts(without, "e1", 4.0, 13.0)
     assert wasted <= alone, (wasted, alone)
     stands = [stand for made in with_.fronts.values() for stand in [made[1].fleet_adapter.sharing.counts]]
-    assert all(counts["verdicts: shut"] >= 1 for counts in stands)
-    assert all(counts["verdicts: ramp"] >= 1 for counts in stands)
+    assert all(counts["ejection state: ejected"] >= 1 for counts in stands)
+    assert all(counts["ejection state: recovering"] >= 1 for counts in stands)
     assert attempts(with_, "e1", 26.0, 30.0) > 0.5 * attempts(with_, "e1", 0.0, 4.0)
 
 
@@ -199,7 +219,7 @@
     result = made.play()
     assert not result.faults
     for number in (2, 3, 4):
-        assert made.fronts[number][1].fleet_adapter.sharing.counts["verdicts: shut"] == 0
+        assert made.fronts[number][1].fleet_adapter.sharing.counts["ejection state: ejected"] == 0
 
 
 def test_a_client_that_walks_from_front_to_front_is_refused_by_the_third():
@@ -209,11 +229,13 @@
     welcome = {}
     for at in (4.0, 7.0):
         made.world.plan(at, lambda at=at: welcome.update({at: made.fronts[3][1].gateway.welcome("10.0.9.9")}))
-    made.world.plan(8.0, lambda: made.fronts[4][1].fleet_adapter.sharing.word_on("10.0.9.9", "pardon"))
+
+    def override(number, client, text):
+        made.fronts[number][1].fleet_adapter.sharing.bans.set_override(client, text)
+
+    made.world.plan(8.0, lambda: override(4, "10.0.9.9", "pardon"))
     made.world.plan(10.0, lambda: welcome.update({10.0: made.fronts[3][1].gateway.welcome("10.0.9.9")}))
-    made.world.plan(
-        11.0, lambda: made.fronts[1][1].fleet_adapter.sharing.word_on("10.0.9.8", "until 9999999999")
-    )
+    made.world.plan(11.0, lambda: override(1, "10.0.9.8", "until 9999999999"))
     made.world.plan(11.5, lambda: welcome.update({11.5: made.fronts[2][1].gateway.welcome("10.0.9.8")}))
     assert not made.play().faults
     assert welcome == {4.0: True, 7.0: False, 10.0: True, 11.5: False}
--- /dev/null
+++ b/weldbend/fleet/demand_limits.py
@@ -0,0 +1,99 @@
+"""Limits that are divided by demand: of operators' rates that may be exceeded a little, and at the parents.
+
+Unlike leased limits these may be exceeded for a moment while demand moves (see `demand_share`). No I/O.
+"""
+
+from collections import deque
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+
+from weldbend.fleet.demand_share import DemandEstimate, demand_fraction
+from weldbend.fleet.quota_context import QuotaContext
+from weldbend.routing.events import ParentQuota
+
+WINDOW = 1.0  # seconds in which an operator's rate holds
+PARENTS = "parents"  # the subject under which demand at the parents is published
+LEAST_CHANGE = 0.02  # of this front's fraction at the parents, below which the decisions keep the old one
+
+
+@dataclass(slots=True)
+class DemandLimit:
+    """An operator's rate for one request class, divided by demand.
+
+    Attributes:
+        limit: requests in a window, of all fronts together.
+        fraction: this front's, from 0 to 1.
+        admitted: when requests were admitted in the last window, in seconds.
+    """
+
+    limit: float
+    demand: DemandEstimate = field(default_factory=DemandEstimate)
+    fraction: float = 1.0
+    admitted: deque[float] = field(default_factory=deque)
+
+    def try_admit(self, now: float) -> bool:
+        """Count a request; return whether this front's fraction has capacity for it."""
+        self.demand.add()
+        while self.admitted and self.admitted[0] <= now - WINDOW:
+            self.admitted.popleft()
+        if len(self.admitted) + 1 > max(self.limit * self.fraction, 1.0):
+            return False
+        self.admitted.append(now)
+        return True
+
+
+class DemandLimits:
+    """All limits of this front that are divided by demand.
+
+    Attributes:
+        rates: by request class.
+        parents: demand at the parents.
+        parent_fraction: this front's, of what all may have in flight there; 0 before the first tick.
+    """
+
+    def __init__(self, context: QuotaContext) -> None:
+        self.context = context
+        self.rates = {name: DemandLimit(rate) for name, rate in context.limits.soft}
+        self.parents = DemandEstimate()
+        self.parent_fraction = 0.0
+
+    def tick(self, now: float, alive: list[str]) -> None:
+        """Publish this front's demands, and divide anew."""
+        self._divide_parents(now, alive)
+        for name, rate in self.rates.items():
+            rate.fraction = self._divide(f"type:{name}", rate.demand, now, alive)
+
+    def _divide(self, subject: str, estimate: DemandEstimate, now: float, alive: Iterable[str]) -> float:
+        demand = estimate.update(now)
+        self.context.publish_figure("need", subject, round(demand, 2))
+        return demand_fraction(self.context.name, demand, self.context.peer_figures("need", subject), alive)
+
+    def _divide_parents(self, now: float, alive: list[str]) -> None:
+        context = self.context
+        if not context.limits.parents:
+            return
+        coverage = min(1.0, len(context.front_names()) / context.settings.fronts)
+        fraction = round(self._divide(PARENTS, self.parents, now, alive) * coverage, 4)
+        if abs(fraction - self.parent_fraction) > LEAST_CHANGE * self.parent_fraction:
+            self.parent_fraction = fraction
+            context.loop.post(ParentQuota(fraction))
+
+    def status_rows(self) -> list[dict[str, object]]:
+        """Return what the admin question `limits` shows of these."""
+        rows: list[dict[str, object]] = [
+            {
+                "limit": f"type:{name}", "kind": "soft", "most": rate.limit, "part": round(rate.fraction, 3),
+                "need": round(rate.demand.mean, 2), "others": self._peers_shown(f"type:{name}"),
+            }
+            for name, rate in sorted(self.rates.items())
+        ]  # fmt: skip
+        if self.context.limits.parents:
+            rows.append({
+                "limit": PARENTS, "kind": "soft", "part": self.parent_fraction,
+                "need": round(self.parents.mean, 2), "others": self._peers_shown(PARENTS),
+            })  # fmt: skip
+        return rows
+
+    def _peers_shown(self, subject: str) -> dict[str, list[float]]:
+        figures = self.context.peer_figures("need", subject)
+        return {name: [round(age, 2), demand] for name, (age, demand) in figures.items()}
--- a/weldbend/fleet/demand_share.py
+++ b/weldbend/fleet/demand_share.py
@@ -1,51 +1,80 @@
-"""Soft limits: each front's part by its need, as all say theirs. No I/O.
+"""Quotas by demand: each front's fraction of a limit, as all publish their demand. No I/O.
 
-Each front says each second how much it had to do. Its part is its need over that of all that are alive in its
-view, itself included, and never under a floor. Where views and words are the same the parts add up to one at
-most, floors apart. Over at most: by the number of sides of a split (each side counts only itself), and by
-what needs grew within one word's age.
+Each front publishes each second how much it had to do. Its fraction is its demand over that of all that are
+alive in its view, itself included, and never under a floor. Where views and figures are the same the
+fractions add up to one at most, floors apart. The limit is exceeded at most by the number of sides of a
+network partition (each side counts only itself), and by what demands grew within one figure's age.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
+from typing import NamedTuple
 
-FLOOR = 0.05  # of an equal share: what a front has that said nothing yet
-OLD = 4.0  # seconds after which a word counts no more; its writer has an equal share then
-SMOOTH = 0.5  # how much of a new figure counts
+FLOOR = 0.05  # of an equal fraction: the least that a front has
+MAX_AGE = 4.0  # seconds after which a figure counts no more; its writer counts with the mean then
+SMOOTHING = 0.5  # weight of a new figure in the running mean
+
+
+class PeerFigure(NamedTuple):
+    """A figure that another front published.
+
+    Attributes:
+        age: seconds since it was published.
+        figure: amount a second, for demands.
+    """
+
+    age: float
+    figure: float
 
 
 @dataclass(slots=True)
 class DemandEstimate:
-    """How much this front has to do, a second: a running mean, so that parts do not leap."""
+    """How much this front has to do in a second: a running mean, so that fractions do not leap.
+
+    Attributes:
+        mean: amount a second.
+        pending: amount since `updated_at`.
+        updated_at: seconds; None before the first update.
+    """
 
     mean: float = 0.0
-    count: float = 0.0
-    at: float | None = None
+    pending: float = 0.0
+    updated_at: float | None = None
 
     def add(self, amount: float = 1.0) -> None:
-        self.count += amount
+        """Count an amount that has just come."""
+        self.pending += amount
 
-    def turn(self, now: float) -> float:
-        if self.at is None or now <= self.at:
-            self.at = now
+    def update(self, now: float) -> float:
+        """Take what has come since the last update into the mean, and return the mean."""
+        if self.updated_at is None or now <= self.updated_at:
+            self.updated_at = now
             return self.mean
-        rate, self.count = self.count / (now - self.at), 0.0
-        self.mean += SMOOTH * (rate - self.mean)
-        self.at = now
+        rate = self.pending / (now - self.updated_at)
+        self.pending = 0.0
+        self.mean += SMOOTHING * (rate - self.mean)
+        self.updated_at = now
         return self.mean
 
 
-def part(name: str, mine: float, others: Mapping[str, tuple[float, float]], alive: Iterable[str]) -> float:
-    """This front's part, from 0 to 1; `others` have said (age in seconds, need) each.
+def demand_fraction(
+    name: str, own_demand: float, peer_demands: Mapping[str, PeerFigure], alive: Iterable[str]
+) -> float:
+    """Return the fraction, from 0 to 1, of a limit that the front `name` has by its demand.
 
-    One alive that said nothing lately counts with the mean of the others: it may just have started.
+    A front that is alive and published nothing lately counts with the mean of the others: it may just have
+    started.
     """
-    here = [one for one in alive if one != name]
-    said = {one: others[one][1] for one in here if one in others and others[one][0] <= OLD}
-    total = mine + sum(said.values())
-    members = len(here) + 1
-    silent = len(here) - len(said)
+    others = [front for front in alive if front != name]
+    known = {
+        front: peer_demands[front].figure
+        for front in others
+        if front in peer_demands and peer_demands[front].age <= MAX_AGE
+    }
+    total = own_demand + sum(known.values())
+    members = len(others) + 1
+    unknown = len(others) - len(known)
     if not total:
         return 1 / members
-    share = mine / (total + silent * total / (1 + len(said)))
-    return min(1.0, max(share, FLOOR / members))
+    fraction = own_demand / (total + unknown * total / (1 + len(known)))
+    return min(1.0, max(fraction, FLOOR / members))
--- /dev/null
+++ b/weldbend/fleet/ejection_service.py
@@ -0,0 +1,103 @@
+"""Ejections of caches, and starts that no list names, handed to the routing decisions. No I/O."""
+
+import math
+from collections.abc import Iterable, Mapping
+
+from loguru import logger
+
+from weldbend.fleet.health_reports import HealthReport
+from weldbend.fleet.outlier_detection import (
+    START_WINDOW,
+    CacheBreak,
+    OutlierDetector,
+    StateChange,
+    unlisted_starts,
+)
+from weldbend.fleet.quota_context import QuotaContext
+from weldbend.routing.events import EjectionUpdate, PeerKnowledge
+
+
+class EjectionService:
+    """Runs the outlier detector of this front and hands its results to the decisions.
+
+    Attributes:
+        fractions: of their work that caches may have from here, by number, where that is not all of it.
+        broken_off: when this front's connections to a cache broke, as published; seconds, by uid.
+    """
+
+    def __init__(self, context: QuotaContext) -> None:
+        self.context = context
+        self.detector = OutlierDetector(context.name)
+        self.fractions: dict[int, float] = {}
+        self.broken_off: dict[str, float] = {}
+
+    def update_ejections(
+        self, now: float, reports: Mapping[str, list[HealthReport]], alive: Iterable[str]
+    ) -> None:
+        """Judge all caches by the health reports of all fronts, by cache."""
+        names, caches = self.context.loop.names, self.context.loop.router.caches
+        uids = names.uids
+        kinds = {uids[n]: f"{c.role.name} {c.zone}" for n, c in caches.items() if n in uids}
+        admitted = self.detector.tick(now, reports, kinds, self.context.zones(), alive)
+        fractions = {
+            names.numbers[uid]: fraction
+            for uid, fraction in admitted.items()
+            if fraction < 1 and uid in names.numbers
+        }
+        for number in {*fractions, *self.fractions}:
+            fraction = fractions.get(number, 1.0)
+            if fraction != self.fractions.get(number, 1.0):
+                self.context.loop.post(EjectionUpdate(number, fraction))
+        self.fractions = fractions
+        for change in self.detector.pop_changes():
+            self._log(change)
+
+    def _log(self, change: StateChange) -> None:
+        uid, record = change.cache, change.record
+        self.context.counts[f"ejection state: {change.after.name.lower()}"] += 1
+        logger.bind(
+            cache=uid, state=change.after.name, reporters=record.reporters, zone=record.zone
+        ).info(
+            "fleet: ejection state of {}: {} after {}, reported by {}{}",
+            uid, change.after.name, change.before.name, ", ".join(record.reporters) or "nobody",
+            f", in zone {record.zone}" if record.zone else "",
+        )  # fmt: skip
+
+    def find_unlisted_starts(self, now: float) -> None:
+        """Publish caches that broke off, and take what two fronts have seen for a start."""
+        self._publish_breaks(now)
+        breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_off.items()]
+        breaks += [
+            CacheBreak(uid, writer, item.said - float(item.value[2]))
+            for uid, writer, item in self.context.live_figures("broke", now)
+            if writer != self.context.name
+        ]
+        for uid, at in unlisted_starts(breaks).items():
+            cache = self.context.cache(uid)
+            if cache and (cache.started is None or at > cache.started + START_WINDOW):
+                self.context.counts["unlisted starts"] += 1
+                self.context.loop.post(PeerKnowledge(cache.id, None, at))
+        numbers = self.context.loop.names.numbers
+        self.broken_off = {uid: at for uid, at in self.broken_off.items() if uid in numbers}
+
+    def _publish_breaks(self, now: float) -> None:
+        caches = self.context.loop.router.caches
+        for uid, number in self.context.loop.names.numbers.items():
+            cache = caches.get(number)
+            at = cache.breaks.unreachable_at if cache else -math.inf
+            if at > self.broken_off.get(uid, -math.inf) and now - at < START_WINDOW:
+                self.broken_off[uid] = at
+                self.context.publish_figure("broke", uid, round(now - at, 3))
+
+    def status_rows(self, now: float) -> list[dict[str, object]]:
+        """Return what the admin question `verdicts` shows of caches."""
+        numbers = self.context.loop.names.numbers
+        return [
+            {
+                "cache": uid, "stand": record.state.value, "for": round(now - record.since, 1),
+                "ends in": round(record.until - now, 1) if record.until < math.inf else None,
+                "voices": list(record.reporters), "zone": record.zone or None, "relapses": record.relapses,
+                "part": self.fractions.get(numbers.get(uid, -1), 1.0),
+            }
+            for uid, record in sorted(self.detector.records.items())
+        ]  # fmt: skip
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -70,7 +70,7 @@
         self.sharing = QuotaService(
             loop, self.fleet, RandomSource(int.from_bytes(clock.random_bytes(4), "big"))
         )
-        self.control = AdminServer(self.fleet, self.sharing.questions())
+        self.control = AdminServer(self.fleet, self.sharing.admin_handlers())
 
     def start(self, known: list[SequencedEvent]) -> None:
         self.fleet.start()
@@ -88,7 +88,7 @@
         """SIGHUP: members and keys as the installation file has them; one that is wrong changes nothing."""
         try:
             self.fleet.reload(terms)
-            self.sharing.renamed()
+            self.sharing.members_changed()
         except FleetConfigurationError as wrong:
             logger.error("fleet: new installation not taken, the old one stays: {}", wrong)
 
@@ -105,7 +105,7 @@
                         self.fleet.say("start", target.uid, round(target.started_at * 1000))
                     self.hold(target.uid)
                     if target.started_at:
-                        self.sharing.restarted(target.uid)
+                        self.sharing.cache_restarted(target.uid)
             case Purge(key, group, at):
                 self.fleet.say("purge", f"k:{key}" if key else f"g:{group}", int(at * 1000))
         self.fleet.say("bus", self.fleet.name, self.offset)
@@ -151,13 +151,13 @@
         return ()
 
     def is_over_limit(self, type: str, client: str) -> bool:
-        return self.sharing.over(type, client)
+        return self.sharing.exceeds_limit(type, client)
 
     def is_banned(self, client: str) -> bool:
-        return self.sharing.bars(client)
+        return self.sharing.is_banned(client)
 
     def report_protocol_violation(self, client: str) -> None:
-        self.sharing.casts(client)
+        self.sharing.publish_ban(client)
 
     def attempt_sent(self, type: str, once: str, cache: int) -> None:
         """A pull of a deduped download goes out: others are told before its bytes leave."""
@@ -210,7 +210,7 @@
         self.counts["caches held strictly"] += state_known is not None
         self.loop.post(PeerKnowledge(number, state_known, started))
         if started is not None:
-            self.sharing.restarted(uid)
+            self.sharing.cache_restarted(uid)
         if state_known is not None:
             self.loop.pool.cancel_concerning({number})
             logger.bind(cache=uid).info(
@@ -255,7 +255,7 @@
     def say_evidence(self, now: float, words: dict[str, list[HealthReport]]) -> None:
         uids, record = self.loop.names.uids, health_counts(self.loop.router, now)
         mine = {uids[n]: r for n, r in record.items() if n in uids}
-        for uid, held in self.teller.words(now, mine, words):
+        for uid, held in self.teller.due_reports(now, mine, words):
             self.number += 1
             self.fleet.say(
                 "evidence", f"{uid}|{self.fleet.name}", self.fleet.copies.epoch, self.number, *held
@@ -270,7 +270,7 @@
                 said[uid][writer] = now - item.said, (float(item.value[2]), float(item.value[3]))
         terms = self.fleet.terms
         near = {peer.name: peer.zone == terms.zone for peer in terms.peers if peer.name != self.fleet.name}
-        whole = {writer: record for writer, (_, record) in said.pop(health_reports.ALL, {}).items()}
+        whole = {writer: record for writer, (_, record) in said.pop(health_reports.ALL_CACHES, {}).items()}
         return {
             uid: [
                 HealthReport(writer, near[writer], age, record, whole.get(writer, record))
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -1,93 +1,126 @@
-"""Evidence on caches: what a front says of the pulls it made, and what others make of it. No I/O.
+"""Health reports on caches: what a front publishes of its attempts, and how others weigh it. No I/O.
 
-Each front says how its pulls at a cache ended in the last seconds, as long as some ended badly, and how it
-does with all caches together. Who reads it weighs each word by its age, by where its writer stands, and by
-how well the writer does with everybody else: one whose own line is bad has bad ends everywhere. The heaviest
-accuser is left out, so no front alone, wrong or lying, makes another doubt a cache; and no writer counts for
-more than `MOST` answers, however many it claims.
+Each front publishes how its attempts at a cache ended in the last seconds, as long as some failed, and how it
+fares with all caches together. Who reads a report weighs it by its age, by where its writer stands, and by
+how well the writer fares with all other caches: one whose own network is faulty has failures everywhere. The
+heaviest accuser is left out, so no front alone, wrong or lying, makes another suspect a cache; and no writer
+counts for more than `MOST_ANSWERS` answers, however many it claims.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-SPAN = 10.0  # seconds that a record covers; a word older than that counts for nothing
-AGAIN, ACCUSED = 3.0, 0.9  # seconds after which the same is said again; of what others accuse
-MOST = 4.0  # answers that one writer's word counts for at most
-ABROAD = 0.5  # what the word of a front in another zone counts: its path is another
-LEAST = 0.5  # bad answers below which nothing is doubted
-MOST_WORDS = 32  # said at once; the worst first
-ALL = "*"  # stands for all caches together
+SPAN = 10.0  # seconds that a report covers; an older one counts for nothing
+REPEAT_INTERVAL = 3.0  # seconds after which the same is published again
+ACCUSED_INTERVAL = 0.9  # the same, for caches that others accuse
+MOST_ANSWERS = 4.0  # that one writer's report counts for at most
+OTHER_ZONE_WEIGHT = 0.5  # of the report of a front in another zone: its network path is another
+LEAST_FAILED = 0.5  # failed answers below which nothing is suspected
+MOST_REPORTS = 32  # published at once; the worst first
+ALL_CACHES = "*"  # stands for all caches together
+LEAST_CHANGE, LEAST_CHANGE_FRACTION = (
+    1.0,
+    0.2,
+)  # in failed answers, and as a part of them, that is published at once
 
-Record = tuple[float, float]  # answers, good and bad
+Outcomes = tuple[float, float]  # answers: good ones and failed ones
+NO_OUTCOMES: Outcomes = (0.0, 0.0)
 
 
 @dataclass(slots=True)
 class HealthReporter:
-    """What this front says of its own pulls."""
+    """Decides what this front publishes of its own attempts.
 
-    said: dict[str, tuple[float, Record]] = field(default_factory=dict)  # of each cache: when, and what
+    Attributes:
+        published: of each cache, when it was published last, in seconds, and what.
+    """
 
-    def words(
-        self, now: float, record: Mapping[str, Record], accused: Iterable[str] = ()
-    ) -> list[tuple[str, Record]]:
-        """What to say now, of caches and of all together (`ALL`); nothing while all ends well.
+    published: dict[str, tuple[float, Outcomes]] = field(default_factory=dict)
 
-        Of what others accuse (`accused`) also who fares well there speaks.
+    def due_reports(
+        self, now: float, outcomes: Mapping[str, Outcomes], accused: Iterable[str] = ()
+    ) -> list[tuple[str, Outcomes]]:
+        """Return what to publish now, of caches and of all together (`ALL_CACHES`).
+
+        That is nothing while all attempts end well, unless others accuse a cache (`accused`): of these also
+        a front that fares well reports.
         """
-        held = {uid: (round(good, 1), round(bad, 1)) for uid, (good, bad) in record.items()}
-        told = {uid for uid, (_, what) in self.said.items() if what[1]}
-        told |= {uid for uid in accused if sum(held.get(uid, (0.0, 0.0)))}
+        rounded = {uid: (round(good, 1), round(failed, 1)) for uid, (good, failed) in outcomes.items()}
         accused = set(accused)
+        reports = self._due_caches(now, rounded, accused)
+        total = (
+            round(sum(good for good, _ in rounded.values()), 1),
+            round(sum(failed for _, failed in rounded.values()), 1),
+        )
+        has_reason = reports or accused or any(failed for _, failed in rounded.values())
+        if has_reason and self._is_due(ALL_CACHES, total, now, REPEAT_INTERVAL):
+            reports.append((ALL_CACHES, total))
+        self.published |= {uid: (now, published) for uid, published in reports}
+        for uid in [uid for uid in self.published if uid not in rounded and uid != ALL_CACHES]:
+            del self.published[uid]
+        return reports
+
+    def _due_caches(
+        self, now: float, outcomes: Mapping[str, Outcomes], accused: set[str]
+    ) -> list[tuple[str, Outcomes]]:
+        followed = {uid for uid, (_, (_, failed)) in self.published.items() if failed}
+        followed |= {uid for uid in accused if sum(outcomes.get(uid, NO_OUTCOMES))}
         due = [
             uid
-            for uid in held
-            if (held[uid][1] or uid in told)
-            and self.news(uid, held[uid], now, ACCUSED if uid in accused else AGAIN)
+            for uid, (_, failed) in outcomes.items()
+            if (failed or uid in followed)
+            and self._is_due(uid, outcomes[uid], now, ACCUSED_INTERVAL if uid in accused else REPEAT_INTERVAL)
         ]
-        due.sort(key=lambda uid: held[uid][1], reverse=True)
-        found = [(uid, held[uid]) for uid in due[:MOST_WORDS]]
-        whole = round(sum(g for g, _ in held.values()), 1), round(sum(b for _, b in held.values()), 1)
-        speaks = found or accused or any(bad for _, bad in held.values())
-        if speaks and self.news(ALL, whole, now, AGAIN):
-            found.append((ALL, whole))
-        self.said |= {uid: (now, what) for uid, what in found}
-        for uid in [uid for uid in self.said if uid not in held and uid != ALL]:
-            del self.said[uid]
-        return found
-
-    def news(self, uid: str, what: Record, now: float, again: float) -> bool:
-        at, before = self.said.get(uid, (-SPAN, (0.0, 0.0)))
-        moved = abs(what[1] - before[1]) >= max(1.0, 0.2 * before[1])
-        return moved or (what[1] > 0) != (before[1] > 0) or now - at >= again
+        due.sort(key=lambda uid: outcomes[uid][1], reverse=True)
+        return [(uid, outcomes[uid]) for uid in due[:MOST_REPORTS]]
+
+    def _is_due(self, uid: str, outcomes: Outcomes, now: float, interval: float) -> bool:
+        published_at, (_, before) = self.published.get(uid, (-SPAN, NO_OUTCOMES))
+        failed = outcomes[1]
+        has_changed = abs(failed - before) >= max(LEAST_CHANGE, LEAST_CHANGE_FRACTION * before)
+        return has_changed or (failed > 0) != (before > 0) or now - published_at >= interval
 
 
 @dataclass(frozen=True, slots=True)
 class HealthReport:
-    """What one front says of one cache, and of all together; `age` in seconds."""
+    """What one front reports of one cache.
+
+    Attributes:
+        writer: the front.
+        is_near: whether it stands in the reader's zone.
+        age: seconds since it was published.
+        outcomes: of its attempts at the cache.
+        total: of its attempts at all caches together.
+    """
 
     writer: str
-    near: bool  # stands in the reader's zone
+    is_near: bool
     age: float
-    record: Record
-    whole: Record
+    outcomes: Outcomes
+    total: Outcomes
 
 
-def credit(word: HealthReport) -> float:
-    """From 0 to 1: how well its writer does with everybody else; one whose own line is bad does not."""
-    good, bad = (max(a - b, 0.0) for a, b in zip(word.whole, word.record, strict=True))
-    return ((good + 1) / (good + bad + 1)) ** 2
+def credit(report: HealthReport) -> float:
+    """Return how well its writer fares with all other caches, from 0 to 1."""
+    good, failed = (max(total - here, 0.0) for total, here in zip(report.total, report.outcomes, strict=True))
+    return ((good + 1) / (good + failed + 1)) ** 2
 
 
-def weight(word: HealthReport) -> float:
-    """From 0 to 1: how far a word counts."""
-    fresh = max(1 - word.age / SPAN, 0.0)
-    total = sum(word.record)
-    return credit(word) * fresh * (1.0 if word.near else ABROAD) * min(1.0, MOST / total if total else 1.0)
+def weight(report: HealthReport) -> float:
+    """Return how far a report counts, from 0 to 1."""
+    freshness = max(1 - report.age / SPAN, 0.0)
+    answers = sum(report.outcomes)
+    distance = 1.0 if report.is_near else OTHER_ZONE_WEIGHT
+    return credit(report) * freshness * distance * min(1.0, MOST_ANSWERS / answers if answers else 1.0)
 
 
-def combined(words: Iterable[HealthReport]) -> Record:
-    """Answers that all words about one cache amount to, the heaviest accuser left out."""
-    weighed = [(w * word.record[1], w * word.record[0]) for word in words if (w := weight(word))]
+def combined(reports: Iterable[HealthReport]) -> Outcomes:
+    """Return the answers that all reports on one cache amount to, the heaviest accuser left out."""
+    weighed = [
+        (counts * report.outcomes[1], counts * report.outcomes[0])
+        for report in reports
+        if (counts := weight(report))
+    ]
     weighed.sort(reverse=True)
-    bad, good = sum(b for b, _ in weighed[1:]), sum(g for _, g in weighed[1:])
-    return (good, bad) if bad >= LEAST else (0.0, 0.0)
+    failed, good = sum(failed for failed, _ in weighed[1:]), sum(good for _, good in weighed[1:])
+    return (good, failed) if failed >= LEAST_FAILED else NO_OUTCOMES
--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -1,72 +1,90 @@
-"""Strict limits in shares that are lent and come back by the clock: one front's book of one limit. No I/O.
-
-A limit is cut into parts. Each member owns some (`owned`), spends from what it holds, and lends what it does
-not need for a term. What all may spend in any window never passes the limit, whatever links, deaths, freezes
-and clocks within their drift do, because four things hold here, each by itself:
-
-1. what is lent is out before the grant leaves, until the loan has surely ended and a window has passed; 2.
-nothing is lent that the own spending of the last window needs; 3. a loan ends, for who borrowed, at the
-latest when it has for who lent: its term counts from the asking; 4. a start that cannot know what was lent
-before it holds nothing of its own for a term and a window.
-
-Then, at any moment t: what one spent in the window up to t was covered, at its last spending s, by what it
-kept and by loans that had not ended at s, and their lenders count those as out until after s + window > t.
-What is kept never falls below the own spending (2). So the sum is at most the sum of what is owned: the whole
-limit.
+"""One front's ledger of one strict limit that fronts share by leases. No I/O.
+
+A limit is cut into equal parts. Each member owns some, spends from what it holds, and grants leases on what
+it does not need for a term. What all may spend in any window never exceeds the limit, whatever network
+partitions, crashes, frozen processes and clocks within their drift do, because four things hold here, each by
+itself:
+
+1. What is granted is out before the grant leaves, until the lease has surely ended and a window has passed.
+2. Nothing is granted that the own spending of the last window needs.
+3. A lease ends, for its borrower, at the latest when it has for its lender: its term counts from the request.
+4. A start that cannot know what it granted before holds nothing of its own for a term and a window.
+
+Then, at any moment t: what a front spent in the window up to t was covered, at its last spending s, by what
+it retained and by leases that had not ended at s, and their lenders count those as out until after
+s + window > t. What is retained never falls below the own spending (2). So the sum is at most the sum of
+what is owned: the whole limit.
 """
 
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from hashlib import blake2b
+from typing import NamedTuple
 
 PARTS = 1200  # of each limit
-MOST_LOANS = 512  # of one limit, out or in
+MOST_LOANS = 512  # granted leases of one limit at a time
 
 
-def owned(limit: str, names: Iterable[str], attempts: float) -> dict[str, int]:
-    """How many parts each named member owns, by an order that all compute alike.
+def owned_parts(limit: str, names: Iterable[str], attempts: float) -> dict[str, int]:
+    """Return how many parts each named member owns, by an order that all compute alike.
 
-    `pulls` is how many pulls the limit has room for: no more members own a part of it than that, so that what
-    one owns is worth something by itself, and what one lacks is had from one lender.
+    Args:
+        limit: its name.
+        names: the members that own it together.
+        attempts: for how many attempts in a window the limit has capacity. No more members own a part of it
+            than that, so that what one owns is worth something by itself, and what one lacks comes from one
+            lender.
     """
     order = sorted(set(names), key=lambda name: blake2b(f"{limit} {name}".encode(), digest_size=8).digest())
     owners = min(len(order), max(int(attempts), 1))
-    least, more = divmod(PARTS, owners) if owners else (0, 0)
-    return {name: (least + (place < more)) * (place < owners) for place, name in enumerate(order)}
+    least, remainder = divmod(PARTS, owners) if owners else (0, 0)
+    return {name: (least + (place < remainder)) * (place < owners) for place, name in enumerate(order)}
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimes:
-    """Seconds. `drift` is the share by which any steady clock may run too fast or too slow."""
+    """The times of one limit, in seconds.
+
+    Attributes:
+        term: of a lease.
+        window: in which the limit holds.
+        drift: fraction by which any steady clock may run too fast or too slow.
+    """
 
-    term: float = 1.0  # of a loan
-    window: float = 2.0  # in which the limit holds
+    term: float = 1.0
+    window: float = 2.0
     drift: float = 0.01
 
     @property
-    def short(self) -> float:
-        """The term as who borrows counts it, from when it asked."""
+    def borrower_term(self) -> float:
+        """The term as its borrower counts it, from when it sent its request."""
         return self.term * (1 - 2 * self.drift)
 
     @property
-    def wait(self) -> float:
-        """A window, as one that must not be shorter than anybody else's counts it."""
+    def safe_window(self) -> float:
+        """A window that is not shorter than by any other front's clock."""
         return self.window * (1 + 2 * self.drift)
 
     @property
-    def span(self) -> float:
-        """A window, as who spends counts it by a clock that may be too fast."""
+    def spending_window(self) -> float:
+        """A window as the spender counts it, by a clock that may be too fast."""
         return self.window * (1 + self.drift)
 
     @property
-    def quiet(self) -> float:
-        """For which a start that knows nothing holds nothing of its own."""
-        return self.term * (1 + 2 * self.drift) + self.wait
+    def recovery(self) -> float:
+        """For how long a start that knows nothing holds nothing of its own."""
+        return self.term * (1 + 2 * self.drift) + self.safe_window
 
 
 @dataclass(frozen=True, slots=True)
 class Borrower:
-    """One asking of one run of a front; its numbers only rise."""
+    """One request of one run of a front.
+
+    Attributes:
+        name: the front's.
+        epoch: of the run.
+        number: of the request; they only rise.
+    """
 
     name: str
     epoch: int
@@ -75,24 +93,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Loan:
-    """`end`: out, when it counts here again; in, when it may no longer be spent."""
+    """A lease, at its lender or at its borrower.
+
+    Attributes:
+        parts: of the limit.
+        end: seconds; at the lender when it counts as its own again, at the borrower when it is spent no more.
+        number: of the request, at the borrower; 0 at the lender.
+        is_ending: at the lender: it is not renewed any more, and only its end is waited for.
+    """
 
     parts: int
     end: float
-    number: int = 0  # of the asking, of what came
-    over: bool = False  # out, and not prolonged any more: only its end is waited for
+    number: int = 0
+    is_ending: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Asking:
+class PendingRequest:
+    """A request for a lease that has no answer yet, sent at `sent_at` seconds for `parts` in all."""
+
     number: int
     parts: int
-    at: float
+    sent_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class Granted:
-    """What a lender says to the asking of that epoch and number; how many more it could spare is a hint."""
+class Grant:
+    """What a lender answers to a request.
+
+    Attributes:
+        epoch: of the borrower that requested it.
+        number: of the request.
+        parts: granted in all; 0 for a refusal.
+        spare: how many more it could grant: a hint.
+    """
 
     epoch: int
     number: int
@@ -100,137 +134,179 @@
     spare: int = 0
 
 
-class LeaseLedger:
-    """One front's book. `used` is always what it has spent in the last window, in parts, by its own clock.
+class LoanRow(NamedTuple):
+    """A lease as the admin port shows it: `way` is "out" or "in", `end` in seconds."""
 
-    From each lender there is one loan at most, and one asking. An asking is for all that is wanted from that
-    lender; what it brings takes the place of what was had, and voids every asking before it.
-    """
+    way: str
+    front: str
+    parts: int
+    end: float
 
-    __slots__ = ("asked", "came", "epoch", "number", "out", "own", "quiet_until", "times")
 
-    def __init__(self, own: int, times: LeaseTimes, epoch: int, quiet_until: float = 0.0) -> None:
-        self.own, self.times, self.epoch, self.quiet_until = own, times, epoch, quiet_until
-        self.number = 0
-        self.out: dict[Borrower, Loan] = {}
-        self.came: dict[str, Loan] = {}  # by lender
-        self.asked: dict[str, Asking] = {}  # by lender
+class LeaseLedger:
+    """One front's ledger of one limit.
+
+    From each lender there is one lease at most, and one pending request. A request is for all that is wanted
+    from that lender; what it brings replaces what was leased, and voids every request before it.
+
+    In all methods `now` is seconds of the own steady clock, and `used` what the front has spent in the last
+    window by that clock, in parts.
+
+    Attributes:
+        own: parts that this front owns.
+        times: of the limit.
+        epoch: of this run.
+        recovering_until: before it, nothing of its own is held (4).
+        last_number: of the requests sent.
+        granted: leases to others.
+        leased: leases from others, by lender.
+        pending: requests without an answer, by lender.
+    """
 
-    # What is held.
+    __slots__ = (
+        "epoch", "granted", "last_number", "leased", "own", "pending", "recovering_until", "times",
+    )  # fmt: skip
 
-    def kept(self, now: float) -> int:
-        """Of its own, not lent: holds without any end."""
-        if now < self.quiet_until:
+    def __init__(self, own: int, times: LeaseTimes, epoch: int, recovering_until: float = 0.0) -> None:
+        self.own = own
+        self.times = times
+        self.epoch = epoch
+        self.recovering_until = recovering_until
+        self.last_number = 0
+        self.granted: dict[Borrower, Loan] = {}
+        self.leased: dict[str, Loan] = {}
+        self.pending: dict[str, PendingRequest] = {}
+
+    # Balance.
+
+    def retained(self, now: float) -> int:
+        """Parts of its own that are not granted: held without any end."""
+        if now < self.recovering_until:
             return 0
-        return self.own - self.lent(now)
+        return self.own - self.granted_parts(now)
 
-    def lent(self, now: float) -> int:
-        return sum(loan.parts for loan in self.out.values() if loan.end > now)
+    def granted_parts(self, now: float) -> int:
+        """Parts that are out."""
+        return sum(loan.parts for loan in self.granted.values() if loan.end > now)
 
-    def borrowed(self, now: float) -> int:
-        return sum(loan.parts for loan in self.came.values() if loan.end > now)
+    def leased_parts(self, now: float) -> int:
+        """Parts that are leased from others."""
+        return sum(loan.parts for loan in self.leased.values() if loan.end > now)
 
-    def held(self, now: float) -> int:
-        """What may be spent in the window up to now."""
-        return self.kept(now) + self.borrowed(now)
+    def available(self, now: float) -> int:
+        """Parts that may be spent in the window up to now."""
+        return self.retained(now) + self.leased_parts(now)
 
-    def ends(self, now: float) -> float:
-        """When the first of what is borrowed ends; never, where nothing is."""
-        return min((loan.end for loan in self.came.values() if loan.end > now), default=float("inf"))
+    def first_end(self, now: float) -> float:
+        """When the first lease from others ends; infinity where there is none."""
+        return min((loan.end for loan in self.leased.values() if loan.end > now), default=float("inf"))
 
-    # Lending.
+    # As a lender.
 
-    def had(self, now: float, name: str, epoch: int) -> int:
-        """What is out to one run of a front, and goes on being out if it asks."""
-        mine = (loan for one, loan in self.out.items() if (one.name, one.epoch) == (name, epoch))
-        return sum(loan.parts for loan in mine if loan.end > now and not loan.over)
+    def renewable_parts(self, now: float, name: str, epoch: int) -> int:
+        """Parts that are out to one run of a front, and go on being out if it requests them again."""
+        loans = (loan for one, loan in self.granted.items() if (one.name, one.epoch) == (name, epoch))
+        return sum(loan.parts for loan in loans if loan.end > now and not loan.is_ending)
 
-    def returning(self, now: float) -> int:
-        """What is out and comes back by itself."""
-        return sum(loan.parts for loan in self.out.values() if loan.end > now and loan.over)
+    def returning_parts(self, now: float) -> int:
+        """Parts that are out and come back by themselves."""
+        return sum(loan.parts for loan in self.granted.values() if loan.end > now and loan.is_ending)
 
-    def lend(self, now: float, to: Borrower, parts: int, used: float) -> Granted:
-        """Grant up to so many parts, in place of all that this borrower has; the same to the same asking.
+    def grant(self, now: float, borrower: Borrower, parts: int, used: float) -> Grant:
+        """Grant up to so many parts, in place of all that this borrower has.
 
-        What it had beyond that stays out until it would have ended: the answer may never arrive.
+        The same request gets the same answer. What the borrower had beyond the new grant stays out until it
+        would have ended: the answer may never arrive.
         """
-        self.forget(now)
-        if to in self.out:
-            return Granted(to.epoch, to.number, self.out[to].parts)
-        before = {o: loan for o, loan in self.out.items() if (o.name, o.epoch) == (to.name, to.epoch)}
-        if any(one.number > to.number for one in before):
-            return Granted(to.epoch, to.number, 0)  # it comes late: that one has gone on with a later one
+        self.discard_ended(now)
+        if borrower in self.granted:
+            return Grant(borrower.epoch, borrower.number, self.granted[borrower].parts)
+        run = (borrower.name, borrower.epoch)
+        before = {one: loan for one, loan in self.granted.items() if (one.name, one.epoch) == run}
+        if any(one.number > borrower.number for one in before):
+            return Grant(
+                borrower.epoch, borrower.number, 0
+            )  # late: the borrower has gone on with a later one
         had = sum(loan.parts for loan in before.values())
-        kept = self.kept(now)
-        grant = max(min(parts, had + int(kept - used)), 0)
-        if not grant or (not before and len(self.out) >= MOST_LOANS):
-            return Granted(to.epoch, to.number, 0, max(int(kept - used), 0))
+        retained = self.retained(now)
+        granted = max(min(parts, had + int(retained - used)), 0)
+        if not granted or (not before and len(self.granted) >= MOST_LOANS):
+            return Grant(borrower.epoch, borrower.number, 0, max(int(retained - used), 0))
+        self._replace(before, granted)
+        self.granted[borrower] = Loan(granted, now + self.times.term + self.times.safe_window)
+        return Grant(borrower.epoch, borrower.number, granted, max(int(self.retained(now) - used), 0))
+
+    def _replace(self, before: dict[Borrower, Loan], granted: int) -> None:
+        """Keep out what a borrower may spend of its earlier leases beyond the new grant."""
         for one in before:
-            del self.out[one]
-        until = 0  # what that borrower may spend without this grant, from the latest end on
-        for one, loan in sorted(before.items(), key=lambda held: held[1].end, reverse=True):
-            rest = max(until + loan.parts - grant, 0) - max(until - grant, 0)
-            until += loan.parts
+            del self.granted[one]
+        later = 0  # parts of those that end later
+        for one, loan in sorted(before.items(), key=lambda entry: entry[1].end, reverse=True):
+            rest = max(later + loan.parts - granted, 0) - max(later - granted, 0)
+            later += loan.parts
             if rest:
-                self.out[one] = Loan(rest, loan.end, over=True)
-        self.out[to] = Loan(grant, now + self.times.term + self.times.wait)
-        return Granted(to.epoch, to.number, grant, max(int(self.kept(now) - used), 0))
+                self.granted[one] = Loan(rest, loan.end, is_ending=True)
 
-    def given_back(self, now: float, by: Borrower, unspent: bool) -> None:
-        """The borrower says that it spends no more of it: what it has spent counts for a window yet.
+    def accept_release(self, now: float, borrower: Borrower, unspent: bool) -> None:
+        """A borrower spends no more of a lease: what it has spent counts for a window yet.
 
-        `unspent`: it had spent nothing at all in the window before, so nothing is waited for.
+        Args:
+            now: seconds.
+            borrower: with the number of its request.
+            unspent: whether it had spent nothing at all in the window before, so that nothing is waited for.
         """
-        held = self.out.get(by)
-        if held and unspent:
-            del self.out[by]
-        elif held:
-            self.out[by] = Loan(held.parts, min(held.end, now + self.times.wait), over=True)
-
-    # Borrowing.
-
-    def ask(self, now: float, lender: str, parts: int) -> int:
-        """The number under which to ask that lender for so many in all."""
-        self.number += 1
-        self.asked[lender] = Asking(self.number, parts, now)
-        return self.number
-
-    def grant(self, now: float, lender: str, told: Granted) -> bool:
-        """An answer to an asking of this run; false for one not asked for, or that ended on its way."""
-        asked = self.asked.get(lender)
-        if asked is None or (told.epoch, told.number) != (self.epoch, asked.number):
+        loan = self.granted.get(borrower)
+        if loan and unspent:
+            del self.granted[borrower]
+        elif loan:
+            end = min(loan.end, now + self.times.safe_window)
+            self.granted[borrower] = Loan(loan.parts, end, is_ending=True)
+
+    # As a borrower.
+
+    def request(self, now: float, lender: str, parts: int) -> int:
+        """Return the number under which to request so many parts in all from a lender."""
+        self.last_number += 1
+        self.pending[lender] = PendingRequest(self.last_number, parts, now)
+        return self.last_number
+
+    def accept_grant(self, now: float, lender: str, grant: Grant) -> bool:
+        """Take an answer to a request; False for one not requested by this run, or that ended on its way."""
+        request = self.pending.get(lender)
+        if request is None or (grant.epoch, grant.number) != (self.epoch, request.number):
             return False
-        del self.asked[lender]
-        end = asked.at + self.times.short
-        if not 0 < told.parts <= asked.parts or end <= now:
+        del self.pending[lender]
+        end = request.sent_at + self.times.borrower_term
+        if not 0 < grant.parts <= request.parts or end <= now:
             return False
-        self.came[lender] = Loan(told.parts, end, told.number)
+        self.leased[lender] = Loan(grant.parts, end, grant.number)
         return True
 
-    def give_back(self, now: float, lender: str) -> int:
-        """Spend no more of a loan; its number, of which its lender is to be told, or 0 for none."""
-        self.asked.pop(lender, None)
-        held = self.came.pop(lender, None)
-        return held.number if held and held.end > now else 0
+    def release(self, now: float, lender: str) -> int:
+        """Spend no more of a lease; return its number, for its lender, or 0 where there was none."""
+        self.pending.pop(lender, None)
+        loan = self.leased.pop(lender, None)
+        return loan.number if loan and loan.end > now else 0
 
     # Time.
 
-    def forget(self, now: float) -> None:
-        """Let go of what has ended. Says nothing that time has not said."""
-        for one in [one for one, loan in self.out.items() if loan.end <= now]:
-            del self.out[one]
-        for lender in [lender for lender, loan in self.came.items() if loan.end <= now]:
-            del self.came[lender]
-        for lender in [lender for lender, asked in self.asked.items() if asked.at + self.times.short <= now]:
-            del self.asked[lender]
+    def discard_ended(self, now: float) -> None:
+        """Drop what has ended: no balance changes by it."""
+        for borrower in [one for one, loan in self.granted.items() if loan.end <= now]:
+            del self.granted[borrower]
+        for lender in [lender for lender, loan in self.leased.items() if loan.end <= now]:
+            del self.leased[lender]
+        term = self.times.borrower_term
+        for lender in [lender for lender, one in self.pending.items() if one.sent_at + term <= now]:
+            del self.pending[lender]
 
     def resize(self, own: int) -> None:
-        """Other members are named: what is owned changes; what is lent stays lent, and may pass it."""
+        """Own so many parts from now on; what is granted stays out, and may exceed it."""
         self.own = own
 
-    def loans(self) -> Iterator[tuple[str, str, int, float]]:
-        """All for people: which way, whom, parts, end."""
-        for to, loan in self.out.items():
-            yield "out", to.name, loan.parts, loan.end
-        for lender, loan in self.came.items():
-            yield "in", lender, loan.parts, loan.end
+    def loan_rows(self) -> Iterator[LoanRow]:
+        """Yield all leases, for the admin port."""
+        for borrower, loan in self.granted.items():
+            yield LoanRow("out", borrower.name, loan.parts, loan.end)
+        for lender, loan in self.leased.items():
+            yield LoanRow("in", lender, loan.parts, loan.end)
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -1,60 +1,98 @@
-"""What of a limit a front asks for, keeps back, lends and gives up: choices about one limit. No I/O.
+"""What a front requests of one limit, reserves, grants and releases. No I/O.
 
-Safety is the ledger's (`shares`): whatever is chosen here, no strict limit is passed. What is chosen here is
-how much of a limit lies idle. All amounts are parts of the limit; `pull` is what one pull takes of it at
-least.
+Safety is the ledger's (`lease_ledger`): whatever is chosen here, no strict limit is exceeded. What is chosen
+here is how much of a limit lies idle. All amounts are parts of the limit.
 """
 
 import math
 from collections import deque
-from collections.abc import Iterable, Mapping
+from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
-from hashlib import blake2b
 
-from weldbend.fleet.lease_ledger import PARTS, Asking, LeaseLedger, LeaseTimes
+from weldbend.fleet.lease_ledger import PARTS, LeaseLedger, LeaseTimes, PendingRequest
+from weldbend.fleet.rendezvous import rank
 from weldbend.routing.random_source import RandomSource
 
-FAN, MOST_FAN = 4, 64  # lenders asked at a time; and where a whole pull is still to be gathered
-WAITS = 0.45  # seconds for which an answer is waited for
-PATIENCE = 1.2  # seconds after which what has been gathered, and is no whole pull, is given back
-STEP = 0.02  # seconds by which each waits for the one before it to ask
-MARGIN, MANY = 1.2, 4.0  # asked for, of a need of many pulls: it grows while answers are on their way
-LONG = 5.0  # and for which one pull is kept
-LOOKBACK = 2.0  # terms and windows for which a need of its own keeps a share from being lent
-
-
-def rank(limit: str, turn: int, name: str) -> int:
-    """Whose turn it is where shares are too small for all: the highest first, drawn alike everywhere."""
-    return int.from_bytes(blake2b(f"{limit} {turn} {name}".encode(), digest_size=8).digest(), "big")
+LENDERS = 4  # to which requests go at a time
+MOST_LENDERS = 64  # the same, where parts of one attempt are still to be gathered
+ANSWER_TIMEOUT = 0.45  # seconds for which an answer is waited for
+GATHERING_TIMEOUT = 1.2  # seconds after which what has been gathered, less than an attempt, is released
+STEP = 0.02  # seconds by which each waits for the front before it to send its requests
+MARGIN = 1.2  # factor on a demand of many attempts: it grows while answers are on their way
+MANY_ATTEMPTS = 4.0
+RESERVED_PERIODS = 5.0  # terms and windows for which one attempt is reserved after a demand
+LOOKBACK = 2.0  # terms and windows for which an own demand keeps parts from being granted
+ROUNDING = 1e-9  # parts that are lost to floating point
 
 
 @dataclass(frozen=True, slots=True)
-class Use:
-    """What one look at a limit found: spent in the last window, and what a window would take as things go."""
+class Usage:
+    """A sample of the use of a limit, in parts.
+
+    Attributes:
+        used: spent in the last window.
+        wanted: what a window would take as things go.
+        attempt: parts that one attempt takes.
+    """
 
     used: float
     wanted: float
-    unit: float = 1.0  # parts that one pull takes
+    attempt: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
-    """Turns follow the Unix clock; `since` is in seconds. Only how much lies idle goes by it."""
+class TimeSlot:
+    """Slots of time by the Unix clock, for precedence. Only how much lies idle goes by them.
+
+    Attributes:
+        number: of the slot.
+        elapsed: seconds since it began.
+    """
 
     number: int
-    since: float
+    elapsed: float
 
 
-def turn_at(unix: float, times: LeaseTimes) -> Turn:
-    """In one turn shares are gathered, used, and have come back."""
-    lasts = 2 * times.term + times.window
-    number = int(unix / lasts)
-    return Turn(number, unix - number * lasts)
+def time_slot_at(unix: float, times: LeaseTimes) -> TimeSlot:
+    """Return the slot of a Unix second: in one slot parts are gathered, used, and have come back."""
+    duration = 2 * times.term + times.window
+    number = int(unix / duration)
+    return TimeSlot(number, unix - number * duration)
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseRequest:
+    """A borrower's request, as its lender judges it.
+
+    Attributes:
+        borrower: the front's name.
+        parts: requested in all.
+        had: parts that it has on lease already.
+    """
+
+    borrower: str
+    parts: int
+    had: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class LenderBalance:
+    """What a lender has to grant from, in parts.
+
+    Attributes:
+        available: its own, with what the borrower has on lease already.
+        used: what it spent in the last window.
+        returning: what comes back by itself soon.
+    """
+
+    available: int
+    used: float
+    returning: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedAcquire:
-    """Ask that lender for so many in all."""
+    """Request so many parts in all from a lender."""
 
     lender: str
     parts: int
@@ -62,6 +100,8 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRelease:
+    """Release the lease of a lender."""
+
     lender: str
 
 
@@ -70,218 +110,261 @@
 
 @dataclass
 class LeasePolicy:
-    """One front's choices about one limit. `owners` says how many parts each member owns."""
+    """One front's choices about one limit.
+
+    Demand is held in attempts, since the parts that one takes of a limit that grows change meanwhile.
+
+    Attributes:
+        limit: its name.
+        name: this front's.
+        times: of the limit.
+        owners: how many parts each member owns.
+        random: for the order of lenders, and for backoff.
+        attempt: parts that one attempt takes, exactly.
+        demand: attempts of a window that this front could use.
+        demand_until: until when `demand` holds, where less is demanded since; seconds.
+        latest: demand by the last sample.
+        mean: demand as a mean of samples, the latest ones counting most.
+        sampled_at: when the last sample was taken.
+        demanded_at: when the last sample was that found a demand.
+        peaks: demands of late with their moments, each above those after it.
+        slot: the latest in which parts too few for an attempt were requested.
+        best_rank: the highest in that slot.
+        gathering_since: since when it holds less than an attempt and requests the rest; None where not.
+        backoff_until: until when it sends no requests, having gathered in vain.
+        spare_hints: what lenders said they could spare.
+        refused_until: until when lenders are not asked again.
+    """
 
     limit: str
     name: str
     times: LeaseTimes
     owners: Mapping[str, int]
-    chance: RandomSource
-    unit: float = 1.0  # parts that one pull takes
-    need: float = 0.0  # pulls of a window that it could use
-    latest: float = 0.0  # and by the last look
-    mean: float = 0.0  # of looks, the latest ones counting most
-    at: float = -math.inf  # when the last look was
-    wanted_at: float = -math.inf  # and the last one that found a need
-    lasts: float = -math.inf  # until when `need` holds, where less is needed since
-    peaks: deque[tuple[float, float]] = field(default_factory=deque)  # needs of late, each above those after
-    turn: int = -1  # the latest in which a share too small for a pull was asked for
-    best: int = -1  # the rank of the first in it
-    gathering: float | None = None  # since when it holds less than a pull and asks for the rest
-    rests: float = -math.inf  # until when it asks no more, having gathered in vain
-    hints: dict[str, int] = field(default_factory=dict)  # what lenders said they could spare
-    refused: dict[str, float] = field(default_factory=dict)  # until when a lender is not asked again
-
-    def looked(self, now: float, use: Use) -> None:
-        """Needs rise at once and fall after a term: what is given back early is asked for again.
-
-        They are held in pulls, since what a pull takes of a limit that grows changes meanwhile.
+    random: RandomSource
+    attempt: float = 1.0
+    demand: float = 0.0
+    demand_until: float = -math.inf
+    latest: float = 0.0
+    mean: float = 0.0
+    sampled_at: float = -math.inf
+    demanded_at: float = -math.inf
+    peaks: deque[tuple[float, float]] = field(default_factory=deque)
+    slot: int = -1
+    best_rank: int = -1
+    gathering_since: float | None = None
+    backoff_until: float = -math.inf
+    spare_hints: dict[str, int] = field(default_factory=dict)
+    refused_until: dict[str, float] = field(default_factory=dict)
+
+    @property
+    def period(self) -> float:
+        """A term and a window, in seconds: for that long, parts that are granted are gone."""
+        return self.times.term + self.times.window
+
+    def observe(self, now: float, usage: Usage) -> None:
+        """Take in a sample: demand rises at once, and falls after a term.
+
+        What was released early would be requested again.
         """
-        self.unit, span = use.unit, self.times.term + self.times.window
-        attempts = self.latest = max(use.used, use.wanted) / use.unit
-        self.mean += (1 - math.exp((self.at - now) / span)) * (attempts - self.mean)
-        self.at = now
+        self.attempt = usage.attempt
+        self.latest = attempts = max(usage.used, usage.wanted) / usage.attempt
+        self.mean += (1 - math.exp((self.sampled_at - now) / self.period)) * (attempts - self.mean)
+        self.sampled_at = now
+        self._add_peak(now, attempts)
+        if attempts >= self.demand or now >= self.demand_until:
+            self.demand = attempts
+            self.demand_until = now + self.times.term
+            if self.attempt_parts > self.owners.get(self.name, 0):  # gathering one takes a slot
+                self.demand_until = now + 2 * self.times.term + self.times.window
+
+    def _add_peak(self, now: float, attempts: float) -> None:
         while self.peaks and self.peaks[-1][1] <= attempts:
             self.peaks.pop()
         if attempts:
             self.peaks.append((now, attempts))
-            self.wanted_at = now
-        while self.peaks and self.peaks[0][0] <= now - LOOKBACK * span:
+            self.demanded_at = now
+        while self.peaks and self.peaks[0][0] <= now - LOOKBACK * self.period:
             self.peaks.popleft()
-        if attempts >= self.need or now >= self.lasts:
-            self.need, self.lasts = attempts, now + self.times.term
-            if self.attempt > self.owners.get(self.name, 0):  # gathering one takes a turn
-                self.lasts = now + 2 * self.times.term + self.times.window
 
-    def parts(self, attempts: float) -> int:
-        """Parts that so many pulls take; a part of a pull is worth nothing."""
-        return min(math.ceil(math.ceil(attempts - 1e-9) * self.unit - 1e-9), PARTS)
+    def parts_of(self, attempts: float) -> int:
+        """Parts that so many attempts take; a part of an attempt is worth nothing."""
+        return min(math.ceil(math.ceil(attempts - ROUNDING) * self.attempt - ROUNDING), PARTS)
 
     @property
-    def attempt(self) -> int:
-        return max(self.parts(1.0), 1)
+    def attempt_parts(self) -> int:
+        """Whole parts that one attempt takes."""
+        return max(self.parts_of(1.0), 1)
 
-    def wanted(self) -> int:
-        return self.parts(self.need * MARGIN if self.need > MANY else self.need)
+    def wanted_parts(self) -> int:
+        """Parts that this front wants to hold."""
+        return self.parts_of(self.demand * MARGIN if self.demand > MANY_ATTEMPTS else self.demand)
 
     # As a lender.
 
-    def keeps(self) -> int:
-        """What it needed at most of late, without what chance makes of that.
+    def reserved_parts(self) -> int:
+        """Parts that it demanded at most of late, without what chance makes of that.
 
-        Guards against needs that come and go: what is lent is gone for a term and a window, so a share that
-        was needed that lately is worth more here. Harm: one that moves for good is lent that much later.
+        Guards against demand that comes and goes: what is granted is unavailable for a term and a window, so
+        a quota that was demanded that lately is worth more here. Harm: one that moves for good is granted
+        that much later.
         """
         attempts = self.peaks[0][1] if self.peaks else 0.0
-        lately = self.at - self.wanted_at < LONG * (self.times.term + self.times.window)
-        return self.parts(max(attempts - math.sqrt(attempts), 1.0 if lately else 0.0))
+        is_recent = self.sampled_at - self.demanded_at < RESERVED_PERIODS * self.period
+        return self.parts_of(max(attempts - math.sqrt(attempts), 1.0 if is_recent else 0.0))
 
-    def sure(self) -> float:
-        """Parts that it needs on the mean, or now beyond what chance may have made of that."""
-        return max(self.latest - 2 * math.sqrt(self.latest), self.mean) * self.unit
+    def certain_parts(self) -> float:
+        """Parts that it demands on the mean, or now beyond what chance may have made of that."""
+        return max(self.latest - 2 * math.sqrt(self.latest), self.mean) * self.attempt
 
-    def lends(
-        self, asker: str, parts: int, kept: int, used: float, turn: int, had: int = 0, back: int = 0
-    ) -> int:
-        """How much of what is kept goes to one that asks; `had` of it that one has on loan already, and
-        `back` more comes back soon by itself.
+    def grantable(self, request: LeaseRequest, balance: LenderBalance, slot: int) -> int:
+        """Return how many parts of what is available to grant on a request.
 
-        A loan is prolonged unless this front surely needs it, since what is taken back and lent again lies
-        idle for a window each time.
-
-        What this front needs itself stays, so a hoarder or a liar gets only what lies idle, for a term. A
-        share that is less than a pull is worth nothing here alone: all of it goes to one whose turn is before
-        this front's own.
+        A lease is renewed unless this front certainly demands it, since what is taken back and granted again
+        lies idle for a window each time. What this front demands itself stays, so one that hoards or lies
+        gets only what lies idle, for a term. Parts that are less than an attempt are worth nothing here
+        alone: all of them go to a front that has precedence in this time slot.
         """
-        if kept < self.attempt:
-            spare = kept if self.first(asker, turn) else 0
+        available = balance.available
+        if available < self.attempt_parts:
+            spare = available if self.has_precedence(request.borrower, slot) else 0
         else:
-            rest, sure = kept - had + back, self.sure()
-            spare = max(had, kept - self.keeps()) if sure <= rest else had - math.ceil(sure - rest)
-            spare -= spare % self.attempt  # less than a pull serves nobody
-        return max(min(parts, spare, math.floor(kept - used)), 0)
-
-    def first(self, asker: str, turn: int) -> bool:
-        """Whether one's turn is before that of all others that asked here in it, and before this front's own.
-
-        Guards against several that each gather a part of a pull, and none a whole one.
+            rest, certain = available - request.had + balance.returning, self.certain_parts()
+            if certain <= rest:
+                spare = max(request.had, available - self.reserved_parts())
+            else:
+                spare = request.had - math.ceil(certain - rest)
+            spare -= spare % self.attempt_parts  # less than an attempt serves nobody
+        return max(min(request.parts, spare, math.floor(available - balance.used)), 0)
+
+    def has_precedence(self, borrower: str, slot: int) -> bool:
+        """Whether a borrower ranks before all others that sent requests in this slot, and before this front.
+
+        Guards against several that each gather parts of an attempt, and none a whole one.
         """
-        if turn != self.turn:
-            self.turn, self.best = turn, rank(self.limit, turn, self.name) if self.need else -1
-        mine = rank(self.limit, turn, asker)
-        self.best = max(self.best, mine)
-        return mine == self.best
+        if slot != self.slot:
+            self.slot = slot
+            self.best_rank = rank(self.limit, slot, self.name) if self.demand else -1
+        found = rank(self.limit, slot, borrower)
+        self.best_rank = max(self.best_rank, found)
+        return found == self.best_rank
 
     # As a borrower.
 
-    def answered(self, now: float, lender: str, spare: int, more: bool) -> None:
-        """What a lender said; `more` where it gave more than was had."""
-        self.hints[lender] = spare
-        if not (more or spare):
-            self.refused[lender] = now + self.times.term / 2
-
-    def plans(self, now: float, book: LeaseLedger, alive: Iterable[str], turn: Turn) -> list[Plan]:
-        """What to ask for, prolong and give back now; `alive` are members that may answer."""
-        held = book.held(now)
-        surplus = held - self.wanted()
-        found = list(self.surplus(book, surplus))
-        going = {plan.lender for plan in found}
-        later = {plan.lender: plan for plan in self.prolong(now, book) if plan.lender not in going}
+    def note_answer(self, now: float, lender: str, spare: int, has_more: bool) -> None:
+        """Take in a lender's answer; `has_more` where it granted more than was leased before."""
+        self.spare_hints[lender] = spare
+        if not (has_more or spare):
+            self.refused_until[lender] = now + self.times.term / 2
+
+    def plan(self, now: float, ledger: LeaseLedger, alive: Iterable[str], slot: TimeSlot) -> list[Plan]:
+        """Return what to request, renew and release now; `alive` are members that may answer."""
+        available = ledger.available(now)
+        surplus = available - self.wanted_parts()
+        releases = list(self._releases(ledger, surplus))
+        released = {plan.lender for plan in releases}
+        requests = {plan.lender: plan for plan in self._renewals(now, ledger) if plan.lender not in released}
         if surplus >= 0:
-            self.gathering = None
-            return [*found, *later.values()]
-        whole = held >= self.attempt
-        if not whole and (not self.gathers(turn, alive) or self.in_vain(now)):
-            return [PlannedRelease(lender) for lender in book.came]
-        if whole or now >= self.rests:
-            for more in self.borrow(now, book, -surplus - self.awaited(now, book), alive, turn):
-                later[more.lender] = more
-        return [*found, *later.values()]
-
-    def gathers(self, turn: Turn, alive: Iterable[str]) -> bool:
-        """Whether this front may gather a whole pull from shares that are each less than one.
-
-        Guards against many that each hold a part and none a whole. In each turn all stand in an order that
-        all compute alike: as many as there are pulls begin at once, the others each a moment later than the
-        one before them, unless somebody who stands before them has asked here meanwhile.
+            self.gathering_since = None
+            return [*releases, *requests.values()]
+        has_attempt = available >= self.attempt_parts
+        if not has_attempt and (not self._may_gather(slot, alive) or self._gathered_in_vain(now)):
+            return [PlannedRelease(lender) for lender in ledger.leased]
+        if has_attempt or now >= self.backoff_until:
+            missing = -surplus - self._pending_parts(now, ledger)
+            for request in self._requests(now, ledger, missing, alive, slot):
+                requests[request.lender] = request
+        return [*releases, *requests.values()]
+
+    def _may_gather(self, slot: TimeSlot, alive: Iterable[str]) -> bool:
+        """Whether this front may gather an attempt from parts that are each less than one.
+
+        Guards against many that each hold some parts and none an attempt. In each slot all stand in an order
+        that all compute alike: as many as there are attempts begin at once, the others each a moment later
+        than the one before them, unless a front that ranks before them has sent a request here meanwhile.
         """
-        mine = rank(self.limit, turn.number, self.name)
-        if self.turn == turn.number and self.best > mine:
+        own = rank(self.limit, slot.number, self.name)
+        if self.slot == slot.number and self.best_rank > own:
             return False
-        before = sum(rank(self.limit, turn.number, name) > mine for name in alive if name != self.name)
-        waits = max(before - PARTS // self.attempt + 1, 0) * STEP
-        return waits <= turn.since < self.times.term + self.times.window
+        before = sum(rank(self.limit, slot.number, name) > own for name in alive if name != self.name)
+        delay = max(before - PARTS // self.attempt_parts + 1, 0) * STEP
+        return delay <= slot.elapsed < self.period
 
-    def surplus(self, book: LeaseLedger, surplus: int) -> Iterable[PlannedRelease]:
-        """Whole loans that are not needed any more, the smallest first."""
-        for lender, loan in sorted(book.came.items(), key=lambda one: one[1].parts):
+    def _releases(self, ledger: LeaseLedger, surplus: int) -> Iterator[PlannedRelease]:
+        """Whole leases that are not needed any more, the smallest first."""
+        for lender, loan in sorted(ledger.leased.items(), key=lambda entry: entry[1].parts):
             if loan.parts > surplus:
                 return
             surplus -= loan.parts
             yield PlannedRelease(lender)
 
-    def prolong(self, now: float, book: LeaseLedger) -> Iterable[PlannedAcquire]:
-        """Loans that are needed on, in the second half of their term; each asked for once in a while."""
-        for lender, loan in book.came.items():
-            waits = lender in book.asked and self.fresh(book.asked[lender], now)
-            if loan.end - now < self.times.term / 2 and not waits and self.need > 0:
+    def _renewals(self, now: float, ledger: LeaseLedger) -> Iterator[PlannedAcquire]:
+        """Leases that are needed on, in the second half of their term; each requested once in a while."""
+        for lender, loan in ledger.leased.items():
+            is_pending = lender in ledger.pending and self._is_fresh(ledger.pending[lender], now)
+            if loan.end - now < self.times.term / 2 and not is_pending and self.demand > 0:
                 yield PlannedAcquire(lender, loan.parts)
 
-    def awaited(self, now: float, book: LeaseLedger) -> int:
-        """What may come of what was asked for, beyond what is held already."""
-        came = {lender: loan.parts for lender, loan in book.came.items()}
+    def _pending_parts(self, now: float, ledger: LeaseLedger) -> int:
+        """Parts that may come of what was requested, beyond what is held already."""
+        leased = {lender: loan.parts for lender, loan in ledger.leased.items()}
         return sum(
-            max(one.parts - came.get(lender, 0), 0)
-            for lender, one in book.asked.items()
-            if self.fresh(one, now)
+            max(request.parts - leased.get(lender, 0), 0)
+            for lender, request in ledger.pending.items()
+            if self._is_fresh(request, now)
         )
 
-    def fresh(self, one: Asking, now: float) -> bool:
-        return now - one.at < WAITS
+    def _is_fresh(self, request: PendingRequest, now: float) -> bool:
+        """Whether its answer may still come."""
+        return now - request.sent_at < ANSWER_TIMEOUT
 
-    def in_vain(self, now: float) -> bool:
-        """Whether less than a pull has been gathered for too long: others may make a whole one of it."""
-        if self.gathering is None:
-            self.gathering = now
-        if now - self.gathering < PATIENCE:
+    def _gathered_in_vain(self, now: float) -> bool:
+        """Whether less than an attempt has been gathered for too long: others may make a whole one of it."""
+        if self.gathering_since is None:
+            self.gathering_since = now
+        if now - self.gathering_since < GATHERING_TIMEOUT:
             return False
-        self.gathering = None
-        self.rests = now + self.times.term * (0.5 + self.chance.random())
+        self.gathering_since = None
+        self.backoff_until = now + self.times.term * (0.5 + self.random.random())
         return True
 
-    def borrow(
-        self, now: float, book: LeaseLedger, short: int, alive: Iterable[str], turn: Turn
-    ) -> Iterable[PlannedAcquire]:
-        """Ask some that may have something to spare: those that said so first, the others by chance.
+    def _requests(
+        self, now: float, ledger: LeaseLedger, missing: int, alive: Iterable[str], slot: TimeSlot
+    ) -> Iterator[PlannedAcquire]:
+        """Requests to some lenders that may have something to spare.
 
-        Who gathers a whole pull asks those first that come next in this turn: they then leave it to this one.
-        From each lender there is one loan at most: more is asked for together with what is had.
+        Those that said so come first, the others in random order. A front that gathers an attempt asks those
+        first that rank next in this slot: they then leave it to this one. From each lender there is one lease
+        at most: more is requested together with what is leased.
         """
-        if short <= 0:
+        if missing <= 0:
             return
-        busy = {lender for lender, one in book.asked.items() if self.fresh(one, now)}
-        fit = [
+        lenders = self._lenders(now, ledger, alive)
+        if ledger.available(now) < self.attempt_parts:
+            lenders.sort(key=lambda name: rank(self.limit, slot.number, name), reverse=True)
+            most = MOST_LENDERS
+        else:
+            lenders.sort(key=lambda name: (-self.spare_hints.get(name, 0), self.random.random()))
+            most = LENDERS
+        count = min(len(lenders), most)
+        for place, lender in enumerate(lenders[:count]):
+            loan = ledger.leased.get(lender)
+            leased = loan.parts if loan else 0
+            parts = min(math.ceil(missing / (count - place)), self.owners[lender] - leased, missing)
+            if parts <= 0:
+                continue
+            yield PlannedAcquire(lender, leased + parts)
+            missing -= parts
+            if missing <= 0:
+                return
+
+    def _lenders(self, now: float, ledger: LeaseLedger, alive: Iterable[str]) -> list[str]:
+        """Members that own parts, have no fresh request and did not just refuse."""
+        busy = {lender for lender, request in ledger.pending.items() if self._is_fresh(request, now)}
+        return [
             name
             for name in alive
             if name != self.name
             and self.owners.get(name)
             and name not in busy
-            and self.refused.get(name, -math.inf) <= now
+            and self.refused_until.get(name, -math.inf) <= now
         ]
-        gathers = book.held(now) < self.attempt
-        if gathers:
-            fit.sort(key=lambda name: rank(self.limit, turn.number, name), reverse=True)
-        else:
-            fit.sort(key=lambda name: (-self.hints.get(name, 0), self.chance.random()))
-        fan = min(len(fit), MOST_FAN if gathers else FAN)
-        for place, lender in enumerate(fit[:fan]):
-            parts = math.ceil(short / (fan - place))
-            loan = book.came.get(lender)
-            before = loan.parts if loan else 0
-            parts = min(parts, self.owners[lender] - before, short)
-            if parts <= 0:
-                continue
-            yield PlannedAcquire(lender, before + parts)
-            short -= parts
-            if short <= 0:
-                return
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -1,269 +1,347 @@
-"""The strict limits that this front shares with others: their books, and what is said about them. No I/O.
+"""The strict limits that this front shares with others by leases: their ledgers and messages. No I/O.
 
-A limit has a name that all compute alike. Who spends from it (`Spender`) says what it used, and is told what
-it holds before any answer to others leaves: what is lent is out here first.
+A limit has a name that all compute alike. Its `Spender` says what it used, and is told what it may spend
+before any answer to others leaves: what is granted is out here first.
 """
 
 import math
 from collections import Counter, deque
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
-from typing import Any, Protocol
+from typing import NamedTuple, Protocol
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.lease_ledger import PARTS, Borrower, Granted, LeaseLedger, LeaseTimes, owned
-from weldbend.fleet.lease_policy import LeasePolicy, PlannedAcquire, Use, turn_at
+from weldbend.fleet.lease_ledger import PARTS, Borrower, Grant, LeaseLedger, LeaseTimes, owned_parts
+from weldbend.fleet.lease_policy import (
+    LeasePolicy,
+    LeaseRequest,
+    LenderBalance,
+    Plan,
+    PlannedRelease,
+    Usage,
+    time_slot_at,
+)
 from weldbend.fleet.membership import Send
 from weldbend.routing.random_source import RandomSource
 
-LOOK = 0.08  # seconds between two looks at what is needed
-MOST_LIMITS = 512
-AGAIN = (0.1, 0.25)  # seconds after which an asking without an answer is said again
-MOST_SAID = 64  # askings in one look, of all limits together
+SAMPLE_INTERVAL = 0.08  # seconds between two samples of demand
+MOST_LIMITS = 512  # open at a time
+RETRY_AFTER = (0.1, 0.25)  # seconds after which a request without an answer is sent again
+MOST_REQUESTS = 64  # sent after one sample, for all limits together
+MOST_ARRIVALS = 4096  # remembered of one rate
+ROUNDING = 1e-9  # parts that are lost to floating point
 
 
 class Spender(Protocol):
-    """Who spends from a limit."""
+    """Spends from a limit."""
 
-    def use(self, now: float) -> Use:
-        """What was used in the last window, and what would be if all that is wanted could be had; parts."""
+    def usage(self, now: float) -> Usage:
+        """What was used in the last window, and would be if all that is wanted could be had; in parts."""
         ...
 
-    def holds(self, kept: int, borrowed: int, until: float) -> None:
-        """From now on so much may be used: `borrowed` until that moment, at the latest."""
+    def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
+        """Allow so many parts in a window from now on: the leased ones until `lease_end` at the latest."""
         ...
 
 
+class Allowance(NamedTuple):
+    """What a spender may spend in a window, in parts; `lease_end` in seconds."""
+
+    retained: int
+    leased: int
+    lease_end: float
+
+
 @dataclass(slots=True)
-class Book:
-    """One limit here. `names` are the members that own it together."""
+class SharedLimit:
+    """One open limit.
+
+    Attributes:
+        name: of the limit.
+        members: that own it together.
+        attempts: for which it has capacity in a window, at the least.
+        ledger: of its leases.
+        policy: for its leases.
+        spender: from it.
+        allowance: what the spender was told last; None before the first time.
+        retries: how often a request was sent again, by its number.
+    """
 
-    limit: str
-    names: tuple[str, ...]
+    name: str
+    members: tuple[str, ...]
     attempts: float
     ledger: LeaseLedger
-    demand: LeasePolicy
+    policy: LeasePolicy
     spender: Spender
-    told: tuple[int, int, float] = (-1, -1, 0.0)  # what the spender holds
-    again: dict[int, int] = field(default_factory=dict)  # how often an asking was said again
+    allowance: Allowance | None = None
+    retries: dict[int, int] = field(default_factory=dict)
 
+    def update_spender(self, now: float) -> None:
+        """Tell the spender what the ledger holds, where that has changed."""
+        ledger = self.ledger
+        allowance = Allowance(max(ledger.retained(now), 0), ledger.leased_parts(now), ledger.first_end(now))
+        if allowance != self.allowance:
+            self.allowance = allowance
+            self.spender.set_allowance(*allowance)
 
-class LeaseService:
-    """`opens` is asked for a limit that somebody else spends from and this front does not yet.
 
-    By the Unix clock (`unix`) goes whose turn it is, and nothing that must hold.
+class LeaseService:
+    """All strict limits of this front.
+
+    Attributes:
+        name: this front's.
+        epoch: of this run.
+        limits: those that are open, by name.
+        is_newcomer: whether others do not name this front yet, so that it owns nothing.
+        recovering_until: before it, nothing of its own is held, since an earlier run may have granted it.
+        counts: counters.
     """
 
     def __init__(
         self,
         name: str,
         epoch: int,
-        chance: RandomSource,
-        quiet_until: float,
-        opens: Callable[[str], object],
+        random: RandomSource,
+        recovering_until: float,
+        open_requested: Callable[[str], object],
         unix: Callable[[], float],
     ) -> None:
-        self.name, self.epoch, self.chance, self.quiet_until = name, epoch, chance, quiet_until
-        self.opens, self.unix = opens, unix
-        self.books: dict[str, Book] = {}
-        self.newcomer = False  # others do not name this front yet: it owns nothing
-        self.next = -math.inf
+        """Make it without any limit.
+
+        Args:
+            name: this front's.
+            epoch: of this run.
+            random: for the policies.
+            recovering_until: seconds of the steady clock.
+            open_requested: called with a limit that another front spends from and this one does not yet.
+            unix: the Unix clock, by which goes precedence, and nothing that must hold.
+        """
+        self.name = name
+        self.epoch = epoch
+        self.recovering_until = recovering_until
+        self.limits: dict[str, SharedLimit] = {}
+        self.is_newcomer = False
         self.counts: Counter[str] = Counter()
+        self._random = random
+        self._open_requested = open_requested
+        self._unix = unix
+        self._next_sample = -math.inf
 
     # Opening and closing.
 
     def open(
         self,
-        limit: str,
-        names: Iterable[str],
+        name: str,
+        members: Iterable[str],
         attempts: float,
         times: LeaseTimes,
         spender: Spender,
         now: float,
-    ) -> Book | None:
-        """Spend from it from now on; the same one where it is open. None beyond the bound on limits.
-
-        `pulls` is how many pulls it has room for at the least, as all compute alike.
+    ) -> SharedLimit | None:
+        """Spend from a limit from now on.
+
+        Args:
+            name: of the limit.
+            members: that own it together.
+            attempts: for which it has capacity in a window, at the least, as all compute alike.
+            times: of the limit.
+            spender: from it.
+            now: seconds.
+
+        Returns:
+            The limit, the same one where it is open already; None beyond the bound on limits.
         """
-        if limit in self.books:
-            return self.books[limit]
-        if len(self.books) >= MOST_LIMITS:
+        if name in self.limits:
+            return self.limits[name]
+        if len(self.limits) >= MOST_LIMITS:
             self.counts["limits over the bound"] += 1
             return None
-        owners = owned(limit, names, attempts)
-        book = LeaseLedger(self.own(owners), times, self.epoch, self.quiet_until)
-        demand = LeasePolicy(limit, self.name, times, owners, self.chance)
-        held = self.books[limit] = Book(limit, tuple(sorted(owners)), attempts, book, demand, spender)
-        self.tell(held, now)
-        return held
-
-    def own(self, owners: dict[str, int]) -> int:
-        return 0 if self.newcomer else owners.get(self.name, 0)
-
-    def close(self, limit: str) -> None:
-        """Nobody spends from it any more. What is lent ends by itself."""
-        self.books.pop(limit, None)
-
-    def rename(self, names: Callable[[str], Iterable[str]], newcomer: bool, now: float) -> None:
-        """Members are named anew; `names` gives those that own a limit."""
-        self.newcomer = newcomer
-        for book in self.books.values():
-            owners = owned(book.limit, names(book.limit), book.attempts)
-            book.names, book.demand.owners = tuple(sorted(owners)), owners
-            book.ledger.resize(self.own(owners))
-            self.tell(book, now)
-
-    def renumber(self, epoch: int) -> None:
-        """This process goes on under another epoch: what it lent stays lent, what it asked for is void."""
+        owners = owned_parts(name, members, attempts)
+        ledger = LeaseLedger(self._own_parts(owners), times, self.epoch, self.recovering_until)
+        policy = LeasePolicy(name, self.name, times, owners, self._random)
+        limit = SharedLimit(name, tuple(sorted(owners)), attempts, ledger, policy, spender)
+        self.limits[name] = limit
+        limit.update_spender(now)
+        return limit
+
+    def _own_parts(self, owners: dict[str, int]) -> int:
+        return 0 if self.is_newcomer else owners.get(self.name, 0)
+
+    def close(self, name: str) -> None:
+        """Spend no more from a limit. What is granted ends by itself."""
+        self.limits.pop(name, None)
+
+    def set_members(self, members: Callable[[str], Iterable[str]], is_newcomer: bool, now: float) -> None:
+        """Divide all limits anew; `members` gives those that own a limit."""
+        self.is_newcomer = is_newcomer
+        for limit in self.limits.values():
+            owners = owned_parts(limit.name, members(limit.name), limit.attempts)
+            limit.members = tuple(sorted(owners))
+            limit.policy.owners = owners
+            limit.ledger.resize(self._own_parts(owners))
+            limit.update_spender(now)
+
+    def set_epoch(self, epoch: int) -> None:
+        """Go on under another epoch: what was granted stays granted, what was requested is void."""
         self.epoch = epoch
-        for book in self.books.values():
-            book.ledger.epoch = epoch
-
-    # What comes.
-
-    def hear(self, now: float, sender: str, epoch: int, body: m.Shared) -> list[Send]:
-        """A message of a member, in the run that is known of it."""
-        if body.limit not in self.books and isinstance(body, m.AcquireLease):
-            self.opens(body.limit)
-        book = self.books.get(body.limit)
-        if book is None or sender not in book.names:
-            self.counts["of no limit here"] += 1
-            refused = isinstance(body, m.AcquireLease)
-            return [Send(sender, m.GrantLease(body.limit, epoch, body.number, 0))] if refused else []
+        for limit in self.limits.values():
+            limit.ledger.epoch = epoch
+
+    # Messages.
+
+    def handle(self, now: float, sender: str, epoch: int, body: m.Shared) -> list[Send]:
+        """Handle a message of a member, in the run that is known of it; return what to send."""
+        if body.limit not in self.limits and isinstance(body, m.AcquireLease):
+            self._open_requested(body.limit)
+        limit = self.limits.get(body.limit)
+        if limit is None or sender not in limit.members:
+            self.counts["lease messages for no open limit"] += 1
+            is_request = isinstance(body, m.AcquireLease)
+            return [Send(sender, m.GrantLease(body.limit, epoch, body.number, 0))] if is_request else []
         match body:
             case m.AcquireLease(_, number, parts):
-                return [Send(sender, self.lend(now, book, Borrower(sender, epoch, number), parts))]
-            case m.GrantLease(_, asked, number, parts, spare):
-                before = book.ledger.came.get(sender)
-                came = book.ledger.grant(now, sender, Granted(asked, number, parts, spare))
-                if asked == self.epoch:
-                    more = came and parts > (before.parts if before else 0)
-                    book.demand.answered(now, sender, spare, more)
-                self.counts["loans had"] += came
-                self.tell(book, now)
+                return [Send(sender, self._grant(now, limit, Borrower(sender, epoch, number), parts))]
+            case m.GrantLease(_, requested_in, number, parts, spare):
+                self._accept_grant(now, limit, sender, Grant(requested_in, number, parts, spare))
             case m.ReleaseLease(_, number, unspent):
-                book.ledger.given_back(now, Borrower(sender, epoch, number), unspent)
-                self.counts["loans back early"] += 1
+                limit.ledger.accept_release(now, Borrower(sender, epoch, number), unspent)
+                self.counts["leases returned early"] += 1
         return []
 
-    def lend(self, now: float, book: Book, to: Borrower, parts: int) -> m.GrantLease:
-        use, turn = book.spender.use(now), turn_at(self.unix(), book.ledger.times).number
-        book.demand.looked(now, use)
-        had = book.ledger.had(now, to.name, to.epoch)
-        back = book.ledger.returning(now)
-        may = book.demand.lends(to.name, parts, book.ledger.kept(now) + had, use.used, turn, had, back)
-        told = book.ledger.lend(now, to, may, use.used)
-        self.counts["loans given"] += told.parts > 0
-        self.tell(book, now)  # before the answer leaves
-        spare = book.demand.lends(to.name, PARTS, book.ledger.kept(now), use.used, turn)
-        return m.GrantLease(book.limit, told.epoch, told.number, told.parts, spare)
+    def _accept_grant(self, now: float, limit: SharedLimit, lender: str, grant: Grant) -> None:
+        before = limit.ledger.leased.get(lender)
+        is_accepted = limit.ledger.accept_grant(now, lender, grant)
+        if grant.epoch == self.epoch:
+            has_more = is_accepted and grant.parts > (before.parts if before else 0)
+            limit.policy.note_answer(now, lender, grant.spare, has_more)
+        self.counts["leases acquired"] += is_accepted
+        limit.update_spender(now)
+
+    def _grant(self, now: float, limit: SharedLimit, borrower: Borrower, parts: int) -> m.GrantLease:
+        ledger, policy = limit.ledger, limit.policy
+        usage, slot = limit.spender.usage(now), time_slot_at(self._unix(), ledger.times).number
+        policy.observe(now, usage)
+        had = ledger.renewable_parts(now, borrower.name, borrower.epoch)
+        balance = LenderBalance(ledger.retained(now) + had, usage.used, ledger.returning_parts(now))
+        allowed = policy.grantable(LeaseRequest(borrower.name, parts, had), balance, slot)
+        grant = ledger.grant(now, borrower, allowed, usage.used)
+        self.counts["leases granted"] += grant.parts > 0
+        limit.update_spender(now)  # before the answer leaves
+        rest = LenderBalance(ledger.retained(now), usage.used)
+        spare = policy.grantable(LeaseRequest(borrower.name, PARTS), rest, slot)
+        return m.GrantLease(limit.name, grant.epoch, grant.number, grant.parts, spare)
 
     # Time.
 
-    def turn(self, now: float, alive: Iterable[str]) -> list[Send]:
-        """What to ask for and give back; each limit is looked at once in `LOOK`."""
-        found: list[Send] = []
-        looks = now >= self.next
-        if looks:
-            self.next = now + LOOK
-        here = sorted(alive)
-        for book in list(self.books.values()):
-            book.ledger.forget(now)
-            found += self.repeat(now, book)
-            if looks:
-                book.demand.looked(now, book.spender.use(now))
-                fit = [name for name in here if name in book.names]
-                turn = turn_at(self.unix(), book.ledger.times)
-                for plan in book.demand.plans(now, book.ledger, fit, turn):
-                    found += self.carry(now, book, plan, len(found))
-            self.tell(book, now)
-        return found
-
-    def repeat(self, now: float, book: Book) -> list[Send]:
-        """Say askings again that have no answer: under the same number, so that a lender lends once.
+    def tick(self, now: float, alive: Iterable[str]) -> list[Send]:
+        """Return what to request and release; each limit is sampled once in `SAMPLE_INTERVAL`."""
+        sends: list[Send] = []
+        is_sample_due = now >= self._next_sample
+        if is_sample_due:
+            self._next_sample = now + SAMPLE_INTERVAL
+        names = sorted(alive)
+        for limit in list(self.limits.values()):
+            limit.ledger.discard_ended(now)
+            sends += self._retries(now, limit)
+            if is_sample_due:
+                limit.policy.observe(now, limit.spender.usage(now))
+                members = [name for name in names if name in limit.members]
+                slot = time_slot_at(self._unix(), limit.ledger.times)
+                for plan in limit.policy.plan(now, limit.ledger, members, slot):
+                    sends += self._execute(now, limit, plan, len(sends))
+            limit.update_spender(now)
+        return sends
+
+    def _retries(self, now: float, limit: SharedLimit) -> list[Send]:
+        """Requests that have no answer, under the same number, so that a lender grants once.
 
         Guards against parts that are lost for a term, since the lender has them out and the borrower does
-        not know it. Harm: a message more to one that is gone.
+        not know it. Harm: a message more to one that is down.
         """
-        asked, found = book.ledger.asked, []
-        numbers = {one.number for one in asked.values()}
-        book.again = {number: times for number, times in book.again.items() if number in numbers}
-        for lender, one in asked.items():
-            times = book.again.get(one.number, 0)
-            if times < len(AGAIN) and now - one.at >= AGAIN[times]:
-                book.again[one.number] = times + 1
-                self.counts["askings said again"] += 1
-                found.append(Send(lender, m.AcquireLease(book.limit, one.number, one.parts)))
-        return found
-
-    def carry(self, now: float, book: Book, plan: Any, said: int) -> list[Send]:
-        if not isinstance(plan, PlannedAcquire):
-            number = book.ledger.give_back(now, plan.lender)
-            self.tell(book, now)  # nothing of it is spent once that is said
-            unspent = not book.spender.use(now).used
-            return [Send(plan.lender, m.ReleaseLease(book.limit, number, unspent))] if number else []
-        if said >= MOST_SAID:
+        pending = limit.ledger.pending
+        numbers = {request.number for request in pending.values()}
+        limit.retries = {number: times for number, times in limit.retries.items() if number in numbers}
+        sends = []
+        for lender, request in pending.items():
+            times = limit.retries.get(request.number, 0)
+            if times < len(RETRY_AFTER) and now - request.sent_at >= RETRY_AFTER[times]:
+                limit.retries[request.number] = times + 1
+                self.counts["lease requests retried"] += 1
+                sends.append(Send(lender, m.AcquireLease(limit.name, request.number, request.parts)))
+        return sends
+
+    def _execute(self, now: float, limit: SharedLimit, plan: Plan, sent: int) -> list[Send]:
+        if isinstance(plan, PlannedRelease):
+            number = limit.ledger.release(now, plan.lender)
+            limit.update_spender(now)  # nothing of it is spent once the release is sent
+            unspent = not limit.spender.usage(now).used
+            return [Send(plan.lender, m.ReleaseLease(limit.name, number, unspent))] if number else []
+        if sent >= MOST_REQUESTS:
             return []
-        number = book.ledger.ask(now, plan.lender, plan.parts)
-        self.counts["askings"] += 1
-        return [Send(plan.lender, m.AcquireLease(book.limit, number, plan.parts))]
-
-    def tell(self, book: Book, now: float) -> None:
-        """Have the spender hold what the book holds, where that has changed."""
-        ledger = book.ledger
-        held = max(ledger.kept(now), 0), ledger.borrowed(now), ledger.ends(now)
-        if held != book.told:
-            book.told = held
-            book.spender.holds(*held)
-
-    # For people.
-
-    def rows(self, now: float) -> list[dict[str, Any]]:
-        found = []
-        for limit, book in sorted(self.books.items()):
-            ledger = book.ledger
-            found.append({
-                "limit": limit, "own": ledger.own, "kept": ledger.kept(now), "lent": ledger.lent(now),
-                "borrowed": ledger.borrowed(now), "need": round(book.demand.need, 2),
-                "pull": book.demand.attempt,
-                "quiet": round(max(ledger.quiet_until - now, 0.0), 2),
+        number = limit.ledger.request(now, plan.lender, plan.parts)
+        self.counts["lease requests"] += 1
+        return [Send(plan.lender, m.AcquireLease(limit.name, number, plan.parts))]
+
+    # Admin port.
+
+    def status_rows(self, now: float) -> list[dict[str, object]]:
+        """Return all limits with their leases, for the admin port."""
+        rows: list[dict[str, object]] = []
+        for name, limit in sorted(self.limits.items()):
+            ledger, policy = limit.ledger, limit.policy
+            rows.append({
+                "limit": name, "own": ledger.own, "kept": ledger.retained(now),
+                "lent": ledger.granted_parts(now), "borrowed": ledger.leased_parts(now),
+                "need": round(policy.demand, 2), "pull": policy.attempt_parts,
+                "quiet": round(max(ledger.recovering_until - now, 0.0), 2),
                 "loans": [
-                    {"way": way, "with": name, "parts": parts, "ends in": round(end - now, 2)}
-                    for way, name, parts, end in ledger.loans()
+                    {"way": way, "with": front, "parts": parts, "ends in": round(end - now, 2)}
+                    for way, front, parts, end in ledger.loan_rows()
                 ],
             })  # fmt: skip
-        return found
+        return rows
+
 
+class LeasedRate:
+    """A strict limit on requests in a window, spent at admission.
 
-class Rate:
-    """A limit of so many downloads in a window: spends at the door."""
+    Attributes:
+        limit: requests in a window, of all fronts together.
+        window: seconds.
+        admitted: when requests were admitted in the last window, in seconds.
+        arrivals: when requests came lately, whether admitted or not.
+    """
 
-    def __init__(self, most: float, times: LeaseTimes) -> None:
-        self.most, self.window = most, times.span
-        self.taken: deque[float] = deque()
-        self.came: deque[float] = deque(maxlen=4096)  # all that asked, lately
-        self.kept = self.borrowed = 0
-        self.until = math.inf
+    def __init__(self, limit: float, times: LeaseTimes) -> None:
+        self.limit = limit
+        self.window = times.spending_window
+        self.admitted: deque[float] = deque()
+        self.arrivals: deque[float] = deque(maxlen=MOST_ARRIVALS)
+        self._allowance = Allowance(0, 0, math.inf)
 
     def used(self, now: float) -> float:
-        while self.taken and self.taken[0] <= now - self.window:
-            self.taken.popleft()
-        return len(self.taken) / self.most * PARTS
-
-    def use(self, now: float) -> Use:
-        while self.came and self.came[0] <= now - self.window:
-            self.came.popleft()
-        unit = PARTS / self.most
-        return Use(self.used(now), len(self.came) * unit, unit)
-
-    def holds(self, kept: int, borrowed: int, until: float) -> None:
-        self.kept, self.borrowed, self.until = kept, borrowed, until
-
-    def take(self, now: float) -> bool:
-        """One more, if what is held now has room for it: the clock is looked at before each."""
-        self.came.append(now)
-        held = self.kept + (self.borrowed if now < self.until else 0)
-        if self.used(now) + PARTS / self.most > held + 1e-9:
+        """Parts that were spent in the last window."""
+        while self.admitted and self.admitted[0] <= now - self.window:
+            self.admitted.popleft()
+        return len(self.admitted) / self.limit * PARTS
+
+    def usage(self, now: float) -> Usage:
+        """What was used in the last window, and what all arrivals would have used."""
+        while self.arrivals and self.arrivals[0] <= now - self.window:
+            self.arrivals.popleft()
+        attempt = PARTS / self.limit
+        return Usage(self.used(now), len(self.arrivals) * attempt, attempt)
+
+    def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
+        """Allow so many parts in a window from now on."""
+        self._allowance = Allowance(retained, leased, lease_end)
+
+    def try_admit(self, now: float) -> bool:
+        """Admit a request if what is held now has capacity for it: the clock is read before each."""
+        self.arrivals.append(now)
+        retained, leased, lease_end = self._allowance
+        available = retained + (leased if now < lease_end else 0)
+        if self.used(now) + PARTS / self.limit > available + ROUNDING:
             return False
-        self.taken.append(now)
+        self.admitted.append(now)
         return True
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -1,246 +1,355 @@
-"""Verdicts of a fleet: a cache is bad, is tried, is well again; a client is cast out; a start nobody listed.
-No I/O.
+"""Outlier detection of a fleet: ejected caches, banned clients, starts that no list names. No I/O.
 
-Every front judges by the same evidence, so all that hold the same copies judge alike within a tick. One front
-alone never brings a verdict about: two have to accuse, and most of those that know. Where all who accuse
-stand in one zone and others do well, the verdict is that zone's: its path may be what is bad.
+Every front judges by the same health reports, so all that hold the same replicas judge alike within a tick.
+One front alone never has a cache ejected: two have to accuse it, and most of those that know it. Where all
+that accuse stand in one zone and others fare well, the ejection holds in that zone only: its network path may
+be the cause.
 
-A verdict has an end. After it one front tries, drawn alike by all; when it says that all went well, the
-others follow by a ramp, so that what has just recovered is not met by everybody at once. A relapse makes the
-next term half as long again. Evidence older than its bound counts for nothing, so a verdict that nobody can
-renew ends.
+An ejection ends. After it the cache is half-open (as a circuit breaker is): one front, drawn alike by all,
+sends to it. When that front reports that all went well, the others follow by a ramp, so that what has just
+recovered does not meet all of them at once. A relapse makes the next ejection half as long again. Reports
+older than their bound count for nothing, so an ejection that nobody can renew ends.
 """
 
 import math
 from collections import defaultdict
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
-from enum import Enum, auto
+from enum import Enum
 from itertools import pairwise
 
-from weldbend.fleet.health_reports import HealthReport, credit
-from weldbend.fleet.lease_policy import rank
-
-ACCUSED = 0.5  # share of bad answers from which a front accuses
-TRIED = 2.0  # answers, good and bad, from which a front knows a cache
-TRUSTED = 0.3  # credit below which a front's own line is held to be the trouble
-SHUT, GROWS, SHUT_MOST = 2.0, 1.5, 15.0  # seconds of a verdict, how it grows with relapses, and at most
-TRIAL = 5.0  # seconds in which the one that tries has to tell
-TRIES, FAILS = 3.0, 2.0  # new good answers that end a trial well, and new bad ones that end it otherwise
-RAMP = 4.0  # seconds in which the others come back
-FIRST = 0.1  # part of its work that a cache gets when they begin
-TRIES_WITH = 0.5  # and from the one that tries, of its own
-FORGIVEN = 60.0  # seconds after which a relapse is a first fall again
-AT_ONCE = 1 / 3  # of the caches of a kind that may be shut together: more is the site's own trouble
-CAST = 60.0  # seconds within which two fronts must have cast a client out
-TOGETHER = 3.0  # seconds within which two fronts must have seen a cache break off
+from weldbend.fleet.health_reports import HealthReport, Outcomes, credit
+from weldbend.fleet.rendezvous import rank
+
+ACCUSED_FRACTION = 0.5  # of failed answers, above which a front accuses a cache
+LEAST_ANSWERS = 2.0  # good and failed ones, from which a front knows a cache
+LEAST_CREDIT = 0.3  # below which a front's own network is taken for the cause
+LEAST_REPORTERS = 2  # fronts that have to agree
+EJECTION_SECONDS = 2.0  # of the first ejection
+EJECTION_GROWTH = 1.5  # factor for each relapse
+MOST_EJECTION_SECONDS = 15.0
+MOST_RELAPSES = 8  # counted
+HALF_OPEN_SECONDS = 5.0  # in which the front that is drawn has to report
+RECOVERED_ANSWERS = 3.0  # new good ones that end the half-open state well
+RELAPSED_ANSWERS = 2.0  # new failed ones that end it otherwise
+RAMP_SECONDS = 4.0  # in which the others come back
+RAMP_START = 0.1  # fraction of its work that a cache gets when they begin
+HALF_OPEN_FRACTION = 0.5  # of its own work there, that the front which is drawn sends
+FORGET_SECONDS = 60.0  # after which a relapse is a first ejection again
+MOST_EJECTED = 1 / 3  # of the caches of a kind, at once: more is a fault of the site itself
+BAN_WINDOW = 60.0  # seconds within which two fronts must have banned a client
+START_WINDOW = 3.0  # seconds within which two fronts must have seen a cache break off
 
 
 class EjectionState(Enum):
-    OPEN = auto()
-    SHUT = auto()
-    TRIAL = auto()
-    RAMP = auto()
+    """State of a cache; the values are the words that the admin port shows."""
+
+    ADMITTED = "OPEN"
+    EJECTED = "SHUT"
+    HALF_OPEN = "TRIAL"
+    RECOVERING = "RAMP"
 
 
 @dataclass(slots=True)
 class EjectionRecord:
-    """What this front holds of one cache."""
+    """What this front holds of one cache.
+
+    Attributes:
+        state: its state, entered at `since` and left at `until` at the latest, in seconds.
+        relapses: ejections so far.
+        round: counts draws of the front that sends while it is half-open.
+        last_report: what that front reported last; None before its first report.
+        gained: by how much its reports have grown since the first, good and failed.
+        reporters: fronts that accused it when it was ejected.
+        zone: in which it is ejected; empty for all.
+    """
 
-    stand: EjectionState = EjectionState.OPEN
+    state: EjectionState = EjectionState.ADMITTED
     since: float = -math.inf
     until: float = math.inf
     relapses: int = 0
     round: int = 0
-    heard: tuple[float, float] | None = None  # of the one that tries: the record in its last word
-    tried: tuple[float, float] = (0.0, 0.0)  # and by how much it has grown since, good and bad
-    voices: tuple[str, ...] = ()  # who accused, when it was shut
-    zone: str = ""  # of which the verdict is; none: of all
+    last_report: Outcomes | None = None
+    gained: Outcomes = (0.0, 0.0)
+    reporters: tuple[str, ...] = ()
+    zone: str = ""
+
+    def reset_reports(self) -> None:
+        """Forget what the front that is drawn has reported."""
+        self.last_report = None
+        self.gained = (0.0, 0.0)
+
+    def add_report(self, report: HealthReport | None) -> None:
+        """Count what is new in a report of the front that is drawn: its first one says nothing new."""
+        if report is None:
+            return
+        if self.last_report is not None:
+            good, failed = (
+                max(current - before, 0.0)
+                for current, before in zip(report.outcomes, self.last_report, strict=True)
+            )
+            self.gained = self.gained[0] + good, self.gained[1] + failed
+        self.last_report = report.outcomes
+
+
+@dataclass(frozen=True, slots=True)
+class StateChange:
+    """A change of a cache's state, for the log."""
+
+    cache: str
+    before: EjectionState
+    after: EjectionState
+    record: EjectionRecord
 
 
 @dataclass(frozen=True, slots=True)
 class Accusation:
-    """What the evidence says now."""
+    """What the health reports on a cache amount to.
 
-    bad: bool
-    voices: tuple[str, ...] = ()
+    Attributes:
+        is_outlier: whether enough fronts accuse it.
+        reporters: fronts that do.
+        zone: to which it is confined; empty for all.
+    """
+
+    is_outlier: bool
+    reporters: tuple[str, ...] = ()
     zone: str = ""
 
 
-def knows(word: HealthReport) -> bool:
-    return sum(word.record) >= TRIED and credit(word) >= TRUSTED
+@dataclass(frozen=True, slots=True)
+class FleetView:
+    """The fleet as this front sees it at one tick.
+
+    Attributes:
+        now: seconds.
+        fronts: this one and those that are alive, in the order of their names.
+        zones: of all fronts.
+    """
+
+    now: float
+    fronts: list[str]
+    zones: Mapping[str, str]
 
 
-def accuses(word: HealthReport) -> bool:
-    return word.record[1] > ACCUSED * sum(word.record)
+def is_informed(report: HealthReport) -> bool:
+    """Whether its writer knows the cache, and has no faulty network of its own."""
+    return sum(report.outcomes) >= LEAST_ANSWERS and credit(report) >= LEAST_CREDIT
 
 
-def judged(words: Iterable[HealthReport], zones: Mapping[str, str], own: str) -> Accusation:
-    """Whether a cache is bad for those in the zone `own`, by the words of all, this front's among them."""
-    heard = [word for word in words if knows(word)]
-    voices = sorted(word.writer for word in heard if accuses(word))
-    if len(voices) < 2:
+def is_accusing(report: HealthReport) -> bool:
+    """Whether its writer accuses the cache."""
+    return report.outcomes[1] > ACCUSED_FRACTION * sum(report.outcomes)
+
+
+def is_majority(accusing: int, informed: int) -> bool:
+    """Whether more than half accuse."""
+    return 2 * accusing > informed
+
+
+def accusation(reports: Iterable[HealthReport], zones: Mapping[str, str], own_zone: str) -> Accusation:
+    """Judge a cache for the fronts of one zone, by the reports of all fronts, the own one among them."""
+    informed = [report for report in reports if is_informed(report)]
+    reporters = sorted(report.writer for report in informed if is_accusing(report))
+    if len(reporters) < LEAST_REPORTERS:
         return Accusation(False)
-    here = [word for word in heard if zones.get(word.writer, "") == own]
-    against = [word for word in here if accuses(word)]
-    if here and 2 * len(against) <= len(here):
-        return Accusation(False)  # most of those that stand where this front does fare well
-    if len(against) >= 2:
-        elsewhere = [word for word in heard if word not in here]
-        split = elsewhere and 2 * sum(map(accuses, elsewhere)) <= len(elsewhere)
-        return Accusation(True, tuple(voices), own if split else "")
-    return Accusation(2 * len(voices) > len(heard), tuple(voices))
+    near = [report for report in informed if zones.get(report.writer, "") == own_zone]
+    near_accusing = sum(map(is_accusing, near))
+    if near and not is_majority(near_accusing, len(near)):
+        return Accusation(False)  # most of the fronts of this zone fare well
+    if near_accusing >= LEAST_REPORTERS:
+        far = [report for report in informed if report not in near]
+        is_confined = far and not is_majority(sum(map(is_accusing, far)), len(far))
+        return Accusation(True, tuple(reporters), own_zone if is_confined else "")
+    return Accusation(is_majority(len(reporters), len(informed)), tuple(reporters))
 
 
 @dataclass
 class OutlierDetector:
-    """All caches of this front; `turn` is told the evidence each second."""
+    """The ejection states of all caches at one front; `tick` is handed the health reports each second.
+
+    Attributes:
+        name: of this front.
+        records: by cache, of those that are or were ejected lately.
+        changes: of states, until they are taken for the log.
+    """
 
     name: str
-    cases: dict[str, EjectionRecord] = field(default_factory=dict)
-    changes: list[tuple[str, EjectionState, EjectionState, EjectionRecord]] = field(
-        default_factory=list
-    )  # for the log
+    records: dict[str, EjectionRecord] = field(default_factory=dict)
+    changes: list[StateChange] = field(default_factory=list)
 
-    def turn(
+    def tick(
         self,
         now: float,
-        words: Mapping[str, list[HealthReport]],
+        reports: Mapping[str, list[HealthReport]],
         kinds: Mapping[str, str],
         zones: Mapping[str, str],
         alive: Iterable[str],
     ) -> dict[str, float]:
-        """The part of its work that each cache may have from here, where that is not all of it.
-
-        `kinds` says of each cache which others are like it; a kind that is mostly shut is not shut further.
+        """Bring all states up to date.
+
+        Args:
+            now: seconds.
+            reports: of all fronts, this one among them, by cache.
+            kinds: of each listed cache, by which others are like it; a kind that is ejected as far as it may
+                be is not ejected further.
+            zones: of all fronts.
+            alive: other fronts that may answer.
+
+        Returns:
+            The fraction of its work that each cache with a record may have from here, from 0 to 1.
         """
-        own = zones.get(self.name, "")
-        here = sorted({self.name, *alive})
-        for uid in [uid for uid in self.cases if uid not in kinds]:
-            del self.cases[uid]
+        own_zone = zones.get(self.name, "")
+        view = FleetView(now, sorted({self.name, *alive}), zones)
+        for uid in [uid for uid in self.records if uid not in kinds]:
+            del self.records[uid]
         for uid in sorted(kinds):
-            said = words.get(uid, [])
-            verdict = judged(said, zones, own)
-            case = self.cases.get(uid)
-            if case is None and verdict.bad and self.may_shut(uid, kinds):
-                case = self.cases[uid] = EjectionRecord()
-            if case:
-                self.move(uid, case, now, verdict, said, here, zones)
-        return {uid: self.part(uid, case, now, here, zones) for uid, case in self.cases.items()}
-
-    def may_shut(self, uid: str, kinds: Mapping[str, str]) -> bool:
-        """Guards against shutting what fails for one common cause, the line of a whole site. Harm: where more
-        than a third are bad indeed, the rest is left to what each front sees itself."""
+            cache_reports = reports.get(uid, [])
+            found = accusation(cache_reports, zones, own_zone)
+            record = self.records.get(uid)
+            if record is None and found.is_outlier and self._may_eject(uid, kinds):
+                record = self.records[uid] = EjectionRecord()
+            if record:
+                self._update(uid, record, view, found, cache_reports)
+        return {uid: self._admitted_fraction(uid, record, view) for uid, record in self.records.items()}
+
+    def _may_eject(self, uid: str, kinds: Mapping[str, str]) -> bool:
+        """Whether enough caches of a kind would be left.
+
+        Guards against ejecting what fails for one common cause, the network of a whole site. Harm: where more
+        than a third are faulty indeed, the rest is left to what each front sees itself.
+        """
         alike = [one for one, kind in kinds.items() if kind == kinds[uid]]
-        shut = sum(one in self.cases and self.cases[one].stand is not EjectionState.OPEN for one in alike)
-        return shut + 1 <= max(AT_ONCE * len(alike), 1) and len(alike) > 1
+        ejected = sum(
+            one in self.records and self.records[one].state is not EjectionState.ADMITTED for one in alike
+        )
+        return ejected + 1 <= max(MOST_EJECTED * len(alike), 1) and len(alike) > 1
 
-    def move(
+    def _update(
         self,
         uid: str,
-        case: EjectionRecord,
-        now: float,
-        verdict: Accusation,
-        said: list[HealthReport],
-        here: list[str],
-        zones: Mapping[str, str],
+        record: EjectionRecord,
+        view: FleetView,
+        found: Accusation,
+        reports: list[HealthReport],
     ) -> None:
-        match case.stand:
-            case EjectionState.OPEN if verdict.bad:
-                self.shut(uid, case, now, verdict)
-            case EjectionState.OPEN if now - case.since > FORGIVEN:
-                del self.cases[uid]
-            case EjectionState.SHUT if now >= case.until:
-                self.stands(uid, case, EjectionState.TRIAL, now, now + TRIAL)
-            case EjectionState.TRIAL:
-                trier = self.trier(uid, case, here, zones)
-                self.follow(case, next((word for word in said if word.writer == trier), None))
-                good, bad = case.tried
-                if good >= TRIES and good > 2 * bad:
-                    self.stands(uid, case, EjectionState.RAMP, now, now + RAMP)
-                elif bad >= FAILS:
-                    self.shut(uid, case, now, Accusation(True, case.voices, case.zone))
-                elif now >= case.until:
-                    case.round, case.until = case.round + 1, now + TRIAL
-                    case.heard, case.tried = None, (0.0, 0.0)
-            case EjectionState.RAMP if verdict.bad:
-                self.shut(uid, case, now, verdict)
-            case EjectionState.RAMP if now >= case.until:
-                self.stands(uid, case, EjectionState.OPEN, now, math.inf)
-
-    def follow(self, case: EjectionRecord, told: HealthReport | None) -> None:
-        """What is new in the record of the one that tries: what it holds from before counts for nothing."""
-        if told is None:
-            return
-        if case.heard is not None:
-            grown = (max(a - b, 0.0) for a, b in zip(told.record, case.heard, strict=True))
-            case.tried = case.tried[0] + next(grown), case.tried[1] + next(grown)
-        case.heard = told.record
-
-    def shut(self, uid: str, case: EjectionRecord, now: float, verdict: Accusation) -> None:
-        term = min(SHUT * GROWS**case.relapses, SHUT_MOST)
-        case.relapses = min(case.relapses + 1, 8)
-        case.voices, case.zone, case.round = verdict.voices, verdict.zone, case.round + 1
-        self.stands(uid, case, EjectionState.SHUT, now, now + term)
-
-    def stands(self, uid: str, case: EjectionRecord, stand: EjectionState, now: float, until: float) -> None:
-        self.changes.append((uid, case.stand, stand, case))
-        case.stand, case.since, case.until = stand, now, until
-        case.heard, case.tried = None, (0.0, 0.0)
-
-    def trier(self, uid: str, case: EjectionRecord, here: list[str], zones: Mapping[str, str]) -> str:
-        """The one front that tries in this round: drawn alike by all that hold the verdict."""
-        fit = [one for one in here if not case.zone or zones.get(one, "") == case.zone]
-        return max(fit or [self.name], key=lambda one: rank(uid, case.round, one))
-
-    def part(
-        self, uid: str, case: EjectionRecord, now: float, here: list[str], zones: Mapping[str, str]
-    ) -> float:
-        match case.stand:
-            case EjectionState.SHUT:
+        now, is_over = view.now, view.now >= record.until
+        match record.state:
+            case EjectionState.ADMITTED if found.is_outlier:
+                self._eject(uid, record, now, found)
+            case EjectionState.ADMITTED if now - record.since > FORGET_SECONDS:
+                del self.records[uid]
+            case EjectionState.EJECTED if is_over:
+                self._enter(uid, record, EjectionState.HALF_OPEN, now, now + HALF_OPEN_SECONDS)
+            case EjectionState.HALF_OPEN:
+                self._update_half_open(uid, record, view, reports)
+            case EjectionState.RECOVERING if found.is_outlier:
+                self._eject(uid, record, now, found)
+            case EjectionState.RECOVERING if is_over:
+                self._enter(uid, record, EjectionState.ADMITTED, now, math.inf)
+
+    def _update_half_open(
+        self, uid: str, record: EjectionRecord, view: FleetView, reports: list[HealthReport]
+    ) -> None:
+        prober = self._prober(uid, record, view)
+        record.add_report(next((report for report in reports if report.writer == prober), None))
+        now, (good, failed) = view.now, record.gained
+        if good >= RECOVERED_ANSWERS and good > 2 * failed:
+            self._enter(uid, record, EjectionState.RECOVERING, now, now + RAMP_SECONDS)
+        elif failed >= RELAPSED_ANSWERS:
+            self._eject(uid, record, now, Accusation(True, record.reporters, record.zone))
+        elif now >= record.until:  # it has reported too little: another one is drawn
+            record.round += 1
+            record.until = now + HALF_OPEN_SECONDS
+            record.reset_reports()
+
+    def _eject(self, uid: str, record: EjectionRecord, now: float, found: Accusation) -> None:
+        seconds = min(EJECTION_SECONDS * EJECTION_GROWTH**record.relapses, MOST_EJECTION_SECONDS)
+        record.relapses = min(record.relapses + 1, MOST_RELAPSES)
+        record.reporters = found.reporters
+        record.zone = found.zone
+        record.round += 1
+        self._enter(uid, record, EjectionState.EJECTED, now, now + seconds)
+
+    def _enter(
+        self, uid: str, record: EjectionRecord, state: EjectionState, now: float, until: float
+    ) -> None:
+        self.changes.append(StateChange(uid, record.state, state, record))
+        record.state = state
+        record.since = now
+        record.until = until
+        record.reset_reports()
+
+    def _prober(self, uid: str, record: EjectionRecord, view: FleetView) -> str:
+        """The one front that sends in this round: drawn alike by all that hold the ejection."""
+        fit = [one for one in view.fronts if not record.zone or view.zones.get(one, "") == record.zone]
+        return max(fit or [self.name], key=lambda name: rank(uid, record.round, name))
+
+    def _admitted_fraction(self, uid: str, record: EjectionRecord, view: FleetView) -> float:
+        match record.state:
+            case EjectionState.EJECTED:
                 return 0.0
-            case EjectionState.TRIAL:
-                return TRIES_WITH if self.trier(uid, case, here, zones) == self.name else 0.0
-            case EjectionState.RAMP:
-                return min(1.0, FIRST + (1 - FIRST) * (now - case.since) / RAMP)
+            case EjectionState.HALF_OPEN:
+                return HALF_OPEN_FRACTION if self._prober(uid, record, view) == self.name else 0.0
+            case EjectionState.RECOVERING:
+                return min(1.0, RAMP_START + (1 - RAMP_START) * (view.now - record.since) / RAMP_SECONDS)
         return 1.0
 
-    def said(self) -> list[tuple[str, EjectionState, EjectionState, EjectionRecord]]:
+    def pop_changes(self) -> list[StateChange]:
+        """Return the changes of states since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
 
-def cast_out(words: Mapping[str, list[tuple[str, float]]], lasts: float, now: float) -> dict[str, float]:
-    """Clients that are cast out, and until when; `words` has, by client, each front and when it cast it out.
+@dataclass(frozen=True, slots=True)
+class ClientBan:
+    """A front has banned a client, `at` seconds."""
+
+    front: str
+    at: float
+
 
-    One front alone casts a client out for itself only, so that none that lies can do it for all.
+@dataclass(frozen=True, slots=True)
+class CacheBreak:
+    """A front's connections to a cache broke `at` seconds, and it could not be reached again."""
+
+    cache: str
+    front: str
+    at: float
+
+
+def banned_clients(bans: Mapping[str, Iterable[ClientBan]], duration: float, now: float) -> dict[str, float]:
+    """Return the clients that the fleet has banned, and until when.
+
+    One front alone bans a client for itself only, so that none that lies can do it for all.
+
+    Args:
+        bans: by client, what single fronts have banned.
+        duration: seconds of a ban.
+        now: seconds.
     """
     found = {}
-    for client, said in words.items():
-        latest = sorted({writer: at for writer, at in sorted(said, key=lambda one: one[1])}.values())
-        if len(latest) >= 2 and latest[-1] - latest[-2] <= CAST and now < latest[-1] + lasts:
-            found[client] = latest[-1] + lasts
+    for client, client_bans in bans.items():
+        by_front = {ban.front: ban.at for ban in sorted(client_bans, key=lambda ban: ban.at)}
+        moments = sorted(by_front.values())
+        if len(moments) < LEAST_REPORTERS:
+            continue
+        until = moments[-1] + duration
+        if moments[-1] - moments[-2] <= BAN_WINDOW and now < until:
+            found[client] = until
     return found
 
 
-def started(breaks: Mapping[str, Mapping[str, float]]) -> dict[str, float]:
-    """Caches that have started though no list says so: two fronts saw each break off, close together.
-
-    `breaks` has, by cache and front, when its connections broke and it could not be reached again.
-    """
+def unlisted_starts(breaks: Iterable[CacheBreak]) -> dict[str, float]:
+    """Return when caches have started though no list says so: two fronts saw each break off, together."""
+    by_cache: dict[str, dict[str, float]] = defaultdict(dict)
+    for one in breaks:
+        by_cache[one.cache][one.front] = one.at
     found: dict[str, float] = {}
-    for uid, said in breaks.items():
-        moments = sorted(said.values(), reverse=True)
+    for uid, by_front in by_cache.items():
+        moments = sorted(by_front.values(), reverse=True)
         for later, earlier in pairwise(moments):
-            if later - earlier <= TOGETHER:
+            if later - earlier <= START_WINDOW:
                 found[uid] = later
                 break
     return found
-
-
-def by_cache(items: Iterable[tuple[str, str, float]]) -> dict[str, dict[str, float]]:
-    """Cache, front and moment, grouped for `started`."""
-    held: dict[str, dict[str, float]] = defaultdict(dict)
-    for uid, writer, at in items:
-        held[uid][writer] = at
-    return dict(held)
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -148,7 +148,7 @@
         self.settle(now)
         self.carry(self.exchange.turn(now))
         if self.limits:
-            self.send(self.limits.turn(now, self.here()))
+            self.send(self.limits.tick(now, self.here()))
         self.links.look()
 
     def wake(self, now: float) -> None:
@@ -171,7 +171,7 @@
             logger.warning("fleet: own epoch raised from {} to {}", self.sealer.epoch, self.members.epoch)
             self.sealer.epoch = self.members.epoch
             if self.limits:
-                self.limits.renumber(self.members.epoch)
+                self.limits.set_epoch(self.members.epoch)
 
     def report(self) -> None:
         if self.stopped:
@@ -242,7 +242,7 @@
         if self.limits is None or member is None or member.epoch != epoch or self.members.contested:
             self.counts["shares of nobody known"] += 1
             return
-        self.send(self.limits.hear(now, sender, epoch, body))
+        self.send(self.limits.handle(now, sender, epoch, body))
 
     def here(self) -> list[str]:
         """Members that may answer."""
--- /dev/null
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -0,0 +1,155 @@
+"""Budgets of caches that warm up, shared by the fronts that may send to them. No I/O.
+
+What all fronts together may send to a cache that has just started is a strict limit, shared by leases. Each
+start has a limit of its own, `cold:UID@UNIX_MILLISECONDS`, a name that all fronts compute alike.
+"""
+
+import math
+from dataclasses import dataclass
+
+from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
+from weldbend.fleet.lease_policy import Usage
+from weldbend.fleet.lease_service import LeaseService
+from weldbend.fleet.quota_context import FrontLoop, QuotaContext
+from weldbend.routing.cache_state import Cache
+from weldbend.routing.events import SlowStartQuota
+from weldbend.routing.reports import slow_start_demand
+from weldbend.routing.settings import Role
+
+PREFIX = "cold:"  # of these limits' names
+
+
+@dataclass(slots=True)
+class SlowStartBudget:
+    """The budget of one cache that warms up, as the spender of its limit.
+
+    Attributes:
+        cache: the cache's number.
+        coverage: of the fronts that may send to it, the fraction that share by leases.
+    """
+
+    loop: FrontLoop
+    cache: int
+    coverage: float
+
+    def usage(self, now: float) -> Usage:
+        """What this front sent in the last window, wanted to send, and sends in one attempt; in parts."""
+        router = self.loop.router
+        if self.cache not in router.caches:  # no longer listed
+            return Usage(0.0, 0.0)
+        demand = slow_start_demand(router, self.cache, now)
+        budget = demand.fleet_budget * self.coverage
+        if not 0 < budget < math.inf:
+            return Usage(0.0, 0.0)
+        sent, wanted, attempt = demand.sent, demand.wanted, demand.attempt_work
+        return Usage(sent / budget * PARTS, wanted / budget * PARTS, attempt / budget * PARTS)
+
+    def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
+        """Hand the quota to the decisions before all that waits: what is decided from now on goes by it."""
+        unit = self.coverage / PARTS
+        quota = SlowStartQuota(self.cache, True, retained * unit, leased * unit, lease_end)
+        self.loop.post(quota, first=True)
+
+
+class SlowStartQuotas:
+    """Opens and closes the limits of caches that warm up.
+
+    Attributes:
+        budgets: the open ones, by limit.
+    """
+
+    def __init__(self, context: QuotaContext) -> None:
+        self.context = context
+        self.budgets: dict[str, SlowStartBudget] = {}
+
+    @property
+    def leases(self) -> LeaseService:
+        """The strict limits of this front."""
+        leases = self.context.fleet.limits
+        assert leases is not None  # the quota service sets it before it opens any limit
+        return leases
+
+    @property
+    def is_enabled(self) -> bool:
+        """Whether such budgets are shared by leases at all."""
+        return self.context.limits.cold and bool(self.context.settings.weighted)
+
+    def owners(self, limit: str) -> list[str]:
+        """Return the fronts that own a limit: of an edge cache those of this front's zone, else all."""
+        context, budget = self.context, self.budgets.get(limit)
+        cache = context.loop.router.caches.get(budget.cache) if budget else None
+        if cache is None or cache.role is not Role.EDGE:
+            return context.front_names()
+        zones = context.zones()
+        return [name for name in context.front_names() if zones[name] == zones[context.name]]
+
+    def open_requested(self, limit: str) -> None:
+        """Open a limit from which another front spends, where this one knows of the same start."""
+        uid, started, _ = limit.removeprefix(PREFIX).rpartition("@")
+        if limit.startswith(PREFIX) and started:
+            self.open(uid)
+
+    def cache_restarted(self, uid: str) -> None:
+        """Send nothing to a cache that may have started until its limit is open, one iteration later."""
+        loop = self.context.loop
+        number = loop.names.numbers.get(uid)
+        if number is not None and self.is_enabled:
+            loop.post(SlowStartQuota(number, True))
+            loop.timers.after(0.0, lambda: self.open(uid))
+
+    def open(self, uid: str) -> None:
+        """Share the budget of a cache that has started, as far as this front knows, from now on."""
+        context = self.context
+        start = context.item("start", uid)
+        cache = context.cache(uid)
+        if not (start and cache and self.is_enabled):
+            return
+        limit = f"{PREFIX}{uid}@{int(start.value[0])}"
+        if limit in self.budgets:
+            return
+        if cache.role is Role.ORIGIN or cache.is_warm():
+            context.loop.post(SlowStartQuota(cache.id))
+            return
+        for earlier in [one for one in self.budgets if one.startswith(f"{PREFIX}{uid}@")]:
+            self.close(earlier)
+        self._open_limit(limit, cache)
+
+    def _open_limit(self, limit: str, cache: Cache) -> None:
+        settings = self.context.settings
+        budget = self.budgets[limit] = SlowStartBudget(self.context.loop, cache.id, 1.0)
+        owners = self.owners(limit)
+        sharers = settings.zone_fronts if cache.role is Role.EDGE else settings.fronts
+        budget.coverage = min(1.0, len(owners) / sharers)
+        times = LeaseTimes(
+            self.context.limits.lease, settings.edge_overload_window, self.context.limits.drift
+        )
+        opened = self.leases.open(
+            limit, owners, self._first_attempts(cache), times, budget, self.context.now()
+        )
+        if not opened:
+            self.close(limit)
+
+    def _first_attempts(self, cache: Cache) -> float:
+        """Attempts in a window for which a cache's budget has room when it has just started."""
+        settings = self.context.settings
+        if cache.role is Role.PARENT:
+            capacity = settings.parent_start_capacity * settings.parent_overload_factor
+        else:
+            capacity = settings.edge_start_capacity * settings.edge_overload_factor
+        work = max(kind.latency_objective for kind in settings.classes.values() if not kind.origin_only)
+        return capacity * settings.edge_overload_window * cache.weight / work
+
+    def close(self, limit: str) -> None:
+        """Spend no more from a limit, and give the decisions back the fixed quota of each front."""
+        budget = self.budgets.pop(limit)
+        self.leases.close(limit)
+        self.context.loop.post(SlowStartQuota(budget.cache), first=True)
+
+    def tick(self) -> None:
+        """Close the limits of caches that are warm by now or removed, and open those of new starts."""
+        for limit, budget in list(self.budgets.items()):
+            cache = self.context.loop.router.caches.get(budget.cache)
+            if cache is None or cache.is_warm():
+                self.close(limit)
+        for uid in [uid for uid, _ in self.context.items("start")]:
+            self.open(uid)
--- a/weldbend/testbed/fleet/lease_model.py
+++ b/weldbend/testbed/fleet/lease_model.py
@@ -1,8 +1,8 @@
 """Every order of events of a few ledgers, explored: the lease protocol in all its states. Not the network.
 
-The books are the product's own `Ledger`, nothing is modelled twice. Time goes in ticks, and only ages count,
-so that the same situation at another time is the same state; a clock may miss some ticks, messages may come
-in any order, twice, late or never (one that never comes is one that is still on its way); fronts die and
+The books are the product's own `LeaseLedger`, nothing is modelled twice. Time goes in ticks, and only ages
+count, so that the same situation at another time is the same state; a clock may miss some ticks, messages may
+come in any order, twice, late or never (one that never comes is one that is still on its way); fronts die and
 start again, knowing nothing. In each state: what all spent in the last window is at most the limit. The first
 way in which it is not is printed as a trace; breadth first, so none is shorter.
 """
@@ -12,7 +12,7 @@
 from fractions import Fraction
 from typing import Any, NamedTuple
 
-from weldbend.fleet.lease_ledger import Asking, Borrower, Granted, LeaseLedger, LeaseTimes, Loan
+from weldbend.fleet.lease_ledger import Borrower, Grant, LeaseLedger, LeaseTimes, Loan, PendingRequest
 
 TICKS = LeaseTimes(term=3, window=1, drift=Fraction(1, 6))  # type: ignore[arg-type]
 
@@ -40,7 +40,7 @@
     quiet: Any
     out: tuple[tuple[Borrower, Loan], ...]
     came: tuple[tuple[str, Loan], ...]
-    asked: tuple[tuple[str, Asking], ...]
+    asked: tuple[tuple[str, PendingRequest], ...]
     spent: tuple[int, ...]
 
 
@@ -75,15 +75,17 @@
 
     def book(self, number: int, front: Front) -> LeaseLedger:
         made = self.ledger(self.scope.own[number], self.scope.times, front.epoch, front.quiet)
-        made.number = front.number
-        made.out, made.came, made.asked = dict(front.out), dict(front.came), dict(front.asked)
+        made.last_number = front.number
+        made.granted, made.leased, made.pending = dict(front.out), dict(front.came), dict(front.asked)
         return made
 
     def shut(self, front: Front, book: LeaseLedger) -> Front:
-        book.forget(0)
-        out = sorted(book.out.items(), key=lambda held: (held[0].name, held[0].epoch, held[0].number))
-        came, asked = (tuple(sorted(d.items(), key=lambda held: held[0])) for d in (book.came, book.asked))
-        return front._replace(number=book.number, out=tuple(out), came=came, asked=asked)
+        book.discard_ended(0)
+        out = sorted(book.granted.items(), key=lambda held: (held[0].name, held[0].epoch, held[0].number))
+        came, asked = (
+            tuple(sorted(d.items(), key=lambda held: held[0])) for d in (book.leased, book.pending)
+        )
+        return front._replace(number=book.last_number, out=tuple(out), came=came, asked=asked)
 
     def first(self) -> State:
         shape = self.scope
@@ -104,18 +106,18 @@
                 yield f"comes, and will again: {shown(message)}", less(twice, 2)
         for number, front in enumerate(state.fronts):
             book = self.book(number, front)
-            if len(front.spent) + 1 <= book.held(0):
+            if len(front.spent) + 1 <= book.available(0):
                 spent = front._replace(spent=(*front.spent, 0))
                 yield f"{number} spends", put(state, number, spent)._replace(spent=(*state.spent, 0))
             if asks:
                 yield from self.asking(state, number, front)
             if deaths and (front.out or front.came or front.asked or front.spent):
-                quiet = self.scope.times.quiet
+                quiet = self.scope.times.recovery
                 fresh = Front(front.epoch + 1, 0, quiet, (), (), (), ())
                 yield f"{number} dies and starts again", less(put(state, number, fresh), 1)
             for lender, _ in front.came if backs else ():
                 book = self.book(number, front)
-                if asked := book.give_back(0, lender):
+                if asked := book.release(0, lender):
                     message = Message("back", number, int(lender), front.epoch, asked, not front.spent)
                     made = put(state, number, self.shut(front, book))
                     made = made._replace(messages=made.messages | {message})
@@ -133,9 +135,12 @@
         """One tick later by its own clock."""
         aged = Front(
             front.epoch, front.number, max(front.quiet - 1, 0),
-            tuple((to, Loan(loan.parts, loan.end - 1, 0, loan.over)) for to, loan in front.out),
+            tuple((to, Loan(loan.parts, loan.end - 1, 0, loan.is_ending)) for to, loan in front.out),
             tuple((lender, Loan(loan.parts, loan.end - 1, loan.number)) for lender, loan in front.came),
-            tuple((lender, Asking(one.number, one.parts, one.at - 1)) for lender, one in front.asked),
+            tuple(
+                (lender, PendingRequest(one.number, one.parts, one.sent_at - 1))
+                for lender, one in front.asked
+            ),
             tuple(age + 1 for age in front.spent if age + 1 < self.window),
         )  # fmt: skip
         return self.shut(aged, self.book(number, aged))
@@ -145,7 +150,7 @@
             most = max(self.scope.own[other], self.scope.parts) if self.scope.own[other] else 0
             for parts in range(1, most + 1) if other != number else ():
                 book = self.book(number, front)
-                asked = book.ask(0, str(other), parts)
+                asked = book.request(0, str(other), parts)
                 message = Message("ask", number, other, front.epoch, asked, parts)
                 made = put(state, number, self.shut(front, book))
                 made = made._replace(messages=made.messages | {message})
@@ -157,12 +162,12 @@
         front = state.fronts[to]
         book = self.book(to, front)
         if kind == "ask":
-            told = book.lend(0, Borrower(str(sender), epoch, number), parts, len(front.spent))
+            told = book.grant(0, Borrower(str(sender), epoch, number), parts, len(front.spent))
             messages |= {Message("grant", to, sender, told.epoch, number, told.parts)}
         elif kind == "grant":
-            book.grant(0, str(sender), Granted(epoch, number, parts))
+            book.accept_grant(0, str(sender), Grant(epoch, number, parts))
         else:
-            book.given_back(0, Borrower(str(sender), epoch, number), bool(parts))
+            book.accept_release(0, Borrower(str(sender), epoch, number), bool(parts))
         return put(state, to, self.shut(front, book))._replace(messages=messages)
 
     # The search.
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -1,9 +1,9 @@
 """One limit over many fronts on a virtual network: leases against what else could be done, counted from
 outside.
 
-The fronts are the product's own books and choices (`Limits`, `Rate`); the network delays, loses and doubles
-messages, splits, and fronts die, freeze and run with clocks of their own. The auditor counts what was let
-through, by true time, and knows nothing of shares.
+The fronts are the product's own books and choices (`LeaseService`, `LeasedRate`); the network delays, loses
+and doubles messages, splits, and fronts die, freeze and run with clocks of their own. The auditor counts what
+was let through, by true time, and knows nothing of shares.
 """
 
 import heapq
@@ -16,7 +16,7 @@
 from typing import Any
 
 from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
-from weldbend.fleet.lease_service import LeaseService, Rate
+from weldbend.fleet.lease_service import LeasedRate, LeaseService
 from weldbend.routing.random_source import RandomSource
 
 LIMIT = "type:order"
@@ -63,9 +63,9 @@
         self.lab, self.number, self.name, self.epoch = lab, number, f"n{number}", epoch
         self.up, self.frozen_until = True, 0.0
         shape = lab.shape
-        self.rate = Rate(shape.most * shape.times.window, shape.times)
+        self.rate = LeasedRate(shape.most * shape.times.window, shape.times)
         now = lab.clock(number)
-        until = now + shape.times.quiet if quiet else now
+        until = now + shape.times.recovery if quiet else now
         chance = RandomSource(lab.rng.randrange(1 << 30))
         self.limits = LeaseService(
             self.name, epoch, chance, until, lambda limit: None, lambda: lab.unix(number)
@@ -73,15 +73,15 @@
         self.limits.open(LIMIT, lab.names, shape.most * shape.times.window, shape.times, self.rate, now)
 
     def take(self, now: float) -> bool:
-        return self.rate.take(now)
+        return self.rate.try_admit(now)
 
 
 class Fixed(Front):
     """Today's rule: each has its share, whoever needs it."""
 
     def take(self, now: float) -> bool:
-        self.rate.holds(self.limits.books[LIMIT].ledger.own, 0, 0.0)
-        return self.rate.take(now)
+        self.rate.set_allowance(self.limits.limits[LIMIT].ledger.own, 0, 0.0)
+        return self.rate.try_admit(now)
 
 
 class Gossip(Front):
@@ -95,7 +95,7 @@
     def take(self, now: float) -> bool:
         while self.mine and self.mine[0] <= now - self.lab.shape.times.window:
             self.mine.popleft()
-        if len(self.mine) + sum(self.others.values()) + 1 > self.rate.most:
+        if len(self.mine) + sum(self.others.values()) + 1 > self.rate.limit:
             return False
         self.mine.append(now)
         return True
@@ -109,8 +109,8 @@
         reach = keeper.up and self.lab.passes(self.number, 0) and self.lab.passes(0, self.number)
         if not (reach and self.lab.now >= keeper.frozen_until):
             return False
-        keeper.rate.holds(PARTS, 0, 0.0)
-        return keeper.rate.take(self.lab.clock(0))
+        keeper.rate.set_allowance(PARTS, 0, 0.0)
+        return keeper.rate.try_admit(self.lab.clock(0))
 
 
 class Oracle(Front):
@@ -118,7 +118,7 @@
 
     def take(self, now: float) -> bool:
         spent, window = self.lab.spent, self.lab.shape.times.window
-        return len(spent) - bisect_right(spent, self.lab.now - window) < self.rate.most
+        return len(spent) - bisect_right(spent, self.lab.now - window) < self.rate.limit
 
 
 KINDS: dict[str, type[Front]] = {
@@ -183,7 +183,7 @@
         if self.now < front.frozen_until:
             self.after(front.frozen_until - self.now + 1e-6, lambda: self.arrive(sender, to, epoch, body))
             return
-        self.send(front, front.limits.hear(self.clock(to), sender.name, epoch, body))
+        self.send(front, front.limits.handle(self.clock(to), sender.name, epoch, body))
 
     # What happens.
 
@@ -194,7 +194,7 @@
                 self.gossip(front)
             elif self.shape.kind == "leases":
                 here = [f"n{n}" for n in range(self.shape.fronts) if n != number and self.seen(number, n)]
-                self.send(front, front.limits.turn(self.clock(number), here))
+                self.send(front, front.limits.tick(self.clock(number), here))
         self.after(0.05 if self.shape.fronts <= 50 else 0.1, lambda: self.turn(number))
 
     def seen(self, number: int, other: int) -> bool:
@@ -274,7 +274,8 @@
     def look(self) -> None:
         if self.shape.kind == "leases":
             held = [
-                f.limits.books[LIMIT].ledger.held(self.clock(f.number)) if f.up else 0 for f in self.fronts
+                f.limits.limits[LIMIT].ledger.available(self.clock(f.number)) if f.up else 0
+                for f in self.fronts
             ]
             self.held.append((self.now, held))
         self.after(0.1, self.look)
