--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,6 +3,7 @@
 import random
 import subprocess
 import sys
+from dataclasses import replace
 from functools import reduce
 
 import msgspec
@@ -12,8 +13,8 @@
 from hypothesis import strategies as st
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import AntiEntropy, Weight, awake, neighbours
-from weldbend.fleet.conservative_merge import FAR_OFFSET, MOST_PURGES, Purges, held_state
+from weldbend.fleet.anti_entropy import AntiEntropy, resume_after_standstill
+from weldbend.fleet.conservative_merge import FAR_OFFSET, MOST_PURGES, PeerPurges, stricter_state
 from weldbend.fleet.front_adapter import FleetAdapter
 from weldbend.fleet.membership import LEAP, Membership, Reachability, State
 from weldbend.fleet.message_authentication import (
@@ -22,9 +23,11 @@
     MessageAuthenticator,
     read_keys,
 )
-from weldbend.fleet.outbox import Outbox
-from weldbend.fleet.replicated_store import RULES, Log, ReplicatedStore
+from weldbend.fleet.outbox import Outbox, Priority
+from weldbend.fleet.replicated_items import ITEM_KINDS
+from weldbend.fleet.replicated_store import LoggedOperation, OperationLog, ReplicatedStore
 from weldbend.fleet.settings import Peer, Terms
+from weldbend.fleet.topology import neighbours
 from weldbend.testbed.fleet import auditor as auditor
 from weldbend.testbed.fleet.fleet_model import Fleet, Setup
 
@@ -326,13 +329,13 @@
 
 def test_a_full_outbox_drops_what_can_be_asked_for_again_and_verdicts_last():
     box = Outbox(100)
-    assert box.put(b"h" * 30, Weight.COMPARISON) and box.put(b"H" * 30, Weight.COMPARISON)
-    assert box.put(b"s" * 40, Weight.SNAPSHOT) and box.put(b"c" * 30, Weight.CHANGE)
-    assert box.put(b"p" * 60, Weight.STRICT) and box.size <= 100
-    assert box.put(b"q" * 60, Weight.STRICT), "the newest of its kind holds more than the oldest"
-    assert not box.put(b"c" * 80, Weight.CHANGE)
-    assert box.take() == b"q" * 60
-    assert dict(box.dropped) == {"COMPARISON": 2, "SNAPSHOT": 1, "CHANGE": 2, "STRICT": 1}
+    assert box.put(b"h" * 30, Priority.COMPARISON) and box.put(b"H" * 30, Priority.COMPARISON)
+    assert box.put(b"s" * 40, Priority.SNAPSHOT) and box.put(b"c" * 30, Priority.CHANGE)
+    assert box.put(b"p" * 60, Priority.CRITICAL) and box.size <= 100
+    assert box.put(b"q" * 60, Priority.CRITICAL), "the newest of its kind holds more than the oldest"
+    assert not box.put(b"c" * 80, Priority.CHANGE)
+    assert box.pop() == b"q" * 60
+    assert dict(box.dropped) == {"COMPARISON": 2, "SNAPSHOT": 1, "CHANGE": 2, "CRITICAL": 1}
 
 
 # Copies.
@@ -351,36 +354,36 @@
 def test_changes_in_any_order_lost_or_doubled_come_to_the_plain_model(said, rng, ops):
     writers = [ReplicatedStore(f"w{n}", 1, ops) for n in range(3)]
     for who, (kind, key, value) in said:
-        writers[who].say(1.0, kind, key, *value)
-    told = [op for writer in writers for log in writer.logs.values() for op, _ in log.ops]
+        writers[who].write(1.0, kind, key, *value)
+    told = [op for writer in writers for log in writer.logs.values() for op, _ in log.operations]
     reader = ReplicatedStore("r", 1, ops)
     arriving = [op for op in told if rng.random() < 0.7] + [op for op in told if rng.random() < 0.3]
     rng.shuffle(arriving)
     for op in arriving:
-        reader.take(op, 2.0)
+        reader.apply(op, 2.0)
     for writer in writers:  # what was lost is found by comparing, as changes or as a snapshot
         for _ in range(40):
-            missing = writer.missing(reader.vector(), 3.0, 7)
+            missing = writer.changes_after(reader.vector(), 3.0, 7)
             if missing is None:
-                for part, _, _ in writer.pieces("", 3.0, 4):
-                    reader.load(part, 3.0)
-                reader.reach(writer.vector(), 3.0)
+                for part, _, _ in writer.snapshot_chunks("", 3.0, 4):
+                    reader.load_snapshot(part, 3.0)
+                reader.advance_to(writer.vector(), 3.0)
             elif not missing:
                 break
             else:
                 for op in missing:
-                    reader.take(op, 3.0)
+                    reader.apply(op, 3.0)
         else:
             raise AssertionError("comparing never ended")
     model = {}
     for _, (kind, key, value) in said:
         model.setdefault((kind, key), []).append(value)
-    expected = {(kind, key): reduce(RULES[kind].join, values) for (kind, key), values in model.items()}
+    expected = {(kind, key): reduce(ITEM_KINDS[kind].merge, values) for (kind, key), values in model.items()}
     assert {name: item.value for name, item in reader.items.items()} == expected
     assert reader.vector() == {run: n for writer in writers for run, n in writer.vector().items()}
 
 
-@pytest.mark.parametrize("kind", sorted(RULES))
+@pytest.mark.parametrize("kind", sorted(ITEM_KINDS))
 @settings(max_examples=60, derandomize=True)
 @given(data=st.data())
 def test_joins_are_commutative_associative_and_idempotent(kind, data):
@@ -394,7 +397,7 @@
         "setting": st.tuples(st.integers(0, 3), st.sampled_from("ab")),
     }.get(kind, own)  # fmt: skip
     a, b, c = (data.draw(values) for _ in range(3))
-    join = RULES[kind].join
+    join = ITEM_KINDS[kind].merge
     assert join(a, b) == join(b, a)
     assert join(a, join(b, c)) == join(join(a, b), c)
     assert join(a, a) == a
@@ -402,15 +405,15 @@
 
 def test_a_peer_can_make_stricter_and_never_looser():
     held = ReplicatedStore("a", 1)
-    held.say(0.0, "drain", "x", 5, 1)
-    assert held.take(m.Operation("b", 1, 1, "drain", "x", [4, 0], 0.0), 1.0) is None, "an older list"
+    held.write(0.0, "drain", "x", 5, 1)
+    assert held.apply(m.Operation("b", 1, 1, "drain", "x", [4, 0], 0.0), 1.0) is None, "an older list"
     assert held.items["drain", "x"].value == (5, 1)
-    assert held.take(m.Operation("b", 1, 2, "drain", "x", [5, 2], 0.0), 1.0).value == (5, 2)
-    assert held.take(m.Operation("b", 1, 3, "purge", "nothing", [1], 0.0), 1.0) is None
+    assert held.apply(m.Operation("b", 1, 2, "drain", "x", [5, 2], 0.0), 1.0).value == (5, 2)
+    assert held.apply(m.Operation("b", 1, 3, "purge", "nothing", [1], 0.0), 1.0) is None
     assert (
-        held.take(m.Operation("b", 1, 4, "evidence", "x|c", [1, 1, 1.0, 0.0], 0.0), 1.0) is None
+        held.apply(m.Operation("b", 1, 4, "evidence", "x|c", [1, 1, 1.0, 0.0], 0.0), 1.0) is None
     ), "another's word"
-    assert held.counts["changes that fit no rule"] == 2
+    assert held.counts["invalid changes"] == 2
     assert held.vector()["b/1"] == 4
 
 
@@ -419,155 +422,151 @@
 
 def test_a_snapshot_goes_on_with_another_donor_where_the_first_broke_off():
     terms = Terms(ops=16, rate=10_000_000)
-    donors = {
-        name: AntiEntropy(name, ReplicatedStore(name, 1, 16), terms, 1, lambda _: None, 0.0) for name in "bc"
-    }
+    donors = {name: AntiEntropy(ReplicatedStore(name, 1, 16), terms, 1, lambda _: None, 0.0) for name in "bc"}
     for n in range(700):
         for donor in donors.values():
-            donor.copies.take(m.Operation("w", 1, n + 1, "purge", f"k:{n:04}", [n], 0.0), 0.0)
+            donor.store.apply(m.Operation("w", 1, n + 1, "purge", f"k:{n:04}", [n], 0.0), 0.0)
     changed = []
-    late = AntiEntropy("a", ReplicatedStore("a", 1, 16), terms, 2, changed.append, 0.0)
+    late = AntiEntropy(ReplicatedStore("a", 1, 16), terms, 2, changed.append, 0.0)
     for name, donor in donors.items():
-        donor.complete(0.0)
-        donor.up("a", 0.0)
-        late.up(name, 0.0)
+        donor.set_caught_up(0.0)
+        donor.peer_connected("a", 0.0)
+        late.peer_connected(name, 0.0)
     asked = []
     for name, donor in donors.items():
-        donor.hear(0.1, "a", late.have(name, 0.1).body)
-        asked += late.hear(0.1, name, donor.have("a", 0.1).body)
+        donor.handle(0.1, "a", late.comparison(name, 0.1).body)
+        asked += late.handle(0.1, name, donor.comparison("a", 0.1).body)
     wanted = [say for say in asked if isinstance(say.body, m.SnapshotRequest)]
     assert len(wanted) == 1
     first = wanted[0].to
-    (piece,) = donors[first].hear(0.2, "a", wanted[0].body)
-    assert late.hear(0.3, first, piece.body) == [] and not late.whole
-    (again,) = late.down(first, 0.4)  # it dies in the middle
+    (piece,) = donors[first].handle(0.2, "a", wanted[0].body)
+    assert late.handle(0.3, first, piece.body) == [] and not late.is_caught_up
+    (again,) = late.peer_disconnected(first, 0.4)  # it dies in the middle
     assert again.to != first and again.body.after == piece.body.after != ""
-    says = donors[again.to].hear(0.5, "a", again.body)
+    says = donors[again.to].handle(0.5, "a", again.body)
     now = 0.5
     while says:
         (say,) = says
-        late.hear(now, again.to, say.body)
+        late.handle(now, again.to, say.body)
         now += 0.1
-        says = donors[again.to].turn(now)
+        says = donors[again.to].tick(now)
         says = [say for say in says if isinstance(say.body, m.SnapshotChunk)]
-    assert late.whole and len(late.copies.items) == len(changed) == 700
-    assert late.copies.vector() == {"w/1": 700}
+    assert late.is_caught_up and len(late.store.items) == len(changed) == 700
+    assert late.store.vector() == {"w/1": 700}
 
 
 def donors_and_late(ops=16, names="bc", **terms):
     """Some donors that have caught up, with 700 items, and one that lacks all of it."""
     held = Terms(ops=ops, **{"rate": 10_000_000, **terms})
     donors = {
-        name: AntiEntropy(name, ReplicatedStore(name, 1, ops), held, 1, lambda _: None, 0.0) for name in names
+        name: AntiEntropy(ReplicatedStore(name, 1, ops), held, 1, lambda _: None, 0.0) for name in names
     }
     for donor in donors.values():
         for n in range(700):
-            donor.copies.take(m.Operation("w", 1, n + 1, "purge", f"k:{n:04}", [n], 0.0), 0.0)
-        donor.complete(0.0)
-        donor.up("a", 0.0)
-    late = AntiEntropy("a", ReplicatedStore("a", 1, ops), held, 2, lambda _: None, 0.0)
+            donor.store.apply(m.Operation("w", 1, n + 1, "purge", f"k:{n:04}", [n], 0.0), 0.0)
+        donor.set_caught_up(0.0)
+        donor.peer_connected("a", 0.0)
+    late = AntiEntropy(ReplicatedStore("a", 1, ops), held, 2, lambda _: None, 0.0)
     asked = []
     for name, donor in donors.items():
-        late.up(name, 0.0)
-        donor.hear(0.1, "a", late.have(name, 0.1).body)
-        asked += late.hear(0.1, name, donor.have("a", 0.1).body)
+        late.peer_connected(name, 0.0)
+        donor.handle(0.1, "a", late.comparison(name, 0.1).body)
+        asked += late.handle(0.1, name, donor.comparison("a", 0.1).body)
     (want,) = [say for say in asked if isinstance(say.body, m.SnapshotRequest)]
     return donors, late, want
 
 
 def test_a_snapshot_of_two_donors_amounts_to_what_both_held():
     donors, late, want = donors_and_late()
-    (piece,) = donors[want.to].hear(0.2, "a", want.body)
-    late.hear(0.3, want.to, piece.body)
-    (again,) = late.down(want.to, 0.4)
+    (piece,) = donors[want.to].handle(0.2, "a", want.body)
+    late.handle(0.3, want.to, piece.body)
+    (again,) = late.peer_disconnected(want.to, 0.4)
     # only the second one has this change, and its key lies in what the first one sent
-    donors[again.to].copies.take(m.Operation("w", 1, 701, "purge", "k:0000x", [9], 0.0), 0.4)
-    says = donors[again.to].hear(0.5, "a", again.body)
+    donors[again.to].store.apply(m.Operation("w", 1, 701, "purge", "k:0000x", [9], 0.0), 0.4)
+    says = donors[again.to].handle(0.5, "a", again.body)
     while says:
-        late.hear(0.6, again.to, says[0].body)
-        says = [say for say in donors[again.to].turn(0.6) if isinstance(say.body, m.SnapshotChunk)]
-    assert ("purge", "k:0000x") not in late.copies.items
-    assert late.copies.vector() == {"w/1": 700}, "so that the next comparison finds it missing"
+        late.handle(0.6, again.to, says[0].body)
+        says = [say for say in donors[again.to].tick(0.6) if isinstance(say.body, m.SnapshotChunk)]
+    assert ("purge", "k:0000x") not in late.store.items
+    assert late.store.vector() == {"w/1": 700}, "so that the next comparison finds it missing"
 
 
 def test_donors_that_die_in_mid_snapshot_one_after_the_other():
     donors, late, want = donors_and_late(names="bcd")
     now, places = 0.2, []
     for _ in range(2):
-        (piece,) = donors[want.to].hear(now, "a", want.body)
-        late.hear(now, want.to, piece.body)
+        (piece,) = donors[want.to].handle(now, "a", want.body)
+        late.handle(now, want.to, piece.body)
         places.append(piece.body.after)
         del donors[want.to]
-        (want,) = late.down(want.to, now := now + 0.1)
+        (want,) = late.peer_disconnected(want.to, now := now + 0.1)
         assert want.to in donors and want.body.after == places[-1]
     assert places == sorted(set(places))
-    says = donors[want.to].hear(now, "a", want.body)
+    says = donors[want.to].handle(now, "a", want.body)
     while says:
-        late.hear(now, want.to, says[0].body)
+        late.handle(now, want.to, says[0].body)
         now += 0.1
-        says = [say for say in donors[want.to].turn(now) if isinstance(say.body, m.SnapshotChunk)]
-    assert late.whole and len(late.copies.items) == 700 and late.counts["donors lost"] == 2
+        says = [say for say in donors[want.to].tick(now) if isinstance(say.body, m.SnapshotChunk)]
+    assert late.is_caught_up and len(late.store.items) == 700 and late.counts["snapshot donors lost"] == 2
 
 
 def test_a_donor_that_falls_silent_is_left_for_another():
     _, late, want = donors_and_late()
-    late.fetch.heard = 0.1
-    assert not any(isinstance(say.body, m.SnapshotRequest) for say in late.turn(2.0))
-    (again,) = [say for say in late.turn(2.2) if isinstance(say.body, m.SnapshotRequest)]
+    late.transfer.received_at = 0.1
+    assert not any(isinstance(say.body, m.SnapshotRequest) for say in late.tick(2.0))
+    (again,) = [say for say in late.tick(2.2) if isinstance(say.body, m.SnapshotRequest)]
     assert again.to != want.to
-    assert late.counts["donors that fell silent"] == 1
+    assert late.counts["snapshot donors timed out"] == 1
 
 
 def test_a_snapshot_goes_no_faster_than_its_rate():
     donors, _, want = donors_and_late(rate=10_000)
     donor = donors[want.to]
     sent, now = 0, 0.2
-    says = donor.hear(now, "a", want.body)
-    while donor.links["a"].serving is not None or says:
+    says = donor.handle(now, "a", want.body)
+    while donor.links["a"].serving_after is not None or says:
         sent += sum(len(m.encode(say.body)) for say in says if isinstance(say.body, m.SnapshotChunk))
         now += 0.05
         assert now < 20.0
-        says = donor.turn(now)
+        says = donor.tick(now)
     assert sent > 15_000
     assert sent <= 10_000 * (now + 1.0)
     assert now > 1.0
 
 
 def test_a_comparison_that_lay_here_during_a_standstill_says_nothing():
-    fronts = {
-        name: AntiEntropy(name, ReplicatedStore(name, 1), Terms(), 1, lambda _: None, 0.0) for name in "ab"
-    }
-    fronts["b"].complete(0.0)
+    fronts = {name: AntiEntropy(ReplicatedStore(name, 1), Terms(), 1, lambda _: None, 0.0) for name in "ab"}
+    fronts["b"].set_caught_up(0.0)
     for one, other in ("ab", "ba"):
-        fronts[one].up(other, 0.0)
-    fronts["b"].hear(0.1, "a", fronts["a"].have("b", 0.1).body)
-    old = fronts["b"].have("a", 0.1).body
-    fronts["a"].hear(0.2, "b", old)
-    assert fronts["a"].whole
-    fronts["a"].behindhand(60.0)
-    fronts["a"].hear(60.1, "b", old)
-    assert not fronts["a"].whole
-    fronts["b"].hear(60.2, "a", fronts["a"].have("b", 60.1).body)
-    fronts["a"].hear(60.3, "b", fronts["b"].have("a", 60.2).body)
-    assert fronts["a"].whole
+        fronts[one].peer_connected(other, 0.0)
+    fronts["b"].handle(0.1, "a", fronts["a"].comparison("b", 0.1).body)
+    old = fronts["b"].comparison("a", 0.1).body
+    fronts["a"].handle(0.2, "b", old)
+    assert fronts["a"].is_caught_up
+    fronts["a"].set_lagging(60.0)
+    fronts["a"].handle(60.1, "b", old)
+    assert not fronts["a"].is_caught_up
+    fronts["b"].handle(60.2, "a", fronts["a"].comparison("b", 60.1).body)
+    fronts["a"].handle(60.3, "b", fronts["b"].comparison("a", 60.2).body)
+    assert fronts["a"].is_caught_up
 
 
 def test_a_standstill_is_noticed_before_anything_is_acted_on():
     members = Membership("a", 1, Terms(), "ab", 1, 0.0)
-    exchange = AntiEntropy("a", ReplicatedStore("a", 1), Terms(), 1, lambda _: None, 0.0)
-    exchange.complete(0.0)
+    exchange = AntiEntropy(ReplicatedStore("a", 1), Terms(), 1, lambda _: None, 0.0)
+    exchange.set_caught_up(0.0)
     members.turn(0.1)
-    assert awake(members, exchange, 0.2) == [] and exchange.whole
-    awake(members, exchange, 60.0)
-    assert not exchange.whole and members.counts["stood still"] == 1
+    assert resume_after_standstill(members, exchange, 0.2) == [] and exchange.is_caught_up
+    resume_after_standstill(members, exchange, 60.0)
+    assert not exchange.is_caught_up and members.counts["stood still"] == 1
     assert not members.stands_still(60.0)
 
 
 def test_one_that_has_not_caught_up_gives_no_snapshot():
     terms = Terms()
-    held = AntiEntropy("a", ReplicatedStore("a", 1), terms, 1, lambda _: None, 0.0)
-    held.up("b", 0.0)
-    (say,) = held.hear(0.1, "b", m.SnapshotRequest(""))
+    held = AntiEntropy(ReplicatedStore("a", 1), terms, 1, lambda _: None, 0.0)
+    held.peer_connected("b", 0.0)
+    (say,) = held.handle(0.1, "b", m.SnapshotRequest(""))
     assert isinstance(say.body, m.SnapshotRefusal) and say.body.why == "not caught up"
 
 
@@ -596,8 +595,8 @@
 
 def patch_join(kind, join):
     def patch(monkeypatch):
-        rule = RULES[kind]
-        monkeypatch.setitem(RULES, kind, type(rule)(rule.fits, join, rule.keep))
+        rules = ITEM_KINDS[kind]
+        monkeypatch.setitem(ITEM_KINDS, kind, replace(rules, merge=join))
 
     return patch
 
@@ -608,15 +607,15 @@
 
 def counts_over_gaps(self, log, op, said):
     log.number = max(log.number, op.number)
-    log.ops.append((op, said))
+    log.operations.append(LoggedOperation(op, said))
 
 
 def counted_at_once(self, op, now):
-    log = self.logs.setdefault(f"{op.writer}/{op.epoch}", Log())
+    log = self.logs.setdefault(f"{op.writer}/{op.epoch}", OperationLog())
     if op.number <= log.number:
         return False
     log.number = op.number
-    log.ops.append((op, now - op.age))
+    log.operations.append(LoggedOperation(op, now - op.age))
     return True
 
 
@@ -630,14 +629,14 @@
 
 
 def only_the_newest_run(original):
-    def take(self, op, now):
+    def apply(self, op, now):
         runs = [int(run.rpartition("/")[2]) for run in self.logs if run.startswith(f"{op.writer}/")]
         if runs and op.epoch < max(runs):
-            self.count(op, now)
+            self.log_operation(op, now)
             return None
         return original(self, op, now)
 
-    return take
+    return apply
 
 
 SABOTAGE = {
@@ -646,17 +645,21 @@
     "the oldest purge holds": patch_join("purge", min),
     "two groups of a keyed download are one": patch_join("keyed", lambda a, b: b),
     "words of an earlier run are not joined": lambda mp: mp.setattr(
-        ReplicatedStore, "take", only_the_newest_run(ReplicatedStore.take)
+        ReplicatedStore, "apply", only_the_newest_run(ReplicatedStore.apply)
+    ),
+    "a gap in the numbers is passed over": patch(ReplicatedStore, "log_operation", counted_at_once),
+    "what is missing is never sent": patch(
+        ReplicatedStore, "changes_after", lambda self, vector, now, most: []
+    ),
+    "a snapshot is counted and not loaded": patch(
+        ReplicatedStore, "load_snapshot", lambda self, ops, now: []
     ),
-    "a gap in the numbers is passed over": patch(ReplicatedStore, "count", counted_at_once),
-    "what is missing is never sent": patch(ReplicatedStore, "missing", lambda self, vector, now, most: []),
-    "a snapshot is counted and not loaded": patch(ReplicatedStore, "load", lambda self, ops, now: []),
     "an older epoch is taken for the newer": lambda mp: mp.setattr(
         Membership, "hear", hears_any_epoch(Membership.hear)
     ),
     "a rumour of one's own death is let stand": patch(Membership, "refute", lambda self, rumour: None),
     "an own epoch is never raised": patch(Membership, "overtaken", lambda self, epoch, now: None),
-    "one that caught up never says so": patch(AntiEntropy, "complete", lambda self, now: None),
+    "one that caught up never says so": patch(AntiEntropy, "set_caught_up", lambda self, now: None),
 }
 
 
@@ -695,7 +698,7 @@
     def peer(self, kind, key, *value, writer="n2"):
         self.number += 1
         op = m.Operation(writer, 9, self.number, kind, key, list(value), 0.0)
-        if change := self.bridge.fleet.copies.take(op, self.stage.door.clock.now()):
+        if change := self.bridge.fleet.copies.apply(op, self.stage.door.clock.now()):
             self.bridge.changed(change)
         self.stage.turn()
 
@@ -729,7 +732,7 @@
 def test_a_purge_of_a_group_that_is_no_number_ends_nothing(tmp_path):
     told = Told(tmp_path)
     told.peer("purge", "g:abc", int(told.stage.unix() * 1000))
-    assert told.bridge.fleet.copies.counts["changes that fit no rule"] == 1
+    assert told.bridge.fleet.copies.counts["invalid changes"] == 1
     told.peer("purge", "g:17", int(told.stage.unix() * 1000))
     assert told.bridge.counts["purges from peers"] == 1
 
@@ -753,18 +756,18 @@
 
 
 def test_what_is_heeded_of_peers_is_stricter_or_nothing():
-    assert held_state(None, 5) is None
-    assert held_state((6, 0), 5) is None, "up loosens nothing"
-    assert [held_state((n, 2), 5) for n in (4, 5, 6, FAR_OFFSET)] == [None, None, "removed", None]
+    assert stricter_state(None, 5) is None
+    assert stricter_state((6, 0), 5) is None, "up loosens nothing"
+    assert [stricter_state((n, 2), 5) for n in (4, 5, 6, FAR_OFFSET)] == [None, None, "removed", None]
 
 
 def test_purges_of_peers_are_bounded_in_number_and_moment():
-    purges = Purges()
-    assert purges.moment(90.0, 1.0, 100.0) == 90.0
-    assert purges.moment(500.0, 1.0, 100.0) == 100.0, "a moment in the future is cut to now"
-    taken = [purges.moment(90.0, 2.0, 100.0) for _ in range(MOST_PURGES + 50)]
+    purges = PeerPurges()
+    assert purges.effective_from(90.0, 1.0, 100.0) == 90.0
+    assert purges.effective_from(500.0, 1.0, 100.0) == 100.0, "a moment in the future is cut to now"
+    taken = [purges.effective_from(90.0, 2.0, 100.0) for _ in range(MOST_PURGES + 50)]
     assert taken.count(None) == 50
-    assert purges.moment(90.0, 3.0, 100.0) == 90.0
+    assert purges.effective_from(90.0, 3.0, 100.0) == 90.0
     assert purges.anomalies == 51
 
 
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -4,9 +4,9 @@
 from loguru import logger
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import Weight
 from weldbend.fleet.front_adapter import FleetAdapter
 from weldbend.fleet.membership import State
+from weldbend.fleet.outbox import Priority
 from weldbend.fleet.peer_connections import PeerConnection, framed
 from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
 from weldbend.testbed.simulation.auditor import Auditor
@@ -165,7 +165,7 @@
     def newer(self):
         if self.links.sealer.name == "n4":
             body = m.encode(m.Hello(2, 3, self.drawn, ""))
-            self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True)), Weight.STRICT)
+            self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True)), Priority.CRITICAL)
             self.pump()
         else:
             hello(self)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -72,29 +72,29 @@
 
 def test_the_first_pull_is_dated_by_the_stricter_clock():
     value = ("c:1", 99_000)  # at 99 s of the writer's Unix clock
-    assert idempotency.ran(value, said=11.0, now=12.0, unix=101.0) == PossibleExecution(
+    assert idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=101.0) == PossibleExecution(
         "", 1, 10.0
     ), "told again since"
     assert (
-        idempotency.ran(value, said=11.0, now=12.0, unix=95.0).sent == 11.0
+        idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=95.0).sent == 11.0
     ), "a clock ahead makes no window longer"
     assert (
-        idempotency.ran(value, said=11.0, now=12.0, unix=500.0).sent == 11.0
+        idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=500.0).sent == 11.0
     ), "one minutes behind is not heeded"
-    assert idempotency.ran(("!", 99_000), 11.0, 12.0, 101.0).zone == "!"
-    assert idempotency.ran(("z:upper", 99_000), 11.0, 12.0, 101.0).zone == "upper"
-    assert idempotency.group_of(DeduplicationScope.ALL, "z", 4) == ""
+    assert idempotency.possible_execution(("!", 99_000), 11.0, 12.0, 101.0).zone == "!"
+    assert idempotency.possible_execution(("z:upper", 99_000), 11.0, 12.0, 101.0).zone == "upper"
+    assert idempotency.deduplication_group(DeduplicationScope.ALL, "z", 4) == ""
 
 
 def test_what_cannot_be_known_counts_as_run_for_a_window_and_no_longer():
-    doubt, here = idempotency.Doubt(3.0), Member("b", epoch=5, state=State.ALIVE, heard=9.0)
-    assert not doubt.holds(True, {}, [here], 10.0)
-    assert doubt.holds(False, {}, [here], 10.0), "not caught up"
-    assert doubt.holds(True, {"b": 9.0}, [here], 10.0), "its link was lost a second ago"
-    assert not doubt.holds(True, {"b": 6.0}, [here], 10.0)
+    unknown, here = idempotency.UnknownAttempts(3.0), Member("b", epoch=5, state=State.ALIVE, heard=9.0)
+    assert not unknown.may_exist(True, {}, [here], 10.0)
+    assert unknown.may_exist(False, {}, [here], 10.0), "not caught up"
+    assert unknown.may_exist(True, {"b": 9.0}, [here], 10.0), "its link was lost a second ago"
+    assert not unknown.may_exist(True, {"b": 6.0}, [here], 10.0)
     dead = Member("b", epoch=5, state=State.DEAD, since=8.0, heard=4.0)
-    assert doubt.holds(True, {}, [dead], 10.0) and not doubt.holds(True, {}, [dead], 12.0)
-    assert not doubt.holds(True, {}, [Member("c")], 10.0), "one never heard of"
+    assert unknown.may_exist(True, {}, [dead], 10.0) and not unknown.may_exist(True, {}, [dead], 12.0)
+    assert not unknown.may_exist(True, {}, [Member("c")], 10.0), "one never heard of"
 
 
 # Evidence on caches.
@@ -170,39 +170,43 @@
 
 def test_a_slot_is_told_whole_and_counted_once_for_each_front():
     slots = PopularitySlots()
-    assert slots.turn(0.0) is None
-    names = [popularity.hash_of("a", part) for part in range(50)]
+    assert slots.tick(0.0) is None
+    names = [popularity.object_hash("a", part) for part in range(50)]
     for name in names * 3:
-        slots.asked(name)
-    assert slots.turn(1.0) is None
-    number, text = slots.turn(popularity.SLOT)
-    wishes = PopularityCounts()
+        slots.add(name)
+    assert slots.tick(1.0) is None
+    number, text = slots.tick(popularity.SLOT_SECONDS)
+    counts = PopularityCounts()
     for item in ("1|n2", "1|n3", "1|n3"):
-        wishes.take(item, text, 100.0)
-    assert number == 1 and {wishes.of(name) for name in names} == {2}
-    wishes.take("1|n3", popularity.packed(names[:1]), 200.0)
-    assert wishes.of(names[0]) == 2 and wishes.of(names[1]) == 1
-    wishes.forget(100.0)
-    assert wishes.of(names[0]) == 1 and wishes.of(names[1]) == 0
-    wishes.forget(200.0)
-    assert not wishes.counts and wishes.names == 0
+        counts.replace(item, text, 100.0)
+    assert number == 1 and {counts.count_of(name) for name in names} == {2}
+    counts.replace("1|n3", popularity.pack_slot(names[:1]), 200.0)
+    assert counts.count_of(names[0]) == 2 and counts.count_of(names[1]) == 1
+    counts.discard_expired(100.0)
+    assert counts.count_of(names[0]) == 1 and counts.count_of(names[1]) == 0
+    counts.discard_expired(200.0)
+    assert not counts.counts and counts.size == 0
 
 
 def test_slots_and_what_is_held_of_them_are_bounded(monkeypatch):
-    slots = PopularitySlots(begun=0.0)
-    for name in range(popularity.NAMES + 10):
-        slots.asked(name)
-    assert slots.left_out == 10
-    _, text = slots.turn(5.0)
+    slots = PopularitySlots(began_at=0.0)
+    for name in range(popularity.MOST_HASHES + 10):
+        slots.add(name)
+    assert slots.omitted == 10
+    _, text = slots.tick(5.0)
     assert len(text) <= 2048, "the codec's bound on one text"
-    wishes = PopularityCounts()
-    for bad in ("not base85 \x01", popularity.packed(list(range(popularity.NAMES + 1))), text + "00"):
-        wishes.take("1|n2", bad, 9.0)
-    assert wishes.unread == 3 and wishes.names == 0
-    monkeypatch.setattr(popularity, "MOST", popularity.NAMES)
-    wishes.take("1|n2", text, 9.0)
-    wishes.take("2|n2", text, 9.0)
-    assert wishes.names == popularity.NAMES and wishes.unread == 4
+    counts = PopularityCounts()
+    for bad in (
+        "not base85 \x01",
+        popularity.pack_slot(list(range(popularity.MOST_HASHES + 1))),
+        text + "00",
+    ):
+        counts.replace("1|n2", bad, 9.0)
+    assert counts.rejected == 3 and counts.size == 0
+    monkeypatch.setattr(popularity, "MOST_COUNTED", popularity.MOST_HASHES)
+    counts.replace("1|n2", text, 9.0)
+    counts.replace("2|n2", text, 9.0)
+    assert counts.size == popularity.MOST_HASHES and counts.rejected == 4
 
 
 def test_a_wish_that_another_front_had_before_counts_as_the_second_one():
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -21,7 +21,8 @@
 from weldbend.fleet import cli, messages
 from weldbend.fleet import message_authentication as seal
 from weldbend.fleet.admin_server import AdminServer
-from weldbend.fleet.replicated_store import RULES, ReplicatedStore
+from weldbend.fleet.replicated_items import ITEM_KINDS
+from weldbend.fleet.replicated_store import ReplicatedStore
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.settings import Peer, Terms
 from weldbend.front.configuration import read_site
@@ -202,16 +203,16 @@
     (op,) = messages.read_linked(bytes.fromhex(case["hex"])).ops
     assert plain(op) == case["values"]
     copies = ReplicatedStore("n9", 5)
-    assert plain(copies.take(op, 100.0)) == case["change"]
-    assert messages.encode(messages.Delta(copies.missing({}, 100.0, 10))).hex() == case["hex"]
-    ((ops, _, last),) = copies.pieces("", 100.0, 10)
+    assert plain(copies.apply(op, 100.0)) == case["change"]
+    assert messages.encode(messages.Delta(copies.changes_after({}, 100.0, 10))).hex() == case["hex"]
+    ((ops, _, last),) = copies.snapshot_chunks("", 100.0, 10)
     assert last and messages.encode(messages.Delta(ops)).hex() == case["snapshot"]
     assert f"{copies.digest(100.0):012x}" == case["digest"]
 
 
 def test_every_message_between_fronts_and_every_kind_of_item_is_recorded():
     assert {case["as"] for case in recorded("fleet_messages.json")} == set(BETWEEN_FRONTS)
-    assert {case["change"][0] for case in recorded("items.json")} == set(RULES)
+    assert {case["change"][0] for case in recorded("items.json")} == set(ITEM_KINDS)
 
 
 class Held:
@@ -237,7 +238,7 @@
             fleet.datagram(bytes.fromhex(case["hex"]), ("127.0.0.2", 7400))
     for case in recorded("items.json"):
         for op in messages.read_linked(bytes.fromhex(case["hex"])).ops:
-            fleet.copies.take(op, 100.0)
+            fleet.copies.apply(op, 100.0)
     return AdminServer(fleet, {})
 
 
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -1,374 +1,439 @@
-"""Who tells what to whom, and how one that was away gets the rest. No I/O; time is handed in.
+"""How changes spread over the fleet, and how a front that was away catches up. No I/O; time is handed in.
 
-Each change goes at once to the neighbours and on from them; a comparison of vectors every few seconds finds
-what was lost on the way. One that lacks more than the others keep asks one donor for a snapshot, in pieces
-at a bounded rate, and goes on where it broke off, with the next donor if that one is gone. Until it has
-caught up, a front says so, gives nobody a snapshot, and its holder treats what it does not know as the
-strict case.
+Each change goes at once to the neighbours and on from them; a comparison of version vectors every few seconds
+finds what was lost on the way (anti-entropy). A front that lacks more than the others keep requests a
+snapshot from one donor, in chunks at a bounded rate, and goes on where it broke off, with the next donor if
+that one is down. Until it has caught up, a front says so, gives nobody a snapshot, and its owner treats what
+it does not know as the strict case.
 """
 
 import math
 from collections import Counter
-from collections.abc import Callable, Iterable
+from collections.abc import Callable
 from dataclasses import dataclass, field
-from enum import IntEnum
-from hashlib import blake2b
 
 from weldbend.fleet import messages as m
 from weldbend.fleet.membership import Membership, Send
-from weldbend.fleet.replicated_store import RULES, Change, ReplicatedStore, run_of
+from weldbend.fleet.outbox import Priority
+from weldbend.fleet.replicated_items import ITEM_KINDS
+from weldbend.fleet.replicated_store import Change, ReplicatedStore, VersionVector, run_of
 from weldbend.fleet.settings import Terms
 from weldbend.routing.random_source import RandomSource
 
-MESH = 12  # fronts up to which each is linked to all others
 BATCH = 256  # changes or items in one message
-DONOR = 2.0  # seconds without a piece after which another donor is asked
-VERSIONS = (1, 1)  # of what is said over links: the least and the most spoken here
-DIFFER = 3  # comparisons in a row with equal vectors and other checksums, after which copies are joined whole
-
-
-class Weight(IntEnum):
-    """What goes first where an outbox is full: lower ones are dropped before higher ones."""
-
-    COMPARISON = 0  # superseded by the next one
-    SNAPSHOT = 1  # asked for again
-    CHANGE = 2  # found missing by a comparison
-    STRICT = 3  # purges, drains, starts and verdicts: dropped last
+DONOR_TIMEOUT = 2.0  # seconds without a chunk after which another donor is asked
+SILENT_DONOR_BACKOFF = 8.0  # seconds for which a donor that timed out is not asked again
+PROTOCOL_VERSIONS = (1, 1)  # of connections between fronts: the least and the most spoken here
+MISMATCHES = 3  # comparisons in a row with equal vectors and other checksums, after which replicas are merged
+MOST_SNAPSHOTS = 2  # served at a time
+SERVING_INTERVAL = 0.05  # seconds between two chunks
+DIGEST_MARGIN = 4  # intervals between comparisons for which items have to count still, to be in a checksum
+SETTLING = 2  # intervals after which nobody is waited for any more
+NOT_CAUGHT_UP, BUSY = "not caught up", "busy"  # reasons of a refusal, as they are sent
 
 
 @dataclass(frozen=True, slots=True)
-class Say:
-    """One message to a linked peer."""
+class PeerMessage:
+    """One message to send to a connected peer."""
 
     to: str
     body: m.Linked
-    weight: Weight
-
-
-def neighbours(name: str, fronts: Iterable[str]) -> list[str]:
-    """Whom a front is linked to: all of few, else those 1, 2, 4, ... places round a ring of hashes.
-
-    Of N fronts each has up to 2 log2 N links (15 at 200) and a change crosses log2 N of them at most; a full
-    mesh of 200 would cost each front 199 connections of its few hundred descriptors.
-    """
-    ring = sorted({*fronts, name}, key=lambda one: blake2b(one.encode(), digest_size=8).digest())
-    if len(ring) <= MESH:
-        return [one for one in ring if one != name]
-    place, found, step = ring.index(name), {}, 1
-    while step <= len(ring) // 2:
-        for other in (ring[(place + step) % len(ring)], ring[place - step]):
-            found[other] = None
-        step *= 2
-    found.pop(name, None)
-    return list(found)
+    priority: Priority
 
 
 @dataclass(eq=False, slots=True)
 class Link:
-    """What is known of the other end of one link."""
+    """What is known of the other end of one connection.
+
+    Attributes:
+        peer: its name.
+        tokens: bytes that may be sent to it now, at `tokens_at` seconds.
+        tokens_at: when `tokens` were counted.
+        vector: what it holds.
+        is_caught_up: whether it says that it has caught up.
+        compared_at: when its last comparison came.
+        serving_after: the place behind which its snapshot goes on; None where it gets none.
+        has_snapshot_vector: whether the vector at the start of that snapshot was sent.
+        mismatches: comparisons in a row with an equal vector and another checksum.
+        last_sent: number of the last comparison sent.
+        last_received: number of the last one that came.
+        first_valid: the first one sent since this front began to catch up: an answer to it is no old one.
+        replied_at: when a comparison was last sent in answer to one.
+    """
 
     peer: str
-    vector: dict[str, int] = field(default_factory=dict)
-    whole: bool = False
-    compared: float = -math.inf  # when its last comparison came
-    tokens: float = 0.0  # bytes that may go now
-    filled: float = 0.0
-    serving: str | None = None  # the place behind which its snapshot goes on
-    begun: bool = False  # its vector at the start of that was told
-    differ: int = 0
-    sent: int = 0  # comparisons sent
-    got: int = 0  # the number of the last one that came
-    asked: int = 1  # the first one sent since this front began to catch up: an answer to it is no old one
-    replied: float = -math.inf  # when a comparison was last sent in answer to one
+    tokens: float = 0.0
+    tokens_at: float = 0.0
+    vector: VersionVector = field(default_factory=dict)
+    is_caught_up: bool = False
+    compared_at: float = -math.inf
+    serving_after: str | None = None
+    has_snapshot_vector: bool = False
+    mismatches: int = 0
+    last_sent: int = 0
+    last_received: int = 0
+    first_valid: int = 1
+    replied_at: float = -math.inf
+
+    def consume(self, size: int, rate: int, now: float) -> bool:
+        """Take so many bytes of what may be sent at a rate (bytes a second); False where they may not yet."""
+        self.tokens = min(float(rate), self.tokens + (now - self.tokens_at) * rate)
+        self.tokens_at = now
+        if self.tokens < min(size, rate):
+            return False
+        self.tokens -= size
+        return True
+
+    def has_run_up_to(self, op: m.Operation) -> None:
+        """Note that the other end has a change, and those before it."""
+        run = run_of(op.writer, op.epoch)
+        self.vector[run] = max(self.vector.get(run, 0), op.number)
 
 
 @dataclass(slots=True)
-class Fetch:
-    """The snapshot that is being had."""
+class SnapshotTransfer:
+    """The snapshot that this front receives.
+
+    Attributes:
+        donor: who sends it.
+        after: the place behind which it goes on.
+        received_at: when the last chunk came, or was requested.
+        floor: what all its donors held when each began; None before the first chunk.
+    """
 
     donor: str
     after: str = ""
-    heard: float = 0.0
-    floor: dict[str, int] | None = None  # what all its donors held when each began
+    received_at: float = 0.0
+    floor: VersionVector | None = None
+
+    def lower_floor(self, vector: VersionVector) -> None:
+        """Note what one more donor held when it began."""
+        if self.floor is None:
+            self.floor = dict(vector)
+        else:
+            self.floor = {run: min(n, vector[run]) for run, n in self.floor.items() if run in vector}
 
 
 class AntiEntropy:
-    """Hand it what comes, and `turn(now)` when `due()` comes; carry out what both give back."""
+    """Spreads changes, and catches up; its owner sends the messages that its methods return.
+
+    Attributes:
+        store: this front's replica.
+        settings: of the fleet.
+        links: connections, by peer.
+        is_caught_up: whether this front has caught up.
+        transfer: the snapshot that it receives; None where it receives none.
+        counts: counters.
+    """
 
     def __init__(
         self,
-        name: str,
-        copies: ReplicatedStore,
-        terms: Terms,
+        store: ReplicatedStore,
+        settings: Terms,
         seed: int,
         changed: Callable[[Change], None],
         now: float,
     ) -> None:
-        self.name, self.copies, self.terms, self.changed = name, copies, terms, changed
-        self.chance = RandomSource(seed)
+        """Make it without connections; `changed` is called with every item that becomes stricter."""
+        self.store = store
+        self.settings = settings
         self.links: dict[str, Link] = {}
-        self.whole, self.since = False, now
-        self.fetch: Fetch | None = None
-        self.next = now
-        self.refused: dict[str, float] = {}  # donors that would not, and until when not to ask them
+        self.is_caught_up = False
+        self.transfer: SnapshotTransfer | None = None
         self.counts: Counter[str] = Counter()
+        self._changed = changed
+        self._random = RandomSource(seed)
+        self._lagging_since = now
+        self._next_comparison = now
+        self._refused_until: dict[str, float] = {}  # by donor
 
-    # Links.
+    # Connections.
 
-    def up(self, peer: str, now: float) -> list[Say]:
-        self.links[peer] = Link(peer, tokens=float(self.terms.rate), filled=now)
-        return [self.have(peer, now)]
+    def peer_connected(self, peer: str, now: float) -> list[PeerMessage]:
+        """A connection to a peer is up: send a comparison first."""
+        self.links[peer] = Link(peer, tokens=float(self.settings.rate), tokens_at=now)
+        return [self.comparison(peer, now)]
 
-    def down(self, peer: str, now: float) -> list[Say]:
+    def peer_disconnected(self, peer: str, now: float) -> list[PeerMessage]:
+        """A connection to a peer is down."""
         self.links.pop(peer, None)
-        if self.fetch and self.fetch.donor == peer:
-            self.counts["donors lost"] += 1
-            return self.ask_donor(now, self.fetch.after)
+        if self.transfer and self.transfer.donor == peer:
+            self.counts["snapshot donors lost"] += 1
+            return self._request_snapshot(now, self.transfer.after)
         return []
 
-    def behindhand(self, now: float) -> None:
+    def set_lagging(self, now: float) -> None:
         """This process stood still: what it holds may be old, though nothing says so."""
-        self.whole, self.since, self.fetch = False, now, None
-        self.next = now
+        self.is_caught_up = False
+        self._lagging_since = now
+        self.transfer = None
+        self._next_comparison = now
         for link in self.links.values():
-            link.compared, link.asked = -math.inf, link.sent + 1
+            link.compared_at = -math.inf
+            link.first_valid = link.last_sent + 1
 
-    def have(self, peer: str, now: float) -> Say:
-        margin = 4 * self.terms.exchange
+    def set_caught_up(self, now: float) -> None:
+        """This front holds all there is."""
+        self.is_caught_up = True
+        self.transfer = None
+        self.counts["caught up"] += 1
+
+    def comparison(self, peer: str, now: float) -> PeerMessage:
+        """Return the next comparison to send to a peer."""
         link = self.links[peer]
-        link.sent += 1
-        digest = self.copies.digest(now, margin)
-        body = m.Summary(self.copies.vector(), digest, self.whole, link.sent, link.got)
-        return Say(peer, body, Weight.COMPARISON)
+        link.last_sent += 1
+        body = m.Summary(
+            self.store.vector(), self._digest(now), self.is_caught_up, link.last_sent, link.last_received
+        )
+        return PeerMessage(peer, body, Priority.COMPARISON)
+
+    def _digest(self, now: float) -> int:
+        return self.store.digest(now, DIGEST_MARGIN * self.settings.exchange)
 
     # This front's own changes.
 
-    def say(self, now: float, kind: str, key: str, *value: int | float | str) -> list[Say]:
-        before = self.copies.number(self.copies.run)
-        self.copies.say(now, kind, key, *value)
-        log = self.copies.logs.get(self.copies.run)
+    def write(self, now: float, kind: str, key: str, *value: int | float | str) -> list[PeerMessage]:
+        """Make a change of this front's own, and spread it."""
+        before = self.store.last_number(self.store.run)
+        self.store.write(now, kind, key, *value)
+        log = self.store.logs.get(self.store.run)
         if log is None or log.number == before:
             return []
-        return self.spread([log.ops[-1][0]], "")
+        return self._broadcast([log.operations[-1].operation], "")
 
-    def spread(self, ops: list[m.Operation], but: str) -> list[Say]:
+    def _broadcast(self, ops: list[m.Operation], sender: str) -> list[PeerMessage]:
+        """Changes to all connected peers but the one that sent them."""
         if not ops:
             return []
-        weight = (
-            Weight.STRICT if any(op.kind in RULES and RULES[op.kind].strict for op in ops) else Weight.CHANGE
-        )
+        is_critical = any(op.kind in ITEM_KINDS and ITEM_KINDS[op.kind].is_critical for op in ops)
+        priority = Priority.CRITICAL if is_critical else Priority.CHANGE
         body = m.Delta(ops)
-        return [Say(peer, body, weight) for peer in self.links if peer != but]
+        return [PeerMessage(peer, body, priority) for peer in self.links if peer != sender]
 
-    # What comes.
+    # Messages.
 
-    def hear(self, now: float, peer: str, body: m.Linked) -> list[Say]:
+    def handle(self, now: float, peer: str, body: m.Linked) -> list[PeerMessage]:
+        """Handle a message of a connected peer."""
         link = self.links.get(peer)
         if link is None:
             return []
+        found: list[PeerMessage] = []
         match body:
             case m.Summary():
-                return self.compare(link, body, now)
+                found = self._handle_comparison(link, body, now)
             case m.Delta(ops):
-                return self.take(link, ops, now)
+                found = self._handle_delta(link, ops, now)
             case m.SnapshotRequest(after):
-                if not self.whole:
-                    return [Say(peer, m.SnapshotRefusal("not caught up"), Weight.SNAPSHOT)]
-                if sum(one.serving is not None for one in self.links.values()) >= 2 and link.serving is None:
-                    return [Say(peer, m.SnapshotRefusal("busy"), Weight.SNAPSHOT)]
-                link.serving, link.begun = after, False
-                self.counts["snapshots asked for"] += not after
-                return self.serve(link, now)
+                found = self._handle_snapshot_request(link, after, now)
             case m.SnapshotChunk():
-                return self.piece(link, body, now)
-            case m.SnapshotRefusal(why):
-                return self.refusal(link, why, now)
-        return []
+                found = self._handle_chunk(link, body, now)
+            case m.SnapshotRefusal(reason):
+                found = self._handle_refusal(link, reason, now)
+        return found
 
-    def take(self, link: Link, ops: list[m.Operation], now: float) -> list[Say]:
-        news = []
+    def _handle_delta(self, link: Link, ops: list[m.Operation], now: float) -> list[PeerMessage]:
+        new = []
         for op in ops:
-            run = run_of(op.writer, op.epoch)
-            if op.writer == self.name and op.epoch == self.copies.epoch:
-                self.counts["own changes told back"] += 1
+            if op.writer == self.store.name and op.epoch == self.store.epoch:
+                self.counts["own changes returned"] += 1
                 continue
-            link.vector[run] = max(link.vector.get(run, 0), op.number)
-            before = (
-                self.copies.number(run),
-                len(self.copies.logs[run].early) if run in self.copies.logs else 0,
-            )
-            if change := self.copies.take(op, now):
-                self.changed(change)
-            log = self.copies.logs.get(run)
-            if log and (log.number, len(log.early)) != before:
-                news.append(op)
-        return self.spread(news, link.peer)
-
-    def compare(self, link: Link, told: m.Summary, now: float) -> list[Say]:
-        first, link.got = link.compared == -math.inf, told.number
-        if told.seen < link.asked:  # it may have lain here while this process stood still
-            return [self.have(link.peer, now)] if first and self.reply(link, now) else []
-        link.vector, link.whole, link.compared = dict(told.vector), told.whole, now
-        out: list[Say] = []
-        missing = self.copies.missing(link.vector, now, BATCH)
-        if missing is None and not told.whole:
-            pass  # it will ask for a snapshot
-        elif missing:
-            out += self.deltas(link, missing, now)
-        if self.copies.behind(link.vector):
-            if (first or not told.whole or self.fetch) and self.reply(link, now):
-                out.append(self.have(link.peer, now))  # it sends what is missing, if it still can
-            if not self.fetch and told.whole:
-                out += self.ask_donor(now, "", link.peer) if self.far_behind(link) else []
-            return out
-        same = self.copies.digest(now, 4 * self.terms.exchange) == told.digest
-        level = not missing and missing is not None
-        link.differ = link.differ + 1 if level and not same else 0
-        if link.differ >= DIFFER and told.whole and not self.fetch:
-            link.differ = 0
-            self.counts["copies that differed"] += 1
-            return [*out, *self.ask_donor(now, "", link.peer)]
-        if not self.whole and (told.whole or self.all_alike(now)):
-            self.complete(now)
-        return out
-
-    def reply(self, link: Link, now: float) -> bool:
+            link.has_run_up_to(op)
+            before = self._progress(op)
+            if change := self.store.apply(op, now):
+                self._changed(change)
+            if self._progress(op) != before:
+                new.append(op)
+        return self._broadcast(new, link.peer)
+
+    def _progress(self, op: m.Operation) -> tuple[int, int]:
+        """How far the log of a change's run has come, and how many changes after a gap it has."""
+        log = self.store.logs.get(run_of(op.writer, op.epoch))
+        return (log.number, len(log.early)) if log else (0, 0)
+
+    def _handle_comparison(self, link: Link, summary: m.Summary, now: float) -> list[PeerMessage]:
+        is_first = link.compared_at == -math.inf
+        link.last_received = summary.number
+        if summary.seen < link.first_valid:  # it may have waited here while this process stood still
+            return [self.comparison(link.peer, now)] if is_first and self._may_reply(link, now) else []
+        link.vector = dict(summary.vector)
+        link.is_caught_up = summary.whole
+        link.compared_at = now
+        missing = self.store.changes_after(link.vector, now, BATCH)
+        found = self._send_changes(link, missing, now) if missing else []  # None: it requests a snapshot
+        if self.store.is_behind(link.vector):
+            return found + self._catch_up(link, is_first, now)
+        self._compare_digests(link, summary, missing, now)
+        if link.mismatches >= MISMATCHES and summary.whole and not self.transfer:
+            link.mismatches = 0
+            self.counts["replicas that differed"] += 1
+            return found + self._request_snapshot(now, "", link.peer)
+        if not self.is_caught_up and (summary.whole or self._all_peers_equal(now)):
+            self.set_caught_up(now)
+        return found
+
+    def _catch_up(self, link: Link, is_first: bool, now: float) -> list[PeerMessage]:
+        """Get what the other end has and this front lacks."""
+        found = []
+        if (is_first or not link.is_caught_up or self.transfer) and self._may_reply(link, now):
+            found.append(self.comparison(link.peer, now))  # it sends what is missing, if it still can
+        if not self.transfer and link.is_caught_up and self._requires_snapshot(link):
+            found += self._request_snapshot(now, "", link.peer)
+        return found
+
+    def _compare_digests(
+        self, link: Link, summary: m.Summary, missing: list[m.Operation] | None, now: float
+    ) -> None:
+        is_same = self._digest(now) == summary.digest
+        has_equal_vector = not missing and missing is not None
+        link.mismatches = link.mismatches + 1 if has_equal_vector and not is_same else 0
+
+    def _may_reply(self, link: Link, now: float) -> bool:
         """Whether a comparison may be answered by one: two that are each behind must not go on so."""
-        if now - link.replied <= self.terms.exchange / 2:
+        if now - link.replied_at <= self.settings.exchange / 2:
             return False
-        link.replied = now
+        link.replied_at = now
         return True
 
-    def far_behind(self, link: Link) -> bool:
-        """More is missing than another keeps as changes, so only a snapshot will do."""
-        gap = sum(max(n - self.copies.number(run), 0) for run, n in link.vector.items())
-        return not self.whole or gap > self.terms.ops // 2
+    def _requires_snapshot(self, link: Link) -> bool:
+        """Whether more is missing than another keeps as changes, so only a snapshot will do."""
+        gap = sum(max(n - self.store.last_number(run), 0) for run, n in link.vector.items())
+        return not self.is_caught_up or gap > self.settings.ops // 2
 
-    def all_alike(self, now: float) -> bool:
-        """Nobody has caught up, as when all were started at once: what all linked ones hold is all there is.
+    def _has_settled(self, now: float) -> bool:
+        return now - self._lagging_since > SETTLING * self.settings.exchange
+
+    def _all_peers_equal(self, now: float) -> bool:
+        """Whether what all connected ones hold is all there is, as when all were started at once.
 
         Guards against a fleet that waits for a donor for ever. Should also cover one that is alone. Harm:
         with a single peer heard of so far, what a third knew is had a little later.
         """
-        heard = [link for link in self.links.values() if now - link.compared < 2 * self.terms.exchange]
-        settled = now - self.since > 2 * self.terms.exchange
-        return settled and all(not link.whole and not self.copies.behind(link.vector) for link in heard)
-
-    def complete(self, now: float) -> None:
-        self.whole, self.fetch = True, None
-        self.counts["caught up"] += 1
+        recent = [
+            link for link in self.links.values() if now - link.compared_at < SETTLING * self.settings.exchange
+        ]
+        return self._has_settled(now) and all(
+            not link.is_caught_up and not self.store.is_behind(link.vector) for link in recent
+        )
 
-    def deltas(self, link: Link, ops: list[m.Operation], now: float) -> list[Say]:
+    def _send_changes(self, link: Link, ops: list[m.Operation], now: float) -> list[PeerMessage]:
         """As much as its rate allows; what is left over the next comparison finds."""
-        out = []
         body = m.Delta(ops)
-        if self.pay(link, len(m.encode(body)), now):
-            for op in ops:
-                run = run_of(op.writer, op.epoch)
-                link.vector[run] = max(link.vector.get(run, 0), op.number)
-            out.append(Say(link.peer, body, Weight.CHANGE))
-        return out
-
-    def pay(self, link: Link, size: int, now: float) -> bool:
-        rate = self.terms.rate
-        link.tokens = min(float(rate), link.tokens + (now - link.filled) * rate)
-        link.filled = now
-        if link.tokens < min(size, rate):
-            return False
-        link.tokens -= size
-        return True
+        if not link.consume(len(m.encode(body)), self.settings.rate, now):
+            return []
+        for op in ops:
+            link.has_run_up_to(op)
+        return [PeerMessage(link.peer, body, Priority.CHANGE)]
 
     # Snapshots.
 
-    def ask_donor(self, now: float, after: str, but: str = "") -> list[Say]:
-        """Ask one that has caught up itself and has not just refused; go on where the last one broke off."""
-        fit = [
+    def _request_snapshot(self, now: float, after: str, preferred: str = "") -> list[PeerMessage]:
+        """Request one of a peer that has caught up and did not just refuse.
+
+        Goes on where the last one broke off (`after`).
+        """
+        donors = [
             link.peer
             for link in self.links.values()
-            if link.whole and self.refused.get(link.peer, -math.inf) <= now
+            if link.is_caught_up and self._refused_until.get(link.peer, -math.inf) <= now
         ]
-        if not fit:
-            self.fetch = None
+        if not donors:
+            self.transfer = None
             return []
-        donor = but if but in fit else fit[int(self.chance.random() * len(fit))]
-        had = self.fetch if self.fetch and after else Fetch(donor)
-        self.fetch = Fetch(donor, after, now, had.floor)
-        return [Say(donor, m.SnapshotRequest(after), Weight.SNAPSHOT)]
-
-    def serve(self, link: Link, now: float) -> list[Say]:
-        """The next piece for one that asked, if its rate allows it now."""
-        if link.serving is None:
+        donor = preferred if preferred in donors else donors[int(self._random.random() * len(donors))]
+        floor = self.transfer.floor if self.transfer and after else None
+        self.transfer = SnapshotTransfer(donor, after, now, floor)
+        return [PeerMessage(donor, m.SnapshotRequest(after), Priority.SNAPSHOT)]
+
+    def _handle_snapshot_request(self, link: Link, after: str, now: float) -> list[PeerMessage]:
+        if not self.is_caught_up:
+            return [PeerMessage(link.peer, m.SnapshotRefusal(NOT_CAUGHT_UP), Priority.SNAPSHOT)]
+        served = sum(one.serving_after is not None for one in self.links.values())
+        if served >= MOST_SNAPSHOTS and link.serving_after is None:
+            return [PeerMessage(link.peer, m.SnapshotRefusal(BUSY), Priority.SNAPSHOT)]
+        link.serving_after = after
+        link.has_snapshot_vector = False
+        self.counts["snapshots requested"] += not after
+        return self._serve_snapshot(link, now)
+
+    def _serve_snapshot(self, link: Link, now: float) -> list[PeerMessage]:
+        """The next chunk for a peer that requested one, if its rate allows it now."""
+        if link.serving_after is None:
             return []
-        ops, after, last = next(self.copies.pieces(link.serving, now, BATCH))
+        chunk = next(self.store.snapshot_chunks(link.serving_after, now, BATCH))
         # what is changed meanwhile comes as changes: the snapshot amounts to what was held when it began
-        body = m.SnapshotChunk(ops, after, last, {} if link.begun else self.copies.vector())
-        if not self.pay(link, len(m.encode(body)), now):
+        vector = {} if link.has_snapshot_vector else self.store.vector()
+        body = m.SnapshotChunk(chunk.operations, chunk.after, chunk.is_last, vector)
+        if not link.consume(len(m.encode(body)), self.settings.rate, now):
             return []
-        link.serving, link.begun = None if last else after, True
-        return [Say(link.peer, body, Weight.SNAPSHOT)]
-
-    def piece(self, link: Link, body: m.SnapshotChunk, now: float) -> list[Say]:
-        if self.fetch is None or self.fetch.donor != link.peer:
-            self.counts["pieces not asked for"] += 1
+        link.serving_after = None if chunk.is_last else chunk.after
+        link.has_snapshot_vector = True
+        return [PeerMessage(link.peer, body, Priority.SNAPSHOT)]
+
+    def _handle_chunk(self, link: Link, body: m.SnapshotChunk, now: float) -> list[PeerMessage]:
+        transfer = self.transfer
+        if transfer is None or transfer.donor != link.peer:
+            self.counts["snapshot chunks not requested"] += 1
             return []
-        for change in self.copies.load(body.ops, now):
-            self.changed(change)
-        self.fetch.after, self.fetch.heard = body.after, now
+        for change in self.store.load_snapshot(body.ops, now):
+            self._changed(change)
+        transfer.after = body.after
+        transfer.received_at = now
         if body.vector:
-            floor = self.fetch.floor
-            self.fetch.floor = (
-                dict(body.vector)
-                if floor is None
-                else {run: min(n, body.vector[run]) for run, n in floor.items() if run in body.vector}
-            )
-        if body.last:
-            self.copies.reach(self.fetch.floor or {}, now)
-            self.fetch = None
-            if not self.whole:
-                self.complete(now)
-            return [self.have(link.peer, now)]
-        return []
-
-    def refusal(self, link: Link, why: str, now: float) -> list[Say]:
-        self.refused[link.peer] = now + DONOR
-        if why == "not caught up":
-            link.whole = False
-        if self.fetch and self.fetch.donor == link.peer:
-            return self.ask_donor(now, self.fetch.after)
+            transfer.lower_floor(body.vector)
+        if not body.last:
+            return []
+        self.store.advance_to(transfer.floor or {}, now)
+        self.transfer = None
+        if not self.is_caught_up:
+            self.set_caught_up(now)
+        return [self.comparison(link.peer, now)]
+
+    def _handle_refusal(self, link: Link, reason: str, now: float) -> list[PeerMessage]:
+        self._refused_until[link.peer] = now + DONOR_TIMEOUT
+        if reason == NOT_CAUGHT_UP:
+            link.is_caught_up = False
+        if self.transfer and self.transfer.donor == link.peer:
+            return self._request_snapshot(now, self.transfer.after)
         return []
 
     # Time.
 
-    def due(self, now: float) -> float:
-        if any(link.serving is not None for link in self.links.values()):
-            return now + 0.05
-        return min(self.next, self.fetch.heard + DONOR if self.fetch else math.inf)
+    def next_due(self, now: float) -> float:
+        """Return when `tick` is to be called next, in seconds."""
+        if any(link.serving_after is not None for link in self.links.values()):
+            return now + SERVING_INTERVAL
+        timeout = self.transfer.received_at + DONOR_TIMEOUT if self.transfer else math.inf
+        return min(self._next_comparison, timeout)
 
-    def turn(self, now: float) -> list[Say]:
-        out: list[Say] = []
+    def tick(self, now: float) -> list[PeerMessage]:
+        """Return chunks, requests and comparisons that are due."""
+        found: list[PeerMessage] = []
         for link in self.links.values():
-            out += self.serve(link, now)
-        if self.fetch and now - self.fetch.heard >= DONOR:
-            self.counts["donors that fell silent"] += 1
-            self.refused[self.fetch.donor] = now + 4 * DONOR
-            out += self.ask_donor(now, self.fetch.after)
-        if now >= self.next:
-            self.next = now + self.terms.exchange * (0.75 + 0.5 * self.chance.random())
-            self.copies.forget(now)
-            out += [self.have(peer, now) for peer in self.links]
-            if not self.whole and not self.links and now - self.since > 2 * self.terms.exchange:
-                self.complete(now)  # alone: what it holds is all there is, and its view says that it is alone
-        return out
-
-
-def awake(members: Membership, exchange: AntiEntropy, now: float) -> list[Send]:
-    """Called before anything that comes is acted on: a process that stood still finds out first.
-
-    Guards against acting on what was known before, and on what lay in the sockets meanwhile. Harm: one
+            found += self._serve_snapshot(link, now)
+        if self.transfer and now - self.transfer.received_at >= DONOR_TIMEOUT:
+            self.counts["snapshot donors timed out"] += 1
+            self._refused_until[self.transfer.donor] = now + SILENT_DONOR_BACKOFF
+            found += self._request_snapshot(now, self.transfer.after)
+        if now >= self._next_comparison:
+            self._next_comparison = now + self.settings.exchange * (0.75 + 0.5 * self._random.random())
+            self.store.discard_expired(now)
+            found += [self.comparison(peer, now) for peer in self.links]
+            if not self.is_caught_up and not self.links and self._has_settled(now):
+                self.set_caught_up(now)  # alone: what it holds is all there is, and its view says so
+        return found
+
+
+def resume_after_standstill(members: Membership, exchange: AntiEntropy, now: float) -> list[Send]:
+    """Find out first whether this process stood still, before anything that comes is acted on.
+
+    Guards against acting on what was known before, and on what waited in the sockets meanwhile. Harm: one
     comparison with each neighbour more.
+
+    Returns:
+        What to send; nothing where it did not stand still.
     """
     if not members.stands_still(now):
         return []
     sends = members.turn(now)
-    exchange.behindhand(now)
+    exchange.set_lagging(now)
     return sends
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -104,7 +104,9 @@
         if item is None or not isinstance(item.value[1], str):
             return None
         verb, _, until = item.value[1].partition(" ")
-        if verb == REINSTATE and (client not in self.banned or item.said >= self._last_reported(client)):
+        if verb == REINSTATE and (
+            client not in self.banned or item.written_at >= self._last_reported(client)
+        ):
             return False
         if verb == BAN_UNTIL and until.isdigit() and self.context.loop.clock.unix() < int(until):
             return True
@@ -112,14 +114,16 @@
 
     def _last_reported(self, client: str) -> float:
         """When a front last published that it has banned a client."""
-        reports = (item.said for key, item in self.context.items("cast") if key.startswith(f"{client}|"))
+        reports = (
+            item.written_at for key, item in self.context.items("cast") if key.startswith(f"{client}|")
+        )
         return max(reports, default=-math.inf)
 
     def tick(self, now: float) -> None:
         """Find anew which clients enough fronts have banned."""
         reports: dict[str, list[ClientBan]] = defaultdict(list)
         for client, writer, item in self.context.live_figures("cast", now):
-            reports[client].append(ClientBan(writer, item.said - float(item.value[2])))
+            reports[client].append(ClientBan(writer, item.written_at - float(item.value[2])))
         found = banned_clients(reports, self.context.limits.cast, now)
         for client in set(found) - set(self.banned):
             reporters = ", ".join(sorted(ban.front for ban in reports[client]))
--- a/weldbend/fleet/conservative_merge.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -1,42 +1,60 @@
-"""What of peers' knowledge a front heeds: choices between its own bus and theirs. No I/O.
+"""What a front takes over of peers' knowledge, beside what its own bus says. No I/O.
 
 Nothing here can loosen: a choice is either stricter than what the front's own list says, or nothing.
 """
 
-from weldbend.fleet.replicated_store import Value
+from weldbend.fleet.replicated_items import Value
 
 STATES = ("up", "draining", "removed")  # of a cache, as the bus words them; later ones are stricter
 MOST_PURGES = 200  # a second that peers may bring; beyond it the decisions would keep too many
 FAR_OFFSET = 1 << 40  # a list's number that no bus reaches
-AHEAD = 2.0  # seconds by which a purge may lie in the future by this front's clock, else it is cut to now
+MOST_AHEAD = 2.0  # seconds by which a purge may lie ahead of this front's clock, else it is cut to now
 
 
-def held_state(drain: Value | None, read: int) -> str | None:
-    """The state in which a newer list than the front has read holds a cache, where that is stricter than up.
+def stricter_state(drain: Value | None, last_read: int) -> str | None:
+    """Return the state of a cache by a newer list than this front has read, where that is stricter than up.
 
-    `read` is the number of the last event of the front's own bus. Harm: a peer that lies can keep a cache out
-    until the bus's own numbers reach what it said; numbers out of reach are not heeded.
+    Harm: a peer that lies can keep a cache out until the bus's own numbers reach what it published; numbers
+    out of reach are ignored.
+
+    Args:
+        drain: value of the replicated item: revision of the list, and state; None where there is none.
+        last_read: number of the last event of this front's own bus.
     """
-    if drain is None or not drain[1] or not read < int(drain[0]) < FAR_OFFSET:
+    if drain is None or not drain[1] or not last_read < int(drain[0]) < FAR_OFFSET:
         return None
     return STATES[int(drain[1])]
 
 
-class Purges:
-    """Which purges of peers are taken, and from which moment.
+class PeerPurges:
+    """Which purges of peers are taken over, and from which moment.
 
     Guards against a front whose bus is cut off: the object must not be served older than its purge. Harm: a
     peer that lies has what it names fetched anew, at most `MOST_PURGES` a second.
+
+    Attributes:
+        anomalies: purges that were not taken over as they came.
     """
 
     def __init__(self) -> None:
-        self.second, self.taken, self.anomalies = 0, 0, 0
-
-    def moment(self, at: float, now: float, unix: float) -> float | None:
-        """The Unix second from which a purge counts, or None where too many came; `now` is steady."""
-        if int(now) != self.second:
-            self.second, self.taken = int(now), 0
-        self.taken += 1
-        full, ahead = self.taken > MOST_PURGES, at > unix + AHEAD
-        self.anomalies += full or ahead
-        return None if full else min(at, unix) if ahead else at
+        self.anomalies = 0
+        self._second = 0
+        self._accepted = 0  # in that second
+
+    def effective_from(self, purged_at: float, now: float, unix: float) -> float | None:
+        """Return the Unix second from which a purge counts; None where too many came.
+
+        Args:
+            purged_at: Unix second of the purge, as its writer says.
+            now: seconds of the steady clock.
+            unix: the same moment by the Unix clock.
+        """
+        if int(now) != self._second:
+            self._second = int(now)
+            self._accepted = 0
+        self._accepted += 1
+        is_over_rate, is_ahead = self._accepted > MOST_PURGES, purged_at > unix + MOST_AHEAD
+        self.anomalies += is_over_rate or is_ahead
+        if is_over_rate:
+            return None
+        return min(purged_at, unix) if is_ahead else purged_at
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -68,7 +68,7 @@
         self._publish_breaks(now)
         breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_off.items()]
         breaks += [
-            CacheBreak(uid, writer, item.said - float(item.value[2]))
+            CacheBreak(uid, writer, item.written_at - float(item.value[2]))
             for uid, writer, item in self.context.live_figures("broke", now)
             if writer != self.context.name
         ]
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -18,11 +18,12 @@
 from weldbend.event_bus.events import EndpointListUpdate, Purge, SequencedEvent
 from weldbend.fleet import health_reports, idempotency, popularity
 from weldbend.fleet.admin_server import AdminServer
-from weldbend.fleet.conservative_merge import STATES, Purges, held_state
+from weldbend.fleet.conservative_merge import STATES, PeerPurges, stricter_state
 from weldbend.fleet.health_reports import HealthReport, HealthReporter
 from weldbend.fleet.popularity import PopularityCounts, PopularitySlots
 from weldbend.fleet.quota_service import QuotaService
-from weldbend.fleet.replicated_store import RULES, Change
+from weldbend.fleet.replicated_items import ITEM_KINDS, NOWHERE
+from weldbend.fleet.replicated_store import Change
 from weldbend.fleet.service import Fleet, FleetConfigurationError
 from weldbend.fleet.settings import Terms
 from weldbend.routing.events import (
@@ -55,7 +56,7 @@
         self.fresh = math.inf  # until when, once the bus or a peer was heard: for what came with it
         self.counts: Counter[str] = Counter()
         self.purges, self.teller, self.slots, self.wishes = (
-            Purges(),
+            PeerPurges(),
             HealthReporter(),
             PopularitySlots(),
             PopularityCounts(),
@@ -65,7 +66,7 @@
         deduped = [
             t for t in loop.site.settings.classes.values() if t.idempotency is Idempotency.DEDUPLICATED
         ]
-        self.doubt = idempotency.Doubt(max((t.deduplication_window for t in deduped), default=0.0))
+        self.doubt = idempotency.UnknownAttempts(max((t.deduplication_window for t in deduped), default=0.0))
         loop.join_fleet(self)
         self.sharing = QuotaService(
             loop, self.fleet, RandomSource(int.from_bytes(clock.random_bytes(4), "big"))
@@ -116,10 +117,10 @@
         """A client's wish, counted here; how often other fronts of the zone had it lately."""
         if self.loop.site.settings.classes[type].origin_only or not self.fleet.terms.popularity:
             return 0
-        name = popularity.hash_of(key, part)
+        name = popularity.object_hash(key, part)
         if not repeat:
-            self.slots.asked(name)
-        return self.wishes.of(name)
+            self.slots.add(name)
+        return self.wishes.count_of(name)
 
     def holds_decisions(self, now: float) -> bool:
         """Whether decisions wait a moment: this process stood still, and what it knows is old.
@@ -130,7 +131,7 @@
         self.fleet.wake(now)
         if self.fleet.woke != self.held[0]:
             self.held, self.fresh = (self.fleet.woke, self.hearings()), math.inf
-        if self.fleet.exchange.whole or self.hearings() > self.held[1]:
+        if self.fleet.exchange.is_caught_up or self.hearings() > self.held[1]:
             self.fresh = min(self.fresh, now + SETTLE)
         return now < min(self.held[0] + HOLD, self.fresh)
 
@@ -140,14 +141,14 @@
         if kind.idempotency is not Idempotency.DEDUPLICATED:
             return ()
         item = self.fleet.copies.items.get(("keyed", once))
-        if item and item.live(RULES["keyed"], now):
+        if item and item.is_live(ITEM_KINDS["keyed"], now):
             self.counts["downloads that may have run"] += 1
-            return (idempotency.ran(item.value, item.said, now, self.loop.clock.unix()),)
+            return (idempotency.possible_execution(item.value, item.written_at, now, self.loop.clock.unix()),)
         members = self.fleet.members.members.values()
-        unsure = self.doubt.holds(self.fleet.exchange.whole, self.fleet.lost, members, now)
+        unsure = self.doubt.may_exist(self.fleet.exchange.is_caught_up, self.fleet.lost, members, now)
         if repeat and kind.deduplication_scope is not DeduplicationScope.ALL and unsure:
             self.counts["repeats held for run, not knowing"] += 1
-            return (PossibleExecution(idempotency.NOWHERE, -1, now),)
+            return (PossibleExecution(NOWHERE, -1, now),)
         return ()
 
     def is_over_limit(self, type: str, client: str) -> bool:
@@ -163,7 +164,7 @@
         """A pull of a deduped download goes out: others are told before its bytes leave."""
         kind, held = self.loop.site.settings.classes[type], self.loop.router.caches.get(cache)
         if kind.idempotency is Idempotency.DEDUPLICATED and held:
-            group = idempotency.group_of(kind.deduplication_scope, held.zone, held.cell)
+            group = idempotency.deduplication_group(kind.deduplication_scope, held.zone, held.cell)
             self.fleet.say("keyed", once, group, int(self.loop.clock.unix() * 1000))
 
     # What peers know.
@@ -181,7 +182,7 @@
 
     def purged(self, change: Change) -> None:
         clock = self.loop.clock
-        at = self.purges.moment(change.value[0] / 1000, clock.now(), clock.unix())
+        at = self.purges.effective_from(change.value[0] / 1000, clock.now(), clock.unix())
         self.counts["purges not taken"] = self.purges.anomalies
         if at is None:
             return
@@ -199,7 +200,7 @@
         if uid not in names.numbers:
             return
         drain, start = items.get(("drain", uid)), items.get(("start", uid))
-        state = held_state(drain.value if drain else None, self.offset)
+        state = stricter_state(drain.value if drain else None, self.offset)
         state_known = ENDPOINT_STATES[state] if state else None
         started = None
         if start:
@@ -224,7 +225,7 @@
         now, unix = self.timers.now(), self.loop.clock.unix()
         for request in self.loop.requests.by_client_id.values():
             if request.parsed.idempotency_key == change.key:
-                held = idempotency.ran(change.value, now - change.age, now, unix)
+                held = idempotency.possible_execution(change.value, now - change.age, now, unix)
                 self.loop.post(ExecutedElsewhere(request.id, held))
 
     def wished(self, change: Change) -> None:
@@ -232,8 +233,8 @@
         terms, writer = self.fleet.terms, change.key.rpartition("|")[2]
         zones = {peer.name: peer.zone for peer in terms.peers} | {self.fleet.name: terms.zone}
         if terms.popularity and zones.get(writer) == terms.zone:
-            until = self.timers.now() + RULES["popular"].keep - change.age
-            self.wishes.take(change.key, str(change.value[2]), until)
+            until = self.timers.now() + ITEM_KINDS["popular"].lifetime - change.age
+            self.wishes.replace(change.key, str(change.value[2]), until)
 
     # Time.
 
@@ -242,10 +243,10 @@
             return
         self.timers.after(TICK, self.tick)
         now = self.timers.now()
-        self.wishes.forget(now)
-        if self.fleet.terms.popularity and (slot := self.slots.turn(now)):
+        self.wishes.discard_expired(now)
+        if self.fleet.terms.popularity and (slot := self.slots.tick(now)):
             key = f"{slot[0] % popularity.SLOTS}|{self.fleet.name}"
-            self.wishes.drop(key)  # of an earlier run of this front
+            self.wishes.remove(key)  # of an earlier run of this front
             self.fleet.say("popular", key, self.fleet.copies.epoch, *slot)
         words = self.words(now)
         self.say_evidence(now, words)
@@ -265,9 +266,9 @@
         """What other members say of each cache now."""
         said: dict[str, dict[str, tuple[float, tuple[float, float]]]] = defaultdict(dict)
         for (kind, key), item in self.fleet.copies.items.items():
-            if kind == "evidence" and now - item.said < health_reports.SPAN:
+            if kind == "evidence" and now - item.written_at < health_reports.SPAN:
                 uid, _, writer = key.rpartition("|")
-                said[uid][writer] = now - item.said, (float(item.value[2]), float(item.value[3]))
+                said[uid][writer] = now - item.written_at, (float(item.value[2]), float(item.value[3]))
         terms = self.fleet.terms
         near = {peer.name: peer.zone == terms.zone for peer in terms.peers if peer.name != self.fleet.name}
         whole = {writer: record for writer, (_, record) in said.pop(health_reports.ALL_CACHES, {}).items()}
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -18,10 +18,8 @@
 LEAST_FAILED = 0.5  # failed answers below which nothing is suspected
 MOST_REPORTS = 32  # published at once; the worst first
 ALL_CACHES = "*"  # stands for all caches together
-LEAST_CHANGE, LEAST_CHANGE_FRACTION = (
-    1.0,
-    0.2,
-)  # in failed answers, and as a part of them, that is published at once
+LEAST_CHANGE = 1.0  # in failed answers, that is published at once
+LEAST_CHANGE_FRACTION = 0.2  # the same, of the failed answers published before
 
 Outcomes = tuple[float, float]  # answers: good ones and failed ones
 NO_OUTCOMES: Outcomes = (0.0, 0.0)
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -1,14 +1,15 @@
-"""Deduped downloads that may have run at another front: what is said of them, and what it binds. No I/O.
+"""Requests with an idempotency key that another front may have executed, and what that binds. No I/O.
 
-The client of a front that died asks another one again, under the same key (`once`). That one keeps rule 2 as
-if it had sent the first pull itself: only to the group that drops the repeat, and only within its window.
+The client of a front that died sends its request to another one again, under the same idempotency key. That
+front keeps to the rule for such requests as if it had sent the first attempt itself: it retries only in the
+group of caches that drops the repeat, and only within the deduplication window.
 
-What a front cannot know: a pull that left in the last moments before its front died, cut off or silent. Where
-repeats are dropped everywhere that changes nothing within the window, past which no client asks again. Where
-only a zone or a cell drops them, a marked repeat counts as one that may have run anywhere, as long as this
-front has not caught up, or somebody's link was lost or somebody fell silent so lately that a pull of theirs
-may still be in its window (`Doubt`). Beyond that a split that lasts is not covered: what its other side sends
-is not known here.
+What a front cannot know: an attempt that left in the last moments before its front died, was partitioned or
+fell silent. Where repeats are dropped by all caches that changes nothing within the window, past which no
+client sends again. Where only a zone or a cell drops them, a marked repeat counts as possibly executed
+anywhere, as long as this front has not caught up, or somebody's connection was lost or somebody fell silent
+so lately that an attempt of theirs may still be in its window (`UnknownAttempts`). Beyond that a partition
+that lasts is not covered: what its other side sends is not known here.
 """
 
 import math
@@ -16,45 +17,71 @@
 from dataclasses import dataclass
 
 from weldbend.fleet.membership import Member, State
-from weldbend.fleet.replicated_store import ANYWHERE, NOWHERE, Value
+from weldbend.fleet.replicated_items import ANYWHERE, NOWHERE, Value
 from weldbend.routing.events import PossibleExecution
 from weldbend.routing.settings import DeduplicationScope
 
-FAR = 10.0  # seconds by which another's clock may have it wrong before its moment is not heeded
+MOST_CLOCK_ERROR = 10.0  # seconds by which another's clock may be wrong before its moment is ignored
+ZONE_PREFIX = "z:"
+CELL_PREFIX = "c:"
 
 
-def group_of(scope: DeduplicationScope, zone: str, cell: int) -> str:
-    """The caches that drop a repeat of what one of them has run, as others are told."""
-    return {DeduplicationScope.ZONE: f"z:{zone}", DeduplicationScope.CELL: f"c:{cell}"}.get(scope, ANYWHERE)
+def deduplication_group(scope: DeduplicationScope, zone: str, cell: int) -> str:
+    """Return the caches that drop a repeat of what one of them has executed, as it is published."""
+    groups = {
+        DeduplicationScope.ZONE: f"{ZONE_PREFIX}{zone}",
+        DeduplicationScope.CELL: f"{CELL_PREFIX}{cell}",
+    }
+    return groups.get(scope, ANYWHERE)
 
 
-def ran(value: Value, said: float, now: float, unix: float) -> PossibleExecution:
-    """What a front heeds of an item: `said` is the moment, here, of the latest word about it.
+def possible_execution(value: Value, written_at: float, now: float, unix: float) -> PossibleExecution:
+    """Return what an item `keyed` binds.
 
-    The first pull is dated by its writer's Unix clock, and at most by that word: a clock ahead makes no
-    window longer. One that is behind makes it shorter, which is the strict side.
+    The first attempt is dated by its writer's Unix clock, and at most by when the item was written: a clock
+    ahead makes no window longer. One that is behind makes it shorter, which is the strict side.
+
+    Args:
+        value: of the item: the group, and the Unix milliseconds of the first attempt.
+        written_at: when it was written last, in this front's time.
+        now: seconds of the steady clock.
+        unix: the same moment by the Unix clock.
     """
     group, first = str(value[0]), int(value[1]) / 1000
     age = unix - first
-    sent = said if abs(age - (now - said)) > FAR else min(said, now - age)
+    is_clock_wrong = abs(age - (now - written_at)) > MOST_CLOCK_ERROR
+    sent = written_at if is_clock_wrong else min(written_at, now - age)
     if group == NOWHERE:
         return PossibleExecution(NOWHERE, -1, sent)
-    zone, cell = (group[2:], -1) if group.startswith("z:") else ("", int(group[2:] or -1))
-    return PossibleExecution(zone, cell, sent)
+    if group.startswith(ZONE_PREFIX):
+        return PossibleExecution(group.removeprefix(ZONE_PREFIX), -1, sent)
+    return PossibleExecution("", int(group.removeprefix(CELL_PREFIX) or -1), sent)
 
 
 @dataclass(frozen=True, slots=True)
-class Doubt:
-    """Whether there may be pulls that this front was not told of."""
+class UnknownAttempts:
+    """Whether there may be attempts of which this front was not told.
+
+    Attributes:
+        window: seconds: the longest deduplication window of any request class.
+    """
+
+    window: float
 
-    window: float  # seconds: the longest of any deduped content type
+    def may_exist(
+        self, is_caught_up: bool, lost: Mapping[str, float], members: Iterable[Member], now: float
+    ) -> bool:
+        """Whether an attempt of another front may be in its window unknown to this one.
 
-    def holds(self, whole: bool, lost: Mapping[str, float], members: Iterable[Member], now: float) -> bool:
-        """`lost`: when each peer's link was lost last.
+        Guards against a second execution in another group. Harm: a marked repeat fails for some seconds.
 
-        Guards against a second run in another group. Harm: a marked repeat is abandoned for some seconds.
+        Args:
+            is_caught_up: whether this front's replica is.
+            lost: when the connection to each peer was lost last.
+            members: other fronts as this one sees them.
+            now: seconds.
         """
-        if not whole or any(now - at < self.window for at in lost.values()):
+        if not is_caught_up or any(now - at < self.window for at in lost.values()):
             return True
         return any(
             one.state is State.SUSPECT or (one.state is State.DEAD and now - one.since < self.window)
--- a/weldbend/fleet/outbox.py
+++ b/weldbend/fleet/outbox.py
@@ -1,52 +1,72 @@
-"""What waits for one peer: bounded, and by weight. No I/O.
+"""Messages that wait for one peer: bounded, and by priority. No I/O.
 
 A peer that reads slowly or not at all costs this front a bounded number of bytes and nothing else. Where
-that bound is met, what is superseded or can be asked for again goes first, purges, drains and verdicts last;
-a comparison later finds whatever was dropped.
+that bound is met, what is superseded or can be requested again is dropped first, critical changes last; a
+comparison later finds whatever was dropped.
 """
 
 from collections import Counter, deque
+from enum import IntEnum
 
-from weldbend.fleet.anti_entropy import Weight
+
+class Priority(IntEnum):
+    """What is dropped first where an outbox is full: lower ones before higher ones."""
+
+    COMPARISON = 0  # superseded by the next one
+    SNAPSHOT = 1  # requested again
+    CHANGE = 2  # found missing by a comparison
+    CRITICAL = 3  # purges, drains, starts, ejections: dropped last
 
 
 class Outbox:
-    def __init__(self, most: int) -> None:
-        self.most = most
+    """A bounded queue of messages.
+
+    Attributes:
+        size: bytes that wait.
+        dropped: messages that were dropped, by the name of their priority.
+    """
+
+    def __init__(self, capacity: int) -> None:
+        """Make an empty outbox for so many bytes."""
         self.size = 0
-        self.queues: dict[Weight, deque[bytes]] = {weight: deque() for weight in Weight}
         self.dropped: Counter[str] = Counter()
+        self._capacity = capacity
+        self._queues: dict[Priority, deque[bytes]] = {priority: deque() for priority in Priority}
 
     def __len__(self) -> int:
-        return sum(len(queue) for queue in self.queues.values())
-
-    def put(self, data: bytes, weight: Weight) -> bool:
-        """Queue it; false where it was dropped itself, because all that waits weighs as much or more."""
-        if weight is Weight.COMPARISON:  # only the newest is worth anything
-            self.drop(weight, len(self.queues[weight]))
-        while self.size + len(data) > self.most:
-            lighter = next((w for w in Weight if w < weight and self.queues[w]), None)
-            if lighter is None:
-                if weight is Weight.STRICT and self.queues[weight]:
-                    lighter = weight  # the oldest of its kind: the newest holds more
-                else:
-                    self.dropped[weight.name] += 1
-                    return False
-            self.drop(lighter, 1)
-        self.queues[weight].append(data)
+        return sum(len(queue) for queue in self._queues.values())
+
+    def put(self, data: bytes, priority: Priority) -> bool:
+        """Queue a message; False where it was dropped, because all that waits has its priority or more."""
+        if priority is Priority.COMPARISON:  # only the newest is worth anything
+            self._drop(priority, len(self._queues[priority]))
+        while self.size + len(data) > self._capacity:
+            victim = self._victim(priority)
+            if victim is None:
+                self.dropped[priority.name] += 1
+                return False
+            self._drop(victim, 1)
+        self._queues[priority].append(data)
         self.size += len(data)
         return True
 
-    def drop(self, weight: Weight, count: int) -> None:
+    def _victim(self, priority: Priority) -> Priority | None:
+        """The priority of which the oldest message is to make place for a new one; None for no place."""
+        lower = next((one for one in Priority if one < priority and self._queues[one]), None)
+        if lower is None and priority is Priority.CRITICAL and self._queues[priority]:
+            return priority  # the newest of its kind holds more than the oldest
+        return lower
+
+    def _drop(self, priority: Priority, count: int) -> None:
         for _ in range(count):
-            self.size -= len(self.queues[weight].popleft())
-            self.dropped[weight.name] += 1
-
-    def take(self) -> bytes | None:
-        """The next to go: the heaviest first, in their order."""
-        for weight in reversed(Weight):
-            if self.queues[weight]:
-                data = self.queues[weight].popleft()
+            self.size -= len(self._queues[priority].popleft())
+            self.dropped[priority.name] += 1
+
+    def pop(self) -> bytes | None:
+        """Return the next message: the highest priority first, in their order; None where none waits."""
+        for priority in reversed(Priority):
+            if self._queues[priority]:
+                data = self._queues[priority].popleft()
                 self.size -= len(data)
                 return data
         return None
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -19,9 +19,9 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import VERSIONS, Say, Weight
+from weldbend.fleet.anti_entropy import PROTOCOL_VERSIONS, PeerMessage
 from weldbend.fleet.message_authentication import LONGEST, AuthenticationError, MessageAuthenticator
-from weldbend.fleet.outbox import Outbox
+from weldbend.fleet.outbox import Outbox, Priority
 from weldbend.fleet.settings import Peer, Terms
 
 HELLO = 2.0  # seconds for the first message
@@ -65,24 +65,24 @@
             self.hello()
 
     def hello(self) -> None:
-        body = m.encode(m.Hello(*VERSIONS, self.drawn, self.links.terms.zone))
-        self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True)), Weight.STRICT)
+        body = m.encode(m.Hello(*PROTOCOL_VERSIONS, self.drawn, self.links.terms.zone))
+        self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True)), Priority.CRITICAL)
         self.pump()
 
     def greeted(self) -> None:
         if not self.session and not self.lost:
             self.drop("no hello")
 
-    def say(self, say: Say) -> None:
+    def say(self, say: PeerMessage) -> None:
         body = m.encode(say.body)
         if len(body) > m.FRAME:
             self.links.counts["too long to say"] += 1
             return
-        self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True, self.session)), say.weight)
+        self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True, self.session)), say.priority)
         self.pump()
 
     def pump(self) -> None:
-        while not (self.paused or self.lost) and (data := self.outbox.take()) is not None:
+        while not (self.paused or self.lost) and (data := self.outbox.pop()) is not None:
             self.links.counts["bytes out"] += len(data)
             self.transport.write(data)
 
@@ -141,7 +141,7 @@
         if not isinstance(body, m.Hello) or (self.dialled and sender != self.peer):
             self.drop("no hello")
             return
-        if body.least > VERSIONS[1] or body.most < VERSIONS[0]:
+        if body.least > PROTOCOL_VERSIONS[1] or body.most < PROTOCOL_VERSIONS[0]:
             self.drop("no common version")
             return
         if not self.dialled:
@@ -271,7 +271,7 @@
         if end.dialled and end.peer not in self.up:
             self.failed(end.peer)
 
-    def say(self, say: Say) -> None:
+    def say(self, say: PeerMessage) -> None:
         if end := self.up.get(say.to):
             end.say(say)
 
--- a/weldbend/fleet/popularity.py
+++ b/weldbend/fleet/popularity.py
@@ -1,11 +1,11 @@
-"""What the fronts of a zone are asked for, counted together. No I/O.
-
-A front's own count of an object stands for its popularity, and with ten fronts in a zone a second wish seldom
-comes to the same one; a front that has just started has counted nothing at all (the weak spots that the
-design names). So each says, slot by slot, which objects it was asked for: a hash of four bytes each, packed
-into one text a slot. Slots go after a while, so counts decay; who reads adds, for each object, the slots of
-other fronts that name it. One slot names an object once, and repeats of clients are not counted: no front
-raises a level by more elsewhere than it does at home.
+"""What the fronts of a zone are requested, counted together. No I/O.
+
+A front's own count of an object stands for its popularity, and with ten fronts in a zone a second request
+seldom comes to the same one; a front that has just started has counted nothing at all (the weak spots that
+the design names). So each publishes, slot by slot of time, which objects it was requested: a hash of four
+bytes each, packed into one text a slot. Slots expire, so counts decay; who reads adds, for each object, the
+slots of other fronts that name it. One slot names an object once, and repeats of clients are not counted: no
+front raises a level by more elsewhere than it does at home.
 """
 
 import zlib
@@ -14,100 +14,125 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLOT = 4.0  # seconds that one slot covers
+SLOT_SECONDS = 4.0  # that one slot covers
 SLOTS = 64  # of one front that are kept: its key is used again after so many
-NAMES = 400  # objects in one slot; what comes beyond is left out
-MOST = 200_000  # names held of all fronts together
-LONGEST = 5 * NAMES  # characters of one slot
+MOST_HASHES = 400  # objects in one slot; what comes beyond is omitted
+MOST_COUNTED = 200_000  # hashes held of all fronts together
+HASH_BYTES = 4
 
 
-def hash_of(key: str, part: int) -> int:
-    """Four bytes that stand for an object at all fronts."""
-    return zlib.crc32(f"{key} {part}".encode())
+class InvalidSlotError(ValueError):
+    """A text that is no packed slot; `size` is its length in bytes once decoded."""
 
+    def __init__(self, size: int) -> None:
+        super().__init__(f"{size} bytes are no slot of hashes")
+        self.size = size
 
-def packed(names: list[int]) -> str:
-    return b85encode(b"".join(name.to_bytes(4, "big") for name in names)).decode()
 
+def object_hash(key: str, number: int) -> int:
+    """Return the four bytes that stand for an object, a numbered piece of a key, at all fronts."""
+    return zlib.crc32(f"{key} {number}".encode())
 
-def unpacked(text: str) -> "array[int]":
-    """The names of one slot; raises ValueError for what is none."""
+
+def pack_slot(hashes: list[int]) -> str:
+    """Return the text of a slot."""
+    return b85encode(b"".join(one.to_bytes(HASH_BYTES, "big") for one in hashes)).decode()
+
+
+def unpack_slot(text: str) -> "array[int]":
+    """Return the hashes of one slot, each once; raises ValueError for a text that is none."""
     data = b85decode(text)
-    if len(data) % 4 or len(data) > 4 * NAMES:
-        raise ValueError("no slot")
-    return array("I", sorted({int.from_bytes(data[at : at + 4], "big") for at in range(0, len(data), 4)}))
+    if len(data) % HASH_BYTES or len(data) > HASH_BYTES * MOST_HASHES:
+        raise InvalidSlotError(len(data))
+    places = range(0, len(data), HASH_BYTES)
+    return array("I", sorted({int.from_bytes(data[at : at + HASH_BYTES], "big") for at in places}))
 
 
 @dataclass(slots=True)
 class PopularitySlots:
-    """What this front was asked for, until it is said."""
+    """What this front was requested, until it is published.
+
+    Attributes:
+        number: of the last slot.
+        began_at: when the current slot began, in seconds; None before the first tick.
+        hashes: of objects in it.
+        omitted: requests that found it full.
+    """
 
     number: int = 0
-    begun: float | None = None
-    names: dict[int, None] = field(default_factory=dict)
-    left_out: int = 0
+    began_at: float | None = None
+    hashes: dict[int, None] = field(default_factory=dict)
+    omitted: int = 0
 
-    def asked(self, name: int) -> None:
-        if name in self.names:
+    def add(self, object_hash: int) -> None:
+        """Note a request for an object."""
+        if object_hash in self.hashes:
             return
-        if len(self.names) < NAMES:
-            self.names[name] = None
+        if len(self.hashes) < MOST_HASHES:
+            self.hashes[object_hash] = None
         else:
-            self.left_out += 1
+            self.omitted += 1
 
-    def turn(self, now: float) -> tuple[int, str] | None:
-        """Number and text of a slot that is over and holds something."""
-        if self.begun is None:
-            self.begun = now
-        if now < self.begun + SLOT:
+    def tick(self, now: float) -> tuple[int, str] | None:
+        """Return number and text of a slot that is over; None where none is, or it is empty."""
+        if self.began_at is None:
+            self.began_at = now
+        if now < self.began_at + SLOT_SECONDS:
             return None
-        self.begun = now
-        if not self.names:
+        self.began_at = now
+        if not self.hashes:
             return None
-        names, self.names = list(self.names), {}
+        hashes, self.hashes = list(self.hashes), {}
         self.number += 1
-        return self.number, packed(names)
+        return self.number, pack_slot(hashes)
 
 
 @dataclass(slots=True)
 class PopularityCounts:
-    """What others were asked for, counted by object. Every slot is held as long as its item counts."""
+    """What other fronts were requested, counted by object. Every slot is counted as long as its item counts.
+
+    Attributes:
+        counts: of slots, by the hash of an object.
+        slots: by the key of their item: when it expires, in seconds, and its hashes.
+        size: hashes in all slots together.
+        rejected: slots that could not be read, or for which there was no capacity.
+    """
 
     counts: Counter[int] = field(default_factory=Counter)
-    held: dict[str, tuple[float, "array[int]"]] = field(
-        default_factory=dict
-    )  # by item: its end, and its names
-    names: int = 0
-    unread: int = 0
-
-    def take(self, item: str, text: str, until: float) -> None:
-        """A slot of another front, in place of what its item held before; one that cannot be read is none."""
-        self.drop(item)
+    slots: dict[str, tuple[float, "array[int]"]] = field(default_factory=dict)
+    size: int = 0
+    rejected: int = 0
+
+    def replace(self, item: str, text: str, until: float) -> None:
+        """Count a slot in place of what its item held before; one that cannot be read counts nothing."""
+        self.remove(item)
         try:
-            names = unpacked(text)
+            hashes = unpack_slot(text)
         except ValueError:
-            self.unread += 1
+            self.rejected += 1
             return
-        if self.names + len(names) > MOST:
-            self.unread += 1
+        if self.size + len(hashes) > MOST_COUNTED:
+            self.rejected += 1
             return
-        self.held[item] = until, names
-        self.names += len(names)
-        self.counts.update(names)
-
-    def drop(self, item: str) -> None:
-        _, names = self.held.pop(item, (0.0, array("I")))
-        self.names -= len(names)
-        for name in names:
-            if self.counts[name] <= 1:
-                del self.counts[name]
+        self.slots[item] = until, hashes
+        self.size += len(hashes)
+        self.counts.update(hashes)
+
+    def remove(self, item: str) -> None:
+        """Count the slot of an item no more."""
+        _, hashes = self.slots.pop(item, (0.0, array("I")))
+        self.size -= len(hashes)
+        for one in hashes:
+            if self.counts[one] <= 1:
+                del self.counts[one]
             else:
-                self.counts[name] -= 1
+                self.counts[one] -= 1
 
-    def forget(self, now: float) -> None:
-        for item in [item for item, (until, _) in self.held.items() if until <= now]:
-            self.drop(item)
+    def discard_expired(self, now: float) -> None:
+        """Count slots no more whose items have expired."""
+        for item in [item for item, (until, _) in self.slots.items() if until <= now]:
+            self.remove(item)
 
-    def of(self, name: int) -> int:
-        """How often other fronts were asked for it lately, by slots."""
-        return self.counts.get(name, 0)
+    def count_of(self, object_hash: int) -> int:
+        """Return how many slots of other fronts name an object."""
+        return self.counts.get(object_hash, 0)
--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -6,7 +6,8 @@
 
 from weldbend.event_bus.endpoint_names import EndpointNames
 from weldbend.fleet.demand_share import PeerFigure
-from weldbend.fleet.replicated_store import RULES, Item
+from weldbend.fleet.replicated_items import ITEM_KINDS
+from weldbend.fleet.replicated_store import Item
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.settings import LimitSettings
 from weldbend.routing.cache_state import Cache
@@ -137,7 +138,7 @@
     def live_figures(self, kind: str, now: float) -> Iterator[tuple[str, str, Item]]:
         """Subject, writer and item of each published figure of a kind that still counts."""
         for key, item in self.items(kind):
-            if item.live(RULES[kind], now):
+            if item.is_live(ITEM_KINDS[kind], now):
                 subject, _, writer = key.rpartition("|")
                 yield subject, writer, item
 
@@ -158,6 +159,6 @@
         now, found = self.now(), {}
         for peer in self.fleet.terms.peers:
             item = self.item(kind, f"{subject}|{peer.name}")
-            if item and peer.name != self.name and item.live(RULES[kind], now):
-                found[peer.name] = PeerFigure(now - item.said, float(item.value[2]))
+            if item and peer.name != self.name and item.is_live(ITEM_KINDS[kind], now):
+                found[peer.name] = PeerFigure(now - item.written_at, float(item.value[2]))
         return found
--- /dev/null
+++ b/weldbend/fleet/replicated_items.py
@@ -0,0 +1,142 @@
+"""Kinds of replicated items: how each is checked and merged, and how long it counts. No I/O.
+
+The merge of each kind is commutative, associative and idempotent, so that changes may come in any order,
+twice, or by any path, and all that received the same hold the same (state-based replicated data, Shapiro and
+others 2011). It keeps the stricter of two values: what comes from a peer can make a front stricter at once,
+and loosens nothing that a rule of the front asks.
+"""
+
+import math
+import re
+from collections.abc import Callable
+from dataclasses import dataclass
+
+Value = tuple[int | float | str, ...]
+FieldCheck = Callable[[object], bool]
+
+MOST_INTEGER = 1 << 53  # exact in a float as well
+MOST_FIGURE = 1e12
+ANYWHERE, NOWHERE = "", "!"  # groups in which an idempotency key holds: all caches, and none
+GROUP = re.compile(r"|!|z:[\w.:-]{1,48}|c:[0-9]{1,9}", re.ASCII)
+PURGED = re.compile(r"k:[\w.-]{1,64}|g:[0-9]{1,3}", re.ASCII)
+REMOVED = 2  # the last of the states that a `drain` item may have
+
+
+@dataclass(frozen=True, slots=True)
+class ItemKind:
+    """How a kind of item is checked and merged, and for how long it counts.
+
+    Attributes:
+        is_valid: whether a writer may write a value under a key; called with key, value and writer.
+        merge: of two values.
+        lifetime: seconds since it was written.
+        is_critical: whether a rule of the front rests on it: such changes are dropped last.
+        has_writer_key: whether keys end in `|` and the writer, so that each writes items of its own.
+    """
+
+    is_valid: Callable[[str, Value, str], bool]
+    merge: Callable[[Value, Value], Value]
+    lifetime: float
+    is_critical: bool = True
+    has_writer_key: bool = False
+
+
+def is_integer(value: object, least: int = 0, most: int = MOST_INTEGER) -> bool:
+    """Whether a value is an integer within bounds."""
+    return isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
+
+
+def is_figure(value: object) -> bool:
+    """Whether a value is a number from 0 to `MOST_FIGURE`."""
+    return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MOST_FIGURE
+
+
+def is_group(value: object) -> bool:
+    """Whether a value names a group of caches."""
+    return isinstance(value, str) and GROUP.fullmatch(value) is not None
+
+
+def is_text(value: object) -> bool:
+    """Whether a value is a string."""
+    return isinstance(value, str)
+
+
+def is_list_state(value: object) -> bool:
+    """Whether a value is the state of a cache in a list: 0 up, 1 draining, 2 removed."""
+    return is_integer(value, 0, REMOVED)
+
+
+def is_anything(value: object) -> bool:
+    """Accept any value."""
+    return True
+
+
+def writer_of(key: str) -> str:
+    """Return the writer that a key names."""
+    return key.rpartition("|")[2]
+
+
+def earliest(one: Value, other: Value) -> Value:
+    """Merge two first attempts of a request: in one group since the first, or in no group at all."""
+    return one[0] if one[0] == other[0] else NOWHERE, min(one[1], other[1])
+
+
+def shared(
+    merge: Callable[[Value, Value], Value],
+    lifetime: float,
+    *fields: FieldCheck,
+    keys: re.Pattern[str] | None = None,
+    is_critical: bool = True,
+) -> ItemKind:
+    """Return a kind of which all fronts write the same items, with a check for each field of a value."""
+
+    def is_valid(key: str, value: Value, writer: str) -> bool:
+        return has_fields(value, fields) and (keys is None or keys.fullmatch(key) is not None)
+
+    return ItemKind(is_valid, merge, lifetime, is_critical)
+
+
+def per_writer(lifetime: float, is_critical: bool, *fields: FieldCheck) -> ItemKind:
+    """Return a kind of which each writer's own latest value counts, with a check for each field."""
+
+    def is_valid(key: str, value: Value, writer: str) -> bool:
+        return has_fields(value, fields) and writer_of(key) == writer
+
+    return ItemKind(is_valid, max, lifetime, is_critical, has_writer_key=True)
+
+
+def has_fields(value: Value, checks: tuple[FieldCheck, ...]) -> bool:
+    """Whether a value has just these fields."""
+    return len(value) == len(checks) and all(check(item) for check, item in zip(checks, value, strict=True))
+
+
+VERSION = (is_integer, is_integer)  # epoch of the writer, and its number of the value
+
+ITEM_KINDS: dict[str, ItemKind] = {
+    # object `k:KEY` or group `g:N` -> Unix ms of the purge. The latest purge is the strictest.
+    "purge": shared(max, 60.0, is_integer, keys=PURGED),
+    # cache -> (revision of the list, 0 up, 1 draining, 2 removed). The newer list holds, else the strictest.
+    "drain": shared(max, 600.0, is_integer, is_list_state),
+    # cache -> Unix ms of its start. The latest start is the coldest cache.
+    "start": shared(max, 120.0, is_integer),
+    # idempotency key -> (group that may have executed it, Unix ms of the first attempt); of two groups: none
+    "keyed": shared(earliest, 30.0, is_group, is_integer),
+    # cache|writer -> (epoch, number, good, failed): how one front's attempts there ended
+    "evidence": per_writer(20.0, True, *VERSION, is_figure, is_figure),
+    # slot|writer -> (epoch, number, packed names) of objects that one front was asked for in some seconds
+    "popular": per_writer(256.0, False, *VERSION, is_text),
+    # `parents` or request class|writer -> (epoch, number, amount): one front's demand, a second
+    "need": per_writer(20.0, False, *VERSION, is_figure),
+    # client|writer -> (epoch, number, requests a second) of one that requests much of one front
+    "heavy": per_writer(20.0, False, *VERSION, is_figure),
+    # client|writer -> (epoch, number, seconds since): one front has banned it
+    "cast": per_writer(900.0, True, *VERSION, is_figure),
+    # cache|writer -> (epoch, number, seconds since): its connections broke and it could not be reached again
+    "broke": per_writer(60.0, True, *VERSION, is_figure),
+    # |writer -> (epoch, number, checksum): the members that one front's file names
+    "names": per_writer(60.0, True, *VERSION, is_figure),
+    # writer -> number of the last event that it read from the bus
+    "bus": per_writer(600.0, False, is_integer),
+    # operators' settings for the fleet, by name -> (version, value)
+    "setting": shared(max, math.inf, is_integer, is_anything, is_critical=False),
+}
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -15,7 +15,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import AntiEntropy, Say, awake, neighbours
+from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_standstill
 from weldbend.fleet.lease_service import LeaseService
 from weldbend.fleet.membership import Membership, Reachability, Send, State, View
 from weldbend.fleet.message_authentication import (
@@ -27,6 +27,7 @@
 from weldbend.fleet.peer_connections import PeerConnections, Timers
 from weldbend.fleet.replicated_store import Change, ReplicatedStore
 from weldbend.fleet.settings import Peer, Terms, split
+from weldbend.fleet.topology import neighbours
 
 TURN = 0.05  # seconds between two turns at most, so that a standstill shows
 MOST_DATAGRAMS = 2000  # heard in a second; more are dropped unread
@@ -82,7 +83,7 @@
         peers = [peer.name for peer in terms.peers]
         self.members = Membership(name, epoch, terms, peers, seed, now)
         self.copies = ReplicatedStore(name, epoch, terms.ops)
-        self.exchange = AntiEntropy(name, self.copies, terms, seed + 1, changed, now)
+        self.exchange = AntiEntropy(self.copies, terms, seed + 1, changed, now)
         self.links = PeerConnections(reactor, timers, self.sealer, terms, self, drawn)
         self.ear = Ear(self.datagram)
         self.udp: Any = None
@@ -122,7 +123,7 @@
         if fixed:
             raise FleetConfigurationError(f"[fleet] {', '.join(fixed)}: changed by a restart only")
         self.sealer.rekey(keys)
-        self.terms = self.members.terms = self.exchange.terms = self.links.terms = terms
+        self.terms = self.members.terms = self.exchange.settings = self.links.terms = terms
         self.members.rename([peer.name for peer in terms.peers], self.timers.now())
         self.rename()
         logger.info("fleet: {} members named now, {} keys", len(terms.peers) + 1, len(keys))
@@ -146,7 +147,7 @@
         self.wake(now)
         self.send(self.members.turn(now))
         self.settle(now)
-        self.carry(self.exchange.turn(now))
+        self.carry(self.exchange.tick(now))
         if self.limits:
             self.send(self.limits.tick(now, self.here()))
         self.links.look()
@@ -156,7 +157,7 @@
             gap = now - self.members.last
             logger.warning("fleet: this front stood still for {:.1f} s; catching up", gap)
             self.woke = now
-            self.send(awake(self.members, self.exchange, now))
+            self.send(resume_after_standstill(self.members, self.exchange, now))
 
     def settle(self, now: float) -> None:
         """Log what has changed in the view."""
@@ -182,7 +183,7 @@
             "named": len(view.members),
             "sight": view.sight.name,
             "health": view.health,
-            "caught_up": self.exchange.whole,
+            "caught_up": self.exchange.is_caught_up,
             "items": len(self.copies.items),
             "links": len(self.links.up),
             "counts": dict(self.members.counts + self.exchange.counts + self.counts),
@@ -251,25 +252,25 @@
     # Links.
 
     def link_up(self, peer: str, epoch: int) -> None:
-        self.carry(self.exchange.up(peer, self.timers.now()))
+        self.carry(self.exchange.peer_connected(peer, self.timers.now()))
 
     def link_down(self, peer: str) -> None:
         self.lost[peer] = self.timers.now()
-        self.carry(self.exchange.down(peer, self.timers.now()))
+        self.carry(self.exchange.peer_disconnected(peer, self.timers.now()))
 
     def link_heard(self, peer: str, epoch: int, body: m.Linked) -> None:
         now = self.timers.now()
         self.wake(now)
-        self.carry(self.exchange.hear(now, peer, body))
+        self.carry(self.exchange.handle(now, peer, body))
 
-    def carry(self, says: list[Say]) -> None:
+    def carry(self, says: list[PeerMessage]) -> None:
         for say in says:
             self.links.say(say)
 
     # What the front tells.
 
     def say(self, kind: str, key: str, *value: int | float | str) -> None:
-        self.carry(self.exchange.say(self.timers.now(), kind, key, *value))
+        self.carry(self.exchange.write(self.timers.now(), kind, key, *value))
 
     # What people ask.
 
@@ -286,7 +287,7 @@
             "sight": view.sight.name,
             "health": view.health,
             "contested": view.contested,
-            "caught_up": self.exchange.whole,
+            "caught_up": self.exchange.is_caught_up,
             "members": [
                 {
                     "name": one.name,
@@ -310,6 +311,6 @@
     def state(self) -> list[dict[str, Any]]:
         now = self.timers.now()
         return [
-            {"kind": kind, "key": key, "value": list(item.value), "age": round(now - item.said, 3)}
+            {"kind": kind, "key": key, "value": list(item.value), "age": round(now - item.written_at, 3)}
             for (kind, key), item in sorted(self.copies.items.items())
         ]
--- a/weldbend/testbed/fleet/auditor.py
+++ b/weldbend/testbed/fleet/auditor.py
@@ -38,7 +38,7 @@
                 breaches.append(f"{node.name} holds {name} for {member.state.name}, which is there")
             if there and member.epoch != fleet.nodes[name].members.epoch:
                 breaches.append(f"{node.name} knows another run of {name}")
-        if not node.exchange.whole:
+        if not node.exchange.is_caught_up:
             breaches.append(f"{node.name} has not caught up")
     breaches += differing(fleet, up)
     return breaches
@@ -62,7 +62,7 @@
         if not live:
             for node in up:
                 item = node.copies.items.get((kind, key))
-                if item and fleet.now < item.said + KEEP[kind]:
+                if item and fleet.now < item.written_at + KEEP[kind]:
                     found.append(f"{kind} {key} outlived its time at {node.name}")
             continue
         held = {node.name: node.copies.items.get((kind, key)) for node in up}
@@ -77,7 +77,7 @@
             if value is not None and not made_of(kind, value, possible):
                 found.append(f"{kind} {key} at {name} is {value}, which nobody said")
     for run in {run for node in up for run in node.copies.logs}:
-        numbers = {node.name: node.copies.number(run) for node in up}
+        numbers = {node.name: node.copies.last_number(run) for node in up}
         if max(numbers.values()) - min(numbers.values()) > getattr(fleet, "under_way", 0):
             found.append(f"changes of {run} are counted differently: {numbers}")
     return found
--- a/weldbend/testbed/fleet/benchmarks.py
+++ b/weldbend/testbed/fleet/benchmarks.py
@@ -139,7 +139,7 @@
             node.say("purge", f"k:{number:016x}", int(fleet.now * 1000))
 
     def look() -> None:
-        if fleet.nodes["n4"].up and fleet.nodes["n4"].exchange.whole and not done:
+        if fleet.nodes["n4"].up and fleet.nodes["n4"].exchange.is_caught_up and not done:
             done.append(fleet.now - 40.0)
         fleet.after(0.05, look)
 
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -15,10 +15,11 @@
 from dataclasses import dataclass, field
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import AntiEntropy, Say, awake, neighbours
+from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_standstill
 from weldbend.fleet.membership import Membership, Send
 from weldbend.fleet.replicated_store import Change, ReplicatedStore
 from weldbend.fleet.settings import Terms
+from weldbend.fleet.topology import neighbours
 
 KEEPALIVE = 3.0  # seconds after which a link that carries nothing breaks
 FAULTS = ("split", "one-way", "kill", "freeze", "slow", "lossy", "restart-all", "link-cut")
@@ -48,7 +49,7 @@
         self.members = Membership(name, epoch, terms, fleet.names, seed, now)
         self.copies = ReplicatedStore(name, epoch, terms.ops)
         self.changes: list[Change] = []
-        self.exchange = AntiEntropy(name, self.copies, terms, seed + 1, self.changes.append, now)
+        self.exchange = AntiEntropy(self.copies, terms, seed + 1, self.changes.append, now)
         self.frozen_until = -math.inf
         self.waiting: list[Callable[[], None]] = []  # what comes while it is frozen
         self.up = True
@@ -61,23 +62,25 @@
             return
         if not self.frozen():
             now = self.fleet.now
-            for send in [*awake(self.members, self.exchange, now), *self.members.turn(now)]:
+            for send in [*resume_after_standstill(self.members, self.exchange, now), *self.members.turn(now)]:
                 self.fleet.datagram(self, send)
             self.fleet.links_of(self)
-            self.carry(self.exchange.turn(now))
+            self.carry(self.exchange.tick(now))
             self.fleet.note(self)
         step = (
-            0.05 if self.exchange.fetch or self.exchange.due(self.fleet.now) <= self.fleet.now + 0.05 else 0.1
+            0.05
+            if self.exchange.transfer or self.exchange.next_due(self.fleet.now) <= self.fleet.now + 0.05
+            else 0.1
         )
         self.fleet.after(step, self.turn)
 
-    def carry(self, says: list[Say]) -> None:
+    def carry(self, says: list[PeerMessage]) -> None:
         for say in says:
             self.fleet.linked(self, say)
 
     def say(self, kind: str, key: str, *value: int | float | str) -> None:
         if self.up and not self.frozen():
-            self.carry(self.exchange.say(self.fleet.now, kind, key, *value))
+            self.carry(self.exchange.write(self.fleet.now, kind, key, *value))
 
 
 class Fleet:
@@ -167,16 +170,16 @@
             elif reach and other and not other.frozen():
                 self.links[pair] = self.quiet[pair] = self.now
                 for one, two in ((node, other), (other, node)):
-                    one.carry(one.exchange.up(two.name, self.now))
+                    one.carry(one.exchange.peer_connected(two.name, self.now))
 
     def drop(self, pair: tuple[str, str]) -> None:
         del self.links[pair]
         for one, two in (pair, pair[::-1]):
             node = self.nodes.get(one)
             if node and node.up:
-                node.carry(node.exchange.down(two, self.now))
+                node.carry(node.exchange.peer_disconnected(two, self.now))
 
-    def linked(self, node: Node, say: Say) -> None:
+    def linked(self, node: Node, say: PeerMessage) -> None:
         pair = tuple(sorted((node.name, say.to)))
         since = self.links.get(pair)
         if since is None:
@@ -202,7 +205,7 @@
             node.waiting.append(lambda: self.link_arrive(pair, since, way, body))
             return
         self.quiet[pair] = self.now
-        node.carry(node.exchange.hear(self.now, way[0], body))
+        node.carry(node.exchange.handle(self.now, way[0], body))
 
     # What happens.
 
@@ -236,7 +239,9 @@
             return
         waiting, node.waiting = node.waiting, []
         if self.rng.random() < 0.5:
-            for send in awake(node.members, node.exchange, self.now) or node.members.turn(self.now):
+            for send in resume_after_standstill(node.members, node.exchange, self.now) or node.members.turn(
+                self.now
+            ):
                 self.datagram(node, send)
         for call in waiting:
             call()
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -14,7 +14,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from weldbend.fleet.replicated_store import RULES
+from weldbend.fleet.replicated_items import ITEM_KINDS
 from weldbend.fleet.settings import Peer, Terms
 from weldbend.front.configuration import Site
 from weldbend.front.server import Front
@@ -250,9 +250,9 @@
         found = auditor.audit(SimpleNamespace(nodes=nodes, said=[], now=now, under_way=UNDER_WAY))
         for kind, key in sorted({name for node in nodes.values() for name in node.copies.items}):
             held = {name: node.copies.items.get((kind, key)) for name, node in nodes.items()}
-            keep = RULES[kind].keep
-            lasts = any(item and now < item.said + keep - 3.0 for item in held.values())
-            under_way = any(item and now < item.said + 2.0 for item in held.values())
+            keep = ITEM_KINDS[kind].lifetime
+            lasts = any(item and now < item.written_at + keep - 3.0 for item in held.values())
+            under_way = any(item and now < item.written_at + 2.0 for item in held.values())
             values = {name: item.value if item else None for name, item in held.items()}
             if lasts and not under_way and len(set(values.values())) > 1:
                 found.append(f"{kind} {key} differs: {values}")
