--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -748,11 +748,11 @@
     stamp = int(told.stage.unix() * 1000)
     told.peer("start", "e1", stamp)
     cache, begun = told.cache("e1"), told.cache("e1").started
-    cache.good.add(told.stage.door.clock.now())
+    cache.successes.add(told.stage.door.clock.now())
     told.stage.unix = lambda: 1000.25 + told.stage.reactor.seconds()  # the clock is set
     told.bridge.hold("e1")
     told.stage.bus(listing(10, target("e1", port=1, boot=stamp)))
-    assert cache.started == begun and cache.good.total(told.stage.door.clock.now()) == 1
+    assert cache.started == begun and cache.successes.total(told.stage.door.clock.now()) == 1
 
 
 def test_what_is_heeded_of_peers_is_stricter_or_nothing():
