--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
-from weldbend.event_bus.endpoint_names import EndpointNames
+from weldbend.event_bus.endpoint_registry import EndpointRegistry
 from weldbend.fleet.demand_share import PeerFigure
 from weldbend.fleet.replicated_items import ITEM_KINDS
 from weldbend.fleet.replicated_store import Item
@@ -70,7 +70,7 @@
         ...
 
     @property
-    def names(self) -> EndpointNames:
+    def names(self) -> EndpointRegistry:
         """Numbers of caches by their names, and back."""
         ...
 
