--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -39,7 +39,7 @@
         key: The object that it asks for.
         group: The group of objects that a purge may name.
         command: Writes the command out, just before its first byte goes.
-        on_ended: Told of the end.
+        on_ended: Called with its end, once at most.
         is_short_lived: Whether what allows it may soon be over: it waits no longer than one iteration.
         connection: What it went out on; None while no byte of it has gone out.
         queued_at: When it began to wait for a connection.
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -59,7 +59,7 @@
         cancelled_names: Names whose answer may still come; kept in the order in which they were added.
         outgoing: Bytes that the transport does not accept at present.
         incoming: Bytes read and not yet parsed.
-        is_draining: Whether it takes no further attempts; it closes once those in flight have ended.
+        is_draining: Whether it accepts no further attempts; it closes once those in flight have ended.
         is_aborted: Whether this front has ended it; the transport has yet to report that.
         is_lost: Whether it has ended.
         loss: What is reported of the attempts in flight when it ends.
@@ -103,7 +103,7 @@
     # Sending.
 
     def can_send(self, name: str) -> bool:
-        """Whether an attempt's first byte would go out at once, and its answer could be told from others."""
+        """Whether an attempt's first byte would go out at once, and its answer could be matched to it."""
         is_free = not (self.is_write_paused or self.outgoing or self.is_draining or self.is_lost)
         return (
             is_free
@@ -120,10 +120,10 @@
         self.write(command)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give up an attempt that is in flight here, and tell the cache.
+        """Give up an attempt that is in flight here, and send the cache its cancellation.
 
-        A connection on which nothing was received since it went out takes no more, nor does one that has been
-        busy since with an answer which does not end.
+        A connection on which nothing was received since it went out carries no more, nor does one that has
+        been busy since with an answer which does not end.
         """
         if self.in_flight.pop(attempt.name, None) is not attempt or self.is_lost:
             return
@@ -137,9 +137,9 @@
         self._capacity_freed()
 
     def _reserve_name(self, name: str) -> None:
-        """Take no further attempt under a name whose answer may still come, or come a second time.
+        """Accept no further attempt under a name whose answer may still come, or come a second time.
 
-        Guards against unintended duplicate attempts: a doubled answer would be taken for that of the next
+        Guards against unintended duplicate attempts: a doubled answer would be matched to the next
         attempt of the same request, and another would go out while that one is in flight. Harm: such attempts
         need a second connection.
         """
@@ -244,7 +244,7 @@
             self.owner.send_waiting()
 
     def drain(self) -> None:
-        """Take no further attempts, and close once those in flight have ended."""
+        """Accept no further attempts, and close once those in flight have ended."""
         self.is_draining = True
         if not self.in_flight:
             self.close()
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -2,7 +2,7 @@
 
 An attempt goes out at once on a connection with a free stream, or waits for one, at most for the time in
 which a connection must come up. While it waits it may become superseded: it is cancelled when the endpoint
-list or a purge says anything about its cache, its source or its object, and the router decides anew.
+list or a purge concerns its cache, its source or its object, and the router decides anew.
 """
 
 import errno
@@ -47,11 +47,11 @@
 
     @property
     def on_connected(self) -> Callable[[int], None]:
-        """Told of each cache to which a connection has come up."""
+        """Called with each cache to which a connection has come up."""
 
     @property
     def on_health_answer(self) -> Callable[[int, Answer], bool]:
-        """Told of each answer that belongs to no attempt; whether it is one to a health check."""
+        """Called with each answer that belongs to no attempt; returns whether it is one to a health check."""
 
     def connection_count(self) -> int:
         """How many connections there are to all caches, those under way too."""
@@ -117,7 +117,7 @@
             self._connect()
 
     def _send_now(self, attempt: Attempt) -> bool:
-        """Send an attempt on the connection with the fewest in flight; false where none can take it."""
+        """Send an attempt on the connection with the fewest in flight; false where none can carry it."""
         usable = [c for c in self.connections if c.can_send(attempt.name) and not self._is_stale(c)]
         if not usable or self.is_closed:
             return False
@@ -134,7 +134,7 @@
         return is_stale
 
     def send_waiting(self) -> None:
-        """Let those who wait go, but read first what else has come in this moment.
+        """Send the waiting attempts soon, but read first what else has come in this moment.
 
         Guards caches against attempts for clients whose end is read right after their connection came up.
         Harm: none known: it is a matter of the poll of sockets that is under way.
@@ -144,7 +144,7 @@
             self.pool.reactor.callLater(0, self._send_waiting_now)
 
     def _send_waiting_now(self) -> None:
-        """Let those who wait go, in their order.
+        """Send the waiting attempts, in their order.
 
         Guards against retries of a request that must not be executed twice, allowed for a time that may be
         over, and against a burst on a cache that warms up of all that was decided while connecting took long.
@@ -168,7 +168,7 @@
             attempt.finish(AttemptLoss.UNREACHABLE)
 
     def cancel_waiting(self, is_superseded: Callable[[Attempt], bool]) -> None:
-        """Cancel those who wait and are superseded."""
+        """Cancel waiting attempts that are superseded."""
         cancelled = [attempt for attempt in self.waiting if is_superseded(attempt)]
         self.waiting = deque(attempt for attempt in self.waiting if attempt not in cancelled)
         for attempt in cancelled:
@@ -182,7 +182,7 @@
     # Connecting.
 
     def _connect(self, minimum: int = 0) -> None:
-        """Have as many connections under way as those who wait need, or as a `minimum` of them would."""
+        """Have as many connections under way as the waiting attempts need, or a `minimum` of them."""
         while not self.is_closed and self._expected_streams() < max(len(self.waiting), minimum):
             if self.pool.connection_count() >= self.pool.limits.max_connections:
                 break
@@ -200,10 +200,10 @@
         return CacheConnection(self, self.pool.timers)
 
     def connect_failed(self, attempt: ConnectAttempt, is_reset: bool) -> None:
-        """End all who wait, since one that was refused or timed out speaks for them: none can be made.
+        """End all waiting attempts: where one connect is refused or times out, others would be too.
 
-        One that was accepted and reset says that its cache is there, so it is tried again, not for ever.
-        Guards against taking it for one that is down. Harm: some connects more to one that always does so.
+        One that was accepted and reset shows that its cache is up, so it is tried again, a bounded
+        number of times. Guards against treating it as one that is down. Harm: some connects more to one that always does so.
         """
         self.connecting.pop(attempt, None)
         self.resets = self.resets + 1 if is_reset else MAX_RESETS
--- a/weldbend/caches/interfaces.py
+++ b/weldbend/caches/interfaces.py
@@ -10,7 +10,7 @@
     """A call that is due later."""
 
     def cancel(self) -> None:
-        """Take the call back; nothing happens where it was made or cancelled before."""
+        """Cancel the call; nothing happens where it was made or cancelled before."""
 
 
 class Timers(Protocol):
--- a/weldbend/caches/pool.py
+++ b/weldbend/caches/pool.py
@@ -20,9 +20,9 @@
         reactor: What connects, and calls later.
         timers: The front's time and timers.
         limits: What the site allows; may be replaced at any time.
-        on_health_answer: Told of each answer that belongs to no attempt, and of the cache that it came from;
+        on_health_answer: Called with the cache and the answer for each that belongs to no attempt; returns
             whether it is one to a health check.
-        on_connected: Told of each cache to which a connection has come up.
+        on_connected: Called with each cache to which a connection has come up.
         endpoints: The connections of each cache, by its number.
         is_read_paused: Whether no connection is read, since what is read has nowhere to go.
     """
@@ -35,10 +35,10 @@
     endpoints: dict[int, EndpointConnections] = field(default_factory=dict, init=False)
     is_read_paused: bool = field(default=False, init=False)
 
-    # What the endpoint list and purges say.
+    # Changes of the endpoint list, and purges.
 
     def update_endpoint(self, cache: int, host: str, port: int, started_at: float, is_usable: bool) -> None:
-        """Go by what the list says of a cache now.
+        """Apply the endpoint list's present entry for a cache.
 
         Args:
             cache: Its number.
--- a/weldbend/clients/answer_writer.py
+++ b/weldbend/clients/answer_writer.py
@@ -1,4 +1,4 @@
-"""Writes answers to one client, with back-pressure: whole answers wait while the client does not read."""
+"""Writes answers to one client, with back-pressure: complete answers wait while the client reads none."""
 
 from weldbend.buffers.ring import Ring
 from weldbend.clients.interfaces import BufferAccount, ClientTransport
@@ -11,11 +11,12 @@
     """The sending direction of a client connection.
 
     An answer goes to the transport at once where nothing waits before it. Otherwise it waits: in a bounded
-    ring, and beyond that in a queue of whole answers, while which the connection reads no further calls.
+    ring, and beyond that in a queue of complete answers; while any is queued there, the connection reads no
+    further calls.
 
     Attributes:
         ring: Bytes that are next for the transport.
-        queue: Whole answers that the ring has no capacity for, a few tens at most.
+        queue: Complete answers that the ring has no capacity for, a few tens at most.
         is_paused: Whether the transport accepts no bytes at present.
         transport: Where answers go; None before the connection is made and once it has become idle.
     """
@@ -38,7 +39,7 @@
         return len(self.ring) + sum(map(len, self.queue))
 
     def write(self, answer: bytes) -> None:
-        """Send one whole answer, after all those that wait."""
+        """Send one complete answer, after all those that wait."""
         if not (self.is_paused or self.queue or self.ring) and self.transport is not None:
             self.transport.write(answer)
             return
@@ -47,7 +48,7 @@
         self.write_pending()
 
     def write_pending(self) -> None:
-        """Move whole answers into the ring, and the ring's bytes on while the transport accepts them."""
+        """Move complete answers into the ring, and the ring's bytes on while the transport accepts them."""
         while True:
             while self.queue and len(self.queue[0]) <= self.ring.free():
                 self.ring.write(self.queue.pop(0))
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -1,6 +1,6 @@
 """A client's connection: reads calls, hands requests to the front, and closes in an orderly way.
 
-A client that ends its side is gone: nothing more is done for it. The connection never closes by itself while
+Nothing more is done for a client that has ended its side. The connection never closes by itself while
 a request is open, unless its client breaks the rules of the protocol: then all that is open fails, and the
 client is banned at once. A close by this front ends the sending direction first, and what still arrives is
 discarded for a moment: closing over unread bytes would reset the connection, and an answer that the system
@@ -275,7 +275,7 @@
         self._continue()
 
     def send_answer(self, answer: bytes) -> None:
-        """Send one whole answer, after those that wait."""
+        """Send one complete answer, after those that wait."""
         if not self.is_lost:
             self.writer.write(answer)
 
--- a/weldbend/clients/interfaces.py
+++ b/weldbend/clients/interfaces.py
@@ -13,7 +13,7 @@
         """Start work on a request; exactly one answer method of it is called later, or none if cancelled."""
 
     def cancel_request(self, request: ClientRequest) -> None:
-        """Stop work on a request: nobody waits for its answer any more."""
+        """Stop work on a request: its client waits for no answer any more."""
 
     def is_serving(self) -> bool:
         """Whether new requests are welcome; the answer to a client's health check."""
@@ -57,7 +57,7 @@
 
     @property
     def disconnecting(self) -> int:
-        """Whether it was told to close: true where it is not 0."""
+        """Not 0 once `loseConnection` was called."""
 
     def write(self, data: bytes) -> None:
         """Send bytes, buffering what the socket does not accept."""
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -1,6 +1,6 @@
 """The clients' listening port: accepts connections, checks live ones, and makes capacity at the bound.
 
-The choices stand in `weldbend.idle_connections.policy`; here they are carried out. A live connection is
+Decisions are made in `weldbend.idle_connections.policy` and carried out here. A live connection is
 checked eight times a second; an idle one, which has no object, when it is due or brings something.
 """
 
@@ -44,7 +44,7 @@
         """Accept up to `numberAccepts` connections."""
 
     def pauseProducing(self) -> None:
-        """Accept nobody."""
+        """Accept no connections."""
 
     def resumeProducing(self) -> None:
         """Accept again."""
@@ -69,7 +69,7 @@
         checks: When each live connection is checked next, the earliest first.
         idle_pool: The idle connections; None before the port is open.
         port: The listening port; None before it is open and once it is closed.
-        is_paused: Whether nobody is accepted, since the bound is reached.
+        is_paused: Whether no connection is accepted, since the bound is reached.
     """
 
     noisy = False
@@ -108,14 +108,14 @@
         self.set_keepalive()
 
     def stop(self) -> bool:
-        """Accept nobody new, but first those in the kernel's queue; whether the port is closed by now.
+        """Accept those in the kernel's queue and then no more; whether the port is closed by now.
 
         Guards requests that came on a connection which the system has accepted and this front has not:
-        closing the port resets it. Harm: none known; nobody can get in after that.
+        closing the port resets it. Harm: none known; none can connect after that.
         """
         if self.port and not self.is_paused:
             count = self.connection_count()
-            # Twisted lowers it when a round finds nobody.
+            # Twisted lowers it when a round accepts none.
             self.port.numberAccepts = self.settings.accept_batch
             self.port.doRead()
             if self.connection_count() == count:
@@ -126,8 +126,8 @@
     def set_keepalive(self) -> None:
         """Have the system end connections of machines that vanished; what is accepted inherits it.
 
-        Guards descriptors and the memory of answers that nobody will read. Harm: a client that reads nothing
-        for a minute is disconnected, long after its requests are over.
+        Guards descriptors and the memory of answers that will never be read. Harm: a client that reads
+        nothing for a minute is disconnected, long after its requests are over.
         """
         if self.port is None:
             return
@@ -273,7 +273,7 @@
         return candidates
 
     def update_accepting(self) -> None:
-        """Accept nobody while the bound is reached, and everybody below it."""
+        """Accept no connections while the bound is reached, and all below it."""
         is_paused = policy.is_accept_paused(self.connection_count(), self.max_connections)
         if self.port and is_paused is not self.is_paused:
             self.is_paused = is_paused
--- a/weldbend/thrift/framing.py
+++ b/weldbend/thrift/framing.py
@@ -15,7 +15,7 @@
 
 
 def peek_small_frame(ring: Ring, start: int, max_length: int) -> tuple[int, bytes | None] | None:
-    """Look at the frame that begins `start` bytes into the ring, and leave it there.
+    """Read the frame that begins `start` bytes into the ring, and leave it there.
 
     Args:
         ring: The bytes that came.
@@ -24,7 +24,7 @@
 
     Returns:
         Where the frame ends, and its content, or None for that where it is longer. None where the frame is
-        not complete, or cannot be one: `next_frame` will tell.
+        not complete, or cannot be one: `next_frame` raises for that.
     """
     if len(ring) < start + LENGTH_SIZE:
         return None
