--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -284,4 +284,4 @@
     held = read_site((ROOT / case["file"]).read_text("utf-8"))
     found = [held.name, held.host, held.port, held.seed]
     found += [held.bus_address, held.bus_offset, held.known_events, held.roles]
-    assert plain([*found, held.bounds, held.settings]) == case["values"]
+    assert plain([*found, held.cache_limits, held.settings]) == case["values"]
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -179,7 +179,9 @@
     settings, classes = site.settings, ", ".join(site.settings.classes)
     click.echo(f"front {site.name} on {site.host}:{site.port}, zone {settings.zone}, hub {settings.hub}")
     click.echo(f"request classes {classes}; bus {site.bus_address} after event {site.bus_offset}")
-    click.echo(f"connections: {site.max_clients} of clients, {site.bounds.max_connections} to caches at most")
+    click.echo(
+        f"connections: {site.max_clients} of clients, {site.cache_limits.max_connections} to caches at most"
+    )
     for setting in read_installation_file(installation).settings:
         click.echo(f"[{setting.section}] {setting.key} = {setting.value}  ({setting.origin})")
 
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -157,7 +157,7 @@
     def is_banned(self, client: str) -> bool:
         return self.sharing.is_banned(client)
 
-    def report_protocol_violation(self, client: str) -> None:
+    def report_ban(self, client: str) -> None:
         self.sharing.publish_ban(client)
 
     def attempt_sent(self, type: str, once: str, cache: int) -> None:
--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -9,6 +9,8 @@
 from weldbend.front.request_codec import InvalidRequestError, ParsedRequest
 from weldbend.routing.events import RequestReceived
 
+DUPLICATE_ID = "the id of an open download"  # these bytes go to the client: they stay as they are
+
 
 class Admission:
     """Accepts requests or turns them away."""
@@ -21,53 +23,53 @@
         self.requests = requests
         self.attempts = attempts
 
-    def handle(self, call: ClientRequest) -> None:
+    def handle(self, client_request: ClientRequest) -> None:
         """Accept a request whose last byte has come, or answer it at once."""
         try:
-            self._admit(call)
+            self._admit(client_request)
         except Exception:  # noqa: BLE001, RUF100 - an error in one request must not end its connection
             self.context.counters.record_error("admission")
-            if not call.is_answered:
-                call.answer_failed()
+            if not client_request.is_answered:
+                client_request.answer_failed()
 
-    def cancel(self, call: ClientRequest) -> None:
+    def cancel(self, client_request: ClientRequest) -> None:
         """Cancel a request for which nobody waits any more."""
-        if request := self.requests.by_id.get(call.request_id):
+        if request := self.requests.by_id.get(client_request.request_id):
             self.attempts.cancel_request(request)
 
-    def _admit(self, call: ClientRequest) -> None:
+    def _admit(self, client_request: ClientRequest) -> None:
         site = self.context.site
         try:
-            parsed = request_codec.read_request(call.fields, call.body, site.settings.classes)
+            parsed = request_codec.read_request(
+                client_request.fields, client_request.body, site.settings.classes
+            )
         except InvalidRequestError as error:
             self.context.counters.counts["invalid requests"] += 1
-            call.answer_invalid(str(error))
+            client_request.answer_invalid(str(error))
             return
         if duplicate := self.requests.by_client_id.get(parsed.client_id):
             self.context.counters.counts["invalid requests"] += 1
-            self._refuse_duplicate(call, duplicate.call)
+            self._refuse_duplicate(client_request, duplicate.client_request)
             return
         if len(self.requests.by_id) >= site.max_open_requests:
-            call.answer_rejected(site.settings.max_retry_after)
+            client_request.answer_rejected(site.settings.max_retry_after)
             return
-        request = self._open(call, parsed)
+        request = self._open(client_request, parsed)
         self.context.counters.counts["requests"] += 1
         self.queue.post(self._event(request))
 
     @staticmethod
-    def _refuse_duplicate(call: ClientRequest, open_call: ClientRequest) -> None:
+    def _refuse_duplicate(client_request: ClientRequest, open_request: ClientRequest) -> None:
         """Guard caches against two requests under one id; a client that brought both loses both."""
-        call.answer_invalid(
-            "the id of an open download"
-        )  # these bytes go to the client: they stay as they are
-        if open_call.client is call.client:
-            call.client.ban("clients with two requests under one id")
+        client_request.answer_invalid(DUPLICATE_ID)
+        if open_request.client is client_request.client:
+            client_request.client.ban("clients with two requests under one id")
 
-    def _open(self, call: ClientRequest, parsed: ParsedRequest) -> OpenRequest:
-        call.request_id = self.requests.next_id()
-        deadline = self.context.clock.now() - call.read_delay + parsed.timeout
+    def _open(self, client_request: ClientRequest, parsed: ParsedRequest) -> OpenRequest:
+        client_request.request_id = self.requests.next_id()
+        deadline = self.context.clock.now() - client_request.read_delay + parsed.timeout
         idempotency = self.context.site.settings.classes[parsed.class_name].idempotency
-        request = OpenRequest(call.request_id, parsed, call, deadline, idempotency)
+        request = OpenRequest(client_request.request_id, parsed, client_request, deadline, idempotency)
         self.requests.add(request)
         attempts = self.attempts
         request.timers.append(
@@ -77,7 +79,7 @@
 
     def _event(self, request: OpenRequest) -> RequestReceived:
         parsed, fleet = request.parsed, self.context.fleet
-        client = request.call.client
+        client = request.client_request.client
         key = parsed.idempotency_key
         return RequestReceived(
             id=request.id,
@@ -88,7 +90,7 @@
             work=parsed.size_kb / self.context.site.flow_rate,
             is_retry=parsed.is_retry,
             deadline=request.deadline,
-            queued_for=request.call.read_delay,
+            queued_for=request.client_request.read_delay,
             possible_executions=(
                 fleet.possible_executions(parsed.class_name, key, parsed.is_retry) if fleet and key else ()
             ),
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -101,7 +101,7 @@
         """Post the end of an attempt; the first that brings the object answers the request."""
         if isinstance(outcome, Answer) and outcome.status in ("DONE", "KEEP") and not request.is_closed:
             self.context.counters.counts["served"] += 1
-            request.call.answer_served(outcome.body, outcome.status == "KEEP")
+            request.client_request.answer_served(outcome.body, outcome.status == "KEEP")
             self.close(request)
         number = request.attempts.index(attempt)
         if isinstance(outcome, Answer) and outcome.status not in request_codec.RESULTS:
@@ -117,21 +117,21 @@
         """Answer a request with Retry-After in seconds; 0 tells none."""
         if not request.is_closed:
             self.context.counters.counts["rejected"] += 1
-            request.call.answer_rejected(retry_after)
+            request.client_request.answer_rejected(retry_after)
             self.close(request)
 
     def fail(self, request: OpenRequest) -> None:
         """Answer a request as failed, by decision of the router."""
         if not request.is_closed:
             self.context.counters.counts["failed"] += 1
-            request.call.answer_failed()
+            request.client_request.answer_failed()
             self.close(request)
 
     def abort(self, request: OpenRequest) -> None:
         """Answer a request as failed without the router's decision, which is notified."""
         if not request.is_closed:
             self.context.counters.counts["failed"] += 1
-            request.call.answer_failed()
+            request.client_request.answer_failed()
             self.queue.post(RequestCancelled(request.id))
             self.close(request)
 
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -67,7 +67,7 @@
     def report_ban(self, host: str) -> None:
         """Report to the fleet a client that broke the protocol."""
         if self.context.fleet:
-            self.context.fleet.report_protocol_violation(host)
+            self.context.fleet.report_ban(host)
 
     def now(self) -> float:
         """Return the monotonic time in seconds."""
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -21,7 +21,7 @@
 MAX_PORT = 65_535
 MICROSECONDS = 1e6  # in a second
 
-PLATFORM = ConnectionSettings()  # what holds where there is no installation file
+PLATFORM_SETTINGS = ConnectionSettings()  # what holds where there is no installation file
 
 
 class ConfigurationError(Exception):
@@ -69,7 +69,7 @@
         flow_rate: kB that a client at its top pace receives in a second.
         reports_load: whether caches report their load.
         max_open_requests: open requests beyond which new ones are rejected.
-        bounds: of connections to caches.
+        cache_limits: of connections to caches.
         max_descriptors: that the process may have.
         max_clients: client connections.
         max_unsent_bytes: of answers that slow readers have not read, beyond which caches are read no further.
@@ -90,11 +90,11 @@
     flow_rate: float
     reports_load: bool
     max_open_requests: int
-    bounds: CacheLimits
+    cache_limits: CacheLimits
     max_descriptors: int
     max_clients: int
     max_unsent_bytes: int
-    client_settings: ConnectionSettings = PLATFORM
+    client_settings: ConnectionSettings = PLATFORM_SETTINGS
     fleet: Any = None
 
 
@@ -125,7 +125,7 @@
     return text
 
 
-def _pool_bounds(caps: Mapping[str, Any], settings: SiteSettings, descriptors: int) -> CacheLimits:
+def _cache_limits(caps: Mapping[str, Any], settings: SiteSettings, descriptors: int) -> CacheLimits:
     return CacheLimits(
         max_streams=int(caps["max_streams"]),
         idle_timeout=caps["conn_idle_us"] / MICROSECONDS,
@@ -156,7 +156,7 @@
         flow_rate=float(raw_settings["family_info"]["one_flow_kb_per_s"]),
         reports_load=raw_settings["report"]["source"] != "none",
         max_open_requests=int(caps["open_cap"]),
-        bounds=_pool_bounds(caps, settings, descriptors - max_clients - RESERVED_DESCRIPTORS),
+        cache_limits=_cache_limits(caps, settings, descriptors - max_clients - RESERVED_DESCRIPTORS),
         max_descriptors=descriptors,
         max_clients=max_clients,
         max_unsent_bytes=int(limits["memory_mb"]) * 2**20 // MEMORY_FRACTION,
--- a/weldbend/front/context.py
+++ b/weldbend/front/context.py
@@ -52,7 +52,7 @@
         """Return whether clients at this address are banned."""
         ...
 
-    def report_protocol_violation(self, client: str) -> None:
+    def report_ban(self, client: str) -> None:
         """Count a client that broke the protocol."""
         ...
 
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -57,7 +57,7 @@
         self.pool = CachePool(
             context.reactor,
             context.timers,
-            site.bounds,
+            site.cache_limits,
             self._handle_stray_answer,
             self._connection_opened,
         )
@@ -107,7 +107,7 @@
     def apply_site(self, site: Site) -> None:
         """Use another configuration from now on."""
         previous, self.context.site = self.context.site.settings, site
-        self.pool.limits = site.bounds
+        self.pool.limits = site.cache_limits
         if site.settings != previous:
             self.post(SettingsChanged(site.settings))
 
--- a/weldbend/front/health_checks.py
+++ b/weldbend/front/health_checks.py
@@ -26,7 +26,7 @@
         if not self.pool.send_health_check(cache, tag, self.context.site.reports_load):
             self.context.reactor.callLater(0, self._end_unanswered, tag, AttemptResult.UNREACHABLE)
             return
-        timeout = self.context.site.bounds.connect_timeout
+        timeout = self.context.site.cache_limits.connect_timeout
         self.context.timers.after(timeout, lambda: self._end_unanswered(tag, AttemptResult.TIMED_OUT))
 
     def _end_unanswered(self, tag: str, result: AttemptResult) -> None:
--- a/weldbend/front/open_requests.py
+++ b/weldbend/front/open_requests.py
@@ -16,7 +16,7 @@
     Attributes:
         id: this front's own name for it, never used again.
         parsed: its fields.
-        call: where its answer goes.
+        client_request: where its answer goes.
         deadline: on the monotonic clock.
         idempotency: by the settings under which it was accepted.
         attempts: in the order in which the router asked for them.
@@ -27,7 +27,7 @@
 
     id: str
     parsed: ParsedRequest
-    call: ClientRequest
+    client_request: ClientRequest
     deadline: float
     idempotency: Idempotency
     attempts: list[Attempt] = field(default_factory=list)
--- a/weldbend/front/reload.py
+++ b/weldbend/front/reload.py
@@ -31,8 +31,8 @@
 
 def merged(current: Site, new: Site) -> Site:
     """Return the new configuration with what a running process keeps."""
-    bounds = replace(new.bounds, max_connections=current.bounds.max_connections)
+    cache_limits = replace(new.cache_limits, max_connections=current.cache_limits.max_connections)
     retained = {
         name: getattr(current, name) for name in (*RESTART_ONLY, "known_events", "bus_offset", "seed")
     }
-    return replace(new, bounds=bounds, **retained)
+    return replace(new, cache_limits=cache_limits, **retained)
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -70,7 +70,7 @@
         self.listener = self.gateway.listener
         self.fleet_adapter = self._make_fleet_adapter()
         self.bus = BusReader(
-            reactor,
+            self.context.reactor,
             self.timers,
             site.bus_address,
             site.bus_offset,
@@ -220,7 +220,8 @@
 
     def _abort_after(self) -> float:
         """Return the seconds from SIGTERM to the moment in which what is still open is aborted."""
-        longest = max(kind.deadline_after for kind in self.site.settings.classes.values())
+        classes = self.site.settings.classes.values()
+        longest = max(request_class.deadline_after for request_class in classes)
         return min(longest, MAX_DEADLINE) + ABORT_DELAY
 
     def _end_if_done(self) -> None:
