--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -202,8 +202,9 @@
     def connect_failed(self, attempt: ConnectAttempt, is_reset: bool) -> None:
         """End all waiting attempts: where one connect is refused or times out, others would be too.
 
-        One that was accepted and reset shows that its cache is up, so it is tried again, a bounded
-        number of times. Guards against treating it as one that is down. Harm: some connects more to one that always does so.
+        One that was accepted and reset shows that its cache is up, so it is tried again, a bounded number of
+        times. Guards against treating that cache as one that is down. Harm: some connects more to one that
+        always does so.
         """
         self.connecting.pop(attempt, None)
         self.resets = self.resets + 1 if is_reset else MAX_RESETS
