--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,9 @@
 from weldbend.fleet.anti_entropy import AntiEntropy, resume_after_standstill
 from weldbend.fleet.conservative_merge import FAR_OFFSET, MOST_PURGES, PeerPurges, stricter_state
 from weldbend.fleet.front_adapter import FleetAdapter
-from weldbend.fleet.membership import LEAP, Membership, Reachability, State
+from weldbend.fleet.member_table import Rank, State
+from weldbend.fleet.membership import MAX_INCARNATION_LEAP, Membership
+from weldbend.fleet.membership_view import Reachability
 from weldbend.fleet.message_authentication import (
     AuthenticationError,
     InvalidKeyFileError,
@@ -26,7 +28,8 @@
 from weldbend.fleet.outbox import Outbox, Priority
 from weldbend.fleet.replicated_items import ITEM_KINDS
 from weldbend.fleet.replicated_store import LoggedOperation, OperationLog, ReplicatedStore
-from weldbend.fleet.settings import Peer, Terms
+from weldbend.fleet.runtime import Runtime
+from weldbend.fleet.settings import FleetSettings, Peer
 from weldbend.fleet.topology import neighbours
 from weldbend.testbed.fleet import auditor as auditor
 from weldbend.testbed.fleet.fleet_model import Fleet, Setup
@@ -43,59 +46,64 @@
 
 def cause(sealer, data, **held):
     with pytest.raises(AuthenticationError) as wrong:
-        sealer.open(data, **held)
+        sealer.verify(data, **held)
     assert sealer.dropped[str(wrong.value)] >= 1
     return str(wrong.value)
 
 
 def test_a_sealed_message_opens_once():
     a, b = ends()
-    data = a.seal("b", b"hello")
-    assert b.open(data).body == b"hello"
+    data = a.authenticate("b", b"hello")
+    assert b.verify(data).body == b"hello"
     assert cause(b, data) == "replayed"
 
 
 def test_each_way_to_tamper_is_dropped_under_its_cause():
     a, b = ends()
-    data = a.seal("b", b"hello")
+    data = a.authenticate("b", b"hello")
     for place in range(len(data)):
         changed = bytearray(data)
         changed[place] ^= 1
         with pytest.raises(AuthenticationError):
-            b.open(bytes(changed))
-    assert b.open(data).body == b"hello", "what was tampered with took no number"
+            b.verify(bytes(changed))
+    assert b.verify(data).body == b"hello", "what was tampered with took no number"
     a, b = ends()
-    assert cause(a, a.seal("b", b"x")) == "reflected"
-    assert cause(b, a.seal("c", b"x")) == "meant for another"
-    assert cause(b, MessageAuthenticator("g", "a", 10, ONE).seal("b", b"x")) == "of another fleet"
-    assert cause(b, MessageAuthenticator("f", "a", 10, TWO).seal("b", b"x")) == "unknown key"
-    assert cause(b, MessageAuthenticator("f", "a", 10, {b"aaaa": b"3" * 32}).seal("b", b"x")) == "wrong MAC"
-    assert cause(b, a.seal("b", b"x", True)) == "of the other kind of path"
-    assert cause(b, a.seal("b", b"x", True, b"one link"), link=True, session=b"another") == "wrong MAC"
+    assert cause(a, a.authenticate("b", b"x")) == "reflected"
+    assert cause(b, a.authenticate("c", b"x")) == "meant for another"
+    assert cause(b, MessageAuthenticator("g", "a", 10, ONE).authenticate("b", b"x")) == "of another fleet"
+    assert cause(b, MessageAuthenticator("f", "a", 10, TWO).authenticate("b", b"x")) == "unknown key"
+    assert (
+        cause(b, MessageAuthenticator("f", "a", 10, {b"aaaa": b"3" * 32}).authenticate("b", b"x"))
+        == "wrong MAC"
+    )
+    assert cause(b, a.authenticate("b", b"x", True)) == "of the other kind of path"
+    assert (
+        cause(b, a.authenticate("b", b"x", True, b"one link"), link=True, session=b"another") == "wrong MAC"
+    )
     assert cause(b, b"\x01") == "too short"
     assert cause(b, bytes(1 << 20)) == "too long"
 
 
 def test_datagrams_in_any_order_pass_once_each_and_not_after_the_window():
     a, b = ends()
-    sent = [a.seal("b", b"%d" % n) for n in range(3000)]
+    sent = [a.authenticate("b", b"%d" % n) for n in range(3000)]
     late = sent[0]
     order = sent[1:1000]
     random.Random(3).shuffle(order)
-    assert all(b.open(data) for data in order)
-    assert b.open(sent[2900])
+    assert all(b.verify(data) for data in order)
+    assert b.verify(sent[2900])
     assert cause(b, late) == "replayed"
 
 
 def test_keys_change_without_a_gap():
     a, b = ends()
     both = read_keys("61616161 " + "31" * 32 + "\n62626262 " + "32" * 32 + " # new\n")
-    b.rekey(both)
-    assert b.open(a.seal("b", b"old key")).body == b"old key"
-    a.rekey(dict(reversed(both.items())))
-    assert b.open(a.seal("b", b"new key")).body == b"new key"
-    b.rekey({b"bbbb": both[b"bbbb"]})
-    assert b.open(a.seal("b", b"only the new one")).body == b"only the new one"
+    b.set_keys(both)
+    assert b.verify(a.authenticate("b", b"old key")).body == b"old key"
+    a.set_keys(dict(reversed(both.items())))
+    assert b.verify(a.authenticate("b", b"new key")).body == b"new key"
+    b.set_keys({b"bbbb": both[b"bbbb"]})
+    assert b.verify(a.authenticate("b", b"only the new one")).body == b"only the new one"
 
 
 @pytest.mark.parametrize("text", ["", "zz", "61616161 " + "31" * 31, ("61616161 " + "31" * 32 + "\n") * 2])
@@ -135,7 +143,7 @@
     """Memberships of a few fronts with a wire in the test's hands."""
 
     def __init__(self, *names, terms=None):
-        self.now, self.terms = 0.0, terms or Terms()
+        self.now, self.terms = 0.0, terms or FleetSettings()
         self.fronts = {n: Membership(n, 100, self.terms, names, seed, 0.0) for seed, n in enumerate(names)}
         self.lost = set()
 
@@ -143,13 +151,13 @@
         while self.now < until:
             self.now += step
             for name, front in self.fronts.items():
-                for send in front.turn(self.now):
+                for send in front.advance(self.now):
                     self.pass_on(name, send)
 
     def pass_on(self, name, send):
         if (name, send.to) in self.lost or send.to not in self.fronts:
             return
-        for answer in self.fronts[send.to].hear(self.now, name, self.fronts[name].epoch, send.body):
+        for answer in self.fronts[send.to].receive(self.now, name, self.fronts[name].epoch, send.body):
             self.pass_on(send.to, answer)
 
     def state(self, one, of):
@@ -160,7 +168,7 @@
     pair = Pair(*"abcde")
     pair.run(12)
     assert {pair.state(x, y) for x in "abcde" for y in "abcde" if x != y} == {State.ALIVE}
-    assert {front.sight(pair.now) for front in pair.fronts.values()} == {Reachability.CLEAR}
+    assert {front.reachability(pair.now) for front in pair.fronts.values()} == {Reachability.CLEAR}
 
 
 def test_a_silent_front_is_suspected_then_dead_and_never_before_its_time():
@@ -188,7 +196,7 @@
     pair.lost = {(x, y) for x in "abcde" for y in "abcde" if "e" in (x, y)}
     pair.run(60)
     assert State.DEAD not in {pair.state("e", x) for x in "abcd"}
-    assert pair.fronts["e"].sight(pair.now) is Reachability.ALONE
+    assert pair.fronts["e"].reachability(pair.now) is Reachability.ALONE
     pair.lost = set()
     pair.run(90)
     assert {pair.state(x, "e") for x in "abcd"} == {State.ALIVE}
@@ -215,7 +223,7 @@
     pair.run(30)
     assert pair.fronts["c"].epoch > 100
     assert {pair.state(x, "c") for x in "ab"} == {State.ALIVE}
-    assert not pair.fronts["c"].contested
+    assert not pair.fronts["c"].is_contested
 
 
 def test_two_processes_under_one_name_are_found_out():
@@ -224,12 +232,12 @@
     double = Membership("c", 50, pair.terms, "abc", 9, pair.now)
     for _ in range(60):
         pair.run(pair.now + 0.5)
-        for send in double.turn(pair.now):
+        for send in double.advance(pair.now):
             if send.to in pair.fronts:
-                for answer in pair.fronts[send.to].hear(pair.now, "c", double.epoch, send.body):
+                for answer in pair.fronts[send.to].receive(pair.now, "c", double.epoch, send.body):
                     if answer.to == "c":
-                        double.hear(pair.now, send.to, pair.fronts[send.to].epoch, answer.body)
-    assert pair.fronts["c"].contested or double.contested
+                        double.receive(pair.now, send.to, pair.fronts[send.to].epoch, answer.body)
+    assert pair.fronts["c"].is_contested or double.is_contested
 
 
 def test_what_a_lie_can_do_is_bounded():
@@ -237,16 +245,18 @@
     pair.run(12)
     a = pair.fronts["a"]
     before = a.members["c"].rank()
-    a.rumour(pair.now, m.MemberUpdate("c", 10**9, 0, int(State.DEAD), "b"))  # another start, by hearsay
-    a.rumour(pair.now, m.MemberUpdate("c", 100, LEAP + 9, int(State.DEAD), "b"))  # a leap of its incarnation
-    a.rumour(pair.now, m.MemberUpdate("nobody", 1, 0, int(State.ALIVE), "b"))
+    a.apply_update(m.MemberUpdate("c", 10**9, 0, int(State.DEAD), "b"), pair.now)  # another start, by hearsay
+    a.apply_update(
+        m.MemberUpdate("c", 100, MAX_INCARNATION_LEAP + 9, int(State.DEAD), "b"), pair.now
+    )  # a leap of its incarnation
+    a.apply_update(m.MemberUpdate("nobody", 1, 0, int(State.ALIVE), "b"), pair.now)
     assert a.members["c"].rank() == before
-    a.overtaken(1 << 52, pair.now)
+    a.raise_epoch(1 << 52, pair.now)
     assert a.epoch == 100
     for cause in ("leaps of an incarnation", "rumours of nobody", "leaps of an epoch"):
         assert a.counts[cause] == 1
-    a.rumour(
-        pair.now, m.MemberUpdate("c", 100, before[1], int(State.DEAD), "b")
+    a.apply_update(
+        m.MemberUpdate("c", 100, before[1], int(State.DEAD), "b"), pair.now
     )  # within the format: it refutes
     pair.run(30)
     assert pair.state("a", "c") is State.ALIVE
@@ -256,8 +266,8 @@
     pair = Pair(*"abc")
     pair.run(12)
     a = pair.fronts["a"]
-    a.rename(["b"], pair.now)
-    assert a.hear(pair.now, "c", 100, m.Probe(5)) == []
+    a.set_members(["b"], pair.now)
+    assert a.receive(pair.now, "c", 100, m.Probe(5)) == []
     assert a.counts["not a member"] == 1
     assert "c" not in a.members
 
@@ -269,10 +279,10 @@
     for _ in range(3):
         order = told * 2
         rng.shuffle(order)
-        front = Membership("a", 1, Terms(), ["a", "b"], 1, 0.0)
-        front.hear(0.0, "b", 5, m.Probe(1))
+        front = Membership("a", 1, FleetSettings(), ["a", "b"], 1, 0.0)
+        front.receive(0.0, "b", 5, m.Probe(1))
         for incarnation, state in order:
-            front.rumour(0.0, m.MemberUpdate("b", 5, incarnation, state, "c"))
+            front.apply_update(m.MemberUpdate("b", 5, incarnation, state, "c"), 0.0)
         believed.add(front.members["b"].rank())
     assert len(believed) == 1
 
@@ -303,10 +313,10 @@
     pair.run(8)
     a = pair.fronts["a"]
     member = a.members["b"]
-    a.believe(member, member.epoch, member.incarnation, State.DEAD, pair.now, "for the test")
+    a.table.update(member, Rank(member.epoch, member.incarnation, State.DEAD), pair.now, "for the test")
     told = 0
     for n in range(100):
-        answers = a.hear(pair.now + n / 100, "b", member.epoch, m.Probe(n))
+        answers = a.receive(pair.now + n / 100, "b", member.epoch, m.Probe(n))
         told += sum(isinstance(send.body, m.Probe) for send in answers)
     assert told == 1
 
@@ -421,7 +431,7 @@
 
 
 def test_a_snapshot_goes_on_with_another_donor_where_the_first_broke_off():
-    terms = Terms(ops=16, rate=10_000_000)
+    terms = FleetSettings(ops=16, rate=10_000_000)
     donors = {name: AntiEntropy(ReplicatedStore(name, 1, 16), terms, 1, lambda _: None, 0.0) for name in "bc"}
     for n in range(700):
         for donor in donors.values():
@@ -457,7 +467,7 @@
 
 def donors_and_late(ops=16, names="bc", **terms):
     """Some donors that have caught up, with 700 items, and one that lacks all of it."""
-    held = Terms(ops=ops, **{"rate": 10_000_000, **terms})
+    held = FleetSettings(ops=ops, **{"rate": 10_000_000, **terms})
     donors = {
         name: AntiEntropy(ReplicatedStore(name, 1, ops), held, 1, lambda _: None, 0.0) for name in names
     }
@@ -535,7 +545,9 @@
 
 
 def test_a_comparison_that_lay_here_during_a_standstill_says_nothing():
-    fronts = {name: AntiEntropy(ReplicatedStore(name, 1), Terms(), 1, lambda _: None, 0.0) for name in "ab"}
+    fronts = {
+        name: AntiEntropy(ReplicatedStore(name, 1), FleetSettings(), 1, lambda _: None, 0.0) for name in "ab"
+    }
     fronts["b"].set_caught_up(0.0)
     for one, other in ("ab", "ba"):
         fronts[one].peer_connected(other, 0.0)
@@ -552,18 +564,18 @@
 
 
 def test_a_standstill_is_noticed_before_anything_is_acted_on():
-    members = Membership("a", 1, Terms(), "ab", 1, 0.0)
-    exchange = AntiEntropy(ReplicatedStore("a", 1), Terms(), 1, lambda _: None, 0.0)
+    members = Membership("a", 1, FleetSettings(), "ab", 1, 0.0)
+    exchange = AntiEntropy(ReplicatedStore("a", 1), FleetSettings(), 1, lambda _: None, 0.0)
     exchange.set_caught_up(0.0)
-    members.turn(0.1)
+    members.advance(0.1)
     assert resume_after_standstill(members, exchange, 0.2) == [] and exchange.is_caught_up
     resume_after_standstill(members, exchange, 60.0)
     assert not exchange.is_caught_up and members.counts["stood still"] == 1
-    assert not members.stands_still(60.0)
+    assert not members.was_paused(60.0)
 
 
 def test_one_that_has_not_caught_up_gives_no_snapshot():
-    terms = Terms()
+    terms = FleetSettings()
     held = AntiEntropy(ReplicatedStore("a", 1), terms, 1, lambda _: None, 0.0)
     held.peer_connected("b", 0.0)
     (say,) = held.handle(0.1, "b", m.SnapshotRequest(""))
@@ -572,7 +584,7 @@
 
 # Whole fleets from one integer.
 
-SMALL = Setup(terms=Terms(ops=16, patience=1.5, widest=2.0), faults=5, rate=5.0)
+SMALL = Setup(terms=FleetSettings(ops=16, patience=1.5, widest=2.0), faults=5, rate=5.0)
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
@@ -619,13 +631,13 @@
     return True
 
 
-def hears_any_epoch(original):
-    def hear(self, now, sender, epoch, body):
+def accepts_any_epoch(original):
+    def receive(self, now, sender, epoch, body):
         if sender in self.members:
             epoch = max(epoch, self.members[sender].epoch)
         return original(self, now, sender, epoch, body)
 
-    return hear
+    return receive
 
 
 def only_the_newest_run(original):
@@ -655,10 +667,10 @@
         ReplicatedStore, "load_snapshot", lambda self, ops, now: []
     ),
     "an older epoch is taken for the newer": lambda mp: mp.setattr(
-        Membership, "hear", hears_any_epoch(Membership.hear)
+        Membership, "receive", accepts_any_epoch(Membership.receive)
     ),
-    "a rumour of one's own death is let stand": patch(Membership, "refute", lambda self, rumour: None),
-    "an own epoch is never raised": patch(Membership, "overtaken", lambda self, epoch, now: None),
+    "a rumour of one's own death is let stand": patch(Membership, "refute", lambda self, update: None),
+    "an own epoch is never raised": patch(Membership, "raise_epoch", lambda self, epoch, now: None),
     "one that caught up never says so": patch(AntiEntropy, "set_caught_up", lambda self, now: None),
 }
 
@@ -690,16 +702,17 @@
     def __init__(self, folder):
         (folder / "keys").write_text("0badcafe " + "5a" * 32)
         self.stage = Stage()
-        terms = Terms(keys=str(folder / "keys"), peers=(Peer("n2", "127.0.0.1", 7402),))
+        terms = FleetSettings(keys=str(folder / "keys"), peers=(Peer("n2", "127.0.0.1", 7402),))
         door = self.stage.door
-        self.bridge = FleetAdapter(door.dispatcher, "n1", terms, self.stage.reactor, door.timers, 5)
+        runtime = Runtime(self.stage.reactor, door.timers, door.clock.random_bytes)
+        self.adapter = FleetAdapter(door.dispatcher, "n1", terms, runtime, 5)
         self.number = 0
 
     def peer(self, kind, key, *value, writer="n2"):
         self.number += 1
         op = m.Operation(writer, 9, self.number, kind, key, list(value), 0.0)
-        if change := self.bridge.fleet.copies.apply(op, self.stage.door.clock.now()):
-            self.bridge.changed(change)
+        if change := self.adapter.fleet.store.apply(op, self.stage.door.clock.now()):
+            self.adapter.apply_change(change)
         self.stage.turn()
 
     def cache(self, uid):
@@ -732,9 +745,9 @@
 def test_a_purge_of_a_group_that_is_no_number_ends_nothing(tmp_path):
     told = Told(tmp_path)
     told.peer("purge", "g:abc", int(told.stage.unix() * 1000))
-    assert told.bridge.fleet.copies.counts["invalid changes"] == 1
+    assert told.adapter.fleet.store.counts["invalid changes"] == 1
     told.peer("purge", "g:17", int(told.stage.unix() * 1000))
-    assert told.bridge.counts["purges from peers"] == 1
+    assert told.adapter.counts["peer purges applied"] == 1
 
 
 def test_what_an_earlier_run_of_this_front_said_is_heeded(tmp_path):
@@ -750,7 +763,7 @@
     cache, begun = told.cache("e1"), told.cache("e1").started
     cache.successes.add(told.stage.door.clock.now())
     told.stage.unix = lambda: 1000.25 + told.stage.reactor.seconds()  # the clock is set
-    told.bridge.hold("e1")
+    told.adapter.cache_states.apply("e1")
     told.stage.bus(listing(10, target("e1", port=1, boot=stamp)))
     assert cache.started == begun and cache.successes.total(told.stage.door.clock.now()) == 1
 
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -4,10 +4,11 @@
 from loguru import logger
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.front_adapter import FleetAdapter
-from weldbend.fleet.membership import State
+from weldbend.fleet.cache_states import CacheStates
+from weldbend.fleet.member_table import State
 from weldbend.fleet.outbox import Priority
 from weldbend.fleet.peer_connections import PeerConnection, framed
+from weldbend.fleet.purges import PurgeExchange
 from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
 from weldbend.testbed.simulation.auditor import Auditor
 
@@ -103,7 +104,7 @@
     assert violations(made) == [] and made.result.differ == []
     for number in (1, 2):
         fleet = shared(made, number).fleet
-        assert fleet.members.counts["stood still"] >= 1 and fleet.members.counts["known dead"] == 0
+        assert fleet.membership.counts["stood still"] >= 1 and fleet.membership.counts["known dead"] == 0
 
 
 def test_a_front_that_stood_still_reads_what_it_missed_before_it_sends():
@@ -136,7 +137,7 @@
         (8.0, lambda m: names.append(order(m, 3, once))),
     )  # fmt: skip
     assert violations(made) == []
-    assert shared(made, 2).counts["downloads that may have run"] == 1
+    assert shared(made, 2).counts["requests possibly executed elsewhere"] == 1
     last = [answer.outcome for _, answer in made.auditor.cases["n3", names[2]].answers]
     assert last == ["abandoned"], "its window was over, and the first may have run"
     assert not made.auditor.cases["n3", names[2]].attempts
@@ -146,7 +147,7 @@
     heard = PeerConnection.dataReceived
 
     def deaf(self, data):
-        if self.links.sealer.name != "n4" or not self.session:
+        if self.manager.authenticator.name != "n4" or not self.session:
             heard(self, data)
 
     monkeypatch.setattr(PeerConnection, "dataReceived", deaf)
@@ -154,35 +155,40 @@
     assert violations(made) == []
     for number in (1, 2, 3):
         fleet = shared(made, number).fleet
-        assert fleet.members.members["n4"].state is State.ALIVE, "it answers probes"
-        assert ("purge", "g:1") in fleet.copies.items
-        assert all(end.outbox.size <= fleet.terms.outbox for end in fleet.links.ends)
+        assert fleet.membership.members["n4"].state is State.ALIVE, "it answers probes"
+        assert ("purge", "g:1") in fleet.store.items
+        assert all(end.outbox.size <= fleet.settings.outbox for end in fleet.connections.ends)
 
 
 def test_one_of_a_newer_version_is_left_alone_and_no_harm_to_the_others(monkeypatch):
-    hello = PeerConnection.hello
+    hello = PeerConnection.send_hello
 
     def newer(self):
-        if self.links.sealer.name == "n4":
-            body = m.encode(m.Hello(2, 3, self.drawn, ""))
-            self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True)), Priority.CRITICAL)
-            self.pump()
+        if self.manager.authenticator.name == "n4":
+            body = m.encode(m.Hello(2, 3, self.nonce, ""))
+            self.outbox.put(
+                framed(self.manager.authenticator.authenticate(self.peer, body, True)), Priority.CRITICAL
+            )
+            self.flush()
         else:
             hello(self)
 
-    monkeypatch.setattr(PeerConnection, "hello", newer)
+    monkeypatch.setattr(PeerConnection, "send_hello", newer)
     made = run((3.0, purge_group), seconds=8.0)
     assert violations(made) == []
-    links = shared(made, 1).fleet.links
-    assert links.counts["dropped: no common version"] > 0 and sorted(links.up) == ["n2", "n3"]
-    assert ("purge", "g:1") in shared(made, 3).fleet.copies.items
+    links = shared(made, 1).fleet.connections
+    assert links.counts["dropped: no common version"] > 0 and sorted(links.established_by_peer) == [
+        "n2",
+        "n3",
+    ]
+    assert ("purge", "g:1") in shared(made, 3).fleet.store.items
 
 
 def test_a_full_link_for_minutes_holds_up_nothing_and_what_was_dropped_is_found():
     def press(made):
         fleet = shared(made, 1).fleet
         for number in range(300):
-            fleet.say("setting", f"s{number % 60}", int(made.world.now * 1000) + number, "x" * 1500)
+            fleet.publish("setting", f"s{number % 60}", int(made.world.now * 1000) + number, "x" * 1500)
 
     def slow(seconds):
         return lambda m: m.world.slow.update({("10.0.0.1", "10.0.0.2"): seconds})
@@ -195,8 +201,8 @@
 
 
 SABOTAGE = {
-    "drains kept": lambda mp: mp.setattr(FleetAdapter, "hold", lambda self, uid: None),
-    "purges kept": lambda mp: mp.setattr(FleetAdapter, "purged", lambda self, change: None),
+    "drains kept": lambda mp: mp.setattr(CacheStates, "apply", lambda self, uid: None),
+    "purges kept": lambda mp: mp.setattr(PurgeExchange, "apply", lambda self, change: None),
 }
 
 
--- a/tests/test_installation.py
+++ b/tests/test_installation.py
@@ -7,8 +7,8 @@
 import pytest
 from fronts import configuration
 
+from weldbend.fleet.settings import FleetSettings as Fleet
 from weldbend.fleet.settings import LimitSettings
-from weldbend.fleet.settings import Terms as Fleet
 from weldbend.idle_connections.policy import ConnectionSettings
 from weldbend.installation.errors import InstallationError
 from weldbend.installation.keys import SECTIONS
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -9,7 +9,7 @@
 
 from weldbend.fleet import health_reports, idempotency, popularity
 from weldbend.fleet.health_reports import HealthReport, HealthReporter, combined, weight
-from weldbend.fleet.membership import Member, State
+from weldbend.fleet.member_table import Member, State
 from weldbend.fleet.popularity import PopularityCounts, PopularitySlots
 from weldbend.routing.events import (
     AttemptResult,
@@ -87,12 +87,12 @@
 
 
 def test_what_cannot_be_known_counts_as_run_for_a_window_and_no_longer():
-    unknown, here = idempotency.UnknownAttempts(3.0), Member("b", epoch=5, state=State.ALIVE, heard=9.0)
+    unknown, here = idempotency.UnknownAttempts(3.0), Member("b", epoch=5, state=State.ALIVE, received_at=9.0)
     assert not unknown.may_exist(True, {}, [here], 10.0)
     assert unknown.may_exist(False, {}, [here], 10.0), "not caught up"
     assert unknown.may_exist(True, {"b": 9.0}, [here], 10.0), "its link was lost a second ago"
     assert not unknown.may_exist(True, {"b": 6.0}, [here], 10.0)
-    dead = Member("b", epoch=5, state=State.DEAD, since=8.0, heard=4.0)
+    dead = Member("b", epoch=5, state=State.DEAD, since=8.0, received_at=4.0)
     assert unknown.may_exist(True, {}, [dead], 10.0) and not unknown.may_exist(True, {}, [dead], 12.0)
     assert not unknown.may_exist(True, {}, [Member("c")], 10.0), "one never heard of"
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -202,7 +202,9 @@
     with_, without = play(True), play(False)
     wasted, alone = attempts(with_, "e1", 4.0, 13.0), attempts(without, "e1", 4.0, 13.0)
     assert wasted <= alone, (wasted, alone)
-    stands = [stand for made in with_.fronts.values() for stand in [made[1].fleet_adapter.sharing.counts]]
+    stands = [
+        stand for made in with_.fronts.values() for stand in [made[1].fleet_adapter.quota_service.counts]
+    ]
     assert all(counts["ejection state: ejected"] >= 1 for counts in stands)
     assert all(counts["ejection state: recovering"] >= 1 for counts in stands)
     assert attempts(with_, "e1", 26.0, 30.0) > 0.5 * attempts(with_, "e1", 0.0, 4.0)
@@ -219,24 +221,26 @@
     result = made.play()
     assert not result.faults
     for number in (2, 3, 4):
-        assert made.fronts[number][1].fleet_adapter.sharing.counts["ejection state: ejected"] == 0
+        assert made.fronts[number][1].fleet_adapter.quota_service.counts["ejection state: ejected"] == 0
 
 
 def test_a_client_that_walks_from_front_to_front_is_refused_by_the_third():
     made = FleetRun(3, FleetSetup(faults=0, between=0, rate=10.0, seconds=12.0, calm=0.0))
     for number, at in ((1, 3.0), (2, 5.0)):
-        made.world.plan(at, lambda n=number: made.fronts[n][1].gateway.cast_out("10.0.9.9"))
+        made.world.plan(at, lambda n=number: made.fronts[n][1].gateway.report_ban("10.0.9.9"))
     welcome = {}
     for at in (4.0, 7.0):
-        made.world.plan(at, lambda at=at: welcome.update({at: made.fronts[3][1].gateway.welcome("10.0.9.9")}))
+        made.world.plan(
+            at, lambda at=at: welcome.update({at: made.fronts[3][1].gateway.is_admitted("10.0.9.9")})
+        )
 
     def override(number, client, text):
-        made.fronts[number][1].fleet_adapter.sharing.bans.set_override(client, text)
+        made.fronts[number][1].fleet_adapter.quota_service.bans.set_override(client, text)
 
     made.world.plan(8.0, lambda: override(4, "10.0.9.9", "pardon"))
-    made.world.plan(10.0, lambda: welcome.update({10.0: made.fronts[3][1].gateway.welcome("10.0.9.9")}))
+    made.world.plan(10.0, lambda: welcome.update({10.0: made.fronts[3][1].gateway.is_admitted("10.0.9.9")}))
     made.world.plan(11.0, lambda: override(1, "10.0.9.8", "until 9999999999"))
-    made.world.plan(11.5, lambda: welcome.update({11.5: made.fronts[2][1].gateway.welcome("10.0.9.8")}))
+    made.world.plan(11.5, lambda: welcome.update({11.5: made.fronts[2][1].gateway.is_admitted("10.0.9.8")}))
     assert not made.play().faults
     assert welcome == {4.0: True, 7.0: False, 10.0: True, 11.5: False}
 
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -23,8 +23,9 @@
 from weldbend.fleet.admin_server import AdminServer
 from weldbend.fleet.replicated_items import ITEM_KINDS
 from weldbend.fleet.replicated_store import ReplicatedStore
+from weldbend.fleet.runtime import Runtime
 from weldbend.fleet.service import Fleet
-from weldbend.fleet.settings import Peer, Terms
+from weldbend.fleet.settings import FleetSettings, Peer
 from weldbend.front.configuration import read_site
 from weldbend.installation.reader import build, parse
 from weldbend.testbed.emulator import cache_commands as commands
@@ -46,7 +47,7 @@
 BETWEEN_FRONTS = {
     "probe": messages.Probe,
     "ack": messages.Ack,
-    "ask": messages.Ask,
+    "ask": messages.IndirectProbe,
     "nack": messages.Nack,
     "ahead": messages.StaleEpoch,
     "leaving": messages.Leaving,
@@ -190,8 +191,8 @@
     body, session = bytes.fromhex(case["body"]), bytes.fromhex(case["session"])
     sealer = seal.MessageAuthenticator(fleet, sender, epoch, seal.read_keys(KEYS))
     sealer.number = number - 1
-    assert sealer.seal(to, body, link, session).hex() == case["hex"]
-    opened = seal.MessageAuthenticator(fleet, to, 1, seal.read_keys(KEYS)).open(
+    assert sealer.authenticate(to, body, link, session).hex() == case["hex"]
+    opened = seal.MessageAuthenticator(fleet, to, 1, seal.read_keys(KEYS)).verify(
         bytes.fromhex(case["hex"]), link, session
     )
     assert plain(opened.header) == case["header"]
@@ -229,16 +230,16 @@
     """The control port of a front that has heard of its peers and of some items."""
     (folder / "keys").write_text(KEYS)
     peers = tuple(Peer(f"n{n}", f"127.0.0.{n}", 7400, "upper") for n in (2, 3, 4))
-    terms = Terms(
+    terms = FleetSettings(
         listen="127.0.0.1:7400", fleet="north", zone="upper", keys=str(folder / "keys"), peers=peers
     )
-    fleet = Fleet(None, Held(), "n1", terms, lambda change: None, 1_700_000_000_000, bytes)
+    fleet = Fleet(Runtime(None, Held(), bytes), "n1", terms, lambda change: None, 1_700_000_000_000)
     for case in recorded("sealed.json"):
         if not case["header"][5]:  # not of a link; one of them is meant for another, and dropped
-            fleet.datagram(bytes.fromhex(case["hex"]), ("127.0.0.2", 7400))
+            fleet.datagrams.datagramReceived(bytes.fromhex(case["hex"]), ("127.0.0.2", 7400))
     for case in recorded("items.json"):
         for op in messages.read_linked(bytes.fromhex(case["hex"])).ops:
-            fleet.copies.apply(op, 100.0)
+            fleet.store.apply(op, 100.0)
     return AdminServer(fleet, {})
 
 
@@ -261,7 +262,7 @@
         questions.append([where, question])
         return json.loads(told)["ok"]
 
-    monkeypatch.setattr(cli, cli.asked.__name__, answer)
+    monkeypatch.setattr(cli, cli.ask.__name__, answer)
     done = CliRunner().invoke(cli.fleet, case["arguments"])
     assert [done.exit_code, done.output, questions] == [case["exit"], case["output"], case["questions"]]
 
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -11,7 +11,7 @@
 from weldbend.front.configuration import ConfigurationError, Site, read_site
 
 if TYPE_CHECKING:
-    from weldbend.fleet.settings import Terms as FleetSettings
+    from weldbend.fleet.settings import FleetSettings
     from weldbend.installation.reader import Installation
 
 
@@ -76,10 +76,10 @@
     Raises:
         InvalidSectionError: for keys that cannot be used, or a limit on a request class that the site lacks.
     """
-    from weldbend.fleet.service import FleetConfigurationError, keys_of
+    from weldbend.fleet.service import FleetConfigurationError, load_keys
 
     try:
-        keys_of(fleet.keys)
+        load_keys(fleet.keys)
     except FleetConfigurationError as error:
         raise InvalidSectionError(installation, "fleet", error) from None
     limited = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)}
--- a/weldbend/fleet/__init__.py
+++ b/weldbend/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Fronts that know of each other: membership, links, replicated state. Off in the platform's run."""
+"""Fronts that know of each other: membership, connections, replicated state. The platform's run has none."""
--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -1,82 +1,116 @@
-"""What people ask a running front of its fleet: one JSON object a line over a loopback port, and the answers.
+"""Answers operators' questions about the fleet: one JSON object a line over a loopback port.
 
-`{"ask": "status"}` and so on; an answer is `{"ok": ...}` or `{"wrong": "one line"}`. What is changed here is
-an operators' setting for the whole fleet: `set`, and what parts of the fleet add (`more`).
+A question is `{"ask": "status"}` and so on; an answer is `{"ok": ...}` or `{"wrong": "one line"}`. What is
+changed here is an operators' setting for the whole fleet: `set`, and what other modules add (`questions`).
 """
 
 import json
 from collections.abc import Callable, Mapping
-from typing import Any
+from typing import Any, cast
 
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ServerFactory
 from twisted.protocols.basic import LineOnlyReceiver
+from twisted.python.failure import Failure
 
+from weldbend.fleet import fleet_status
+from weldbend.fleet.replicated_items import Value
+from weldbend.fleet.runtime import ListeningPort, Reactor, StreamTransport
 from weldbend.fleet.service import Fleet
-from weldbend.fleet.settings import split
+from weldbend.fleet.settings import split_address
 
-MOST = 4  # askers at once
+MAX_CONNECTIONS = 4  # open at once
+MAX_QUESTION = 4096  # bytes of one line
+MAX_ERROR = 200  # characters of an answer that says what is wrong
 
+Question = dict[str, Any]  # as it came: each answer checks the fields that it uses
+Answer = Callable[[Question], Any]
+
+
+class AdminConnection(LineOnlyReceiver):
+    """One operator's connection."""
 
-class Asked(LineOnlyReceiver):
     delimiter = b"\n"
-    MAX_LENGTH = 4096
+    MAX_LENGTH = MAX_QUESTION
 
-    def __init__(self, control: "AdminServer") -> None:
-        self.control = control
+    def __init__(self, server: "AdminServer") -> None:
+        self.server = server
 
     def connectionMade(self) -> None:
-        self.control.open += 1
-        if self.control.open > MOST:
-            self.transport.loseConnection()
+        """Refuse it where too many are open."""
+        self.server.connections += 1
+        if self.server.connections > MAX_CONNECTIONS:
+            cast(StreamTransport, self.transport).loseConnection()
 
-    def connectionLost(self, reason: Any = None) -> None:
-        self.control.open -= 1
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """The connection has ended."""
+        self.server.connections -= 1
 
     def lineReceived(self, line: bytes) -> None:
+        """Answer one question; what cannot be answered is said in one line."""
         try:
-            asked = json.loads(line)
-            answer = {"ok": self.control.answer(asked)}
-        except (ValueError, RecursionError, KeyError, TypeError, AttributeError) as wrong:
-            answer = {"wrong": f"{type(wrong).__name__}: {wrong}"[:200]}
-        self.sendLine(json.dumps(answer).encode())
+            reply = {"ok": self.server.answer(json.loads(line))}
+        except (ValueError, RecursionError, KeyError, TypeError, AttributeError) as error:
+            reply = {"wrong": f"{type(error).__name__}: {error}"[:MAX_ERROR]}
+        self.sendLine(json.dumps(reply).encode())  # type: ignore[no-untyped-call]  # Twisted gives no types
 
 
 class AdminServer(ServerFactory):
-    noisy = False
+    """The admin port of one front; `questions` are answered by other modules, by their names."""
 
-    def __init__(self, fleet: Fleet, more: Mapping[str, Callable[[dict[str, Any]], Any]]) -> None:
-        self.fleet, self.more, self.open = fleet, more, 0
-        self.port: Any = None
+    noisy = False
 
-    def listen(self, reactor: Any) -> None:
-        host, port = split(self.fleet.terms.control)
+    def __init__(self, fleet: Fleet, questions: Mapping[str, Answer]) -> None:
+        self.fleet = fleet
+        self.answers: dict[str, Answer] = {
+            "status": lambda question: fleet_status.status(fleet),
+            "state": lambda question: fleet_status.items(fleet),
+            "explain": self._explain,
+            "set": self._set,
+            **questions,
+        }
+        self.connections = 0
+        self.port: ListeningPort | None = None
+
+    def listen(self, reactor: Reactor) -> None:
+        """Open the port."""
+        host, port = split_address(self.fleet.settings.control)
         self.port = reactor.listenTCP(port, self, interface=host)
 
     def stop(self) -> None:
+        """Close the port."""
         if self.port:
             self.port.stopListening()
 
-    def buildProtocol(self, addr: IAddress | None) -> Asked:
-        return Asked(self)
-
-    def answer(self, asked: dict[str, Any]) -> Any:
-        if asked["ask"] in self.more:
-            return self.more[asked["ask"]](asked)
-        match asked["ask"]:
-            case "status":
-                return self.fleet.status()
-            case "state":
-                return self.fleet.state()
-            case "explain":
-                return [
-                    one for one in self.fleet.state() if one["key"].partition("|")[0] == str(asked["cache"])
-                ]
-            case "set":
-                name, version, value = str(asked["name"]), int(asked["version"]), str(asked["value"])
-                held = self.fleet.copies.items.get(("setting", name))
-                if held and version <= held.value[0]:
-                    raise ValueError(f"{name} is at version {held.value[0]} already")
-                self.fleet.say("setting", name, version, value)
-                return self.fleet.copies.items["setting", name].value
-        raise ValueError(f"unknown question {str(asked['ask'])!r:.40}")
+    def buildProtocol(self, addr: IAddress | None) -> AdminConnection:
+        """An operator connects."""
+        return AdminConnection(self)
+
+    def answer(self, question: Question) -> Any:  # noqa: ANN401, RUF100 - what JSON can hold
+        """Answer a question.
+
+        Raises:
+            ValueError: there is no such question, or a field has a wrong value.
+            KeyError: a field is missing.
+        """
+        name = question["ask"]
+        answer = self.answers.get(name)
+        if answer is None:
+            problem = f"unknown question {str(name)!r:.40}"
+            raise ValueError(problem)
+        return answer(question)
+
+    def _explain(self, question: Question) -> list[dict[str, Any]]:
+        """All items about one cache."""
+        items = fleet_status.items(self.fleet)
+        return [item for item in items if item["key"].partition("|")[0] == str(question["cache"])]
+
+    def _set(self, question: Question) -> Value:
+        """Write an operators' setting; its value from now on."""
+        name, version, value = str(question["name"]), int(question["version"]), str(question["value"])
+        current = self.fleet.store.items.get(("setting", name))
+        if current and version <= float(current.value[0]):
+            problem = f"{name} is at version {current.value[0]} already"
+            raise ValueError(problem)
+        self.fleet.publish("setting", name, version, value)
+        return self.fleet.store.items["setting", name].value
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -13,11 +13,12 @@
 from dataclasses import dataclass, field
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.membership import Membership, Send
+from weldbend.fleet.membership import Membership
+from weldbend.fleet.messages import Send
 from weldbend.fleet.outbox import Priority
 from weldbend.fleet.replicated_items import ITEM_KINDS
 from weldbend.fleet.replicated_store import Change, ReplicatedStore, VersionVector, run_of
-from weldbend.fleet.settings import Terms
+from weldbend.fleet.settings import FleetSettings
 from weldbend.routing.random_source import RandomSource
 
 BATCH = 256  # changes or items in one message
@@ -129,7 +130,7 @@
     def __init__(
         self,
         store: ReplicatedStore,
-        settings: Terms,
+        settings: FleetSettings,
         seed: int,
         changed: Callable[[Change], None],
         now: float,
@@ -432,8 +433,8 @@
     Returns:
         What to send; nothing where it did not stand still.
     """
-    if not members.stands_still(now):
+    if not members.was_paused(now):
         return []
-    sends = members.turn(now)
+    sends = members.advance(now)
     exchange.set_lagging(now)
     return sends
--- a/weldbend/fleet/cli.py
+++ b/weldbend/fleet/cli.py
@@ -1,4 +1,7 @@
-"""`weldbend fleet`: what a running front believes of its fleet, asked over its control port."""
+"""`weldbend fleet`: what a running front believes of its fleet, asked over its admin port.
+
+The names of the commands, their options and their output are an interface: they keep their wording.
+"""
 
 import json
 import socket
@@ -6,21 +9,31 @@
 
 import click
 
-from weldbend.fleet.settings import split
+from weldbend.fleet.settings import split_address
 from weldbend.fleet.view_comparison import differences
 
 STATES = {"ALIVE": "alive", "SUSPECT": "suspected", "DEAD": "dead", "LEFT": "left"}
+TIMEOUT = 3.0  # seconds for connecting, and for each read
+MAX_ANSWER = 1 << 24  # bytes
+
 
+def ask(control: str, **question: Any) -> Any:  # noqa: ANN401, RUF100 - what JSON can hold
+    """Ask one question, and return its answer.
 
-def asked(control: str, **question: Any) -> Any:
-    """One question and its answer; ends with one clear line where there is none."""
+    Raises:
+        click.ClickException: there is no answer, or it says what is wrong.
+    """
     try:
-        with socket.create_connection(split(control), timeout=3.0) as held, held.makefile("rwb") as lines:
+        with (
+            socket.create_connection(split_address(control), timeout=TIMEOUT) as connection,
+            connection.makefile("rwb") as lines,
+        ):
             lines.write(json.dumps(question).encode() + b"\n")
             lines.flush()
-            answer = json.loads(lines.readline(1 << 24))
-    except (OSError, ValueError) as wrong:
-        raise click.ClickException(f"no answer from {control}: {wrong}") from None
+            answer = json.loads(lines.readline(MAX_ANSWER))
+    except (OSError, ValueError) as error:
+        problem = f"no answer from {control}: {error}"
+        raise click.ClickException(problem) from None
     if "wrong" in answer:
         raise click.ClickException(answer["wrong"])
     return answer["ok"]
@@ -29,48 +42,56 @@
 CONTROL = click.option(
     "--control", required=True, envvar="WELDBEND_CONTROL", help="host:port of [fleet] control"
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="as it came")
+CONTROLS = click.option(
+    "--control", "controls", multiple=True, required=True, help="host:port of each front; may be repeated"
+)
+JSON = click.option("--json", "as_json", is_flag=True, help="the answer as JSON")
 
 
 @click.group()
 def fleet() -> None:
-    """What running fronts believe of each other, and what they hold together."""
+    """What running fronts believe of each other, and their replicated state."""
 
 
 @fleet.command()
 @CONTROL
 @JSON
 def status(control: str, as_json: bool) -> None:
-    """One front in a few lines: its sight, its members, how much it holds."""
-    held = asked(control, ask="status")
+    """One front in a few lines: its reachability, its members, how much state it has."""
+    answer = ask(control, ask="status")
     if as_json:
-        click.echo(json.dumps(held))
+        click.echo(json.dumps(answer))
         return
     click.echo(
-        f"{held['name']} of fleet {held['fleet']}: sight {held['sight'].lower()}, health {held['health']}, "
-        f"{'caught up' if held['caught_up'] else 'not caught up'}, {held['items']} items, "
-        f"digest {held['digest']}"
+        f"{answer['name']} of fleet {answer['fleet']}: sight {answer['sight'].lower()}, "
+        f"health {answer['health']}, {'caught up' if answer['caught_up'] else 'not caught up'}, "
+        f"{answer['items']} items, digest {answer['digest']}"
     )
-    if held["contested"]:
+    if answer["contested"]:
         click.echo("another process runs under this name: this one has fallen silent")
-    for one in held["members"]:
-        heard = "never heard" if one["heard"] is None else f"heard {one['heard']:.1f} s ago"
-        by = f", suspected by {', '.join(one['voices'])}" if one["voices"] else ""
-        link = "linked" if one["linked"] else "no link"
-        click.echo(f"  {one['name']:<20} {STATES[one['state']]:<10} {heard}, {link}{by}")
-    for cause, count in sorted(held["dropped"].items()):
+    for member in answer["members"]:
+        click.echo(f"  {_member_line(member)}")
+    for cause, count in sorted(answer["dropped"].items()):
         click.echo(f"  dropped {count}: {cause}")
 
 
+def _member_line(member: dict[str, Any]) -> str:
+    last_message = "never heard" if member["heard"] is None else f"heard {member['heard']:.1f} s ago"
+    link = "linked" if member["linked"] else "no link"
+    reporters = f", suspected by {', '.join(member['voices'])}" if member["voices"] else ""
+    return f"{member['name']:<20} {STATES[member['state']]:<10} {last_message}, {link}{reporters}"
+
+
 @fleet.command()
-@click.option("--control", "controls", multiple=True, required=True, help="of each front, again and again")
+@CONTROLS
 @JSON
 def members(controls: tuple[str, ...], as_json: bool) -> None:
-    """Who sees whom, as a matrix over the fronts that are asked."""
+    """What each front that is asked believes of each member, as a matrix."""
     views = {}
     for control in controls:
-        held = asked(control, ask="status")
-        views[held["name"]] = {one["name"]: one["state"] for one in held["members"]} | {held["name"]: "self"}
+        answer = ask(control, ask="status")
+        states = {member["name"]: member["state"] for member in answer["members"]}
+        views[answer["name"]] = states | {answer["name"]: "self"}
     if as_json:
         click.echo(json.dumps(views))
         return
@@ -85,70 +106,71 @@
 @CONTROL
 @JSON
 def state(control: str, as_json: bool) -> None:
-    """All that a front holds together with others, with ages."""
-    held = asked(control, ask="state")
+    """The replicated state of one front, with ages."""
+    items = ask(control, ask="state")
     if as_json:
-        click.echo(json.dumps(held))
+        click.echo(json.dumps(items))
         return
-    for one in held:
-        click.echo(f"{one['kind']:<8} {one['key']:<40} {one['value']} {one['age']:.1f} s old")
+    for item in items:
+        click.echo(f"{item['kind']:<8} {item['key']:<40} {item['value']} {item['age']:.1f} s old")
 
 
 @fleet.command()
 @click.argument("cache")
 @CONTROL
 def explain(cache: str, control: str) -> None:
-    """Why a cache is held as it is: every item about it."""
-    for one in asked(control, ask="explain", cache=cache) or [None]:
-        click.echo(
-            f"{one['kind']} {one['value']}, {one['age']:.1f} s old" if one else f"nothing about {cache}"
-        )
+    """Why a cache is in its state: every item about it."""
+    items = ask(control, ask="explain", cache=cache)
+    for item in items:
+        click.echo(f"{item['kind']} {item['value']}, {item['age']:.1f} s old")
+    if not items:
+        click.echo(f"nothing about {cache}")
 
 
 @fleet.command()
 @CONTROL
 @JSON
 def limits(control: str, as_json: bool) -> None:
-    """Who holds what of which limit, until when, and what is lent; amounts in 1200ths of a limit."""
-    held = asked(control, ask="limits")
+    """Quotas and leases on each limit, and when leases expire; amounts in 1200ths of a limit."""
+    rows = ask(control, ask="limits")
     if as_json:
-        click.echo(json.dumps(held))
+        click.echo(json.dumps(rows))
         return
-    for one in held:
-        if one["kind"] == "soft":
-            click.echo(f"{one['limit']} (soft): part {one['part']} for a need of {one['need']} a second")
+    for row in rows:
+        if row["kind"] == "soft":
+            click.echo(f"{row['limit']} (soft): part {row['part']} for a need of {row['need']} a second")
             continue
-        quiet = f", nothing of its own for {one['quiet']} s yet" if one["quiet"] else ""
-        quiet += ", owns nothing: others name other members" if one["newcomer"] else ""
+        quiet = f", nothing of its own for {row['quiet']} s yet" if row["quiet"] else ""
+        quiet += ", owns nothing: others name other members" if row["newcomer"] else ""
         click.echo(
-            f"{one['limit']} (strict): owns {one['own']}, keeps {one['kept']}, has lent {one['lent']}, "
-            f"borrowed {one['borrowed']}, needs {one['need']} pulls of {one['pull']}{quiet}"
+            f"{row['limit']} (strict): owns {row['own']}, keeps {row['kept']}, has lent {row['lent']}, "
+            f"borrowed {row['borrowed']}, needs {row['need']} pulls of {row['pull']}{quiet}"
         )
-        for loan in one["loans"]:
-            way = "lent to" if loan["way"] == "out" else "from"
-            click.echo(f"  {loan['parts']} {way} {loan['with']}, ends in {loan['ends in']} s")
+        for lease in row["loans"]:
+            direction = "lent to" if lease["way"] == "out" else "from"
+            click.echo(f"  {lease['parts']} {direction} {lease['with']}, ends in {lease['ends in']} s")
 
 
 @fleet.command()
 @CONTROL
 @JSON
 def verdicts(control: str, as_json: bool) -> None:
-    """Caches that the fleet holds for bad, who says so and until when; clients that are cast out."""
-    held = asked(control, ask="verdicts")
+    """Caches that the fleet has ejected or watches, who reported them and until when; banned clients."""
+    rows = ask(control, ask="verdicts")
     if as_json:
-        click.echo(json.dumps(held))
+        click.echo(json.dumps(rows))
         return
-    for one in held:
-        if "client" in one:
-            click.echo(f"client {one['client']} is cast out, {one['ends in']} s yet")
+    for row in rows:
+        if "client" in row:
+            click.echo(f"client {row['client']} is cast out, {row['ends in']} s yet")
             continue
-        where = f" in zone {one['zone']}" if one["zone"] else ""
-        ends = f", {one['ends in']} s yet" if one["ends in"] is not None else ""
+        zone = f" in zone {row['zone']}" if row["zone"] else ""
+        ends = f", {row['ends in']} s yet" if row["ends in"] is not None else ""
         click.echo(
-            f"{one['cache']}{where}: {one['stand'].lower()} for {one['for']} s{ends}, by "
-            f"{', '.join(one['voices'])}; gets {one['part']:.0%} from here, fell {one['relapses']} times"
+            f"{row['cache']}{zone}: {row['stand'].lower()} for {row['for']} s{ends}, by "
+            f"{', '.join(row['voices'])}; gets {row['part']:.0%} from here, fell {row['relapses']} times"
         )
-    if not held:
+    if not rows:
         click.echo("no verdicts")
 
 
@@ -157,8 +179,8 @@
 @click.option("--for", "minutes", type=click.FloatRange(0.1, 1440), default=10.0, show_default=True)
 @CONTROL
 def cast(client: str, minutes: float, control: str) -> None:
-    """Cast a client (its address) out of the whole fleet, for so many minutes."""
-    asked(control, ask="cast", client=client, seconds=minutes * 60)
+    """Ban a client (its address) from the whole fleet, for so many minutes."""
+    ask(control, ask="cast", client=client, seconds=minutes * 60)
     click.echo(f"{client} is cast out for {minutes:g} minutes")
 
 
@@ -166,8 +188,8 @@
 @click.argument("client")
 @CONTROL
 def pardon(client: str, control: str) -> None:
-    """Take a client back in: what was said of it until now counts no more."""
-    asked(control, ask="pardon", client=client)
+    """Lift the ban of a client: what was reported of it until now counts no more."""
+    ask(control, ask="pardon", client=client)
     click.echo(f"{client} is pardoned")
 
 
@@ -177,22 +199,22 @@
 @click.argument("value")
 @CONTROL
 def set_(name: str, version: int, value: str, control: str) -> None:
-    """An operators' setting for the whole fleet; the highest version holds."""
-    asked(control, ask="set", name=name, version=version, value=value)
+    """Write an operators' setting for the whole fleet; the highest version holds."""
+    ask(control, ask="set", name=name, version=version, value=value)
     click.echo(f"{name} is {value} from version {version} on")
 
 
 @fleet.command()
-@click.option("--control", "controls", multiple=True, required=True, help="of each front, again and again")
+@CONTROLS
 def check(controls: tuple[str, ...]) -> None:
     """Whether the fronts that are asked agree; exit 1 and a line for each thing on which they do not."""
-    held = {}
+    statuses = {}
     for control in controls:
-        one = asked(control, ask="status")
-        held[one["name"]] = one
-    wrong = differences(held)
-    for line in wrong:
+        answer = ask(control, ask="status")
+        statuses[answer["name"]] = answer
+    lines = differences(statuses)
+    for line in lines:
         click.echo(line)
-    if wrong:
+    if lines:
         raise click.exceptions.Exit(1)
-    click.echo(f"{len(held)} fronts agree")
+    click.echo(f"{len(statuses)} fronts agree")
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -67,7 +67,7 @@
             else:
                 self.rates[client] = rate
         self.requests.clear()
-        least = limit / (2 * (len(self.context.fleet.terms.peers) + 1))
+        least = limit / (2 * (len(self.context.fleet.settings.peers) + 1))
         busiest = sorted(self.rates, key=lambda client: self.rates[client], reverse=True)
         for client in busiest[:MOST_PUBLISHED]:
             if self.rates[client] >= least:
--- /dev/null
+++ b/weldbend/fleet/datagram_port.py
@@ -0,0 +1,76 @@
+"""The port on which a front sends and receives authenticated datagrams."""
+
+from collections import Counter
+from collections.abc import Callable
+from typing import cast
+
+from twisted.internet.protocol import DatagramProtocol
+
+from weldbend.fleet import messages as m
+from weldbend.fleet.message_authentication import AuthenticationError, Header, MessageAuthenticator
+from weldbend.fleet.runtime import DatagramTransport, ListeningPort, Runtime
+from weldbend.fleet.settings import Peer
+
+MAX_DATAGRAMS = 2000  # received in a second; more are dropped unread
+MAX_PACKET_SIZE = 65_535  # bytes that one read accepts: a longer datagram than allowed shows as such
+
+Handler = Callable[[float, Header, m.Datagram], None]
+"""Is called with the moment, the header and the message."""
+
+
+class DatagramPort(DatagramProtocol):
+    """Passes on to `handler` what is authentic and can be read; the rest is counted and dropped."""
+
+    noisy = False
+
+    def __init__(
+        self, runtime: Runtime, authenticator: MessageAuthenticator, handler: Handler, counts: Counter[str]
+    ) -> None:
+        self.runtime = runtime
+        self.authenticator = authenticator
+        self.handler = handler
+        self.counts = counts
+        self.port: ListeningPort | None = None
+        self.second = 0  # that is being counted
+        self.received_in_second = 0
+
+    def listen(self, host: str, port: int) -> None:
+        """Open the port."""
+        self.port = self.runtime.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_PACKET_SIZE)
+
+    def close(self) -> None:
+        """Close the port."""
+        if self.port:
+            self.port.stopListening()
+
+    def send(self, peer: Peer, body: m.Datagram) -> None:
+        """Send a message, if the port is open; it may be lost like any datagram."""
+        if self.port is None:
+            return
+        data = self.authenticator.authenticate(peer.name, m.encode(body))
+        self.counts["datagrams out"] += 1
+        self.counts["datagram bytes out"] += len(data)
+        try:
+            cast(DatagramTransport, self.transport).write(data, (peer.host, peer.port))
+        except OSError:  # a full buffer or no path: a lost datagram, as any other
+            self.counts["datagrams that could not go"] += 1
+
+    def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
+        """Check a datagram; its sender is known by its header, not by its address."""
+        now = self.runtime.timers.now()
+        if int(now) != self.second:
+            self.second = int(now)
+            self.received_in_second = 0
+        self.received_in_second += 1
+        if self.received_in_second > MAX_DATAGRAMS or len(datagram) > m.DATAGRAM:
+            self.counts["datagrams dropped unread"] += 1
+            return
+        try:
+            message = self.authenticator.verify(datagram)
+            body = m.read_datagram(message.body)
+        except AuthenticationError:
+            return  # counted by its cause
+        except m.InvalidPeerMessageError:
+            self.counts["messages that cannot be read"] += 1
+            return
+        self.handler(now, message.header, body)
--- /dev/null
+++ b/weldbend/fleet/execution_exchange.py
@@ -0,0 +1,78 @@
+"""Requests with an idempotency key that may have been executed by way of another front."""
+
+from collections import Counter
+from typing import TYPE_CHECKING
+
+from weldbend.fleet import idempotency
+from weldbend.fleet.replicated_items import ITEM_KINDS, NOWHERE
+from weldbend.fleet.replicated_store import Change
+from weldbend.fleet.service import Fleet
+from weldbend.routing.events import ExecutedElsewhere, PossibleExecution
+from weldbend.routing.settings import DeduplicationScope, Idempotency
+
+if TYPE_CHECKING:
+    from weldbend.front.dispatcher import Dispatcher
+
+KIND = "keyed"  # of the items that name possible executions
+
+
+class ExecutionExchange:
+    """Publishes attempts of this front, and binds requests to the group that may have executed them."""
+
+    def __init__(self, dispatcher: "Dispatcher", fleet: Fleet, counts: Counter[str]) -> None:
+        self.dispatcher = dispatcher
+        self.fleet = fleet
+        self.counts = counts
+        windows = [
+            request_class.deduplication_window
+            for request_class in dispatcher.site.settings.classes.values()
+            if request_class.idempotency is Idempotency.DEDUPLICATED
+        ]
+        self.unknown_attempts = idempotency.UnknownAttempts(max(windows, default=0.0))
+
+    def publish_attempt(self, class_name: str, idempotency_key: str, cache: int) -> None:
+        """An attempt of a deduplicated request goes out: others learn of it before its bytes leave."""
+        request_class = self.dispatcher.site.settings.classes[class_name]
+        destination = self.dispatcher.router.caches.get(cache)
+        if request_class.idempotency is Idempotency.DEDUPLICATED and destination:
+            group = idempotency.deduplication_group(
+                request_class.deduplication_scope, destination.zone, destination.cell
+            )
+            self.fleet.publish(KIND, idempotency_key, group, int(self.dispatcher.clock.unix() * 1000))
+
+    def possible_executions(
+        self, class_name: str, idempotency_key: str, is_retry: bool
+    ) -> tuple[PossibleExecution, ...]:
+        """Earlier attempts of a deduplicated request, by any front, that may have been executed."""
+        request_class = self.dispatcher.site.settings.classes[class_name]
+        now = self.fleet.timers.now()
+        if request_class.idempotency is not Idempotency.DEDUPLICATED:
+            return ()
+        item = self.fleet.store.items.get((KIND, idempotency_key))
+        if item and item.is_live(ITEM_KINDS[KIND], now):
+            self.counts["requests possibly executed elsewhere"] += 1
+            return (
+                idempotency.possible_execution(
+                    item.value, item.written_at, now, self.dispatcher.clock.unix()
+                ),
+            )
+        has_scope = request_class.deduplication_scope is not DeduplicationScope.ALL
+        if is_retry and has_scope and self._may_lack_attempts(now):
+            self.counts["retries treated as possibly executed"] += 1
+            return (PossibleExecution(NOWHERE, -1, now),)
+        return ()
+
+    def _may_lack_attempts(self, now: float) -> bool:
+        members = self.fleet.membership.members.values()
+        return self.unknown_attempts.may_exist(
+            self.fleet.anti_entropy.is_caught_up, self.fleet.connection_lost_at, members, now
+        )
+
+    def apply(self, change: Change) -> None:
+        """Bind open requests to what another front has just published."""
+        now = self.fleet.timers.now()
+        unix = self.dispatcher.clock.unix()
+        for request in self.dispatcher.requests.by_client_id.values():
+            if request.parsed.idempotency_key == change.key:
+                execution = idempotency.possible_execution(change.value, now - change.age, now, unix)
+                self.dispatcher.post(ExecutedElsewhere(request.id, execution))
--- /dev/null
+++ b/weldbend/fleet/health_exchange.py
@@ -0,0 +1,103 @@
+"""Health reports on caches: published from this front's attempts, and aggregated from those of peers."""
+
+from collections import defaultdict
+from typing import TYPE_CHECKING
+
+from weldbend.fleet import health_reports
+from weldbend.fleet.health_reports import NO_OUTCOMES, HealthReport, HealthReporter, Outcomes
+from weldbend.fleet.service import Fleet
+from weldbend.routing.events import PeerHealthReport
+from weldbend.routing.reports import health_counts
+
+if TYPE_CHECKING:
+    from weldbend.front.dispatcher import Dispatcher
+
+KIND = "evidence"  # of the items that hold one front's record of one cache
+
+Reports = dict[str, list[HealthReport]]
+"""Reports of fronts by the name of the cache."""
+
+
+class HealthExchange:
+    """Publishes this front's records of caches, and tells the decisions what those of peers amount to."""
+
+    def __init__(self, dispatcher: "Dispatcher", fleet: Fleet) -> None:
+        self.dispatcher = dispatcher
+        self.fleet = fleet
+        self.reporter = HealthReporter()
+        self.number = 0  # of what this process has published
+        self.posted: dict[
+            int, Outcomes
+        ] = {}  # what the decisions go by, by cache; none where there are no failures
+
+    def tick(self, now: float) -> Reports:
+        """Publish and aggregate; returns the reports of all fronts, this one included."""
+        reports = self._peer_reports(now)
+        self._publish(now, reports)
+        self._post(reports)
+        return self._with_own(now, reports)
+
+    def _peer_reports(self, now: float) -> Reports:
+        """What other members report of each cache now."""
+        records: dict[str, dict[str, tuple[float, Outcomes]]] = defaultdict(dict)
+        for (kind, key), item in self.fleet.store.items.items():
+            if kind == KIND and now - item.written_at < health_reports.SPAN:
+                uid, _, writer = key.rpartition("|")
+                records[uid][writer] = now - item.written_at, (float(item.value[2]), float(item.value[3]))
+        settings = self.fleet.settings
+        is_near = {
+            peer.name: peer.zone == settings.zone for peer in settings.peers if peer.name != self.fleet.name
+        }
+        of_all_caches = records.pop(health_reports.ALL_CACHES, {})
+        totals = {writer: total for writer, (_, total) in of_all_caches.items()}
+        return {
+            uid: [
+                HealthReport(writer, is_near[writer], age, record, totals.get(writer, record))
+                for writer, (age, record) in sorted(by_writer.items())
+                if writer in is_near
+            ]
+            for uid, by_writer in records.items()
+        }
+
+    def _publish(self, now: float, reports: Reports) -> None:
+        uids = self.dispatcher.names.uids
+        records = {
+            uids[number]: record
+            for number, record in health_counts(self.dispatcher.router, now).items()
+            if number in uids
+        }
+        for uid, record in self.reporter.due_reports(now, records, reports):
+            self.number += 1
+            key = f"{uid}|{self.fleet.name}"
+            self.fleet.publish(KIND, key, self.fleet.store.epoch, self.number, *record)
+
+    def _post(self, reports: Reports) -> None:
+        """Tell the decisions what peers' reports on each cache amount to, where that has changed."""
+        numbers = self.dispatcher.names.numbers
+        aggregated = {
+            numbers[uid]: health_reports.combined(by_front)
+            for uid, by_front in reports.items()
+            if uid in numbers
+        }
+        failing = {number: record for number, record in aggregated.items() if record[1]}
+        for number in {*failing, *self.posted}:
+            record = failing.get(number, NO_OUTCOMES)
+            if record != self.posted.get(number, NO_OUTCOMES):
+                self.dispatcher.post(PeerHealthReport(number, *record))
+        self.posted = failing
+
+    def _with_own(self, now: float, reports: Reports) -> Reports:
+        """The same with this front's own reports: an ejection goes by those of all."""
+        uids = self.dispatcher.names.uids
+        records = health_counts(self.dispatcher.router, now)
+        total = (
+            sum(successes for successes, _ in records.values()),
+            sum(failures for _, failures in records.values()),
+        )
+        found = dict(reports)
+        for number, record in records.items():
+            uid = uids.get(number)
+            if uid and (uid in reports or record[1]):
+                own = HealthReport(self.fleet.name, True, 0.0, record, total)
+                found[uid] = [*reports.get(uid, ()), own]
+        return found
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -16,7 +16,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 
-from weldbend.fleet.membership import Member, State
+from weldbend.fleet.member_table import Member, State
 from weldbend.fleet.replicated_items import ANYWHERE, NOWHERE, Value
 from weldbend.routing.events import PossibleExecution
 from weldbend.routing.settings import DeduplicationScope
@@ -86,5 +86,5 @@
         return any(
             one.state is State.SUSPECT or (one.state is State.DEAD and now - one.since < self.window)
             for one in members
-            if one.epoch and one.heard > -math.inf
+            if one.epoch and one.received_at > -math.inf
         )
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -21,7 +21,7 @@
     Usage,
     time_slot_at,
 )
-from weldbend.fleet.membership import Send
+from weldbend.fleet.messages import Send
 from weldbend.routing.random_source import RandomSource
 
 SAMPLE_INTERVAL = 0.08  # seconds between two samples of demand
@@ -189,7 +189,7 @@
 
     # Messages.
 
-    def handle(self, now: float, sender: str, epoch: int, body: m.Shared) -> list[Send]:
+    def handle(self, now: float, sender: str, epoch: int, body: m.LeaseMessage) -> list[Send]:
         """Handle a message of a member, in the run that is known of it; return what to send."""
         if body.limit not in self.limits and isinstance(body, m.AcquireLease):
             self._open_requested(body.limit)
--- a/weldbend/fleet/message_authentication.py
+++ b/weldbend/fleet/message_authentication.py
@@ -1,14 +1,14 @@
-"""The seal on every message between fronts: who, to whom, epoch and number under a keyed MAC. No I/O.
+"""Authentication of every message between fronts: sender, recipient, epoch and number under a MAC. No I/O.
 
-A sealed message is
+An authenticated message is
 
     version 1 | key id 4 | MAC 16 | header length 2 | header | body
 
 The MAC is BLAKE2b with a key (RFC 7693, section 2.9) over all that follows it, and over version and key id.
-The header names the fleet (one of another fleet is dropped), who speaks and to whom (one that is reflected,
-or meant for another, is dropped), the run of the speaker and a number that only rises in it (one that is
-replayed is dropped). Every drop is counted by its cause; nobody is answered on a message that is not sealed
-well.
+The header names the fleet (a message of another fleet is dropped), sender and recipient (one that is
+reflected, or meant for another, is dropped), the sender's epoch and a number that only rises in it (one that
+is replayed is dropped). Every drop is counted by its cause; nobody is answered on a message that is not
+authentic.
 """
 
 import hmac
@@ -16,42 +16,98 @@
 from collections import Counter
 from collections.abc import Mapping
 from dataclasses import dataclass
+from enum import StrEnum
 from hashlib import blake2b
 
 import msgspec
 
+from weldbend.fleet.errors import FleetError
 from weldbend.fleet.messages import FRAME, Count, Name
 
 VERSION = 1
-MAC = 16
-WINDOW = (
-    1024  # numbers below the highest one seen that may still come, each once: datagrams come in any order
-)
+KEY_ID_SIZE = 4  # bytes
+MAC_SIZE = 16  # bytes
+PREFIX_SIZE = 1 + KEY_ID_SIZE + MAC_SIZE + 2  # bytes before the header
+LONGEST = FRAME + 512  # bytes of an authenticated message at most
+REPLAY_WINDOW = 1024  # numbers below the highest one received that may still come, for datagrams out of order
+MAX_KEYS = 8  # in one file
+MAX_EPOCHS = 4  # of one sender whose numbers are remembered
 KEY_LINE = re.compile(r"([0-9a-f]{8})\s+([0-9a-f]{64})")
-HEAD = 1 + 4 + MAC + 2
-LONGEST = FRAME + 512
-MOST_RUNS = 4  # runs of one name whose numbers are remembered
 
 
-class AuthenticationError(ValueError):
-    """A message that is dropped; the text is the cause it is counted under."""
+class DropCause(StrEnum):
+    """Why a message is dropped; the values are keys of the admin protocol."""
 
+    TOO_SHORT = "too short"
+    TOO_LONG = "too long"
+    OTHER_VERSION = "another version of the seal"
+    UNKNOWN_KEY = "unknown key"
+    WRONG_MAC = "wrong MAC"
+    UNREADABLE_HEADER = "unreadable header"
+    OTHER_FLEET = "of another fleet"
+    REFLECTED = "reflected"
+    OTHER_RECIPIENT = "meant for another"
+    OTHER_TRANSPORT = "of the other kind of path"
+    EXPIRED_EPOCH = "of a run long gone"
+    REPLAYED = "replayed"
 
-class InvalidKeyFileError(ValueError):
-    """A key file that cannot be used, in one line."""
+
+class AuthenticationError(FleetError):
+    """A message that is dropped.
+
+    Attributes:
+        cause: under which the drop is counted.
+    """
+
+    def __init__(self, cause: DropCause) -> None:
+        super().__init__(cause.value)
+        self.cause = cause
+
+
+class InvalidKeyFileError(FleetError):
+    """A key file that cannot be used; its text is one line."""
+
+
+class MalformedKeyError(InvalidKeyFileError):
+    """A line that is no key; `line` counts from 1."""
+
+    def __init__(self, line: int) -> None:
+        super().__init__(f"line {line}: not an id of 8 and a secret of 64 hex digits")
+        self.line = line
+
+
+class DuplicateKeyError(InvalidKeyFileError):
+    """A key id that is listed twice; `line` counts from 1."""
+
+    def __init__(self, line: int, key_id: str) -> None:
+        super().__init__(f"line {line}: key {key_id} is listed twice")
+        self.line = line
+        self.key_id = key_id
+
+
+class KeyCountError(InvalidKeyFileError):
+    """No key at all, or too many."""
+
+    def __init__(self, count: int) -> None:
+        super().__init__(f"{count} keys, not 1 to {MAX_KEYS}")
+        self.count = count
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
+    """What is authenticated besides the body."""
+
     fleet: Name
     sender: Name
     to: Name
     epoch: Count
     number: Count
-    link: bool = False  # of a link, where numbers follow each other; else of a datagram
+    link: bool = False  # of a connection, where numbers follow each other; else of a datagram
 
 
 @dataclass(frozen=True, slots=True)
 class AuthenticatedMessage:
+    """A message that passed all checks; `body` is still encoded."""
+
     header: Header
     body: bytes
 
@@ -61,122 +117,158 @@
 
 
 def read_keys(text: str) -> dict[bytes, bytes]:
-    """A key file: a line a key, id (8 hex digits) and secret (64), `#` for comments; the first one seals.
+    """Read a key file: a line a key, id (8 hex digits) and secret (64), `#` for comments.
 
-    To change keys: add the new one last at every front, then move it first at every front, then take the old
-    one out. Raises BadKeys.
+    The first key authenticates what is sent, all of them what is received. To change keys: add the new one
+    last at every front, then move it first at every front, then remove the old one.
+
+    Raises:
+        InvalidKeyFileError: it holds no key, too many, one twice, or something else.
     """
     keys: dict[bytes, bytes] = {}
     for number, line in enumerate(text.splitlines(), 1):
-        line = line.split("#", 1)[0].strip()
-        if not line:
+        content = line.split("#", 1)[0].strip()
+        if not content:
             continue
-        if not (found := KEY_LINE.fullmatch(line)):
-            raise InvalidKeyFileError(f"line {number}: not an id of 8 and a secret of 64 hex digits")
-        name = bytes.fromhex(found[1])
-        if name in keys:
-            raise InvalidKeyFileError(f"line {number}: key {found[1]} stands there twice")
-        keys[name] = bytes.fromhex(found[2])
-    if not 1 <= len(keys) <= 8:
-        raise InvalidKeyFileError(f"{len(keys)} keys, not 1 to 8")
+        if not (match := KEY_LINE.fullmatch(content)):
+            raise MalformedKeyError(number)
+        key_id = bytes.fromhex(match[1])
+        if key_id in keys:
+            raise DuplicateKeyError(number, match[1])
+        keys[key_id] = bytes.fromhex(match[2])
+    if not 1 <= len(keys) <= MAX_KEYS:
+        raise KeyCountError(len(keys))
     return keys
 
 
 class ReplayWindow:
-    """The numbers of one run that have come: each once, and none below the window (as RFC 4303, 3.4.3)."""
+    """The numbers received in one epoch: each once, and none below the window (as RFC 4303, 3.4.3)."""
 
     __slots__ = ("bits", "highest")
 
     def __init__(self) -> None:
-        self.highest, self.bits = -1, 0
+        self.highest = -1
+        self.bits = 0
 
-    def fresh(self, number: int) -> bool:
+    def accept(self, number: int) -> bool:
+        """Whether that number is new; it is not from then on."""
         if number > self.highest:
-            self.bits = ((self.bits << min(number - self.highest, WINDOW)) | 1) & ((1 << WINDOW) - 1)
+            shift = min(number - self.highest, REPLAY_WINDOW)
+            self.bits = ((self.bits << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
             self.highest = number
             return True
-        back = self.highest - number
-        if back >= WINDOW or self.bits >> back & 1:
+        offset = self.highest - number
+        if offset >= REPLAY_WINDOW or self.bits >> offset & 1:
             return False
-        self.bits |= 1 << back
+        self.bits |= 1 << offset
         return True
 
 
 class MessageAuthenticator:
-    """Seals what this run of a front says, and opens what is said to it."""
+    """Authenticates what this front sends in its epoch, and verifies what is sent to it.
+
+    `dropped` counts messages that failed, by their cause.
+    """
 
     def __init__(self, fleet: str, name: str, epoch: int, keys: Mapping[bytes, bytes]) -> None:
-        self.fleet, self.name, self.epoch = fleet, name, epoch
+        self.fleet = fleet
+        self.name = name
+        self.epoch = epoch
         self.keys = dict(keys)
         self.number = 0
-        self.seen: dict[tuple[str, bool], dict[int, ReplayWindow]] = {}
+        self.windows: dict[tuple[str, bool], dict[int, ReplayWindow]] = {}
         self.dropped: Counter[str] = Counter()
 
-    def rekey(self, keys: Mapping[bytes, bytes]) -> None:
+    def set_keys(self, keys: Mapping[bytes, bytes]) -> None:
+        """Go by these keys from now on."""
         self.keys = dict(keys)
 
-    def seal(self, to: str, body: bytes, link: bool = False, session: bytes = b"") -> bytes:
-        """One message. `session` is what both ends of a link drew: what was recorded fits no other link."""
+    def authenticate(self, to: str, body: bytes, link: bool = False, session: bytes = b"") -> bytes:
+        """The bytes of one message to a member.
+
+        Args:
+            to: the recipient's name.
+            body: the encoded message.
+            link: whether it goes over a connection, and not as a datagram.
+            session: what both ends of a connection drew, so that a recorded message fits no other.
+        """
         self.number += 1
         header = _encoder.encode(Header(self.fleet, self.name, to, self.epoch, self.number, link))
-        key, secret = next(iter(self.keys.items()))
-        rest = len(header).to_bytes(2, "big") + header + body
-        return bytes((VERSION,)) + key + mac(secret, key, rest, session) + rest
+        key_id, secret = next(iter(self.keys.items()))
+        content = len(header).to_bytes(2, "big") + header + body
+        return bytes((VERSION,)) + key_id + mac(secret, key_id, content, session) + content
+
+    def verify(self, data: bytes, link: bool = False, session: bytes = b"") -> AuthenticatedMessage:
+        """Check a message, whose number is used up by that; `link` and `session` as in `authenticate`.
 
-    def open(self, data: bytes, link: bool = False, session: bytes = b"") -> AuthenticatedMessage:
-        """What a message holds; raises BadSeal, and counts the cause."""
+        Raises:
+            AuthenticationError: it is dropped, and its cause is counted.
+        """
         try:
-            return self.opened(data, link, session)
-        except AuthenticationError as wrong:
-            self.dropped[str(wrong)] += 1
+            content = self._check_mac(data, session)
+            length = int.from_bytes(content[:2], "big")
+            header = self._read_header(content[2 : 2 + length])
+            self._check_header(header, link)
+        except AuthenticationError as error:
+            self.dropped[error.cause.value] += 1
             raise
+        return AuthenticatedMessage(header, content[2 + length :])
 
-    def opened(self, data: bytes, link: bool, session: bytes) -> AuthenticatedMessage:
-        if len(data) < HEAD:
-            raise AuthenticationError("too short")
+    def _check_mac(self, data: bytes, session: bytes) -> bytes:
+        """The part of a message that its MAC proves."""
+        if len(data) < PREFIX_SIZE:
+            raise AuthenticationError(DropCause.TOO_SHORT)
         if len(data) > LONGEST:
-            raise AuthenticationError("too long")
+            raise AuthenticationError(DropCause.TOO_LONG)
         if data[0] != VERSION:
-            raise AuthenticationError("another version of the seal")
-        key, told, rest = data[1:5], data[5 : 5 + MAC], data[5 + MAC :]
-        secret = self.keys.get(key)
+            raise AuthenticationError(DropCause.OTHER_VERSION)
+        mac_start = 1 + KEY_ID_SIZE
+        content_start = mac_start + MAC_SIZE
+        key_id = data[1:mac_start]
+        content = data[content_start:]
+        secret = self.keys.get(key_id)
         if secret is None:
-            raise AuthenticationError("unknown key")
-        if not hmac.compare_digest(told, mac(secret, key, rest, session)):
-            raise AuthenticationError("wrong MAC")
-        length = int.from_bytes(rest[:2], "big")
+            raise AuthenticationError(DropCause.UNKNOWN_KEY)
+        if not hmac.compare_digest(data[mac_start:content_start], mac(secret, key_id, content, session)):
+            raise AuthenticationError(DropCause.WRONG_MAC)
+        return content
+
+    def _read_header(self, data: bytes) -> Header:
         try:
-            header = _decoder.decode(rest[2 : 2 + length])
+            return _decoder.decode(data)
         except (msgspec.DecodeError, msgspec.ValidationError):
-            raise AuthenticationError("unreadable header") from None
+            raise AuthenticationError(DropCause.UNREADABLE_HEADER) from None
+
+    def _check_header(self, header: Header, link: bool) -> None:
         if header.fleet != self.fleet:
-            raise AuthenticationError("of another fleet")
+            raise AuthenticationError(DropCause.OTHER_FLEET)
         if header.sender == self.name and header.epoch == self.epoch:
-            raise AuthenticationError("reflected")
+            raise AuthenticationError(DropCause.REFLECTED)
         if header.to != self.name:
-            raise AuthenticationError("meant for another")
+            raise AuthenticationError(DropCause.OTHER_RECIPIENT)
         if header.link is not link:
-            raise AuthenticationError("of the other kind of path")
-        if not self.numbers(header).fresh(header.number):
-            raise AuthenticationError("replayed")
-        return AuthenticatedMessage(header, rest[2 + length :])
+            raise AuthenticationError(DropCause.OTHER_TRANSPORT)
+        if not self._window(header).accept(header.number):
+            raise AuthenticationError(DropCause.REPLAYED)
 
-    def numbers(self, header: Header) -> ReplayWindow:
-        """What has come of this run; of each name only the runs heard last are remembered.
+    def _window(self, header: Header) -> ReplayWindow:
+        """What was received in this epoch; of each sender only the latest epochs are remembered.
 
-        An older run than all of them is refused: its numbers would be new here, and it could be played back.
+        A message of an epoch before all of them is dropped: its numbers would be new here, and it could be
+        replayed.
         """
-        runs = self.seen.setdefault((header.sender, header.link), {})
-        if header.epoch not in runs:
-            if runs and header.epoch < min(runs) and len(runs) >= MOST_RUNS:
-                raise AuthenticationError("of a run long gone")
-            runs[header.epoch] = ReplayWindow()
-            if len(runs) > MOST_RUNS:
-                del runs[min(runs)]
-        return runs[header.epoch]
-
-
-def mac(secret: bytes, key: bytes, rest: bytes, session: bytes = b"") -> bytes:
-    made = blake2b(bytes((VERSION,)) + key, digest_size=MAC, key=secret, person=b"weldbend")
-    made.update(len(session).to_bytes(1, "big") + session + rest)
-    return made.digest()
+        epochs = self.windows.setdefault((header.sender, header.link), {})
+        if header.epoch not in epochs:
+            if epochs and header.epoch < min(epochs) and len(epochs) >= MAX_EPOCHS:
+                raise AuthenticationError(DropCause.EXPIRED_EPOCH)
+            epochs[header.epoch] = ReplayWindow()
+            if len(epochs) > MAX_EPOCHS:
+                del epochs[min(epochs)]
+        return epochs[header.epoch]
+
+
+def mac(secret: bytes, key_id: bytes, content: bytes, session: bytes = b"") -> bytes:
+    """The code that authenticates a message's content in its session."""
+    state = blake2b(bytes((VERSION,)) + key_id, digest_size=MAC_SIZE, key=secret, person=b"weldbend")
+    state.update(len(session).to_bytes(1, "big") + session + content)
+    return state.digest()
--- a/weldbend/fleet/messages.py
+++ b/weldbend/fleet/messages.py
@@ -1,89 +1,123 @@
-"""What fronts say to each other, and its coding. Lengths are bounded before anything is decoded. No I/O.
+"""What fronts send to each other, and its coding. Lengths are bounded before anything is decoded. No I/O.
 
-Messages are tagged arrays in MessagePack (by msgspec, which checks every type as it decodes); a body of a
-newer version that this one does not know fails the decoding and is dropped and counted.
+Messages are tagged arrays in MessagePack (by msgspec, which checks every type as it decodes): the order of
+the fields and the tags are the wire format, their names are not. A body of a newer version that this one does
+not know fails the decoding and is dropped and counted.
 """
 
-from typing import Annotated
+from dataclasses import dataclass
+from typing import Annotated, TypeVar
 
 import msgspec
 from msgspec import Meta
 
+from weldbend.fleet.errors import FleetError
 from weldbend.fleet.settings import LONGEST_NAME
 
-DATAGRAM = 1400  # bytes of a sealed datagram at most
-FRAME = 1 << 17  # bytes of a sealed message on a link at most
-MOST_RUMOURS = 24  # in one datagram
-MOST_OPS = 1024  # in one frame
-LAST = (1 << 53) - 1
+DATAGRAM = 1400  # bytes of an authenticated datagram at most
+FRAME = 1 << 17  # bytes of an authenticated message on a connection at most
+MAX_UPDATES = 24  # member updates in one datagram
+MAX_OPERATIONS = 1024  # in one frame
+MAX_COUNT = (1 << 53) - 1  # the largest integer that every JSON reader holds exactly
+ERROR_LENGTH = 80  # characters of a decoder's message that are passed on
 
 Name = Annotated[str, Meta(min_length=1, max_length=LONGEST_NAME)]
 Text = Annotated[str, Meta(max_length=LONGEST_NAME)]
-Count = Annotated[int, Meta(ge=0, le=LAST)]
+Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
 Seconds = Annotated[float, Meta(ge=0.0, le=1e9)]
 
 
+Decoded = TypeVar("Decoded")
+
+
+class InvalidPeerMessageError(FleetError):
+    """Bytes that are no message of this version.
+
+    Attributes:
+        reason: what is wrong, in one line.
+    """
+
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
+
+
+class MessageTooLongError(InvalidPeerMessageError):
+    """More bytes than a message may have on its path, a `datagram` or a `link`."""
+
+    def __init__(self, path: str) -> None:
+        super().__init__(f"too long for a {path}")
+        self.path = path
+
+
 class Body(msgspec.Struct, frozen=True, array_like=True, tag_field="t", forbid_unknown_fields=True):
-    pass
+    """Base of all messages: an array that begins with the message's tag."""
+
+
+# Membership, by datagrams.
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What somebody believes of a member. `state` is one of members.State by its number."""
+    """What some front believes of a member; `state` is a `member_table.State`."""
 
     name: Name
     epoch: Count
     incarnation: Count
     state: Annotated[int, Meta(ge=0, le=3)]
-    by: Name  # who first said so: voices are counted by it
+    reporter: Name  # who first said so: a suspicion counts its reporters
 
 
-MemberUpdates = Annotated[list[MemberUpdate], Meta(max_length=MOST_RUMOURS)]
+MemberUpdates = Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)]
 
 
 class Probe(Body, tag=1, frozen=True, array_like=True):
+    """Asks for an `Ack` with the same number."""
+
     number: Count
-    rumours: MemberUpdates = []
+    updates: MemberUpdates = []
 
 
 class Ack(Body, tag=2, frozen=True, array_like=True):
+    """Answers a probe."""
+
     number: Count
-    rumours: MemberUpdates = []
+    updates: MemberUpdates = []
 
 
-class Ask(Body, tag=3, frozen=True, array_like=True):
-    """Probe `target` in my place."""
+class IndirectProbe(Body, tag=3, frozen=True, array_like=True):
+    """Asks to probe `target` on the sender's behalf."""
 
     number: Count
     target: Name
-    rumours: MemberUpdates = []
+    updates: MemberUpdates = []
 
 
 class Nack(Body, tag=4, frozen=True, array_like=True):
-    """I am here and have asked it, but nothing came yet (Lifeguard, section IV-A)."""
+    """The helper is alive and has probed the target, but has no answer so far (Lifeguard, section IV-A)."""
 
     number: Count
 
 
 class StaleEpoch(Body, tag=5, frozen=True, array_like=True):
-    """You say an epoch that your name has passed already."""
+    """The recipient sent under an epoch that its name has passed already; `epoch` is the latest known."""
 
     epoch: Count
 
 
 class Leaving(Body, tag=6, frozen=True, array_like=True):
-    """I stop in an orderly way."""
+    """The sender stops in an orderly way."""
 
-    rumours: MemberUpdates = []
+    updates: MemberUpdates = []
 
 
-# Shares of limits, lent and given back (see shares).
+# Leases on limits, by datagrams (see lease_service). Amounts are parts of a limit.
 
 Limit = Annotated[str, Meta(min_length=1, max_length=96)]
 Parts = Annotated[int, Meta(ge=0, le=10_000)]
 
 
 class AcquireLease(Body, tag=7, frozen=True, array_like=True):
-    """Lend me so many parts in all, in place of what I have from you."""
+    """Asks for a lease on so many parts in all, in place of the one that the recipient has granted."""
 
     limit: Limit
     number: Count
@@ -91,7 +125,7 @@
 
 
 class GrantLease(Body, tag=8, frozen=True, array_like=True):
-    """The answer to the asking of that run and number; `spare` is what could be had yet."""
+    """Answers the request of that epoch and number; `spare` is how much could be had besides."""
 
     limit: Limit
     epoch: Count
@@ -101,18 +135,18 @@
 
 
 class ReleaseLease(Body, tag=9, frozen=True, array_like=True):
-    """I spend no more of that loan; `unspent`: nor have I spent anything in the last window."""
+    """The sender spends no more of that lease; `unspent`: nor has it spent anything in the last window."""
 
     limit: Limit
     number: Count
     unspent: bool = False
 
 
-# What goes over links: replicated state. Ages, not moments, cross: clocks may be apart.
+# Replicated state, by connections. Ages, not moments, cross: clocks may be apart.
 
 
 class Operation(msgspec.Struct, frozen=True, array_like=True):
-    """One change of one writer; `value` is read by its kind's own rule (copies.RULES)."""
+    """One change of one writer; `value` is checked by its kind's own rule (`replicated_items.ITEM_KINDS`)."""
 
     writer: Name
     epoch: Count
@@ -120,92 +154,108 @@
     kind: Annotated[str, Meta(max_length=12)]
     key: Annotated[str, Meta(max_length=96)]
     value: Annotated[list[int | float | Annotated[str, Meta(max_length=2048)]], Meta(max_length=8)]
-    age: Seconds  # since the writer said it
+    age: Seconds  # since the writer published it
 
 
-Operations = Annotated[list[Operation], Meta(max_length=MOST_OPS)]
+Operations = Annotated[list[Operation], Meta(max_length=MAX_OPERATIONS)]
 Run = Annotated[str, Meta(min_length=3, max_length=LONGEST_NAME + 20)]  # name/epoch of a writer
 Vector = Annotated[dict[Run, Count], Meta(max_length=1024)]
 
 
 class Hello(Body, tag=20, frozen=True, array_like=True):
-    """First on a link, from both ends: versions spoken, and this end's part of the session."""
+    """First on a connection, from both ends: versions spoken, and this end's part of the session."""
 
-    least: Count
-    most: Count
-    drawn: Annotated[bytes, Meta(min_length=16, max_length=16)]  # at random, for this link alone
+    min_version: Count
+    max_version: Count
+    nonce: Annotated[bytes, Meta(min_length=16, max_length=16)]  # at random, for this connection alone
     zone: Text = ""
 
 
 class Summary(Body, tag=21, frozen=True, array_like=True):
-    """What the sender holds of every writer, a checksum over it, and whether it has caught up itself."""
+    """What the sender has of every writer, a checksum over it, and whether it has caught up itself."""
 
     vector: Vector
     digest: Count
     whole: bool
-    number: Count = 0  # of the sender's comparisons on this link
+    number: Count = 0  # of the sender's summaries on this connection
     seen: Count = 0  # the number of the other end's last one that had come: how old this one may be
 
 
 class Delta(Body, tag=22, frozen=True, array_like=True):
+    """Changes that the recipient may lack."""
+
     ops: Operations
 
 
 class SnapshotRequest(Body, tag=23, frozen=True, array_like=True):
-    """Send a snapshot from this place on; `after` is the last key had, empty from the start."""
+    """Asks for a snapshot from this place on; `after` is the last key received, empty from the start."""
 
     after: Annotated[str, Meta(max_length=120)] = ""
 
 
 class SnapshotChunk(Body, tag=24, frozen=True, array_like=True):
-    """Part of a snapshot, in order of its keys. A donor's first says in `vector` what it held by then."""
+    """A chunk of a snapshot, in order of its keys. A donor's first says in `vector` what it had by then."""
 
     ops: Operations
-    after: Annotated[str, Meta(max_length=120)]  # the last key in this piece
+    after: Annotated[str, Meta(max_length=120)]  # the last key in this chunk
     last: bool
     vector: Vector
 
 
 class SnapshotRefusal(Body, tag=25, frozen=True, array_like=True):
-    """No snapshot from here: the asked one has not caught up itself, or serves others."""
+    """No snapshot from here: the sender has not caught up itself, or serves others."""
 
     why: Annotated[str, Meta(max_length=32)]
 
 
-Shared = AcquireLease | GrantLease | ReleaseLease
-Datagram = Probe | Ack | Ask | Nack | StaleEpoch | Leaving | Shared
+LeaseMessage = AcquireLease | GrantLease | ReleaseLease
+Datagram = Probe | Ack | IndirectProbe | Nack | StaleEpoch | Leaving | LeaseMessage
 Linked = Hello | Summary | Delta | SnapshotRequest | SnapshotChunk | SnapshotRefusal
-Any_ = Datagram | Linked
+Message = Datagram | Linked
 
-_encoder = msgspec.msgpack.Encoder()
-_datagrams = msgspec.msgpack.Decoder(Datagram)
-_linked = msgspec.msgpack.Decoder(Linked)
 
+@dataclass(frozen=True, slots=True)
+class Send:
+    """A datagram that is to be sent to a member."""
 
-class InvalidPeerMessageError(ValueError):
-    """Bytes that are no message of this version."""
+    to: str
+    body: Datagram
 
 
-def encode(body: Any_) -> bytes:
+_encoder = msgspec.msgpack.Encoder()
+_datagram_decoder: msgspec.msgpack.Decoder[Datagram] = msgspec.msgpack.Decoder(Datagram)
+_linked_decoder: msgspec.msgpack.Decoder[Linked] = msgspec.msgpack.Decoder(Linked)
+
+
+def encode(body: Message) -> bytes:
+    """A message's bytes, before it is authenticated."""
     return _encoder.encode(body)
 
 
 def read_datagram(data: bytes) -> Datagram:
-    """One message of a probe's port; raises BadBody."""
+    """Decode one message of a datagram.
+
+    Raises:
+        InvalidPeerMessageError: it is too long or no such message.
+    """
     if len(data) > DATAGRAM:
-        raise InvalidPeerMessageError("too long for a datagram")
-    return _read(_datagrams, data)
+        raise MessageTooLongError("datagram")
+    return _decode(_datagram_decoder, data)
 
 
 def read_linked(data: bytes) -> Linked:
-    """One message of a link; raises BadBody."""
+    """Decode one message of a connection.
+
+    Raises:
+        InvalidPeerMessageError: it is too long or no such message.
+    """
     if len(data) > FRAME:
-        raise InvalidPeerMessageError("too long for a link")
-    return _read(_linked, data)
+        raise MessageTooLongError("link")
+    return _decode(_linked_decoder, data)
 
 
-def _read(decoder: msgspec.msgpack.Decoder, data: bytes):  # type: ignore[no-untyped-def]
+def _decode(decoder: msgspec.msgpack.Decoder[Decoded], data: bytes) -> Decoded:
     try:
         return decoder.decode(data)
-    except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, OverflowError) as wrong:
-        raise InvalidPeerMessageError(str(wrong)[:80]) from None
+    except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, OverflowError) as error:
+        raise InvalidPeerMessageError(str(error)[:ERROR_LENGTH]) from None
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -1,15 +1,16 @@
-"""Connections between fronts: one a pair of neighbours, sealed, framed, each with a bounded outbox.
+"""Connections between fronts: one a pair of neighbours, authenticated, framed, each with a bounded outbox.
 
-The end whose name sorts first dials. Both say hello with a random part of the session; all that follows is
-sealed with the whole session, so a recorded link fits no other. A peer that reads nothing fills its own
-outbox; one that says nothing for some comparisons is dropped and dialled anew. Nothing here ever waits: a
-download never does either.
+The end whose name sorts first connects. Both send a hello with a random part of the session; all that follows
+is authenticated with the whole session, so a recorded connection fits no other. A peer that reads nothing
+fills its own outbox; one that sends nothing for some summaries is dropped and connected to anew. Nothing here
+ever waits: a request never does either.
+
+A frame is a length of four bytes (big-endian) and one authenticated message.
 """
 
-import os
 from collections import Counter
-from collections.abc import Callable, Iterable
-from typing import Any, Protocol
+from collections.abc import Iterable
+from typing import Any, Protocol, cast
 
 from twisted.internet.interfaces import IAddress, IPushProducer
 from twisted.internet.protocol import ClientFactory, ServerFactory
@@ -22,268 +23,336 @@
 from weldbend.fleet.anti_entropy import PROTOCOL_VERSIONS, PeerMessage
 from weldbend.fleet.message_authentication import LONGEST, AuthenticationError, MessageAuthenticator
 from weldbend.fleet.outbox import Outbox, Priority
-from weldbend.fleet.settings import Peer, Terms
+from weldbend.fleet.runtime import ListeningPort, Runtime, StreamTransport
+from weldbend.fleet.settings import FleetSettings, Peer
 
-HELLO = 2.0  # seconds for the first message
-SILENT = 4.0  # comparisons without a byte, after which a link is dropped
-AGAIN, AGAIN_MOST = 0.2, 3.0  # seconds between dials
-DIAL = 1.0
-STRANGERS = 16  # accepted connections that have not said who they are
+HELLO_TIMEOUT = 2.0  # seconds for the first message
+SILENT_SUMMARIES = 4.0  # intervals between summaries without a byte, after which a connection is dropped
+MIN_BACKOFF = 0.2  # seconds between attempts to connect to a peer, doubled with each failure
+MAX_BACKOFF = 3.0  # seconds
+CONNECT_TIMEOUT = 1.0  # seconds
+MAX_UNIDENTIFIED = 16  # accepted connections that have not sent their hello
+LENGTH_SIZE = 4  # bytes of a frame's length
+NONCE_SIZE = 16  # bytes of each end's part of the session
+RECEIVE_BUFFER = 2 * LONGEST + (1 << 17)  # bytes
 
 
-class Timers(Protocol):
-    def now(self) -> float: ...
-    def after(self, delay: float, call: Callable[[], object]) -> Any: ...
+class ConnectionHandler(Protocol):
+    """Is called with what happens on connections; `epoch` is the peer's own."""
 
+    def connection_up(self, peer: str, epoch: int) -> None:
+        """Messages can be sent to that peer."""
 
-class Owner(Protocol):
-    """Who hears of links."""
+    def connection_down(self, peer: str) -> None:
+        """No more messages can be sent to that peer."""
 
-    def link_up(self, peer: str, epoch: int) -> None: ...
-    def link_down(self, peer: str) -> None: ...
-    def link_heard(self, peer: str, epoch: int, body: m.Linked) -> None: ...
+    def message_received(self, peer: str, epoch: int, body: m.Linked) -> None:
+        """An authenticated message of that peer."""
 
 
 @implementer(IPushProducer)
 class PeerConnection(Connection):
-    """One end of a link."""
-
-    def __init__(self, links: "PeerConnections", peer: str = "") -> None:
-        self.links, self.peer, self.dialled = links, peer, bool(peer)
-        self.ring, self.outbox = Ring(2 * LONGEST + (1 << 17)), Outbox(links.terms.outbox)
-        self.drawn, self.session = links.drawn(16), b""
-        self.paused = self.lost = False
-        self.heard = links.timers.now()
-        self.length = -1  # of the frame that is coming
-        self.reason = "closed by the other end"
+    """One end of a connection; `peer` is empty until an accepted one has identified itself."""
+
+    def __init__(self, manager: "PeerConnections", peer: str = "") -> None:
+        self.manager = manager
+        self.peer = peer
+        self.is_initiator = bool(peer)
+        self.buffer = Ring(RECEIVE_BUFFER)
+        self.outbox = Outbox(manager.settings.outbox)
+        self.nonce = manager.runtime.random_bytes(NONCE_SIZE)
+        self.session = b""
+        self.is_paused = False
+        self.is_lost = False
+        self.received_at = manager.runtime.timers.now()
+        self.frame_length: int | None = None  # of the frame that is coming
+        self.drop_reason = "closed by the other end"
+
+    @property
+    def stream(self) -> StreamTransport:
+        """The transport, while there is a connection."""
+        return cast(StreamTransport, self.transport)
+
+    # Opening.
 
     def connectionMade(self) -> None:
-        self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, True)
-        self.links.timers.after(HELLO, self.greeted)
-        if self.dialled:
-            self.hello()
-
-    def hello(self) -> None:
-        body = m.encode(m.Hello(*PROTOCOL_VERSIONS, self.drawn, self.links.terms.zone))
-        self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True)), Priority.CRITICAL)
-        self.pump()
-
-    def greeted(self) -> None:
-        if not self.session and not self.lost:
+        """Send the hello, if this end connected, and give the other end some time for its own."""
+        self.stream.setTcpNoDelay(True)
+        self.stream.registerProducer(self, True)
+        self.manager.runtime.timers.after(HELLO_TIMEOUT, self.check_hello)
+        if self.is_initiator:
+            self.send_hello()
+
+    def send_hello(self) -> None:
+        """Send this end's part of the session."""
+        body = m.encode(m.Hello(*PROTOCOL_VERSIONS, self.nonce, self.manager.settings.zone))
+        self.outbox.put(
+            framed(self.manager.authenticator.authenticate(self.peer, body, True)), Priority.CRITICAL
+        )
+        self.flush()
+
+    def check_hello(self) -> None:
+        """Drop a connection on which no hello has come in time."""
+        if not self.session and not self.is_lost:
             self.drop("no hello")
 
-    def say(self, say: PeerMessage) -> None:
-        body = m.encode(say.body)
+    def _handle_hello(self, sender: str, epoch: int, body: m.Linked) -> None:
+        if not isinstance(body, m.Hello) or (self.is_initiator and sender != self.peer):
+            self.drop("no hello")
+            return
+        if body.min_version > PROTOCOL_VERSIONS[1] or body.max_version < PROTOCOL_VERSIONS[0]:
+            self.drop("no common version")
+            return
+        if self.is_initiator:
+            self.session = self.nonce + body.nonce
+        else:
+            if sender not in self.manager.members:
+                self.drop("not a member")
+                return
+            self.peer = sender
+            self.send_hello()
+            self.session = body.nonce + self.nonce
+        self.manager.established(self, epoch)
+
+    # Sending.
+
+    def send(self, message: PeerMessage) -> None:
+        """Queue a message; where the outbox is full, what weighs least is dropped."""
+        body = m.encode(message.body)
         if len(body) > m.FRAME:
-            self.links.counts["too long to say"] += 1
+            self.manager.counts["too long to say"] += 1
             return
-        self.outbox.put(framed(self.links.sealer.seal(self.peer, body, True, self.session)), say.priority)
-        self.pump()
+        data = self.manager.authenticator.authenticate(self.peer, body, True, self.session)
+        self.outbox.put(framed(data), message.priority)
+        self.flush()
 
-    def pump(self) -> None:
-        while not (self.paused or self.lost) and (data := self.outbox.pop()) is not None:
-            self.links.counts["bytes out"] += len(data)
-            self.transport.write(data)
+    def flush(self) -> None:
+        """Write what waits, as far as the transport accepts it."""
+        while not (self.is_paused or self.is_lost) and (data := self.outbox.pop()) is not None:
+            self.manager.counts["bytes out"] += len(data)
+            self.stream.write(data)
 
     def pauseProducing(self) -> None:
-        self.paused = True
+        """The transport's buffer is full."""
+        self.is_paused = True
 
     def resumeProducing(self) -> None:
-        self.paused = False
-        self.pump()
+        """The transport accepts bytes again."""
+        self.is_paused = False
+        self.flush()
 
     def stopProducing(self) -> None:
-        self.paused = True
+        """The transport accepts no more bytes."""
+        self.is_paused = True
+
+    # Receiving.
 
     def dataReceived(self, data: bytes) -> None:
-        self.heard = self.links.timers.now()
-        self.links.counts["bytes in"] += len(data)
+        """Handle the frames that are complete by now."""
+        self.received_at = self.manager.runtime.timers.now()
+        self.manager.counts["bytes in"] += len(data)
         rest = memoryview(data)
-        while rest and not self.lost:
-            rest = rest[self.ring.write(rest) :]
-            self.frames()
-
-    def frames(self) -> None:
-        while not self.lost:
-            if self.length < 0:
-                if len(self.ring) < 4:
+        while rest and not self.is_lost:
+            rest = rest[self.buffer.write(rest) :]
+            self._handle_frames()
+
+    def _handle_frames(self) -> None:
+        while not self.is_lost:
+            if self.frame_length is None:
+                if len(self.buffer) < LENGTH_SIZE:
                     return
-                self.length = int.from_bytes(self.ring.read(4), "big")
-                if not 0 < self.length <= LONGEST:
+                self.frame_length = int.from_bytes(self.buffer.read(LENGTH_SIZE), "big")
+                if not 0 < self.frame_length <= LONGEST:
                     self.drop("a length out of bounds")
                     return
-            if len(self.ring) < self.length:
+            if len(self.buffer) < self.frame_length:
                 return
-            data, self.length = bytes(self.ring.read(self.length)), -1
-            self.frame(data)
+            data = bytes(self.buffer.read(self.frame_length))
+            self.frame_length = None
+            self._handle_frame(data)
 
-    def frame(self, data: bytes) -> None:
+    def _handle_frame(self, data: bytes) -> None:
         try:
-            opened = self.links.sealer.open(data, True, self.session)
-            body = m.read_linked(opened.body)
-        except AuthenticationError as wrong:
-            self.drop(f"seal: {wrong}")
+            message = self.manager.authenticator.verify(data, True, self.session)
+            body = m.read_linked(message.body)
+        except AuthenticationError as error:
+            self.drop(f"seal: {error.cause}")
             return
         except m.InvalidPeerMessageError:
-            self.links.counts["messages that cannot be read"] += 1
+            self.manager.counts["messages that cannot be read"] += 1
             if not self.session:
                 self.drop("no hello")
             return
+        header = message.header
         if not self.session:
-            self.greet(opened.header.sender, opened.header.epoch, body)
-        elif opened.header.sender != self.peer:
+            self._handle_hello(header.sender, header.epoch, body)
+        elif header.sender != self.peer:
             self.drop("another speaks")
         else:
-            self.links.owner.link_heard(self.peer, opened.header.epoch, body)
+            self.manager.handler.message_received(self.peer, header.epoch, body)
 
-    def greet(self, sender: str, epoch: int, body: m.Linked) -> None:
-        if not isinstance(body, m.Hello) or (self.dialled and sender != self.peer):
-            self.drop("no hello")
-            return
-        if body.least > PROTOCOL_VERSIONS[1] or body.most < PROTOCOL_VERSIONS[0]:
-            self.drop("no common version")
-            return
-        if not self.dialled:
-            if sender not in self.links.named:
-                self.drop("not a member")
-                return
-            self.peer = sender
-            self.hello()
-        one, other = (self.drawn, body.drawn) if self.dialled else (body.drawn, self.drawn)
-        self.session = one + other
-        self.links.came(self, epoch)
+    # Closing.
 
-    def drop(self, why: str) -> None:
-        """End it at once; what waits for it is found missing by a later comparison."""
-        if not self.lost:
-            self.reason = why
-            self.links.counts[f"dropped: {why}"] += 1
-            self.lost = True
-            self.transport.abortConnection()
+    def drop(self, reason: str) -> None:
+        """Close it at once; what still waits in the outbox is found missing by a later summary."""
+        if not self.is_lost:
+            self.drop_reason = reason
+            self.manager.counts[f"dropped: {reason}"] += 1
+            self.is_lost = True
+            self.stream.abortConnection()
 
-    def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
-        self.lost = True
-        self.links.went(self)
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """The connection has ended."""
+        self.is_lost = True
+        self.manager.closed(self)
 
 
 def framed(data: bytes) -> bytes:
-    return len(data).to_bytes(4, "big") + data
+    """An authenticated message behind its length."""
+    return len(data).to_bytes(LENGTH_SIZE, "big") + data
+
 
+class InitiatorFactory(ClientFactory):
+    """Makes this front's end of a connection that it opens."""
 
-class Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, links: "PeerConnections", peer: str) -> None:
-        self.links, self.peer = links, peer
+    def __init__(self, manager: "PeerConnections", peer: str) -> None:
+        self.manager = manager
+        self.peer = peer
 
     def buildProtocol(self, addr: IAddress | None) -> PeerConnection:
-        return self.links.end(self.peer)
+        """The connection is open."""
+        return self.manager.open_end(self.peer)
+
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401, RUF100 - zope has no types
+        """The connection could not be opened."""
+        self.manager.connect_failed(self.peer)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.links.failed(self.peer)
 
+class AcceptorFactory(ServerFactory):
+    """Makes this front's end of a connection that a peer opened."""
 
-class Accept(ServerFactory):
     noisy = False
 
-    def __init__(self, links: "PeerConnections") -> None:
-        self.links = links
+    def __init__(self, manager: "PeerConnections") -> None:
+        self.manager = manager
 
     def buildProtocol(self, addr: IAddress | None) -> PeerConnection | None:
-        if sum(not end.session for end in self.links.ends) >= STRANGERS:
-            self.links.counts["strangers turned away"] += 1
+        """Accept it, unless too many have not identified themselves yet."""
+        if sum(not end.session for end in self.manager.ends) >= MAX_UNIDENTIFIED:
+            self.manager.counts["strangers turned away"] += 1
             return None
-        return self.links.end()
+        return self.manager.open_end()
 
 
 class PeerConnections:
-    """All links of this front; `wanted` is told which peers it is to be linked to."""
+    """All connections of this front.
+
+    Attributes:
+        members: the other members by name, with their addresses.
+        neighbours: names of those that this front is to be connected to.
+        ends: all open connections, also those that are not identified yet, in the order of their opening.
+        established_by_peer: the one connection to each peer over which messages go.
+        connecting: peers to which a connection is being opened.
+        backoffs: seconds waited before the last attempt to connect to a peer.
+        counts: bytes, drops by reason, and messages that were dropped.
+    """
 
     def __init__(
         self,
-        reactor: Any,
-        timers: Timers,
-        sealer: MessageAuthenticator,
-        terms: Terms,
-        owner: Owner,
-        drawn: Callable[[int], bytes] = os.urandom,
+        runtime: Runtime,
+        authenticator: MessageAuthenticator,
+        settings: FleetSettings,
+        handler: ConnectionHandler,
     ) -> None:
-        self.reactor, self.timers, self.sealer, self.terms, self.owner = reactor, timers, sealer, terms, owner
-        self.drawn = drawn
-        self.named: dict[str, Peer] = {}
-        self.near: set[str] = set()
+        self.runtime = runtime
+        self.authenticator = authenticator
+        self.settings = settings
+        self.handler = handler
+        self.members: dict[str, Peer] = {}
+        self.neighbours: set[str] = set()
         self.ends: dict[PeerConnection, None] = {}
-        self.up: dict[str, PeerConnection] = {}
-        self.dialling: set[str] = set()
-        self.waits: dict[str, float] = {}
+        self.established_by_peer: dict[str, PeerConnection] = {}
+        self.connecting: set[str] = set()
+        self.backoffs: dict[str, float] = {}
         self.counts: Counter[str] = Counter()
-        self.port: Any = None
-        self.stopped = False
-
-    def listen(self, host: str, port: int) -> int:
-        self.port = self.reactor.listenTCP(port, Accept(self), interface=host)
-        return int(self.port.getHost().port)
-
-    def wanted(self, named: Iterable[Peer], near: Iterable[str]) -> None:
-        """Who is a member, and who of them is a neighbour; links to others end."""
-        self.named = {peer.name: peer for peer in named}
-        self.near = set(near) & set(self.named)
-        for end in [end for end in self.ends if end.peer and end.peer not in self.near]:
+        self.port: ListeningPort | None = None
+        self.is_stopped = False
+
+    def listen(self, host: str, port: int) -> None:
+        """Accept connections of peers."""
+        self.port = self.runtime.reactor.listenTCP(port, AcceptorFactory(self), interface=host)
+
+    def set_members(self, members: Iterable[Peer], neighbours: Iterable[str]) -> None:
+        """Replace the members and neighbours; connections to others end."""
+        self.members = {peer.name: peer for peer in members}
+        self.neighbours = set(neighbours) & set(self.members)
+        for end in [end for end in self.ends if end.peer and end.peer not in self.neighbours]:
             end.drop("no longer a neighbour")
-        for peer in sorted(self.near):
-            self.dial(peer)
-
-    def dial(self, peer: str) -> None:
-        mine = self.sealer.name < peer  # one of both dials, else there would be two links
-        if not mine or peer in self.up or peer in self.dialling or peer not in self.near or self.stopped:
+        for peer in sorted(self.neighbours):
+            self.connect(peer)
+
+    def connect(self, peer: str) -> None:
+        """Open a connection to a neighbour, where it is this end that does so and there is none."""
+        is_initiator = self.authenticator.name < peer  # else there would be two connections
+        is_needed = peer in self.neighbours and peer not in self.established_by_peer
+        if not (is_initiator and is_needed) or peer in self.connecting or self.is_stopped:
             return
-        self.dialling.add(peer)
-        at = self.named[peer]
-        self.reactor.connectTCP(at.host, at.port, Dial(self, peer), DIAL)
-
-    def failed(self, peer: str) -> None:
-        self.dialling.discard(peer)
-        wait = self.waits[peer] = min(max(self.waits.get(peer, 0.0) * 2, AGAIN), AGAIN_MOST)
-        self.timers.after(wait, lambda: self.dial(peer))
-
-    def end(self, peer: str = "") -> PeerConnection:
+        self.connecting.add(peer)
+        address = self.members[peer]
+        factory = InitiatorFactory(self, peer)
+        self.runtime.reactor.connectTCP(address.host, address.port, factory, CONNECT_TIMEOUT)
+
+    def connect_failed(self, peer: str) -> None:
+        """Try again after a backoff that doubles each time."""
+        self.connecting.discard(peer)
+        backoff = min(max(self.backoffs.get(peer, 0.0) * 2, MIN_BACKOFF), MAX_BACKOFF)
+        self.backoffs[peer] = backoff
+        self.runtime.timers.after(backoff, lambda: self.connect(peer))
+
+    def open_end(self, peer: str = "") -> PeerConnection:
+        """A new connection; `peer` is known where this end opened it."""
         end = PeerConnection(self, peer)
         self.ends[end] = None
         return end
 
-    def came(self, end: PeerConnection, epoch: int) -> None:
-        """Both have said hello. A newer link of the same pair takes the older one's place."""
-        self.dialling.discard(end.peer)
-        self.waits.pop(end.peer, None)
-        if older := self.up.get(end.peer):
+    def established(self, end: PeerConnection, epoch: int) -> None:
+        """Both ends have sent their hello. A newer connection of the same pair replaces the older one."""
+        self.connecting.discard(end.peer)
+        self.backoffs.pop(end.peer, None)
+        if older := self.established_by_peer.get(end.peer):
             older.drop("another link came up")
-            self.went(older)
-        self.up[end.peer] = end
-        self.owner.link_up(end.peer, epoch)
+            self.closed(older)
+        self.established_by_peer[end.peer] = end
+        self.handler.connection_up(end.peer, epoch)
 
-    def went(self, end: PeerConnection) -> None:
-        if self.ends.pop(end, False) is False:
+    def closed(self, end: PeerConnection) -> None:
+        """A connection has ended; it may be reported more than once."""
+        if end not in self.ends:
             return
-        if self.up.get(end.peer) is end:
-            del self.up[end.peer]
-            self.owner.link_down(end.peer)
-        if end.dialled and end.peer not in self.up:
-            self.failed(end.peer)
-
-    def say(self, say: PeerMessage) -> None:
-        if end := self.up.get(say.to):
-            end.say(say)
-
-    def look(self) -> None:
-        """Drop links that have been silent: each end compares every few seconds, so the path is lost."""
-        now = self.timers.now()
-        for end in list(self.up.values()):
-            if now - end.heard > SILENT * self.terms.exchange:
+        del self.ends[end]
+        if self.established_by_peer.get(end.peer) is end:
+            del self.established_by_peer[end.peer]
+            self.handler.connection_down(end.peer)
+        if end.is_initiator and end.peer not in self.established_by_peer:
+            self.connect_failed(end.peer)
+
+    def send(self, message: PeerMessage) -> None:
+        """Send a message to a peer; dropped where there is no connection."""
+        if end := self.established_by_peer.get(message.to):
+            end.send(message)
+
+    def drop_silent(self) -> None:
+        """Drop silent connections: each end sends a summary every few seconds, so the path is lost."""
+        now = self.runtime.timers.now()
+        for end in list(self.established_by_peer.values()):
+            if now - end.received_at > SILENT_SUMMARIES * self.settings.exchange:
                 end.drop("silent")
 
     def stop(self) -> None:
-        self.stopped = True
+        """Close the port and all connections."""
+        self.is_stopped = True
         if self.port:
             self.port.stopListening()
         for end in list(self.ends):
--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -101,7 +101,7 @@
     @property
     def limits(self) -> LimitSettings:
         """The fleet's limits, as last loaded."""
-        return self.fleet.terms.limits
+        return self.fleet.settings.limits
 
     @property
     def settings(self) -> SiteSettings:
@@ -114,11 +114,11 @@
 
     def front_names(self) -> list[str]:
         """All fronts that the installation file names, this one among them."""
-        return sorted({peer.name for peer in self.fleet.terms.peers} | {self.name})
+        return sorted({peer.name for peer in self.fleet.settings.peers} | {self.name})
 
     def zones(self) -> dict[str, str]:
         """The zone of each front."""
-        settings = self.fleet.terms
+        settings = self.fleet.settings
         return {peer.name: peer.zone for peer in settings.peers} | {self.name: settings.zone}
 
     def cache(self, uid: str) -> Cache | None:
@@ -129,11 +129,11 @@
 
     def item(self, kind: str, key: str) -> Item | None:
         """A replicated item, whether it still counts or not; None where there is none."""
-        return self.fleet.copies.items.get((kind, key))
+        return self.fleet.store.items.get((kind, key))
 
     def items(self, kind: str) -> Iterator[tuple[str, Item]]:
         """Keys and items of a kind, whether they still count or not."""
-        return ((key, item) for (found, key), item in self.fleet.copies.items.items() if found == kind)
+        return ((key, item) for (found, key), item in self.fleet.store.items.items() if found == kind)
 
     def live_figures(self, kind: str, now: float) -> Iterator[tuple[str, str, Item]]:
         """Subject, writer and item of each published figure of a kind that still counts."""
@@ -146,18 +146,18 @@
         """Publish this front's figure on a subject to all fronts, in place of its earlier one."""
         self._last_number += 1
         key = f"{subject}|{self.name}"
-        self.fleet.say(kind, key, self.fleet.copies.epoch, self._last_number, figure)
+        self.fleet.publish(kind, key, self.fleet.store.epoch, self._last_number, figure)
 
     def publish_setting(self, name: str, text: str) -> None:
         """Publish an operator's setting for the whole fleet: the latest version holds."""
         current = self.item("setting", name)
         version = int(current.value[0]) + 1 if current else 1
-        self.fleet.say("setting", name, version, text)
+        self.fleet.publish("setting", name, version, text)
 
     def peer_figures(self, kind: str, subject: str) -> dict[str, PeerFigure]:
         """What other fronts published on a subject, as far as it still counts, by front."""
         now, found = self.now(), {}
-        for peer in self.fleet.terms.peers:
+        for peer in self.fleet.settings.peers:
             item = self.item(kind, f"{subject}|{peer.name}")
             if item and peer.name != self.name and item.is_live(ITEM_KINDS[kind], now):
                 found[peer.name] = PeerFigure(now - item.written_at, float(item.value[2]))
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -16,7 +16,7 @@
 from weldbend.fleet.health_reports import HealthReport
 from weldbend.fleet.lease_ledger import LeaseTimes
 from weldbend.fleet.lease_service import LeasedRate, LeaseService
-from weldbend.fleet.membership import Reachability
+from weldbend.fleet.membership_view import Reachability
 from weldbend.fleet.quota_context import FrontLoop, QuotaContext
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.slow_start_quotas import SlowStartQuotas
@@ -43,7 +43,7 @@
         self.client_rate = ClientRateLimit(self.context)
         self.bans = ClientBans(self.context)
         self.ejections = EjectionService(self.context)
-        self.leases = fleet.limits = self._make_leases()
+        self.leases = fleet.lease_service = self._make_leases()
         self._members_checksum = 0
         self._members_published_at = -math.inf
         self.rates: dict[str, LeasedRate] = {}
@@ -54,13 +54,13 @@
         longest = max(context.settings.edge_overload_window, WINDOW)
         leases = LeaseService(
             context.name,
-            context.fleet.members.epoch,
+            context.fleet.membership.epoch,
             context.random,
             context.now() + self._times(longest).recovery,
             self.slow_start.open_requested,
             context.loop.clock.unix,
         )
-        leases.is_newcomer = bool(context.fleet.members.members)
+        leases.is_newcomer = bool(context.fleet.membership.members)
         return leases
 
     def _open_rates(self) -> None:
@@ -112,7 +112,7 @@
             now: seconds of the steady clock.
             reports: health reports of all fronts, this one among them, by cache.
         """
-        alive = self.context.fleet.here()
+        alive = self.context.fleet.live_members()
         self._confirm_members(now)
         self.slow_start.tick()
         self.demand.tick(now, alive)
@@ -140,8 +140,8 @@
             return
         published = context.peer_figures("names", "")
         agree = bool(published) and all(int(figure) == checksum for _, figure in published.values())
-        members = context.fleet.members
-        is_alone = members.sight(now) is Reachability.ALONE and now >= self.leases.recovering_until
+        members = context.fleet.membership
+        is_alone = members.reachability(now) is Reachability.ALONE and now >= self.leases.recovering_until
         if agree or is_alone or not members.members:
             self.leases.set_members(self.slow_start.owners, False, now)
 
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -1,316 +1,308 @@
-"""A front's place in its fleet: probes by UDP, links by TCP, the cores between them, on its own reactor.
+"""A front's place in its fleet: datagrams by UDP, connections by TCP, and the parts that they serve.
 
 It is made where an installation file names a fleet, and never otherwise. It hands the front what has become
-stricter, and takes from it what the bus told; it is asked nothing and holds up nothing.
+stricter, and publishes what the front knows; it is asked nothing and holds up nothing.
 """
 
 import math
-import os
 from collections import Counter
 from collections.abc import Callable
 from pathlib import Path
-from typing import Any
 
 from loguru import logger
-from twisted.internet.protocol import DatagramProtocol
 
 from weldbend.fleet import messages as m
 from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_standstill
+from weldbend.fleet.datagram_port import DatagramPort
+from weldbend.fleet.errors import FleetError
 from weldbend.fleet.lease_service import LeaseService
-from weldbend.fleet.membership import Membership, Reachability, Send, State, View
+from weldbend.fleet.member_table import State
+from weldbend.fleet.membership import Membership
+from weldbend.fleet.membership_view import MembershipView, Reachability
 from weldbend.fleet.message_authentication import (
-    AuthenticationError,
+    Header,
     InvalidKeyFileError,
     MessageAuthenticator,
     read_keys,
 )
-from weldbend.fleet.peer_connections import PeerConnections, Timers
+from weldbend.fleet.messages import Send
+from weldbend.fleet.peer_connections import PeerConnections
 from weldbend.fleet.replicated_store import Change, ReplicatedStore
-from weldbend.fleet.settings import Peer, Terms, split
+from weldbend.fleet.runtime import Runtime
+from weldbend.fleet.settings import FleetSettings, split_address
 from weldbend.fleet.topology import neighbours
 
-TURN = 0.05  # seconds between two turns at most, so that a standstill shows
-MOST_DATAGRAMS = 2000  # heard in a second; more are dropped unread
-REPORT = 10.0
+TICK = 0.05  # seconds between two ticks at most, so that a pause of the process shows
+REPORT_INTERVAL = 10.0  # seconds between two lines of counters
+FIXED_SETTINGS = ("listen", "fleet", "zone")  # only a restart changes them
 
 
-class FleetConfigurationError(Exception):
-    """A fleet that cannot be started from; one line for people."""
+class FleetConfigurationError(FleetError):
+    """Settings from which a fleet cannot be started or reloaded; the text is one line for people."""
 
 
-def keys_of(path: str) -> dict[bytes, bytes]:
-    try:
-        return read_keys(Path(path).read_text("ascii"))
-    except (OSError, UnicodeDecodeError) as wrong:
-        raise FleetConfigurationError(f"key file {path}: cannot be read: {wrong}") from None
-    except InvalidKeyFileError as wrong:
-        raise FleetConfigurationError(f"key file {path}: {wrong}") from None
+class KeyFileError(FleetConfigurationError):
+    """The key file at `path` cannot be read or used."""
 
+    def __init__(self, path: str, problem: str) -> None:
+        super().__init__(f"key file {path}: {problem}")
+        self.path = path
+        self.problem = problem
 
-class Ear(DatagramProtocol):
-    """The probes' port."""
 
-    noisy = False
+class FixedSettingsError(FleetConfigurationError):
+    """A reload that changes what only a restart can change; `names` are keys of `[fleet]`."""
 
-    def __init__(self, told: Callable[[bytes, tuple[str, int]], None]) -> None:
-        self.told = told
+    def __init__(self, names: list[str]) -> None:
+        super().__init__(f"[fleet] {', '.join(names)}: changed by a restart only")
+        self.names = names
 
-    def datagramReceived(self, datagram: bytes, addr: Any) -> None:
-        self.told(datagram, addr)
 
+def load_keys(path: str) -> dict[bytes, bytes]:
+    """Read the key file.
 
-class Fleet:
-    """`changed` is told of every item that has become stricter.
+    Raises:
+        FleetConfigurationError: it cannot be read or used.
+    """
+    try:
+        return read_keys(Path(path).read_text("ascii"))
+    except (OSError, UnicodeDecodeError) as error:
+        raise KeyFileError(path, f"cannot be read: {error}") from None
+    except InvalidKeyFileError as error:
+        raise KeyFileError(path, str(error)) from None
 
-    `epoch` is the Unix millisecond of this start; a clock that went back is told so by those who know a later
-    one. `drawn` gives bytes at random.
+
+class Fleet:
+    """This front's membership, replicated store and their transports.
+
+    Attributes:
+        settings: as the installation file has them; a reload replaces them.
+        membership: who belongs to the fleet and who is alive.
+        store: the replicated state.
+        anti_entropy: keeps the store alike to those of others.
+        connections: connections to neighbours.
+        authenticator: authenticates all messages.
+        datagrams: the UDP port.
+        counts: datagrams, by what became of them.
+        resumed_at: when this process last went on after a pause; minus infinity for never.
+        connection_lost_at: when the connection to each peer was last lost.
+        lease_service: strict limits shared with others, None where there are none.
     """
 
     def __init__(
         self,
-        reactor: Any,
-        timers: Timers,
+        runtime: Runtime,
         name: str,
-        terms: Terms,
-        changed: Callable[[Change], None],
+        settings: FleetSettings,
+        on_change: Callable[[Change], None],
         epoch: int,
-        drawn: Callable[[int], bytes] = os.urandom,
     ) -> None:
-        self.reactor, self.timers, self.name, self.terms, self.changed = reactor, timers, name, terms, changed
-        seed = int.from_bytes(drawn(4), "big")
-        self.sealer = MessageAuthenticator(terms.fleet, name, epoch, keys_of(terms.keys))
-        now = timers.now()
-        peers = [peer.name for peer in terms.peers]
-        self.members = Membership(name, epoch, terms, peers, seed, now)
-        self.copies = ReplicatedStore(name, epoch, terms.ops)
-        self.exchange = AntiEntropy(self.copies, terms, seed + 1, changed, now)
-        self.links = PeerConnections(reactor, timers, self.sealer, terms, self, drawn)
-        self.ear = Ear(self.datagram)
-        self.udp: Any = None
+        """Make it; nothing is sent or received before `start`.
+
+        Args:
+            runtime: the reactor, timers and random bytes.
+            name: this front's name.
+            settings: its installation's settings.
+            on_change: is called with every item that has become stricter.
+            epoch: the Unix millisecond of this start; where the clock went back, those who know a later epoch
+                say so.
+
+        Raises:
+            FleetConfigurationError: the key file cannot be read or used.
+        """
+        self.runtime = runtime
+        self.timers = runtime.timers
+        self.name = name
+        self.settings = settings
+        seed = int.from_bytes(runtime.random_bytes(4), "big")
+        now = self.timers.now()
+        peers = [peer.name for peer in settings.peers]
         self.counts: Counter[str] = Counter()
-        self.second, self.heard_in_it = 0, 0
-        self.woke = -math.inf  # when this process last went on after a standstill
-        self.lost: dict[str, float] = {}  # when each peer's link was lost last
-        self.sight = Reachability.WAKING
-        self.stopped = False
-        self.limits: LeaseService | None = None  # strict limits shared with others, where there are some
-
-    # Start, stop, change.
+        self.authenticator = MessageAuthenticator(settings.fleet, name, epoch, load_keys(settings.keys))
+        self.membership = Membership(name, epoch, settings, peers, seed, now)
+        self.store = ReplicatedStore(name, epoch, settings.ops)
+        self.anti_entropy = AntiEntropy(self.store, settings, seed + 1, on_change, now)
+        self.connections = PeerConnections(runtime, self.authenticator, settings, self)
+        self.datagrams = DatagramPort(runtime, self.authenticator, self.datagram_received, self.counts)
+        self.resumed_at = -math.inf
+        self.connection_lost_at: dict[str, float] = {}
+        self.logged_reachability = Reachability.WAKING
+        self.is_stopped = False
+        self.lease_service: LeaseService | None = None
+
+    # Start, stop, reload.
 
     def start(self) -> None:
-        host, port = split(self.terms.listen)
-        self.links.listen(host, port)
-        self.udp = self.reactor.listenUDP(port, self.ear, interface=host, maxPacketSize=65_535)
-        self.rename()
-        self.timers.after(0.0, self.turn)
-        self.timers.after(REPORT, self.report)
+        """Open both ports and begin to probe and connect."""
+        host, port = split_address(self.settings.listen)
+        self.connections.listen(host, port)
+        self.datagrams.listen(host, port)
+        self._set_neighbours()
+        self.timers.after(0.0, self.tick)
+        self.timers.after(REPORT_INTERVAL, self.report)
         logger.info(
             "fleet {}: {} of {} members, epoch {}",
-            self.terms.fleet,
+            self.settings.fleet,
             self.name,
-            len(self.terms.peers) + 1,
-            self.members.epoch,
+            len(self.settings.peers) + 1,
+            self.membership.epoch,
         )
 
-    def rename(self) -> None:
-        peers = [peer for peer in self.terms.peers if peer.name != self.name]
-        self.links.wanted(peers, neighbours(self.name, [peer.name for peer in peers]))
+    def _set_neighbours(self) -> None:
+        peers = [peer for peer in self.settings.peers if peer.name != self.name]
+        self.connections.set_members(peers, neighbours(self.name, [peer.name for peer in peers]))
+
+    def reload(self, settings: FleetSettings) -> None:
+        """Go by these settings, members and keys from now on.
 
-    def reload(self, terms: Terms) -> None:
-        """Peers and keys as the installation file has them now; raises BadFleet and changes nothing."""
-        keys = keys_of(terms.keys)
-        fixed = [f for f in ("listen", "fleet", "zone") if getattr(terms, f) != getattr(self.terms, f)]
+        Raises:
+            FleetConfigurationError: only a restart can change that, or the keys cannot be used; nothing has
+                changed then.
+        """
+        keys = load_keys(settings.keys)
+        fixed = [name for name in FIXED_SETTINGS if getattr(settings, name) != getattr(self.settings, name)]
         if fixed:
-            raise FleetConfigurationError(f"[fleet] {', '.join(fixed)}: changed by a restart only")
-        self.sealer.rekey(keys)
-        self.terms = self.members.terms = self.exchange.settings = self.links.terms = terms
-        self.members.rename([peer.name for peer in terms.peers], self.timers.now())
-        self.rename()
-        logger.info("fleet: {} members named now, {} keys", len(terms.peers) + 1, len(keys))
+            raise FixedSettingsError(fixed)
+        self.authenticator.set_keys(keys)
+        self.settings = settings
+        self.anti_entropy.settings = settings
+        self.connections.settings = settings
+        self.membership.reconfigure(settings, self.timers.now())
+        self._set_neighbours()
+        logger.info("fleet: {} members named now, {} keys", len(settings.peers) + 1, len(keys))
 
     def stop(self) -> None:
-        if self.stopped:
+        """Leave the fleet and close all sockets."""
+        if self.is_stopped:
             return
-        self.stopped = True
-        self.send(self.members.leave())
-        self.links.stop()
-        if self.udp:
-            self.udp.stopListening()
+        self.is_stopped = True
+        self._send_datagrams(self.membership.leave())
+        self.connections.stop()
+        self.datagrams.close()
 
     # Time.
 
-    def turn(self) -> None:
-        if self.stopped:
+    def tick(self) -> None:
+        """Do all that is due."""
+        if self.is_stopped:
             return
-        self.timers.after(TURN, self.turn)  # first: a fault in one part must not end the others
+        self.timers.after(TICK, self.tick)  # first: a fault in one part must not end the others
         now = self.timers.now()
-        self.wake(now)
-        self.send(self.members.turn(now))
-        self.settle(now)
-        self.carry(self.exchange.tick(now))
-        if self.limits:
-            self.send(self.limits.tick(now, self.here()))
-        self.links.look()
-
-    def wake(self, now: float) -> None:
-        if self.members.stands_still(now):
-            gap = now - self.members.last
-            logger.warning("fleet: this front stood still for {:.1f} s; catching up", gap)
-            self.woke = now
-            self.send(resume_after_standstill(self.members, self.exchange, now))
-
-    def settle(self, now: float) -> None:
-        """Log what has changed in the view."""
-        for name, before, state, why in self.members.end_of_round():
-            logger.bind(member=name, before=before.name, state=state.name).info(
-                "fleet: {} was {}, is {}: {}", name, before.name, state.name, why
+        self.detect_pause(now)
+        self._send_datagrams(self.membership.advance(now))
+        self._log_changes(now)
+        self._send_messages(self.anti_entropy.tick(now))
+        if self.lease_service:
+            self._send_datagrams(self.lease_service.tick(now, self.live_members()))
+        self.connections.drop_silent()
+
+    def detect_pause(self, now: float) -> None:
+        """Before anything is acted on: find out whether this process was paused, and what it knows is old."""
+        if self.membership.was_paused(now):
+            seconds = now - self.membership.last_advance
+            logger.warning("fleet: this process was paused for {:.1f} s; catching up", seconds)
+            self.resumed_at = now
+            self._send_datagrams(resume_after_standstill(self.membership, self.anti_entropy, now))
+
+    def _log_changes(self, now: float) -> None:
+        for name, before, after, reason in self.membership.drain_changes():
+            logger.bind(member=name, before=before.name, state=after.name).info(
+                "fleet: {} was {}, is {}: {}", name, before.name, after.name, reason
             )
-        if (sight := self.members.sight(now)) is not self.sight:
-            logger.info("fleet: own sight was {}, is {}", self.sight.name, sight.name)
-            self.sight = sight
-        if self.members.epoch != self.sealer.epoch:  # its clock went back, or it has a double
-            logger.warning("fleet: own epoch raised from {} to {}", self.sealer.epoch, self.members.epoch)
-            self.sealer.epoch = self.members.epoch
-            if self.limits:
-                self.limits.set_epoch(self.members.epoch)
+        reachability = self.membership.reachability(now)
+        if reachability is not self.logged_reachability:
+            logger.info(
+                "fleet: own reachability was {}, is {}", self.logged_reachability.name, reachability.name
+            )
+            self.logged_reachability = reachability
+        epoch = self.membership.epoch
+        if epoch != self.authenticator.epoch:  # this clock went back, or there is a double
+            logger.warning("fleet: own epoch raised from {} to {}", self.authenticator.epoch, epoch)
+            self.authenticator.epoch = epoch
+            if self.lease_service:
+                self.lease_service.set_epoch(epoch)
 
     def report(self) -> None:
-        if self.stopped:
+        """Log all counters, every `REPORT_INTERVAL`."""
+        if self.is_stopped:
             return
-        view = self.members.view(self.timers.now())
+        view = self.view()
         fields = {
             "alive": len(view.alive()),
             "named": len(view.members),
-            "sight": view.sight.name,
+            "reachability": view.reachability.name,
             "health": view.health,
-            "caught_up": self.exchange.is_caught_up,
-            "items": len(self.copies.items),
-            "links": len(self.links.up),
-            "counts": dict(self.members.counts + self.exchange.counts + self.counts),
-            "link_counts": dict(self.links.counts),
-            "dropped": dict(self.sealer.dropped),
+            "caught_up": self.anti_entropy.is_caught_up,
+            "items": len(self.store.items),
+            "connections": len(self.connections.established_by_peer),
+            "counts": dict(self.membership.counts + self.anti_entropy.counts + self.counts),
+            "connection_counts": dict(self.connections.counts),
+            "dropped": dict(self.authenticator.dropped),
         }
         logger.bind(**fields).info(
-            "fleet: {alive} of {named} others alive, sight {sight}, health {health}, caught up {caught_up}, "
-            "{items} items, {links} links; {counts}; {link_counts}; dropped {dropped}",
+            "fleet: {alive} of {named} others alive, reachability {reachability}, health {health}, "
+            "caught up {caught_up}, {items} items, {connections} connections; {counts}; "
+            "{connection_counts}; dropped {dropped}",
             **fields,
         )
-        self.timers.after(REPORT, self.report)
+        self.timers.after(REPORT_INTERVAL, self.report)
 
     # Datagrams.
 
-    def send(self, sends: list[Send]) -> None:
+    def _send_datagrams(self, sends: list[Send]) -> None:
         for send in sends:
-            if send.to in self.links.named and self.udp:
-                self.datagram_to(self.links.named[send.to], send)
-
-    def datagram_to(self, at: Peer, send: Send) -> None:
-        data = self.sealer.seal(send.to, m.encode(send.body))
-        self.counts["datagrams out"] += 1
-        self.counts["datagram bytes out"] += len(data)
-        try:
-            self.ear.transport.write(data, (at.host, at.port))
-        except OSError:  # a full buffer or no path: a lost datagram, as any other
-            self.counts["datagrams that could not go"] += 1
-
-    def datagram(self, data: bytes, addr: tuple[str, int]) -> None:
-        now = self.timers.now()
-        if int(now) != self.second:
-            self.second, self.heard_in_it = int(now), 0
-        self.heard_in_it += 1
-        if self.heard_in_it > MOST_DATAGRAMS or len(data) > m.DATAGRAM:
-            self.counts["datagrams dropped unread"] += 1
-            return
-        try:
-            opened = self.sealer.open(data)
-            body = m.read_datagram(opened.body)
-        except AuthenticationError:
-            return  # counted by its cause
-        except m.InvalidPeerMessageError:
-            self.counts["messages that cannot be read"] += 1
+            if peer := self.connections.members.get(send.to):
+                self.datagrams.send(peer, send.body)
+
+    def datagram_received(self, now: float, header: Header, body: m.Datagram) -> None:
+        """An authenticated datagram has come."""
+        self.detect_pause(now)
+        if isinstance(body, m.LeaseMessage):
+            self._lease_message_received(now, header, body)
             return
-        self.wake(now)
-        header = opened.header
-        if isinstance(body, m.Shared):
-            self.shared(now, header.sender, header.epoch, body)
-            return
-        self.send(self.members.hear(now, header.sender, header.epoch, body))
-        self.settle(now)
-
-    def shared(self, now: float, sender: str, epoch: int, body: m.Shared) -> None:
-        """About a strict limit: only of a member, in the run that is known of it."""
-        member = self.members.members.get(sender)
-        if self.limits is None or member is None or member.epoch != epoch or self.members.contested:
+        self._send_datagrams(self.membership.receive(now, header.sender, header.epoch, body))
+        self._log_changes(now)
+
+    def _lease_message_received(self, now: float, header: Header, body: m.LeaseMessage) -> None:
+        """About a strict limit: only of a member, in the epoch that is known of it."""
+        member = self.membership.members.get(header.sender)
+        is_known = member is not None and member.epoch == header.epoch and not self.membership.is_contested
+        if self.lease_service is None or not is_known:
             self.counts["shares of nobody known"] += 1
             return
-        self.send(self.limits.handle(now, sender, epoch, body))
+        self._send_datagrams(self.lease_service.handle(now, header.sender, header.epoch, body))
 
-    def here(self) -> list[str]:
-        """Members that may answer."""
-        return [one.name for one in self.members.members.values() if one.state is State.ALIVE]
+    def live_members(self) -> list[str]:
+        """Names of members that are believed alive and not suspected."""
+        return [one.name for one in self.membership.members.values() if one.state is State.ALIVE]
 
-    # Links.
+    # Connections (`ConnectionHandler`).
 
-    def link_up(self, peer: str, epoch: int) -> None:
-        self.carry(self.exchange.peer_connected(peer, self.timers.now()))
+    def connection_up(self, peer: str, epoch: int) -> None:
+        """A connection to a neighbour can be used."""
+        self._send_messages(self.anti_entropy.peer_connected(peer, self.timers.now()))
 
-    def link_down(self, peer: str) -> None:
-        self.lost[peer] = self.timers.now()
-        self.carry(self.exchange.peer_disconnected(peer, self.timers.now()))
+    def connection_down(self, peer: str) -> None:
+        """The connection to a neighbour has ended."""
+        self.connection_lost_at[peer] = self.timers.now()
+        self._send_messages(self.anti_entropy.peer_disconnected(peer, self.timers.now()))
 
-    def link_heard(self, peer: str, epoch: int, body: m.Linked) -> None:
+    def message_received(self, peer: str, epoch: int, body: m.Linked) -> None:
+        """An authenticated message has come over a connection."""
         now = self.timers.now()
-        self.wake(now)
-        self.carry(self.exchange.handle(now, peer, body))
-
-    def carry(self, says: list[PeerMessage]) -> None:
-        for say in says:
-            self.links.say(say)
+        self.detect_pause(now)
+        self._send_messages(self.anti_entropy.handle(now, peer, body))
 
-    # What the front tells.
+    def _send_messages(self, messages: list[PeerMessage]) -> None:
+        for message in messages:
+            self.connections.send(message)
 
-    def say(self, kind: str, key: str, *value: int | float | str) -> None:
-        self.carry(self.exchange.write(self.timers.now(), kind, key, *value))
+    # What the front uses.
 
-    # What people ask.
+    def publish(self, kind: str, key: str, *value: int | float | str) -> None:
+        """Write an item of the replicated state; kinds and values are in `replicated_items.ITEM_KINDS`."""
+        self._send_messages(self.anti_entropy.write(self.timers.now(), kind, key, *value))
 
-    def view(self) -> View:
-        return self.members.view(self.timers.now())
-
-    def status(self) -> dict[str, Any]:
-        """All that is believed, with ages, for the control port."""
-        now, view = self.timers.now(), self.view()
-        return {
-            "name": self.name,
-            "fleet": self.terms.fleet,
-            "epoch": self.members.epoch,
-            "sight": view.sight.name,
-            "health": view.health,
-            "contested": view.contested,
-            "caught_up": self.exchange.is_caught_up,
-            "members": [
-                {
-                    "name": one.name,
-                    "state": State(one.state).name,
-                    "epoch": one.epoch,
-                    "incarnation": one.incarnation,
-                    "since": round(one.since, 3) if one.since < 1e9 else None,
-                    "heard": round(one.heard, 3) if one.heard < 1e9 else None,
-                    "voices": list(one.voices),
-                    "linked": one.name in self.links.up,
-                }
-                for one in view.members
-            ],
-            "items": len(self.copies.items),
-            "digest": f"{self.copies.digest(now, 1.0, True):012x}",
-            "vector": self.copies.vector(),
-            "dropped": dict(self.sealer.dropped),
-            "counts": dict(self.members.counts + self.exchange.counts + self.counts + self.links.counts),
-        }
-
-    def state(self) -> list[dict[str, Any]]:
-        now = self.timers.now()
-        return [
-            {"kind": kind, "key": key, "value": list(item.value), "age": round(now - item.written_at, 3)}
-            for (kind, key), item in sorted(self.copies.items.items())
-        ]
+    def view(self) -> MembershipView:
+        """What is believed of the members now."""
+        return self.membership.view(self.timers.now())
--- a/weldbend/fleet/settings.py
+++ b/weldbend/fleet/settings.py
@@ -1,4 +1,4 @@
-"""What an installation says of its fleet: the fields that `[fleet]` sets, and what follows. No I/O."""
+"""Settings of the fleet: the sections `[fleet]` and `[limits]` of an installation file. No I/O."""
 
 import math
 from dataclasses import dataclass, field
@@ -7,15 +7,15 @@
 MOST_PEERS = 256  # named in one installation file
 
 
-def split(address: str) -> tuple[str, int]:
-    """Host and port of a checked `host:port`."""
+def split_address(address: str) -> tuple[str, int]:
+    """Host and port of a `host:port` that was checked when it was read."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """One named member: where its probes go (UDP) and where its link listens (TCP, the same port)."""
+    """One named member, and its address for datagrams (UDP) and connections (TCP, the same port)."""
 
     name: str
     host: str
@@ -25,56 +25,90 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """What is limited for the whole fleet. Rates are downloads a second of all fronts together; seconds."""
-
-    lease: float = 1.0  # term of what is lent
-    drift: float = 0.01  # by which steady clocks may run apart, a share of each
-    cold: bool = True  # budgets of cold caches, by leases
-    parents: bool = True  # what is out at all parents, by need
+    """What is limited for the whole fleet, as `[limits]` sets it.
+
+    Attributes:
+        lease: seconds for which a lease on a strict limit lasts.
+        drift: fraction by which steady clocks may run apart.
+        cold: whether budgets of caches that warm up are shared by leases.
+        parents: whether what is in flight at all parents is divided by demand.
+        verdicts: whether caches are ejected by the reports of several fronts.
+        cast: seconds for which a client stays banned.
+        strict: request classes and their rates, requests a second of all fronts, that are never exceeded.
+        soft: request classes and their rates that are divided by demand.
+        client: requests a second of one client (address) at all fronts; 0 for no limit.
+    """
+
+    lease: float = 1.0
+    drift: float = 0.01
+    cold: bool = True
+    parents: bool = True
     verdicts: bool = True
-    cast: float = 600.0  # for which a client stays cast out
-    strict: tuple[tuple[str, float], ...] = ()  # content type and rate: never over
+    cast: float = 600.0
+    strict: tuple[tuple[str, float], ...] = ()
     soft: tuple[tuple[str, float], ...] = ()
-    client: float = 0.0  # of one client (address), 0: none
+    client: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """All in seconds, bytes and bytes a second. An empty `listen` is a front without a fleet."""
-
-    listen: str = ""  # host:port of this front's probes and links
+class FleetSettings:
+    """This front's place in a fleet, as `[fleet]` sets it; all in seconds, bytes and bytes a second.
+
+    Attributes:
+        listen: host:port of this front's datagrams and connections; empty for a front without a fleet.
+        fleet: the fleet's name.
+        zone: this front's zone.
+        keys: path of the key file.
+        peers: all named members.
+        control: host:port on loopback for `weldbend fleet`; empty for none.
+        interval: time in which a front sends one probe.
+        timeout: time in which a direct probe is answered.
+        helpers: how many members are asked to probe on this front's behalf.
+        patience: shortest suspicion, in intervals and decades of members.
+        widest: factor by which a suspicion lasts longer that nobody else has confirmed.
+        alone: time without a message from anybody after which this front judges nobody.
+        stalled: time between two ticks after which this process counts as paused.
+        rate: bytes a second to one peer, snapshots and deltas together.
+        outbox: bytes that wait for one peer at most.
+        ops: operations of each writer that are retained for deltas.
+        exchange: time between two summaries to one peer.
+        limits: what is limited for the whole fleet.
+        popularity: whether fronts of a zone count their clients' requests together.
+    """
+
+    listen: str = ""
     fleet: str = "fleet"
     zone: str = ""
-    keys: str = ""  # path of the key file
+    keys: str = ""
     peers: tuple[Peer, ...] = ()
-    control: str = ""  # host:port on loopback for `weldbend fleet`
-    interval: float = 1.0  # one probe a front in this time
-    timeout: float = 0.3  # in which a direct probe is answered
-    helpers: int = 3  # asked to probe in this front's place
-    patience: float = 4.0  # least suspicion, in intervals and decades of members
-    widest: float = 5.0  # by which a suspicion without a second voice lasts longer
-    alone: float = 3.0  # without a word from anybody: this front judges nobody
-    stalled: float = 2.0  # between two turns: this front itself stood still
-    rate: int = 256_000  # bytes a second to one peer, snapshots and deltas together
-    outbox: int = 1_000_000  # bytes that wait for one peer at most
-    ops: int = 4096  # of each writer, kept for deltas
-    exchange: float = 2.0  # between two comparisons of copies with one peer
+    control: str = ""
+    interval: float = 1.0
+    timeout: float = 0.3
+    helpers: int = 3
+    patience: float = 4.0
+    widest: float = 5.0
+    alone: float = 3.0
+    stalled: float = 2.0
+    rate: int = 256_000
+    outbox: int = 1_000_000
+    ops: int = 4096
+    exchange: float = 2.0
     limits: LimitSettings = field(default_factory=LimitSettings)
-    popularity: bool = False  # whether fronts of a zone count their clients' wishes together
+    popularity: bool = False
 
-    def suspicion(self, members: int, voices: int) -> float:
-        """Seconds of a suspicion that so many others have confirmed.
+    def suspicion(self, members: int, confirmations: int) -> float:
+        """Seconds of a suspicion that so many other members have confirmed, in a fleet of `members`.
 
-        Lifeguard (Dadgar, Phillips, Currey 2018), section IV-B: from the widest down to the least, by the
-        logarithm of the voices heard.
+        Lifeguard (Dadgar, Phillips, Currey 2018), section IV-B: from the longest down to the shortest, by the
+        logarithm of the confirmations.
         """
-        least = self.patience * max(1.0, math.log10(max(members, 1))) * self.interval
-        most = least * self.widest
-        others = max(min(self.helpers, members - 2), 0)  # who could confirm it at all
-        if voices >= others:
-            return least
-        return most - (most - least) * math.log(voices + 1) / math.log(others + 1)
+        shortest = self.patience * max(1.0, math.log10(max(members, 1))) * self.interval
+        longest = shortest * self.widest
+        possible = max(min(self.helpers, members - 2), 0)  # who could confirm it at all
+        if confirmations >= possible:
+            return shortest
+        return longest - (longest - shortest) * math.log(confirmations + 1) / math.log(possible + 1)
 
     def repeats(self, members: int) -> int:
-        """How often a rumour is passed on: SWIM (Das, Gupta, Motivala 2002), section 4.1, with lambda 3."""
+        """How often an update is passed on: SWIM (Das, Gupta, Motivala 2002), section 4.1, with lambda 3."""
         return math.ceil(3 * math.log10(members + 1)) + 1
--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -65,7 +65,7 @@
     @property
     def leases(self) -> LeaseService:
         """The strict limits of this front."""
-        leases = self.context.fleet.limits
+        leases = self.context.fleet.lease_service
         assert leases is not None  # the quota service sets it before it opens any limit
         return leases
 
--- a/weldbend/fleet/view_comparison.py
+++ b/weldbend/fleet/view_comparison.py
@@ -1,22 +1,27 @@
-"""What several fronts say of their fleet, held against each other. No I/O."""
+"""Compares what several fronts answer about their fleet. No I/O."""
 
 from typing import Any
 
 
-def differences(held: dict[str, Any]) -> list[str]:
-    """A line for each thing on which fronts differ, by their answers to `status`; none for no answer."""
-    wrong = [f"{name}: no answer" for name, one in sorted(held.items()) if one is None]
-    there = {name: one for name, one in sorted(held.items()) if one}
-    for name, one in there.items():
-        if one["contested"]:
-            wrong.append(f"{name}: another process runs under its name")
-        if not one["caught_up"]:
-            wrong.append(f"{name}: not caught up")
-        wrong += [
-            f"{name} holds {other['name']} for {other['state'].lower()}"
-            for other in one["members"]
-            if other["name"] in there and other["state"] != "ALIVE"
+def differences(statuses: dict[str, Any]) -> list[str]:
+    """A line for each thing on which fronts differ.
+
+    Args:
+        statuses: each front's answer to `status`, by its name; None where there was no answer.
+    """
+    lines = [f"{name}: no answer" for name, status in sorted(statuses.items()) if status is None]
+    answered = {name: status for name, status in sorted(statuses.items()) if status}
+    for name, status in answered.items():
+        if status["contested"]:
+            lines.append(f"{name}: another process runs under its name")
+        if not status["caught_up"]:
+            lines.append(f"{name}: not caught up")
+        lines += [
+            f"{name} holds {member['name']} for {member['state'].lower()}"
+            for member in status["members"]
+            if member["name"] in answered and member["state"] != "ALIVE"
         ]
-    if len({one["digest"] for one in there.values()}) > 1:
-        wrong.append("copies differ: " + ", ".join(f"{n} {o['digest']}" for n, o in there.items()))
-    return wrong
+    if len({status["digest"] for status in answered.values()}) > 1:
+        digests = ", ".join(f"{name} {status['digest']}" for name, status in answered.items())
+        lines.append(f"copies differ: {digests}")
+    return lines
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -78,7 +78,7 @@
             self._bus_answered,
         )
         if self.fleet_adapter:
-            self.fleet_adapter.hearings = lambda: self.bus.receive_count
+            self.fleet_adapter.hold.bus_message_count = lambda: self.bus.receive_count
         self.counters_log = CountersLog(self.context, self.dispatcher, self.gateway, self.bus)
         self.is_open = False
         self._has_tried_to_open = False
@@ -99,10 +99,10 @@
         if not site.fleet:
             return None
         from weldbend.fleet.front_adapter import FleetAdapter
+        from weldbend.fleet.runtime import Runtime
 
-        return FleetAdapter(
-            self.dispatcher, site.name, site.fleet, self.reactor, self.timers, site.bus_offset
-        )
+        runtime = Runtime(self.context.reactor, self.timers, self.context.clock.random_bytes)
+        return FleetAdapter(self.dispatcher, site.name, site.fleet, runtime, site.bus_offset)
 
     # Start.
 
@@ -174,7 +174,7 @@
         """Apply an event of the bus, then replicate it to the other fronts of a fleet."""
         self.dispatcher.endpoints.handle(sequenced)
         if self.fleet_adapter:
-            self.fleet_adapter.told(sequenced)
+            self.fleet_adapter.publish_bus_event(sequenced)
 
     def _log_counters(self) -> None:
         self.counters_log.write()
--- a/weldbend/installation/keys.py
+++ b/weldbend/installation/keys.py
@@ -76,7 +76,7 @@
     return None
 
 
-def fleet_conflict(settings: fleet.Terms) -> str | None:
+def fleet_conflict(settings: fleet.FleetSettings) -> str | None:
     """Return what is impossible about settings of a fleet, or None."""
     if not settings.listen:
         return "peers without listen: this front has no place in the fleet" if settings.peers else None
@@ -135,7 +135,7 @@
         count_key("ops", "ops", 16, 65_536),
         switch_key("popularity", "popularity"),
     ),
-    defaults=fleet.Terms(),
+    defaults=fleet.FleetSettings(),
     find_conflict=fleet_conflict,
 )
 
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -16,9 +16,10 @@
 
 from weldbend.fleet import messages as m
 from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_standstill
-from weldbend.fleet.membership import Membership, Send
+from weldbend.fleet.membership import Membership
+from weldbend.fleet.messages import Send
 from weldbend.fleet.replicated_store import Change, ReplicatedStore
-from weldbend.fleet.settings import Terms
+from weldbend.fleet.settings import FleetSettings
 from weldbend.fleet.topology import neighbours
 
 KEEPALIVE = 3.0  # seconds after which a link that carries nothing breaks
@@ -36,7 +37,7 @@
     loss: float = 0.01
     rate: float = 4.0  # changes a second, of all fronts together
     kinds: tuple[str, ...] = FAULTS
-    terms: Terms = field(default_factory=Terms)
+    terms: FleetSettings = field(default_factory=FleetSettings)
 
 
 class Node:
@@ -62,7 +63,10 @@
             return
         if not self.frozen():
             now = self.fleet.now
-            for send in [*resume_after_standstill(self.members, self.exchange, now), *self.members.turn(now)]:
+            for send in [
+                *resume_after_standstill(self.members, self.exchange, now),
+                *self.members.advance(now),
+            ]:
                 self.fleet.datagram(self, send)
             self.fleet.links_of(self)
             self.carry(self.exchange.tick(now))
@@ -145,7 +149,7 @@
             if len(node.waiting) < 64:  # what a socket's buffer holds
                 node.waiting.append(lambda: self.arrive(way, epoch, body))
             return
-        for send in node.members.hear(self.now, way[0], epoch, body):
+        for send in node.members.receive(self.now, way[0], epoch, body):
             self.datagram(node, send)
         self.note(node)
 
@@ -239,9 +243,9 @@
             return
         waiting, node.waiting = node.waiting, []
         if self.rng.random() < 0.5:
-            for send in resume_after_standstill(node.members, node.exchange, self.now) or node.members.turn(
-                self.now
-            ):
+            for send in resume_after_standstill(
+                node.members, node.exchange, self.now
+            ) or node.members.advance(self.now):
                 self.datagram(node, send)
         for call in waiting:
             call()
@@ -314,7 +318,7 @@
         self.log.append(f"{self.now:.3f} {text}")
 
     def note(self, node: Node) -> None:
-        for name, before, state, why in node.members.end_of_round():
+        for name, before, state, why in node.members.drain_changes():
             self.line(f"{node.name}: {name} {before.name} -> {state.name} ({why})")
 
     def run(self) -> "Fleet":
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from weldbend.fleet.replicated_items import ITEM_KINDS
-from weldbend.fleet.settings import Peer, Terms
+from weldbend.fleet.settings import FleetSettings, Peer
 from weldbend.front.configuration import Site
 from weldbend.front.server import Front
 from weldbend.testbed.fleet import auditor
@@ -26,7 +26,7 @@
 KEY = "0badcafe " + "5a" * 32 + "\n"
 BETWEEN = ("split", "one_way", "freeze", "slow", "lossy", "bus_cut", "all")
 UNDER_WAY = 8  # changes of one front that others may not have yet: each says some every second
-QUICK = Terms(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3)
+QUICK = FleetSettings(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3)
 
 
 def key_file() -> str:
@@ -55,7 +55,7 @@
     calm: float = 12.0
     apart: float = 0.0  # seconds by which Unix clocks may be apart
     drift: float = 0.0  # share by which steady clocks may run too fast or too slow
-    terms: Terms = QUICK
+    terms: FleetSettings = QUICK
     shared: bool = True  # false: the same run without a fleet
     zones: tuple[str, ...] = field(default=())  # of the fronts in turn; none: all of one
 
@@ -80,7 +80,7 @@
         zones = self.setup.zones
         return zones[(number - 1) % len(zones)] if zones else "z"
 
-    def terms(self, number: int) -> Terms:
+    def terms(self, number: int) -> FleetSettings:
         peers = tuple(Peer(f"n{n}", self.host(n), PORT, self.zone(n)) for n in self.askers)
         listen = f"{self.host(number)}:{PORT}"
         return replace(
@@ -237,8 +237,8 @@
             assert front.fleet_adapter
             fleet = front.fleet_adapter.fleet
             found[machine.name] = SimpleNamespace(
-                name=machine.name, up=machine.alive, members=fleet.members, copies=fleet.copies,
-                exchange=fleet.exchange,
+                name=machine.name, up=machine.alive, members=fleet.membership, copies=fleet.store,
+                exchange=fleet.anti_entropy,
             )  # fmt: skip
         return found
 
