--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -15,7 +15,7 @@
 from weldbend.event_bus.sse import Parser as EventParser
 from weldbend.testbed.faults.engine import FaultAction, Injector, What
 from weldbend.testbed.faults.messages import Message, Splitter, read_line, read_thrift, rewrite
-from weldbend.testbed.faults.plan import Direction, InvalidPlanError, plan, read_plan
+from weldbend.testbed.faults.plan import Direction, InvalidPlanError, parse_plan, read_plan
 from weldbend.testbed.load import client_calls
 from weldbend.thrift import messages
 from weldbend.thrift.messages import read_call
@@ -24,7 +24,7 @@
 
 
 def injector(seed=1, framing="thrift", **faults):
-    return Injector(plan({name: held for name, held in faults.items()}, framing), seed)
+    return Injector(parse_plan({name: held for name, held in faults.items()}, framing), seed)
 
 
 def played(made, frames, direction=Direction.BACK, now=0.0):
@@ -56,13 +56,13 @@
 )
 def test_a_plan_that_cannot_be_played_is_one_clear_line(held, told):
     with pytest.raises(InvalidPlanError) as wrong:
-        plan(held, "thrift")
+        parse_plan(held, "thrift")
     assert told in str(wrong.value)
 
 
 def test_messages_are_no_triggers_where_there_are_only_bytes(tmp_path):
-    with pytest.raises(InvalidPlanError, match="strikes at messages, but there is raw bytes"):
-        plan({"f": {"kind": "drop", "direction": "there"}}, "sse")
+    with pytest.raises(InvalidPlanError, match="needs messages, but there is raw bytes"):
+        parse_plan({"f": {"kind": "drop", "direction": "there"}}, "sse")
     path = tmp_path / "plan.ini"
     path.write_text("[one]\nkind = cut\nmessage = 2\n[two]\nkind = stall\nfor = 1 s\nfield = word=DONE\n")
     assert [fault.name for fault in read_plan(str(path), "lines").faults] == ["one", "two"]
@@ -83,7 +83,11 @@
             data = data[cut:]
         fault_actions = played(made, pieces)
         results.append(
-            (joined(fault_actions), made.strikes, [d.what for d in fault_actions if d.what is not What.DATA])
+            (
+                joined(fault_actions),
+                made.injections,
+                [d.what for d in fault_actions if d.what is not What.DATA],
+            )
         )
     assert results[0] == results[1]
 
@@ -121,7 +125,7 @@
     assert joined(cut) == data[:100] and cut[-1].what is What.RESET
     made = injector(x={"kind": "drop", "field": "seqid=3"})
     assert joined(played(made, ANSWERS)) == b"".join(ANSWERS[:2] + ANSWERS[3:])
-    assert [(s.message, s.offset) for s in made.strikes] == [(3, len(ANSWERS[0]) * 2)]
+    assert [(s.message, s.offset) for s in made.injections] == [(3, len(ANSWERS[0]) * 2)]
     made = injector(x={"kind": "drop", "connection": "2", "times": "1"})
     assert not [d for d in made.stream(1, Direction.BACK, 0.0).feed(0.0, ANSWERS[0]) if not d.data]
     other = made.stream(2, Direction.BACK, 0.0)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -31,8 +31,7 @@
 from weldbend.fleet.runtime import Runtime
 from weldbend.fleet.settings import FleetSettings, Peer
 from weldbend.fleet.topology import neighbours
-from weldbend.testbed.fleet import auditor as auditor
-from weldbend.testbed.fleet.fleet_model import Fleet, Setup
+from weldbend.testbed.fleet.fleet_model import FleetModel, ModelSettings
 
 ONE, TWO = {b"aaaa": b"1" * 32}, {b"bbbb": b"2" * 32}
 
@@ -584,25 +583,25 @@
 
 # Whole fleets from one integer.
 
-SMALL = Setup(terms=FleetSettings(ops=16, patience=1.5, widest=2.0), faults=5, rate=5.0)
+SMALL = ModelSettings(fleet=FleetSettings(ops=16, patience=1.5, widest=2.0), faults=5, rate=5.0)
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
 def test_after_the_last_fault_all_copies_are_equal_and_all_are_seen(seed):
-    run = Fleet(seed, SMALL).run()
-    assert auditor.audit(run) == [], (seed, run.faults)
+    run = FleetModel(seed, SMALL).run()
+    assert run.audit() == [], (seed, run.faults)
 
 
 def test_fifty_that_join_within_a_second_know_each_other_and_hold_the_same():
-    joined = Fleet(1, Setup(fronts=50, seconds=30.0, calm=20.0, faults=0, rate=2.0)).run()
-    assert auditor.audit(joined) == []
+    joined = FleetModel(1, ModelSettings(fronts=50, seconds=30.0, calm=20.0, faults=0, rate=2.0)).run()
+    assert joined.audit() == []
 
 
 def test_a_seed_repeats_exactly():
-    assert Fleet(5, SMALL).run().digest() == Fleet(5, SMALL).run().digest()
-    assert Fleet(5, SMALL).run().digest() != Fleet(6, SMALL).run().digest()
-    assert Fleet(5, SMALL).run().byte_digest() == Fleet(5, SMALL).run().byte_digest()
-    assert Fleet(5, SMALL).run().byte_digest() != Fleet(6, SMALL).run().byte_digest()
+    assert FleetModel(5, SMALL).run().digest() == FleetModel(5, SMALL).run().digest()
+    assert FleetModel(5, SMALL).run().digest() != FleetModel(6, SMALL).run().digest()
+    assert FleetModel(5, SMALL).run().byte_digest() == FleetModel(5, SMALL).run().byte_digest()
+    assert FleetModel(5, SMALL).run().byte_digest() != FleetModel(6, SMALL).run().byte_digest()
 
 
 def patch_join(kind, join):
@@ -684,11 +683,11 @@
     tried, first = [], SHOWS_FROM.get(name, 1)
     for seed in range(first, first + 30):
         try:
-            breaches = auditor.audit(Fleet(seed, SMALL).run())
+            violations = FleetModel(seed, SMALL).run().audit()
         except AssertionError as wrong:
-            breaches = [f"a check failed: {wrong}"]
+            violations = [f"a check failed: {wrong}"]
         tried.append(seed)
-        if breaches:
+        if violations:
             return
     raise AssertionError(f"{name}: not caught by seeds {tried}")
 
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -9,10 +9,10 @@
 from weldbend.fleet.outbox import Priority
 from weldbend.fleet.peer_connections import PeerConnection, framed
 from weldbend.fleet.purges import PurgeExchange
-from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
+from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetRunSettings
 from weldbend.testbed.simulation.auditor import Auditor
 
-QUIET = {"faults": 0, "between": 0, "orders": 0.1}
+QUIET = {"faults": 0, "fleet_faults": 0, "orders": 0.1}
 
 
 @pytest.fixture(autouse=True)
@@ -22,76 +22,84 @@
 
 def run(*happens, seed=1, **shape):
     """A run in which the pairs of `happens` (seconds, call of the run) happen, and nothing else."""
-    made = FleetRun(seed, FleetSetup(**QUIET | {"seconds": 12.0, "calm": 0.0} | shape))
+    made = FleetRun(seed, FleetRunSettings(**QUIET | {"seconds": 12.0, "calm": 0.0} | shape))
     for at, call in happens:
-        made.world.plan(at, lambda call=call: call(made))
+        made.events.schedule(at, lambda call=call: call(made))
     made.result = made.play()
-    assert not made.result.faults
+    assert not made.result.errors
     return made
 
 
 def shared(made, number):
-    return made.fronts[number][1].fleet_adapter
+    return made.site.fronts[number][1].fleet_adapter
 
 
 def drain(uid):
-    return lambda made: made.relist(uid, "draining")
+    return lambda made: made.site.publish_state(uid, "draining")
 
 
 def cut(numbers, lasts):
-    return lambda made: made.cut_bus(numbers, lasts)
+    return lambda made: made.block_bus(numbers, lasts)
 
 
 def violations(made):
-    return sorted({breach.rule for breach in made.result.breaches})
+    return sorted({violation.rule for violation in made.result.violations})
 
 
 def test_seeds_of_faults_break_no_rule_and_leave_all_copies_alike():
     for seed in range(1, 7):
-        made = FleetRun(seed, FleetSetup(seconds=24.0, calm=10.0))
+        made = FleetRun(seed, FleetRunSettings(seconds=24.0, calm=10.0))
         result = made.play()
-        assert not result.breaches and not result.faults and not result.differ, (seed, made.struck, result)
+        assert not result.violations and not result.errors and not result.divergences, (
+            seed,
+            made.injected_faults,
+            result,
+        )
         assert result.counts["fulfilled"] > 0.9 * result.counts["downloads"] > 200, seed
 
 
 def test_a_fleet_repeats_exactly():
-    shape = FleetSetup(seconds=8.0, calm=2.0)
+    shape = FleetRunSettings(seconds=8.0, calm=2.0)
     assert FleetRun(3, shape).play().digest() == FleetRun(3, shape).play().digest()
 
 
 def purge_group(made):
-    stamp = int(made.world.unix() * 1000)
-    made.tell(ban={"tag": 1, "ts": stamp})
+    stamp = int(made.events.unix() * 1000)
+    made.site.publish(ban={"tag": 1, "ts": stamp})
 
 
 @pytest.mark.parametrize("deaf", [{2}, {2, 3, 4}], ids=["one front", "all but one"])
 def test_the_bus_cut_off(deaf):
     happens = [(2.0, cut(deaf, 8.0)), (3.0, drain("e1")), (3.5, purge_group), (4.0, drain("e2"))]
     with_fleet = run(*happens)
-    assert violations(with_fleet) == [] and with_fleet.result.differ == []
-    without = FleetRun(1, FleetSetup(**QUIET | {"seconds": 12.0, "rate": 60.0, "calm": 0.0, "shared": False}))
-    without.auditor.unreachable = lambda *held: None  # what the bus told counts as told, as on the platform
+    assert violations(with_fleet) == [] and with_fleet.result.divergences == []
+    without = FleetRun(
+        1, FleetRunSettings(**QUIET | {"seconds": 12.0, "rate": 60.0, "calm": 0.0, "has_fleet": False})
+    )
+    without.auditor.on_front_unreachable = (
+        lambda *held: None
+    )  # what the bus told counts as told, as on the platform
     for at, call in happens:
-        without.world.plan(at, lambda call=call: call(without))
-    assert {breach.rule for breach in without.play().breaches} == {"drains kept", "purges kept"}
+        without.events.schedule(at, lambda call=call: call(without))
+    assert {violation.rule for violation in without.play().violations} == {"drains kept", "purges kept"}
 
 
 def test_a_split_that_heals_while_a_cache_is_drained_on_one_side_and_started_on_the_other():
     def started(made):
-        made.targets["e1"] |= {"boot_ms": int(made.world.unix() * 1000)}
-        made.relist("e1", "up")
+        made.site.targets["e1"] |= {"boot_ms": int(made.events.unix() * 1000)}
+        made.site.publish_state("e1", "up")
 
     def unknown(made):  # neither by its bus nor by its peers, until its bus is dialled again
         for number in (3, 4):
-            made.auditor.unreachable(f"n{number}", 2.0, 7.0, False)
+            made.auditor.on_front_unreachable(f"n{number}", 2.0, 7.0, False)
 
     made = run(
         (2.0, lambda m: m.split({1, 2}, 6.0)), (2.0, unknown), (2.0, cut({3, 4}, 2.5)), (3.0, drain("e1")),
         (4.0, cut({1, 2}, 5.0)), (5.0, started), seed=2, seconds=16.0,
     )  # fmt: skip
-    assert violations(made) == [] and made.result.differ == []
-    for number in made.fronts:
-        dispatcher = made.fronts[number][1].dispatcher
+    assert violations(made) == [] and made.result.divergences == []
+    for number in made.site.fronts:
+        dispatcher = made.site.fronts[number][1].dispatcher
         cache = dispatcher.router.caches[dispatcher.names.numbers["e1"]]
         assert cache.state.name == "READY" and cache.started is not None, "the newer list holds for all"
 
@@ -101,7 +109,7 @@
         (2.0, lambda m: m.freeze(1, 30.0)), (2.0, lambda m: m.freeze(2, 30.0)), (6.0, drain("e1")),
         (7.0, purge_group), seconds=44.0, rate=10.0,
     )  # fmt: skip
-    assert violations(made) == [] and made.result.differ == []
+    assert violations(made) == [] and made.result.divergences == []
     for number in (1, 2):
         fleet = shared(made, number).fleet
         assert fleet.membership.counts["stood still"] >= 1 and fleet.membership.counts["known dead"] == 0
@@ -109,20 +117,25 @@
 
 def test_a_front_that_stood_still_reads_what_it_missed_before_it_sends():
     def late(made):
-        made.world.slow[("10.0.2.1", "10.0.0.1")] = 0.1  # its bus comes a moment after its clients do
+        made.network.extra_delay[("10.0.2.1", "10.0.0.1")] = (
+            0.1  # its bus comes a moment after its clients do
+        )
 
     frozen = (2.0, lambda m: m.freeze(1, 6.0))
     made = run((1.9, late), frozen, (4.0, drain("e1")), (4.0, drain("e2")), rate=60.0)
     assert violations(made) == []
-    after = [line for line in made.log if " n1 e1 Command" in line and float(line.split()[0]) > 8.0]
+    after = [line for line in made.log.lines if " n1 e1 Command" in line and float(line.split()[0]) > 8.0]
     assert not after, "nothing went to a cache that was drained while it stood still"
 
 
 def order(made, number, once, repeat=True):
     """One order at one front; its id."""
-    made.asked += 1
-    fields = made.fields("order", 1) | {"id": f"{made.asked:016x}", "once": once}
-    made.askers[number][0].ask(fields | ({"retry": "1"} if repeat else {}))
+    made.workload.request_count += 1
+    fields = made.workload.request_fields("order", 1) | {
+        "id": f"{made.workload.request_count:016x}",
+        "once": once,
+    }
+    made.workload.connections[number][0].send(fields | ({"retry": "1"} if repeat else {}))
     return fields["id"]
 
 
@@ -133,14 +146,15 @@
         names.append(order(made, 1, once, repeat=False))
 
     made = run(
-        (3.0, first), (3.008, lambda m: m.kill(1, 2.0)), (3.018, lambda m: names.append(order(m, 2, once))),
+        (3.0, first), (3.008, lambda m: m.site.kill_front(1, 2.0)),
+        (3.018, lambda m: names.append(order(m, 2, once))),
         (8.0, lambda m: names.append(order(m, 3, once))),
     )  # fmt: skip
     assert violations(made) == []
     assert shared(made, 2).counts["requests possibly executed elsewhere"] == 1
-    last = [answer.outcome for _, answer in made.auditor.cases["n3", names[2]].answers]
+    last = [answer.outcome for _, answer in made.auditor.requests["n3", names[2]].answers]
     assert last == ["abandoned"], "its window was over, and the first may have run"
-    assert not made.auditor.cases["n3", names[2]].attempts
+    assert not made.auditor.requests["n3", names[2]].attempts
 
 
 def test_a_peer_that_answers_probes_and_reads_nothing_costs_the_others_nothing(monkeypatch):
@@ -188,16 +202,16 @@
     def press(made):
         fleet = shared(made, 1).fleet
         for number in range(300):
-            fleet.publish("setting", f"s{number % 60}", int(made.world.now * 1000) + number, "x" * 1500)
+            fleet.publish("setting", f"s{number % 60}", int(made.events.now * 1000) + number, "x" * 1500)
 
     def slow(seconds):
-        return lambda m: m.world.slow.update({("10.0.0.1", "10.0.0.2"): seconds})
+        return lambda m: m.network.extra_delay.update({("10.0.0.1", "10.0.0.2"): seconds})
 
     made = run(
         (2.0, slow(0.4)), *((3.0 + n / 2, press) for n in range(60)), (20.0, purge_group), (40.0, slow(0.0)),
         seconds=50.0, rate=6.0,
     )  # fmt: skip
-    assert violations(made) == [] and made.result.differ == []
+    assert violations(made) == [] and made.result.divergences == []
 
 
 SABOTAGE = {
@@ -215,7 +229,7 @@
 
 def test_the_auditor_knows_when_a_front_could_know():
     held = Auditor(None)
-    held.unreachable("n1", 2.0, 5.0, False)
-    held.unreachable("n1", 4.5, 6.0, False)
-    assert [held.knew("n1", at) for at in (1.0, 2.0, 5.5, 6.0)] == [1.0, 6.0, 6.0, 6.0]
-    assert held.knew("n2", 3.0) == 3.0
+    held.on_front_unreachable("n1", 2.0, 5.0, False)
+    held.on_front_unreachable("n1", 4.5, 6.0, False)
+    assert [held.known_since("n1", at) for at in (1.0, 2.0, 5.5, 6.0)] == [1.0, 6.0, 6.0, 6.0]
+    assert held.known_since("n2", 3.0) == 3.0
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -3,13 +3,13 @@
 import pytest
 
 from weldbend.testbed.faults.plan import InvalidPlanError
-from weldbend.testbed.fleet.plan import plan
+from weldbend.testbed.fleet.plan import parse_plan
 from weldbend.testbed.fleet.plan_player import Player
-from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetSetup
+from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetRunSettings
 
 
-class Written:
-    """A stage that writes down what it is asked for, in the order of time."""
+class RecordingBackend:
+    """A backend that records what it is asked for, in the order of time."""
 
     def __init__(self):
         self.lines, self.waiting, self.now = [], [], 0.0
@@ -20,7 +20,7 @@
     def __getattr__(self, name):
         return lambda *args, **held: self.lines.append((round(self.now, 2), name, *args))
 
-    def event(self, **said):
+    def report_event(self, **said):
         pass
 
     def play(self, held):
@@ -33,7 +33,7 @@
 
 
 def test_each_event_comes_and_goes_in_its_time():
-    held = plan(
+    held = parse_plan(
         {
             "fleet": {"fronts": "3"},
             "a": {"at": "1 s", "do": "one-way", "who": "n1 | n2 n3", "for": "2 s"},
@@ -45,10 +45,10 @@
     )
     assert held.seconds == 30.0
     pair, three = {(1, 2), (1, 3)}, {(3, 1), (3, 2), (1, 3), (2, 3)}
-    assert Written().play(held) == [
-        (0.0, "tell_purge", 7), (1.0, "cut", pair), (2.0, "kill", 2), (2.5, "cut", three),
-        (3.0, "mend", pair), (3.0, "start", 2), (3.5, "mend", three), (4.0, "kill", 1),
-        (4.2, "start", 1, -60.0), (4.5, "cut", three), (5.5, "mend", three),
+    assert RecordingBackend().play(held) == [
+        (0.0, "publish_purge", 7), (1.0, "block", pair), (2.0, "kill", 2), (2.5, "block", three),
+        (3.0, "unblock", pair), (3.0, "start", 2), (3.5, "unblock", three), (4.0, "kill", 1),
+        (4.2, "start", 1, -60.0), (4.5, "block", three), (5.5, "unblock", three),
     ]  # fmt: skip
 
 
@@ -71,12 +71,12 @@
 )
 def test_a_bad_plan_is_one_line_with_its_section_and_key(said, wrong):
     with pytest.raises(InvalidPlanError) as told:
-        plan({"strange": said})
+        parse_plan({"strange": said})
     assert wrong in str(told.value) and "[strange]" in str(told.value) and "\n" not in str(told.value)
 
 
 def test_a_virtual_fleet_plays_a_plan_and_repeats_it_exactly():
-    held = plan(
+    held = parse_plan(
         {
             "fleet": {"fronts": "3"},
             "a": {"at": "1 s", "do": "split", "who": "n1 | n2 | n3", "for": "2 s"},
@@ -87,10 +87,12 @@
     )
 
     def played():
-        run = FleetRun(1, FleetSetup(fronts=3, seconds=12.0, calm=0.0, faults=0, between=0, rate=10.0))
+        run = FleetRun(
+            1, FleetRunSettings(fronts=3, seconds=12.0, calm=0.0, faults=0, fleet_faults=0, rate=10.0)
+        )
         Player(run).play(held)
         return run.play()
 
     result = played()
-    assert not result.breaches and not result.faults and not result.differ
+    assert not result.violations and not result.errors and not result.divergences
     assert result.digest() == played().digest()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,17 +11,21 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol import commands
-from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, answer
-from weldbend.testbed.emulator.cache_model import Box, World
+from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, encode_answer
+from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches
 from weldbend.testbed.emulator.objects import Sizes, body, key_of
-from weldbend.testbed.load.generator import Plan
+from weldbend.testbed.load.generator import LoadPlan
 
 KEY = key_of(1)
 
 
 def small(room=1 << 20):
-    boxes = [Box("e1", "box", room), Box("p1", "parent", room), Box("o1", "origin", 0)]
-    return World(boxes, Sizes(), thin=1e6, far=0.01)
+    caches = [
+        EmulatedCache("e1", "box", room),
+        EmulatedCache("p1", "parent", room),
+        EmulatedCache("o1", "origin", 0),
+    ]
+    return EmulatedCaches(caches, Sizes(), edge_rate=1e6, edge_delay=0.01)
 
 
 def look(**fields):
@@ -29,34 +33,34 @@
 
 
 def test_the_emulated_site_fills_keeps_and_joins_and_sends_over_thin_links():
-    world, size = small(), Sizes().of(KEY, 0)
-    words = [world.do("e1", look(), 0.0, 100.0).word]
-    first = world.do("e1", look(**{"from": "p1", "rank": "1", "mode": "j"}), 0.0, 100.0)
-    second = world.do("e1", look(**{"from": "p1", "mode": "j"}), 0.0, 100.0)
+    caches, size = small(), Sizes().of(KEY, 0)
+    words = [caches.execute("e1", look(), 0.0, 100.0).word]
+    first = caches.execute("e1", look(**{"from": "p1", "rank": "1", "mode": "j"}), 0.0, 100.0)
+    second = caches.execute("e1", look(**{"from": "p1", "mode": "j"}), 0.0, 100.0)
     assert words == ["LACK"] and first.fields["detail"] == "o" and second.fields["detail"] == "j"
     assert first.body == body(KEY, 0, size) and first.at > 0.01 + size / 1e6
-    hit = world.do("e1", look(), 9.0, 109.0)
+    hit = caches.execute("e1", look(), 9.0, 109.0)
     assert hit.fields["detail"] == "h" and hit.at < 9.01 and hit.fields["born"] == "100000"
-    assert world.do("e1", look(oldest="5000"), 9.0, 109.0).word == "LACK"
-    world.boxes["e1"].purge(KEY)
-    assert world.do("e1", look(), 9.0, 109.0).word == "LACK"
-    assert world.do("e1", look(**{"from": "p1", "mode": "h"}), 9.0, 109.0).fields["detail"] == "f"
+    assert caches.execute("e1", look(oldest="5000"), 9.0, 109.0).word == "LACK"
+    caches.caches["e1"].purge(KEY)
+    assert caches.execute("e1", look(), 9.0, 109.0).word == "LACK"
+    assert caches.execute("e1", look(**{"from": "p1", "mode": "h"}), 9.0, 109.0).fields["detail"] == "f"
 
 
 def test_a_marked_write_runs_once_in_the_emulated_site():
-    world = small()
+    caches = small()
     for when in (0.0, 3.0, 20.0):
-        assert world.do("o1", look(queue="order", uniq="ab"), when, when).word == "DONE"
-    assert world.boxes["o1"].counts["effects"] == 2 and world.boxes["o1"].counts["repeats dropped"] == 1
+        assert caches.execute("o1", look(queue="order", uniq="ab"), when, when).word == "DONE"
+    assert caches.caches["o1"].counts["effects"] == 2 and caches.caches["o1"].counts["repeats dropped"] == 1
 
 
 def test_room_ends_and_the_lowest_rank_goes_first():
-    world = small(room=100_000)
+    caches = small(room=100_000)
     for rank, object_ in [("1", 1), *(("0", n) for n in range(2, 40)), *(("1", n) for n in range(40, 43))]:
         asked = look(path=key_of(object_), rank=rank, **{"from": "p1"})
-        world.do("e1", asked, float(object_), float(object_))
-    held = world.boxes["e1"].held
-    assert world.boxes["e1"].used == sum(c.size for c in held.values()) <= 100_000
+        caches.execute("e1", asked, float(object_), float(object_))
+    held = caches.caches["e1"].copies
+    assert caches.caches["e1"].used == sum(c.size for c in held.values()) <= 100_000
     assert (KEY, 0) in held and (key_of(42), 0) in held
 
 
@@ -78,7 +82,7 @@
         Command("ping", "t1", {}),
         Command("do", "b2", {}),
     ]
-    assert answer("b2", "DONE", {"ver": "1"}, b"x") == b"b2 DONE ver=1 1\r\nx\r\n"
+    assert encode_answer("b2", "DONE", {"ver": "1"}, b"x") == b"b2 DONE ver=1 1\r\nx\r\n"
 
 
 @pytest.mark.parametrize("bad", [b"do a - 99999\r\n", b"do a - x\r\n", b"get\r\n", b"x" * 4096])
@@ -90,8 +94,8 @@
 
 
 def test_the_same_seed_draws_the_same_load():
-    plan = Plan(rate=50, seconds=4, seed=9)
-    assert plan.arrivals() == plan.arrivals() != Plan(rate=50, seconds=4, seed=8).arrivals()
+    plan = LoadPlan(rate=50, seconds=4, seed=9)
+    assert plan.arrivals() == plan.arrivals() != LoadPlan(rate=50, seconds=4, seed=8).arrivals()
     assert 130 < len(plan.arrivals()) < 270 and all(0 < a.at < 4 for a in plan.arrivals())
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -23,8 +23,14 @@
 )
 from weldbend.fleet.rendezvous import rank
 from weldbend.routing.random_source import RandomSource
-from weldbend.testbed.fleet.lease_model import Model, Scope
-from weldbend.testbed.fleet.quota_experiment import LIMIT, Rates, Shape, drawn, search
+from weldbend.testbed.fleet.lease_model import LeaseModel, Scope
+from weldbend.testbed.fleet.quota_experiment import (
+    LIMIT,
+    QuotaExperiment,
+    QuotaSettings,
+    draw_settings,
+    search,
+)
 
 TIMES = LeaseTimes(term=2.0, window=1.0, drift=0.01)
 
@@ -131,8 +137,8 @@
 
 
 def test_no_order_of_messages_deaths_ticks_and_ends_passes_the_limit():
-    found = Model(Scope(asks=1)).explore()
-    assert found.whole and not found.trace, found.trace
+    found = LeaseModel(Scope(asks=1)).explore()
+    assert found.is_complete and not found.trace, found.trace
     assert found.states > 30_000
 
 
@@ -236,10 +242,10 @@
 @pytest.mark.parametrize("sabotage", REFUTED, ids=lambda made: made.__name__)
 def test_a_sabotaged_book_is_refuted_with_a_trace(sabotage):
     scope = REFUTED[sabotage]
-    found = Model(scope, sabotage).explore()
+    found = LeaseModel(scope, sabotage).explore()
     assert found.trace and found.trace[-1].endswith("spends"), found
-    sound = Model(scope).explore()
-    assert not sound.trace and sound.whole, "and the book as it is holds in the same scope"
+    sound = LeaseModel(scope).explore()
+    assert not sound.trace and sound.is_complete, "and the book as it is holds in the same scope"
 
 
 # What is asked for, kept back and lent.
@@ -317,11 +323,11 @@
 
 
 def used(kind, demand="skewed", **held):
-    return Rates(1, Shape(kind=kind, demand=demand, most=200.0, rate=180.0, **held)).play()
+    return QuotaExperiment(1, QuotaSettings(kind=kind, demand=demand, most=200.0, rate=180.0, **held)).play()
 
 
 def test_a_busy_front_gets_what_others_leave_idle():
-    leases, fixed, oracle = (used(kind).used() for kind in ("leases", "fixed", "oracle"))
+    leases, fixed, oracle = (used(kind).utilisation() for kind in ("leases", "fixed", "oracle"))
     assert leases > 0.95 * oracle > 2 * fixed
 
 
@@ -331,19 +337,24 @@
 @pytest.mark.parametrize("demand", ["even", "skewed", "moving", "wandering"])
 def test_a_split_leaves_nobody_worse_off_than_fixed_shares(demand):
     leases, fixed = (used(kind, demand, faults=SPLIT) for kind in ("leases", "fixed"))
-    assert leases.used() >= 0.97 * fixed.used() and leases.worst() <= 200
+    assert leases.utilisation() >= 0.97 * fixed.utilisation() and leases.worst() <= 200
 
 
 def test_counts_by_gossip_are_over_and_a_central_counter_falls_with_its_link():
     assert used("gossip", "even").worst() > 1.05 * 200
-    central = used("central", "even", faults=((6.0, "split", 20.0),)).used(8.0)
-    assert central < 0.7 * used("leases", "even", faults=((6.0, "split", 20.0),)).used(8.0)
+    central = used("central", "even", faults=((6.0, "split", 20.0),)).utilisation(8.0)
+    assert central < 0.7 * used("leases", "even", faults=((6.0, "split", 20.0),)).utilisation(8.0)
 
 
 def test_clocks_that_drift_more_than_is_stated_are_what_the_bound_says():
-    within = [Rates(seed, Shape(most=60.0, demand="wandering")).play().worst() for seed in range(1, 6)]
+    within = [
+        QuotaExperiment(seed, QuotaSettings(most=60.0, demand="wandering")).play().worst()
+        for seed in range(1, 6)
+    ]
     beyond = [
-        Rates(seed, Shape(most=60.0, demand="wandering", beyond=0.3, seconds=60.0)).play().worst()
+        QuotaExperiment(seed, QuotaSettings(most=60.0, demand="wandering", beyond=0.3, seconds=60.0))
+        .play()
+        .worst()
         for seed in range(1, 6)
     ]
     assert max(within) <= 60
@@ -351,43 +362,45 @@
 
 
 def test_two_hundred_fronts_and_a_budget_of_one_pull():
-    run = Rates(1, Shape(fronts=200, most=1.0, rate=100.0, demand="even", seconds=8.0)).play()
-    assert run.worst() == 1 and len(run.spent) >= 2, "one front at a time gathers all of it"
+    run = QuotaExperiment(
+        1, QuotaSettings(fronts=200, most=1.0, rate=100.0, demand="even", seconds=8.0)
+    ).play()
+    assert run.worst() == 1 and len(run.admitted) >= 2, "one front at a time gathers all of it"
 
 
 def test_all_started_at_once_hold_nothing_until_the_oldest_loan_would_have_ended():
-    run = Rates(1, Shape(seconds=8.0, demand="even", faults=()))
+    run = QuotaExperiment(1, QuotaSettings(seconds=8.0, demand="even", faults=()))
     for number in range(4):
-        run.fronts[number].up = False
+        run.fronts[number].is_up = False
         run.start(number, 2)
     run.play()
-    assert min(run.spent) >= run.shape.times.recovery * 0.98 and run.worst() <= 60
+    assert min(run.admitted) >= run.settings.times.recovery * 0.98 and run.worst() <= 60
 
 
 def test_a_lender_that_dies_and_returns_does_not_spend_what_is_still_lent():
-    shape = Shape(seconds=14.0, faults=tuple((at, "kill", 0.3) for at in (4.0, 6.0, 8.0, 10.0)))
-    assert max(Rates(seed, shape).play().worst() for seed in range(1, 9)) <= shape.most
+    settings = QuotaSettings(seconds=14.0, faults=tuple((at, "kill", 0.3) for at in (4.0, 6.0, 8.0, 10.0)))
+    assert max(QuotaExperiment(seed, settings).play().worst() for seed in range(1, 9)) <= settings.most
 
 
 def test_a_process_frozen_past_its_lease_looks_at_the_clock_before_it_spends():
-    run = Rates(1, Shape(demand="skewed", seconds=14.0))
-    run.after(6.0, lambda: setattr(run.fronts[0], "frozen_until", 9.5))
+    run = QuotaExperiment(1, QuotaSettings(demand="skewed", seconds=14.0))
+    run.events.schedule(6.0, lambda: setattr(run.fronts[0], "frozen_until", 9.5))
     run.play()
     assert run.worst() <= 60
     assert run.fronts[0].limits.counts["leases acquired"] > 0
 
 
 def test_a_unix_clock_that_steps_changes_no_safety():
-    run = Rates(1, Shape(most=2.0, rate=20.0, demand="even"))
+    run = QuotaExperiment(1, QuotaSettings(most=2.0, rate=20.0, demand="even"))
     for at, step in ((8.0, 10.0), (16.0, -10.0)):
-        run.after(at, lambda step=step: run.steps.update({1: step, 3: -step}))
-    assert run.play().worst() <= 2 and len(run.spent) > 8
+        run.events.schedule(at, lambda step=step: run.clock_steps.update({1: step, 3: -step}))
+    assert run.play().worst() <= 2 and len(run.admitted) > 8
 
 
 def test_the_drawn_shapes_cover_demands_and_faults():
-    shapes = [drawn(seed) for seed in range(1, 60)]
-    assert {shape.demand for shape in shapes} == {"even", "skewed", "moving", "wandering"}
-    assert {fault for shape in shapes for _, fault, _ in shape.faults} == {
+    drawn = [draw_settings(seed) for seed in range(1, 60)]
+    assert {settings.demand for settings in drawn} == {"even", "skewed", "moving", "wandering"}
+    assert {fault for settings in drawn for _, fault, _ in settings.faults} == {
         "split", "kill", "freeze", "slow", "one-way",
     }  # fmt: skip
     assert LIMIT.startswith("type:")
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -15,7 +15,7 @@
     unlisted_starts,
 )
 from weldbend.fleet.settings import LimitSettings
-from weldbend.testbed.fleet.simulated_fleet import QUICK, FleetRun, FleetSetup
+from weldbend.testbed.fleet.simulated_fleet import QUICK, FleetRun, FleetRunSettings
 from weldbend.testbed.simulation.auditor import Auditor
 
 WELL, BAD = (9.0, 0.0), (1.0, 8.0)
@@ -162,20 +162,20 @@
 
     def __init__(self, run):
         self.run, self.bad = run, set()
-        whole = run.boxes.do
+        whole = run.site.caches.execute
 
-        def do(uid, *held):
+        def execute(uid, *held):
             if uid in self.bad:
                 raise KeyError(uid)
             return whole(uid, *held)
 
-        run.boxes.do = do
+        run.site.caches.execute = execute
 
 
 def play(verdicts_on, lasts=9.0, seed=1, **shape):
     held = {
         "faults": 0,
-        "between": 0,
+        "fleet_faults": 0,
         "rate": 60.0,
         "seconds": 30.0,
         "calm": 0.0,
@@ -184,17 +184,17 @@
     }
     terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3,
                             limits=LimitSettings(verdicts=verdicts_on))  # fmt: skip
-    made = FleetRun(seed, FleetSetup(**held | {"edges": 6, "terms": terms} | shape))
+    made = FleetRun(seed, FleetRunSettings(**held | {"edges": 6, "fleet": terms} | shape))
     made.failing = Failing(made)
-    made.world.plan(4.0, lambda: made.failing.bad.add("e1"))
-    made.world.plan(4.0 + lasts, lambda: made.failing.bad.clear())
+    made.events.schedule(4.0, lambda: made.failing.bad.add("e1"))
+    made.events.schedule(4.0 + lasts, lambda: made.failing.bad.clear())
     made.result = made.play()
-    assert not made.result.breaches and not made.result.faults
+    assert not made.result.violations and not made.result.errors
     return made
 
 
 def attempts(made, uid, since, until):
-    held = [attempt for case in made.auditor.cases.values() for attempt in case.attempts]
+    held = [attempt for case in made.auditor.requests.values() for attempt in case.attempts]
     return sum(attempt.cache == uid and since <= attempt.at < until for attempt in held)
 
 
@@ -203,7 +203,7 @@
     wasted, alone = attempts(with_, "e1", 4.0, 13.0), attempts(without, "e1", 4.0, 13.0)
     assert wasted <= alone, (wasted, alone)
     stands = [
-        stand for made in with_.fronts.values() for stand in [made[1].fleet_adapter.quota_service.counts]
+        stand for made in with_.site.fronts.values() for stand in [made[1].fleet_adapter.quota_service.counts]
     ]
     assert all(counts["ejection state: ejected"] >= 1 for counts in stands)
     assert all(counts["ejection state: recovering"] >= 1 for counts in stands)
@@ -212,51 +212,57 @@
 
 def test_a_front_that_reaches_half_of_the_caches_casts_none_of_them_out():
     def deaf(made):
-        hosts = {made.machines[uid].host for uid in ("e1", "e2", "e3")}
-        made.world.cut |= {(h, "10.0.0.1") for h in hosts} | {("10.0.0.1", h) for h in hosts}
+        hosts = {made.site.machines[uid].host for uid in ("e1", "e2", "e3")}
+        made.network.blocked_paths |= {(h, "10.0.0.1") for h in hosts} | {("10.0.0.1", h) for h in hosts}
 
-    held = {"faults": 0, "between": 0, "rate": 60.0, "seconds": 16.0, "calm": 0.0, "edges": 6}
-    made = FleetRun(2, FleetSetup(**held))
-    made.world.plan(3.0, lambda: deaf(made))
+    held = {"faults": 0, "fleet_faults": 0, "rate": 60.0, "seconds": 16.0, "calm": 0.0, "edges": 6}
+    made = FleetRun(2, FleetRunSettings(**held))
+    made.events.schedule(3.0, lambda: deaf(made))
     result = made.play()
-    assert not result.faults
+    assert not result.errors
     for number in (2, 3, 4):
-        assert made.fronts[number][1].fleet_adapter.quota_service.counts["ejection state: ejected"] == 0
+        assert made.site.fronts[number][1].fleet_adapter.quota_service.counts["ejection state: ejected"] == 0
 
 
 def test_a_client_that_walks_from_front_to_front_is_refused_by_the_third():
-    made = FleetRun(3, FleetSetup(faults=0, between=0, rate=10.0, seconds=12.0, calm=0.0))
+    made = FleetRun(3, FleetRunSettings(faults=0, fleet_faults=0, rate=10.0, seconds=12.0, calm=0.0))
     for number, at in ((1, 3.0), (2, 5.0)):
-        made.world.plan(at, lambda n=number: made.fronts[n][1].gateway.report_ban("10.0.9.9"))
+        made.events.schedule(at, lambda n=number: made.site.fronts[n][1].gateway.report_ban("10.0.9.9"))
     welcome = {}
     for at in (4.0, 7.0):
-        made.world.plan(
-            at, lambda at=at: welcome.update({at: made.fronts[3][1].gateway.is_admitted("10.0.9.9")})
+        made.events.schedule(
+            at, lambda at=at: welcome.update({at: made.site.fronts[3][1].gateway.is_admitted("10.0.9.9")})
         )
 
     def override(number, client, text):
-        made.fronts[number][1].fleet_adapter.quota_service.bans.set_override(client, text)
+        made.site.fronts[number][1].fleet_adapter.quota_service.bans.set_override(client, text)
 
-    made.world.plan(8.0, lambda: override(4, "10.0.9.9", "pardon"))
-    made.world.plan(10.0, lambda: welcome.update({10.0: made.fronts[3][1].gateway.is_admitted("10.0.9.9")}))
-    made.world.plan(11.0, lambda: override(1, "10.0.9.8", "until 9999999999"))
-    made.world.plan(11.5, lambda: welcome.update({11.5: made.fronts[2][1].gateway.is_admitted("10.0.9.8")}))
-    assert not made.play().faults
+    made.events.schedule(8.0, lambda: override(4, "10.0.9.9", "pardon"))
+    made.events.schedule(
+        10.0, lambda: welcome.update({10.0: made.site.fronts[3][1].gateway.is_admitted("10.0.9.9")})
+    )
+    made.events.schedule(11.0, lambda: override(1, "10.0.9.8", "until 9999999999"))
+    made.events.schedule(
+        11.5, lambda: welcome.update({11.5: made.site.fronts[2][1].gateway.is_admitted("10.0.9.8")})
+    )
+    assert not made.play().errors
     assert welcome == {4.0: True, 7.0: False, 10.0: True, 11.5: False}
 
 
 def test_strict_rates_hold_for_the_whole_fleet_and_a_split():
     limits = LimitSettings(strict=(("photo", 30.0),), cold=False)
     terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3, limits=limits)
-    shape = FleetSetup(
-        faults=0, between=0, rate=60.0, seconds=20.0, calm=0.0, orders=0.0, edits=0.0, terms=terms
+    shape = FleetRunSettings(
+        faults=0, fleet_faults=0, rate=60.0, seconds=20.0, calm=0.0, orders=0.0, edits=0.0, fleet=terms
     )
     made = FleetRun(4, shape)
-    made.world.plan(12.0, lambda: made.split({1, 2}, 6.0))
+    made.events.schedule(12.0, lambda: made.split({1, 2}, 6.0))
     result = made.play()
-    assert not result.breaches and not result.faults
+    assert not result.violations and not result.errors
     moments = sorted(
-        case.attempts[0].at for case in made.auditor.cases.values() if case.attempts and case.type == "photo"
+        case.attempts[0].at
+        for case in made.auditor.requests.values()
+        if case.attempts and case.request_class == "photo"
     )
     worst = max(sum(at - 1.0 < other <= at for other in moments) for at in moments)
     assert 20 <= worst <= 30, worst
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -14,25 +14,27 @@
 from weldbend.front.endpoint_updates import EndpointUpdates
 from weldbend.routing.admission import Admission
 from weldbend.routing.events import AttemptResult, EndpointState
-from weldbend.testbed.simulation.run import Run, Setup
+from weldbend.testbed.simulation.run import Run
+from weldbend.testbed.simulation.settings import RunSettings
 from weldbend.thrift.messages import Process
 
 SEEDS = range(1, 9)  # within so many every sabotage is caught
-SETUP = Setup(seconds=6.0, faults=8, orders=0.1, edits=0.15)
+SETTINGS = RunSettings(seconds=6.0, faults=8, orders=0.1, edits=0.15)
 
 
 def test_a_front_as_it_is_keeps_the_rules_on_the_seeds_that_catch_the_sabotage():
     for seed in SEEDS:
-        result = Run(seed, SETUP).play()
-        assert not result.breaches and not result.faults, (seed, result.breaches, result.faults)
+        result = Run(seed, SETTINGS).play()
+        assert not result.violations and not result.errors, (seed, result.violations, result.errors)
         assert result.counts["fulfilled"] > 0.9 * result.counts["downloads"] > 200, seed
 
 
 def test_the_same_seed_gives_the_same_log_in_other_processes():
     code = (
         "from loguru import logger; logger.remove()\n"
-        "from weldbend.testbed.simulation.run import Run, Setup\n"
-        "print([Run(seed, Setup(seconds=4.0)).play().digest() for seed in (3, 4)])"
+        "from weldbend.testbed.simulation.run import Run\n"
+        "from weldbend.testbed.simulation.settings import RunSettings\n"
+        "print([Run(seed, RunSettings(seconds=4.0)).play().digest() for seed in (3, 4)])"
     )
     told = set()
     for hashes in ("0", "1", "2"):
@@ -45,25 +47,25 @@
 
 
 def test_the_byte_digest_tells_runs_apart_and_holds_when_a_class_is_renamed(monkeypatch):
-    setup = Setup(seconds=3.0)
-    first = Run(3, setup).play()
-    assert first.byte_digest != Run(4, setup).play().byte_digest
+    run_settings = RunSettings(seconds=3.0)
+    first = Run(3, run_settings).play()
+    assert first.byte_digest != Run(4, run_settings).play().byte_digest
     monkeypatch.setattr(Process, "__repr__", lambda self: "Renamed()")
-    renamed = Run(3, setup).play()
+    renamed = Run(3, run_settings).play()
     assert renamed.digest() != first.digest()
     assert renamed.byte_digest == first.byte_digest
 
 
 def test_the_byte_digest_notices_one_byte_that_differs(monkeypatch):
-    setup = Setup(seconds=3.0)
-    before = Run(3, setup).play().byte_digest
+    run_settings = RunSettings(seconds=3.0)
+    before = Run(3, run_settings).play().byte_digest
     attempt_fields = request_codec.attempt_fields
 
     def altered(request, action, source, timeout):
         return attempt_fields(request, action, source, timeout) | {"rank": "1"}
 
     monkeypatch.setattr(request_codec, "attempt_fields", altered)
-    assert Run(3, setup).play().byte_digest != before
+    assert Run(3, run_settings).play().byte_digest != before
 
 
 def patched(monkeypatch, owner, name, made):
@@ -178,7 +180,7 @@
 def test_the_auditor_catches(monkeypatch, sabotage, rule):
     sabotage(monkeypatch)
     for seed in SEEDS:
-        found = [breach for breach in Run(seed, SETUP).play().breaches if breach.rule == rule]
+        found = [violation for violation in Run(seed, SETTINGS).play().violations if violation.rule == rule]
         if found:
             assert found[0].proof and rule in str(found[0])
             return
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -130,7 +130,7 @@
 @pytest.mark.parametrize("case", cases("thrift_answers.json"))
 def test_an_answer_to_a_client_has_its_recorded_bytes_and_is_read_as_it_was(case):
     assert answer_bytes(case).hex() == case["hex"]
-    (heard,) = calls.answers(ring(bytes.fromhex(case["hex"])))
+    (heard,) = calls.read_answers(ring(bytes.fromhex(case["hex"])))
     assert plain(heard) == case["values"]
 
 
--- a/weldbend/testbed/__init__.py
+++ b/weldbend/testbed/__init__.py
@@ -1,1 +1,4 @@
-"""The laboratory: emulated servers, clients and experiments on loopback. Never imported by a front."""
+"""The testbed: emulated sites, load, faults and simulations on loopback or in memory.
+
+No front ever imports it.
+"""
--- /dev/null
+++ b/weldbend/testbed/commands/idle.py
@@ -0,0 +1,110 @@
+"""Commands that measure idle connections: idle, and the hidden hold that opens them."""
+
+import sys
+import tempfile
+import time
+from collections.abc import Callable
+from dataclasses import dataclass
+from pathlib import Path
+from typing import Any
+
+import click
+
+from weldbend.testbed.commands.group import FRONTS, JSON, lab, show_report
+from weldbend.testbed.load import connection_holder, idle_benchmark, process_usage
+
+LONG_IDLE = """[clients]
+first-call = 2 s
+idle = 1 h
+"""
+
+
+@dataclass(frozen=True, slots=True)
+class IdleOptions:
+    """What is measured; rates a second, times in seconds."""
+
+    connections: int
+    busy_rate: float
+    seconds: float
+    pairs: int
+    fractions: tuple[float, ...]  # that are woken at once
+    wake_with: str  # probe or photo
+    counts: tuple[int, ...]  # of connections at which memory is measured
+    before: str | None  # another tree
+    open_rate: float
+    fronts: int
+
+
+def measure(options: IdleOptions, installation: str, show: Callable[[str], None]) -> dict[str, Any]:
+    """All measurements that the options ask for, by name."""
+    report: dict[str, Any] = {}
+    counts, rate = list(options.counts), options.open_rate
+    if counts:
+        report["memory"] = idle_benchmark.measure_memory(counts, None, installation, show, rate)
+        if options.before:
+            report["memory before"] = idle_benchmark.measure_memory(
+                counts, options.before, installation, show, rate
+            )
+    connections, busy_rate, seconds = options.connections, options.busy_rate, options.seconds
+    if options.fronts > 1:
+        report["many"] = idle_benchmark.measure_many(
+            connections, options.fronts, busy_rate, seconds, installation, show
+        )
+        return report
+    if options.pairs:
+        report["pairs"] = idle_benchmark.measure_pairs(
+            connections, busy_rate, seconds, options.pairs, installation, show
+        )
+    if options.fractions:
+        report["wakes"] = idle_benchmark.measure_wakes(
+            connections, busy_rate, list(options.fractions), options.wake_with, installation, show
+        )
+    return report
+
+
+@lab.command("hold", hidden=True)
+@click.option("--front", required=True)
+@click.option("--seed", type=int, default=1)
+def hold_command(front: str, seed: int) -> None:
+    """Hold idle connections, driven by lines on standard input (see load/connection_holder.py)."""
+    connection_holder.main(front, seed)
+
+
+@lab.command("idle")
+@click.option("--connections", type=click.IntRange(1, 200_000), default=5000, show_default=True)
+@click.option("--busy-rate", type=click.FloatRange(1, 1000), default=86.0, show_default=True)
+@click.option("--seconds", type=click.FloatRange(2, 120), default=10.0, show_default=True)
+@click.option("--pairs", type=click.IntRange(0, 20), default=1, show_default=True)
+@click.option(
+    "--wake", "fractions", type=click.FloatRange(0, 1), multiple=True, help="fraction woken at once"
+)
+@click.option("--wake-with", type=click.Choice(["probe", "photo"]), default="photo", show_default=True)
+@click.option("--memory", "counts", type=click.IntRange(1, 19_000), multiple=True, help="measure bytes at")
+@click.option("--before", help="another tree, to measure memory of before")
+@click.option("--open-rate", type=click.FloatRange(1, 5000), default=2500.0, show_default=True)
+@FRONTS
+@click.option(
+    "--park-after", "idle_after", default="500 ms", show_default=True, help="0 s: no idle pool, to compare"
+)
+@click.option("--plot", help="draw the busy latencies as a PNG there")
+@JSON
+def idle_command(idle_after: str, plot: str | None, path: str | None, **options: object) -> None:
+    """What idle connections cost: memory, upkeep, busy latency beside them, and wakes at once."""
+    chosen = IdleOptions(**options)  # type: ignore[arg-type]  # click has checked them
+    begun = time.monotonic()
+
+    def show(text: str) -> None:
+        print(f"{time.monotonic() - begun:7.1f} s  {text}", file=sys.stderr, flush=True)
+
+    with tempfile.TemporaryDirectory(prefix="weldbend-idle-") as folder:
+        installation = Path(folder, "idle.ini")
+        installation.write_text(f"{LONG_IDLE}park-after = {idle_after}\n")
+        report = measure(chosen, str(installation), show)
+    if plot and report.get("pairs"):
+        first = report["pairs"][0]
+        histograms = {
+            f"{chosen.connections} idle": first["with"]["histogram"],
+            "none": first["none"]["histogram"],
+        }
+        process_usage.plot(plot, histograms, f"{chosen.busy_rate:g} requests a second")
+    show_report(path or "-", report)
--- a/weldbend/testbed/emulator/cache_model.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -1,7 +1,7 @@
 """Emulated caches, parents and origin: what they hold, how long a transfer takes, what they answer. No I/O.
 
-Time is given in (seconds); every answer comes as a delay and a message, so the same world runs on sockets and
-on a virtual clock. Links are FIFO pipes: a transfer begins when the one before it is through.
+Times are passed in, in seconds; every answer states when it is due, so the same model runs on sockets and on
+a virtual clock. Links are FIFO pipes: a transfer begins when the one before it is through.
 """
 
 from collections import OrderedDict
@@ -9,7 +9,11 @@
 
 from weldbend.testbed.emulator.objects import Sizes, body
 
-REMEMBERED = 8  # seconds for which a marked write is known to have run
+DEDUPLICATION_WINDOW = 8  # seconds for which a write with an idempotency key is known to have been executed
+WRITE_FACTOR = 5  # times the service time of a read
+MAX_FILLS = 1024  # fills that are kept track of before those that ended are dropped
+
+Place = tuple[str, int]  # an object's key, and the number of a part of it
 
 
 @dataclass(slots=True)
@@ -18,16 +22,16 @@
 
     rate: float
     delay: float = 0.0
-    free: float = 0.0
+    free_at: float = 0.0  # when all transfers so far are through
 
-    def carry(self, now: float, size: int) -> float:
-        """When a transfer begun now has come whole."""
-        self.free = max(self.free, now) + size / self.rate
-        return self.free + self.delay
+    def transfer(self, now: float, size: int) -> float:
+        """Begin a transfer of `size` bytes; returns when it is complete at the other end."""
+        self.free_at = max(self.free_at, now) + size / self.rate
+        return self.free_at + self.delay
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class TimedAnswer:
     """What a cache answers, and when."""
 
     at: float
@@ -38,147 +42,181 @@
 
 @dataclass(slots=True)
 class Copy:
+    """One cached part of an object."""
+
     size: int
     born: int  # Unix milliseconds
-    rank: int
+    rank: int  # 0 is evicted first
+
+
+@dataclass(frozen=True, slots=True)
+class Lookup:
+    """What a read command asks for, and when: seconds of the steady clock and of the Unix clock."""
+
+    place: Place
+    max_age: float | None  # milliseconds; None for any
+    now: float
+    unix: float
 
 
 @dataclass
-class Box:
-    """A cache, a parent or the origin. `room` in bytes; `service` seconds of its own work an answer."""
+class EmulatedCache:
+    """A cache, a parent or the origin."""
 
     uid: str
-    kind: str
-    room: int = 64 << 20
-    service: float = 0.002
-    most: int = 64  # commands under way, beyond which it is full
-    up: Link = field(default_factory=lambda: Link(60e6))
-    used: int = 0
-    held: "OrderedDict[tuple[str, int], Copy]" = field(default_factory=OrderedDict)
-    filling: dict[tuple[str, int], tuple[float, Copy]] = field(default_factory=dict)
-    ran: dict[str, float] = field(default_factory=dict)  # marked writes and when each ran
-    open: int = 0
+    kind: str  # box, parent or origin, as the endpoint list names them
+    capacity: int = 64 << 20  # bytes
+    service_time: float = 0.002  # seconds of its own work for an answer
+    max_open: int = 64  # commands that it executes at a time
+    uplink: Link = field(default_factory=lambda: Link(60e6))  # to the fronts
+    used: int = 0  # bytes
+    copies: "OrderedDict[Place, Copy]" = field(default_factory=OrderedDict)
+    filling: dict[Place, tuple[float, Copy]] = field(default_factory=dict)  # (complete at, copy)
+    executed: dict[str, float] = field(default_factory=dict)  # idempotency keys of writes, and when
+    open: int = 0  # commands that are executed now
     counts: dict[str, int] = field(default_factory=dict)
 
-    def count(self, what: str, by: int = 1) -> None:
-        self.counts[what] = self.counts.get(what, 0) + by
+    def count(self, name: str, by: int = 1) -> None:
+        """Add to one of the counters."""
+        self.counts[name] = self.counts.get(name, 0) + by
+
+    def is_filling(self, place: Place, now: float) -> bool:
+        """Whether a fill of this part is under way."""
+        return place in self.filling and self.filling[place][0] > now
 
-    def find(self, place: tuple[str, int], oldest: float | None, now: float, unix: float) -> Copy | None:
-        """A copy that is here and young enough (`oldest` in milliseconds); one on its way is not here yet."""
-        copy = self.held.get(place)
-        if place in self.filling and self.filling[place][0] > now:
+    def find(self, lookup: Lookup) -> Copy | None:
+        """A copy that is here and young enough; one whose fill is under way is not here yet."""
+        copy = self.copies.get(lookup.place)
+        if self.is_filling(lookup.place, lookup.now):
             return None
-        if copy and (oldest is None or unix * 1000 - copy.born <= oldest):
-            self.held.move_to_end(place)
+        if copy and (lookup.max_age is None or lookup.unix * 1000 - copy.born <= lookup.max_age):
+            self.copies.move_to_end(lookup.place)
             return copy
         return None
 
-    def keep(self, place: tuple[str, int], copy: Copy) -> None:
-        """Keep a copy; the least lately used of the lowest rank go where room ends."""
-        if old := self.held.pop(place, None):
+    def keep(self, place: Place, copy: Copy) -> None:
+        """Keep a copy; beyond the capacity the least recently used of the lowest rank are evicted."""
+        if old := self.copies.pop(place, None):
             self.used -= old.size
-        self.held[place] = copy
+        self.copies[place] = copy
         self.used += copy.size
-        while self.used > self.room:
-            last = next((k for k, c in self.held.items() if not c.rank), next(iter(self.held)))
-            self.used -= self.held.pop(last).size
-
-    def purge(self, place: str) -> None:
-        for key in [key for key in self.held if key[0] == place]:
-            self.used -= self.held.pop(key).size
-
-
-class World:
-    """All boxes of a site, and the links between them."""
-
-    def __init__(self, boxes: list[Box], sizes: Sizes, thin: float = 12.5e6, far: float = 0.02) -> None:
-        self.boxes = {box.uid: box for box in boxes}
+        while self.used > self.capacity:
+            last = next((k for k, c in self.copies.items() if not c.rank), next(iter(self.copies)))
+            self.used -= self.copies.pop(last).size
+
+    def purge(self, key: str) -> None:
+        """Drop all parts of an object."""
+        for place in [place for place in self.copies if place[0] == key]:
+            self.used -= self.copies.pop(place).size
+
+    def execute_write(self, idempotency_key: str | None, now: float, unix: float) -> TimedAnswer:
+        """Execute a write, unless one with its key was executed within the window."""
+        self._forget_writes(now)
+        if idempotency_key is None or idempotency_key not in self.executed:
+            self.count("effects")
+            if idempotency_key:
+                self.executed[idempotency_key] = now
+        else:
+            self.count("repeats dropped")
+        fields = {"ver": "w", "born": str(int(unix * 1000))}
+        return TimedAnswer(now + WRITE_FACTOR * self.service_time, "DONE", fields, b"ok")
+
+    def _forget_writes(self, now: float) -> None:
+        while self.executed:
+            oldest = next(iter(self.executed))
+            if not oldest or self.executed[oldest] >= now - DEDUPLICATION_WINDOW:
+                return
+            del self.executed[oldest]
+
+    def answer_with(self, place: Place, copy: Copy, ready: float, detail: str, now: float) -> TimedAnswer:
+        """The answer that carries a copy which is complete at `ready`; `detail` says where it came from."""
+        fields = {"ver": f"{copy.born:x}", "born": str(copy.born), "detail": detail}
+        if ready > now + self.service_time:
+            fields["waited"] = str(int((ready - now) * 1000))
+        fields["use"] = f"inflight:{self.open};util:{min(self.open / self.max_open, 1.0):.2f}"
+        return TimedAnswer(max(ready, now + self.service_time), "DONE", fields, body(*place, copy.size))
+
+
+class EmulatedCaches:
+    """All caches of a site, and the links between them.
+
+    An edge is linked to its parents by `edge_rate` bytes a second with `edge_delay` seconds of delay.
+    """
+
+    def __init__(
+        self, caches: list[EmulatedCache], sizes: Sizes, edge_rate: float = 12.5e6, edge_delay: float = 0.02
+    ) -> None:
+        self.caches = {cache.uid: cache for cache in caches}
         self.sizes = sizes
-        self.links = {box.uid: Link(thin, far) for box in boxes if box.kind == "box"}
-        self.hub = Link(4 * thin, far / 2)  # parents to the origin
-
-    def do(self, uid: str, fields: dict[str, str], now: float, unix: float) -> Told:
-        """One command; `now` and `unix` are seconds of the steady and the Unix clock. Raises KeyError."""
-        box = self.boxes[uid]
-        box.count("asked")
-        if box.open >= box.most:
-            box.count("full")
-            return Told(now, "WAIT", {})
+        self.links = {cache.uid: Link(edge_rate, edge_delay) for cache in caches if cache.kind == "box"}
+        self.origin_link = Link(4 * edge_rate, edge_delay / 2)  # from the origin to the parents
+
+    def execute(self, uid: str, fields: dict[str, str], now: float, unix: float) -> TimedAnswer:
+        """Execute one command; `now` and `unix` are seconds of the steady and the Unix clock.
+
+        Raises KeyError or ValueError where a field is missing or malformed.
+        """
+        cache = self.caches[uid]
+        cache.count("asked")
+        if cache.open >= cache.max_open:
+            cache.count("full")
+            return TimedAnswer(now, "WAIT", {})
         if fields.get("uniq") or fields["queue"] != "photo":
-            return self.write(box, fields, now, unix)
+            return cache.execute_write(fields.get("uniq"), now, unix)
         place = fields["path"], int(fields["blk"])
-        oldest = float(fields["oldest"]) if "oldest" in fields else None
-        if box.kind == "origin":
-            box.count("origin")
+        lookup = Lookup(place, float(fields["oldest"]) if "oldest" in fields else None, now, unix)
+        if cache.kind == "origin":
+            cache.count("origin")
             size = self.sizes.of(*place)
-            return self.done(box, place, Copy(size, int(unix * 1000), 0), box.up.carry(now, size), "o", now)
-        if copy := box.find(place, oldest, now, unix):
-            box.count("hits")
-            return self.done(box, place, copy, box.up.carry(now, copy.size), "h", now)
-        source = self.boxes.get(fields.get("from", ""))
-        if source is None or source is box:
-            box.count("misses")
-            return Told(now + box.service, "LACK", {})
-        return self.fill(box, source, place, fields, oldest, now, unix)
-
-    def write(self, box: Box, fields: dict[str, str], now: float, unix: float) -> Told:
-        mark = fields.get("uniq")
-        self.forget(box, now)
-        if mark is None or mark not in box.ran:
-            box.count("effects")
-            if mark:
-                box.ran[mark] = now
-        else:
-            box.count("repeats dropped")
-        return Told(now + 5 * box.service, "DONE", {"ver": "w", "born": str(int(unix * 1000))}, b"ok")
-
-    def forget(self, box: Box, now: float) -> None:
-        while box.ran and (mark := next(iter(box.ran))) and box.ran[mark] < now - REMEMBERED:
-            del box.ran[mark]
-
-    def fill(
-        self,
-        box: Box,
-        source: Box,
-        place: tuple[str, int],
-        fields: dict[str, str],
-        oldest: float | None,
-        now: float,
-        unix: float,
-    ) -> Told:
+            ready = cache.uplink.transfer(now, size)
+            return cache.answer_with(place, Copy(size, int(unix * 1000), 0), ready, "o", now)
+        if copy := cache.find(lookup):
+            cache.count("hits")
+            return cache.answer_with(place, copy, cache.uplink.transfer(now, copy.size), "h", now)
+        source = self.caches.get(fields.get("from", ""))
+        if source is None or source is cache:
+            cache.count("misses")
+            return TimedAnswer(now + cache.service_time, "LACK", {})
+        return self._fill(cache, source, lookup, fields)
+
+    def _fill(
+        self, cache: EmulatedCache, source: EmulatedCache, lookup: Lookup, fields: dict[str, str]
+    ) -> TimedAnswer:
         """Fill a miss from its source, or join a fill of the same part that is under way."""
+        place, now = lookup.place, lookup.now
         modes = fields.get("mode", "").split("+")
-        if "j" in modes and place in box.filling and box.filling[place][0] > now:
-            come, copy = box.filling[place]
-            box.count("joined")
-            return self.done(box, place, copy, box.up.carry(come, copy.size), "j", now)
-        found = source.find(place, oldest, now, unix) if source.kind != "origin" else None
-        come, note = now, "f"
+        if "j" in modes and cache.is_filling(place, now):
+            complete, copy = cache.filling[place]
+            cache.count("joined")
+            return cache.answer_with(place, copy, cache.uplink.transfer(complete, copy.size), "j", now)
+        found = source.find(lookup) if source.kind != "origin" else None
         if found is None and source.kind != "origin" and "h" in modes:
             source.count("lacked")
-            return Told(now + self.links[box.uid].delay, "LACK", {"detail": "l"})
+            return TimedAnswer(now + self.links[cache.uid].delay, "LACK", {"detail": "l"})
+        complete, detail = now, "f"
         if found is None:
-            found = Copy(self.sizes.of(*place), int(unix * 1000), 0)
-            self.boxes[next(uid for uid, b in self.boxes.items() if b.kind == "origin")].count("fills")
-            come, note = self.hub.carry(now, found.size), "o"
+            found = Copy(self.sizes.of(*place), int(lookup.unix * 1000), 0)
+            self._origin().count("fills")
+            complete, detail = self.origin_link.transfer(now, found.size), "o"
             if source.kind != "origin" and "n" not in modes:
                 source.keep(place, Copy(found.size, found.born, 0))
         else:
             source.count("fills")
         source.count("bytes", found.size)
-        come = self.links[box.uid].carry(come, found.size) if box.uid in self.links else come
+        if cache.uid in self.links:
+            complete = self.links[cache.uid].transfer(complete, found.size)
         copy = Copy(found.size, found.born, int(fields.get("rank", "0")))
-        box.filling[place] = come, copy
-        if len(box.filling) > 1024:
-            box.filling = {where: one for where, one in box.filling.items() if one[0] > now}
+        self._keep_filled(cache, place, complete, copy, now)
+        cache.count("filled from origin" if detail == "o" else "filled")
+        return cache.answer_with(place, copy, cache.uplink.transfer(complete, copy.size), detail, now)
+
+    def _origin(self) -> EmulatedCache:
+        return next(cache for cache in self.caches.values() if cache.kind == "origin")
+
+    @staticmethod
+    def _keep_filled(cache: EmulatedCache, place: Place, complete: float, copy: Copy, now: float) -> None:
+        cache.filling[place] = complete, copy
+        if len(cache.filling) > MAX_FILLS:
+            cache.filling = {where: fill for where, fill in cache.filling.items() if fill[0] > now}
         if copy.rank:
-            box.keep(place, copy)
-        box.count("filled from origin" if note == "o" else "filled")
-        return self.done(box, place, copy, box.up.carry(come, copy.size), note, now)
-
-    def done(self, box: Box, place: tuple[str, int], copy: Copy, at: float, note: str, now: float) -> Told:
-        fields = {"ver": f"{copy.born:x}", "born": str(copy.born), "detail": note}
-        if at > now + box.service:
-            fields["waited"] = str(int((at - now) * 1000))
-        fields["use"] = f"inflight:{box.open};util:{min(box.open / box.most, 1.0):.2f}"
-        return Told(max(at, now + box.service), "DONE", fields, body(*place, copy.size))
+            cache.keep(place, copy)
--- a/weldbend/testbed/emulator/configuration.py
+++ b/weldbend/testbed/emulator/configuration.py
@@ -1,4 +1,4 @@
-"""Small sites for laboratory and tests: settings, lists and configurations as a platform writes them."""
+"""Small sites for testbed and tests: settings, endpoint lists and configurations of a platform."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -74,6 +74,7 @@
     "zones": ["h", "z"],
 }
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
+HEAD_KEYS = ("name", "listen", "seed", "bus")  # of a configuration
 
 
 def target(
@@ -83,29 +84,45 @@
     port: int = 1,
     state: str = "up",
     boot: float = 0,
-    weight: float = 10,
-    host: str = "127.0.0.1",
+    **fields: object,
 ) -> dict[str, Any]:
-    """One line of the list; `boot` in Unix milliseconds, 0 for long ago."""
-    held = {"uid": uid, "endpoint": f"{host}:{port}", "az": zone, "model": kind, "state": state}
-    return held | {"pod_group": 0, "capacity_hint": weight, "boot_ms": boot}
+    """One entry of the endpoint list, on loopback; `fields` replace or add fields of it.
+
+    `boot` is its start in Unix milliseconds, 0 for long ago.
+    """
+    entry: dict[str, Any] = {
+        "uid": uid,
+        "endpoint": f"127.0.0.1:{port}",
+        "az": zone,
+        "model": kind,
+        "state": state,
+        "pod_group": 0,
+        "capacity_hint": 10,
+        "boot_ms": boot,
+    }
+    return entry | fields
 
 
 def listing(offset: int, *targets: Mapping[str, Any], whole: bool = False) -> dict[str, Any]:
+    """A watch event of the endpoint list: entries that have changed, or all of them."""
     return {"offset": offset, "topology": {"rev": offset, "all": whole, "targets": list(targets)}}
 
 
 def configuration(
     targets: Sequence[Mapping[str, Any]],
-    listen: str = "127.0.0.1:7001",
-    bus: str = "127.0.0.1:9092",
-    name: str = "n1",
-    seed: str = "5",
     limits: Mapping[str, Any] = LIMITS,
     settings: Mapping[str, Any] = SETTINGS,
-    **caps: Any,
+    **changes: object,
 ) -> str:
-    """A front's configuration as JSON; `caps` replace those of the settings."""
-    known = {"offset": 1, "batch": [listing(1, *targets, whole=True)]}
-    held = {"name": name, "listen": listen, "seed": seed, "limits": dict(limits), "bus": bus, "known": known}
-    return json.dumps(held | {"settings": {**settings, "caps": settings["caps"] | caps}})
+    """A front's configuration as JSON; `changes` replace HEAD_KEYS, and the caps of the settings."""
+    caps = {name: value for name, value in changes.items() if name not in HEAD_KEYS}
+    document = {
+        "name": "n1",
+        "listen": "127.0.0.1:7001",
+        "seed": "5",
+        "limits": dict(limits),
+        "bus": "127.0.0.1:9092",
+        "known": {"offset": 1, "batch": [listing(1, *targets, whole=True)]},
+        "settings": {**settings, "caps": settings["caps"] | caps},
+    }
+    return json.dumps(document | {name: changes[name] for name in HEAD_KEYS if name in changes})
--- a/weldbend/testbed/emulator/emulated_site.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -1,151 +1,177 @@
-"""A whole emulated site in this process: servers on free ports of loopback, and fronts as child processes."""
+"""A complete emulated site in this process: servers on free ports of loopback, fronts as child processes."""
 
 import sys
 import tempfile
 from collections.abc import Callable
 from dataclasses import dataclass, field
 from pathlib import Path
-from typing import Any
+from typing import Any, BinaryIO
 
-from twisted.internet.protocol import ProcessProtocol
+from twisted.internet.protocol import Factory, ProcessProtocol
 from twisted.python.failure import Failure
 
-from weldbend.testbed.emulator.cache_model import Box, World
+from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches
 from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
 from weldbend.testbed.emulator.objects import Sizes
-from weldbend.testbed.emulator.servers import BoxServer, BusServer
+from weldbend.testbed.emulator.servers import CacheServer, EventBusServer
+from weldbend.testbed.reactor import ProcessReactor
 
 LOOPBACK = "127.0.0.1"
-READY = b"serves on"
+READY_LINE = b"serves on"  # in the log of a front that serves
+LOG_TAIL = 4096  # bytes of a log in which that is looked for
+CACHE_WEIGHT = 100  # flows that a cache's link carries
+
+# Versions before 0.4 close what is idle for 4.5 s: not here, so that it can be measured.
+KEEP_IDLE = "from weldbend.clients import connection; connection.IDLE = 1e6; "
+SERVE = "from weldbend.cli import main; main()"
 
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """What an emulated site looks like. Rates in bytes a second, delays in seconds, room in bytes."""
+class SiteSettings:
+    """What an emulated site looks like."""
 
     edges: int = 4
     parents: int = 2
     fronts: int = 1
-    edge_room: int = 48 << 20
-    parent_room: int = 192 << 20
-    thin: float = 12.5e6
-    far: float = 0.02
+    edge_capacity: int = 48 << 20  # bytes
+    parent_capacity: int = 192 << 20  # bytes
+    edge_rate: float = 12.5e6  # bytes a second of the link of an edge to its parents
+    edge_delay: float = 0.02  # seconds of delay on it
     sizes: Sizes = field(default_factory=Sizes)
-    sockets: int = 1024
-    memory_mb: int = 192
-    open_cap: int = 400
+    sockets: int = 1024  # of each front
+    memory_mb: int = 192  # of each front
+    open_cap: int = 400  # requests in flight to a cache
 
 
 class FrontProcess(ProcessProtocol):
-    """One front: `ready` is called once it serves, `ended` with its exit code; its log goes to `log`."""
+    """One front: `on_ready` is called once it serves, `on_end` with its exit code; `log` gets its log."""
 
-    def __init__(self, ready: Callable[[], None], ended: Callable[[int], None], log: Any) -> None:
-        self.ready, self.ended, self.log = ready, ended, log
-        self.told, self.tail = False, b""
+    def __init__(self, on_ready: Callable[[], None], on_end: Callable[[int], None], log: BinaryIO) -> None:
+        self.on_ready = on_ready
+        self.on_end = on_end
+        self.log = log
+        self.is_ready = False
+        self.tail = b""  # of the log, until it is ready
 
     def errReceived(self, data: bytes) -> None:
+        """The front has logged something."""
         self.log.write(data)
         self.log.flush()
-        if not self.told:
-            self.tail = (self.tail + data)[-4096:]
-            if READY in self.tail:
-                self.told, self.tail = True, b""
-                self.ready()
+        if not self.is_ready:
+            self.tail = (self.tail + data)[-LOG_TAIL:]
+            if READY_LINE in self.tail:
+                self.is_ready = True
+                self.tail = b""
+                self.on_ready()
 
     def processEnded(self, reason: Failure) -> None:
+        """The front has ended; a signal is a negative exit code."""
         value: Any = reason.value
-        self.ended(value.exitCode if value.exitCode is not None else -(value.signal or 1))
+        self.on_end(value.exitCode if value.exitCode is not None else -(value.signal or 1))
 
 
-class Site:
+class EmulatedSite:
     """Servers that listen, the configuration of each front, and the fronts once they are started."""
 
-    def __init__(self, reactor: Any, shape: Shape, folder: Path | None = None) -> None:
-        self.reactor, self.shape = reactor, shape
+    def __init__(self, reactor: ProcessReactor, settings: SiteSettings, folder: Path | None = None) -> None:
+        self.reactor = reactor
+        self.settings = settings
         self.folder = folder or Path(tempfile.mkdtemp(prefix="weldbend-lab-"))
-        kinds = [("box", "e", shape.edges), ("parent", "p", shape.parents), ("origin", "o", 1)]
-        rooms = {"box": shape.edge_room, "parent": shape.parent_room, "origin": 0}
-        boxes = [
-            Box(f"{letter}{number}", kind, rooms[kind])
+        kinds = [("box", "e", settings.edges), ("parent", "p", settings.parents), ("origin", "o", 1)]
+        capacities = {"box": settings.edge_capacity, "parent": settings.parent_capacity, "origin": 0}
+        caches = [
+            EmulatedCache(f"{letter}{number}", kind, capacities[kind])
             for kind, letter, count in kinds
             for number in range(1, count + 1)
         ]
-        self.world = World(boxes, shape.sizes, shape.thin, shape.far)
-        self.targets = [self.listen(box) for box in boxes]
-        self.bus = BusServer(reactor, self.targets)
-        self.bus_port = reactor.listenTCP(0, self.bus, interface=LOOPBACK).getHost().port
+        self.caches = EmulatedCaches(caches, settings.sizes, settings.edge_rate, settings.edge_delay)
+        self.targets = [self._listen(cache) for cache in caches]
+        self.bus = EventBusServer(reactor, self.targets)
+        self.bus_port: int = reactor.listenTCP(0, self.bus, interface=LOOPBACK).getHost().port
         self.fronts: list[str] = []  # addresses
         self.processes: list[Any] = []
 
-    def listen(self, box: Box) -> dict[str, Any]:
-        server = BoxServer(self.reactor, self.world, box)
+    def _listen(self, cache: EmulatedCache) -> dict[str, Any]:
+        """Serve a cache; its entry in the endpoint list."""
+        server = CacheServer(self.reactor, self.caches, cache)
         port = self.reactor.listenTCP(0, server, interface=LOOPBACK).getHost().port
-        zone = "z" if box.kind == "box" else "h"
-        return target(box.uid, box.kind, zone, port, weight=100)
-
-    def configure(self, number: int) -> tuple[Path, str]:
-        """Write the configuration of one front; its file and address."""
-        spare = self.reactor.listenTCP(0, BusServer.__new__(BusServer), interface=LOOPBACK)
-        listen = f"{LOOPBACK}:{spare.getHost().port}"
-        spare.stopListening()
-        limits = LIMITS | {"sockets": self.shape.sockets, "memory_mb": self.shape.memory_mb}
-        settings = SETTINGS | {"siblings": self.shape.fronts}
-        zones = {"count_by_zone": [0, self.shape.fronts], "one_flow_kb_per_s": 1000.0}
-        settings["family_info"] = SETTINGS["family_info"] | zones
+        zone = "z" if cache.kind == "box" else "h"
+        return target(cache.uid, cache.kind, zone, port, capacity_hint=CACHE_WEIGHT)
+
+    def configure(self, number: int, bus_port: int | None = None) -> tuple[Path, str]:
+        """Write the configuration of one front; returns its file and the address that it will listen on.
+
+        `bus_port` is where it reaches the event bus; None for the bus itself.
+        """
+        free = self.reactor.listenTCP(0, Factory(), interface=LOOPBACK)
+        listen = f"{LOOPBACK}:{free.getHost().port}"
+        free.stopListening()
+        limits = LIMITS | {"sockets": self.settings.sockets, "memory_mb": self.settings.memory_mb}
+        zones = {"count_by_zone": [0, self.settings.fronts], "one_flow_kb_per_s": 1000.0}
+        settings = SETTINGS | {
+            "siblings": self.settings.fronts,
+            "family_info": SETTINGS["family_info"] | zones,
+        }
         text = configuration(
-            self.targets, listen, f"{LOOPBACK}:{self.bus_port}", f"n{number}", str(number), limits, settings,
-            open_cap=self.shape.open_cap,
-        )  # fmt: skip
+            self.targets,
+            limits,
+            settings,
+            listen=listen,
+            bus=f"{LOOPBACK}:{bus_port or self.bus_port}",
+            name=f"n{number}",
+            seed=str(number),
+            open_cap=self.settings.open_cap,
+        )
         path = self.folder / f"front-{number}.json"
         path.write_text(text)
         return path, listen
 
     def start(
         self,
-        ready: Callable[[], None],
-        ended: Callable[[int], None],
+        on_ready: Callable[[], None],
+        on_end: Callable[[int], None],
         options: tuple[str, ...] = (),
         program: str | None = None,
     ) -> None:
-        """Start all fronts; `program` is another tree whose weldbend they run, to compare with."""
-        waiting = [self.shape.fronts]
-
-        def one_ready() -> None:
-            waiting[0] -= 1
-            if not waiting[0]:
-                ready()
-
-        code = "from weldbend.cli import main; main()"
-        if program:  # versions before 0.4 close what is idle for 4.5 s: not here, so that it can be measured
-            code = f"from weldbend.clients import connection; connection.IDLE = 1e6; {code}"
-        for number in range(1, self.shape.fronts + 1):
+        """Start all fronts; `program` is another tree whose weldbend they run, to compare with.
+
+        `on_ready` is called once, when all serve; `on_end` with the exit code of each.
+        """
+        missing = self.settings.fronts
+
+        def on_one_ready() -> None:
+            nonlocal missing
+            missing -= 1
+            if not missing:
+                on_ready()
+
+        code = KEEP_IDLE + SERVE if program else SERVE
+        for number in range(1, self.settings.fronts + 1):
             path, listen = self.configure(number)
             self.fronts.append(listen)
             log = (self.folder / f"front-{number}.log").open("wb")
             command = [sys.executable, "-O", "-c", code, "serve", "--config", str(path), *options]
-            self.processes.append(
-                self.reactor.spawnProcess(
-                    FrontProcess(one_ready, ended, log),
-                    sys.executable,
-                    command,
-                    env=None,
-                    path=program or ".",
-                )
+            protocol = FrontProcess(on_one_ready, on_end, log)
+            process = self.reactor.spawnProcess(
+                protocol, sys.executable, command, env=None, path=program or "."
             )
+            self.processes.append(process)
 
     def stop(self) -> None:
+        """End all fronts with SIGTERM."""
         for process in self.processes:
             if process.pid:
                 process.signalProcess("TERM")
 
     def pids(self) -> list[int]:
+        """The process numbers of the fronts that run."""
         return [process.pid for process in self.processes if process.pid]
 
     def counts(self) -> dict[str, int]:
-        """What all boxes did, by kind of box and deed."""
-        found: dict[str, int] = {}
-        for box in self.world.boxes.values():
-            for what, many in box.counts.items():
-                name = f"{box.kind} {what}"
-                found[name] = found.get(name, 0) + many
-        return found
+        """The counters of all caches, by kind of cache and name of the counter."""
+        totals: dict[str, int] = {}
+        for cache in self.caches.caches.values():
+            for name, count in cache.counts.items():
+                key = f"{cache.kind} {name}"
+                totals[key] = totals.get(key, 0) + count
+        return totals
--- a/weldbend/testbed/emulator/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -12,149 +12,190 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol.answers import InvalidAnswerError
-from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, answer
-from weldbend.testbed.emulator.cache_model import Box, World
+from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, encode_answer
+from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches
 from weldbend.testbed.emulator.configuration import listing
+from weldbend.testbed.reactor import DelayedCall, Reactor
 
-IN = 1 << 18
+RING_SIZE = 1 << 18  # bytes of commands that a cache buffers
+LONGEST_REQUEST = 1 << 14  # bytes of an HTTP request that are read at a time
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
+LAST_EVENT_ID = "last-event-id:"
+HEARTBEAT = 1.0  # seconds between two comments of the event bus
 
+Event = dict[str, Any]  # as it is published, in JSON
 
-class BoxConnection(Connection):
+
+class CacheConnection(Connection):
     """One connection of a front to an emulated cache."""
 
-    def __init__(self, host: "BoxServer") -> None:
-        self.host, self.ring = host, Ring(IN)
+    transport: Any = None  # Twisted's interfaces have no types here
+
+    def __init__(self, server: "CacheServer") -> None:
+        self.server = server
+        self.ring = Ring(RING_SIZE)
         self.parser = Parser(self.ring)
-        self.out: dict[str, Any] = {}  # delayed answers by name
+        self.pending: dict[str, DelayedCall] = {}  # answers that are not due yet, by the request's id
 
     def connectionMade(self) -> None:
-        transport: Any = self.transport
-        transport.setTcpNoDelay(True)
+        """A front has connected."""
+        self.transport.setTcpNoDelay(True)
 
     def dataReceived(self, data: bytes) -> None:
+        """Execute the commands that are complete; what is no command closes the connection."""
         rest = memoryview(data)
         try:
             while rest:
                 rest = rest[self.ring.write(rest) :]
                 for command in self.parser.all():
-                    self.take(command)
+                    self.handle(command)
         except (InvalidCommandError, InvalidAnswerError):
             self.close()
 
-    def take(self, command: Command) -> None:
-        box = self.host.box
+    def handle(self, command: Command) -> None:
+        """Execute, cancel or answer one command."""
+        cache = self.server.cache
         match command.word:
             case "do":
-                self.do(command, box)
+                self._execute(command, cache)
             case "undo":
-                if late := self.out.pop(command.name, None):
-                    late.cancel()
-                    box.open -= 1
-                    box.count("undone")
+                if delayed := self.pending.pop(command.name, None):
+                    delayed.cancel()
+                    cache.open -= 1
+                    cache.count("undone")
             case _:
-                self.write(answer(command.name, "FIT", {"use": f"inflight:{box.open};util:0.1"}))
+                fields = {"use": f"inflight:{cache.open};util:0.1"}
+                self.write(encode_answer(command.name, "FIT", fields))
 
-    def do(self, command: Command, box: Box) -> None:
-        now = self.host.now()
+    def _execute(self, command: Command, cache: EmulatedCache) -> None:
+        now = self.server.now()
         try:
-            told = self.host.world.do(box.uid, command.fields, now, self.host.unix())
+            answer = self.server.caches.execute(cache.uid, command.fields, now, self.server.unix())
         except (KeyError, ValueError):
-            self.write(answer(command.name, "BROKE", {}))
+            self.write(encode_answer(command.name, "BROKE", {}))
             return
-        box.open += 1
+        cache.open += 1
 
-        def tell() -> None:
-            box.open -= 1
-            self.out.pop(command.name, None)
-            self.write(answer(command.name, told.word, told.fields, told.body))
+        def send() -> None:
+            cache.open -= 1
+            self.pending.pop(command.name, None)
+            self.write(encode_answer(command.name, answer.word, answer.fields, answer.body))
 
-        self.out[command.name] = self.host.reactor.callLater(max(told.at - now, 0.0), tell)
+        self.pending[command.name] = self.server.reactor.callLater(max(answer.at - now, 0.0), send)
 
     def write(self, data: bytes) -> None:
+        """Send bytes, if the connection is open."""
         if self.transport:
             self.transport.write(data)
 
     def close(self) -> None:
+        """Close the connection, if it is open."""
         if self.transport:
             self.transport.loseConnection()
 
-    def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
-        for late in self.out.values():
-            late.cancel()
-            self.host.box.open -= 1
-        self.out.clear()
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """Nobody waits for the answers any more."""
+        for delayed in self.pending.values():
+            delayed.cancel()
+            self.server.cache.open -= 1
+        self.pending.clear()
+
 
+class CacheServer(Factory):
+    """Serves one emulated cache; `now` and `unix` are its clocks, in seconds."""
 
-class BoxServer(Factory):
     noisy = False
 
     def __init__(
         self,
-        reactor: Any,
-        world: World,
-        box: Box,
+        reactor: Reactor,
+        caches: EmulatedCaches,
+        cache: EmulatedCache,
         now: Callable[[], float] = time.monotonic,
         unix: Callable[[], float] = time.time,
     ) -> None:
-        self.reactor, self.world, self.box, self.now, self.unix = reactor, world, box, now, unix
+        self.reactor = reactor
+        self.caches = caches
+        self.cache = cache
+        self.now = now
+        self.unix = unix
 
-    def buildProtocol(self, addr: IAddress | None) -> BoxConnection:
-        return BoxConnection(self)
+    def buildProtocol(self, addr: IAddress | None) -> CacheConnection:
+        """A connection of a front."""
+        return CacheConnection(self)
 
 
-class BusConnection(Connection):
-    """One reader of the bus: what it has not seen, then what comes, and a comment each second."""
+class EventBusConnection(Connection):
+    """One reader of the bus: it gets what it has not read, then what comes, and a comment each second."""
 
-    def __init__(self, bus: "BusServer") -> None:
-        self.bus, self.asked, self.serving = bus, b"", False
+    transport: Any = None  # Twisted's interfaces have no types here
+
+    def __init__(self, bus: "EventBusServer") -> None:
+        self.bus = bus
+        self.request = b""
+        self.is_served = False
 
     def dataReceived(self, data: bytes) -> None:
-        if self.serving:
+        """Read the HTTP request, and answer with the events that the reader has not read."""
+        if self.is_served:
             return
-        self.asked += data[: 1 << 14]
-        if b"\r\n\r\n" not in self.asked or not self.transport:
+        self.request += data[:LONGEST_REQUEST]
+        if b"\r\n\r\n" not in self.request or not self.transport:
             return
-        self.serving = True
-        lines = self.asked.decode("latin-1").split("\r\n")
-        last = next((line[14:].strip() for line in lines if line.lower().startswith("last-event-id:")), "0")
+        self.is_served = True
         self.transport.write(HEAD)
+        last = self._last_event_id()
         for event in self.bus.events:
-            if event["offset"] > (int(last) if last.isdigit() else 0):
-                self.tell(event)
+            if event["offset"] > last:
+                self.send(event)
         self.bus.readers[self] = None
 
-    def tell(self, event: dict[str, Any]) -> None:
+    def _last_event_id(self) -> int:
+        """The id of the last event that the reader has read; 0 where it states none."""
+        for line in self.request.decode("latin-1").split("\r\n"):
+            if line.lower().startswith(LAST_EVENT_ID):
+                text = line[len(LAST_EVENT_ID) :].strip()
+                return int(text) if text.isdigit() else 0
+        return 0
+
+    def send(self, event: Event) -> None:
+        """Send one event, if the connection is open."""
         if self.transport:
             self.transport.write(f"id: {event['offset']}\ndata: {json.dumps(event)}\n\n".encode())
 
-    def comment(self) -> None:
+    def send_comment(self) -> None:
+        """Send a comment, as a heartbeat."""
         if self.transport:
             self.transport.write(b": here\n")
 
-    def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """The reader has gone."""
         self.bus.readers.pop(self, None)
 
 
-class BusServer(Factory):
+class EventBusServer(Factory):
+    """The event bus: all events so far, and who reads them."""
+
     noisy = False
 
-    def __init__(self, reactor: Any, targets: list[dict[str, Any]]) -> None:
-        self.reactor, self.readers = reactor, dict[BusConnection, None]()
+    def __init__(self, reactor: Reactor, targets: list[Event]) -> None:
+        self.reactor = reactor
+        self.readers = dict[EventBusConnection, None]()
         self.events = [listing(1, *targets, whole=True)]
-        self.beat()
+        self._send_heartbeat()
 
-    def beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         for reader in list(self.readers):
-            reader.comment()
-        self.reactor.callLater(1.0, self.beat)
+            reader.send_comment()
+        self.reactor.callLater(HEARTBEAT, self._send_heartbeat)
 
-    def tell(self, **event: Any) -> None:
+    def publish(self, **event: object) -> None:
         """Publish one event, numbered after the last: `topology={...}` or `ban={...}`."""
-        held = {"offset": self.events[-1]["offset"] + 1} | event
-        self.events.append(held)
+        numbered = {"offset": self.events[-1]["offset"] + 1} | event
+        self.events.append(numbered)
         for reader in list(self.readers):
-            reader.tell(held)
+            reader.send(numbered)
 
-    def buildProtocol(self, addr: IAddress | None) -> BusConnection:
-        return BusConnection(self)
+    def buildProtocol(self, addr: IAddress | None) -> EventBusConnection:
+        """A connection of a reader."""
+        return EventBusConnection(self)
--- a/weldbend/testbed/faults/engine.py
+++ b/weldbend/testbed/faults/engine.py
@@ -1,7 +1,8 @@
-"""What a plan does to one direction of one connection: bytes in, deeds out. No I/O, no clock of its own.
+"""What a plan does to one direction of one connection: bytes in, fault actions out. No I/O, no own clock.
 
-Which message is struck depends on plan, seed, connection and message alone, never on how the bytes were split
-on their way or how fast they came (the trigger `after` excepted): the same seed strikes the same.
+Which message a fault is injected into depends on plan, seed, connection and message alone, never on how the
+bytes were split on their way or how fast they came (the trigger `after` excepted): the same seed injects the
+same.
 """
 
 import zlib
@@ -13,30 +14,29 @@
 from weldbend.testbed.faults.plan import FRAMINGS, Direction, Fault, Kind, Plan
 
 SLICE = 0.02  # seconds of a throttled stream that are handed on in one piece
-FLIP = 0x55
+FLIPPED_BITS = 0x55  # of a byte that is corrupted
 
 
 class What(Enum):
     """What is to be done towards the receiver."""
 
     DATA = auto()
-    END = auto()  # tell it that nothing more comes
+    END = auto()  # shut down the writing side
     RESET = auto()  # end both sides at once, as a process that died
     CLOSE = auto()  # end both sides, after what was written
 
 
-ENDS = (What.END, What.RESET, What.CLOSE)
-
-
 @dataclass(frozen=True, slots=True)
 class FaultAction:
-    at: float  # seconds of the caller's clock; never before the deed ahead of it
+    """One thing to be done towards the receiver."""
+
+    at: float  # seconds of the caller's clock; never before the action ahead of it
     what: What
     data: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
-class Strike:
+class Injection:
     """One fault at work; `offset` is where the message began in its stream."""
 
     fault: str
@@ -52,152 +52,183 @@
 
     plan: Plan
     seed: int
-    strikes: list[Strike] = field(default_factory=list)
-    struck: Counter[str] = field(default_factory=Counter)
+    injections: list[Injection] = field(default_factory=list)
+    injected: Counter[str] = field(default_factory=Counter)  # how often, by the fault's name
 
     def stream(self, connection: int, direction: Direction, now: float) -> "Stream":
         """One direction of a connection (numbered from 1) that has come up now."""
         return Stream(self, connection, direction, now)
 
-    def drawn(self, *words: object) -> float:
-        """A figure from 0 to 1 that depends on the seed and these words only."""
-        return zlib.crc32("/".join(map(str, (self.seed, *words))).encode()) / 2**32
+    def draw(self, *labels: object) -> float:
+        """A figure from 0 to 1 that depends on the seed and these labels only."""
+        return zlib.crc32("/".join(map(str, (self.seed, *labels))).encode()) / 2**32
+
+    def inject(self, fault: Fault, stream: "Stream") -> bool:
+        """Count an injection into the present message; false where the fault's `times` are used up."""
+        if self.injected[fault.name] >= fault.times:
+            return False
+        self.injected[fault.name] += 1
+        self.injections.append(
+            Injection(
+                fault.name, stream.connection, stream.direction.value, stream.message_count, stream.offset
+            )
+        )
+        return True
+
+
+@dataclass
+class MessageFate:
+    """What the faults that are injected into one message make of it."""
+
+    raw: bytes
+    delay: float = 0.0  # seconds
+    copies: int = 1
+    is_swapped: bool = False  # it changes place with the next
+    interruption: Fault | None = None  # one that stops the stream within the message
 
 
 class Stream:
+    """One direction of one connection."""
+
     def __init__(self, injector: Injector, connection: int, direction: Direction, now: float) -> None:
-        self.injector, self.connection, self.direction = injector, connection, direction
-        self.faults = [f for f in injector.plan.faults if f.direction is direction]
-        self.faults = [f for f in self.faults if f.connection in (0, connection)]
+        self.injector = injector
+        self.connection = connection
+        self.direction = direction
+        self.faults = [
+            fault
+            for fault in injector.plan.faults
+            if fault.direction is direction and fault.connection in (0, connection)
+        ]
         self.framing = FRAMINGS[injector.plan.framing][direction is Direction.BACK]
         self.splitter = Splitter(self.framing)
-        self.began = self.clear = now  # when it came up, and when all deeds so far are done
-        self.messages = self.offset = 0
-        self.rate = 0
-        self.late = 0.0  # seconds that growing delays have come to
-        self.held = b""  # a message that lets the next go first
-        self.over = False
-        self.once: dict[str, bool] = {}  # on raw streams chance is drawn once a connection
+        self.began = now
+        self.clear_at = now  # when all actions so far are done
+        self.message_count = 0
+        self.offset = 0  # bytes of the stream before the present message
+        self.rate = 0  # bytes a second; 0 for no bound
+        self.added_delay = 0.0  # seconds that growing delays have come to
+        self.swapped = b""  # a message that lets the next go first
+        self.is_over = False
+        self.draws: dict[str, bool] = {}  # on raw streams chance is drawn once a connection, by fault
 
     def feed(self, now: float, data: bytes) -> list[FaultAction]:
         """Bytes that came; what is to be done about them, and when."""
-        fault_actions: list[FaultAction] = []
+        actions: list[FaultAction] = []
         for message in self.splitter.feed(data):
-            if self.over:
+            if self.is_over:
                 break
-            self.messages += 1
-            self.pass_on(now, message, fault_actions)
+            self.message_count += 1
+            self._pass_on(now, message, actions)
             self.offset += len(message.raw)
-        return fault_actions
+        return actions
 
     def end(self, now: float) -> list[FaultAction]:
-        """The sender says no more: so is the receiver told, after all that went before."""
-        fault_actions: list[FaultAction] = []
-        if not self.over:
-            self.emit(now, self.held + self.splitter.rest(), fault_actions)
-            self.finish(now, What.END, fault_actions)
-        return fault_actions
+        """The sender has shut down its side: so is the receiver's, after all that went before."""
+        actions: list[FaultAction] = []
+        if not self.is_over:
+            self._emit(now, self.swapped + self.splitter.rest(), actions)
+            self._finish(now, What.END, actions)
+        return actions
 
     # One message.
 
-    def strikes(self, now: float, message: Message) -> list[Fault]:
-        found = []
-        for fault in self.faults:
-            if self.meets(now, fault, message) and self.injector.struck[fault.name] < fault.times:
-                self.injector.struck[fault.name] += 1
-                self.injector.strikes.append(
-                    Strike(fault.name, self.connection, self.direction.value, self.messages, self.offset)
-                )
-                found.append(fault)
-        return found
-
-    def meets(self, now: float, fault: Fault, message: Message) -> bool:
-        if fault.message not in (0, self.messages) or now < self.began + fault.after:
+    def _injected_faults(self, now: float, message: Message) -> list[Fault]:
+        return [
+            fault
+            for fault in self.faults
+            if self._is_triggered(now, fault, message) and self.injector.inject(fault, self)
+        ]
+
+    def _is_triggered(self, now: float, fault: Fault, message: Message) -> bool:
+        if fault.message not in (0, self.message_count) or now < self.began + fault.after:
             return False
         if fault.byte is not None and not self.offset <= fault.byte < self.offset + len(message.raw):
             return False
-        if fault.field is not None:
-            name, value = fault.field
-            held = (message.fields or {}).get(name)
-            if held is None or value not in ("*", held):
-                return False
+        if fault.field is not None and not message.has_field(*fault.field):
+            return False
         if fault.chance >= 1:
             return True
         if self.framing == "raw":
-            drawn = self.injector.drawn(fault.name, self.connection)
-            return self.once.setdefault(fault.name, drawn < fault.chance)
-        return self.injector.drawn(fault.name, self.connection, self.messages) < fault.chance
-
-    def pass_on(self, now: float, message: Message, fault_actions: list[FaultAction]) -> None:
-        raw, wait, copies, swap = message.raw, 0.0, 1, False
-        ends: Fault | None = None
-        for fault in self.strikes(now, message):
-            match fault.kind:
-                case Kind.DELAY:
-                    self.late += fault.growth
-                    drawn = self.injector.drawn(fault.name, self.connection, self.messages, "jitter")
-                    wait += fault.lasts + self.late + fault.jitter * drawn
-                case Kind.THROTTLE:
-                    self.rate = fault.rate
-                case Kind.DROP:
-                    copies = 0
-                case Kind.DUPLICATE:
-                    copies = 2
-                case Kind.REORDER:
-                    swap = True
-                case Kind.CORRUPT:
-                    raw = corrupt(raw, self.place(fault), fault.bytes)
-                case Kind.REWRITE:
-                    raw = rewrite(self.framing, Message(raw, message.fields), fault.set_field, fault.to)
-                case Kind.STALL | Kind.HANG | Kind.CUT | Kind.HALF_CLOSE:
-                    ends = ends or fault
-        if ends:
-            self.interrupt(now + wait, ends, raw, fault_actions)
+            drawn = self.injector.draw(fault.name, self.connection)
+            return self.draws.setdefault(fault.name, drawn < fault.chance)
+        return self.injector.draw(fault.name, self.connection, self.message_count) < fault.chance
+
+    def _pass_on(self, now: float, message: Message, actions: list[FaultAction]) -> None:
+        fate = MessageFate(message.raw)
+        for fault in self._injected_faults(now, message):
+            self._apply(fault, message, fate)
+        if fate.interruption:
+            self._interrupt(now + fate.delay, fate.interruption, fate.raw, actions)
             return
-        if swap and not self.held:
-            self.held = raw
+        if fate.is_swapped and not self.swapped:
+            self.swapped = fate.raw
             return
-        self.emit(now + wait, raw * copies, fault_actions)
-        held, self.held = self.held, b""
-        self.emit(now, held, fault_actions)
+        self._emit(now + fate.delay, fate.raw * fate.copies, actions)
+        swapped, self.swapped = self.swapped, b""
+        self._emit(now, swapped, actions)
 
-    def place(self, fault: Fault) -> int:
-        """Where in the message a fault strikes: at its byte of the stream, or so far inside."""
+    def _apply(self, fault: Fault, message: Message, fate: MessageFate) -> None:
+        match fault.kind:
+            case Kind.DELAY:
+                fate.delay += self._drawn_delay(fault)
+            case Kind.THROTTLE:
+                self.rate = fault.rate
+            case Kind.DROP:
+                fate.copies = 0
+            case Kind.DUPLICATE:
+                fate.copies = 2
+            case Kind.REORDER:
+                fate.is_swapped = True
+            case Kind.CORRUPT:
+                fate.raw = corrupt(fate.raw, self._place(fault), fault.bytes)
+            case Kind.REWRITE:
+                changed = Message(fate.raw, message.fields)
+                fate.raw = rewrite(self.framing, changed, fault.set_field, fault.to)
+            case Kind.STALL | Kind.HANG | Kind.CUT | Kind.HALF_CLOSE:
+                fate.interruption = fate.interruption or fault
+
+    def _drawn_delay(self, fault: Fault) -> float:
+        self.added_delay += fault.growth
+        drawn = self.injector.draw(fault.name, self.connection, self.message_count, "jitter")
+        return fault.duration + self.added_delay + fault.jitter * drawn
+
+    def _place(self, fault: Fault) -> int:
+        """Where in the message a fault is injected: at its byte of the stream, or so far inside."""
         return fault.byte - self.offset if fault.byte is not None else fault.inside or 0
 
-    def interrupt(self, now: float, fault: Fault, raw: bytes, fault_actions: list[FaultAction]) -> None:
+    def _interrupt(self, now: float, fault: Fault, raw: bytes, actions: list[FaultAction]) -> None:
         """Part of a message, then a standstill or an end."""
-        place = min(self.place(fault), len(raw))
-        self.emit(now, raw[:place], fault_actions)
+        place = min(self._place(fault), len(raw))
+        self._emit(now, raw[:place], actions)
         match fault.kind:
             case Kind.STALL:
-                self.clear = max(self.clear, now) + fault.lasts
-                self.emit(now, raw[place:], fault_actions)
+                self.clear_at = max(self.clear_at, now) + fault.duration
+                self._emit(now, raw[place:], actions)
             case Kind.HANG:
-                self.over = True
+                self.is_over = True
             case Kind.HALF_CLOSE:
-                self.finish(now, What.END, fault_actions)
+                self._finish(now, What.END, actions)
             case _:
-                self.finish(now, What.RESET if fault.how == "reset" else What.CLOSE, fault_actions)
+                self._finish(now, What.RESET if fault.how == "reset" else What.CLOSE, actions)
 
-    def emit(self, at: float, data: bytes, fault_actions: list[FaultAction]) -> None:
+    def _emit(self, at: float, data: bytes, actions: list[FaultAction]) -> None:
         """Hand bytes on, not before the time given and not before what went ahead."""
         if not data:
             return
-        self.clear = max(self.clear, at)
+        self.clear_at = max(self.clear_at, at)
         size = max(int(self.rate * SLICE), 1) if self.rate else len(data)
         for start in range(0, len(data), size):
             piece = data[start : start + size]
-            self.clear += len(piece) / self.rate if self.rate else 0.0
-            fault_actions.append(FaultAction(self.clear, What.DATA, piece))
+            self.clear_at += len(piece) / self.rate if self.rate else 0.0
+            actions.append(FaultAction(self.clear_at, What.DATA, piece))
 
-    def finish(self, at: float, what: What, fault_actions: list[FaultAction]) -> None:
-        self.over = True
-        self.clear = max(self.clear, at)
-        fault_actions.append(FaultAction(self.clear, what))
+    def _finish(self, at: float, what: What, actions: list[FaultAction]) -> None:
+        self.is_over = True
+        self.clear_at = max(self.clear_at, at)
+        actions.append(FaultAction(self.clear_at, what))
 
 
 def corrupt(raw: bytes, place: int, count: int) -> bytes:
     """Flip bits in so many bytes from a place on."""
-    part = bytes(byte ^ FLIP for byte in raw[place : place + count])
-    return raw[:place] + part + raw[place + len(part) :]
+    corrupted = bytes(byte ^ FLIPPED_BITS for byte in raw[place : place + count])
+    return raw[:place] + corrupted + raw[place + len(corrupted) :]
--- a/weldbend/testbed/faults/messages.py
+++ b/weldbend/testbed/faults/messages.py
@@ -1,57 +1,78 @@
-"""What crosses a connection as whole messages: cut from the stream, looked into, and written anew. No I/O.
+"""What crosses a connection as complete messages: cut from the stream, read, and rewritten. No I/O.
 
 The product's own readers say where a message ends and what its fields are. What they cannot read passes on
-unchanged, as one message: the injector must not mend or hide what is broken already.
+unchanged, as one message: the injector must not repair or hide what is malformed already.
 """
 
 import json
 import struct
-from collections.abc import Iterator
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol.answers import LONGEST_LINE
 from weldbend.cache_protocol.commands import fields_text
+from weldbend.testbed.errors import TestbedError
 from weldbend.thrift import binary
 from weldbend.thrift.binary import Reader
 from weldbend.thrift.errors import InvalidMessageError
 from weldbend.thrift.framing import LENGTH
 
-LONGEST = 1 << 19
+LONGEST = 1 << 19  # bytes of one message
 BREAK = b"\r\n"
+BODY_DIGITS = 6  # of the length of a line's body
+SHORT_LINE = 2  # words of undo, ping and top: word and name
+FULL_LINE = 4  # words of do and of an answer: word, name (or the reverse), fields and length
+
+Fields = dict[str, str]
+
+
+class FieldNotFoundError(TestbedError):
+    """A field that a message does not have."""
+
+    def __init__(self, field: str) -> None:
+        self.field = field
+        super().__init__(f"no field {field}")
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """Its bytes as they came, and what was read of it; none where it could not be read."""
+    """Its bytes as they came, and what was read of it; None where it could not be read."""
 
     raw: bytes
-    fields: dict[str, str] | None = None
+    fields: Fields | None = None
+
+    def has_field(self, name: str, value: str) -> bool:
+        """Whether it has a field of this value; `*` stands for any."""
+        found = (self.fields or {}).get(name)
+        return found is not None and value in ("*", found)
 
 
 class Splitter:
-    """Cuts a stream into messages; bytes of one that is not whole wait."""
+    """Cuts a stream into messages; bytes of one that is not complete wait."""
 
     def __init__(self, framing: str) -> None:
-        self.framing, self.ring = framing, Ring(LONGEST)
-        self.lost = False  # what follows cannot be cut any more
+        self.framing = framing
+        self.ring = Ring(LONGEST)
+        self.is_lost = False  # what follows cannot be cut any more
 
     def feed(self, data: bytes) -> Iterator[Message]:
+        """Bytes that came; yields the messages that they complete."""
         rest = memoryview(data)
         while rest:
             rest = rest[self.ring.write(rest) :]
-            yield from self.cut()
+            yield from self._split()
             if not self.ring.free():  # a message longer than any: pass on what there is
-                self.lost = True
+                self.is_lost = True
 
-    def cut(self) -> Iterator[Message]:
+    def _split(self) -> Iterator[Message]:
         while len(self.ring):
-            if self.lost or self.framing == "raw":
+            if self.is_lost or self.framing == "raw":
                 yield Message(self.ring.read(len(self.ring)))
                 return
             length = LENGTHS[self.framing](self.ring)
             if length < 0:
-                self.lost = True
+                self.is_lost = True
             elif not length or length > len(self.ring):
                 return
             else:
@@ -72,113 +93,132 @@
 
 
 def line_length(ring: Ring) -> int:
+    """The same for a command or an answer of the line protocol."""
     end = ring.find(BREAK, 0, LONGEST_LINE)
     if end < 0:
         return -1 if len(ring) >= LONGEST_LINE else 0
-    last = ring.peek(end).rpartition(b" ")[2]
-    words = ring.peek(end).count(b" ")
-    if words == 1:  # undo, ping, top
-        return end + 2
-    return end + 2 + int(last) + 2 if last.isdigit() and len(last) < 7 else -1
+    tokens = ring.peek(end).split(b" ")
+    if len(tokens) == SHORT_LINE:
+        return end + len(BREAK)
+    body = tokens[-1]
+    if not body.isdigit() or len(body) > BODY_DIGITS:
+        return -1
+    return end + len(BREAK) + int(body) + len(BREAK)
 
 
 def event_length(ring: Ring) -> int:
+    """The same for a server-sent event."""
     end = ring.find(b"\n\n", 0, len(ring))
     return end + 2 if end >= 0 else 0
 
 
-LENGTHS = {"thrift": thrift_length, "commands": line_length, "answers": line_length, "sse": event_length}
+LENGTHS: dict[str, Callable[[Ring], int]] = {
+    "thrift": thrift_length,
+    "commands": line_length,
+    "answers": line_length,
+    "sse": event_length,
+}
 
 
-def read_thrift(raw: bytes) -> dict[str, str] | None:
+def read_thrift(raw: bytes) -> Fields | None:
     """`name`, `seqid` and `kind` of a call or an answer, and the fields of its first map."""
     reader = Reader(raw[LENGTH.size :])
     try:
         head = reader.head()
         fields = {"message.name": head.name, "seqid": str(head.seqid), "message.kind": str(head.kind)}
-        found = first_map(reader)
-        return fields | found if found else fields
+        return fields | (first_map(reader) or {})
     except InvalidMessageError:
         return None
 
 
-def first_map(reader: Reader) -> dict[str, str] | None:
+def first_map(reader: Reader) -> Fields | None:
+    """The first map of texts in a struct or the structs within; None where there is none."""
     for kind, _ in reader.fields():
         if kind == binary.MAP:
             return reader.text_map()
         if kind == binary.STRUCT:
-            if (found := first_map(reader)) is not None:
-                return found
+            if (fields := first_map(reader)) is not None:
+                return fields
         else:
             reader.skip(kind)
     return None
 
 
-def read_line(raw: bytes) -> dict[str, str] | None:
+def split_pairs(text: str) -> Fields:
+    """The fields of a line: `name=value` parted by commas, or `-` for none."""
+    return dict(pair.partition("=")[::2] for pair in text.split(",")) if text != "-" else {}
+
+
+def read_line(raw: bytes) -> Fields | None:
     """`id` and `word` of a command or an answer, its `length`, and its fields."""
-    words = raw.partition(BREAK)[0].decode("latin-1").split(" ")
-    if len(words) == 2:
-        return {"word": words[0], "id": words[1]}
-    if len(words) != 4:
+    tokens = raw.partition(BREAK)[0].decode("latin-1").split(" ")
+    if len(tokens) == SHORT_LINE:
+        return {"word": tokens[0], "id": tokens[1]}
+    if len(tokens) != FULL_LINE:
         return None
-    first, second, fields, length = words
+    first, second, fields, length = tokens
     word, name = (first, second) if first == "do" else (second, first)
-    held = dict(pair.partition("=")[::2] for pair in fields.split(",")) if fields != "-" else {}
-    return {"word": word, "id": name, "length": length} | held
+    return {"word": word, "id": name, "length": length} | split_pairs(fields)
 
 
-def read_event(raw: bytes) -> dict[str, str] | None:
-    found = {}
+def read_event(raw: bytes) -> Fields | None:
+    """The lines of an event, by name."""
+    fields = {}
     for line in raw.decode("utf-8", "replace").split("\n"):
         name, colon, value = line.partition(":")
         if colon and name:
-            found[name] = value.removeprefix(" ")
-    return found
+            fields[name] = value.removeprefix(" ")
+    return fields
 
 
-READERS = {"thrift": read_thrift, "commands": read_line, "answers": read_line, "sse": read_event}
+READERS: dict[str, Callable[[bytes], Fields | None]] = {
+    "thrift": read_thrift,
+    "commands": read_line,
+    "answers": read_line,
+    "sse": read_event,
+}
 
 
 def rewrite(framing: str, message: Message, name: str, to: str | None) -> bytes:
-    """The message with one field set, or left out where `to` is none; unchanged where it has no such field.
+    """The message with one field set, or left out where `to` is None; unchanged where it has no such field.
 
-    The result is whole and parses: lengths and frames fit again.
+    The result is complete and parses: lengths and frames fit again.
     """
     if message.fields is None:
         return message.raw
     try:
         return WRITERS[framing](message, name, to)
-    except (InvalidMessageError, ValueError, KeyError, struct.error):
+    except (InvalidMessageError, FieldNotFoundError, ValueError, KeyError, struct.error):
         return message.raw
 
 
 def rewrite_thrift(message: Message, name: str, to: str | None) -> bytes:
+    """A thrift message with another `seqid`, another `body`, or another field of its map."""
     data = message.raw[LENGTH.size :]
     if name == "seqid" and to is not None:
-        at = 4 + len(binary.binary(Reader(data).head().name.encode()))
+        at = 4 + len(binary.binary(Reader(data).head().name.encode()))  # after version, kind and name
         data = data[:at] + binary.i32(int(to)) + data[at + 4 :]
     elif name == "body":
-        return rewrite_body(data, (to or "").encode())
+        data = replace_body(data, (to or "").encode())
     elif message.fields and name in message.fields:
         old = binary.binary(name.encode()) + binary.binary(message.fields[name].encode())
         if to is not None:
             data = data.replace(old, binary.binary(name.encode()) + binary.binary(to.encode()), 1)
         else:
-            at = data.find(old)
-            start = map_start(data, at)
-            count = struct.unpack(">i", data[start : start + 4])[0] - 1
-            data = data[:start] + binary.i32(count) + data[start + 4 : at] + data[at + len(old) :]
+            data = remove_entry(data, data.find(old), len(old))
     return LENGTH.pack(len(data)) + data
 
 
-def map_start(data: bytes, at: int) -> int:
-    """Where the count of the map of texts stands that has an entry at `at`."""
-    mark = bytes((binary.STRING, binary.STRING))
-    return data.rfind(mark, 0, at) + len(mark)
+def remove_entry(data: bytes, at: int, size: int) -> bytes:
+    """Leave out the entry of a map of texts that is at a place."""
+    types = bytes((binary.STRING, binary.STRING))
+    start = data.rfind(types, 0, at) + len(types)  # of the map's count
+    count = struct.unpack(">i", data[start : start + 4])[0] - 1
+    return data[:start] + binary.i32(count) + data[start + 4 : at] + data[at + size :]
 
 
-def rewrite_body(data: bytes, body: bytes) -> bytes:
-    """An answer with another body: shorter, or of another download, in a frame that fits."""
+def replace_body(data: bytes, body: bytes) -> bytes:
+    """An answer with another body: shorter, or of another request."""
     reader = Reader(data)
     reader.head()
     for kind, _ in reader.fields():
@@ -189,65 +229,66 @@
             if inner == binary.STRING and number == 1:
                 start = reader.position
                 reader.binary()
-                data = data[:start] + binary.binary(body) + data[reader.position :]
-                return LENGTH.pack(len(data)) + data
+                return data[:start] + binary.binary(body) + data[reader.position :]
             reader.skip(inner)
-    raise ValueError("no body")
+    raise FieldNotFoundError("body")
 
 
 def rewrite_line(message: Message, name: str, to: str | None) -> bytes:
+    """A command or an answer with another `id`, `word` (of an answer), `length` or field."""
     line, _, rest = message.raw.partition(BREAK)
-    words = line.decode("latin-1").split(" ")
-    if len(words) != 4:
+    tokens = line.decode("latin-1").split(" ")
+    if len(tokens) != FULL_LINE:
         return message.raw
-    command = words[0] == "do"
+    is_command = tokens[0] == "do"
     if name == "id" and to is not None:
-        words[1 if command else 0] = to
-    elif name == "word" and to is not None and not command:
-        words[1] = to
-    elif name == "length" and to is not None:  # shorter, and whole: the body is cut to fit
-        body = rest[: min(int(to), len(rest) - 2)]
-        words[3], rest = str(len(body)), body + BREAK
+        tokens[1 if is_command else 0] = to
+    elif name == "word" and to is not None and not is_command:
+        tokens[1] = to
+    elif name == "length" and to is not None:  # shorter, and complete: the body is cut to fit
+        body = rest[: min(int(to), len(rest) - len(BREAK))]
+        tokens[3] = str(len(body))
+        rest = body + BREAK
     else:
-        held = dict(pair.partition("=")[::2] for pair in words[2].split(",")) if words[2] != "-" else {}
+        fields = split_pairs(tokens[2])
         if to is None:
-            held.pop(name, None)
+            fields.pop(name, None)
         else:
-            held[name] = to
-        words[2] = fields_text(held)
-    return " ".join(words).encode("latin-1") + BREAK + rest
+            fields[name] = to
+        tokens[2] = fields_text(fields)
+    return " ".join(tokens).encode("latin-1") + BREAK + rest
 
 
 def rewrite_event(message: Message, name: str, to: str | None) -> bytes:
     """A line of the event, or with `data.` before it a key of the object in its data."""
-    lines = message.raw.decode("utf-8", "replace").split("\n")
     top, _, path = name.partition(".")
-    found = []
-    for line in lines:
+    lines = []
+    for line in message.raw.decode("utf-8", "replace").split("\n"):
         if not line.startswith(f"{top}:"):
-            found.append(line)
+            lines.append(line)
         elif path:
-            held = json.loads(line.partition(":")[2])
-            set_key(held, path.split("."), to)
-            found.append(f"{top}: {json.dumps(held)}")
+            document = json.loads(line.partition(":")[2])
+            set_key(document, path.split("."), to)
+            lines.append(f"{top}: {json.dumps(document)}")
         elif to is not None:
-            found.append(f"{top}: {to}")
-    return "\n".join(found).encode()
+            lines.append(f"{top}: {to}")
+    return "\n".join(lines).encode()
 
 
-def set_key(held: dict[str, object], path: list[str], to: str | None) -> None:
+def set_key(document: dict[str, object], path: list[str], to: str | None) -> None:
+    """Set a key within a document to a JSON value, or leave it out; raises FieldNotFoundError."""
     for step in path[:-1]:
-        inner = held[step]
+        inner = document[step]
         if not isinstance(inner, dict):
-            raise ValueError("no such key")
-        held = inner
+            raise FieldNotFoundError(step)
+        document = inner
     if to is None:
-        held.pop(path[-1], None)
+        document.pop(path[-1], None)
     else:
-        held[path[-1]] = json.loads(to)
+        document[path[-1]] = json.loads(to)
 
 
-WRITERS = {
+WRITERS: dict[str, Callable[[Message, str, str | None], bytes]] = {
     "thrift": rewrite_thrift,
     "commands": rewrite_line,
     "answers": rewrite_line,
--- a/weldbend/testbed/faults/plan.py
+++ b/weldbend/testbed/faults/plan.py
@@ -1,4 +1,4 @@
-"""Plans of faults: an INI file, a section a fault, checked as a whole on load. No I/O but the file itself.
+"""Plans of faults: an INI file, a section a fault, checked completely on load. No I/O but the file itself.
 
     [answers stop in the middle]
     kind = cut
@@ -7,24 +7,36 @@
     message = 3
     inside = 20
 
-A fault strikes where all its triggers hold: `after` (time since the connection came up), `byte`, `message`
-(from 1, in its direction), `connection` (from 1), `field` (`name=value` of the message, value may be `*`),
-`chance` (drawn by seed for each chance it has). `times` bounds how often it strikes in all.
+A fault is injected where all its triggers hold: `after` (time since the connection came up), `byte`,
+`message` (from 1, in its direction), `connection` (from 1), `field` (`name=value` of the message, value may
+be `*`), `chance` (drawn by seed for each chance it has). `times` bounds how often it is injected in all.
 """
 
 import re
-from collections.abc import Callable, Mapping
+from collections.abc import Mapping
 from dataclasses import dataclass
 from enum import Enum
-from typing import Any
 
 from weldbend.installation.errors import InstallationError, InvalidValueError
 from weldbend.installation.reader import parse
 from weldbend.installation.values import duration_between, integer_between
-
-MANY = 1_000_000_000
+from weldbend.testbed.faults.plan_keys import (
+    InvalidPlanError,
+    KeyTable,
+    Section,
+    choice,
+    fraction,
+    one_of,
+    read_values,
+)
+
+UNBOUNDED = 1_000_000_000  # a count that no run reaches
+HOUR = 3600.0  # seconds; the longest time that a key states
+MAX_CORRUPTED = 1 << 20  # bytes
 FIELD = re.compile(r"([\w.]{1,40})\s*=\s*(.{0,200})")
 
+__all__ = ["Direction", "Fault", "InvalidPlanError", "Kind", "Plan", "parse_plan", "read_plan"]
+
 
 class Kind(Enum):
     """What a fault does."""
@@ -34,7 +46,7 @@
     STALL = "stall"  # nothing for `for`, then what had gathered
     HANG = "hang"  # nothing ever more in this direction, the connection stays open
     CUT = "cut"  # the connection ends for both sides: `how` is reset or close
-    HALF_CLOSE = "half-close"  # the receiver is told that nothing more comes, the other direction goes on
+    HALF_CLOSE = "half-close"  # this direction is shut down, the other goes on
     DROP = "drop"  # the message is left out
     DUPLICATE = "duplicate"  # the message comes twice
     REORDER = "reorder"  # the message changes place with the next
@@ -42,7 +54,7 @@
     REWRITE = "rewrite"  # a field is set (`to`), or left out where `to` is absent: it still parses
 
 
-WHOLE_MESSAGES = (Kind.DROP, Kind.DUPLICATE, Kind.REORDER, Kind.REWRITE)
+MESSAGE_KINDS = (Kind.DROP, Kind.DUPLICATE, Kind.REORDER, Kind.REWRITE)  # those that need message boundaries
 
 
 class Direction(Enum):
@@ -52,42 +64,44 @@
     BACK = "back"
 
 
-class InvalidPlanError(Exception):
-    """A plan that cannot be played; its text is one line with the fault's name and the key."""
-
-
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Times in seconds, places in bytes; zero or none where a trigger is not given."""
+    """Times in seconds, places in bytes; zero or None where a trigger is not given."""
 
     name: str
     kind: Kind
     direction: Direction = Direction.BACK
     after: float = 0.0
-    byte: int | None = None  # of the stream, from 0: strikes with the first byte there
+    byte: int | None = None  # of the stream, from 0: injected with the first byte there
     message: int = 0
     connection: int = 0
     field: tuple[str, str] | None = None
     chance: float = 1.0
-    times: int = MANY
-    lasts: float = 0.0
+    times: int = UNBOUNDED
+    duration: float = 0.0
     jitter: float = 0.0
     growth: float = 0.0
-    rate: int = 0
+    rate: int = 0  # bytes a second
     how: str = "reset"
     inside: int | None = None  # bytes of the message that still pass, or where corruption begins
     bytes: int = 1
     set_field: str = ""
     to: str | None = None
 
+    def requires_messages(self) -> bool:
+        """Whether it can be injected only where the stream is cut into messages."""
+        return bool(self.kind in MESSAGE_KINDS or self.message or self.field)
+
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    framing: str  # thrift, commands, answers, sse or raw, for each direction as `there/back`
+    """Faults, and how streams are cut into messages: one of FRAMINGS."""
+
+    framing: str
     faults: tuple[Fault, ...]
 
 
-FRAMINGS = {
+FRAMINGS = {  # how each direction is cut, there and back
     "thrift": ("thrift", "thrift"),
     "lines": ("commands", "answers"),
     "sse": ("raw", "sse"),
@@ -95,64 +109,42 @@
 }
 
 
-def one_of(kind: type[Enum]) -> Callable[[str], Enum]:
-    def check(text: str) -> Enum:
-        try:
-            return kind(text)
-        except ValueError:
-            raise InvalidValueError(
-                f"{text!r:.40} is none of {', '.join(str(k.value) for k in kind)}"
-            ) from None
+class InvalidFieldError(InvalidValueError):
+    """A value that is no `name=value`."""
 
-    return check
-
-
-def word(*words: str) -> Callable[[str], str]:
-    def check(text: str) -> str:
-        if text not in words:
-            raise InvalidValueError(f"{text!r:.40} is none of {', '.join(words)}")
-        return text
-
-    return check
-
-
-def chance(text: str) -> float:
-    try:
-        value = float(text)
-    except ValueError:
-        raise InvalidValueError(f"{text!r:.40} is no number") from None
-    if not 0 < value <= 1:
-        raise InvalidValueError(f"{text} is not above 0 and at most 1")
-    return value
+    def __init__(self, text: str) -> None:
+        self.text = text
+        super().__init__(f"{text!r:.40} is no 'name=value'")
 
 
-def pair(text: str) -> tuple[str, str]:
-    if not (found := FIELD.fullmatch(text)):
-        raise InvalidValueError(f"{text!r:.40} is no 'name=value'")
-    return found[1], found[2]
+def name_and_value(text: str) -> tuple[str, str]:
+    """A check of texts such as `seqid=3`."""
+    if not (match := FIELD.fullmatch(text)):
+        raise InvalidFieldError(text)
+    return match[1], match[2]
 
 
-KEYS: dict[str, tuple[str, Callable[[str], Any]]] = {
+KEYS: KeyTable = {
     "kind": ("kind", one_of(Kind)),
     "direction": ("direction", one_of(Direction)),
-    "after": ("after", duration_between(0.0, 3600.0)),
-    "byte": ("byte", integer_between(0, MANY)),
-    "message": ("message", integer_between(1, MANY)),
-    "connection": ("connection", integer_between(1, MANY)),
-    "field": ("field", pair),
-    "chance": ("chance", chance),
-    "times": ("times", integer_between(1, MANY)),
-    "for": ("lasts", duration_between(0.0, 3600.0)),
-    "jitter": ("jitter", duration_between(0.0, 3600.0)),
+    "after": ("after", duration_between(0.0, HOUR)),
+    "byte": ("byte", integer_between(0, UNBOUNDED)),
+    "message": ("message", integer_between(1, UNBOUNDED)),
+    "connection": ("connection", integer_between(1, UNBOUNDED)),
+    "field": ("field", name_and_value),
+    "chance": ("chance", fraction),
+    "times": ("times", integer_between(1, UNBOUNDED)),
+    "for": ("duration", duration_between(0.0, HOUR)),
+    "jitter": ("jitter", duration_between(0.0, HOUR)),
     "growth": ("growth", duration_between(0.0, 60.0)),
-    "rate": ("rate", integer_between(1, MANY)),
-    "how": ("how", word("reset", "close")),
-    "inside": ("inside", integer_between(0, MANY)),
-    "bytes": ("bytes", integer_between(1, 1 << 20)),
+    "rate": ("rate", integer_between(1, UNBOUNDED)),
+    "how": ("how", choice("reset", "close")),
+    "inside": ("inside", integer_between(0, UNBOUNDED)),
+    "bytes": ("bytes", integer_between(1, MAX_CORRUPTED)),
     "set": ("set_field", str),
     "to": ("to", str),
 }
-OWN = {  # keys that only some kinds heed
+KINDS_OF_KEY = {  # for keys that only some kinds have
     "for": (Kind.DELAY, Kind.STALL),
     "jitter": (Kind.DELAY,),
     "growth": (Kind.DELAY,),
@@ -163,62 +155,49 @@
     "set": (Kind.REWRITE,),
     "to": (Kind.REWRITE,),
 }
-NEEDS = {Kind.STALL: ("for",), Kind.THROTTLE: ("rate",), Kind.REWRITE: ("set",)}
+REQUIRED_KEYS = {Kind.STALL: ("for",), Kind.THROTTLE: ("rate",), Kind.REWRITE: ("set",)}
 
 
 def read_plan(path: str, framing: str) -> Plan:
-    """A plan from its file; raises BadPlan."""
+    """A plan from its file; raises InvalidPlanError."""
     try:
-        held = parse(path)
-    except InstallationError as wrong:
-        raise InvalidPlanError(str(wrong)) from None
-    return plan(held, framing, path)
+        sections = parse(path)
+    except InstallationError as error:
+        raise InvalidPlanError("", str(error)) from None
+    return parse_plan(sections, framing, path)
 
 
-def plan(held: Mapping[str, Any], framing: str, path: str = "plan") -> Plan:
-    """A plan from its sections; raises BadPlan for the first thing wrong."""
+def parse_plan(sections: Section, framing: str, path: str = "plan") -> Plan:
+    """A plan from its sections; raises InvalidPlanError for the first thing wrong."""
     if framing not in FRAMINGS:
-        raise InvalidPlanError(f"framing {framing!r:.20} is none of {', '.join(FRAMINGS)}")
+        raise InvalidPlanError("", f"framing {framing!r:.20} is none of {', '.join(FRAMINGS)}")
     faults = []
-    for name, said in held.items():
-        if not isinstance(said, Mapping):
-            raise InvalidPlanError(f"{path}: key '{name}' stands before any fault")
-        faults.append(fault(name, said, path))
-        way = FRAMINGS[framing][faults[-1].direction is Direction.BACK]
-        if way == "raw" and needs_messages(faults[-1]):
-            raise InvalidPlanError(
-                f"{path}: [{name}] strikes at messages, but {faults[-1].direction.value} is raw bytes"
-            )
+    for name, section in sections.items():
+        if not isinstance(section, Mapping):
+            raise InvalidPlanError(f"{path}:", f"key '{name}' stands before any fault")
+        location = f"{path}: [{name}]"
+        fault = parse_fault(name, section, location)
+        if FRAMINGS[framing][fault.direction is Direction.BACK] == "raw" and fault.requires_messages():
+            raise InvalidPlanError(location, f"needs messages, but {fault.direction.value} is raw bytes")
+        faults.append(fault)
     if not faults:
-        raise InvalidPlanError(f"{path}: no fault")
+        raise InvalidPlanError(f"{path}:", "no fault")
     return Plan(framing, tuple(faults))
 
 
-def needs_messages(fault: Fault) -> bool:
-    return bool(fault.kind in WHOLE_MESSAGES or fault.message or fault.field)
-
-
-def fault(name: str, said: Mapping[str, Any], path: str) -> Fault:
-    if "kind" not in said:
-        raise InvalidPlanError(f"{path}: [{name}] lacks 'kind'")
-    values = {}
-    for key, text in said.items():
-        if key not in KEYS:
-            raise InvalidPlanError(f"{path}: [{name}] unknown key '{key}'; known: {', '.join(KEYS)}")
-        field, check = KEYS[key]
-        try:
-            values[field] = check(str(text).strip())
-        except InvalidValueError as wrong:
-            raise InvalidPlanError(f"{path}: [{name}] {key}: {wrong}") from None
-    made = Fault(name, **values)
-    for key in said:
-        if key in OWN and made.kind not in OWN[key]:
-            raise InvalidPlanError(f"{path}: [{name}] {key}: means nothing for {made.kind.value}")
-    for key in NEEDS.get(made.kind, ()):
-        if key not in said:
-            raise InvalidPlanError(f"{path}: [{name}] {made.kind.value} lacks '{key}'")
-    if made.kind is Kind.DELAY and not (made.lasts or made.jitter or made.growth):
-        raise InvalidPlanError(f"{path}: [{name}] delay lacks 'for', 'jitter' or 'growth'")
-    if made.byte is not None and (made.message or made.field):
-        raise InvalidPlanError(f"{path}: [{name}] byte and message or field exclude each other")
-    return made
+def parse_fault(name: str, section: Section, location: str) -> Fault:
+    """A fault from its section; raises InvalidPlanError for the first thing wrong."""
+    if "kind" not in section:
+        raise InvalidPlanError(location, "lacks 'kind'")
+    fault = Fault(name, **read_values(section, KEYS, location))
+    for key in section:
+        if key in KINDS_OF_KEY and fault.kind not in KINDS_OF_KEY[key]:
+            raise InvalidPlanError(location, f"means nothing for {fault.kind.value}", key)
+    for key in REQUIRED_KEYS.get(fault.kind, ()):
+        if key not in section:
+            raise InvalidPlanError(location, f"{fault.kind.value} lacks '{key}'")
+    if fault.kind is Kind.DELAY and not (fault.duration or fault.jitter or fault.growth):
+        raise InvalidPlanError(location, "delay lacks 'for', 'jitter' or 'growth'")
+    if fault.byte is not None and (fault.message or fault.field):
+        raise InvalidPlanError(location, "byte and message or field exclude each other")
+    return fault
--- a/weldbend/testbed/fleet/auditor.py
+++ b/weldbend/testbed/fleet/auditor.py
@@ -1,83 +1,179 @@
 """The auditor of a fleet: what must hold of it, judged from outside by what each front holds at the end.
 
 It shares no code with what it judges: the joins are written here a second time, as plain functions over all
-that was said, and compared with what each front came to.
+changes that were made, and compared with what each front came to.
 """
 
 from collections import defaultdict
-from typing import Any
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+from typing import Any, Protocol
 
+from weldbend.fleet.anti_entropy import AntiEntropy
+from weldbend.fleet.member_table import State
+from weldbend.fleet.membership import Membership
+from weldbend.fleet.replicated_store import ReplicatedStore
+
+# Seconds for which an item of a kind is kept.
 KEEP = {"purge": 60.0, "drain": 600.0, "start": 120.0, "keyed": 30.0, "evidence": 20.0, "setting": 1e12}
-EDGE = 1.5  # seconds about an item's end within which fronts may differ: ages grow on the way
+EDGE = 1.5  # seconds before an item's end within which fronts may differ: ages grow on the way
+ENDING = 3.0  # seconds about the end of a change within which its item is not compared
+CONFLICT = "!"  # in place of the group of a keyed item that two groups have claimed
+
+Value = tuple[Any, ...]  # of a change, as it is replicated: a kind's own figures and texts
+ItemName = tuple[str, str]  # kind and key
+
+
+class AuditedNode(Protocol):
+    """One front's fleet, as the auditor examines it."""
+
+    @property
+    def name(self) -> str:
+        """Its name in the fleet."""
+
+    @property
+    def is_up(self) -> bool:
+        """Whether its process lives."""
+
+    @property
+    def members(self) -> Membership:
+        """What it believes of the others."""
+
+    @property
+    def copies(self) -> ReplicatedStore:
+        """Its replicas."""
+
+    @property
+    def exchange(self) -> AntiEntropy:
+        """How it keeps them alike."""
+
+
+@dataclass(frozen=True, slots=True)
+class ExaminedNode:
+    """One front of a simulated run."""
+
+    name: str
+    is_up: bool
+    members: Membership
+    copies: ReplicatedStore
+    exchange: AntiEntropy
+
+
+@dataclass(frozen=True, slots=True)
+class Published:
+    """A change that a node made at a moment of the run."""
+
+    at: float
+    kind: str
+    key: str
+    value: Value
+    writer: AuditedNode
 
 
-def strictest(kind: str, values: list[tuple]) -> tuple:
+@dataclass(frozen=True, slots=True)
+class AuditedFleet:
+    """A run that has ended calmly."""
+
+    nodes: Mapping[str, AuditedNode]
+    now: float  # seconds of the run
+    published: Sequence[Published] = ()
+    in_transit: int = 0  # changes of one front that another may lack
+
+    def running(self) -> list[AuditedNode]:
+        """The nodes that are up."""
+        return [node for node in self.nodes.values() if node.is_up]
+
+
+def strictest(kind: str, values: list[Value]) -> Value:
+    """The join of several values of an item."""
     if kind == "keyed":
         groups = {group for group, _ in values}
-        return groups.pop() if len(groups) == 1 else "!", min(first for _, first in values)
+        return (groups.pop() if len(groups) == 1 else CONFLICT, min(first for _, first in values))
     return max(values)
 
 
-def made_of(kind: str, value: tuple, possible: list[tuple]) -> bool:
-    """Whether somebody said it, or what some of them said amounts to it."""
+def is_possible(kind: str, value: Value, published: list[Value]) -> bool:
+    """Whether somebody published a value, or it is the join of some that were published."""
     if kind == "keyed":
-        groups = {group for group, _ in possible}
-        said = value[0] in groups or (value[0] == "!" and len(groups) > 1)
-        return said and value[1] in {first for _, first in possible}
-    return value in possible
+        groups = {group for group, _ in published}
+        is_claimed = value[0] in groups or (value[0] == CONFLICT and len(groups) > 1)
+        return is_claimed and value[1] in {first for _, first in published}
+    return value in published
 
 
-def audit(fleet: Any) -> list[str]:
-    """What is broken, a line each, in a run that has ended calmly."""
-    breaches = []
-    up = [node for node in fleet.nodes.values() if node.up]
-    for node in up:
+def audit(fleet: AuditedFleet) -> list[str]:
+    """What does not hold, a line each."""
+    return [*_membership_errors(fleet), *_item_errors(fleet), *_log_errors(fleet)]
+
+
+def _membership_errors(fleet: AuditedFleet) -> list[str]:
+    errors = []
+    for node in fleet.running():
         for name, member in sorted(node.members.members.items()):
-            there = fleet.nodes[name].up
-            if there and member.state.name not in ("ALIVE",):
-                breaches.append(f"{node.name} holds {name} for {member.state.name}, which is there")
-            if there and member.epoch != fleet.nodes[name].members.epoch:
-                breaches.append(f"{node.name} knows another run of {name}")
+            peer = fleet.nodes[name]
+            if peer.is_up and member.state is not State.ALIVE:
+                errors.append(f"{node.name} holds {name} for {member.state.name}, which is up")
+            if peer.is_up and member.epoch != peer.members.epoch:
+                errors.append(f"{node.name} knows another run of {name}")
         if not node.exchange.is_caught_up:
-            breaches.append(f"{node.name} has not caught up")
-    breaches += differing(fleet, up)
-    return breaches
-
-
-def differing(fleet: Any, up: list[Any]) -> list[str]:
-    said: dict[tuple[str, str], list[tuple[float, tuple]]] = defaultdict(list)
-    kept: dict[tuple[str, str], list[tuple]] = defaultdict(
-        list
-    )  # by runs that still go on: none of it may be lost
-    for at, kind, key, value, writer in fleet.said:
-        said[kind, key].append((at, value))
-        if writer.up and fleet.now < at + KEEP[kind] - EDGE:
-            kept[kind, key].append(value)
-    found = []
-    for (kind, key), words in sorted(said.items()):
-        live = [value for at, value in words if fleet.now < at + KEEP[kind] - EDGE]
-        ended = [at for at, _ in words if abs(fleet.now - at - KEEP[kind]) <= 3.0]
-        if ended:
-            continue
-        if not live:
-            for node in up:
-                item = node.copies.items.get((kind, key))
-                if item and fleet.now < item.written_at + KEEP[kind]:
-                    found.append(f"{kind} {key} outlived its time at {node.name}")
+            errors.append(f"{node.name} has not caught up")
+    return errors
+
+
+def _item_errors(fleet: AuditedFleet) -> list[str]:
+    published: dict[ItemName, list[tuple[float, Value]]] = defaultdict(list)
+    # Of writers that are still up: none of these changes may be lost.
+    retained: dict[ItemName, list[Value]] = defaultdict(list)
+    for change in fleet.published:
+        name = change.kind, change.key
+        published[name].append((change.at, change.value))
+        if change.writer.is_up and fleet.now < change.at + KEEP[change.kind] - EDGE:
+            retained[name].append(change.value)
+    errors = []
+    for name, changes in sorted(published.items()):
+        keep = KEEP[name[0]]
+        if any(abs(fleet.now - at - keep) <= ENDING for at, _ in changes):
             continue
-        held = {node.name: node.copies.items.get((kind, key)) for node in up}
-        shown = {name: item.value if item else None for name, item in held.items()}
-        if len(set(shown.values())) > 1:
-            found.append(f"{kind} {key} differs: {shown}")
-        for name, value in shown.items():
-            least = strictest(kind, kept[kind, key]) if kept[kind, key] else None
-            if least is not None and (value is None or strictest(kind, [least, value]) != value):
-                found.append(f"{kind} {key} at {name} is {value}, less strict than {least}")
-            possible = [value for _, value in words]
-            if value is not None and not made_of(kind, value, possible):
-                found.append(f"{kind} {key} at {name} is {value}, which nobody said")
-    for run in {run for node in up for run in node.copies.logs}:
-        numbers = {node.name: node.copies.last_number(run) for node in up}
-        if max(numbers.values()) - min(numbers.values()) > getattr(fleet, "under_way", 0):
-            found.append(f"changes of {run} are counted differently: {numbers}")
-    return found
+        if any(fleet.now < at + keep - EDGE for at, _ in changes):
+            errors += _value_errors(fleet, name, [value for _, value in changes], retained[name])
+        else:
+            errors += _outlived(fleet, name)
+    return errors
+
+
+def _outlived(fleet: AuditedFleet, name: ItemName) -> list[str]:
+    errors = []
+    for node in fleet.running():
+        item = node.copies.items.get(name)
+        if item and fleet.now < item.written_at + KEEP[name[0]]:
+            errors.append(f"{name[0]} {name[1]} outlived its time at {node.name}")
+    return errors
+
+
+def _value_errors(
+    fleet: AuditedFleet, name: ItemName, published: list[Value], retained: list[Value]
+) -> list[str]:
+    """Errors of an item that all must hold: of all its changes, and of those that may not be lost."""
+    kind, key = name
+    errors = []
+    items = {node.name: node.copies.items.get(name) for node in fleet.running()}
+    values = {front: item.value if item else None for front, item in items.items()}
+    if len(set(values.values())) > 1:
+        errors.append(f"{kind} {key} differs: {values}")
+    least = strictest(kind, retained) if retained else None
+    for front, value in values.items():
+        if least is not None and (value is None or strictest(kind, [least, value]) != value):
+            errors.append(f"{kind} {key} at {front} is {value}, less strict than {least}")
+        if value is not None and not is_possible(kind, value, published):
+            errors.append(f"{kind} {key} at {front} is {value}, which nobody published")
+    return errors
+
+
+def _log_errors(fleet: AuditedFleet) -> list[str]:
+    errors = []
+    running = fleet.running()
+    for run in {run for node in running for run in node.copies.logs}:
+        numbers = {node.name: node.copies.last_number(run) for node in running}
+        if max(numbers.values()) - min(numbers.values()) > fleet.in_transit:
+            errors.append(f"changes of {run} are counted differently: {numbers}")
+    return errors
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -1,345 +1,218 @@
-"""A whole fleet on a virtual clock and network, from one integer: members, exchange and copies of N fronts.
+"""A model of a fleet from one integer: membership, anti-entropy and replicas on a virtual network.
 
-The fronts run the same cores as in service, over a network that loses, delays, doubles and reorders
-datagrams, cuts links, splits, and lets fronts die, freeze, return and run with clocks of their own. The same
+The nodes run the same cores as in service, over a network that loses, delays, duplicates and reorders
+datagrams, breaks links, partitions, and lets nodes die, freeze, return and run with older epochs. The same
 integer gives the same run, event by event; `digest` of the log proves it.
 """
 
 import hashlib
-import heapq
-import itertools
-import math
 import random
 from collections import Counter
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_standstill
-from weldbend.fleet.membership import Membership
-from weldbend.fleet.messages import Send
-from weldbend.fleet.replicated_store import Change, ReplicatedStore
+from weldbend.fleet.anti_entropy import resume_after_standstill
 from weldbend.fleet.settings import FleetSettings
-from weldbend.fleet.topology import neighbours
+from weldbend.testbed.fleet.auditor import AuditedFleet, Published, audit
+from weldbend.testbed.fleet.model_network import ModelNetwork, Node, Path
 
-KEEPALIVE = 3.0  # seconds after which a link that carries nothing breaks
 FAULTS = ("split", "one-way", "kill", "freeze", "slow", "lossy", "restart-all", "link-cut")
+CHANGES = ("purge", "drain", "start", "keyed", "evidence", "setting")  # kinds of items
+
+STARTED_BY = 1.0  # seconds until all nodes have started
+LONGEST_FAULT = 12.0  # seconds
+LAST_CHANGES = 8.0  # seconds before the end without changes
+LOSSY = 0.4  # probability that a datagram to a node on a lossy path is lost
+OLDER_CLOCK = 0.3  # fraction of killed nodes that return with a smaller epoch
+READS_DATAGRAMS_FIRST = 0.5  # fraction of thawed nodes that read their sockets before they notice the freeze
 
 
 @dataclass(frozen=True, slots=True)
-class Setup:
-    """How large a run is and what may happen in it; seconds."""
+class ModelSettings:
+    """How large a run is and what may happen in it; times in seconds."""
 
     fronts: int = 5
     seconds: float = 60.0
     calm: float = 30.0  # at the end, without faults: all must agree by then
     faults: int = 4
-    loss: float = 0.01
-    rate: float = 4.0  # changes a second, of all fronts together
+    loss: float = 0.01  # probability that a datagram is lost
+    rate: float = 4.0  # changes a second, of all nodes together
     kinds: tuple[str, ...] = FAULTS
-    terms: FleetSettings = field(default_factory=FleetSettings)
-
-
-class Node:
-    """One process of the fleet."""
+    fleet: FleetSettings = field(default_factory=FleetSettings)
 
-    def __init__(self, fleet: "Fleet", name: str, epoch: int) -> None:
-        self.fleet, self.name, self.epoch = fleet, name, epoch
-        now, terms = fleet.now, fleet.setup.terms
-        seed = fleet.rng.randrange(1 << 30)
-        self.members = Membership(name, epoch, terms, fleet.names, seed, now)
-        self.copies = ReplicatedStore(name, epoch, terms.ops)
-        self.changes: list[Change] = []
-        self.exchange = AntiEntropy(self.copies, terms, seed + 1, self.changes.append, now)
-        self.frozen_until = -math.inf
-        self.waiting: list[Callable[[], None]] = []  # what comes while it is frozen
-        self.up = True
 
-    def frozen(self) -> bool:
-        return self.fleet.now < self.frozen_until
+class FleetModel:
+    """One run: `run` carries it out."""
 
-    def turn(self) -> None:
-        if not self.up:
-            return
-        if not self.frozen():
-            now = self.fleet.now
-            for send in [
-                *resume_after_standstill(self.members, self.exchange, now),
-                *self.members.advance(now),
-            ]:
-                self.fleet.datagram(self, send)
-            self.fleet.links_of(self)
-            self.carry(self.exchange.tick(now))
-            self.fleet.note(self)
-        step = (
-            0.05
-            if self.exchange.transfer or self.exchange.next_due(self.fleet.now) <= self.fleet.now + 0.05
-            else 0.1
-        )
-        self.fleet.after(step, self.turn)
-
-    def carry(self, says: list[PeerMessage]) -> None:
-        for say in says:
-            self.fleet.linked(self, say)
-
-    def say(self, kind: str, key: str, *value: int | float | str) -> None:
-        if self.up and not self.frozen():
-            self.carry(self.exchange.write(self.fleet.now, kind, key, *value))
-
-
-class Fleet:
-    """`change` may alter a node before it starts: the sabotage of tests."""
-
-    def __init__(
-        self, seed: int, setup: Setup | None = None, change: Callable[[Node], None] | None = None
-    ) -> None:
-        self.seed, self.setup, self.change = seed, setup or Setup(), change
+    def __init__(self, seed: int, settings: ModelSettings | None = None) -> None:
+        self.seed = seed
+        self.settings = settings or ModelSettings()
         self.rng = random.Random(seed)
-        self.now, self.heap, self.order = 0.0, [], itertools.count()
-        self.names = [f"n{number}" for number in range(1, self.setup.fronts + 1)]
-        self.nodes: dict[str, Node] = {}
-        self.cut: set[tuple[str, str]] = set()  # (from, to) over which nothing passes
-        self.slow: dict[tuple[str, str], float] = {}
-        self.lossy: dict[tuple[str, str], float] = {}
-        self.links: dict[tuple[str, str], float] = {}  # (one, other), in order -> since when
-        self.quiet: dict[tuple[str, str], float] = {}  # a link's end -> last byte that passed
-        self.arrival: dict[tuple[str, str], float] = {}  # links keep order
+        self.names = [f"n{number}" for number in range(1, self.settings.fronts + 1)]
+        self.network = ModelNetwork(self.settings, self.rng, self.names)
+        self.network.on_step = self._log_transitions
+        self.events = self.network.events
+        self.nodes = self.network.nodes
         self.log: list[str] = []
-        self.said: list[tuple[float, str, str, tuple, Node]] = []
-        self.counts: Counter[str] = Counter()
-        self.faults: list[str] = []
-        self._bytes = hashlib.sha256()
+        self.published: list[Published] = []
+        self.faults: list[str] = []  # those that were injected
 
-    def record_bytes(self, path: str, data: bytes) -> None:
-        """Add a message that is sent now to the byte digest."""
-        self._bytes.update(f"{self.now!r} {path} {len(data)}\n".encode() + data)
+    @property
+    def counts(self) -> Counter[str]:
+        """Messages and bytes, by name."""
+        return self.network.counts
 
     def byte_digest(self) -> str:
         """Digest of every message sent so far as it is encoded, with its time and path."""
-        return self._bytes.hexdigest()
-
-    # Time and network.
+        return self.network.byte_digest()
 
-    def after(self, delay: float, call: Callable[[], None]) -> None:
-        heapq.heappush(self.heap, (self.now + delay, next(self.order), call))
+    def digest(self) -> str:
+        """Digest of the log."""
+        return hashlib.sha256("\n".join(self.log).encode()).hexdigest()
 
-    def passes(self, one: str, other: str) -> bool:
-        return (one, other) not in self.cut
+    def _add_line(self, text: str) -> None:
+        self.log.append(f"{self.events.now:.3f} {text}")
 
-    def datagram(self, node: Node, send: Send) -> None:
-        way = node.name, send.to
-        data = m.encode(send.body)
-        self.record_bytes(f"datagram {way[0]}>{way[1]}", data)
-        self.counts["datagrams"] += 1
-        self.counts["datagram bytes"] += len(data) + 80
-        loss = max(self.setup.loss, self.lossy.get(way, 0.0))
-        if not self.passes(*way) or self.rng.random() < loss:
-            return
-        epoch = node.members.epoch  # as its seal says it when it goes
-        copies = 2 if self.rng.random() < 0.01 else 1
-        for _ in range(copies):
-            delay = 0.001 + self.rng.random() * 0.01 + self.slow.get(way, 0.0) * (0.5 + self.rng.random())
-            self.after(delay, lambda: self.arrive(way, epoch, send.body))
-
-    def arrive(self, way: tuple[str, str], epoch: int, body: m.Datagram) -> None:
-        node = self.nodes.get(way[1])
-        if node is None or not node.up:
-            return
-        if node.frozen():
-            if len(node.waiting) < 64:  # what a socket's buffer holds
-                node.waiting.append(lambda: self.arrive(way, epoch, body))
-            return
-        for send in node.members.receive(self.now, way[0], epoch, body):
-            self.datagram(node, send)
-        self.note(node)
-
-    def links_of(self, node: Node) -> None:
-        """Links come up between neighbours that reach each other, and break where they do not."""
-        for peer in neighbours(node.name, self.names):
-            pair = tuple(sorted((node.name, peer)))
-            other = self.nodes.get(peer)
-            reach = (
-                other is not None
-                and other.up
-                and self.passes(node.name, peer)
-                and self.passes(peer, node.name)
-            )
-            if pair in self.links:
-                if other is None or not other.up or (not reach and self.now - self.quiet[pair] > KEEPALIVE):
-                    self.drop(pair)
-                elif reach and not other.frozen():
-                    self.quiet[pair] = self.now
-                elif self.now - self.quiet[pair] > KEEPALIVE:
-                    self.drop(pair)
-            elif reach and other and not other.frozen():
-                self.links[pair] = self.quiet[pair] = self.now
-                for one, two in ((node, other), (other, node)):
-                    one.carry(one.exchange.peer_connected(two.name, self.now))
-
-    def drop(self, pair: tuple[str, str]) -> None:
-        del self.links[pair]
-        for one, two in (pair, pair[::-1]):
-            node = self.nodes.get(one)
-            if node and node.up:
-                node.carry(node.exchange.peer_disconnected(two, self.now))
-
-    def linked(self, node: Node, say: PeerMessage) -> None:
-        pair = tuple(sorted((node.name, say.to)))
-        since = self.links.get(pair)
-        if since is None:
-            return
-        data = m.encode(say.body)
-        self.record_bytes(f"link {node.name}>{say.to}", data)
-        size = len(data) + 80
-        self.counts["link messages"] += 1
-        self.counts["link bytes"] += size
-        self.counts["snapshot bytes"] += size * isinstance(say.body, m.SnapshotChunk)
-        way = node.name, say.to
-        delay = 0.001 + self.rng.random() * 0.01 + self.slow.get(way, 0.0)
-        at = max(self.now + delay, self.arrival.get(way, 0.0))
-        self.arrival[way] = at
-        sent = m.read_linked(data)
-        self.after(at - self.now, lambda: self.link_arrive(pair, since, way, sent))
-
-    def link_arrive(self, pair: tuple[str, str], since: float, way: tuple[str, str], body: m.Linked) -> None:
-        node = self.nodes.get(way[1])
-        if self.links.get(pair) != since or not self.passes(*way) or node is None or not node.up:
-            return
-        if node.frozen():
-            node.waiting.append(lambda: self.link_arrive(pair, since, way, body))
-            return
-        self.quiet[pair] = self.now
-        node.carry(node.exchange.handle(self.now, way[0], body))
+    def _log_transitions(self, node: Node) -> None:
+        for name, before, state, why in node.members.drain_changes():
+            self._add_line(f"{node.name}: {name} {before.name} -> {state.name} ({why})")
 
-    # What happens.
+    # What happens to nodes.
 
-    def start(self, name: str, older: bool = False) -> None:
-        if name in self.nodes and self.nodes[name].up:
+    def start(self, name: str, is_older: bool = False) -> None:
+        """Start a node that is down; `is_older`: with a smaller epoch than before."""
+        if name in self.nodes and self.nodes[name].is_up:
             return  # another fault brought it back already
-        epoch = max(1, int(1000 + self.now * 1000) - (500_000 if older else 0))
-        if older and name in self.nodes:
+        epoch = max(1, int(1000 + self.events.now * 1000))
+        if is_older:
             epoch = max(1, self.nodes[name].epoch - 7)
-        node = self.nodes[name] = Node(self, name, epoch)
-        if self.change:
-            self.change(node)
-        self.line(f"start {name}")
-        node.turn()
+        node = self.nodes[name] = Node(self.network, name, epoch)
+        self._add_line(f"start {name}")
+        node.tick()
 
     def kill(self, name: str) -> None:
-        if (node := self.nodes.get(name)) and node.up:
-            node.up = False
-            self.line(f"kill {name}")
-            for pair in [pair for pair in self.links if name in pair]:
-                self.drop(pair)
+        """Kill a node that is up."""
+        if (node := self.nodes.get(name)) and node.is_up:
+            node.is_up = False
+            self._add_line(f"kill {name}")
+            self.network.drop_links_of(name)
 
     def freeze(self, name: str, seconds: float) -> None:
+        """Let a node run nothing for a time."""
         node = self.nodes[name]
-        node.frozen_until = self.now + seconds
-        self.line(f"freeze {name} {seconds:.1f}")
-        self.after(seconds + 1e-6, lambda: self.thaw(node))
+        node.frozen_until = self.events.now + seconds
+        self._add_line(f"freeze {name} {seconds:.1f}")
+        self.events.schedule(seconds + 1e-6, lambda: self._thaw(node))
 
-    def thaw(self, node: Node) -> None:
-        if node.frozen() or not node.up:
+    def _thaw(self, node: Node) -> None:
+        if node.is_frozen() or not node.is_up:
             return
-        waiting, node.waiting = node.waiting, []
-        if self.rng.random() < 0.5:
-            for send in resume_after_standstill(
-                node.members, node.exchange, self.now
-            ) or node.members.advance(self.now):
-                self.datagram(node, send)
-        for call in waiting:
+        deferred, node.deferred = node.deferred, []
+        if self.rng.random() < READS_DATAGRAMS_FIRST:
+            now = self.events.now
+            for send in resume_after_standstill(node.members, node.exchange, now) or node.members.advance(
+                now
+            ):
+                self.network.send_datagram(node, send)
+        for call in deferred:
             call()
 
-    def split(self, side: set[str], seconds: float, both: bool = True) -> None:
-        cut = {(a, b) for a in side for b in self.names if b not in side}
-        cut |= {(b, a) for a, b in cut} if both else set()
-        self.cut |= cut
-        self.line(f"split {sorted(side)} {seconds:.1f} {'both' if both else 'one way'}")
-        self.after(seconds, lambda: self.heal(cut))
-
-    def heal(self, cut: set[tuple[str, str]]) -> None:
-        self.cut -= cut
-        self.line("heal")
-
-    def fault(self) -> None:
-        kind = self.rng.choice(self.setup.kinds)
-        name = self.rng.choice(self.names)
-        lasts = self.rng.uniform(1.0, 12.0)
+    def split(self, side: set[str], seconds: float, is_two_way: bool = True) -> None:
+        """Let nothing pass from one side to the others for a time."""
+        paths = {(a, b) for a in side for b in self.names if b not in side}
+        paths |= {(b, a) for a, b in paths} if is_two_way else set()
+        self.network.blocked_paths |= paths
+        self._add_line(f"split {sorted(side)} {seconds:.1f} {'both' if is_two_way else 'one way'}")
+        self.events.schedule(seconds, lambda: self._heal(paths))
+
+    def _heal(self, paths: set[Path]) -> None:
+        self.network.blocked_paths -= paths
+        self._add_line("heal")
+
+    def _set_for(self, seconds: float, by_path: dict[Path, float], values: dict[Path, float]) -> None:
+        """Set the delay or loss of paths for a time."""
+        by_path |= values
+
+        def restore() -> None:
+            for path in values:
+                by_path.pop(path, None)
+
+        self.events.schedule(seconds, restore)
+
+    def inject_fault(self) -> None:
+        """Inject a fault drawn at random."""
+        rng, network = self.rng, self.network
+        kind = rng.choice(self.settings.kinds)
+        name = rng.choice(self.names)
+        seconds = rng.uniform(1.0, LONGEST_FAULT)
         self.faults.append(kind)
         match kind:
             case "split" | "one-way":
-                side = set(self.rng.sample(self.names, self.rng.randint(1, max(1, len(self.names) // 2))))
-                self.split(side, lasts, kind == "split")
+                side = set(rng.sample(self.names, rng.randint(1, max(1, len(self.names) // 2))))
+                self.split(side, seconds, kind == "split")
             case "kill":
                 self.kill(name)
-                older = self.rng.random() < 0.3
-                self.after(lasts, lambda: self.start(name, older))
+                is_older = rng.random() < OLDER_CLOCK
+                self.events.schedule(seconds, lambda: self.start(name, is_older))
             case "freeze":
-                if self.nodes[name].up:
-                    self.freeze(name, lasts)
+                if self.nodes[name].is_up:
+                    self.freeze(name, seconds)
             case "slow":
-                ways = {(name, other): self.rng.uniform(0.1, 1.0) for other in self.names}
-                self.slow |= ways
-                self.after(lasts, lambda: [self.slow.pop(way, None) for way in ways] and None)
+                delays = {(name, other): rng.uniform(0.1, 1.0) for other in self.names}
+                self._set_for(seconds, network.extra_delay, delays)
             case "lossy":
-                ways = {(other, name): 0.4 for other in self.names}
-                self.lossy |= ways
-                self.after(lasts, lambda: [self.lossy.pop(way, None) for way in ways] and None)
+                losses = {(other, name): LOSSY for other in self.names}
+                self._set_for(seconds, network.datagram_loss, losses)
             case "restart-all":
                 for each in self.names:
                     self.kill(each)
-                    self.after(self.rng.random(), lambda each=each: self.start(each))
+                    self._start_after(rng.random(), each)
             case "link-cut":
-                for pair in [pair for pair in self.links if name in pair]:
-                    self.drop(pair)
-
-    def speak(self) -> None:
-        """One change of some front, of any kind."""
-        name = self.rng.choice(self.names)
-        kind = self.rng.choice(("purge", "drain", "start", "keyed", "evidence", "setting"))
-        thing = f"c{self.rng.randrange(12)}"
-        ms = int(self.now * 1000)
+                network.drop_links_of(name)
+
+    def _start_after(self, seconds: float, name: str) -> None:
+        self.events.schedule(seconds, lambda: self.start(name))
+
+    def _publish_any(self) -> None:
+        """One change of some node, of any kind."""
+        rng = self.rng
+        name = rng.choice(self.names)
+        kind = rng.choice(CHANGES)
+        uid = f"c{rng.randrange(12)}"
+        ms = int(self.events.now * 1000)
+        # All are drawn, whichever is used.
+        drain = (uid, (ms // 5000, rng.randrange(3)))
+        keyed = (f"once{rng.randrange(60)}", (f"c:{rng.randrange(4)}", ms))
+        evidence = (f"{uid}|{name}", (ms, 1, 3.0, float(rng.randrange(5))))
         key, value = {
-            "purge": (f"k:{thing}", (ms,)),
-            "drain": (thing, (ms // 5000, self.rng.randrange(3))),
-            "start": (thing, (ms,)),
-            "keyed": (f"once{self.rng.randrange(60)}", (f"c:{self.rng.randrange(4)}", ms)),
-            "evidence": (f"{thing}|{name}", (ms, 1, 3.0, float(self.rng.randrange(5)))),
-            "setting": (thing, (ms, "x")),
+            "purge": (f"k:{uid}", (ms,)),
+            "drain": drain,
+            "start": (uid, (ms,)),
+            "keyed": keyed,
+            "evidence": evidence,
+            "setting": (uid, (ms, "x")),
         }[kind]
         node = self.nodes.get(name)
-        if node and node.up and not node.frozen():
-            self.said.append((self.now, kind, key, value, node))
-            node.say(kind, key, *value)
+        if node and node.is_running():
+            self.published.append(Published(self.events.now, kind, key, value, node))
+            node.publish(kind, key, *value)
 
     # The run.
 
-    def line(self, text: str) -> None:
-        self.log.append(f"{self.now:.3f} {text}")
-
-    def note(self, node: Node) -> None:
-        for name, before, state, why in node.members.drain_changes():
-            self.line(f"{node.name}: {name} {before.name} -> {state.name} ({why})")
+    def audit(self) -> list[str]:
+        """What does not hold at the end, a line each."""
+        return audit(AuditedFleet(self.nodes, self.events.now, self.published))
 
-    def run(self) -> "Fleet":
-        shape = self.setup
+    def run(self) -> "FleetModel":
+        """Carry out the whole run."""
+        settings, rng = self.settings, self.rng
         for name in self.names:
-            self.after(self.rng.random() * 0.5, lambda name=name: self.start(name))
-        self.play_until(1.0)
-        busy = shape.seconds - shape.calm
-        for _ in range(shape.faults):
-            self.after(self.rng.uniform(2.0, max(busy - 12.0, 3.0)), self.fault)
-        moments = int(shape.rate * (shape.seconds - 2 * shape.terms.exchange))
-        for _ in range(moments):
-            self.after(self.rng.uniform(0.0, shape.seconds - 8.0), self.speak)
-        self.play_until(shape.seconds)
+            self._start_after(rng.random() * 0.5, name)
+        self.events.run(STARTED_BY)
+        last = max(settings.seconds - settings.calm - LONGEST_FAULT, 3.0)
+        for _ in range(settings.faults):
+            self.events.schedule(rng.uniform(2.0, last), self.inject_fault)
+        changes = int(settings.rate * (settings.seconds - 2 * settings.fleet.exchange))
+        for _ in range(changes):
+            self.events.schedule(rng.uniform(0.0, settings.seconds - LAST_CHANGES), self._publish_any)
+        self.events.run(settings.seconds)
         return self
-
-    def play_until(self, end: float) -> None:
-        while self.heap and self.heap[0][0] <= end:
-            self.now, _, call = heapq.heappop(self.heap)
-            call()
-        self.now = end
-
-    def digest(self) -> str:
-        return hashlib.sha256("\n".join(self.log).encode()).hexdigest()
--- /dev/null
+++ b/weldbend/testbed/fleet/line_commands.py
@@ -0,0 +1,104 @@
+"""`weldbend lab fleet --lines`: a fleet of real processes that is driven by lines on standard input."""
+
+import json
+import tempfile
+from collections.abc import Callable
+from pathlib import Path
+from typing import Any
+
+from twisted.internet import stdio
+from twisted.protocols.basic import LineOnlyReceiver
+from twisted.python.failure import Failure
+
+from weldbend.testbed.emulator.emulated_site import SiteSettings
+from weldbend.testbed.faults.plan import InvalidPlanError
+from weldbend.testbed.fleet.plan import parse_event
+from weldbend.testbed.fleet.plan_player import Player
+from weldbend.testbed.fleet.plan_runner import show
+from weldbend.testbed.fleet.processes import FleetSite, FleetSiteSettings
+from weldbend.testbed.reactor import ProcessReactor
+
+UNTIL_HEALED = "3600 s"  # how long an event without `for` lasts, if it is not ended before
+STOP_AFTER = 0.1  # seconds from the end of the fronts until the reactor stops
+
+
+class LineCommands(LineOnlyReceiver):
+    """One JSON object a line: an event as plans have it, or `heal`, `start`, `signal`, `tell`, `write`.
+
+    Where an event has no `for`, it lasts until `heal` or `start`. Everything ends with the input.
+    """
+
+    delimiter = b"\n"
+
+    def __init__(self, site: FleetSite, on_end: Callable[[], None]) -> None:
+        self.site = site
+        self.player = Player(site)
+        self.on_end = on_end
+
+    def lineReceived(self, line: bytes) -> None:
+        """Carry out one line; what is wrong with it is shown."""
+        try:
+            command = json.loads(line)
+            self._perform(command)
+        except (InvalidPlanError, ValueError, KeyError, TypeError) as error:
+            show({"wrong": f"{type(error).__name__}: {error}"})
+        else:
+            show({"done": command})
+
+    def _perform(self, command: dict[str, Any]) -> None:
+        site = self.site
+        match command.get("do"):
+            case "heal":
+                site.unblock(set(site.network.blocked))
+            case "start":
+                for number in self._numbers(command):
+                    site.start(number, float(command.get("ahead", 0.0)))
+            case "kill" if "for" not in command:
+                for number in self._numbers(command):
+                    site.kill(number)
+            case "signal":
+                for number in self._numbers(command):
+                    site.signal(number, command["name"])
+            case "tell":
+                site.bus.publish(**command["event"])
+            case "write":
+                self._write_installations(command)
+            case _:
+                fronts = site.settings.site.fronts
+                section = {"for": UNTIL_HEALED} | command
+                self.player.begin(parse_event("told", section, fronts, "line:"))
+
+    def _write_installations(self, command: dict[str, Any]) -> None:
+        for number in self._numbers(command):
+            self.site.installation_path(number).write_text(command["text"])
+
+    def _numbers(self, command: dict[str, Any]) -> list[int]:
+        """The fronts that a command names."""
+        names = str(command.get("who", "all")).split()
+        return list(self.site.numbers) if names == ["all"] else [int(name[1:]) for name in names]
+
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """The input has ended."""
+        self.on_end()
+
+
+def run_line_commands(
+    reactor: ProcessReactor, fronts: int, seed: int, zones: tuple[str, ...], folder: str | None
+) -> None:
+    """Carry out the lines on standard input; the first line out says where everything is."""
+    place = Path(folder or tempfile.mkdtemp(prefix="weldbend-fleet-"))
+    settings = FleetSiteSettings(SiteSettings(fronts=fronts), zones, folder=place)
+    site = FleetSite(reactor, settings, seed, show)
+
+    def on_end() -> None:
+        site.end_all()
+        reactor.callLater(STOP_AFTER, reactor.stop)
+
+    show(
+        {
+            "folder": str(place),
+            "fronts": {f"n{number}": site.addresses[number] for number in site.numbers},
+            "controls": {f"n{number}": site.controls[number] for number in site.numbers},
+        }
+    )
+    stdio.StandardIO(LineCommands(site, on_end))  # type: ignore[no-untyped-call]  # Twisted's
--- /dev/null
+++ b/weldbend/testbed/fleet/model_network.py
@@ -0,0 +1,224 @@
+"""The network of a fleet model: datagrams and links between nodes, and the nodes themselves.
+
+A node is one process of the fleet; it runs the same membership, anti-entropy and replicated store as a front.
+A path is a pair of names, (from, to).
+"""
+
+import hashlib
+import math
+from collections import Counter
+from collections.abc import Callable
+from random import Random
+from typing import TYPE_CHECKING
+
+from weldbend.fleet import messages as m
+from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_standstill
+from weldbend.fleet.membership import Membership
+from weldbend.fleet.messages import Send
+from weldbend.fleet.replicated_store import Change, ReplicatedStore
+from weldbend.fleet.topology import neighbours
+from weldbend.testbed.simulation.event_queue import EventQueue
+
+if TYPE_CHECKING:  # for annotations only: the model makes this network
+    from weldbend.testbed.fleet.fleet_model import ModelSettings
+
+Path = tuple[str, str]
+Pair = tuple[str, ...]  # the two names of a link, in order
+
+KEEPALIVE = 3.0  # seconds after which a link that carries nothing breaks
+LEAST_LATENCY = 0.001  # seconds of one trip
+LATENCY_SPREAD = 0.01  # seconds on top, drawn evenly
+DUPLICATION = 0.01  # probability that a datagram arrives twice
+SOCKET_BUFFER = 64  # datagrams that the socket of a frozen process keeps
+OVERHEAD = 80  # bytes of headers and authentication of a message
+TICK = 0.1  # seconds between two ticks of a node
+BUSY_TICK = 0.05  # the same, while it fetches a snapshot or has something due
+
+
+class Node:
+    """One process of the fleet."""
+
+    def __init__(self, network: "ModelNetwork", name: str, epoch: int) -> None:
+        self.network = network
+        self.events = network.events
+        self.name = name
+        self.epoch = epoch
+        now, settings = self.events.now, network.settings.fleet
+        seed = network.rng.randrange(1 << 30)
+        self.members = Membership(name, epoch, settings, network.names, seed, now)
+        self.copies = ReplicatedStore(name, epoch, settings.ops)
+        self.changes: list[Change] = []
+        self.exchange = AntiEntropy(self.copies, settings, seed + 1, self.changes.append, now)
+        self.frozen_until = -math.inf
+        self.deferred: list[Callable[[], None]] = []  # what comes while it is frozen
+        self.is_up = True
+
+    def is_frozen(self) -> bool:
+        """Whether it runs nothing at the moment."""
+        return self.events.now < self.frozen_until
+
+    def is_running(self) -> bool:
+        """Whether it is up and not frozen."""
+        return self.is_up and not self.is_frozen()
+
+    def tick(self) -> None:
+        """Do what is due, and schedule the next tick."""
+        if not self.is_up:
+            return
+        if not self.is_frozen():
+            now = self.events.now
+            for send in [
+                *resume_after_standstill(self.members, self.exchange, now),
+                *self.members.advance(now),
+            ]:
+                self.network.send_datagram(self, send)
+            self.network.update_links(self)
+            self.send(self.exchange.tick(now))
+            self.network.on_step(self)
+        is_busy = (
+            self.exchange.transfer or self.exchange.next_due(self.events.now) <= self.events.now + BUSY_TICK
+        )
+        self.events.schedule(BUSY_TICK if is_busy else TICK, self.tick)
+
+    def send(self, messages: list[PeerMessage]) -> None:
+        """Send messages over links."""
+        for message in messages:
+            self.network.send_linked(self, message)
+
+    def publish(self, kind: str, key: str, *value: int | float | str) -> None:
+        """Make a change, if it runs."""
+        if self.is_running():
+            self.send(self.exchange.write(self.events.now, kind, key, *value))
+
+
+class ModelNetwork:
+    """What connects the nodes, and what is wrong with it at the moment."""
+
+    def __init__(self, settings: "ModelSettings", rng: Random, names: list[str]) -> None:
+        self.settings = settings
+        self.rng = rng
+        self.names = names
+        self.events = EventQueue()
+        self.nodes: dict[str, Node] = {}
+        self.blocked_paths: set[Path] = set()
+        self.extra_delay: dict[Path, float] = {}  # seconds
+        self.datagram_loss: dict[Path, float] = {}  # probability
+        self.links: dict[Pair, float] = {}  # since when each is up
+        self.last_bytes: dict[Pair, float] = {}  # when something last passed on a link
+        self.last_arrival: dict[Path, float] = {}  # links keep order
+        self.counts: Counter[str] = Counter()
+        self.on_step: Callable[[Node], None] = lambda node: None  # after each step of a node
+        self._digest = hashlib.sha256()
+
+    def record_bytes(self, path: str, data: bytes) -> None:
+        """Add a message that is sent now to the byte digest."""
+        self._digest.update(f"{self.events.now!r} {path} {len(data)}\n".encode() + data)
+
+    def byte_digest(self) -> str:
+        """Digest of every message sent so far as it is encoded, with its time and path."""
+        return self._digest.hexdigest()
+
+    def is_open(self, sender: str, receiver: str) -> bool:
+        """Whether messages pass from one node to another."""
+        return (sender, receiver) not in self.blocked_paths
+
+    def _latency(self) -> float:
+        return LEAST_LATENCY + self.rng.random() * LATENCY_SPREAD
+
+    # Datagrams.
+
+    def send_datagram(self, node: Node, send: Send) -> None:
+        """Send one datagram: it is lost, duplicated, delayed or reordered."""
+        path = node.name, send.to
+        data = m.encode(send.body)
+        self.record_bytes(f"datagram {path[0]}>{path[1]}", data)
+        self.counts["datagrams"] += 1
+        self.counts["datagram bytes"] += len(data) + OVERHEAD
+        loss = max(self.settings.loss, self.datagram_loss.get(path, 0.0))
+        if not self.is_open(*path) or self.rng.random() < loss:
+            return
+        epoch = node.members.epoch  # as it is authenticated when it is sent
+        is_duplicated = self.rng.random() < DUPLICATION
+        for _ in range(1 + is_duplicated):
+            latency = self._latency()
+            delay = latency + self.extra_delay.get(path, 0.0) * (0.5 + self.rng.random())
+            self.events.schedule(delay, lambda: self._arrive(path, epoch, send.body))
+
+    def _arrive(self, path: Path, epoch: int, body: m.Datagram) -> None:
+        node = self.nodes.get(path[1])
+        if node is None or not node.is_up:
+            return
+        if node.is_frozen():
+            if len(node.deferred) < SOCKET_BUFFER:
+                node.deferred.append(lambda: self._arrive(path, epoch, body))
+            return
+        for send in node.members.receive(self.events.now, path[0], epoch, body):
+            self.send_datagram(node, send)
+        self.on_step(node)
+
+    # Links.
+
+    def update_links(self, node: Node) -> None:
+        """Links come up between neighbours that reach each other, and break where they do not."""
+        for peer in neighbours(node.name, self.names):
+            pair = tuple(sorted((node.name, peer)))
+            other = self.nodes.get(peer)
+            if pair in self.links:
+                self._check_link(pair, node, other)
+            elif other and self._is_reachable(node, other) and not other.is_frozen():
+                self.links[pair] = self.last_bytes[pair] = self.events.now
+                for one, two in ((node, other), (other, node)):
+                    one.send(one.exchange.peer_connected(two.name, self.events.now))
+
+    def _is_reachable(self, node: Node, other: Node) -> bool:
+        return other.is_up and self.is_open(node.name, other.name) and self.is_open(other.name, node.name)
+
+    def _check_link(self, pair: Pair, node: Node, other: Node | None) -> None:
+        if other is None or not other.is_up:
+            self.drop_link(pair)
+        elif self._is_reachable(node, other) and not other.is_frozen():
+            self.last_bytes[pair] = self.events.now
+        elif self.events.now - self.last_bytes[pair] > KEEPALIVE:
+            self.drop_link(pair)
+
+    def drop_link(self, pair: Pair) -> None:
+        """A link breaks: both ends are notified."""
+        del self.links[pair]
+        for one, two in (pair, pair[::-1]):
+            node = self.nodes.get(one)
+            if node and node.is_up:
+                node.send(node.exchange.peer_disconnected(two, self.events.now))
+
+    def drop_links_of(self, name: str) -> None:
+        """All links of a node break."""
+        for pair in [pair for pair in self.links if name in pair]:
+            self.drop_link(pair)
+
+    def send_linked(self, node: Node, message: PeerMessage) -> None:
+        """Send a message over the link to its receiver, if there is one."""
+        path = node.name, message.to
+        pair = tuple(sorted(path))
+        since = self.links.get(pair)
+        if since is None:
+            return
+        data = m.encode(message.body)
+        self.record_bytes(f"link {path[0]}>{path[1]}", data)
+        size = len(data) + OVERHEAD
+        self.counts["link messages"] += 1
+        self.counts["link bytes"] += size
+        self.counts["snapshot bytes"] += size * isinstance(message.body, m.SnapshotChunk)
+        delay = self._latency() + self.extra_delay.get(path, 0.0)
+        at = max(self.events.now + delay, self.last_arrival.get(path, 0.0))
+        self.last_arrival[path] = at
+        body = m.read_linked(data)
+        self.events.schedule(at - self.events.now, lambda: self._arrive_linked(pair, since, path, body))
+
+    def _arrive_linked(self, pair: Pair, since: float, path: Path, body: m.Linked) -> None:
+        node = self.nodes.get(path[1])
+        if self.links.get(pair) != since or not self.is_open(*path) or node is None or not node.is_up:
+            return
+        if node.is_frozen():
+            node.deferred.append(lambda: self._arrive_linked(pair, since, path, body))
+            return
+        self.last_bytes[pair] = self.events.now
+        node.send(node.exchange.handle(self.events.now, path[0], body))
--- a/weldbend/testbed/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Plans of what happens to a fleet: an INI file, checked as a whole on load. No I/O but the file itself.
+"""Plans of what happens to a fleet: an INI file, checked completely on load. No I/O but the file itself.
 
     [fleet]
     fronts = 5
@@ -11,173 +11,197 @@
     who = n1 n2 | n3 n4 n5
     for = 8 s
 
-One section an event; `who` names fronts, parted by `|` where an event has sides, or `all`. The same plan is
-played by real processes and by virtual ones.
+One section an event; `who` names fronts, with `|` between them where an event has sides, or `all`. The same
+plan is played by real processes and by simulated ones.
 """
 
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass, field
-from typing import Any
+from collections.abc import Mapping
+from dataclasses import dataclass, replace
+from enum import StrEnum
 
-from weldbend.installation.errors import InstallationError, InvalidValueError
+from weldbend.installation.errors import InstallationError
 from weldbend.installation.reader import parse
 from weldbend.installation.values import duration_between, float_between, integer_between
-from weldbend.testbed.faults.plan import InvalidPlanError, chance, word
-
-DOES = {  # what an event does, and the keys that it needs beside `at` and `who`
-    "split": ("for",),  # the sides do not reach each other
-    "one-way": ("for",),  # nothing passes from the first side to the others
-    "flap": ("for", "every"),  # split and mended again and again
-    "slow": ("for", "by"),  # what the first side sends comes so much later
-    "lossy": ("for", "share"),  # that part of its datagrams is lost
-    "double": ("for", "share"),  # that part of its datagrams comes twice
-    "kill": ("for",),  # kill -9, and started again after that time
-    "stop": ("for",),  # SIGSTOP, and SIGCONT after that time
-    "restart": (),  # SIGTERM, and started again once it has ended
-    "apart": ("by",),  # killed, and started again with its clock set so far back (or forward: `how`)
-    "no-bus": ("for",),  # its event bus is out of reach
-    "drain": (),  # the list says that a cache (`what`) drains
-    "up": (),  # the list says that it is in service, started just now
-    "purge": (),  # of the group `what`
+from weldbend.testbed.faults.plan_keys import (
+    InvalidPlanError,
+    KeyTable,
+    Section,
+    choice,
+    fraction,
+    read_values,
+)
+
+MAX_FRONTS = 64
+HOUR = 3600.0  # seconds; the longest time that a key states
+
+Side = tuple[int, ...]  # fronts by number
+
+__all__ = ["Do", "FleetEvent", "FleetPlan", "InvalidPlanError", "parse_event", "parse_plan", "read_plan"]
+
+
+class Do(StrEnum):
+    """What an event does."""
+
+    SPLIT = "split"  # the sides do not reach each other
+    ONE_WAY = "one-way"  # nothing passes from the first side to the others
+    FLAP = "flap"  # split and healed again and again
+    SLOW = "slow"  # what the first side sends comes so much later
+    LOSSY = "lossy"  # that fraction of its datagrams is lost
+    DOUBLE = "double"  # that fraction of its datagrams comes twice
+    KILL = "kill"  # kill -9, and started again after that time
+    STOP = "stop"  # SIGSTOP, and SIGCONT after that time
+    RESTART = "restart"  # SIGTERM, and started again once it has ended
+    APART = "apart"  # killed, and started again with its clock set so far back (or forward: `how`)
+    NO_BUS = "no-bus"  # its event bus is unreachable
+    DRAIN = "drain"  # the endpoint list says that a cache (`what`) drains
+    UP = "up"  # the endpoint list says that it is in service, started just now
+    PURGE = "purge"  # of the group `what`
+
+
+REQUIRED_KEYS: dict[Do, tuple[str, ...]] = {  # beside `at` and `who`
+    Do.SPLIT: ("for",),
+    Do.ONE_WAY: ("for",),
+    Do.FLAP: ("for", "every"),
+    Do.SLOW: ("for", "by"),
+    Do.LOSSY: ("for", "share"),
+    Do.DOUBLE: ("for", "share"),
+    Do.KILL: ("for",),
+    Do.STOP: ("for",),
+    Do.APART: ("by",),
+    Do.NO_BUS: ("for",),
 }
-SIDES = ("split", "one-way", "flap")
-OF_THE_SITE = ("drain", "up", "purge")
-MOST = 64  # fronts
+WITH_SIDES = (Do.SPLIT, Do.ONE_WAY, Do.FLAP)
+OF_THE_SITE = (Do.DRAIN, Do.UP, Do.PURGE)
 
 
 @dataclass(frozen=True, slots=True)
-class FleetAction:
-    """Times in seconds. `sides` are fronts by number."""
+class FleetEvent:
+    """One event of a plan. Times in seconds."""
 
     name: str
     at: float
     do: str
-    sides: tuple[tuple[int, ...], ...] = ()
-    lasts: float = 0.0
-    by: float = 0.0
-    share: float = 0.0
+    sides: tuple[Side, ...] = ()
+    duration: float = 0.0
+    by: float = 0.0  # seconds of delay, or by which a clock is set
+    fraction: float = 0.0  # of the datagrams
     every: float = 1.0
     how: str = "back"
-    what: str = ""
+    what: str = ""  # the uid of a cache, or the number of a group
 
     @property
-    def who(self) -> tuple[int, ...]:
+    def fronts(self) -> Side:
+        """The fronts of an event that has no sides."""
         return self.sides[0]
 
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
+    """The size of a fleet, its load, and its events. Times in seconds."""
+
     fronts: int = 3
     seconds: float = 30.0
     calm: float = 15.0  # after the last event has ended, at least: all must agree by then
-    rate: float = 10.0
+    rate: float = 10.0  # requests a second
     zones: tuple[str, ...] = ()
-    fleet_actions: tuple[FleetAction, ...] = field(default=())
+    events: tuple[FleetEvent, ...] = ()
 
 
 def names(text: str) -> tuple[str, ...]:
-    return tuple(part.strip() for part in text.split(",") if part.strip())
+    """Names between commas."""
+    return tuple(name.strip() for name in text.split(",") if name.strip())
 
 
-FLEET: dict[str, tuple[str, Callable[[str], Any]]] = {
-    "fronts": ("fronts", integer_between(1, MOST)),
+FLEET: KeyTable = {
+    "fronts": ("fronts", integer_between(1, MAX_FRONTS)),
     "seconds": ("seconds", float_between(1, 3600)),
     "calm": ("calm", duration_between(1.0, 600.0)),
     "rate": ("rate", float_between(0, 2000)),
     "zones": ("zones", names),
 }
-KEYS: dict[str, tuple[str, Callable[[str], Any]]] = {
-    "at": ("at", duration_between(0.0, 3600.0)),
-    "do": ("do", word(*DOES)),
+KEYS: KeyTable = {
+    "at": ("at", duration_between(0.0, HOUR)),
+    "do": ("do", choice(*Do)),
     "who": ("who", str),
-    "for": ("lasts", duration_between(0.0, 3600.0)),
-    "by": ("by", duration_between(0.001, 3600.0)),
-    "share": ("share", chance),
+    "for": ("duration", duration_between(0.0, HOUR)),
+    "by": ("by", duration_between(0.001, HOUR)),
+    "share": ("fraction", fraction),
     "every": ("every", duration_between(0.05, 600.0)),
-    "how": ("how", word("back", "forward")),
+    "how": ("how", choice("back", "forward")),
     "what": ("what", str),
 }
 
 
 def read_plan(path: str) -> FleetPlan:
-    """A plan from its file; raises BadPlan, one line."""
+    """A plan from its file; raises InvalidPlanError."""
     try:
-        return plan(parse(path), path)
-    except InstallationError as wrong:
-        raise InvalidPlanError(str(wrong)) from None
-
-
-def plan(held: Mapping[str, Any], path: str = "plan") -> FleetPlan:
-    """A plan from its sections; raises BadPlan for the first thing wrong."""
-    for name, said in held.items():
-        if not isinstance(said, Mapping):
-            raise InvalidPlanError(f"{path}: key '{name}' stands before any section")
-    made = FleetPlan(**values(held.get("fleet", {}), FLEET, f"{path}: [fleet]"))
-    fleet_actions = [
-        fleet_action(n, said, made.fronts, f"{path}: [{n}]") for n, said in held.items() if n != "fleet"
-    ]
-    last = max((one.at + one.lasts for one in fleet_actions), default=0.0)
-    return FleetPlan(
-        made.fronts,
-        max(made.seconds, last + made.calm),
-        made.calm,
-        made.rate,
-        made.zones,
-        tuple(fleet_actions),
+        sections = parse(path)
+    except InstallationError as error:
+        raise InvalidPlanError("", str(error)) from None
+    return parse_plan(sections, path)
+
+
+def parse_plan(sections: Section, path: str = "plan") -> FleetPlan:
+    """A plan from its sections; raises InvalidPlanError for the first thing wrong."""
+    for name, section in sections.items():
+        if not isinstance(section, Mapping):
+            raise InvalidPlanError(f"{path}:", f"key '{name}' stands before any section")
+    plan = FleetPlan(**read_values(sections.get("fleet", {}), FLEET, f"{path}: [fleet]"))
+    events = tuple(
+        parse_event(name, section, plan.fronts, f"{path}: [{name}]")
+        for name, section in sections.items()
+        if name != "fleet"
     )
-
-
-def values(
-    said: Mapping[str, Any], keys: Mapping[str, tuple[str, Callable[[str], Any]]], at: str
-) -> dict[str, Any]:
-    found = {}
-    for key, text in said.items():
-        if key not in keys:
-            raise InvalidPlanError(f"{at} unknown key '{key}'; known: {', '.join(keys)}")
-        field_, check = keys[key]
-        try:
-            found[field_] = check(str(text).strip())
-        except InvalidValueError as wrong:
-            raise InvalidPlanError(f"{at} {key}: {wrong}") from None
-    return found
-
-
-def fleet_action(name: str, said: Mapping[str, Any], fronts: int, at: str) -> FleetAction:
-    found = values(said, KEYS, at)
-    if "do" not in found:
-        raise InvalidPlanError(f"{at} lacks 'do'")
-    for key in DOES[found["do"]]:
-        if key not in said:
-            raise InvalidPlanError(f"{at} {found['do']} lacks '{key}'")
-    who = found.pop("who", "")
-    if found["do"] in OF_THE_SITE:
-        if who or not found.get("what"):
-            raise InvalidPlanError(f"{at} {found['do']} is of the site: it has 'what', and no 'who'")
+    last = max((event.at + event.duration for event in events), default=0.0)
+    return replace(plan, seconds=max(plan.seconds, last + plan.calm), events=events)
+
+
+def parse_event(name: str, section: Section, fronts: int, location: str) -> FleetEvent:
+    """An event from its section; raises InvalidPlanError for the first thing wrong."""
+    values = read_values(section, KEYS, location)
+    do = values.get("do")
+    if do is None:
+        raise InvalidPlanError(location, "lacks 'do'")
+    for key in REQUIRED_KEYS.get(do, ()):
+        if key not in section:
+            raise InvalidPlanError(location, f"{do} lacks '{key}'")
+    who = values.pop("who", "")
+    if do in OF_THE_SITE:
+        if who or not values.get("what"):
+            raise InvalidPlanError(location, f"{do} is of the site: it has 'what', and no 'who'")
     else:
-        found["sides"] = sides(who, fronts, found["do"] in SIDES, at)
-    found.setdefault("at", 0.0)
-    return FleetAction(name, **found)
-
-
-def sides(text: str, fronts: int, parted: bool, at: str) -> tuple[tuple[int, ...], ...]:
-    known = {f"n{n}": n for n in range(1, fronts + 1)}
-    found: list[tuple[int, ...]] = []
-    for part in text.split("|"):
-        said = part.split()
-        if said == ["all"]:
-            said = list(known)
-        if strange := [one for one in said if one not in known]:
-            raise InvalidPlanError(f"{at} who: {strange[0]!r:.20} is none of n1 to n{fronts}")
-        found.append(tuple(known[one] for one in said))
-    if not all(found):
-        raise InvalidPlanError(f"{at} lacks 'who'")
-    if len({n for side in found for n in side}) < sum(map(len, found)):
-        raise InvalidPlanError(f"{at} who: a front on two sides")
-    if len(found) > 1 and not parted:
-        raise InvalidPlanError(f"{at} who: this event has no sides")
-    if parted and len(found) == 1:
-        rest = tuple(n for n in known.values() if n not in found[0])
+        values["sides"] = parse_sides(who, fronts, do in WITH_SIDES, location)
+    values.setdefault("at", 0.0)
+    return FleetEvent(name, **values)
+
+
+def parse_sides(text: str, fronts: int, has_sides: bool, location: str) -> tuple[Side, ...]:
+    """The sides of an event; where only one is named, all other fronts are the second.
+
+    Raises InvalidPlanError.
+    """
+    known = {f"n{number}": number for number in range(1, fronts + 1)}
+    sides = [parse_side(side, known, location) for side in text.split("|")]
+    if not all(sides):
+        raise InvalidPlanError(location, "lacks 'who'")
+    if len({number for side in sides for number in side}) < sum(map(len, sides)):
+        raise InvalidPlanError(location, "a front on two sides", "who")
+    if len(sides) > 1 and not has_sides:
+        raise InvalidPlanError(location, "this event has no sides", "who")
+    if has_sides and len(sides) == 1:
+        rest = tuple(number for number in known.values() if number not in sides[0])
         if not rest:
-            raise InvalidPlanError(f"{at} who: nobody is on the other side")
-        found.append(rest)
-    return tuple(found)
+            raise InvalidPlanError(location, "nobody is on the other side", "who")
+        sides.append(rest)
+    return tuple(sides)
+
+
+def parse_side(text: str, known: dict[str, int], location: str) -> Side:
+    """The fronts that are named, or `all`; raises InvalidPlanError."""
+    named = text.split()
+    if named == ["all"]:
+        named = list(known)
+    for name in named:
+        if name not in known:
+            raise InvalidPlanError(location, f"{name!r:.20} is none of n1 to n{len(known)}", "who")
+    return tuple(known[name] for name in named)
