--- a/weldbend/testbed/fleet/plan_player.py
+++ b/weldbend/testbed/fleet/plan_player.py
@@ -1,92 +1,138 @@
-"""Carries out what a plan says on a stage, which is a fleet of real processes or a virtual one. No I/O."""
+"""Carries out a plan on a backend, which is a fleet of real processes or a simulated one. No I/O."""
 
 from collections.abc import Callable
-from typing import Any, Protocol
+from itertools import permutations
+from typing import Protocol
 
-from weldbend.testbed.fleet.plan import FleetAction, FleetPlan
+from weldbend.testbed.fleet.plan import Do, FleetEvent, FleetPlan
 
-Ways = set[tuple[int, int]]  # (from, to), fronts by number
+Paths = set[tuple[int, int]]  # (from, to), fronts by number
 
+RESTART_AFTER = 0.2  # seconds from the end of a front until it starts with another clock
+MOST_FRONTS = 1000  # above any number of a front
 
-class Stage(Protocol):
-    """What can be done to a fleet."""
 
-    def later(self, delay: float, call: Callable[[], object]) -> object: ...
-    def cut(self, ways: Ways) -> None: ...
-    def mend(self, ways: Ways) -> None: ...
-    def worsen(self, ways: Ways, kind: str, much: float) -> None: ...
-    def kill(self, number: int) -> None: ...
-    def stop(self, number: int, lasts: float) -> None: ...
-    def end(self, number: int) -> None: ...
-    def start(self, number: int, ahead: float = 0.0) -> None: ...
-    def no_bus(self, number: int, lasts: float) -> None: ...
-    def tell_cache(self, uid: str, state: str) -> None: ...
-    def tell_purge(self, group: int) -> None: ...
-    def event(self, **said: Any) -> None: ...
+class Backend(Protocol):
+    """What can be done to a fleet; times are in seconds."""
+
+    def later(self, delay: float, call: Callable[[], object]) -> object:
+        """Call after a delay."""
+
+    def block(self, paths: Paths) -> None:
+        """Let nothing pass on some paths."""
+
+    def unblock(self, paths: Paths) -> None:
+        """Let bytes pass again."""
+
+    def degrade(self, paths: Paths, kind: str, amount: float) -> None:
+        """Set the delay (slow), loss (lossy) or duplication (double) of some paths."""
+
+    def kill(self, number: int) -> None:
+        """Kill a front."""
+
+    def suspend(self, number: int, duration: float) -> None:
+        """Stop a front as by SIGSTOP, for a time."""
+
+    def restart(self, number: int) -> None:
+        """Shut a front down gracefully, and start it again."""
+
+    def start(self, number: int, clock_offset: float = 0.0) -> None:
+        """Start a front, with its Unix clock ahead by so many seconds."""
+
+    def isolate_from_bus(self, number: int, duration: float) -> None:
+        """Cut a front off its event bus, for a time."""
+
+    def publish_cache_state(self, uid: str, state: str) -> None:
+        """Publish that a cache is `draining`, or `up` and has just started."""
+
+    def publish_purge(self, group: int) -> None:
+        """Publish a purge of a group."""
+
+    def report_event(self, **event: object) -> None:
+        """Show that an event of the plan begins or ends."""
 
 
 class Player:
-    def __init__(self, stage: Stage) -> None:
-        self.stage = stage
+    """Schedules the events of a plan, and carries them out."""
+
+    def __init__(self, backend: Backend) -> None:
+        self.backend = backend
 
     def play(self, plan: FleetPlan) -> None:
-        for one in plan.fleet_actions:
-            self.stage.later(one.at, lambda one=one: self.do(one))  # type: ignore[misc]
-
-    def do(self, one: FleetAction) -> None:
-        """One event, begun now."""
-        stage = self.stage
-        self.say(one, "begins")
-        ways = {(a, b) for s in one.sides for o in one.sides if o is not s for a in s for b in o}
-        match one.do:
-            case "split":
-                self.apart(one, ways, one.lasts)
-            case "one-way":
-                first = set(one.sides[0])
-                self.apart(one, {way for way in ways if way[0] in first}, one.lasts)
-            case "flap":
-                for turn in range(int(one.lasts / one.every / 2) + 1):
-                    again = 2 * turn * one.every
-                    stage.later(again, lambda: self.apart(one, ways, one.every))
-            case "slow" | "lossy" | "double":
-                self.worse(one)
-            case "kill":
-                for number in one.who:
-                    stage.kill(number)
-                    stage.later(one.lasts, lambda number=number: stage.start(number))  # type: ignore[misc]
-            case "apart":
-                for number in one.who:
-                    stage.kill(number)
-                    ahead = one.by if one.how == "forward" else -one.by
-                    stage.later(0.2, lambda number=number, ahead=ahead: stage.start(number, ahead))  # type: ignore[misc]
-            case "stop":
-                for number in one.who:
-                    stage.stop(number, one.lasts)
-            case "restart":
-                for number in one.who:
-                    stage.end(number)
-            case "no-bus":
-                for number in one.who:
-                    stage.no_bus(number, one.lasts)
-            case "drain" | "up":
-                stage.tell_cache(one.what, "draining" if one.do == "drain" else "up")
-            case "purge":
-                stage.tell_purge(int(one.what))
-        if one.lasts:
-            stage.later(one.lasts, lambda: self.say(one, "ends"))
-
-    def apart(self, one: FleetAction, ways: Ways, lasts: float) -> None:
-        self.stage.cut(ways)
-        self.stage.later(lasts, lambda: self.stage.mend(ways))
-
-    def worse(self, one: FleetAction) -> None:
-        others = {n for n in range(1, 1000) if n not in one.who}
-        ways = {(a, b) for a in one.who for b in others}
-        much = one.by if one.do == "slow" else one.share
-        self.stage.worsen(ways, one.do, much)
-        self.stage.later(one.lasts, lambda: self.stage.worsen(ways, one.do, 0.0))
-
-    def say(self, one: FleetAction, how: str) -> None:
-        held = {"event": one.name, "do": one.do, "is": how}
-        sides = [[f"n{n}" for n in side] for side in one.sides]
-        self.stage.event(**held, **({"who": sides} if sides else {"what": one.what}))
+        """Schedule all events of a plan."""
+        for event in plan.events:
+            self._schedule(event)
+
+    def _schedule(self, event: FleetEvent) -> None:
+        self.backend.later(event.at, lambda: self.begin(event))
+
+    def begin(self, event: FleetEvent) -> None:
+        """Begin one event now; what it does ends by itself after its time."""
+        self._report(event, "begins")
+        match event.do:
+            case Do.SPLIT | Do.ONE_WAY | Do.FLAP:
+                self._partition(event)
+            case Do.SLOW | Do.LOSSY | Do.DOUBLE:
+                self._degrade(event)
+            case Do.DRAIN | Do.UP | Do.PURGE:
+                self._publish(event)
+            case _:
+                for number in event.fronts:
+                    self._act_on_front(event, number)
+        if event.duration:
+            self.backend.later(event.duration, lambda: self._report(event, "ends"))
+
+    def _partition(self, event: FleetEvent) -> None:
+        paths = {(a, b) for side, other in permutations(event.sides, 2) for a in side for b in other}
+        match event.do:
+            case Do.SPLIT:
+                self._block_for(paths, event.duration)
+            case Do.ONE_WAY:
+                first = set(event.sides[0])
+                self._block_for({path for path in paths if path[0] in first}, event.duration)
+            case Do.FLAP:
+                for cycle in range(int(event.duration / event.every / 2) + 1):
+                    begin = 2 * cycle * event.every
+                    self.backend.later(begin, lambda: self._block_for(paths, event.every))
+
+    def _block_for(self, paths: Paths, duration: float) -> None:
+        self.backend.block(paths)
+        self.backend.later(duration, lambda: self.backend.unblock(paths))
+
+    def _degrade(self, event: FleetEvent) -> None:
+        others = {number for number in range(1, MOST_FRONTS) if number not in event.fronts}
+        paths = {(a, b) for a in event.fronts for b in others}
+        amount = event.by if event.do == Do.SLOW else event.fraction
+        self.backend.degrade(paths, event.do, amount)
+        self.backend.later(event.duration, lambda: self.backend.degrade(paths, event.do, 0.0))
+
+    def _publish(self, event: FleetEvent) -> None:
+        match event.do:
+            case Do.DRAIN:
+                self.backend.publish_cache_state(event.what, "draining")
+            case Do.UP:
+                self.backend.publish_cache_state(event.what, "up")
+            case Do.PURGE:
+                self.backend.publish_purge(int(event.what))
+
+    def _act_on_front(self, event: FleetEvent, number: int) -> None:
+        backend = self.backend
+        match event.do:
+            case Do.KILL:
+                backend.kill(number)
+                backend.later(event.duration, lambda: backend.start(number))
+            case Do.APART:
+                backend.kill(number)
+                offset = event.by if event.how == "forward" else -event.by
+                backend.later(RESTART_AFTER, lambda: backend.start(number, offset))
+            case Do.STOP:
+                backend.suspend(number, event.duration)
+            case Do.RESTART:
+                backend.restart(number)
+            case Do.NO_BUS:
+                backend.isolate_from_bus(number, event.duration)
+
+    def _report(self, event: FleetEvent, phase: str) -> None:
+        sides = [[f"n{number}" for number in side] for side in event.sides]
+        subject: dict[str, object] = {"who": sides} if sides else {"what": event.what}
+        self.backend.report_event(event=event.name, do=event.do, **{"is": phase}, **subject)
--- /dev/null
+++ b/weldbend/testbed/fleet/process_benchmarks.py
@@ -0,0 +1,209 @@
+"""What a fleet of real processes costs: figures of docs/fleet.md. Not part of CI.
+
+    python -m weldbend.testbed.fleet.process_benchmarks NAME ARGUMENTS
+
+runs one measurement, whose arguments are a JSON array, and prints its report as one JSON line. A reactor runs
+only once, so each measurement is a process of its own; `run_in_process` starts it.
+"""
+
+import json
+import subprocess
+import sys
+import time
+from statistics import median
+from typing import Any, cast
+
+from weldbend.testbed.emulator.emulated_site import SiteSettings
+from weldbend.testbed.fleet.control_query import Answer
+from weldbend.testbed.fleet.processes import QUICK_SETTINGS, FleetSite, FleetSiteSettings
+from weldbend.testbed.load import process_usage
+from weldbend.testbed.load.generator import Load, LoadPlan
+from weldbend.testbed.reactor import ProcessReactor
+
+SETTLING = 8.0  # seconds from the readiness of all fronts until a measurement
+STALL = 600.0  # seconds, longer than any measurement
+STOP_AFTER = 0.3  # seconds from the end of the fronts until the reactor stops
+TIMEOUT = 600  # seconds of one measurement
+QUERIED = 10  # fronts at most that are queried
+QUERY_PERIOD = 0.25  # seconds
+MEBIBYTE = 2**20
+
+
+class Measurement:
+    """Starts fronts, and calls `begin` once all have been ready for a while; `report` has the result."""
+
+    def __init__(self, reactor: ProcessReactor, fronts: int, installation: str) -> None:
+        self.reactor = reactor
+        settings = FleetSiteSettings(SiteSettings(fronts=fronts), installation=installation)
+        self.site = FleetSite(reactor, settings, 1, lambda event: None)
+        self.missing = fronts  # those that are not ready yet
+        self.report: dict[str, Any] = {}
+
+    def start(self) -> None:
+        """Start the fronts."""
+        self.site.on_ready = self._on_ready
+        for number in self.site.numbers:
+            self.site.start(number)
+
+    def _on_ready(self, number: int) -> None:
+        self.missing -= 1
+        if not self.missing:
+            self.reactor.callLater(SETTLING, self.begin)
+
+    def begin(self) -> None:
+        """Measure; calls `finish` at the end."""
+        raise NotImplementedError
+
+    def finish(self, report: dict[str, Any]) -> None:
+        """End the fronts and the reactor."""
+        self.report = report
+        self.site.end_all()
+        self.reactor.callLater(STOP_AFTER, self.reactor.stop)
+
+
+class Costs(Measurement):
+    """CPU and memory of each front over some seconds, and the latencies of a load on the first."""
+
+    def __init__(
+        self,
+        reactor: ProcessReactor,
+        fronts: int,
+        has_fleet: bool,
+        rate: float,
+        seconds: float,
+        stalled: bool,
+    ) -> None:
+        super().__init__(reactor, fronts, "" if has_fleet else QUICK_SETTINGS)
+        self.rate = rate
+        self.seconds = seconds
+        self.has_stalled = stalled  # the last front is stopped meanwhile
+        self.before: dict[int, process_usage.Usage] = {}
+        self.begun = 0.0
+        if not has_fleet:
+            for number in self.site.numbers:
+                self.site.installation_path(number).write_text("")
+
+    def begin(self) -> None:
+        """Put the load on."""
+        if self.has_stalled:
+            self.site.suspend(len(self.site.numbers), STALL)
+        self.before = self._usages()
+        self.begun = time.monotonic()
+        if self.rate:
+            plan = LoadPlan(rate=self.rate, seconds=self.seconds, seed=1, orders=0.0)
+            sizes = self.site.settings.site.sizes
+            Load(self.reactor, plan, [self.site.addresses[1]], sizes, self._on_load_end).start()
+        else:
+            self.reactor.callLater(self.seconds, self._on_load_end, None)
+
+    def _usages(self) -> dict[int, process_usage.Usage]:
+        return {n: process_usage.usage(p.pid) for n, p in self.site.running.items() if p.pid}
+
+    def _on_load_end(self, load: Load | None) -> None:
+        after, seconds = self._usages(), time.monotonic() - self.begun
+        stalled = len(self.site.numbers) if self.has_stalled else None
+        without_load = [number for number in after if number not in (1, stalled)]
+        cpu = [(after[n].cpu - self.before[n].cpu) / seconds for n in without_load]
+        report = {
+            "cpu a second, ms": round(median(cpu) * 1000, 2) if cpu else None,
+            "memory, MB": round(median(usage.memory for usage in after.values()) / MEBIBYTE, 1),
+        }
+        if load:
+            tally = load.tally.report()
+            report |= {"p50": tally["latency_ms"]["p50"], "p99": tally["latency_ms"]["p99"]}
+            report |= {"asked": tally["counts"]["asked"], "fulfilled": tally["counts"].get("fulfilled", 0)}
+        self.finish(report)
+
+
+class Deaths(Measurement):
+    """One of so many processes is killed: how long until the others suspect it and know it."""
+
+    def __init__(self, reactor: ProcessReactor, fronts: int) -> None:
+        super().__init__(reactor, fronts, "")
+        self.victim = fronts
+        self.killed_at = 0.0
+        self.seen: dict[int, dict[str, float]] = {number: {} for number in self.site.numbers}
+        self.false_deaths: set[tuple[int, str]] = set()  # (by whom, of whom)
+
+    def begin(self) -> None:
+        """Kill the victim after a time, and query the others all the while."""
+        self.reactor.callLater(20.0 + self.victim / 4, self._kill)
+        self._query()
+
+    def _kill(self) -> None:
+        self.killed_at = time.monotonic()
+        self.site.kill(self.victim)
+        self.reactor.callLater(40.0, self._end)
+
+    def _query(self) -> None:
+        for number in list(self.site.numbers)[:QUERIED]:
+            if number != self.victim:
+                self._query_one(number)
+        if not self.report:
+            self.reactor.callLater(QUERY_PERIOD, self._query)
+
+    def _query_one(self, number: int) -> None:
+        self.site.query(number, lambda answer: self._on_answer(number, answer), ask="status")
+
+    def _on_answer(self, number: int, answer: Answer | None) -> None:
+        now = time.monotonic()
+        for member in (answer or {}).get("ok", {}).get("members", ()):
+            if member["name"] == f"n{self.victim}" and self.killed_at:
+                self.seen[number].setdefault(member["state"], now - self.killed_at)
+            elif member["state"] == "DEAD" and member["heard"] is not None:
+                self.false_deaths.add((number, member["name"]))
+
+    def _end(self) -> None:
+        known = sorted(states["DEAD"] for states in self.seen.values() if "DEAD" in states)
+        suspected = sorted(states["SUSPECT"] for states in self.seen.values() if "SUSPECT" in states)
+        self.finish(
+            {
+                "asked": min(QUERIED, self.victim - 1),
+                "suspected first": round(suspected[0], 2) if suspected else None,
+                "known first": round(known[0], 2) if known else None,
+                "known to all asked": round(known[-1], 2) if known else None,
+                "know it": len(known),
+                "false deaths": len(self.false_deaths),
+            }
+        )
+
+
+MEASUREMENTS: dict[str, type[Measurement]] = {"Costs": Costs, "Deaths": Deaths}
+
+
+class MeasurementError(RuntimeError):
+    """A measurement whose process failed; `log` is the end of its standard error."""
+
+    def __init__(self, log: str) -> None:
+        self.log = log
+        super().__init__(log)
+
+
+def run_in_process(name: str, *arguments: object) -> dict[str, Any]:
+    """The report of one measurement, run in a process of its own; raises MeasurementError."""
+    done = subprocess.run(
+        [sys.executable, "-m", "weldbend.testbed.fleet.process_benchmarks", name, json.dumps(arguments)],
+        capture_output=True,
+        text=True,
+        timeout=TIMEOUT,
+        check=False,
+    )
+    if done.returncode:
+        raise MeasurementError(done.stderr[-2000:])
+    report: dict[str, Any] = json.loads(done.stdout.splitlines()[-1])
+    return report
+
+
+def main(name: str, arguments: str) -> None:
+    """Run one measurement, and print its report."""
+    from twisted.internet import reactor as installed  # here: importing it installs it
+
+    reactor = cast(ProcessReactor, installed)
+    measurement = MEASUREMENTS[name](reactor, *json.loads(arguments))
+    reactor.callWhenRunning(measurement.start)
+    reactor.run()
+    print(json.dumps(measurement.report))
+
+
+if __name__ == "__main__":
+    main(*sys.argv[1:])
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -1,13 +1,10 @@
-"""One limit over many fronts on a virtual network: leases against what else could be done, counted from
-outside.
+"""One limit over many fronts on a virtual network: leases against what else could be done.
 
-The fronts are the product's own books and choices (`LeaseService`, `LeasedRate`); the network delays, loses
-and doubles messages, splits, and fronts die, freeze and run with clocks of their own. The auditor counts what
-was let through, by true time, and knows nothing of shares.
+The fronts run the product's own ledgers and choices (`LeaseService`, `LeasedRate`); the network delays, loses
+and duplicates messages and partitions, and fronts die, freeze and run with clocks of their own. What was
+admitted is counted from outside, by true time, without regard to quotas.
 """
 
-import heapq
-import itertools
 import random
 from bisect import bisect_right
 from collections import deque
@@ -15,304 +12,354 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from weldbend.fleet import messages as m
 from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
 from weldbend.fleet.lease_service import LeasedRate, LeaseService
+from weldbend.fleet.messages import Send
 from weldbend.routing.random_source import RandomSource
+from weldbend.testbed.simulation.event_queue import EventQueue
 
 LIMIT = "type:order"
-SEEN_LATE = 1.5  # seconds after which a view knows that somebody is gone, or back
+DETECTION_TIME = 1.5  # seconds after which a view knows that a front is gone, or back
 FAULTS = ("split", "kill", "freeze", "slow", "one-way")
 
+SKEWED_MOST = 0.9  # fraction of a skewed demand that comes to the first front
+SKEWED_REST = 0.1  # and to all others together
+STEADY_START = 100.0  # of all steady clocks, in seconds
+UNIX_START = 1000.0  # of all Unix clocks, in seconds
+OVERHEAD = 80  # bytes of headers and authentication of a message
+LEAST_LATENCY = 0.001  # seconds of one trip
+LATENCY_SPREAD = 0.01  # seconds on top, drawn evenly
+DUPLICATION = 0.01  # probability that a message arrives twice
+SLOW = 1.5  # seconds on top, at most, while the network is slow
+TICK = 0.05  # seconds between two ticks of a front
+MANY_FRONTS = 50  # more than these tick half as often
+GOSSIP_CHANCE = 0.1  # probability that a tick gossips: twice a second
+RESUME_MARGIN = 1e-6  # seconds after the end of a freeze at which what has waited is done
+TOLERANCE = 1e-9  # of rounding, by which a window may be over the limit
+
 
 @dataclass(frozen=True, slots=True)
-class Shape:
-    """`demand` gives a front's downloads a second at a moment; `kind` is how the limit is kept."""
+class QuotaSettings:
+    """One experiment. Times in seconds, rates a second."""
 
     fronts: int = 4
-    most: float = 60.0  # a second, of all together
+    most: float = 60.0  # the limit, of all together
     seconds: float = 30.0
-    demand: str = "skewed"
-    kind: str = "leases"
-    rate: float = 90.0  # downloads a second that all clients ask for together
+    demand: str = "skewed"  # how the requests spread over the fronts: even, skewed, moving or wandering
+    kind: str = "leases"  # how the limit is kept: one of KINDS
+    rate: float = 90.0  # requests of all clients together
     faults: tuple[tuple[float, str, float], ...] = ()  # when, what, how long
-    drift: float = 0.01
-    beyond: float = 0.0  # by which clocks drift more than is stated
-    loss: float = 0.02
+    drift: float = 0.01  # fraction by which clocks may run too fast or too slow, as stated
+    beyond: float = 0.0  # by which they drift more than is stated
+    loss: float = 0.02  # probability that a message is lost
     times: LeaseTimes = field(default_factory=lambda: LeaseTimes(1.0, 1.0, 0.01))
 
-
-def pace(shape: Shape, number: int, at: float) -> float:
-    """Downloads a second that come to a front."""
-    n, total = shape.fronts, shape.rate
-    match shape.demand:
-        case "even":
-            return total / n
-        case "skewed":  # the first has nearly all
-            return total * (0.9 if number == 0 else 0.1 / (n - 1))
-        case "moving":  # all of it moves on each second
-            return total if int(at) % n == number else 0.0
-        case "wandering":  # all of it moves on each ten seconds
-            return total if int(at / 10) % n == number else 0.0
-    raise ValueError(shape.demand)
+    def demand_of(self, number: int, at: float) -> float:
+        """Requests a second that come to a front at a moment."""
+        count, total = self.fronts, self.rate
+        match self.demand:
+            case "even":
+                return total / count
+            case "skewed":
+                return total * (SKEWED_MOST if number == 0 else SKEWED_REST / (count - 1))
+            case "moving":  # all of it moves on each second
+                return total if int(at) % count == number else 0.0
+            case "wandering":  # all of it moves on each ten seconds
+                return total if int(at / 10) % count == number else 0.0
+        raise ValueError(self.demand)
 
 
 class Front:
     """One front under leases."""
 
-    def __init__(self, lab: "Rates", number: int, epoch: int, quiet: bool) -> None:
-        self.lab, self.number, self.name, self.epoch = lab, number, f"n{number}", epoch
-        self.up, self.frozen_until = True, 0.0
-        shape = lab.shape
-        self.rate = LeasedRate(shape.most * shape.times.window, shape.times)
-        now = lab.clock(number)
-        until = now + shape.times.recovery if quiet else now
-        chance = RandomSource(lab.rng.randrange(1 << 30))
+    def __init__(self, experiment: "QuotaExperiment", number: int, epoch: int, is_restarted: bool) -> None:
+        self.experiment = experiment
+        self.number = number
+        self.name = f"n{number}"
+        self.epoch = epoch
+        self.is_up = True
+        self.frozen_until = 0.0
+        settings = experiment.settings
+        limit = settings.most * settings.times.window
+        self.rate = LeasedRate(limit, settings.times)
+        now = experiment.clock(number)
+        quiet_until = now + settings.times.recovery if is_restarted else now
+        source = RandomSource(experiment.rng.randrange(1 << 30))
         self.limits = LeaseService(
-            self.name, epoch, chance, until, lambda limit: None, lambda: lab.unix(number)
+            self.name, epoch, source, quiet_until, lambda limit: None, lambda: experiment.unix(number)
         )
-        self.limits.open(LIMIT, lab.names, shape.most * shape.times.window, shape.times, self.rate, now)
+        self.limits.open(LIMIT, experiment.names, limit, settings.times, self.rate, now)
 
-    def take(self, now: float) -> bool:
+    def is_frozen(self) -> bool:
+        """Whether it runs nothing at the moment."""
+        return self.experiment.events.now < self.frozen_until
+
+    def admit(self, now: float) -> bool:
+        """Whether one request is admitted, at a moment of the front's own clock."""
         return self.rate.try_admit(now)
 
 
-class Fixed(Front):
-    """Today's rule: each has its share, whoever needs it."""
+class FixedQuotaFront(Front):
+    """Each front has its quota, whoever needs it."""
 
-    def take(self, now: float) -> bool:
+    def admit(self, now: float) -> bool:
+        """Admit within the front's own quota."""
         self.rate.set_allowance(self.limits.limits[LIMIT].ledger.own, 0, 0.0)
         return self.rate.try_admit(now)
 
 
-class Gossip(Front):
-    """Each tells the others how much it has let through in the last window, twice a second."""
+class GossipFront(Front):
+    """Each front sends the others how much it has admitted in the last window, twice a second."""
 
-    def __init__(self, *held: Any) -> None:
-        super().__init__(*held)
-        self.others: dict[str, float] = {}
-        self.mine: deque[float] = deque()
+    def __init__(self, experiment: "QuotaExperiment", number: int, epoch: int, is_restarted: bool) -> None:
+        super().__init__(experiment, number, epoch, is_restarted)
+        self.others: dict[str, float] = {}  # what each has last sent
+        self.admitted: deque[float] = deque()  # when, within the last window
 
-    def take(self, now: float) -> bool:
-        while self.mine and self.mine[0] <= now - self.lab.shape.times.window:
-            self.mine.popleft()
-        if len(self.mine) + sum(self.others.values()) + 1 > self.rate.limit:
+    def admit(self, now: float) -> bool:
+        """Admit while all together are known to be below the limit."""
+        while self.admitted and self.admitted[0] <= now - self.experiment.settings.times.window:
+            self.admitted.popleft()
+        if len(self.admitted) + sum(self.others.values()) + 1 > self.rate.limit:
             return False
-        self.mine.append(now)
+        self.admitted.append(now)
         return True
 
 
-class Central(Front):
-    """The first front counts for all; who does not reach it lets nothing through. Asking costs a trip."""
+class CentralFront(Front):
+    """The first front counts for all; one that does not reach it admits nothing. A query costs a trip."""
 
-    def take(self, now: float) -> bool:
-        keeper = self.lab.fronts[0]
-        reach = keeper.up and self.lab.passes(self.number, 0) and self.lab.passes(0, self.number)
-        if not (reach and self.lab.now >= keeper.frozen_until):
+    def admit(self, now: float) -> bool:
+        """Admit what the first front admits."""
+        experiment = self.experiment
+        keeper = experiment.fronts[0]
+        is_reached = experiment.is_open(self.number, 0) and experiment.is_open(0, self.number)
+        if not (keeper.is_up and is_reached and not keeper.is_frozen()):
             return False
         keeper.rate.set_allowance(PARTS, 0, 0.0)
-        return keeper.rate.try_admit(self.lab.clock(0))
+        return keeper.rate.try_admit(experiment.clock(0))
 
 
-class Oracle(Front):
+class OracleFront(Front):
     """Knows all at once."""
 
-    def take(self, now: float) -> bool:
-        spent, window = self.lab.spent, self.lab.shape.times.window
-        return len(spent) - bisect_right(spent, self.lab.now - window) < self.rate.limit
+    def admit(self, now: float) -> bool:
+        """Admit while the limit is not reached."""
+        experiment = self.experiment
+        since = experiment.events.now - experiment.settings.times.window
+        return len(experiment.admitted) - bisect_right(experiment.admitted, since) < self.rate.limit
 
 
 KINDS: dict[str, type[Front]] = {
-    "leases": Front, "fixed": Fixed, "gossip": Gossip, "central": Central, "oracle": Oracle,
-}  # fmt: skip
-
-
-class Rates:
-    def __init__(self, seed: int, shape: Shape) -> None:
-        self.shape, self.rng = shape, random.Random(seed)
-        self.now, self.heap, self.order = 0.0, [], itertools.count()
-        self.names = [f"n{n}" for n in range(shape.fronts)]
-        drift = shape.drift + shape.beyond
+    "leases": Front,
+    "fixed": FixedQuotaFront,
+    "gossip": GossipFront,
+    "central": CentralFront,
+    "oracle": OracleFront,
+}
+
+
+class QuotaExperiment:
+    """One experiment from one seed: `play` carries it out."""
+
+    def __init__(self, seed: int, settings: QuotaSettings) -> None:
+        self.settings = settings
+        self.rng = random.Random(seed)
+        self.events = EventQueue()
+        self.names = [f"n{number}" for number in range(settings.fronts)]
+        drift = settings.drift + settings.beyond
         self.pace = [1.0 + self.rng.choice((-1, 1)) * drift * self.rng.random() for _ in self.names]
-        if shape.beyond:
-            self.pace = [1.0 + (drift if n % 2 else -drift) for n in range(shape.fronts)]
-        self.spent: list[float] = []
-        self.asked = 0
-        self.cut: set[tuple[int, int]] = set()
-        self.slow = 0.0
-        self.steps: dict[int, float] = {}  # by which Unix clocks were set apart
-        self.gone: dict[int, float] = {}  # since when a front does not answer
-        self.messages = self.bytes = 0
-        self.lines: list[str] = []
-        self.held: list[tuple[float, list[int]]] = []  # what each held, over time: for a picture
-        self.fronts = [KINDS[shape.kind](self, n, 1, False) for n in range(shape.fronts)]
+        if settings.beyond:
+            self.pace = [1.0 + (drift if n % 2 else -drift) for n in range(settings.fronts)]
+        self.admitted: list[float] = []  # when, by true time
+        self.blocked_paths: set[tuple[int, int]] = set()
+        self.extra_delay = 0.0  # seconds, at most
+        self.clock_steps: dict[int, float] = {}  # seconds by which Unix clocks were set apart
+        self.unresponsive: dict[int, float] = {}  # since when a front does not answer
+        self.message_count = 0
+        self.byte_count = 0
+        self.fronts = [KINDS[settings.kind](self, n, 1, False) for n in range(settings.fronts)]
 
     def clock(self, number: int) -> float:
-        return 100.0 + self.now * self.pace[number]
+        """The steady clock of a front."""
+        return STEADY_START + self.events.now * self.pace[number]
 
     def unix(self, number: int) -> float:
-        return 1000.0 + self.now + self.steps.get(number, 0.0)
-
-    def passes(self, one: int, other: int) -> bool:
-        return (one, other) not in self.cut
+        """The Unix clock of a front."""
+        return UNIX_START + self.events.now + self.clock_steps.get(number, 0.0)
 
-    def after(self, delay: float, call: Callable[[], object]) -> None:
-        heapq.heappush(self.heap, (self.now + delay, next(self.order), call))
+    def is_open(self, sender: int, receiver: int) -> bool:
+        """Whether messages pass from one front to another."""
+        return (sender, receiver) not in self.blocked_paths
 
     # Messages.
 
-    def send(self, front: Front, sends: list[Any]) -> None:
-        from weldbend.fleet import messages as m
-
+    def _send(self, front: Front, sends: list[Send]) -> None:
         for send in sends:
-            self.messages += 1
-            self.bytes += len(m.encode(send.body)) + 80
+            self.message_count += 1
+            self.byte_count += len(m.encode(send.body)) + OVERHEAD
             to = int(send.to[1:])
-            if not self.passes(front.number, to) or self.rng.random() < self.shape.loss:
+            if not self.is_open(front.number, to) or self.rng.random() < self.settings.loss:
                 continue
-            for _ in range(1 + (self.rng.random() < 0.01)):
-                delay = 0.001 + 0.01 * self.rng.random() + self.slow * self.rng.random()
-                epoch = front.epoch
-                self.after(
-                    delay, lambda to=to, body=send.body, epoch=epoch: self.arrive(front, to, epoch, body)
-                )  # type: ignore[misc]
-
-    def arrive(self, sender: Front, to: int, epoch: int, body: Any) -> None:
+            for _ in range(1 + (self.rng.random() < DUPLICATION)):
+                delay = LEAST_LATENCY + LATENCY_SPREAD * self.rng.random()
+                self._deliver_after(delay + self.extra_delay * self.rng.random(), front, to, send.body)
+
+    def _deliver_after(self, delay: float, sender: Front, to: int, body: m.Datagram) -> None:
+        epoch = sender.epoch
+        self.events.schedule(delay, lambda: self._arrive(sender, to, epoch, body))
+
+    def _arrive(self, sender: Front, to: int, epoch: int, body: m.Datagram) -> None:
         front = self.fronts[to]
-        if not front.up:
+        if not front.is_up:
             return
-        if self.now < front.frozen_until:
-            self.after(front.frozen_until - self.now + 1e-6, lambda: self.arrive(sender, to, epoch, body))
+        if front.is_frozen():
+            self._after_freeze(front, lambda: self._arrive(sender, to, epoch, body))
             return
-        self.send(front, front.limits.handle(self.clock(to), sender.name, epoch, body))
+        assert isinstance(body, m.LeaseMessage)
+        self._send(front, front.limits.handle(self.clock(to), sender.name, epoch, body))
+
+    def _after_freeze(self, front: Front, call: Callable[[], None]) -> None:
+        self.events.schedule(front.frozen_until - self.events.now + RESUME_MARGIN, call)
 
     # What happens.
 
-    def turn(self, number: int) -> None:
+    def _tick(self, number: int) -> None:
         front = self.fronts[number]
-        if front.up and self.now >= front.frozen_until:
-            if isinstance(front, Gossip):
-                self.gossip(front)
-            elif self.shape.kind == "leases":
-                here = [f"n{n}" for n in range(self.shape.fronts) if n != number and self.seen(number, n)]
-                self.send(front, front.limits.tick(self.clock(number), here))
-        self.after(0.05 if self.shape.fronts <= 50 else 0.1, lambda: self.turn(number))
-
-    def seen(self, number: int, other: int) -> bool:
-        return self.now - self.gone.get(other, self.now) < SEEN_LATE
-
-    def gossip(self, front: Gossip) -> None:
-        if self.rng.random() > 0.1:  # twice a second, of twenty turns
+        if front.is_up and not front.is_frozen():
+            if isinstance(front, GossipFront):
+                self._gossip(front)
+            elif self.settings.kind == "leases":
+                others = (n for n in range(self.settings.fronts) if n != number)
+                alive = [f"n{n}" for n in others if self._is_seen(n)]
+                self._send(front, front.limits.tick(self.clock(number), alive))
+        tick = TICK if self.settings.fronts <= MANY_FRONTS else 2 * TICK
+        self.events.schedule(tick, lambda: self._tick(number))
+
+    def _is_seen(self, number: int) -> bool:
+        """Whether the others do not know yet that a front does not answer."""
+        now = self.events.now
+        return now - self.unresponsive.get(number, now) < DETECTION_TIME
+
+    def _gossip(self, front: GossipFront) -> None:
+        if self.rng.random() > GOSSIP_CHANCE:
             return
         for other in self.fronts:
-            if other is not front and self.passes(front.number, other.number):
+            if other is not front and self.is_open(front.number, other.number):
+                self.message_count += 1
+                delay = LEAST_LATENCY + LATENCY_SPREAD * self.rng.random() + self.extra_delay
+                self._gossip_after(delay, front, other)
 
-                def tell(other: Front = other, amount: int = len(front.mine)) -> None:
-                    if isinstance(other, Gossip):
-                        other.others[front.name] = amount
+    def _gossip_after(self, delay: float, front: GossipFront, other: Front) -> None:
+        amount = len(front.admitted)
 
-                self.messages += 1
-                self.after(0.001 + 0.01 * self.rng.random() + self.slow, tell)
+        def arrive() -> None:
+            if isinstance(other, GossipFront):
+                other.others[front.name] = amount
 
-    def ask(self, number: int) -> None:
+        self.events.schedule(delay, arrive)
+
+    def _request(self, number: int) -> None:
         front = self.fronts[number]
-        if not front.up:
+        if not front.is_up:
             return
-        if self.now < front.frozen_until:  # it is read when the process goes on
-            self.after(front.frozen_until - self.now + 1e-6, lambda: self.ask(number))
+        if front.is_frozen():  # it is read when the process goes on
+            self._after_freeze(front, lambda: self._request(number))
             return
-        self.asked += 1
-        if front.take(self.clock(number)):
-            self.spent.append(self.now)
+        if front.admit(self.clock(number)):
+            self.admitted.append(self.events.now)
 
-    def arrivals(self) -> None:
-        for number in range(self.shape.fronts):
+    def _schedule_requests(self) -> None:
+        settings, rng = self.settings, self.rng
+        for number in range(settings.fronts):
             at = 0.0
-            while (at := at + self.rng.expovariate(self.shape.rate)) < self.shape.seconds:
-                if self.rng.random() < pace(self.shape, number, at) / self.shape.rate:
-                    heapq.heappush(self.heap, (at, next(self.order), lambda n=number: self.ask(n)))  # type: ignore[misc]
+            while (at := at + rng.expovariate(settings.rate)) < settings.seconds:
+                if rng.random() < settings.demand_of(number, at) / settings.rate:
+                    self._schedule(at, self._request, number)
+
+    def _schedule(self, delay: float, call: Callable[..., object], *args: object) -> None:
+        self.events.schedule(delay, lambda: call(*args))
 
-    def fault(self, kind: str, lasts: float) -> None:
-        number = self.rng.randrange(self.shape.fronts)
-        self.lines.append(f"{self.now:.2f} {kind} {number} for {lasts:.2f}")
+    def _inject(self, kind: str, duration: float) -> None:
+        number = self.rng.randrange(self.settings.fronts)
         match kind:
             case "split" | "one-way":
-                side = set(self.rng.sample(range(self.shape.fronts), max(1, self.shape.fronts // 2)))
-                cut = {(a, b) for a in side for b in range(self.shape.fronts) if b not in side}
-                cut |= {(b, a) for a, b in cut} if kind == "split" else set()
-                self.cut |= cut
-                self.after(lasts, lambda: self.cut.difference_update(cut))
+                self._split(duration, kind == "split")
             case "kill":
                 front = self.fronts[number]
-                front.up = False
-                self.gone[number] = self.now
-                self.after(lasts, lambda: self.start(number, front.epoch + 1))
+                front.is_up = False
+                self.unresponsive[number] = self.events.now
+                self.events.schedule(duration, lambda: self.start(number, front.epoch + 1))
             case "freeze":
-                self.fronts[number].frozen_until = self.now + lasts
-                self.gone[number] = self.now
-                self.after(lasts, lambda: self.gone.pop(number, None))
+                self.fronts[number].frozen_until = self.events.now + duration
+                self.unresponsive[number] = self.events.now
+                self.events.schedule(duration, lambda: self.unresponsive.pop(number, None))
             case "slow":
-                self.slow = 1.5
-                self.after(lasts, lambda: setattr(self, "slow", 0.0))
+                self._set_extra_delay(SLOW)
+                self._schedule(duration, self._set_extra_delay, 0.0)
+
+    def _set_extra_delay(self, seconds: float) -> None:
+        self.extra_delay = seconds
+
+    def _split(self, duration: float, is_two_way: bool) -> None:
+        numbers = range(self.settings.fronts)
+        side = set(self.rng.sample(numbers, max(1, len(numbers) // 2)))
+        paths = {(a, b) for a in side for b in numbers if b not in side}
+        paths |= {(b, a) for a, b in paths} if is_two_way else set()
+        self.blocked_paths |= paths
+        self.events.schedule(duration, lambda: self.blocked_paths.difference_update(paths))
 
     def start(self, number: int, epoch: int) -> None:
-        if not self.fronts[number].up:
-            self.fronts[number] = KINDS[self.shape.kind](self, number, epoch, True)
-            self.gone.pop(number, None)
-
-    def play(self) -> "Rates":
-        self.arrivals()
-        for number in range(self.shape.fronts):
-            self.after(0.01 * number, lambda number=number: self.turn(number))  # type: ignore[misc]
-        for at, kind, lasts in self.shape.faults:
-            self.after(at, lambda kind=kind, lasts=lasts: self.fault(kind, lasts))  # type: ignore[misc]
-        self.after(0.1, self.look)
-        while self.heap and self.heap[0][0] <= self.shape.seconds:
-            self.now, _, call = heapq.heappop(self.heap)
-            call()
+        """Start a front that is down."""
+        if not self.fronts[number].is_up:
+            self.fronts[number] = KINDS[self.settings.kind](self, number, epoch, True)
+            self.unresponsive.pop(number, None)
+
+    def play(self) -> "QuotaExperiment":
+        """Carry out the whole experiment."""
+        self._schedule_requests()
+        for number in range(self.settings.fronts):
+            self._schedule(0.01 * number, self._tick, number)
+        for at, kind, duration in self.settings.faults:
+            self._schedule(at, self._inject, kind, duration)
+        self.events.run(self.settings.seconds)
         return self
 
-    def look(self) -> None:
-        if self.shape.kind == "leases":
-            held = [
-                f.limits.limits[LIMIT].ledger.available(self.clock(f.number)) if f.up else 0
-                for f in self.fronts
-            ]
-            self.held.append((self.now, held))
-        self.after(0.1, self.look)
-
     # What it came to.
 
     def worst(self, window: float | None = None) -> int:
-        """The most that was let through in any window."""
-        span, most = window or self.shape.times.window, 0
-        for place, at in enumerate(self.spent):
-            most = max(most, place + 1 - bisect_right(self.spent, at - span, 0, place))
+        """The most that was admitted in any window; None is the limit's own."""
+        span, most = window or self.settings.times.window, 0
+        for place, at in enumerate(self.admitted):
+            most = max(most, place + 1 - bisect_right(self.admitted, at - span, 0, place))
         return most
 
-    def used(self, since: float = 5.0) -> float:
-        """Let through a second, of what the limit allows, after a start."""
-        count = sum(at >= since for at in self.spent)
-        return count / ((self.shape.seconds - since) * self.shape.most)
+    def utilisation(self, since: float = 5.0) -> float:
+        """The fraction of the limit that was used, after a start."""
+        count = sum(at >= since for at in self.admitted)
+        return count / ((self.settings.seconds - since) * self.settings.most)
 
 
-def drawn(seed: int, fronts: int = 4, faults: int = 4, seconds: float = 20.0) -> Shape:
-    """A shape with faults drawn from a seed."""
+def draw_settings(seed: int, fronts: int = 4, faults: int = 4, seconds: float = 20.0) -> QuotaSettings:
+    """Settings with faults drawn from a seed."""
     rng = random.Random(seed * 7919)
-    found = tuple(
+    drawn = tuple(
         (rng.uniform(1.0, seconds - 4.0), rng.choice(FAULTS), rng.uniform(0.2, 5.0)) for _ in range(faults)
     )
     demand = rng.choice(("even", "skewed", "moving", "wandering"))
     most = rng.choice((1.0, 3.0, 10.0, 60.0, 200.0))
-    return Shape(fronts=fronts, most=most, rate=1.5 * most + 5, demand=demand, faults=found, seconds=seconds)
+    rate = 1.5 * most + 5
+    return QuotaSettings(fronts=fronts, most=most, rate=rate, demand=demand, faults=drawn, seconds=seconds)
 
 
 def search(seeds: range) -> dict[str, Any]:
-    """How near to the limit all windows of many seeds came; the seeds that passed it."""
+    """How near to the limit all windows of many seeds came, and the seeds that passed it."""
     over, worst = [], 0.0
     for seed in seeds:
-        shape = drawn(seed)
-        came = Rates(seed, shape).play().worst() / (shape.most * shape.times.window)
-        worst = max(worst, came)
-        if came > 1 + 1e-9:
+        settings = draw_settings(seed)
+        fraction = QuotaExperiment(seed, settings).play().worst() / (settings.most * settings.times.window)
+        worst = max(worst, fraction)
+        if fraction > 1 + TOLERANCE:
             over.append(seed)
     return {"seeds": len(seeds), "over": over, "worst of the limit": round(worst, 4)}
--- /dev/null
+++ b/weldbend/testbed/fleet/relay_network.py
@@ -0,0 +1,128 @@
+"""Relays between real fronts: every path from one to another can be blocked, slowed down and made lossy.
+
+A path is what one front uses to reach another: a port for datagrams and one for the link. On a blocked path
+the bytes of the link wait, and datagrams are lost. Chances are drawn from the run's seed.
+"""
+
+import random
+import time
+from collections import defaultdict, deque
+from typing import Any
+
+from twisted.internet.protocol import DatagramProtocol
+
+from weldbend.testbed.emulator.emulated_site import LOOPBACK
+from weldbend.testbed.faults.engine import FaultAction, Injector, What
+from weldbend.testbed.faults.plan import Plan
+from weldbend.testbed.faults.proxy import Proxy, Side
+from weldbend.testbed.fleet.plan_player import Paths
+from weldbend.testbed.reactor import ProcessReactor
+
+Path = tuple[int, int]  # (from, to), fronts by number
+
+
+class RelayNetwork:
+    """The state of all paths, and the random numbers that they draw."""
+
+    def __init__(self, reactor: ProcessReactor, seed: int) -> None:
+        self.reactor = reactor
+        self.random = random.Random(seed)
+        self.blocked: Paths = set()
+        self.delay: dict[Path, float] = {}  # seconds
+        self.loss: dict[Path, float] = {}  # probability that a datagram is lost
+        self.duplication: dict[Path, float] = {}  # probability that it arrives twice
+        self.link_streams: dict[Path, list[LinkStream]] = defaultdict(list)
+
+    def is_open(self, path: Path) -> bool:
+        """Whether bytes pass on a path."""
+        return path not in self.blocked
+
+    def unblock(self, paths: Paths) -> None:
+        """Open paths again: what has waited on their links is sent."""
+        self.blocked -= paths
+        for path in paths & set(self.link_streams):
+            for stream in self.link_streams[path]:
+                stream.release()
+
+    def degrade(self, paths: Paths, kind: str, amount: float) -> None:
+        """Set the delay (slow), loss (lossy) or duplication (double) of paths."""
+        by_path = {"slow": self.delay, "lossy": self.loss, "double": self.duplication}[kind]
+        by_path.update(dict.fromkeys(paths, amount))
+
+
+class DatagramRelay(DatagramProtocol):
+    """Passes datagrams on, from where one front sends to where another listens."""
+
+    transport: Any = None  # Twisted's interfaces have no types here
+    noisy = False
+
+    def __init__(self, network: RelayNetwork, path: Path, port: int) -> None:
+        self.network = network
+        self.path = path
+        self.port = port  # of the receiver
+
+    def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
+        """Pass one datagram on: never, once or twice."""
+        network, path = self.network, self.path
+        if not network.is_open(path) or network.random.random() < network.loss.get(path, 0.0):
+            return
+        delay = network.delay.get(path, 0.0)
+        is_duplicated = network.random.random() < network.duplication.get(path, 0.0)
+        for _ in range(1 + is_duplicated):
+            later = delay * (0.5 + network.random.random())
+            network.reactor.callLater(later, self.transport.write, datagram, (LOOPBACK, self.port))
+
+
+class LinkStream:
+    """One direction of a link, on a path that may be blocked or slow: an `ActionStream` of a proxy."""
+
+    def __init__(self, network: RelayNetwork, path: Path, now: float) -> None:
+        self.network = network
+        self.path = path
+        self.clear_at = now
+        self.waiting: deque[FaultAction] = deque()
+        self.side: Side | None = None  # what is released goes to its other side
+
+    def feed(self, now: float, data: bytes) -> list[FaultAction]:
+        """Bytes that came."""
+        return self._pass_on(now, What.DATA, data)
+
+    def end(self, now: float) -> list[FaultAction]:
+        """The sender has shut down its side."""
+        return self._pass_on(now, What.END, b"")
+
+    def _pass_on(self, now: float, what: What, data: bytes) -> list[FaultAction]:
+        self.clear_at = max(self.clear_at, now + self.network.delay.get(self.path, 0.0))
+        action = FaultAction(self.clear_at, what, data)
+        if self.network.is_open(self.path) and not self.waiting:
+            return [action]
+        self.waiting.append(action)
+        return []
+
+    def release(self) -> None:
+        """Send what has waited."""
+        waiting, self.waiting = list(self.waiting), deque()
+        if waiting and self.side and self.side.other:
+            self.side.other.schedule(waiting)
+
+
+class LinkRelay(Proxy):
+    """The link of a path; `path` is seen from who dials."""
+
+    def __init__(self, network: RelayNetwork, path: Path, port: int) -> None:
+        no_faults = Injector(Plan("raw", ()), 0)
+        super().__init__(network.reactor, no_faults, LOOPBACK, port)
+        self.network = network
+        self.path = path
+
+    def join_sides(self, near: Side, far: Side, number: int) -> None:
+        """Both sides are up: pass on what came and what comes."""
+        now = time.monotonic()
+        there = LinkStream(self.network, self.path, now)
+        back = LinkStream(self.network, self.path[::-1], now)
+        for stream, side in ((there, near), (back, far)):
+            stream.side = side
+            self.network.link_streams[stream.path].append(stream)
+        near.other, far.other = far, near
+        near.join(far, there)
+        far.join(near, back)
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -1,259 +1,307 @@
-"""Fleets of whole fronts on the virtual clock and network: door, loop, decisions, fleet, all from one
-integer.
+"""Fleets of whole fronts on the virtual clock and network, from one integer.
 
-What the plain virtual run has (load, caches that restart, drain and vanish, purges, killed fronts) goes on;
-on top of it come the faults of a fleet: splits, one-way loss, frozen processes, slow and lossy paths, clocks
-set apart, buses cut off for one front or all but one.
+What a run of one site has (load, caches that restart, drain and vanish, purges, killed fronts) goes on; on
+top of it come the faults of a fleet: partitions, one-way loss, frozen processes, slow and lossy paths, clocks
+set apart, and event buses cut off for one front or more.
 """
 
 import json
 import os
 import tempfile
 from collections.abc import Callable
-from dataclasses import dataclass, field, replace
-from types import SimpleNamespace
-from typing import Any
+from dataclasses import dataclass, replace
+from pathlib import Path
 
 from weldbend.fleet.replicated_items import ITEM_KINDS
 from weldbend.fleet.settings import FleetSettings, Peer
 from weldbend.front.configuration import Site
 from weldbend.front.server import Front
-from weldbend.testbed.fleet import auditor
-from weldbend.testbed.simulation.machines import Machine
-from weldbend.testbed.simulation.run import BUS_HOST, Run, Setup, VirtualClock
-
-PORT = 7400
-KEY = "0badcafe " + "5a" * 32 + "\n"
-BETWEEN = ("split", "one_way", "freeze", "slow", "lossy", "bus_cut", "all")
-UNDER_WAY = 8  # changes of one front that others may not have yet: each says some every second
+from weldbend.testbed.fleet.auditor import AuditedFleet, ExaminedNode, audit
+from weldbend.testbed.simulation.machine import Machine
+from weldbend.testbed.simulation.network import Path as NetworkPath
+from weldbend.testbed.simulation.run import Run
+from weldbend.testbed.simulation.settings import BUS_HOST, RunSettings, front_host
+from weldbend.testbed.simulation.virtual_clock import STEADY_CLOCK_AHEAD, VirtualClock
+
+FLEET_PORT = 7400
+KEY = "0badcafe " + "5a" * 32 + "\n"  # of the messages between fronts, in the testbed only
+FLEET_FAULTS = ("split", "one_way", "freeze", "slow", "lossy", "bus_cut", "all")
+IN_TRANSIT = 8  # changes of one front that others may lack at the end: each front makes some every second
 QUICK = FleetSettings(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3)
+RECONNECT = 2.5  # seconds after a cut of the event bus until a front has surely read what it missed
+SHUTDOWN = 4.0  # seconds that a graceful shutdown may take
+FIRST_FAULT = 1.0  # seconds after the start
+ENDING = 3.0  # seconds before the end of an item within which fronts may differ on it
+TRANSIT_TIME = 2.0  # seconds after a change within which fronts may differ on it
+
+FrontPaths = set[tuple[int, int]]  # (from, to), fronts by number
 
 
 def key_file() -> str:
     """One file with a key for all runs of this process."""
-    path = os.path.join(tempfile.gettempdir(), f"weldbend-lab-{os.getuid()}.keys")
-    if not os.path.exists(path):
-        with open(path, "w") as held:
-            held.write(KEY)
-    return path
+    path = Path(tempfile.gettempdir(), f"weldbend-lab-{os.getuid()}.keys")
+    if not path.exists():
+        path.write_text(KEY)
+    return str(path)
 
 
 @dataclass(frozen=True, slots=True)
-class FleetSetup(Setup):
-    """`between` faults among the fronts, besides those of the site; the last `calm` seconds have none."""
+class FleetRunSettings(RunSettings):
+    """A run with a fleet; the last `calm` seconds have no faults."""
 
     fronts: int = 4
     rate: float = 24.0
     seconds: float = 30.0
-    after: float = 10.0
+    settling: float = 10.0
     faults: int = 4
-    injected: int = 0
+    connection_faults: int = 0
     orders: float = 0.15
-    kinds: tuple[str, ...] = ("restart", "drain", "purge", "reset", "front")
-    between: int = 3
-    troubles: tuple[str, ...] = BETWEEN
+    fault_kinds: tuple[str, ...] = ("restart", "drain", "purge", "reset", "front")
+    fleet_faults: int = 3  # among the fronts, besides those of the site
+    fleet_fault_kinds: tuple[str, ...] = FLEET_FAULTS
     calm: float = 12.0
-    apart: float = 0.0  # seconds by which Unix clocks may be apart
-    drift: float = 0.0  # share by which steady clocks may run too fast or too slow
-    terms: FleetSettings = QUICK
-    shared: bool = True  # false: the same run without a fleet
-    zones: tuple[str, ...] = field(default=())  # of the fronts in turn; none: all of one
+    clock_offset: float = 0.0  # seconds by which Unix clocks may be set apart
+    drift: float = 0.0  # fraction by which clocks may run too fast or too slow
+    fleet: FleetSettings = QUICK
+    has_fleet: bool = True  # false: the same run without a fleet
+    zones: tuple[str, ...] = ()  # of the fronts in turn; none: all are of one zone
 
 
 class FleetRun(Run):
-    setup: FleetSetup
-
-    def __init__(self, seed: int, setup: FleetSetup | None = None, **held: Any) -> None:
-        super().__init__(seed, setup or FleetSetup(), **held)
-        shape = self.setup
-        self.clocks = {
-            n: (self.rng.uniform(-shape.apart, shape.apart), self.rng.uniform(-shape.drift, shape.drift))
-            for n in self.askers
-        }
-        self.struck: list[str] = []
-        self.said: Callable[[dict[str, Any]], None] = lambda held: None
+    """A run whose fronts form a fleet; also the backend of fleet plans (see `plan_player.Backend`)."""
 
-    def host(self, number: int) -> str:
-        return f"10.0.0.{number}"
+    settings: FleetRunSettings
+
+    def __init__(self, seed: int, settings: FleetRunSettings | None = None) -> None:
+        super().__init__(seed, settings or FleetRunSettings())
+        offset, drift = self.settings.clock_offset, self.settings.drift
+        self.clocks = {  # (offset, drift) of each front
+            number: (self.rng.uniform(-offset, offset), self.rng.uniform(-drift, drift))
+            for number in self.workload.connections
+        }
+        self.injected_faults: list[str] = []  # among the fronts
+        self.on_event: Callable[[dict[str, object]], None] = lambda event: None
+        self.site_faults.by_kind["front"] = self._kill_any_front
 
     def zone(self, number: int) -> str:
-        zones = self.setup.zones
+        """The zone of a front."""
+        zones = self.settings.zones
         return zones[(number - 1) % len(zones)] if zones else "z"
 
-    def terms(self, number: int) -> FleetSettings:
-        peers = tuple(Peer(f"n{n}", self.host(n), PORT, self.zone(n)) for n in self.askers)
-        listen = f"{self.host(number)}:{PORT}"
+    def fleet_settings(self, number: int) -> FleetSettings:
+        """The fleet section of a front's installation."""
+        numbers = self.workload.connections
+        peers = tuple(Peer(f"n{n}", front_host(n), FLEET_PORT, self.zone(n)) for n in numbers)
         return replace(
-            self.setup.terms, listen=listen, keys=key_file(), peers=peers, zone=self.zone(number), control=""
+            self.settings.fleet,
+            listen=f"{front_host(number)}:{FLEET_PORT}",
+            keys=key_file(),
+            peers=peers,
+            zone=self.zone(number),
+            control="",
         )
 
-    def made(self, machine: Machine, site: Site) -> Front:
+    def create_front(self, machine: Machine, site: Site) -> Front:
+        """A front that is not started yet."""
         number = int(machine.name[1:])
-        clock = VirtualClock(self.world, *self.clocks[number])
-        return Front(
-            machine, replace(site, fleet=self.terms(number)) if self.setup.shared else site, clock=clock
-        )
-
-    # What a plan asks for (see play.Stage).
-
-    def later(self, delay: float, call: Callable[[], object]) -> object:
-        return self.world.plan(delay, call)
-
-    def event(self, **said: Any) -> None:
-        self.note(json.dumps(said))
-        self.said(said)
-
-    def hosts(self, ways: set[tuple[int, int]]) -> set[tuple[str, str]]:
-        return {(self.host(a), self.host(b)) for a, b in ways}
+        clock = VirtualClock(self.network, *self.clocks[number])
+        if self.settings.has_fleet:
+            site = replace(site, fleet=self.fleet_settings(number))
+        return Front(machine, site, clock=clock)
 
-    def cut(self, ways: set[tuple[int, int]]) -> None:
-        self.world.cut |= self.hosts(ways)
+    def front_machines(self) -> list[Machine]:
+        """The machines of all fronts, dead ones too."""
+        return [machine for machine, _ in self.site.fronts.values()]
 
-    def mend(self, ways: set[tuple[int, int]]) -> None:
-        self.world.mend(self.hosts(ways), [machine for machine, _ in self.fronts.values()])
+    # What a plan calls.
 
-    def worsen(self, ways: set[tuple[int, int]], kind: str, much: float) -> None:
-        held = {"slow": self.world.slow, "lossy": self.world.lossy, "double": self.world.doubled}[kind]
-        held.update(dict.fromkeys(self.hosts(ways), much))
-
-    def stop(self, number: int, lasts: float) -> None:
-        self.freeze(number, lasts)
-
-    def end(self, number: int) -> None:
-        machine, front = self.fronts[number]
-        if machine.alive:
+    def later(self, delay: float, call: Callable[[], object]) -> object:
+        """Call after so many seconds."""
+        return self.events.schedule(delay, call)
+
+    def report_event(self, **event: object) -> None:
+        """Log that an event of the plan begins or ends."""
+        self.log.add(json.dumps(event))
+        self.on_event(event)
+
+    @staticmethod
+    def _host_paths(paths: FrontPaths) -> set[NetworkPath]:
+        return {(front_host(sender), front_host(receiver)) for sender, receiver in paths}
+
+    def block(self, paths: FrontPaths) -> None:
+        """Let nothing pass on some paths."""
+        self.network.blocked_paths |= self._host_paths(paths)
+
+    def unblock(self, paths: FrontPaths) -> None:
+        """Let bytes pass again."""
+        self.network.unblock(self._host_paths(paths), self.front_machines())
+
+    def degrade(self, paths: FrontPaths, kind: str, amount: float) -> None:
+        """Set the delay, loss or duplication of some paths: kind is slow, lossy or double."""
+        network = self.network
+        by_path = {
+            "slow": network.extra_delay,
+            "lossy": network.datagram_loss,
+            "double": network.datagram_duplication,
+        }[kind]
+        by_path.update(dict.fromkeys(self._host_paths(paths), amount))
+
+    def kill(self, number: int) -> None:
+        """Kill a front."""
+        self.site.kill_front(number)
+
+    def suspend(self, number: int, duration: float) -> None:
+        """Freeze a front for a time."""
+        self.freeze(number, duration)
+
+    def restart(self, number: int) -> None:
+        """Shut a front down gracefully, and start it again."""
+        machine, front = self.site.fronts[number]
+        if machine.is_alive:
             front.terminate()
-            self.world.plan(4.0, lambda: self.start(number))
+            self.events.schedule(SHUTDOWN, lambda: self.start(number))
 
-    def start(self, number: int, ahead: float = 0.0) -> None:
-        machine, _ = self.fronts[number]
-        if machine.alive and not machine.stopped:
+    def start(self, number: int, clock_offset: float = 0.0) -> None:
+        """Start a front that does not run, with its Unix clock ahead by so many seconds."""
+        machine, _ = self.site.fronts[number]
+        if machine.is_alive and not machine.is_stopped:
             return
-        self.clocks[number] = ahead, self.clocks[number][1]
-        self.start_front(number)
+        self.clocks[number] = clock_offset, self.clocks[number][1]
+        self.site.start_front(number)
 
-    def no_bus(self, number: int, lasts: float) -> None:
-        self.cut_bus({number}, lasts)
+    def isolate_from_bus(self, number: int, duration: float) -> None:
+        """Cut a front off its event bus for a time."""
+        self.block_bus({number}, duration)
 
-    def tell_cache(self, uid: str, state: str) -> None:
+    def publish_cache_state(self, uid: str, state: str) -> None:
+        """Publish that a cache drains, or is up and has just started."""
         if state == "up":
-            self.targets[uid] |= {"boot_ms": int(self.world.unix() * 1000)}
-        self.relist(uid, state)
+            self.site.targets[uid] |= {"boot_ms": self.site.unix_ms()}
+        self.site.publish_state(uid, state)
 
-    def tell_purge(self, group: int) -> None:
-        self.tell(ban={"tag": group, "ts": int(self.world.unix() * 1000)})
+    def publish_purge(self, group: int) -> None:
+        """Publish a purge of a group."""
+        self.site.publish(ban={"tag": group, "ts": self.site.unix_ms()})
 
-    # What goes wrong between fronts.
+    # Faults between fronts.
 
-    def troubles(self) -> None:
-        """Those of the site first, and all of it over when the calm end begins."""
-        shape, last = self.setup, self.setup.seconds - self.setup.calm
-        for _ in range(shape.faults):
-            self.world.plan(self.rng.uniform(1.0, last), getattr(self, f"do_{self.rng.choice(shape.kinds)}"))
+    def schedule_faults(self) -> None:
+        """Schedule those of the site first; all are over when the calm end begins."""
+        settings, rng, last = self.settings, self.rng, self.settings.seconds - self.settings.calm
+        for _ in range(settings.faults):
+            at = rng.uniform(FIRST_FAULT, last)
+            self.events.schedule(at, self.site_faults.by_kind[rng.choice(settings.fault_kinds)])
         planned: list[tuple[str, float, float]] = []
-        for _ in range(shape.between):
-            kind, lasts = self.rng.choice(shape.troubles), self.rng.uniform(0.5, 6.0)
-            planned.append((kind, self.rng.uniform(1.0, max(last - lasts, 1.5)), lasts))
-        for kind, at, lasts in planned:
-            parted = any(k in ("split", "one_way") and a < at + lasts and at < a + s for k, a, s in planned)
-            self.world.plan(at, lambda k=kind, s=lasts, p=parted: self.strike(k, s, p))  # type: ignore[misc]
-
-    def strike(self, kind: str, lasts: float, parted: bool) -> None:
-        """`parted`: fronts are split as well at some time meanwhile."""
-        self.struck.append(kind)
-        numbers = sorted(self.fronts)
+        for _ in range(settings.fleet_faults):
+            kind, duration = rng.choice(settings.fleet_fault_kinds), rng.uniform(0.5, 6.0)
+            planned.append((kind, rng.uniform(FIRST_FAULT, max(last - duration, 1.5)), duration))
+        for kind, at, duration in planned:
+            is_partitioned = any(
+                other in ("split", "one_way") and since < at + duration and at < since + lasting
+                for other, since, lasting in planned
+            )
+            self._schedule_fault(at, kind, duration, is_partitioned)
+
+    def _schedule_fault(self, at: float, kind: str, duration: float, is_partitioned: bool) -> None:
+        self.events.schedule(at, lambda: self.inject(kind, duration, is_partitioned))
+
+    def inject(self, kind: str, duration: float, is_partitioned: bool) -> None:
+        """Inject one fault; `is_partitioned`: fronts are also partitioned at some time meanwhile."""
+        self.injected_faults.append(kind)
+        numbers = sorted(self.site.fronts)
         side = set(self.rng.sample(numbers, self.rng.randint(1, max(1, len(numbers) // 2))))
-        one = self.rng.choice(numbers)
+        number = self.rng.choice(numbers)
         match kind:
             case "split" | "one_way":
-                self.split(side, lasts, kind == "split")
+                self.split(side, duration, kind == "split")
             case "freeze":
-                self.freeze(one, lasts)
+                self.freeze(number, duration)
             case "slow" | "lossy":
-                held = self.world.slow if kind == "slow" else self.world.lossy
-                ways = {(self.host(one), self.host(n)): self.rng.uniform(0.1, 0.5) for n in numbers}
-                held.update(ways)
-                self.world.plan(lasts, lambda: [held.pop(way, None) for way in ways])
+                self._degrade_paths_from(number, kind, duration)
             case "bus_cut":
-                self.cut_bus({one}, lasts, parted)
+                self.block_bus({number}, duration, is_partitioned)
             case "all":
-                for number in numbers:
-                    self.kill(number, self.rng.uniform(0.2, 1.0))
+                for each in numbers:
+                    self.site.kill_front(each, self.rng.uniform(0.2, 1.0))
+
+    def _degrade_paths_from(self, number: int, kind: str, duration: float) -> None:
+        by_path = self.network.extra_delay if kind == "slow" else self.network.datagram_loss
+        paths = {
+            (front_host(number), front_host(n)): self.rng.uniform(0.1, 0.5) for n in sorted(self.site.fronts)
+        }
+        by_path.update(paths)
 
-    def split(self, side: set[int], lasts: float, both: bool = True) -> None:
+        def restore() -> None:
+            for path in paths:
+                by_path.pop(path, None)
+
+        self.events.schedule(duration, restore)
+
+    def split(self, side: set[int], duration: float, is_two_way: bool = True) -> None:
         """Fronts of one side do not reach the others; clients, caches and bus they do."""
-        others = set(self.fronts) - side
-        ways = {(self.host(a), self.host(b)) for a in side for b in others}
-        self.open_again(ways | ({(b, a) for a, b in ways} if both else set()), lasts)
-        self.note(f"split of {sorted(side)} {'both' if both else 'one'} for {lasts:.2f}")
-
-    def cut_bus(self, numbers: set[int], lasts: float, parted: bool = False) -> None:
-        ways = {(self.host(n), BUS_HOST) for n in numbers}
-        self.open_again(ways | {(b, a) for a, b in ways}, lasts)
-        self.note(f"no bus at {sorted(numbers)} for {lasts:.2f}")
-        if parted or not self.setup.shared or len(numbers) == len(self.fronts):
+        others = set(self.site.fronts) - side
+        paths = {(front_host(a), front_host(b)) for a in side for b in others}
+        self._block_for(paths | ({(b, a) for a, b in paths} if is_two_way else set()), duration)
+        self.log.add(f"split of {sorted(side)} {'both ways' if is_two_way else 'one way'} for {duration:.2f}")
+
+    def block_bus(self, numbers: set[int], duration: float, is_partitioned: bool = False) -> None:
+        """Cut fronts off their event bus; the others tell them, where there are others that they reach."""
+        paths = {(front_host(n), BUS_HOST) for n in numbers}
+        self._block_for(paths | {(b, a) for a, b in paths}, duration)
+        self.log.add(f"no bus at {sorted(numbers)} for {duration:.2f}")
+        if is_partitioned or not self.settings.has_fleet or len(numbers) == len(self.site.fronts):
+            now = self.events.now
             for number in numbers:
-                self.auditor.unreachable(f"n{number}", self.world.now, self.world.now + lasts + 2.5, False)
+                self.auditor.on_front_unreachable(f"n{number}", now, now + duration + RECONNECT, False)
 
-    def open_again(self, ways: set[tuple[str, str]], lasts: float) -> None:
-        self.world.cut |= ways
-        self.world.plan(
-            lasts, lambda: self.world.mend(ways, [machine for machine, _ in self.fronts.values()])
-        )
+    def _block_for(self, paths: set[NetworkPath], duration: float) -> None:
+        self.network.blocked_paths |= paths
+        self.events.schedule(duration, lambda: self.network.unblock(paths, self.front_machines()))
 
-    def freeze(self, number: int, lasts: float) -> None:
-        machine, _ = self.fronts[number]
-        if not machine.alive or machine.frozen:
+    def freeze(self, number: int, duration: float) -> None:
+        """Freeze a front for a time."""
+        machine, _ = self.site.fronts[number]
+        if not machine.is_alive or machine.is_frozen:
             return
-        begun = self.world.now
-        self.note(f"front {number} is frozen for {lasts:.2f}")
+        begun = self.events.now
+        self.log.add(f"front {number} is frozen for {duration:.2f}")
         machine.freeze()
 
         def thaw() -> None:
-            self.auditor.unreachable(machine.name, begun, self.world.now, True)
-            if machine.alive:
+            self.auditor.on_front_unreachable(machine.name, begun, self.events.now, True)
+            if machine.is_alive:
                 machine.thaw()
 
-        self.world.plan(lasts, thaw)
-
-    def kill(self, number: int, back: float | None = None) -> None:
-        machine, _ = self.fronts[number]
-        if machine.alive:
-            self.note(f"front {number} is killed")
-            self.auditor.killed(machine.name)
-            machine.kill()
-            if back is not None:
-                self.world.plan(back, lambda: self.start_front(number))
+        self.events.schedule(duration, thaw)
 
-    def do_front(self) -> None:
-        self.kill(self.rng.choice(sorted(self.fronts)), 0.4)
+    def _kill_any_front(self) -> None:
+        self.site.kill_front(self.rng.choice(sorted(self.site.fronts)), 0.4)
 
     # The verdict.
 
-    def nodes(self) -> dict[str, Any]:
-        """Each front's fleet as its auditor looks at it."""
-        found = {}
-        for machine, front in self.fronts.values():
+    def nodes(self) -> dict[str, ExaminedNode]:
+        """Each front's fleet as the auditor of fleets examines it."""
+        nodes = {}
+        for machine, front in self.site.fronts.values():
             assert front.fleet_adapter
             fleet = front.fleet_adapter.fleet
-            found[machine.name] = SimpleNamespace(
-                name=machine.name, up=machine.alive, members=fleet.membership, copies=fleet.store,
-                exchange=fleet.anti_entropy,
-            )  # fmt: skip
-        return found
+            nodes[machine.name] = ExaminedNode(
+                machine.name, machine.is_alive, fleet.membership, fleet.store, fleet.anti_entropy
+            )
+        return nodes
 
-    def disagreements(self) -> list[str]:
+    def divergences(self) -> list[str]:
         """What fronts differ on at the end, where all was calm for long enough."""
-        if not self.setup.shared:
+        if not self.settings.has_fleet:
             return []
-        now, nodes = self.world.now + 1.0, self.nodes()
-        found = auditor.audit(SimpleNamespace(nodes=nodes, said=[], now=now, under_way=UNDER_WAY))
-        for kind, key in sorted({name for node in nodes.values() for name in node.copies.items}):
-            held = {name: node.copies.items.get((kind, key)) for name, node in nodes.items()}
-            keep = ITEM_KINDS[kind].lifetime
-            lasts = any(item and now < item.written_at + keep - 3.0 for item in held.values())
-            under_way = any(item and now < item.written_at + 2.0 for item in held.values())
-            values = {name: item.value if item else None for name, item in held.items()}
-            if lasts and not under_way and len(set(values.values())) > 1:
-                found.append(f"{kind} {key} differs: {values}")
-        return found
+        now, nodes = self.events.now + STEADY_CLOCK_AHEAD, self.nodes()
+        errors = audit(AuditedFleet(nodes, now, in_transit=IN_TRANSIT))
+        for name in sorted({name for node in nodes.values() for name in node.copies.items}):
+            items = {front: node.copies.items.get(name) for front, node in nodes.items()}
+            keep = ITEM_KINDS[name[0]].lifetime
+            is_retained = any(item and now < item.written_at + keep - ENDING for item in items.values())
+            is_in_transit = any(item and now < item.written_at + TRANSIT_TIME for item in items.values())
+            values = {front: item.value if item else None for front, item in items.items()}
+            if is_retained and not is_in_transit and len(set(values.values())) > 1:
+                errors.append(f"{name[0]} {name[1]} differs: {values}")
+        return errors
--- a/weldbend/testbed/load/client_calls.py
+++ b/weldbend/testbed/load/client_calls.py
@@ -13,12 +13,12 @@
 from weldbend.thrift.errors import InvalidMessageError
 from weldbend.thrift.framing import frame, next_frame
 
-LONGEST = 1 << 20  # bytes of one answer
-OUTCOMES = {0: "fulfilled", 1: "throttled", 2: "abandoned"}
+LONGEST_ANSWER = 1 << 20  # bytes
+OUTCOMES = {0: "fulfilled", 1: "throttled", 2: "abandoned"}  # by the number of the field of the result
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ClientAnswer:
     """One answer. `outcome` is one of OUTCOMES' values, `probe` or `exception`."""
 
     seqid: int
@@ -29,67 +29,72 @@
 
 
 def message(kind: int, name: str, seqid: int, arguments: bytes = b"") -> bytes:
+    """A message of the Front service in its frame."""
     return frame(binary.head(kind, name, seqid) + arguments + b"\x00")
 
 
 def process(seqid: int, fields: dict[str, str], body: bytes = b"") -> bytes:
+    """A request."""
     pairs = binary.field(binary.MAP, 1, binary.text_map(fields))
     return message(binary.CALL, "process", seqid, pairs + binary.field(binary.STRING, 2, binary.binary(body)))
 
 
 def give_up(seqid: int) -> bytes:
+    """The cancellation of the request that was sent with this seqid."""
     return message(binary.ONEWAY, "giveUp", 0, binary.field(binary.I32, 1, binary.i32(seqid)))
 
 
 def probe(seqid: int) -> bytes:
+    """A health check."""
     return message(binary.CALL, "probe", seqid, binary.field(binary.BOOL, 1, b"\x01"))
 
 
 def read_struct(reader: Reader) -> dict[int, Any]:
-    """A struct as number -> value; raises BadMessage where it cannot be read."""
-    found: dict[int, Any] = {}
+    """A struct as number -> value; raises InvalidMessageError where it cannot be read."""
+    values: dict[int, Any] = {}
     for kind, number in reader.fields():
         match kind:
             case binary.STRUCT:
-                found[number] = read_struct(reader)
+                values[number] = read_struct(reader)
             case binary.MAP:
-                found[number] = reader.text_map()
+                values[number] = reader.text_map()
             case binary.STRING:
-                found[number] = reader.binary()
+                values[number] = reader.binary()
             case binary.BOOL:
-                found[number] = reader.byte() == 1
+                values[number] = reader.byte() == 1
             case binary.I32:
-                found[number] = reader.i32()
+                values[number] = reader.i32()
             case _:
                 reader.skip(kind)
-    return found
+    return values
 
 
-def read_answer(data: bytes) -> Heard:
-    """One frame as an answer; raises BadMessage, KeyError or ValueError for what is none."""
+def read_answer(data: bytes) -> ClientAnswer:
+    """One frame as an answer; raises InvalidMessageError, KeyError or ValueError for what is none."""
     reader = Reader(data)
     head = reader.head()
-    held = read_struct(reader)
+    result = read_struct(reader)
     if reader.position != len(data):
-        raise InvalidMessageError("bytes after the answer")
+        problem = "bytes after the answer"
+        raise InvalidMessageError(problem)
     if head.kind == binary.EXCEPTION:
-        return Heard(head.seqid, "exception", held[1], {"kind": str(held[2])}, False)
-    ((number, struct),) = held.items()
+        return ClientAnswer(head.seqid, "exception", result[1], {"kind": str(result[2])}, False)
+    ((number, struct),) = result.items()
     if number:
-        return Heard(head.seqid, OUTCOMES[number], b"", struct[1], False)
+        return ClientAnswer(head.seqid, OUTCOMES[number], b"", struct[1], False)
     outcome = "probe" if head.name == "probe" else OUTCOMES[0]
-    return Heard(head.seqid, outcome, struct[1], struct[2], struct[3])
+    return ClientAnswer(head.seqid, outcome, struct[1], struct[2], struct[3])
 
 
-def feed(ring: Ring, data: bytes) -> Iterator[Heard]:
-    """Take a chunk in; gives each answer that it completes."""
+def feed_answers(ring: Ring, data: bytes) -> Iterator[ClientAnswer]:
+    """Add bytes to a ring; yields each answer that they complete."""
     rest = memoryview(data)
     while rest:
         rest = rest[ring.write(rest) :]
-        yield from answers(ring)
+        yield from read_answers(ring)
 
 
-def answers(ring: Ring) -> Iterator[Heard]:
-    """All answers that have come whole."""
-    while data := next_frame(ring, LONGEST):
+def read_answers(ring: Ring) -> Iterator[ClientAnswer]:
+    """All answers that are complete."""
+    while data := next_frame(ring, LONGEST_ANSWER):
         yield read_answer(data)
--- a/weldbend/testbed/load/connection_holder.py
+++ b/weldbend/testbed/load/connection_holder.py
@@ -1,10 +1,10 @@
-"""Holds many connections open and wakes a share of them at once; a process of its own, told by lines.
+"""Holds many connections open and wakes a fraction of them at once; a process of its own, driven by lines.
 
 Plain sockets and one epoll set: nineteen thousand protocol objects here would measure the tool. Commands on
 standard input, one JSON object a line on standard output for each:
 
-    open COUNT RATE SOURCE   connect so many, each from 127.0.0.SOURCE, and have each answer one probe
-    wake SHARE WHAT SECONDS  `probe` or `photo` on a share of them in one go; wait for the answers
+    open COUNT RATE SOURCE   connect so many, each from 127.0.0.SOURCE, and have each answer one health check
+    wake SHARE WHAT SECONDS  send `probe` or `photo` on a fraction of them in one go; wait for the answers
     count                    how many are still open
     end
 """
@@ -15,6 +15,8 @@
 import socket
 import sys
 import time
+from collections import Counter
+from dataclasses import dataclass, field
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
@@ -23,122 +25,184 @@
 from weldbend.testbed.emulator import objects
 from weldbend.testbed.emulator.objects import Sizes
 from weldbend.testbed.load import client_calls
+from weldbend.testbed.load.client_calls import ClientAnswer
 
-LATE_PORT = 24  # IP_BIND_ADDRESS_NO_PORT (Linux): a port is looked for at connect, much faster
-PHOTO_WAIT = 6000  # milliseconds
+IP_BIND_ADDRESS_NO_PORT = 24  # Linux: a port is assigned at connect, much faster
+PHOTO_TIMEOUT = 6000  # milliseconds
+PROBE_TIMEOUT = 10  # seconds
+PROBE_ANSWER = 256  # bytes, more than one has
+RING_SIZE = 1 << 21  # bytes of answers that a connection buffers
+READ_SIZE = 1 << 18  # bytes
+POLL_SECONDS = 0.05
+MAX_EVENTS = 1024  # of one poll
+MAX_CLOSED = 4096  # of one poll, while counting
+OBJECTS = 2000  # that requests are drawn from
+HIGHEST = 60_000_000  # microseconds that a histogram counts
+WAKE_SEQID = 2  # after the health check's
 
 
-class Holder:
+@dataclass
+class Wake:
+    """One wake of many connections, and what has become of it so far."""
+
+    chosen: list[int]  # descriptors
+    begun: float  # on the steady clock
+    waiting: set[int]
+    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HIGHEST, 3))
+    outcomes: Counter[str] = field(default_factory=Counter)
+    closed: int = 0
+    sent: float = 0.0  # seconds until all was written
+    last: float = 0.0  # seconds until the last answer
+
+    def on_closed(self, descriptor: int) -> None:
+        """The front has closed a connection."""
+        self.closed += descriptor in self.waiting
+        self.waiting.discard(descriptor)
+
+    def on_answer(self, descriptor: int, answer: ClientAnswer) -> None:
+        """Count an answer."""
+        self.last = time.monotonic() - self.begun
+        self.latency.record_value(max(int(self.last * 1e6), 1))
+        self.outcomes[answer.outcome] += 1
+        if answer.outcome == "throttled" and "after" not in answer.fields:
+            self.outcomes["throttled without a time"] += 1
+        if descriptor not in self.waiting:
+            self.outcomes["second answers"] += 1
+        self.waiting.discard(descriptor)
+
+    def report(self) -> dict[str, Any]:
+        """The figures as they are printed."""
+        value = self.latency.get_value_at_percentile
+        return {
+            "woken": len(self.chosen),
+            "sent_s": self.sent,
+            "all_answered_s": self.last,
+            "outcomes": dict(self.outcomes),
+            "closed": self.closed,
+            "unanswered": len(self.waiting),
+            "latency_ms": {f"p{percentile:g}": value(percentile) / 1000 for percentile in (50, 99, 100)},
+        }
+
+
+class ConnectionHolder:
+    """Many connections to one front."""
+
     def __init__(self, address: tuple[str, int], seed: int) -> None:
-        self.address, self.rng, self.sizes = address, random.Random(seed), Sizes()
+        self.address = address
         self.seed = seed
+        self.rng = random.Random(seed)
+        self.sizes = Sizes()
         self.poll = select.epoll()
-        self.held: dict[int, socket.socket] = {}
-        self.rings: dict[int, Ring] = {}
-        self.asked = 0
+        self.sockets: dict[int, socket.socket] = {}  # by descriptor
+        self.rings: dict[int, Ring] = {}  # of connections with part of an answer, by descriptor
+        self.request_count = 0
 
     def open(self, count: int, rate: float, source: int) -> dict[str, Any]:
-        """Connect `count`, `rate` a second, and let each ask one probe."""
+        """Connect `count`, `rate` a second, and let each send one health check."""
         begun, failed = time.monotonic(), 0
         for number in range(count):
             if (wait := begun + number / rate - time.monotonic()) > 0:
                 time.sleep(wait)
-            client = socket.socket()
+            connection = socket.socket()
             try:
-                client.setsockopt(socket.IPPROTO_IP, LATE_PORT, 1)
-                client.bind((f"127.0.0.{source}", 0))
-                client.connect(self.address)
-                client.sendall(client_calls.probe(1))
-                client.settimeout(10)
-                client.recv(256)
+                self._connect(connection, source)
             except OSError:
                 failed += 1
-                client.close()
+                connection.close()
                 continue
-            client.setblocking(False)
-            self.held[client.fileno()] = client
-            self.poll.register(client.fileno(), select.EPOLLIN | select.EPOLLRDHUP)
-        return {"open": len(self.held), "failed": failed, "seconds": time.monotonic() - begun}
+            connection.setblocking(False)
+            self.sockets[connection.fileno()] = connection
+            self.poll.register(connection.fileno(), select.EPOLLIN | select.EPOLLRDHUP)
+        return {"open": len(self.sockets), "failed": failed, "seconds": time.monotonic() - begun}
+
+    def _connect(self, connection: socket.socket, source: int) -> None:
+        connection.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
+        connection.bind((f"127.0.0.{source}", 0))
+        connection.connect(self.address)
+        connection.sendall(client_calls.probe(1))
+        connection.settimeout(PROBE_TIMEOUT)
+        connection.recv(PROBE_ANSWER)
 
     def count(self) -> dict[str, Any]:
-        """How many are open, once those that the front closed are put away."""
-        while events := self.poll.poll(0, 4096):
-            for fd, _ in events:
-                self.drop(fd)
-        return {"open": len(self.held)}
-
-    def drop(self, fd: int) -> None:
-        self.held.pop(fd).close()
-        self.rings.pop(fd, None)
-
-    def call(self, what: str) -> bytes:
-        self.asked += 1
+        """How many are open, once those that the front closed are dropped."""
+        while events := self.poll.poll(0, MAX_CLOSED):
+            for descriptor, _ in events:
+                self._drop(descriptor)
+        return {"open": len(self.sockets)}
+
+    def _drop(self, descriptor: int) -> None:
+        self.sockets.pop(descriptor).close()
+        self.rings.pop(descriptor, None)
+
+    def _encode_call(self, what: str) -> bytes:
+        self.request_count += 1
         if what == "probe":
-            return client_calls.probe(2)
-        key, part = objects.key_of(self.rng.randrange(1, 2000)), 0
+            return client_calls.probe(WAKE_SEQID)
+        key, part = objects.key_of(self.rng.randrange(1, OBJECTS)), 0
         fields = {
-            "class": "photo", "id": f"{self.seed & 0xFFFF:04x}{self.asked:012x}", "wait": str(PHOTO_WAIT),
-            "key": key, "nth": "0", "batch": "1", "kb": str(self.sizes.kb(key, part)),
-        }  # fmt: skip
-        return client_calls.process(2, fields)
-
-    def wake(self, share: float, what: str, patience: float) -> dict[str, Any]:
-        """Wake a share at once; latencies run from just before the first was written."""
-        chosen = self.rng.sample(sorted(self.held), round(share * len(self.held)))
-        ready = [(fd, self.call(what)) for fd in chosen]
-        begun, waiting, latency = time.monotonic(), set(chosen), HdrHistogram(1, 60_000_000, 3)
-        outcomes: dict[str, int] = {}
-        closed = 0
-        for fd, data in ready:
+            "class": "photo",
+            "id": f"{self.seed & 0xFFFF:04x}{self.request_count:012x}",
+            "wait": str(PHOTO_TIMEOUT),
+            "key": key,
+            "nth": "0",
+            "batch": "1",
+            "kb": str(self.sizes.kb(key, part)),
+        }
+        return client_calls.process(WAKE_SEQID, fields)
+
+    def wake(self, fraction: float, what: str, timeout: float) -> dict[str, Any]:
+        """Wake a fraction at once, and wait `patience` seconds at most for the answers.
+
+        Latencies run from just before the first call was written.
+        """
+        chosen = self.rng.sample(sorted(self.sockets), round(fraction * len(self.sockets)))
+        calls = [(descriptor, self._encode_call(what)) for descriptor in chosen]
+        wake = Wake(chosen, time.monotonic(), set(chosen))
+        for descriptor, data in calls:
             try:
-                self.held[fd].send(data)
+                self.sockets[descriptor].send(data)
             except OSError:
-                closed += 1
-        sent, last = time.monotonic() - begun, 0.0
-        while waiting and time.monotonic() < begun + patience:
-            for fd, _ in self.poll.poll(0.05, 1024):
-                try:
-                    data = self.held[fd].recv(1 << 18)
-                except OSError:
-                    data = b""
-                if not data:
-                    closed += fd in waiting
-                    waiting.discard(fd)
-                    self.drop(fd)
-                    continue
-                ring = self.rings.setdefault(fd, Ring(1 << 21))
-                for heard in client_calls.feed(ring, data):
-                    last = time.monotonic() - begun
-                    latency.record_value(max(int(last * 1e6), 1))
-                    outcomes[heard.outcome] = outcomes.get(heard.outcome, 0) + 1
-                    if heard.outcome == "throttled" and "after" not in heard.fields:
-                        outcomes["throttled without a time"] = outcomes.get("throttled without a time", 0) + 1
-                    if fd not in waiting:
-                        outcomes["second answers"] = outcomes.get("second answers", 0) + 1
-                    waiting.discard(fd)
-                if not len(ring):
-                    self.rings.pop(fd, None)
-        value = latency.get_value_at_percentile
-        return {
-            "woken": len(chosen), "sent_s": sent, "all_answered_s": last, "outcomes": outcomes,
-            "closed": closed, "unanswered": len(waiting),
-            "latency_ms": {f"p{share:g}": value(share) / 1000 for share in (50, 99, 100)},
-        }  # fmt: skip
+                wake.closed += 1
+        wake.sent = time.monotonic() - wake.begun
+        while wake.waiting and time.monotonic() < wake.begun + timeout:
+            for descriptor, _ in self.poll.poll(POLL_SECONDS, MAX_EVENTS):
+                self._read(descriptor, wake)
+        return wake.report()
+
+    def _read(self, descriptor: int, wake: Wake) -> None:
+        try:
+            data = self.sockets[descriptor].recv(READ_SIZE)
+        except OSError:
+            data = b""
+        if not data:
+            wake.on_closed(descriptor)
+            self._drop(descriptor)
+            return
+        ring = self.rings.setdefault(descriptor, Ring(RING_SIZE))
+        for answer in client_calls.feed_answers(ring, data):
+            wake.on_answer(descriptor, answer)
+        if not len(ring):
+            self.rings.pop(descriptor, None)
+
+
+def run_command(holder: ConnectionHolder, tokens: list[str]) -> dict[str, Any]:
+    """Carry out one command; returns what is printed."""
+    match tokens:
+        case ["open", count, rate, source]:
+            return holder.open(int(count), float(rate), int(source))
+        case ["wake", fraction, what, timeout]:
+            return holder.wake(float(fraction), what, float(timeout))
+        case ["count"]:
+            return holder.count()
+    return {"error": " ".join(tokens)}
 
 
 def main(address: str, seed: int) -> None:
+    """Carry out commands from standard input, until `end` or its end."""
     host, _, port = address.rpartition(":")
-    holder = Holder((host, int(port)), seed)
+    holder = ConnectionHolder((host, int(port)), seed)
     for line in sys.stdin:
-        match line.split():
-            case ["open", count, rate, source]:
-                told = holder.open(int(count), float(rate), int(source))
-            case ["wake", share, what, patience]:
-                told = holder.wake(float(share), what, float(patience))
-            case ["count"]:
-                told = holder.count()
-            case ["end"]:
-                break
-            case _:
-                told = {"error": line.strip()}
-        print(json.dumps(told), flush=True)
+        tokens = line.split()
+        if tokens == ["end"]:
+            break
+        print(json.dumps(run_command(holder, tokens)), flush=True)
--- a/weldbend/testbed/load/generator.py
+++ b/weldbend/testbed/load/generator.py
@@ -1,7 +1,7 @@
 """The open-loop load tool: arrivals drawn ahead from a seed, latency counted from the intended start.
 
-A client that waits for its answers before it asks again hides what a slow front costs (coordinated
-omission); here each download is due at its moment, whatever became of those before.
+A client that waits for its answers before it sends the next request hides what a slow front costs
+(coordinated omission); here each request is due at its moment, whatever became of those before.
 """
 
 import random
@@ -13,7 +13,7 @@
 from typing import Any
 
 from hdrh.histogram import HdrHistogram
-from twisted.internet.interfaces import IAddress
+from twisted.internet.interfaces import IAddress, IConnector
 from twisted.internet.protocol import ClientFactory
 from twisted.internet.protocol import Protocol as Connection
 from twisted.python.failure import Failure
@@ -22,204 +22,265 @@
 from weldbend.testbed.emulator import objects
 from weldbend.testbed.emulator.objects import Sizes
 from weldbend.testbed.load import client_calls
+from weldbend.testbed.load.client_calls import ClientAnswer
+from weldbend.testbed.reactor import Reactor
 
-OPEN = 32  # the protocol's bound on open downloads of a connection
+MAX_OPEN = 32  # the protocol's bound on requests of a connection that have no answer yet
 HIGHEST = 60_000_000  # microseconds that a histogram counts
-WAIT = {"photo": 6.0, "order": 9.0}  # seconds that a client waits
+CLIENT_TIMEOUTS = {"photo": 6.0, "order": 9.0}  # seconds that a client waits, by request class
+PARTS = 3  # of each object
+ORDER_BODY = b"x" * 200
+RING_SIZE = 1 << 21  # bytes of answers that a client buffers
+DIAL_TIMEOUT = 5  # seconds
+RECONNECT_AFTER = 0.2  # seconds after a front did not accept
+START_AFTER = 0.05  # seconds after the last connection is up
+LAST_MARGIN = 1  # seconds beyond the longest timeout after which what is unanswered stays so
+MICROSECONDS = 1e6  # of a second
+PERCENTILES = (50, 90, 99, 99.9, 100)
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
+    """One request: when it is due, and what it asks for."""
+
     at: float  # seconds after the start
-    type: str
+    request_class: str
     key: str
     part: int
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """What is asked: downloads a second for so many seconds, over so many objects and connections."""
+class LoadPlan:
+    """Requests a second for so many seconds, over so many objects and connections."""
 
     rate: float = 86.0
     seconds: float = 10.0
     objects: int = 2000
-    orders: float = 0.02  # share of downloads that are orders
+    orders: float = 0.02  # fraction of requests that are orders
     connections: int = 16
     seed: int = 1
 
     def arrivals(self) -> list[Arrival]:
         """The whole schedule: the same seed gives the same."""
-        rng, at, found = random.Random(self.seed), 0.0, []
-        weights = objects.popular(rng, self.objects)
+        rng, at, arrivals = random.Random(self.seed), 0.0, []
+        weights = objects.zipf_weights(self.objects)
         while (at := at + rng.expovariate(self.rate)) < self.seconds:
             rank = bisect(weights, rng.random() * weights[-1]) + 1
-            kind = "order" if rng.random() < self.orders else "photo"
-            found.append(Arrival(at, kind, objects.key_of(min(rank, self.objects)), rng.randrange(3)))
-        return found
+            request_class = "order" if rng.random() < self.orders else "photo"
+            key = objects.key_of(min(rank, self.objects))
+            arrivals.append(Arrival(at, request_class, key, rng.randrange(PARTS)))
+        return arrivals
 
 
-def histogram() -> Any:
+def histogram() -> HdrHistogram:
+    """A histogram of microseconds, with three significant digits."""
     return HdrHistogram(1, HIGHEST, 3)
 
 
+def record(histogram: HdrHistogram, seconds: float) -> None:
+    """Add a time to a histogram."""
+    histogram.record_value(max(int(seconds * MICROSECONDS), 1))
+
+
 @dataclass
 class Tally:
-    """What became of a load. Latencies in microseconds, of fulfilled downloads, from the intended start."""
+    """What became of a load."""
 
     counts: Counter[str] = field(default_factory=Counter)
-    latency: Any = field(default_factory=histogram)
-    late: Any = field(default_factory=histogram)  # by how much the tool itself started one late
+    latency: HdrHistogram = field(default_factory=histogram)  # of served requests, from the intended start
+    late: HdrHistogram = field(default_factory=histogram)  # by how much the tool itself sent one late
 
     def report(self) -> dict[str, Any]:
-        shares = (50, 90, 99, 99.9, 100)
+        """The figures as they are printed, with latencies in milliseconds."""
         value = self.latency.get_value_at_percentile
         return {
             "counts": dict(self.counts),
-            "latency_ms": {f"p{share:g}": value(share) / 1000 for share in shares},
+            "latency_ms": {f"p{percentile:g}": value(percentile) / 1000 for percentile in PERCENTILES},
             "tool_late_ms": {"p99": self.late.get_value_at_percentile(99) / 1000},
             "histogram": self.latency.encode().decode(),
         }
 
 
-@dataclass(slots=True)
-class Asked:
+@dataclass(frozen=True, slots=True)
+class OpenRequest:
+    """A request without an answer; `due` is its intended start on the steady clock."""
+
     arrival: Arrival
     due: float
 
 
 class LoadClient(Connection):
+    """One connection of the load."""
+
+    transport: Any = None  # Twisted's interfaces have no types here
+
     def __init__(self, load: "Load") -> None:
-        self.load, self.ring = load, Ring(1 << 21)
-        self.open: dict[int, Asked] = {}
-        self.seqid, self.up = 0, False
+        self.load = load
+        self.ring = Ring(RING_SIZE)
+        self.open: dict[int, OpenRequest] = {}  # by seqid
+        self.seqid = 0
+        self.is_up = False
 
     def connectionMade(self) -> None:
-        transport: Any = self.transport
-        transport.setTcpNoDelay(True)
-        self.up = True
-        self.load.came(self)
+        """The front has accepted."""
+        self.transport.setTcpNoDelay(True)
+        self.is_up = True
+        self.load.add_client(self)
+
+    def is_ready(self) -> bool:
+        """Whether it may send a further request."""
+        return self.is_up and len(self.open) < MAX_OPEN
 
-    def ask(self, asked: Asked, name: str) -> None:
+    def send(self, request: OpenRequest, name: str) -> None:
+        """Send a request; `name` is its id."""
         self.seqid += 1
-        self.open[self.seqid] = asked
-        one, sizes = asked.arrival, self.load.sizes
+        self.open[self.seqid] = request
+        arrival = request.arrival
         fields = {
-            "class": one.type, "id": name, "wait": str(int(WAIT[one.type] * 1000)), "key": one.key,
-            "nth": str(one.part), "batch": str(int(one.key[:2], 16)), "kb": str(sizes.kb(one.key, one.part)),
-        }  # fmt: skip
-        if one.type == "order":
+            "class": arrival.request_class,
+            "id": name,
+            "wait": str(int(CLIENT_TIMEOUTS[arrival.request_class] * 1000)),
+            "key": arrival.key,
+            "nth": str(arrival.part),
+            "batch": str(int(arrival.key[:2], 16)),
+            "kb": str(self.load.sizes.kb(arrival.key, arrival.part)),
+        }
+        is_order = arrival.request_class == "order"
+        if is_order:
             fields["once"] = name
         if self.transport:
-            self.transport.write(
-                client_calls.process(self.seqid, fields, b"x" * 200 if one.type == "order" else b"")
-            )
+            self.transport.write(client_calls.process(self.seqid, fields, ORDER_BODY if is_order else b""))
 
     def dataReceived(self, data: bytes) -> None:
-        for heard in client_calls.feed(self.ring, data):
-            self.load.answered(self.open.pop(heard.seqid, None), heard)
+        """Read answers."""
+        for answer in client_calls.feed_answers(self.ring, data):
+            self.load.on_answer(self.open.pop(answer.seqid, None), answer)
 
-    def connectionLost(self, reason: Failure = Failure(Exception())) -> None:  # noqa: B008
-        self.up = False
-        self.load.went(self)
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """The connection has ended."""
+        self.is_up = False
+        self.load.remove_client(self)
 
 
 class Load(ClientFactory):
-    """Plays one plan against fronts (addresses), and calls `done` when all is answered or lost."""
+    """Plays one plan against fronts (addresses), and calls `on_end` when all is answered or lost."""
 
     noisy = False
 
     def __init__(
-        self, reactor: Any, plan: Plan, fronts: list[str], sizes: Sizes, done: Callable[["Load"], None]
+        self,
+        reactor: Reactor,
+        plan: LoadPlan,
+        fronts: list[str],
+        sizes: Sizes,
+        on_end: Callable[["Load"], None],
     ) -> None:
-        self.reactor, self.plan, self.sizes, self.done = reactor, plan, sizes, done
-        self.fronts, self.tally = fronts, Tally()
+        self.reactor = reactor
+        self.plan = plan
+        self.fronts = fronts
+        self.sizes = sizes
+        self.on_end = on_end
+        self.tally = Tally()
         self.clients: list[LoadClient] = []
-        self.coming, self.next, self.turns, self.begun = plan.arrivals(), 0, 0, 0.0
-        self.over = False
+        self.arrivals = plan.arrivals()
+        self.sent = 0  # arrivals whose time has come
+        self.rotation = 0  # counts through clients and fronts
+        self.begun = 0.0  # on the steady clock; 0 before
+        self.is_over = False
 
     def start(self) -> None:
+        """Open all connections; the plan begins once they are up."""
         for number in range(self.plan.connections):
-            self.dial(self.fronts[number % len(self.fronts)])
+            self._dial(self.fronts[number % len(self.fronts)])
 
-    def dial(self, front: str) -> None:
+    def _dial(self, front: str) -> None:
         host, _, port = front.rpartition(":")
-        self.reactor.connectTCP(host, int(port), self, timeout=5)
+        self.reactor.connectTCP(host, int(port), self, timeout=DIAL_TIMEOUT)
+
+    def _next_front(self) -> str:
+        return self.fronts[self.rotation % len(self.fronts)]
 
     def buildProtocol(self, addr: IAddress | None) -> LoadClient:
+        """A connection that has come up."""
         return LoadClient(self)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
         """A front that is down: the next one in a moment."""
-        if not self.over:
-            self.turns += 1
-            self.reactor.callLater(0.2, self.dial, self.fronts[self.turns % len(self.fronts)])
+        if not self.is_over:
+            self.rotation += 1
+            self.reactor.callLater(RECONNECT_AFTER, self._dial, self._next_front())
 
-    def came(self, client: LoadClient) -> None:
+    def add_client(self, client: LoadClient) -> None:
+        """A connection is up."""
         self.clients.append(client)
         if len(self.clients) == self.plan.connections and not self.begun:
-            self.begun = time.monotonic() + 0.05
-            self.reactor.callLater(0.05, self.step)
-            self.reactor.callLater(self.plan.seconds + max(WAIT.values()) + 1, self.finish)
+            self.begun = time.monotonic() + START_AFTER
+            self.reactor.callLater(START_AFTER, self._send_due)
+            longest = max(CLIENT_TIMEOUTS.values())
+            self.reactor.callLater(self.plan.seconds + longest + LAST_MARGIN, self._finish)
 
-    def went(self, client: LoadClient) -> None:
-        """A connection ended: what was open on it is lost, and another takes its place."""
+    def remove_client(self, client: LoadClient) -> None:
+        """A connection has ended: its open requests are lost, and another takes its place."""
         self.tally.counts["lost"] += len(client.open)
         client.open.clear()
         if client in self.clients:
             self.clients.remove(client)
-        if not self.over:
+        if not self.is_over:
             self.tally.counts["connections lost"] += 1
-            self.dial(self.fronts[self.turns % len(self.fronts)])
+            self._dial(self._next_front())
 
-    def step(self) -> None:
-        """Ask all that is due, and come back for the next."""
+    def _send_due(self) -> None:
+        """Send all that is due, and come back for the next."""
         now = time.monotonic() - self.begun
-        while self.next < len(self.coming) and self.coming[self.next].at <= now:
-            arrival = self.coming[self.next]
-            self.next += 1
-            self.tally.late.record_value(max(int((now - arrival.at) * 1e6), 1))
-            self.ask(arrival)
-        if self.next < len(self.coming):
-            self.reactor.callLater(max(self.coming[self.next].at - now, 0.0), self.step)
+        while self.sent < len(self.arrivals) and self.arrivals[self.sent].at <= now:
+            arrival = self.arrivals[self.sent]
+            self.sent += 1
+            record(self.tally.late, now - arrival.at)
+            self._send(arrival)
+        if self.sent < len(self.arrivals):
+            self.reactor.callLater(max(self.arrivals[self.sent].at - now, 0.0), self._send_due)
         else:
-            self.look()
+            self._finish_if_answered()
 
-    def ask(self, arrival: Arrival) -> None:
+    def _send(self, arrival: Arrival) -> None:
         self.tally.counts["asked"] += 1
         for _ in self.clients:
-            self.turns += 1
-            client = self.clients[self.turns % len(self.clients)]
-            if client.up and len(client.open) < OPEN:
-                name = f"{self.plan.seed & 0xFFFFFFFF:08x}{self.next:08x}"
-                client.ask(Asked(arrival, self.begun + arrival.at), name)
+            self.rotation += 1
+            client = self.clients[self.rotation % len(self.clients)]
+            if client.is_ready():
+                name = f"{self.plan.seed & 0xFFFFFFFF:08x}{self.sent:08x}"
+                client.send(OpenRequest(arrival, self.begun + arrival.at), name)
                 return
         self.tally.counts["not asked"] += 1  # every connection is full
 
-    def answered(self, asked: Asked | None, heard: client_calls.Heard) -> None:
-        if asked is None:
-            self.tally.counts["answers to nothing asked"] += 1
+    def on_answer(self, request: OpenRequest | None, answer: ClientAnswer) -> None:
+        """Count an answer, and the latency of what is served."""
+        counts = self.tally.counts
+        if request is None:
+            counts["answers to nothing asked"] += 1
+            return
+        seconds, arrival = time.monotonic() - request.due, request.arrival
+        counts[answer.outcome] += 1
+        if answer.outcome == "fulfilled":
+            record(self.tally.latency, seconds)
+            body = objects.body(arrival.key, arrival.part, self.sizes.of(arrival.key, arrival.part))
+            if arrival.request_class == "photo" and answer.body != body:
+                counts["spoilt"] += 1
+        if seconds > CLIENT_TIMEOUTS[arrival.request_class]:
+            counts["after the expiry"] += 1
+        self._finish_if_answered()
+
+    def _finish_if_answered(self) -> None:
+        if self.sent == len(self.arrivals) and not any(client.open for client in self.clients):
+            self._finish()
+
+    def _finish(self) -> None:
+        if self.is_over:
             return
-        took, one = time.monotonic() - asked.due, asked.arrival
-        self.tally.counts[heard.outcome] += 1
-        if heard.outcome == "fulfilled":
-            self.tally.latency.record_value(max(int(took * 1e6), 1))
-            whole = objects.body(one.key, one.part, self.sizes.of(one.key, one.part))
-            if one.type == "photo" and heard.body != whole:
-                self.tally.counts["spoilt"] += 1
-        if took > WAIT[one.type]:
-            self.tally.counts["after the expiry"] += 1
-        self.look()
-
-    def look(self) -> None:
-        if self.next == len(self.coming) and not any(client.open for client in self.clients):
-            self.finish()
-
-    def finish(self) -> None:
-        if not self.over:
-            self.over = True
-            self.tally.counts["unanswered"] += sum(len(client.open) for client in self.clients)
-            for client in list(self.clients):
-                client.open.clear()
-                if client.transport:
-                    client.transport.loseConnection()
-            self.done(self)
+        self.is_over = True
+        self.tally.counts["unanswered"] += sum(len(client.open) for client in self.clients)
+        for client in list(self.clients):
+            client.open.clear()
+            if client.transport:
+                client.transport.loseConnection()
+        self.on_end(self)
--- a/weldbend/testbed/load/idle_benchmark.py
+++ b/weldbend/testbed/load/idle_benchmark.py
@@ -6,7 +6,6 @@
 
 import json
 import subprocess
-import sys
 import time
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -15,10 +14,10 @@
 from typing import Any
 
 from weldbend.testbed.load import process_usage
+from weldbend.testbed.load.child_process import ChildProcess, testbed_command
 
-A_HOLDER = 16_000  # idle connections that one holder has at most; descriptors of a process may end at 20,000
 RESERVE = 600  # descriptors of a front beside its idle ones
-COUNTERS = (
+COUNTERS = (  # that fronts log, and that a report has
     "max_timer_delay_ms",
     "max_iteration_ms",
     "max_wakeup_delay_ms",
@@ -26,223 +25,214 @@
     "max_memory_mb",
     "violations",
 )
-SETTLE = 2.0  # seconds that are waited until all is parked
+SETTLE = 2.0  # seconds until all connections are idle
+OPEN_RATE = 2500.0  # connections a second
+LOAD_TIMEOUT = 120  # seconds
+FIRST_SOURCE = 10  # last byte of the address that the first holder connects from
 
+Row = dict[str, Any]  # of the report, in JSON
+Show = Callable[[str], None]  # shows a line of progress
 
-def command(*words: str) -> list[str]:
-    return [sys.executable, "-m", "weldbend", "lab", *words]
 
+class ConnectionsFailedError(RuntimeError):
+    """Idle connections that could not be opened; `count` is their number."""
 
-class Told:
-    """A child process that is told lines and answers each with one JSON line."""
-
-    def __init__(self, *words: str) -> None:
-        self.process = subprocess.Popen(
-            command(*words), stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True
-        )
-
-    def tell(self, line: str) -> None:
-        assert self.process.stdin
-        self.process.stdin.write(line + "\n")
-        self.process.stdin.flush()
-
-    def hear(self) -> dict[str, Any]:
-        assert self.process.stdout
-        line = self.process.stdout.readline()
-        if not line:
-            raise RuntimeError(f"a child process of the laboratory ended: {self.process.args}")
-        found: dict[str, Any] = json.loads(line)
-        return found
-
-    def end(self) -> None:
-        if self.process.stdin:
-            self.process.stdin.close()
-        try:
-            self.process.wait(20)
-        except subprocess.TimeoutExpired:
-            self.process.kill()
-            self.process.wait()
+    def __init__(self, count: int) -> None:
+        self.count = count
+        super().__init__(f"{count} connections could not be opened")
 
 
 @dataclass
-class Bench:
+class RunningSite:
     """A running site with its fronts: addresses and process numbers."""
 
-    site: Told
+    process: ChildProcess
     fronts: list[str]
     pids: list[int]
     folder: Path
 
-    def usages(self) -> list[process_usage.Usage]:
-        return [process_usage.usage(pid) for pid in self.pids]
+    def _cpu_seconds(self) -> float:
+        return sum(process_usage.usage(pid).cpu for pid in self.pids)
 
     def cpu(self, seconds: float) -> float:
-        """Cores that the fronts take together over a time."""
-        before = sum(one.cpu for one in self.usages())
+        """Cores that the fronts use together over a time."""
+        before = self._cpu_seconds()
         time.sleep(seconds)
-        return (sum(one.cpu for one in self.usages()) - before) / seconds
+        return (self._cpu_seconds() - before) / seconds
 
     def anonymous(self) -> int:
+        """Bytes of the fronts' own memory."""
         return sum(process_usage.anonymous(pid) for pid in self.pids)
 
-    def counters(self) -> list[dict[str, Any]]:
+    def counters(self) -> list[Row]:
         """The last counters that each front logged; all of them once the site has ended."""
-        found = []
+        counters = []
         for path in sorted(self.folder.glob("front-*.log")):
             lines = [json.loads(line) for line in path.read_text().splitlines() if '"counts"' in line]
-            found.append({name: lines[-1][name] for name in COUNTERS} if lines else {})
-        return found
+            last = lines[-1] if lines else {}
+            counters.append({name: last[name] for name in COUNTERS} if last else {})
+        return counters
 
 
 @contextmanager
-def bench(fronts: int, sockets: int, program: str | None, installation: str | None) -> Iterator[Bench]:
-    words = ["up", "--told", "--fronts", str(fronts), "--sockets", str(sockets)]
-    words += ["--program", program] if program else []
-    words += ["--installation", installation] if installation else []
-    site = Told(*words)
+def running_site(
+    fronts: int, sockets: int, program: str | None, installation: str | None
+) -> Iterator[RunningSite]:
+    """A site for a time; `program` is another tree whose weldbend the fronts run."""
+    tokens = ["up", "--told", "--fronts", str(fronts), "--sockets", str(sockets)]
+    tokens += ["--program", program] if program else []
+    tokens += ["--installation", installation] if installation else []
+    process = ChildProcess(*tokens)
     try:
-        held = site.hear()
-        yield Bench(site, held["fronts"], held["pids"], Path(held["folder"]))
+        ready = process.receive()
+        yield RunningSite(process, ready["fronts"], ready["pids"], Path(ready["folder"]))
     finally:
-        site.end()
+        process.end()
 
 
 @contextmanager
-def holders(fronts: list[str], count: int, rate: float) -> Iterator[list[Told]]:
-    """Idle connections, `count` in all, shared evenly over the fronts."""
+def idle_connections(fronts: list[str], count: int, rate: float = OPEN_RATE) -> Iterator[list[ChildProcess]]:
+    """Idle connections for a time, `count` in all, shared evenly over the fronts; yields their holders."""
     share = count // len(fronts)
-    each = [Told("hold", "--front", front, "--seed", str(at)) for at, front in enumerate(fronts)]
+    holders = [ChildProcess("hold", "--front", front, "--seed", str(n)) for n, front in enumerate(fronts)]
     try:
-        for at, holder in enumerate(each):
-            holder.tell(f"open {share} {rate} {10 + at}")
-        for holder in each:
-            told = holder.hear()
-            if told["failed"]:
-                raise RuntimeError(f"{told['failed']} connections could not be opened")
-        yield each
+        for number, holder in enumerate(holders):
+            holder.send(f"open {share} {rate} {FIRST_SOURCE + number}")
+        for holder in holders:
+            opened = holder.receive()
+            if opened["failed"]:
+                raise ConnectionsFailedError(opened["failed"])
+        yield holders
     finally:
-        for holder in each:
+        for holder in holders:
             holder.end()
 
 
-def busy(fronts: list[str], rate: float, seconds: float, seed: int) -> "subprocess.Popen[str]":
-    words = ["load", "--rate", str(rate), "--seconds", str(seconds), "--seed", str(seed), "--json", "-"]
-    for front in fronts:
-        words += ["--front", front]
-    return subprocess.Popen(command(*words), stdout=subprocess.PIPE, text=True)
-
-
-def result(process: "subprocess.Popen[str]") -> dict[str, Any]:
-    out, _ = process.communicate(timeout=120)
-    found: dict[str, Any] = json.loads(out)
-    return found
+class BusyLoad:
+    """An open-loop load in a process of its own."""
 
+    def __init__(self, fronts: list[str], rate: float, seconds: float, seed: int) -> None:
+        tokens = ["load", "--rate", str(rate), "--seconds", str(seconds), "--seed", str(seed), "--json", "-"]
+        for front in fronts:
+            tokens += ["--front", front]
+        self.process = subprocess.Popen(testbed_command(*tokens), stdout=subprocess.PIPE, text=True)
 
-Say = Callable[[str], None]
+    def report(self) -> Row:
+        """Wait for the end of the load; its report."""
+        output, _ = self.process.communicate(timeout=LOAD_TIMEOUT)
+        report: Row = json.loads(output)
+        return report
 
 
-def memory(
-    counts: list[int], program: str | None, installation: str, say: Say, rate: float = 2500
-) -> list[dict[str, Any]]:
+def measure_memory(
+    counts: list[int], program: str | None, installation: str, show: Show, rate: float = OPEN_RATE
+) -> list[Row]:
     """Bytes a connection and CPU at rest, for each count, each on a front of its own.
 
     `bytes_first` counts from before the first rush of connections, `bytes` from after one of the same size
     has come and gone: what the allocator keeps of a rush is no cost of those that stay.
     """
-    found = []
+    rows = []
     for count in counts:
-        with bench(1, count + RESERVE, program, None if program else installation) as held:
-            result(busy(held.fronts, 86, 3, 9))
+        with running_site(1, count + RESERVE, program, None if program else installation) as site:
+            BusyLoad(site.fronts, 86, 3, 9).report()
             time.sleep(SETTLE)
-            before, slab, none = held.anonymous(), process_usage.kernel_sockets(), held.cpu(5)
-            with holders(held.fronts, count, rate):
+            before, slab, cpu_none = site.anonymous(), process_usage.kernel_sockets(), site.cpu(5)
+            with idle_connections(site.fronts, count, rate):
                 time.sleep(SETTLE)
-                each = (held.anonymous() - before) / count
+                bytes_each = (site.anonymous() - before) / count
                 kernel = (process_usage.kernel_sockets() - slab) / count / 2
-                row = {
-                    "program": program or "this", "idle": count, "bytes_first": round(each),
-                    "kernel_bytes": round(kernel), "cpu_none": none, "cpu_idle": held.cpu(8),
-                }  # fmt: skip
+                row: Row = {
+                    "program": program or "this",
+                    "idle": count,
+                    "bytes_first": round(bytes_each),
+                    "kernel_bytes": round(kernel),
+                    "cpu_none": cpu_none,
+                    "cpu_idle": site.cpu(8),
+                }
             time.sleep(SETTLE)
-            before = held.anonymous()
-            with holders(held.fronts, count, rate):
+            before = site.anonymous()
+            with idle_connections(site.fronts, count, rate):
                 time.sleep(SETTLE)
-                row["bytes"] = round((held.anonymous() - before) / count)
-        say(json.dumps(row))
-        found.append(row)
-    return found
-
-
-def pairs(
-    count: int, rate: float, seconds: float, times: int, installation: str, say: Say
-) -> list[dict[str, Any]]:
-    """Busy latency with `count` idle connections and with none, in turn, each on a fresh front."""
-    found = []
-    for at in range(times):
-        pair: dict[str, Any] = {}
-        for idle in (0, count) if at % 2 == 0 else (count, 0):
-            with bench(1, count + RESERVE, None, installation) as held:
-                result(busy(held.fronts, rate, 2, 100 + at))
+                row["bytes"] = round((site.anonymous() - before) / count)
+        show(json.dumps(row))
+        rows.append(row)
+    return rows
+
+
+def measure_pairs(
+    count: int, rate: float, seconds: float, times: int, installation: str, show: Show
+) -> list[Row]:
+    """Busy latency with `count` idle connections and with none, alternately, each on a fresh front."""
+    pairs = []
+    for number in range(times):
+        pair: Row = {}
+        for idle in (0, count) if number % 2 == 0 else (count, 0):
+            with running_site(1, count + RESERVE, None, installation) as site:
+                BusyLoad(site.fronts, rate, 2, 100 + number).report()
                 if idle:
-                    with holders(held.fronts, idle, 2500):
+                    with idle_connections(site.fronts, idle):
                         time.sleep(SETTLE)
-                        told = result(busy(held.fronts, rate, seconds, 7 + at))
+                        report = BusyLoad(site.fronts, rate, seconds, 7 + number).report()
                 else:
-                    told = result(busy(held.fronts, rate, seconds, 7 + at))
-            pair["with" if idle else "none"] = told | {"front": held.counters()[0]}
-        row = {
-            name: told["latency_ms"] | {"timers_late": told["front"].get("max_timer_delay_ms")}
-            for name, told in pair.items()
+                    report = BusyLoad(site.fronts, rate, seconds, 7 + number).report()
+            pair["with" if idle else "none"] = report | {"front": site.counters()[0]}
+        shown = {
+            name: report["latency_ms"] | {"timers_late": report["front"].get("max_timer_delay_ms")}
+            for name, report in pair.items()
         }
-        say(json.dumps(row))
-        found.append(pair)
-    return found
+        show(json.dumps(shown))
+        pairs.append(pair)
+    return pairs
 
 
-def wakes(
-    count: int, rate: float, shares: list[float], what: str, installation: str, say: Say
-) -> list[dict[str, Any]]:
-    """Busy latency while a share of the idle wakes at once, and what became of those woken."""
-    found = []
+def measure_wakes(
+    count: int, rate: float, fractions: list[float], what: str, installation: str, show: Show
+) -> list[Row]:
+    """Busy latency while a fraction of the idle wakes at once, and what became of those woken."""
+    rows: list[Row] = []
     with (
-        bench(1, count + RESERVE, None, installation) as held,
-        holders(held.fronts, count, 2500) as each,
+        running_site(1, count + RESERVE, None, installation) as site,
+        idle_connections(site.fronts, count) as holders,
     ):
         time.sleep(SETTLE)
-        for share in shares:
-            load = busy(held.fronts, rate, 8, round(1000 * share))
+        for fraction in fractions:
+            load = BusyLoad(site.fronts, rate, 8, round(1000 * fraction))
             time.sleep(2.5)
-            each[0].tell(f"wake {share} {what} 12")
-            woken, told = each[0].hear(), result(load)
-            row = {"share": share, "what": what, "woken": woken, "busy": told}
-            row["busy"].pop("histogram")
-            say(json.dumps(row))
-            found.append(row)
+            holders[0].send(f"wake {fraction} {what} 12")
+            woken, report = holders[0].receive(), load.report()
+            report.pop("histogram")
+            row = {"share": fraction, "what": what, "woken": woken, "busy": report}
+            show(json.dumps(row))
+            rows.append(row)
             time.sleep(SETTLE)
-    found.append({"front": held.counters()[0]})
-    say(json.dumps(found[-1]))
-    return found
+    rows.append({"front": site.counters()[0]})
+    show(json.dumps(rows[-1]))
+    return rows
 
 
-def many(count: int, fronts: int, rate: float, seconds: float, installation: str, say: Say) -> dict[str, Any]:
-    """The published run: so many idle connections over several fronts, busy downloads beside them."""
-    with bench(fronts, count // fronts + RESERVE, None, installation) as held:
-        before, slab = held.anonymous(), process_usage.kernel_sockets()
-        with holders(held.fronts, count, 2500) as each:
+def measure_many(count: int, fronts: int, rate: float, seconds: float, installation: str, show: Show) -> Row:
+    """The published run: so many idle connections over several fronts, busy requests beside them."""
+    with running_site(fronts, count // fronts + RESERVE, None, installation) as site:
+        before, slab = site.anonymous(), process_usage.kernel_sockets()
+        with idle_connections(site.fronts, count) as holders:
             time.sleep(SETTLE)
-            idle_cpu = held.cpu(5)
-            told = result(busy(held.fronts, rate, seconds, 3))
-            open_now = 0
-            for holder in each:
-                holder.tell("count")
-                open_now += holder.hear()["open"]
-            row = {
-                "idle": count, "fronts": fronts, "open at the end": open_now,
-                "bytes": round((held.anonymous() - before) / count),
+            idle_cpu = site.cpu(5)
+            report = BusyLoad(site.fronts, rate, seconds, 3).report()
+            still_open = 0
+            for holder in holders:
+                holder.send("count")
+                still_open += holder.receive()["open"]
+            row: Row = {
+                "idle": count,
+                "fronts": fronts,
+                "open at the end": still_open,
+                "bytes": round((site.anonymous() - before) / count),
                 "kernel_bytes": round((process_usage.kernel_sockets() - slab) / count / 2),
-                "cpu_idle": idle_cpu, "busy": told,
-            }  # fmt: skip
-    row["counters"] = held.counters()
-    say(json.dumps({name: value for name, value in row.items() if name != "busy"}))
-    say(json.dumps(told["latency_ms"]))
+                "cpu_idle": idle_cpu,
+                "busy": report,
+            }
+    row["counters"] = site.counters()
+    show(json.dumps({name: value for name, value in row.items() if name != "busy"}))
+    show(json.dumps(report["latency_ms"]))
     return row
--- a/weldbend/testbed/load/process_usage.py
+++ b/weldbend/testbed/load/process_usage.py
@@ -5,10 +5,15 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 from pathlib import Path
-from typing import Any
 
-TICKS = os.sysconf("SC_CLK_TCK")
-PAGE = os.sysconf("SC_PAGE_SIZE")
+TICKS = os.sysconf("SC_CLK_TCK")  # of CPU time, a second
+PAGE = os.sysconf("SC_PAGE_SIZE")  # bytes
+KIBIBYTE = 1024
+# Places in /proc/PID/stat, counted from after the command's name.
+USER_TICKS, SYSTEM_TICKS, RESIDENT_PAGES = 11, 12, 21
+PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.9)  # of a plot
+
+Cell = str | int | float
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,45 +27,51 @@
 def usage(pid: int) -> Usage:
     """Raises OSError where the process is gone."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return Usage(int(fields[21]) * PAGE, (int(fields[11]) + int(fields[12])) / TICKS)
+    cpu = (int(fields[USER_TICKS]) + int(fields[SYSTEM_TICKS])) / TICKS
+    return Usage(int(fields[RESIDENT_PAGES]) * PAGE, cpu)
+
+
+def read_kibibytes(path: str, name: str) -> int | None:
+    """The bytes that a line of a file of the kernel states in kB; None where there is no such line."""
+    for line in Path(path).read_text().splitlines():
+        if line.startswith(name):
+            return int(line.split()[1]) * KIBIBYTE
+    return None
 
 
 def anonymous(pid: int) -> int:
-    """Bytes of a process's own memory, without what it shares with files."""
-    for line in Path(f"/proc/{pid}/status").read_text().splitlines():
-        if line.startswith("RssAnon:"):
-            return int(line.split()[1]) * 1024
-    return usage(pid).memory
+    """Bytes of a process's own memory, without what it shares with files; raises OSError."""
+    size = read_kibibytes(f"/proc/{pid}/status", "RssAnon:")
+    return usage(pid).memory if size is None else size
 
 
 def kernel_sockets() -> int:
     """Bytes of the kernel's own structures (slab), of the whole machine."""
-    for line in Path("/proc/meminfo").read_text().splitlines():
-        if line.startswith("Slab:"):
-            return int(line.split()[1]) * 1024
-    return 0
+    return read_kibibytes("/proc/meminfo", "Slab:") or 0
 
 
-def table(rows: Sequence[Sequence[Any]], head: Sequence[str]) -> str:
-    """Columns set below each other; figures to the right."""
+def table(rows: Sequence[Sequence[Cell]], head: Sequence[str]) -> str:
+    """Aligned columns; the first to the left, the others to the right."""
     texts = [[f"{cell:.2f}" if isinstance(cell, float) else str(cell) for cell in row] for row in rows]
-    widths = [max(len(line[at]) for line in [list(head), *texts]) for at in range(len(head))]
-    lines = [
+    lines = [list(head), *texts]
+    widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
+    return "\n".join(
         "  ".join(
-            cell.ljust(width) if at == 0 else cell.rjust(width)
-            for at, (cell, width) in enumerate(zip(line, widths, strict=True))
+            cell.ljust(width) if column == 0 else cell.rjust(width)
+            for column, (cell, width) in enumerate(zip(line, widths, strict=True))
         )
-        for line in [list(head), *texts]
-    ]
-    return "\n".join(lines)
+        for line in lines
+    )
 
 
-def write(path: str, report: Any) -> None:
+def write(path: str, report: object) -> None:
+    """Write a report as JSON."""
     Path(path).write_text(json.dumps(report, indent=1) + "\n")
 
 
 def plot(path: str, histograms: dict[str, str], title: str) -> None:
-    """Latency by percentile, a line for each encoded histogram, as a PNG."""
+    """Draw latency by percentile, a line for each encoded histogram, as a PNG."""
+    # Here, so that only a command that draws loads them.
     import matplotlib
 
     matplotlib.use("Agg")
@@ -68,11 +79,11 @@
     from matplotlib import pyplot
 
     figure, axes = pyplot.subplots(figsize=(8, 5))
-    shares = [0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.9]
+    labels = [f"{percentile:g}" for percentile in PERCENTILES]
     for name, encoded in histograms.items():
-        held = HdrHistogram.decode(encoded)
-        found = [held.get_value_at_percentile(share) / 1000 for share in shares]
-        axes.plot([f"{share:g}" for share in shares], found, marker="o", label=name)
+        histogram = HdrHistogram.decode(encoded)
+        latencies = [histogram.get_value_at_percentile(percentile) / 1000 for percentile in PERCENTILES]
+        axes.plot(labels, latencies, marker="o", label=name)
     axes.set(xlabel="percentile", ylabel="latency, ms", yscale="log", title=title)
     axes.grid(alpha=0.3)
     axes.legend()
--- /dev/null
+++ b/weldbend/testbed/simulation/audit_records.py
@@ -0,0 +1,129 @@
+"""What the auditor keeps of a run: the site's rules, requests with their attempts, and violations."""
+
+from collections import deque
+from dataclasses import dataclass, field
+from enum import Enum, StrEnum
+
+from weldbend.testbed.load.client_calls import ClientAnswer
+
+NEVER_EXECUTED = ("LACK", "WAIT", "PAST")  # answers of a cache that did not execute the command
+
+
+class Effect(Enum):
+    """What repeating a request of some class may do."""
+
+    IDEMPOTENT = "idempotent"
+    DEDUPLICATED = "idempotent with an idempotency key, within its window"
+    AT_MOST_ONCE = "non-idempotent"
+
+
+class Rule(StrEnum):
+    """The rules that are checked, by their published names."""
+
+    ONE_ANSWER = "one answer"  # one final answer to each request, before its deadline
+    NO_DOUBLE_EFFECT = "no effect twice"  # nothing is executed twice, and no two attempts are in flight
+    DRAINS = "drains kept"  # nothing goes to a cache that is draining, nor takes it as a source
+    PURGES = "purges kept"  # no copy older than a purge is served
+    WARMING_UP = "cold not pushed over"  # a cache that warms up gets no more than its budget
+
+
+@dataclass(frozen=True, slots=True)
+class WarmUpRule:
+    """How much may be sent to a kind of cache that has started."""
+
+    least_fraction: float  # of its weight, at its start
+    warm_after: float  # seconds until it takes all
+    multiple: float  # of what it bears, that it may be sent within `Rules.window`
+
+
+@dataclass(frozen=True, slots=True)
+class Rules:
+    """The site's figures. Times are in seconds."""
+
+    effects: dict[str, Effect]  # by request class
+    windows: dict[str, float]  # of deduplication, by request class
+    warm_ups: dict[str, WarmUpRule] = field(default_factory=dict)  # by kind of cache
+    window: float = 2.0  # over which a cold start's budget is counted
+    flow: float = 1000.0  # KB that one flow sends in a second
+    drain: float = 0.5  # until a drain has to be in effect
+    purge: float = 0.5  # until a purge has to be in effect
+    start: float = 0.5  # until a cache's start has to be in effect
+
+
+@dataclass(slots=True)
+class CacheStart:
+    """A cache that has started, and what was sent to it since."""
+
+    announced: float  # when the event bus published it
+    began: float
+    weight: float
+    kind: str
+    sent: deque[tuple[float, str]] = field(default_factory=deque)  # (when, request class)
+
+
+@dataclass(frozen=True, slots=True)
+class Purge:
+    """A purge of one key, or of a group where there is no key."""
+
+    announced: float  # when the event bus published it
+    key: str | None
+    group: int
+    stamp: float  # Unix milliseconds; copies born before are purged
+
+
+@dataclass(frozen=True, slots=True)
+class Violation:
+    """One broken rule, with the messages that prove it."""
+
+    rule: Rule
+    request: str
+    at: float
+    proof: tuple[str, ...]
+
+    def __str__(self) -> str:
+        return f"{self.rule}: request {self.request} at {self.at:.4f}: {'; '.join(self.proof)}"
+
+
+@dataclass(slots=True)
+class Attempt:
+    """One attempt of a request at a cache."""
+
+    at: float
+    cache: str
+    link: int
+    source: str | None
+    ended: float | None = None
+    outcome: str = ""  # how it ended: an answer's word, `undone` or `reset`
+    born: float | None = None  # Unix milliseconds of the copy that it brought
+
+    def is_possibly_executed(self) -> bool:
+        """Whether its command may have been executed."""
+        return self.outcome not in NEVER_EXECUTED
+
+    def __str__(self) -> str:
+        state = f"{self.outcome} at {self.ended:.4f}" if self.ended is not None else "in flight"
+        return f"attempt at {self.cache} at {self.at:.4f} ({state})"
+
+
+@dataclass(slots=True)
+class RequestRecord:
+    """One request at one front."""
+
+    name: str
+    request_class: str
+    key: str
+    group: int
+    link: int
+    seqid: int
+    received: float
+    deadline: float
+    work: float  # seconds that one flow takes to send its result
+    answers: list[tuple[float, ClientAnswer]] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
+    cancelled: float | None = None  # when its client stopped waiting, or its connection ended
+    excuse: str = ""  # why it needs no answer
+
+    def is_unanswered(self, slack: float, end: float) -> bool:
+        """Whether its client still waited at the deadline, that deadline is over, and nothing excuses it."""
+        is_awaited = self.cancelled is None or self.cancelled > self.deadline + slack
+        return is_awaited and not self.excuse and self.deadline + slack < end
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -1,325 +1,286 @@
-"""The auditor: checks the rules from what crossed the sockets and what the bus told, and from nothing else.
+"""The auditor: checks the rules from what crossed the sockets and what the event bus published only.
 
-It shares no code with the decisions. Covered here: one final answer in time; no effect twice, and never two
-pulls out; drains kept, sources included; cold budgets of edges and parents over all fronts together, by the
-straight line from the least share to all (the real curve is not told); purges kept.
+It shares no code with the decisions. Checked are the rules of `audit_records.Rule`; the budgets of caches
+that warm up hold over all fronts together, and grow along a straight line from the least fraction to all,
+since the real curve is not published.
 """
 
-from collections import defaultdict, deque
-from dataclasses import dataclass, field
+from collections import defaultdict
 from typing import Any
 
 from weldbend.cache_protocol.answers import Answer
 from weldbend.testbed.emulator.cache_commands import Command
-from weldbend.testbed.load.client_calls import Heard
-from weldbend.testbed.simulation.observer import GiveUp, Process, Seen
+from weldbend.testbed.load.client_calls import ClientAnswer
+from weldbend.testbed.simulation.audit_records import (
+    Attempt,
+    CacheStart,
+    Effect,
+    Purge,
+    RequestRecord,
+    Rule,
+    Rules,
+    Violation,
+    WarmUpRule,
+)
+from weldbend.testbed.simulation.observer import ConnectionEvent, ObservedMessage
+from weldbend.thrift.messages import GiveUp, Process
 
 SLACK = 0.05  # seconds that a time limit is longer on sockets
-NEVER_RAN = ("LACK", "WAIT", "PAST")
 
-
-@dataclass(frozen=True, slots=True)
-class Rules:
-    """The site's figures, in seconds; `effects` says retriable, deduped or non-retriable of each type.
-
-    `cold` holds for each kind of cache its least share, the time until it is warm, and the multiple of what
-    it bears that it may be sent within `window`; `flow` is KB that one flow sends in a second.
-    """
-
-    effects: dict[str, str]
-    windows: dict[str, float]
-    cold: dict[str, tuple[float, float, float]] = field(default_factory=dict)
-    window: float = 2.0
-    flow: float = 1000.0
-    drain: float = 0.5
-    purge: float = 0.5
-    start: float = 0.5
-
-
-@dataclass(slots=True)
-class Start:
-    """A cache that started lately, and what was sent to it: (when, content type), each of mean work."""
-
-    told: float
-    began: float
-    weight: float
-    kind: str
-    sent: deque[tuple[float, str]] = field(default_factory=deque)
-
-
-@dataclass(frozen=True, slots=True)
-class Breach:
-    """One broken rule, with the messages that prove it."""
-
-    rule: str
-    request: str
-    at: float
-    proof: tuple[str, ...]
-
-    def __str__(self) -> str:
-        return f"{self.rule}: download {self.request} at {self.at:.4f}: {'; '.join(self.proof)}"
-
-
-@dataclass(slots=True)
-class Attempt:
-    at: float
-    cache: str
-    link: int
-    source: str | None
-    ended: float | None = None
-    word: str = ""  # how it ended: an answer's word, `undone` or `reset`
-    born: float | None = None  # Unix milliseconds of the copy that it brought
-
-    def may_have_run(self) -> bool:
-        return self.word not in NEVER_RAN
-
-
-@dataclass(slots=True)
-class Case:
-    """One download at one front."""
-
-    name: str
-    type: str
-    key: str
-    group: int
-    link: int
-    seqid: int
-    asked: float
-    deadline_after: float
-    work: float  # seconds that one flow takes to send it
-    answers: list[tuple[float, Heard]] = field(default_factory=list)
-    attempts: list[Attempt] = field(default_factory=list)
-    withdrawn: float | None = None  # when its client stopped waiting, or its connection ended
-    excused: str = ""
+__all__ = ["Auditor", "Effect", "Rule", "Rules", "Violation", "WarmUpRule"]
 
 
 class Auditor:
-    """Told of messages in their order; gives its verdict at the end.
-
-    `names` maps the address of a cache to its uid at that moment.
-    """
+    """Receives messages and events in their order; `verdict` is called at the end."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
-        self.cases: dict[tuple[str, str], Case] = {}  # by front and download's id
-        self.by_call: dict[tuple[int, int], Case] = {}
-        self.links: dict[int, set[tuple[str, str]]] = defaultdict(set)  # downloads with a pull out on a link
-        self.down: set[str] = set()
-        self.starts: dict[str, Start] = {}
-        self.draining: dict[str, float] = {}  # uid -> when it counts as told
-        self.purges: list[tuple[float, str | None, int, float]] = []  # told, key, group, Unix milliseconds
-        self.breaches: list[Breach] = []
+        self.requests: dict[tuple[str, str], RequestRecord] = {}  # by front and the request's id
+        self.by_call: dict[tuple[int, int], RequestRecord] = {}  # by link and seqid
+        # Requests with an attempt in flight on a link.
+        self.in_flight: dict[int, set[tuple[str, str]]] = defaultdict(set)
+        self.down_fronts: set[str] = set()
+        self.starts: dict[str, CacheStart] = {}
+        self.draining: dict[str, float] = {}  # uid -> when the event bus published it
+        self.purges: list[Purge] = []
+        self.violations: list[Violation] = []
         self.counts: dict[str, int] = defaultdict(int)
-        self.works: dict[
-            str, tuple[float, int]
-        ] = {}  # seconds of one flow that each type took, and how often
-        self.worst = 0.0  # of a cold cache's budget that was used in any window
-        self.deaf: dict[str, list[tuple[float, float]]] = defaultdict(
-            list
-        )  # when nothing could reach a front
+        # Seconds of one flow that the requests of each class take together, and their number.
+        self.work: dict[str, tuple[float, int]] = {}
+        # (since, until) for which nothing could reach a front.
+        self.unreachable_spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
 
-    # What the bus tells, and what happens to fronts.
+    # What the event bus publishes, and what happens to fronts.
 
-    def told(self, at: float, unix: float, event: dict[str, Any]) -> None:
+    def on_bus_event(self, at: float, unix: float, event: dict[str, Any]) -> None:
         """An event of the bus, at a moment of the run that is `unix` seconds of the Unix clock."""
         for target in event.get("topology", {}).get("targets", ()):
             if target["state"] == "up" and target["boot_ms"]:
                 began = at - (unix - target["boot_ms"] / 1000)
-                weight = target["capacity_hint"]
-                self.starts[target["uid"]] = Start(at, began, weight, target["model"])
+                self.starts[target["uid"]] = CacheStart(at, began, target["capacity_hint"], target["model"])
             if target["state"] == "up":
                 self.draining.pop(target["uid"], None)
             else:
                 self.draining.setdefault(target["uid"], at)
         if ban := event.get("ban"):
-            self.purges.append((at, ban.get("url"), ban.get("tag", 0), ban["ts"]))
-
-    def killed(self, front: str) -> None:
-        self.down.add(front)
-        for (name, _), case in self.cases.items():
-            if name == front and not case.answers:
-                case.excused = case.excused or "its front was killed"
-
-    def started(self, front: str) -> None:
-        self.down.discard(front)
-
-    def unreachable(self, front: str, since: float, until: float, frozen: bool) -> None:
-        """Nothing could be told to it; frozen, it could not answer either."""
-        self.deaf[front].append((since, until))
-        for (name, _), case in self.cases.items() if frozen else ():
-            if name == front and not case.answers and case.deadline_after > since:
-                case.excused = case.excused or "its front was frozen"
-
-    def knew(self, front: str, told: float) -> float:
-        """When a front could first know what was told at a moment."""
-        for since, until in sorted(self.deaf[front]):
-            if since <= told < until:
-                told = until
-        return told
+            self.purges.append(Purge(at, ban.get("url"), ban.get("tag", 0), ban["ts"]))
+
+    def on_front_killed(self, front: str) -> None:
+        """A front died: what it had not answered is excused."""
+        self.down_fronts.add(front)
+        for (name, _), request in self.requests.items():
+            if name == front and not request.answers:
+                request.excuse = request.excuse or "its front was killed"
+
+    def on_front_started(self, front: str) -> None:
+        """A front is up."""
+        self.down_fronts.discard(front)
+
+    def on_front_unreachable(self, front: str, since: float, until: float, is_frozen: bool) -> None:
+        """Nothing could be announced to a front for a time; frozen, it could not answer either."""
+        self.unreachable_spans[front].append((since, until))
+        for (name, _), request in self.requests.items() if is_frozen else ():
+            if name == front and not request.answers and request.deadline > since:
+                request.excuse = request.excuse or "its front was frozen"
+
+    def known_since(self, front: str, announced: float) -> float:
+        """When a front could first know what was announced at a moment."""
+        for since, until in sorted(self.unreachable_spans[front]):
+            if since <= announced < until:
+                announced = until
+        return announced
 
     # What crosses the sockets.
 
-    def see(self, seen: Seen) -> None:
-        match seen.what:
-            case Process():
-                self.ask(seen, seen.what)
+    def on_message(self, observed: ObservedMessage) -> None:
+        """One message, or the end of a connection."""
+        match observed.message:
+            case Process() as call:
+                self._on_request(observed, call)
             case GiveUp(seqid):
-                if case := self.by_call.get((seen.link, seqid)):
-                    case.withdrawn = seen.at
-            case Heard():
-                self.answer(seen, seen.what)
-            case Command():
-                self.command(seen, seen.what)
-            case Answer():
-                self.cache_answer(seen, seen.what)
-            case "gone":
-                self.gone(seen)
-
-    def breach(self, rule: str, case: Case | str, at: float, *proof: str) -> None:
-        name = case if isinstance(case, str) else case.name
-        self.breaches.append(Breach(rule, name, at, proof))
-
-    def ask(self, seen: Seen, call: Process) -> None:
+                if request := self.by_call.get((observed.link, seqid)):
+                    request.cancelled = observed.at
+            case ClientAnswer() as answer:
+                self._on_client_answer(observed, answer)
+            case Command() as command:
+                self._on_command(observed, command)
+            case Answer() as answer:
+                self._on_cache_answer(observed, answer)
+            case ConnectionEvent.CLOSED:
+                self._on_closed(observed)
+
+    def _add_violation(self, rule: Rule, request: RequestRecord | str, at: float, *proof: str) -> None:
+        name = request if isinstance(request, str) else request.name
+        self.violations.append(Violation(rule, name, at, proof))
+
+    def _on_request(self, observed: ObservedMessage, call: Process) -> None:
         fields = call.fields
-        case = Case(
-            fields["id"], fields["class"], fields["key"], int(fields["batch"]), seen.link, call.seqid,
-            seen.at, seen.at + int(fields["wait"]) / 1000, float(fields["kb"]) / self.rules.flow,
-        )  # fmt: skip
-        case.excused = "its front was down" if seen.front in self.down else ""
-        total, count = self.works.get(case.type, (0.0, 0))
-        self.works[case.type] = total + case.work, count + 1
-        self.cases[seen.front, case.name] = self.by_call[seen.link, call.seqid] = case
+        request = RequestRecord(
+            name=fields["id"],
+            request_class=fields["class"],
+            key=fields["key"],
+            group=int(fields["batch"]),
+            link=observed.link,
+            seqid=call.seqid,
+            received=observed.at,
+            deadline=observed.at + int(fields["wait"]) / 1000,
+            work=float(fields["kb"]) / self.rules.flow,
+        )
+        request.excuse = "its front was down" if observed.front in self.down_fronts else ""
+        total, count = self.work.get(request.request_class, (0.0, 0))
+        self.work[request.request_class] = total + request.work, count + 1
+        self.requests[observed.front, request.name] = request
+        self.by_call[observed.link, call.seqid] = request
         self.counts["downloads"] += 1
 
-    def answer(self, seen: Seen, heard: Heard) -> None:
-        if heard.outcome == "probe":
+    def _on_client_answer(self, observed: ObservedMessage, answer: ClientAnswer) -> None:
+        if answer.outcome == "probe":
             return
-        case = self.by_call.get((seen.link, heard.seqid))
-        if case is None:
-            self.breach("one answer", f"seqid {heard.seqid}", seen.at, "an answer to nothing asked")
+        at, request = observed.at, self.by_call.get((observed.link, answer.seqid))
+        if request is None:
+            self._add_violation(Rule.ONE_ANSWER, f"seqid {answer.seqid}", at, "an answer to no request")
             return
-        self.counts[heard.outcome] += 1
-        if case.answers:
-            before, first = case.answers[0]
-            self.breach("one answer", case, seen.at, f"{first.outcome} at {before:.4f}, then {heard.outcome}")
-        case.answers.append((seen.at, heard))
-        if seen.at > case.deadline_after + SLACK and not case.excused:
-            self.breach(
-                "one answer", case, seen.at, f"{heard.outcome} after its expiry {case.deadline_after:.4f}"
+        self.counts[answer.outcome] += 1
+        if request.answers:
+            before, first = request.answers[0]
+            self._add_violation(
+                Rule.ONE_ANSWER, request, at, f"{first.outcome} at {before:.4f}, then {answer.outcome}"
             )
-        ran = [attempt for attempt in case.attempts if attempt.may_have_run()]
-        if heard.outcome == "throttled" and ran and self.rules.effects[case.type] == "non-retriable":
-            self.breach("no effect twice", case, seen.at, f"throttled, though {shown(ran[0])}")
-        if heard.outcome == "fulfilled" and not heard.fields.get("ok304"):
-            self.check_purges(seen.at, case, seen.front)
-
-    def check_purges(self, at: float, case: Case, front: str) -> None:
-        attempt = next((p for p in reversed(case.attempts) if p.word == "DONE"), None)
+        request.answers.append((at, answer))
+        if at > request.deadline + SLACK and not request.excuse:
+            self._add_violation(
+                Rule.ONE_ANSWER, request, at, f"{answer.outcome} after its deadline {request.deadline:.4f}"
+            )
+        executed = [attempt for attempt in request.attempts if attempt.is_possibly_executed()]
+        effect = self.rules.effects[request.request_class]
+        if answer.outcome == "throttled" and executed and effect is Effect.AT_MOST_ONCE:
+            self._add_violation(Rule.NO_DOUBLE_EFFECT, request, at, f"rejected, despite {executed[0]}")
+        if answer.outcome == "fulfilled" and not answer.fields.get("ok304"):
+            self._check_purges(at, request, observed.front)
+
+    def _check_purges(self, at: float, request: RequestRecord, front: str) -> None:
+        attempt = next((p for p in reversed(request.attempts) if p.outcome == "DONE"), None)
         if attempt is None:
-            self.breach("one answer", case, at, "fulfilled, though no cache had made it")
+            self._add_violation(Rule.ONE_ANSWER, request, at, "served, though no cache had made it")
             return
-        for told, key, group, stamp in self.purges:
-            hit = key == case.key if key else group == case.group
-            late = attempt.at > self.knew(front, told) + self.rules.purge + SLACK
-            if hit and late and attempt.born is not None and attempt.born < stamp:
-                self.breach(
-                    "purges kept", case, at, f"purge of {stamp} told at {told:.4f}",
-                    f"copy born {attempt.born:.0f} served by {shown(attempt)}",
-                )  # fmt: skip
+        for purge in self.purges:
+            is_hit = purge.key == request.key if purge.key else purge.group == request.group
+            in_effect = self.known_since(front, purge.announced) + self.rules.purge + SLACK
+            is_late = attempt.at > in_effect
+            if is_hit and is_late and attempt.born is not None and attempt.born < purge.stamp:
+                self._add_violation(
+                    Rule.PURGES,
+                    request,
+                    at,
+                    f"purge of {purge.stamp} published at {purge.announced:.4f}",
+                    f"copy born {attempt.born:.0f} served by {attempt}",
+                )
 
-    def command(self, seen: Seen, command: Command) -> None:
-        case = self.cases.get((seen.front, command.name))
-        if case is None:
+    def _on_command(self, observed: ObservedMessage, command: Command) -> None:
+        at, request = observed.at, self.requests.get((observed.front, command.name))
+        if request is None:
             if command.word == "do":
-                self.breach("one answer", command.name, seen.at, "a pull that no client asked for")
-            return
-        if command.word == "undo":
-            for attempt in case.attempts:
-                if attempt.ended is None and attempt.link == seen.link:
-                    attempt.ended, attempt.word = seen.at, "undone"
-            return
-        if command.word != "do":
-            return
+                self._add_violation(Rule.ONE_ANSWER, command.name, at, "an attempt of no client's request")
+        elif command.word == "undo":
+            self._end_attempts(request, observed, "undone")
+        elif command.word == "do":
+            self._on_attempt(observed, request, command.fields.get("from"))
+
+    def _on_attempt(self, observed: ObservedMessage, request: RequestRecord, source: str | None) -> None:
         self.counts["pulls"] += 1
-        attempt = Attempt(seen.at, seen.other, seen.link, command.fields.get("from"))
-        self.check_effects(seen.at, case)
-        self.check_drains(seen.at, case, attempt, seen.front)
+        attempt = Attempt(observed.at, observed.peer, observed.link, source)
+        self._check_effects(observed.at, request)
+        self._check_drains(attempt, request, observed.front)
         for uid in {attempt.cache: None, attempt.source: None}:
             if uid in self.starts:
-                self.check_start(seen.at, case, uid, self.starts[uid], seen.front)
-        case.attempts.append(attempt)
-        self.links[seen.link].add((seen.front, case.name))
-
-    def check_effects(self, at: float, case: Case) -> None:
-        for attempt in case.attempts:
+                self._check_warm_up(observed, request, uid, self.starts[uid])
+        request.attempts.append(attempt)
+        self.in_flight[observed.link].add((observed.front, request.name))
+
+    @staticmethod
+    def _end_attempts(request: RequestRecord, observed: ObservedMessage, outcome: str) -> list[Attempt]:
+        """End those in flight on a link; returns them."""
+        ended = [a for a in request.attempts if a.ended is None and a.link == observed.link]
+        for attempt in ended:
+            attempt.ended = observed.at
+            attempt.outcome = outcome
+        return ended
+
+    def _check_effects(self, at: float, request: RequestRecord) -> None:
+        for attempt in request.attempts:
             if attempt.ended is None:
-                self.breach("no effect twice", case, at, f"a second copy: {shown(attempt)} is still out")
-        ran = [attempt for attempt in case.attempts if attempt.may_have_run()]
-        effect = self.rules.effects[case.type]
-        if ran and effect == "non-retriable":
-            self.breach("no effect twice", case, at, f"pulled again, though {shown(ran[0])}")
-        if ran and effect == "deduped" and at > ran[0].at + self.rules.windows[case.type] + SLACK:
-            self.breach("no effect twice", case, at, f"pulled again past the window of {shown(ran[0])}")
+                self._add_violation(Rule.NO_DOUBLE_EFFECT, request, at, f"a second attempt beside {attempt}")
+        executed = [attempt for attempt in request.attempts if attempt.is_possibly_executed()]
+        if not executed:
+            return
+        effect = self.rules.effects[request.request_class]
+        if effect is Effect.AT_MOST_ONCE:
+            self._add_violation(Rule.NO_DOUBLE_EFFECT, request, at, f"retried, despite {executed[0]}")
+        if effect is Effect.DEDUPLICATED:
+            window = self.rules.windows[request.request_class]
+            if at > executed[0].at + window + SLACK:
+                self._add_violation(
+                    Rule.NO_DOUBLE_EFFECT, request, at, f"retried past the window of {executed[0]}"
+                )
 
-    def check_drains(self, at: float, case: Case, attempt: Attempt, front: str) -> None:
+    def _check_drains(self, attempt: Attempt, request: RequestRecord, front: str) -> None:
+        at = attempt.at
         for uid, role in ((attempt.cache, "cache"), (attempt.source, "source")):
-            if uid in self.draining and at > self.knew(front, self.draining[uid]) + self.rules.drain + SLACK:
-                self.breach(
-                    "drains kept",
-                    case,
-                    at,
-                    f"{uid} told to drain at {self.draining[uid]:.4f}",
-                    f"pull as {role}",
+            if uid not in self.draining:
+                continue
+            announced = self.draining[uid]
+            if at > self.known_since(front, announced) + self.rules.drain + SLACK:
+                self._add_violation(
+                    Rule.DRAINS, request, at, f"{uid} draining since {announced:.4f}", f"attempt as {role}"
                 )
 
-    def check_start(self, at: float, case: Case, uid: str, start: Start, front: str) -> None:
-        if start.kind not in self.rules.cold or at < self.knew(front, start.told) + self.rules.start:
+    def _check_warm_up(
+        self, observed: ObservedMessage, request: RequestRecord, uid: str, start: CacheStart
+    ) -> None:
+        at, rule = observed.at, self.rules.warm_ups.get(start.kind)
+        if rule is None or at < self.known_since(observed.front, start.announced) + self.rules.start:
             return
-        least, warm, multiple = self.rules.cold[start.kind]
-        share = least + (1 - least) * (at - start.began) / warm
-        start.sent.append((at, case.type))
+        fraction = rule.least_fraction + (1 - rule.least_fraction) * (at - start.began) / rule.warm_after
+        start.sent.append((at, request.request_class))
         while start.sent[0][0] < at - self.rules.window:
             start.sent.popleft()
-        mean = {kind: total / count for kind, (total, count) in self.works.items()}
-        sent = sum(mean[kind] for _, kind in start.sent)
-        most = multiple * share * start.weight * self.rules.window
-        self.counts["pulls to cold"] += share < 1
-        if share < 1:
-            self.worst = max(self.worst, (sent - mean[case.type]) / most)
-        if share < 1 and sent > most + mean[case.type]:
-            self.breach(
-                "cold not pushed over", case, at, f"{uid} began at {start.began:.4f}",
-                f"{sent:.2f} sent in {self.rules.window} s, {most:.2f} may be",
-            )  # fmt: skip
-
-    def cache_answer(self, seen: Seen, answer: Answer) -> None:
-        case = self.cases.get((seen.front, answer.name))
-        for attempt in case.attempts if case else ():
-            if attempt.ended is None and attempt.link == seen.link:
-                attempt.ended, attempt.word = seen.at, answer.status
-                born = answer.fields.get("born", "")
-                attempt.born = float(born) if born.isdigit() else None
-
-    def gone(self, seen: Seen) -> None:
-        """A connection has ended for the front: pulls on it are over, and so is waiting for answers on it."""
-        for key in sorted(self.links.pop(seen.link, ())):
-            for attempt in self.cases[key].attempts:
-                if attempt.ended is None and attempt.link == seen.link:
-                    attempt.ended, attempt.word = seen.at, "reset"
-        for (link, _), case in self.by_call.items():
-            if link == seen.link and case.withdrawn is None:
-                case.withdrawn = seen.at
-
-    def verdict(self, end: float) -> list[Breach]:
-        """All breaches, once no download is open any more at `end`."""
-        for case in self.cases.values():
-            waited = case.withdrawn is None or case.withdrawn > case.deadline_after + SLACK
-            if not case.answers and waited and not case.excused and case.deadline_after + SLACK < end:
-                proof = [f"asked at {case.asked:.4f}", *map(shown, case.attempts)]
-                self.breach("one answer", case, case.deadline_after, "none before its expiry", *proof)
-        return self.breaches
-
+        self.counts["pulls to cold"] += fraction < 1
+        if fraction >= 1:
+            return
+        mean = {name: total / count for name, (total, count) in self.work.items()}
+        sent = sum(mean[name] for _, name in start.sent)
+        budget = rule.multiple * fraction * start.weight * self.rules.window
+        if sent > budget + mean[request.request_class]:
+            self._add_violation(
+                Rule.WARMING_UP,
+                request,
+                at,
+                f"{uid} began at {start.began:.4f}",
+                f"{sent:.2f} sent in {self.rules.window} s, {budget:.2f} may be",
+            )
 
-def shown(attempt: Attempt) -> str:
-    how = f"{attempt.word} at {attempt.ended:.4f}" if attempt.ended is not None else "out"
-    return f"pull to {attempt.cache} at {attempt.at:.4f} ({how})"
+    def _on_cache_answer(self, observed: ObservedMessage, answer: Answer) -> None:
+        request = self.requests.get((observed.front, answer.name))
+        if request is None:
+            return
+        for attempt in self._end_attempts(request, observed, answer.status):
+            born = answer.fields.get("born", "")
+            attempt.born = float(born) if born.isdigit() else None
+
+    def _on_closed(self, observed: ObservedMessage) -> None:
+        """A connection has ended for the front: attempts on it are over, and nobody waits on it."""
+        for key in sorted(self.in_flight.pop(observed.link, ())):
+            self._end_attempts(self.requests[key], observed, "reset")
+        for (link, _), request in self.by_call.items():
+            if link == observed.link and request.cancelled is None:
+                request.cancelled = observed.at
+
+    def verdict(self, end: float) -> list[Violation]:
+        """All violations, at the end of the run."""
+        for request in self.requests.values():
+            if not request.answers and request.is_unanswered(SLACK, end):
+                proof = [f"received at {request.received:.4f}", *map(str, request.attempts)]
+                self._add_violation(
+                    Rule.ONE_ANSWER, request, request.deadline, "none before its deadline", *proof
+                )
+        return self.violations
--- /dev/null
+++ b/weldbend/testbed/simulation/machine.py
@@ -0,0 +1,271 @@
+"""Virtual machines: each is the Twisted reactor of one process, in memory and repeatable.
+
+A machine that is killed runs nothing any more, and its peers are notified as a real network would do it.
+"""
+
+from collections import deque
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet.address import IPv4Address
+from twisted.internet.error import ConnectionRefusedError as TwistedConnectionRefusedError
+from twisted.internet.error import TimeoutError as TwistedTimeoutError
+from twisted.internet.protocol import ClientFactory, DatagramProtocol, Factory
+from twisted.python.failure import Failure
+
+from weldbend.testbed.simulation.datagrams import DatagramPort
+from weldbend.testbed.simulation.event_queue import DelayedCall
+from weldbend.testbed.simulation.network import AddressTakenError, VirtualNetwork
+from weldbend.testbed.simulation.transports import Transport
+
+
+class FakeSocket:
+    """A socket whose options have no effect."""
+
+    def setsockopt(self, *_: object) -> None:
+        """Accept any option."""
+
+
+class ListeningPort:
+    """A listening TCP port, with the members of Twisted's that a front uses."""
+
+    def __init__(self, machine: "Machine", host: str, port: int, factory: Factory) -> None:
+        self.machine = machine
+        self.address = (host, port)
+        self.factory = factory
+        self.is_paused = False
+        self.backlog = deque[Callable[[], None]]()  # connections to be accepted
+        self.socket = FakeSocket()
+        self.numberAccepts = 1
+
+    def getHost(self) -> IPv4Address:
+        """The address that it listens on."""
+        return IPv4Address("TCP", *self.address)
+
+    def pauseProducing(self) -> None:
+        """Accept no more for now."""
+        self.is_paused = True
+
+    def resumeProducing(self) -> None:
+        """Accept what has waited, and what comes."""
+        self.is_paused = False
+        while self.backlog and not self.is_paused:
+            self.backlog.popleft()()
+
+    def doRead(self) -> None:
+        """Accept all that waits, paused or not."""
+        while self.backlog:
+            self.backlog.popleft()()
+
+    def stopListening(self) -> None:
+        """Close the port; what waits is dropped."""
+        self.machine.network.ports.pop(self.address, None)
+        self.backlog.clear()
+
+
+class Connector:
+    """An attempt to connect, and the connection that came of it."""
+
+    def __init__(self, host: str, port: int) -> None:
+        self.is_cancelled = False
+        self.destination = IPv4Address("TCP", host, port)
+        self.transport: Transport | None = None
+
+    def disconnect(self) -> None:
+        """Close the connection, or cancel the attempt."""
+        if self.transport:
+            self.transport.loseConnection()
+        else:
+            self.is_cancelled = True
+
+    stopConnecting = disconnect
+
+    def getDestination(self) -> IPv4Address:
+        """The address that is dialled."""
+        return self.destination
+
+
+class ConnectionAttempt:
+    """One `connectTCP`, step by step: the request arrives, is accepted, and the client's end comes up."""
+
+    def __init__(
+        self, machine: "Machine", connector: Connector, factory: ClientFactory, timeout: float
+    ) -> None:
+        self.machine = machine
+        self.network = machine.network
+        self.connector = connector
+        self.factory = factory
+        self.timeout = timeout  # seconds until an attempt that is not answered fails
+
+    def arrive(self) -> None:
+        """The request has reached the host that is dialled, if the network lets it."""
+        network, here = self.network, self.machine.host
+        there, port = self.connector.destination.host, self.connector.destination.port
+        is_reachable = not {here, there} & network.unreachable_hosts
+        if not (is_reachable and network.is_open(here, there) and network.is_open(there, here)):
+            self.machine.callLater(self.timeout, self._fail, TwistedTimeoutError)
+            return
+        listening = network.ports.get((there, port))
+        if listening is None:
+            self.machine.callLater(network.latency(), self._fail, TwistedConnectionRefusedError)
+        elif listening.is_paused:
+            listening.backlog.append(lambda: self._accept(listening))
+        else:
+            self._accept(listening)
+
+    def _fail(self, kind: type[Exception]) -> None:
+        if not self.connector.is_cancelled:
+            failure = Failure(kind())  # type: ignore[no-untyped-call]  # Twisted's
+            self.factory.clientConnectionFailed(self.connector, failure)  # type: ignore[arg-type]  # IConnector
+
+    def _accept(self, listening: ListeningPort) -> None:
+        if self.connector.is_cancelled or not self.machine.is_alive:
+            return
+        near = Transport(self.machine, self.connector.destination.host)
+        far = Transport(listening.machine, self.machine.host)
+        near.peer, far.peer = far, near
+        self.network.on_connection(near, far)
+        self.connector.transport = near
+        if listening.machine.is_frozen:  # its system accepts; the process notices when it goes on
+            listening.machine.deferred.append(lambda: self._serve_or_abort(listening, far))
+        elif not self._serve(listening, far):
+            self.machine.callLater(self.network.latency(), self._fail, TwistedConnectionRefusedError)
+            return
+        self.machine.callLater(self.network.latency(), self._start_client, near)
+
+    def _serve_or_abort(self, listening: ListeningPort, far: Transport) -> None:
+        if not self._serve(listening, far):
+            far.abortConnection()
+
+    def _serve(self, listening: ListeningPort, far: Transport) -> bool:
+        """Start the server's end; false where its factory makes no protocol."""
+        client = IPv4Address("TCP", self.machine.host, 0)
+        protocol: Any = listening.factory.buildProtocol(client)  # type: ignore[arg-type]  # IAddress
+        if protocol is not None:
+            far.start(protocol)
+        return protocol is not None
+
+    def _start_client(self, near: Transport) -> None:
+        protocol: Any = None if self.connector.is_cancelled else self.factory.buildProtocol(None)
+        if protocol is None:
+            near.abortConnection()
+        else:
+            near.start(protocol)
+
+
+class ErrorRecorder:
+    """Ends a call that raises, as a reactor does; the error becomes part of the run's result."""
+
+    def __init__(self, machine: "Machine") -> None:
+        self.machine = machine
+
+    def __enter__(self) -> None:
+        pass
+
+    def __exit__(self, kind: object, error: BaseException | None, traceback: object) -> bool:
+        if not isinstance(error, Exception):
+            return False
+        network = self.machine.network
+        text = f"{network.events.now:.4f} {self.machine.name}: {type(error).__name__} {error}"
+        network.errors.append(text)
+        return True
+
+
+class Machine:
+    """The reactor of one process. `host` is its address."""
+
+    running = True
+
+    def __init__(self, network: VirtualNetwork, name: str, host: str) -> None:
+        self.network = network
+        self.name = name
+        self.host = host
+        self.transports = dict[Transport, None]()
+        self.is_alive = True
+        self.is_stopped = False
+        self.is_frozen = False
+        self.deferred: list[Callable[[], object]] = []  # what became due while it was frozen
+
+    # IReactorTime, IReactorTCP, IReactorUDP and what else a front calls on its reactor.
+
+    def seconds(self) -> float:
+        """The virtual time."""
+        return self.network.events.now
+
+    def callLater(
+        self, delay: float, call: Callable[..., object], *args: object, **kwargs: object
+    ) -> DelayedCall:
+        """Call after so many seconds, if the machine is alive then."""
+        return self.network.events.schedule(delay, lambda: self.run_guarded(call, *args, **kwargs))
+
+    def callFromThread(self, call: Callable[..., object], *args: object) -> None:
+        """Call in a later event; there are no threads."""
+        self.callLater(0, call, *args)
+
+    def listenTCP(self, port: int, factory: Factory, backlog: int = 50, interface: str = "") -> ListeningPort:
+        """Listen on a port; raises AddressTakenError where it is taken."""
+        address = interface or self.host, port
+        if address in self.network.ports:
+            raise AddressTakenError(address)
+        listening = ListeningPort(self, *address, factory)
+        self.network.ports[address] = listening
+        return listening
+
+    def connectTCP(
+        self, host: str, port: int, factory: ClientFactory, timeout: float = 30, bindAddress: object = None
+    ) -> Connector:
+        """Dial; the factory is notified of the outcome."""
+        connector = Connector(host, port)
+        factory.startedConnecting(connector)  # type: ignore[arg-type]  # IConnector
+        attempt = ConnectionAttempt(self, connector, factory, timeout)
+        self.network.events.schedule(self.network.latency(), attempt.arrive)
+        return connector
+
+    def listenUDP(
+        self, port: int, protocol: DatagramProtocol, interface: str = "", maxPacketSize: int = 8192
+    ) -> DatagramPort:
+        """Receive datagrams on a port; raises AddressTakenError where it is taken."""
+        return DatagramPort(self, interface or self.host, port, protocol)
+
+    def addReader(self, reader: object) -> None:
+        """Nothing: there are no descriptors."""
+
+    removeReader = addReader
+
+    def stop(self) -> None:
+        """The process ends by itself."""
+        self.is_stopped = True
+        self.callLater(0, self.kill)
+
+    # What happens to the process.
+
+    def run_guarded(self, call: Callable[..., object], *args: object, **kwargs: object) -> None:
+        """Call as this process: later where it is frozen, never where it is dead."""
+        if self.is_frozen:
+            self.deferred.append(lambda: self.run_guarded(call, *args, **kwargs))
+        elif self.is_alive:
+            with ErrorRecorder(self):
+                call(*args, **kwargs)
+
+    def freeze(self) -> None:
+        """Run nothing any more (SIGSTOP); its sockets go on receiving."""
+        self.is_frozen = True
+
+    def thaw(self) -> None:
+        """Run what became due meanwhile, in its order, and then read what the sockets hold."""
+        self.is_frozen = False
+        deferred, self.deferred = self.deferred, []
+        for call in deferred:
+            call()
+        for transport in list(self.transports):
+            transport.deliver()
+
+    def kill(self) -> None:
+        """The process dies: its ports close, its connections are reset."""
+        self.is_alive = False
+        for address in [a for a, port in self.network.ports.items() if port.machine is self]:
+            del self.network.ports[address]
+        for address in [a for a, port in self.network.datagram_ports.items() if port.machine is self]:
+            del self.network.datagram_ports[address]
+        for transport in list(self.transports):
+            transport.vanish()
--- /dev/null
+++ b/weldbend/testbed/simulation/network.py
@@ -0,0 +1,77 @@
+"""The virtual network between machines: latency, loss, blocked paths, and a digest of all bytes sent.
+
+A path is a pair of host addresses, (from, to). Everything random is drawn from one generator, so that the
+seed determines the run.
+"""
+
+import hashlib
+import itertools
+import random
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING
+
+from twisted.internet.error import UserError
+
+from weldbend.testbed.simulation.event_queue import EventQueue
+
+if TYPE_CHECKING:  # for annotations only: these modules build on this one
+    from weldbend.testbed.simulation.datagrams import DatagramPort
+    from weldbend.testbed.simulation.machine import ListeningPort, Machine
+    from weldbend.testbed.simulation.transports import Transport
+
+Address = tuple[str, int]
+Path = tuple[str, str]
+
+LEAST_LATENCY = 0.0002  # seconds of one trip
+LATENCY_SPREAD = 0.0008  # seconds on top, drawn evenly
+DUPLICATION = 0.01  # probability that a datagram arrives twice, where a path sets none
+
+
+class AddressTakenError(UserError):
+    """A port that another listens on already; `address` is its host and number."""
+
+    def __init__(self, address: Address) -> None:
+        self.address = address
+        super().__init__(f"{address} is taken")  # type: ignore[no-untyped-call]  # Twisted's
+
+
+class VirtualNetwork:
+    """What connects the machines of one run, and what is wrong with it at the moment."""
+
+    def __init__(self, seed: int) -> None:
+        self.events = EventQueue()
+        self.random = random.Random(seed)
+        self.ports: dict[Address, ListeningPort] = {}
+        self.datagram_ports: dict[Address, DatagramPort] = {}
+        self.unreachable_hosts: set[str] = set()  # nothing reaches or leaves them
+        self.blocked_paths: set[Path] = set()
+        self.extra_delay: dict[Path, float] = {}  # seconds on top of the latency
+        self.datagram_loss: dict[Path, float] = {}  # probability that a datagram is lost
+        self.datagram_duplication: dict[Path, float] = {}  # probability that it arrives twice
+        self.on_connection: Callable[[Transport, Transport], None] = lambda near, far: None
+        self.errors: list[str] = []  # exceptions out of protocols; a real reactor would log them
+        self.connection_numbers = itertools.count(1)
+        self._digest = hashlib.sha256()
+
+    def record_bytes(self, path: str, data: bytes) -> None:
+        """Add bytes that are sent now to the digest; no name of the program's code enters it."""
+        self._digest.update(f"{self.events.now!r} {path} {len(data)}\n".encode() + data)
+
+    def byte_digest(self) -> str:
+        """Digest of all bytes sent so far on every connection and in every datagram, with their times."""
+        return self._digest.hexdigest()
+
+    def latency(self) -> float:
+        """Seconds of one trip, drawn anew."""
+        return LEAST_LATENCY + LATENCY_SPREAD * self.random.random()
+
+    def is_open(self, sender: str, receiver: str) -> bool:
+        """Whether bytes pass from one host to another."""
+        return (sender, receiver) not in self.blocked_paths
+
+    def unblock(self, paths: set[Path], machines: Iterable["Machine"]) -> None:
+        """Open paths again: what was delayed on them arrives now, as if retransmitted."""
+        self.blocked_paths -= paths
+        for machine in machines:
+            for transport in list(machine.transports):
+                transport.deliver_delayed()
--- /dev/null
+++ b/weldbend/testbed/simulation/observation.py
@@ -0,0 +1,50 @@
+"""Taps the connections of a simulated run, and hands what crosses them to the log and the auditor."""
+
+from weldbend.testbed.faults.engine import Injector
+from weldbend.testbed.faults.plan import Direction
+from weldbend.testbed.simulation.observer import ConnectionEvent, Message, ObservedMessage, Tap, Traffic
+from weldbend.testbed.simulation.settings import CLIENT_HOST
+from weldbend.testbed.simulation.site import RunContext, SimulatedSite
+from weldbend.testbed.simulation.transports import Transport
+
+
+class Observation:
+    """Numbers and taps each connection between clients and fronts, and between fronts and caches.
+
+    Between fronts and caches an injector's faults are at work, on what caches answer.
+    """
+
+    def __init__(self, context: RunContext, site: SimulatedSite, injector: Injector) -> None:
+        self.context = context
+        self.site = site
+        self.injector = injector
+        self.link_count = 0
+
+    def on_connection(self, near: Transport, far: Transport) -> None:
+        """A connection that comes up; `near` dialled `far`."""
+        self.link_count += 1
+        link = self.link_count
+        front_names = {machine.host: machine.name for machine, _ in self.site.fronts.values()}
+        near_host, far_host = near.machine.host, far.machine.host
+        if near_host == CLIENT_HOST:
+            front, peer, front_end = front_names[far_host], "clients", far
+            near_traffic, far_traffic = Traffic.CLIENT_CALLS, Traffic.CLIENT_ANSWERS
+        elif near_host in front_names and far_host in self.site.uid_at:
+            front, peer, front_end = front_names[near_host], self.site.uid_at[far_host], near
+            near_traffic, far_traffic = Traffic.CACHE_COMMANDS, Traffic.CACHE_ANSWERS
+            now = self.context.network.events.now
+            far.fault_stream = self.injector.stream(link, Direction.BACK, now)
+        else:
+            return
+
+        def observe(message: Message) -> None:
+            now = self.context.network.events.now
+            self._add(ObservedMessage(now, link, front, peer, message))
+
+        near.tap = Tap(near_traffic, observe)
+        far.tap = Tap(far_traffic, observe)
+        front_end.on_close = lambda: observe(ConnectionEvent.CLOSED)
+
+    def _add(self, observed: ObservedMessage) -> None:
+        self.context.log.add(f"{observed.link} {observed.front} {observed.peer} {observed.message!r:.300}")
+        self.context.auditor.on_message(observed)
--- a/weldbend/testbed/simulation/observer.py
+++ b/weldbend/testbed/simulation/observer.py
@@ -1,85 +1,117 @@
-"""What crosses the sockets of a virtual run, as messages with their times: the auditor's only witness.
+"""What crosses the sockets of a simulated run, as messages with their times: the auditor's only source.
 
-Bytes are tapped where they are handed to the network, and read with the laboratory's own parsers; nothing is
-asked of a front, and no code of the decisions is used.
+Bytes are tapped where they are handed to the network, and read with the testbed's own parsers; no front is
+queried, and no code of the decisions is used.
 """
 
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
-from typing import Any
+from enum import Enum
+from functools import partial
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol.answers import Answer, AnswerParser, InvalidAnswerError
 from weldbend.testbed.emulator import cache_commands
+from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError
 from weldbend.testbed.load import client_calls
+from weldbend.testbed.load.client_calls import ClientAnswer
 from weldbend.thrift.errors import InvalidFrameError, InvalidMessageError
 from weldbend.thrift.framing import next_frame
 from weldbend.thrift.messages import GiveUp, InvalidCall, Probe, Process, read_call
 
-LONGEST = 1 << 20
+LONGEST_MESSAGE = 1 << 20  # bytes
+
+UNREADABLE = (
+    InvalidMessageError,
+    InvalidFrameError,
+    InvalidAnswerError,
+    InvalidCommandError,
+    ValueError,
+    KeyError,
+)
+
+
+class ConnectionEvent(Enum):
+    """What is observed of a connection besides messages."""
+
+    CLOSED = "closed"
+    UNREADABLE = "unreadable"  # bytes that are no message; nothing is read after them
+
+
+ClientCall = Process | GiveUp | Probe | InvalidCall
+Message = ClientCall | ClientAnswer | Command | Answer | ConnectionEvent
+
+
+class Traffic(Enum):
+    """What one direction of a connection carries."""
+
+    CLIENT_CALLS = "client calls"
+    CLIENT_ANSWERS = "client answers"
+    CACHE_COMMANDS = "cache commands"
+    CACHE_ANSWERS = "cache answers"
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class ObservedMessage:
     """One message; `link` numbers the connection, `front` names the front at one of its ends."""
 
     at: float
     link: int
     front: str
-    other: str  # the cache's address, or the client's machine
-    what: Any  # Process, GiveUp, Probe or InvalidCall of a client; Heard, Command, Answer; or a word
-    # `gone`: the connection has ended; `garbage`: bytes that cannot be read
+    peer: str  # the cache's uid, or the clients' machine
+    message: Message
+
 
+def _client_calls(ring: Ring) -> Iterator[Message]:
+    while data := next_frame(ring, LONGEST_MESSAGE):
+        yield read_call(data)
 
-Witness = Callable[[Seen], None]
 
+def _client_answers(ring: Ring) -> Iterator[Message]:
+    while data := next_frame(ring, LONGEST_MESSAGE):
+        yield client_calls.read_answer(data)
 
-def frames(ring: Ring, read: Callable[[bytes], Any]) -> Iterator[Any]:
-    while data := next_frame(ring, LONGEST):
-        yield read(data)
 
+def _cache_answers(parser: AnswerParser) -> Iterator[Message]:
+    while answer := parser.next():
+        yield answer
 
-def all_answers(parser: AnswerParser) -> Iterator[Answer]:
-    while one := parser.next():
-        yield one
 
+def message_reader(traffic: Traffic, ring: Ring) -> Callable[[], Iterator[Message]]:
+    """A function that yields the messages that are complete in a ring; it raises one of UNREADABLE."""
+    match traffic:
+        case Traffic.CLIENT_CALLS:
+            return partial(_client_calls, ring)
+        case Traffic.CLIENT_ANSWERS:
+            return partial(_client_answers, ring)
+        case Traffic.CACHE_COMMANDS:
+            return cache_commands.Parser(ring).all
+        case Traffic.CACHE_ANSWERS:
+            return partial(_cache_answers, AnswerParser(ring))
 
-class Ear:
-    """Listens to one direction of one connection."""
 
-    def __init__(self, kind: str, told: Callable[[Any], None]) -> None:
-        self.ring, self.told, self.dead = Ring(LONGEST), told, False
-        answers, asked = AnswerParser(self.ring), cache_commands.Parser(self.ring)
+class Tap:
+    """Reads one direction of one connection, and hands on each message."""
 
-        self.read: Callable[[], Iterator[Any]] = {
-            "calls": lambda: frames(self.ring, read_call),
-            "heard": lambda: frames(self.ring, client_calls.read_answer),
-            "commands": asked.all,
-            "answers": lambda: all_answers(answers),
-        }[kind]
+    def __init__(self, traffic: Traffic, on_message: Callable[[Message], None]) -> None:
+        self.on_message = on_message
+        self.is_unreadable = False
+        self._ring = Ring(LONGEST_MESSAGE)
+        self._read = message_reader(traffic, self._ring)
 
     def __call__(self, data: bytes) -> None:
+        """Bytes that were sent."""
         rest = memoryview(data)
-        while rest and not self.dead:
-            rest = rest[self.ring.write(rest) :]
-            found = self.read()
-            while (one := self.next(found)) is not None:
-                self.told(one)
-
-    def next(self, found: Iterator[Any]) -> Any:
-        """The next message; `garbage` once where there can be none any more."""
+        while rest and not self.is_unreadable:
+            rest = rest[self._ring.write(rest) :]
+            messages = self._read()
+            while (message := self._next(messages)) is not None:
+                self.on_message(message)
+
+    def _next(self, messages: Iterator[Message]) -> Message | None:
+        """The next message, None where there is none yet; UNREADABLE once where there can be no more."""
         try:
-            return next(found, None)
-        except (
-            InvalidMessageError,
-            InvalidFrameError,
-            InvalidAnswerError,
-            cache_commands.InvalidCommandError,
-            ValueError,
-            KeyError,
-        ):
-            self.dead = True
-            return "garbage"
-
-
-__all__ = ["Ear", "GiveUp", "InvalidCall", "Probe", "Process", "Seen", "Witness"]
+            return next(messages, None)
+        except UNREADABLE:
+            self.is_unreadable = True
+            return ConnectionEvent.UNREADABLE
--- /dev/null
+++ b/weldbend/testbed/simulation/settings.py
@@ -0,0 +1,77 @@
+"""What a simulated run consists of: its size, its site's rules, and the faults that may be drawn."""
+
+from dataclasses import dataclass
+from random import Random
+
+from weldbend.testbed.faults.plan import Plan, parse_plan
+from weldbend.testbed.simulation.auditor import Effect, Rules, WarmUpRule
+
+EDIT_CLASS = {
+    "deadline_us": 4000000,
+    "goal_time_us": 700000,
+    "idempotency": "at_most_once",
+    "key_scope": "all",
+    "name": "edit",
+    "points": 2.5,
+    "window_us": 1000000,
+}
+CLIENT_TIMEOUTS = {"photo": 6.0, "order": 9.0, "edit": 4.0}  # seconds that a client waits, by request class
+RULES = Rules(
+    effects={"photo": Effect.IDEMPOTENT, "order": Effect.DEDUPLICATED, "edit": Effect.AT_MOST_ONCE},
+    windows={"photo": 5.0, "order": 3.0, "edit": 1.0},
+    warm_ups={"box": WarmUpRule(0.2, 10.0, 2.0), "parent": WarmUpRule(0.1, 20.0, 2.0)},
+)
+# Of each kind of fault on a connection, the values of its keys that are drawn from.
+CONNECTION_FAULTS: dict[str, dict[str, tuple[str, ...]]] = {
+    "delay": {"for": ("80 ms", "450 ms", "550 ms", "2 s"), "jitter": ("0 s", "300 ms")},
+    "throttle": {"rate": ("20000", "200000")},
+    "stall": {"for": ("150 ms", "190 ms", "210 ms", "1 s"), "inside": ("0", "5", "200")},
+    "hang": {"inside": ("0", "20", "300")},
+    "cut": {"how": ("reset", "close"), "inside": ("0", "1", "30", "500")},
+    "half-close": {"inside": ("0", "7", "400")},
+    "drop": {},
+    "duplicate": {},
+    "reorder": {},
+    "corrupt": {"inside": ("0", "17", "25", "60"), "bytes": ("1", "3")},
+    "rewrite": {"set": ("born", "ver", "use", "length", "detail", "waited"), "to": ("1", "99", "x", "-5")},
+}
+PURGE_GROUPS = 4  # groups that objects belong to, by rank; a purge may name one
+FRONT_PORT, CACHE_PORT, BUS_PORT = 7001, 7100, 9092
+BUS_HOST, CLIENT_HOST = "10.0.2.1", "10.0.3.1"
+
+
+def front_host(number: int) -> str:
+    """The address of a front."""
+    return f"10.0.0.{number}"
+
+
+@dataclass(frozen=True, slots=True)
+class RunSettings:
+    """How large a run is, and what may happen in it. Rates a second, times in seconds."""
+
+    fronts: int = 3
+    edges: int = 4
+    parents: int = 2
+    rate: float = 60.0  # requests
+    seconds: float = 8.0  # of load
+    orders: float = 0.08  # fraction of requests that are of this class
+    edits: float = 0.08
+    faults: int = 6
+    weight: float = 8.0  # flows that a cache's link carries, as the endpoint list states it
+    fault_kinds: tuple[str, ...] = ("restart", "drain", "purge", "vanish", "reset", "front", "bus")
+    objects: int = 120
+    edge_capacity: int = 4 << 20  # bytes that an edge keeps
+    settling: float = 10.0  # without load at the end, so that every request has its answer
+    connection_faults: int = 2  # kinds on connections between fronts and caches
+
+
+def draw_plan(rng: Random, count: int) -> Plan:
+    """Faults for the connections between fronts and caches, drawn so that each run has a few kinds."""
+    sections: dict[str, dict[str, str]] = {}
+    for number in range(count):
+        kind = rng.choice(sorted(CONNECTION_FAULTS))
+        section = {"kind": kind, "direction": "back", "chance": f"{rng.uniform(0.002, 0.03):.4f}"}
+        for key, choices in CONNECTION_FAULTS[kind].items():
+            section[key] = rng.choice(choices)
+        sections[f"{number} {kind}"] = section
+    return parse_plan(sections, "lines") if sections else Plan("lines", ())
