--- /dev/null
+++ b/weldbend/testbed/simulation/site.py
@@ -0,0 +1,228 @@
+"""The site of a simulated run: emulated caches, the event bus and fronts, each on a machine of its own."""
+
+import json
+from collections.abc import Callable
+from dataclasses import dataclass
+from random import Random
+from typing import Any
+
+from weldbend.front.configuration import Site, read_site
+from weldbend.front.server import Front
+from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link
+from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
+from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.servers import CacheServer, EventBusServer
+from weldbend.testbed.simulation.auditor import Auditor
+from weldbend.testbed.simulation.machine import Machine
+from weldbend.testbed.simulation.network import VirtualNetwork
+from weldbend.testbed.simulation.run_log import RunLog
+from weldbend.testbed.simulation.settings import (
+    BUS_HOST,
+    BUS_PORT,
+    CACHE_PORT,
+    EDIT_CLASS,
+    FRONT_PORT,
+    RunSettings,
+    front_host,
+)
+
+EDGE_LINK = (6e6, 0.01)  # bytes a second, and seconds of delay, of an edge's link to its sources
+SERVICE_TIMES = {
+    "origin": 0.02
+}  # seconds of a cache's own work for an answer; writes take five times as long
+SERVICE_TIME = 0.002  # of the others
+MEDIAN_SIZE = 6000  # bytes of a part
+OPEN_CAP = 400  # requests in flight to a cache at most
+
+
+class NoEpollSet:
+    """An epoll set where there are no descriptors: no connection is ever kept as an idle descriptor."""
+
+    def __init__(self, reactor: object) -> None:
+        """Take any reactor."""
+
+    def detach(self, transport: object) -> int | None:
+        """None: the transport keeps its connection."""
+        return None
+
+    def fileno(self) -> int:
+        """No descriptor."""
+        return -1
+
+    def poll_readable(self, most: int) -> list[int]:
+        """Nothing is ever ready."""
+        return []
+
+    def close_set(self) -> None:
+        """Nothing to close."""
+
+
+@dataclass(frozen=True, slots=True)
+class RunContext:
+    """What all parts of one run share."""
+
+    seed: int
+    settings: RunSettings
+    rng: Random  # draws the load and the faults; the network draws from one of its own
+    network: VirtualNetwork
+    log: RunLog
+    auditor: Auditor
+
+
+FrontFactory = Callable[[Machine, Site], Front]
+
+
+class SimulatedSite:
+    """Starts and stops caches and fronts, and publishes on the event bus what becomes of the caches."""
+
+    def __init__(self, context: RunContext, create_front: FrontFactory) -> None:
+        self.context = context
+        self.create_front = create_front
+        self.network = context.network
+        self.events = context.network.events
+        self.sizes = Sizes(median=MEDIAN_SIZE)
+        self.caches = EmulatedCaches([], self.sizes)
+        self.machines: dict[str, Machine] = {}  # of the caches, by uid
+        self.targets: dict[str, dict[str, Any]] = {}  # the endpoint list, by uid
+        self.uid_at: dict[str, str] = {}  # by host
+        self.down_caches: set[str] = set()  # those that will be back
+        self.fronts: dict[int, tuple[Machine, Front]] = {}
+        settings = context.settings
+        kinds = [("box", "e", settings.edges), ("parent", "p", settings.parents), ("origin", "o", 1)]
+        for kind, letter, count in kinds:
+            for number in range(1, count + 1):
+                self.start_cache(f"{letter}{number}", kind, f"10.0.1.{len(self.targets) + 1}", 0.0)
+        machine = Machine(self.network, "bus", BUS_HOST)
+        self.bus = EventBusServer(machine, list(self.targets.values()))
+        machine.listenTCP(BUS_PORT, self.bus)
+
+    # Caches.
+
+    def start_cache(self, uid: str, kind: str, host: str, boot: float) -> None:
+        """Start an empty cache; `boot` is its start in Unix milliseconds, 0 for long ago."""
+        settings = self.context.settings
+        machine = self.machines[uid] = Machine(self.network, uid, host)
+        capacity = {"box": settings.edge_capacity, "parent": 4 * settings.edge_capacity, "origin": 0}[kind]
+        cache = EmulatedCache(uid, kind, capacity, SERVICE_TIMES.get(kind, SERVICE_TIME))
+        self.caches.caches[uid] = cache
+        if kind == "box":
+            self.caches.links[uid] = Link(*EDGE_LINK)
+        server = CacheServer(machine, self.caches, cache, lambda: self.events.now, self.events.unix)
+        machine.listenTCP(CACHE_PORT, server)
+        zone = "z" if kind == "box" else "h"
+        self.targets[uid] = target(
+            uid,
+            kind,
+            zone,
+            boot=boot,
+            endpoint=f"{host}:{CACHE_PORT}",
+            capacity_hint=settings.weight,
+        )
+        self.uid_at[host] = uid
+
+    def restart_cache(self, uid: str) -> None:
+        """A cache dies and is back, empty, half a second later; the endpoint list states its start."""
+        self.context.log.add(f"restart of {uid}")
+        self.machines[uid].kill()
+        host, kind = self.machines[uid].host, self.targets[uid]["model"]
+        self.down_caches.add(uid)
+
+        def start_again() -> None:
+            self.down_caches.discard(uid)
+            self.start_cache(uid, kind, host, self.unix_ms())
+            self.publish_state(uid, "up")
+
+        self.events.schedule(0.5, start_again)
+
+    def drain_cache(self, uid: str) -> None:
+        """A cache drains, is removed two seconds later, and another takes its address."""
+        host = self.machines[uid].host
+        self.publish_state(uid, "draining")
+
+        def replace() -> None:
+            self.publish_state(uid, "removed")
+            self.machines[uid].kill()
+            self.start_cache(f"{uid}x", "box", host, self.unix_ms())
+            self.publish_state(f"{uid}x", "up")
+
+        self.events.schedule(2.0, replace)
+
+    def draw_cache(self, *kinds: str) -> str | None:
+        """The uid of one of the caches of some kinds that are up; None where fewer than two are."""
+        candidates = [
+            uid
+            for uid, entry in self.targets.items()
+            if entry["model"] in kinds and entry["state"] == "up" and uid not in self.down_caches
+        ]
+        return self.context.rng.choice(candidates) if len(candidates) > 1 else None
+
+    def drop_copies(self, keys: set[str], stamp: int) -> None:
+        """Drop from all caches the copies of some objects that were born before a stamp."""
+        for cache in self.caches.caches.values():
+            for place in [p for p, copy in cache.copies.items() if p[0] in keys and copy.born < stamp]:
+                cache.used -= cache.copies.pop(place).size
+
+    # The event bus.
+
+    def unix_ms(self) -> int:
+        """The virtual time in Unix milliseconds, as events state it."""
+        return int(self.events.unix() * 1000)
+
+    def publish(self, **event: object) -> None:
+        """Publish an event on the bus; the auditor receives it at once."""
+        self.bus.publish(**event)
+        published = self.bus.events[-1]
+        self.context.log.add(f"bus {json.dumps(published)}")
+        self.context.auditor.on_bus_event(self.events.now, self.events.unix(), published)
+
+    def publish_state(self, uid: str, state: str) -> None:
+        """Publish the state of a cache: up, draining or removed."""
+        self.targets[uid] = self.targets[uid] | {"state": state}
+        self.publish(topology={"rev": len(self.bus.events), "all": False, "targets": [self.targets[uid]]})
+        if state == "removed":
+            del self.targets[uid]
+
+    # Fronts.
+
+    def start_front(self, number: int) -> None:
+        """Start a front, configured with the endpoint list and the events of now."""
+        machine = Machine(self.network, f"n{number}", front_host(number))
+        front = self.create_front(machine, read_site(self._configuration(machine, number)))
+        front.listener.epoll_set_factory = NoEpollSet  # type: ignore[assignment]  # the class is the factory
+        self.fronts[number] = machine, front
+        self.context.auditor.on_front_started(machine.name)
+        front.start()
+
+    def _configuration(self, machine: Machine, number: int) -> str:
+        count = self.context.settings.fronts
+        family = SETTINGS["family_info"] | {
+            "count_by_zone": [0, count],
+            "lifetime_by_class_us": [0, 0, 0],
+            "older_by_us": [0, 0, 0],
+            "pass_on": [False, True, True],
+        }
+        settings = SETTINGS | {"siblings": count, "family_info": family}
+        settings["lanes"] = [*SETTINGS["lanes"], EDIT_CLASS]
+        text = configuration(
+            list(self.targets.values()),
+            LIMITS,
+            settings,
+            listen=f"{machine.host}:{FRONT_PORT}",
+            bus=f"{BUS_HOST}:{BUS_PORT}",
+            name=machine.name,
+            seed=f"{self.context.seed}/{number}/{self.events.now}",
+            open_cap=OPEN_CAP,
+        )
+        document = json.loads(text)
+        document["known"] = {"offset": self.bus.events[-1]["offset"], "batch": self.bus.events}
+        return json.dumps(document)
+
+    def kill_front(self, number: int, restart_after: float | None = None) -> None:
+        """Kill a front, and start it again after so many seconds; None leaves it dead."""
+        machine, _ = self.fronts[number]
+        if machine.is_alive:
+            self.context.log.add(f"front {number} is killed")
+            self.context.auditor.on_front_killed(machine.name)
+            machine.kill()
+            if restart_after is not None:
+                self.events.schedule(restart_after, lambda: self.start_front(number))
--- /dev/null
+++ b/weldbend/testbed/simulation/site_faults.py
@@ -0,0 +1,96 @@
+"""Faults of the site: caches that restart, drain, vanish or reset, purges, killed fronts, a broken bus."""
+
+from collections.abc import Callable
+
+from weldbend.testbed.emulator import objects
+from weldbend.testbed.emulator.configuration import SETTINGS
+from weldbend.testbed.simulation.settings import PURGE_GROUPS
+from weldbend.testbed.simulation.site import RunContext, SimulatedSite
+
+ONE_OBJECT = 0.7  # fraction of the purges that name one object; the others name a group
+PURGED_GROUP = 1
+RESET_ORIGIN = 0.5  # fraction of the resets that are of the origin's connections
+VANISHED_FOR = 1.0  # seconds
+FRONT_DOWN_FOR = 0.4  # seconds
+
+
+class SiteFaults:
+    """Injects one fault of each kind of `RunSettings.fault_kinds` when called."""
+
+    def __init__(self, context: RunContext, site: SimulatedSite) -> None:
+        self.context = context
+        self.site = site
+        self.by_kind: dict[str, Callable[[], None]] = {
+            "restart": self.restart,
+            "drain": self.drain,
+            "purge": self.purge,
+            "vanish": self.vanish,
+            "reset": self.reset,
+            "front": self.kill_front,
+            "bus": self.break_bus,
+        }
+
+    def schedule(self) -> None:
+        """Schedule the faults of a whole run at random times."""
+        settings, rng = self.context.settings, self.context.rng
+        for _ in range(settings.faults):
+            kind = rng.choice(settings.fault_kinds)
+            at = rng.uniform(0.8, settings.seconds - 1.5)
+            self.context.network.events.schedule(at, self.by_kind[kind])
+
+    def restart(self) -> None:
+        """A cache dies and is back, empty, half a second later."""
+        if uid := self.site.draw_cache("box", "parent"):
+            self.site.restart_cache(uid)
+
+    def drain(self) -> None:
+        """An edge drains and is replaced."""
+        if uid := self.site.draw_cache("box"):
+            self.site.drain_cache(uid)
+
+    def purge(self) -> None:
+        """One object or one group of them is purged, and later its old copies are gone everywhere."""
+        rng, site = self.context.rng, self.site
+        key = objects.key_of(rng.randint(1, 6))
+        stamp = site.unix_ms()
+        if rng.random() < ONE_OBJECT:
+            site.publish(ban={"url": key, "ts": stamp})
+            keys = {key}
+        else:
+            site.publish(ban={"tag": PURGED_GROUP, "ts": stamp})
+            ranks = range(1, self.context.settings.objects + 1)
+            keys = {objects.key_of(rank) for rank in ranks if rank % PURGE_GROUPS == PURGED_GROUP}
+        dropped_after = SETTINGS["family_info"]["gone_everywhere_us"] / 1e6
+        self.context.network.events.schedule(dropped_after, lambda: site.drop_copies(keys, stamp))
+
+    def vanish(self) -> None:
+        """Nothing reaches or leaves a cache for a second."""
+        if uid := self.site.draw_cache("box", "parent"):
+            network, host = self.context.network, self.site.machines[uid].host
+            self.context.log.add(f"{uid} vanishes")
+            network.unreachable_hosts.add(host)
+            network.events.schedule(VANISHED_FOR, lambda: network.unreachable_hosts.discard(host))
+
+    def reset(self) -> None:
+        """All connections of a cache are reset, with what is in flight on them."""
+        uid = (
+            "o1"
+            if self.context.rng.random() < RESET_ORIGIN
+            else self.site.draw_cache("box", "parent") or "o1"
+        )
+        self.context.log.add(f"connections of {uid} are reset")
+        for transport in list(self.site.machines[uid].transports):
+            transport.abortConnection()
+
+    def kill_front(self) -> None:
+        """A front is killed and started again."""
+        number = self.context.rng.choice(sorted(self.site.fronts))
+        self.site.kill_front(number, FRONT_DOWN_FOR)
+
+    def break_bus(self) -> None:
+        """The event bus breaks off in the middle of an event for all its readers."""
+        self.context.log.add("the bus breaks off")
+        for reader in list(self.site.bus.readers):
+            if reader.transport:
+                reader.transport.write(b'id: 999\ndata: {"off')
+                reader.transport.abortConnection()
--- /dev/null
+++ b/weldbend/testbed/simulation/transports.py
@@ -0,0 +1,272 @@
+"""Connections of the virtual network: each end is a transport as Twisted's protocols know it.
+
+Bytes arrive in order, split and delayed at random. A sender whose bytes are not read is paused, as a full
+socket buffer would pause it.
+"""
+
+import typing
+from collections import deque
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from twisted.internet.address import IPv4Address
+from twisted.internet.error import ConnectionDone, ConnectionLost
+from twisted.internet.interfaces import IHalfCloseableProtocol
+from twisted.internet.protocol import Protocol
+from twisted.python.failure import Failure
+
+from weldbend.testbed.faults.engine import FaultAction, Stream, What
+
+if TYPE_CHECKING:  # for annotations only: a machine makes these transports
+    from weldbend.testbed.simulation.machine import Machine
+
+WINDOW = 1 << 17  # bytes in transit or unread, beyond which a sender is paused
+SINGLE_PIECE = 0.7  # probability that the rest of a write arrives in one piece
+
+
+class Producer(typing.Protocol):
+    """What a transport pauses while its peer does not read."""
+
+    def pauseProducing(self) -> None:
+        """Produce nothing for now."""
+
+    def resumeProducing(self) -> None:
+        """Produce again."""
+
+
+class Transport:
+    """One end of a connection in memory. A piece that is None stands for the end of the peer's writing."""
+
+    def __init__(self, machine: "Machine", peer_host: str) -> None:
+        self.machine = machine
+        self.network = machine.network
+        self.peer_host = peer_host
+        self.number = next(self.network.connection_numbers)
+        self.peer: Transport | None = None
+        self.protocol: Protocol | None = None
+        self.producer: Producer | None = None
+        self.is_reading_paused = False
+        self.disconnecting = False  # the name is Twisted's
+        self.is_closed = False
+        self.is_write_closed = False
+        self.is_producer_paused = False
+        self.arrived: deque[bytes | None] = deque()  # pieces that are unread
+        self.unread = 0  # bytes in transit to this end, or unread
+        self.last_arrival = 0.0  # when the last piece in transit arrives
+        self.delayed: list[bytes | None] = []  # pieces held up on a path that is blocked
+        self.tap: Callable[[bytes], None] | None = None  # sees what this end sends
+        self.fault_stream: Stream | None = None  # what an injector does to it first
+        self.on_close: Callable[[], None] | None = None  # called before the protocol is notified of the end
+        machine.transports[self] = None
+
+    connected = property(lambda self: not self.is_closed)
+
+    def start(self, protocol: Protocol) -> None:
+        """Connect the protocol of this end, and let it read what has arrived."""
+        self.protocol = protocol
+        self.machine.run_guarded(protocol.makeConnection, self)
+        self.deliver()
+
+    # What protocols call on a transport.
+
+    def write(self, data: bytes) -> None:
+        """Send bytes; nothing happens on a closed connection."""
+        if self.is_closed or self.is_write_closed or not data or not self.peer:
+            return
+        data = bytes(data)
+        if self.fault_stream:
+            self.schedule_fault_actions(self.fault_stream.feed(self.network.events.now, data))
+        else:
+            self._send(data)
+
+    def writeSequence(self, pieces: list[bytes]) -> None:
+        """Send several pieces as one write."""
+        self.write(b"".join(pieces))
+
+    def doWrite(self) -> None:
+        """Nothing: what is written has been sent already."""
+
+    def setTcpNoDelay(self, on: bool) -> None:
+        """Nothing: no write is ever delayed to be joined with others."""
+
+    def setTcpKeepAlive(self, on: bool) -> None:
+        """Nothing: there are no keep-alive probes."""
+
+    def getPeer(self) -> IPv4Address:
+        """The address of the other end, without its port."""
+        return IPv4Address("TCP", self.peer_host, 0)
+
+    def getHost(self) -> IPv4Address:
+        """The address of this end, without its port."""
+        return IPv4Address("TCP", self.machine.host, 0)
+
+    def registerProducer(self, producer: Producer, streaming: bool) -> None:
+        """Pause and resume this producer as the peer reads."""
+        self.producer = producer
+
+    def unregisterProducer(self) -> None:
+        """Pause no producer any more."""
+        self.producer = None
+
+    def pauseProducing(self) -> None:
+        """Stop reading."""
+        self.is_reading_paused = True
+
+    def resumeProducing(self) -> None:
+        """Go on reading, in a later event."""
+        if self.is_reading_paused:
+            self.is_reading_paused = False
+            self.machine.callLater(0, self.deliver)
+
+    stopProducing = pauseProducing
+
+    def loseWriteConnection(self) -> None:
+        """Shut down the writing side after what was written."""
+        if not (self.is_write_closed or self.is_closed):
+            self.is_write_closed = True
+            self._send_piece(None)
+
+    def loseConnection(self, reason: object = None) -> None:
+        """Close both sides after what was written."""
+        if not (self.disconnecting or self.is_closed):
+            self.disconnecting = True
+            self.loseWriteConnection()
+            self.machine.callLater(0, self.close, ConnectionDone)
+
+    def abortConnection(self) -> None:
+        """Close both sides at once, with a reset."""
+        if not self.is_closed:
+            self.disconnecting = True
+            self._reset_peer()
+            self.machine.callLater(0, self.close, ConnectionLost)
+
+    # Sending.
+
+    def _send(self, data: bytes) -> None:
+        """Send bytes now, in pieces of random size."""
+        self.network.record_bytes(f"{self.number} {self.machine.host}>{self.peer_host}", data)
+        if self.tap:
+            self.tap(data)
+        assert self.peer
+        peer, random = self.peer, self.network.random
+        peer.unread += len(data)
+        while data:
+            size = len(data) if random.random() < SINGLE_PIECE else random.randint(1, len(data))
+            self._send_piece(data[:size])
+            data = data[size:]
+        if peer.unread > WINDOW and self.producer and not self.is_producer_paused:
+            self.is_producer_paused = True
+            self.producer.pauseProducing()
+
+    def _send_piece(self, piece: bytes | None) -> None:
+        peer = self.peer
+        assert peer
+        events = self.network.events
+        extra = self.network.extra_delay.get((self.machine.host, self.peer_host), 0.0)
+        peer.last_arrival = max(peer.last_arrival, events.now + self.network.latency() + extra)
+        events.schedule(peer.last_arrival - events.now, lambda: peer.arrive(piece))
+
+    def schedule_fault_actions(self, actions: list[FaultAction]) -> None:
+        """Do at its time each thing that an injector makes of bytes written here."""
+
+        def schedule(action: FaultAction) -> None:
+            events = self.network.events
+            events.schedule(action.at - events.now, lambda: self._perform(action))
+
+        for action in actions:
+            schedule(action)
+
+    def _perform(self, action: FaultAction) -> None:
+        if self.is_closed or not self.peer or self.peer.is_closed:
+            return
+        match action.what:
+            case What.DATA:
+                self._send(action.data)
+            case What.END:
+                self._send_piece(None)
+            case What.RESET:
+                self.peer.abortConnection()
+                self.abortConnection()
+            case What.CLOSE:
+                self._send_piece(None)
+                self.machine.callLater(0, self.close, ConnectionDone)
+
+    def _reset_peer(self) -> None:
+        peer = self.peer
+        if peer and not peer.is_closed and self.network.is_open(self.machine.host, self.peer_host):
+            self.network.events.schedule(
+                self.network.latency(), lambda: peer.machine.run_guarded(peer.close, ConnectionLost)
+            )
+
+    # What the network and the machine do.
+
+    def vanish(self) -> None:
+        """The process of this end is gone: its protocol is not notified, the other end is reset."""
+        if not self.is_closed:
+            self._reset_peer()
+            self.is_closed = True
+
+    def arrive(self, piece: bytes | None) -> None:
+        """A piece comes in from the network."""
+        if self.is_closed:
+            if piece and self.peer and not self.peer.is_closed:  # nobody is there any more
+                self._reset_peer()
+            return
+        unreachable = self.network.unreachable_hosts
+        if self.machine.host in unreachable or self.peer_host in unreachable:
+            return
+        if self.delayed or not self.network.is_open(self.peer_host, self.machine.host):
+            self.delayed.append(piece)
+            return
+        self.arrived.append(piece)
+        self.deliver()
+
+    def deliver_delayed(self) -> None:
+        """Let in what a blocked path held up, where it is open again."""
+        if self.delayed and self.network.is_open(self.peer_host, self.machine.host):
+            delayed, self.delayed = self.delayed, []
+            for piece in delayed:
+                self.arrive(piece)
+
+    def deliver(self) -> None:
+        """Give the protocol what has arrived, as long as it reads."""
+        if self.machine.is_frozen:
+            return
+        while self.arrived and not (self.is_reading_paused or self.is_closed) and self.protocol is not None:
+            piece = self.arrived.popleft()
+            if piece is None:
+                self._deliver_end()
+                return
+            self.unread -= len(piece)
+            self.machine.run_guarded(self.protocol.dataReceived, piece)
+            self._resume_sender()
+
+    def _resume_sender(self) -> None:
+        sender = self.peer
+        if sender and sender.is_producer_paused and self.unread < WINDOW // 2:
+            sender.is_producer_paused = False
+            if sender.producer:
+                sender.machine.callLater(self.network.latency(), sender.resume_producer)
+
+    def resume_producer(self) -> None:
+        """Let the producer of this end go on, unless it was paused again."""
+        if self.producer and not (self.is_producer_paused or self.is_closed):
+            self.producer.resumeProducing()
+
+    def _deliver_end(self) -> None:
+        if IHalfCloseableProtocol.providedBy(self.protocol):
+            protocol: Any = self.protocol
+            self.machine.run_guarded(protocol.readConnectionLost)
+        else:
+            self.loseConnection()
+
+    def close(self, kind: type[Exception]) -> None:
+        """The connection has ended: notify the protocol with this kind of reason."""
+        if not self.is_closed:
+            if self.on_close:
+                self.on_close()
+            self.is_closed = True
+            self.machine.transports.pop(self, None)
+            if self.protocol is not None:
+                reason = Failure(kind())  # type: ignore[no-untyped-call]  # Twisted's
+                self.machine.run_guarded(self.protocol.connectionLost, reason)
--- /dev/null
+++ b/weldbend/testbed/simulation/workload.py
@@ -0,0 +1,172 @@
+"""The load of a simulated run: clients that send requests at random times, and retry what is rejected."""
+
+from bisect import bisect
+from typing import Any
+
+from twisted.internet.interfaces import IAddress, IConnector
+from twisted.internet.protocol import ClientFactory
+from twisted.internet.protocol import Protocol as Connection
+from twisted.python.failure import Failure
+
+from weldbend.buffers.ring import Ring
+from weldbend.testbed.emulator import objects
+from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.load import client_calls
+from weldbend.testbed.simulation.machine import Machine
+from weldbend.testbed.simulation.settings import (
+    CLIENT_HOST,
+    CLIENT_TIMEOUTS,
+    FRONT_PORT,
+    PURGE_GROUPS,
+    front_host,
+)
+from weldbend.testbed.simulation.site import RunContext
+
+CONNECTIONS = 3  # to each front
+MAX_OPEN = 30  # requests of one connection that have no answer yet
+RECONNECT_AFTER = 0.2  # seconds
+FIRST_ARRIVAL = 0.3  # seconds after the start
+# Seconds before the end of its connection within which a request may not have been read: it is sent again.
+CROSSED_CLOSE = 0.05
+RING_SIZE = 1 << 21  # bytes of answers that a client buffers
+BODY = b"x" * 100
+
+Fields = dict[str, str]
+
+
+class ClientConnection(Connection):
+    """One connection of a client: sends requests, and retries where a rejection says when."""
+
+    transport: Any = None  # Twisted's interfaces have no types here
+
+    def __init__(self, workload: "Workload", front: int) -> None:
+        self.workload = workload
+        self.front = front
+        self.ring = Ring(RING_SIZE)
+        self.open: dict[int, Fields] = {}  # requests without an answer, by seqid
+        self.seqid = 0
+        self.is_up = False
+        self.last_sent = 0.0
+
+    def connectionMade(self) -> None:
+        """The front has accepted."""
+        self.is_up = True
+        self.workload.connections[self.front].append(self)
+
+    def is_ready(self) -> bool:
+        """Whether it may send a further request."""
+        return self.is_up and len(self.open) < MAX_OPEN
+
+    def send(self, fields: Fields) -> None:
+        """Send one request."""
+        self.seqid += 1
+        self.open[self.seqid] = fields
+        self.last_sent = self.workload.events.now
+        if self.transport:
+            self.transport.write(client_calls.process(self.seqid, fields, BODY))
+
+    def dataReceived(self, data: bytes) -> None:
+        """Read answers."""
+        for answer in client_calls.feed_answers(self.ring, data):
+            fields = self.open.pop(answer.seqid, None)
+            if fields and answer.outcome == "throttled" and "after" in answer.fields:
+                self.workload.retry(fields, int(answer.fields["after"]) / 1000)
+
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """Send again what may not have been read, and connect anew."""
+        workload = self.workload
+        self.is_up = False
+        if self.seqid in self.open and workload.events.now < self.last_sent + CROSSED_CLOSE:
+            workload.machine.callLater(0.0, workload.send_to, self.front, self.open[self.seqid])
+        self.open.clear()
+        if self in workload.connections[self.front]:
+            workload.connections[self.front].remove(self)
+        workload.machine.callLater(RECONNECT_AFTER, workload.connect, self.front)
+
+
+class ClientConnectionFactory(ClientFactory):
+    """Connects to one front, and again where that fails."""
+
+    def __init__(self, workload: "Workload", front: int) -> None:
+        self.workload = workload
+        self.front = front
+
+    def buildProtocol(self, addr: IAddress | None) -> ClientConnection:
+        """A connection that has come up."""
+        return ClientConnection(self.workload, self.front)
+
+    def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
+        """The front did not accept."""
+        self.workload.machine.callLater(RECONNECT_AFTER, self.workload.connect, self.front)
+
+
+class Workload:
+    """All clients of one run, on one machine."""
+
+    def __init__(self, context: RunContext, sizes: Sizes) -> None:
+        self.context = context
+        self.events = context.network.events
+        self.sizes = sizes
+        self.machine = Machine(context.network, "clients", CLIENT_HOST)
+        self.connections: dict[int, list[ClientConnection]] = {
+            number: [] for number in range(1, context.settings.fronts + 1)
+        }
+        self.request_count = 0
+
+    def connect(self, front: int) -> None:
+        """Open one connection to a front."""
+        self.machine.connectTCP(front_host(front), FRONT_PORT, ClientConnectionFactory(self, front))
+
+    def schedule(self) -> None:
+        """Schedule the requests of the whole run."""
+        settings, rng, at = self.context.settings, self.context.rng, FIRST_ARRIVAL
+        weights = objects.zipf_weights(settings.objects)
+        while (at := at + rng.expovariate(settings.rate)) < settings.seconds:
+            rank = bisect(weights, rng.random() * weights[-1]) + 1
+            drawn = rng.random()
+            if drawn < settings.edits:
+                request_class = "edit"
+            elif drawn < settings.edits + settings.orders:
+                request_class = "order"
+            else:
+                request_class = "photo"
+            self._schedule_request(at, request_class, rank)
+
+    def _schedule_request(self, at: float, request_class: str, rank: int) -> None:
+        self.events.schedule(at, lambda: self.send(self.request_fields(request_class, rank)))
+
+    def next_id(self) -> str:
+        """The id of the next request."""
+        self.request_count += 1
+        return f"{self.request_count:016x}"
+
+    def request_fields(self, request_class: str, rank: int) -> Fields:
+        """The fields of a new request for an object, as they go over the wire."""
+        key, part = objects.key_of(rank), self.context.rng.randrange(2)
+        fields = {
+            "class": request_class,
+            "id": self.next_id(),
+            "wait": str(int(CLIENT_TIMEOUTS[request_class] * 1000)),
+            "key": key,
+            "nth": str(part),
+            "batch": str(rank % PURGE_GROUPS),
+            "kb": str(self.sizes.kb(key, part)),
+        }
+        return fields | ({"once": f"{self.request_count:032x}"} if request_class == "order" else {})
+
+    def send(self, fields: Fields) -> None:
+        """Send a request to a front drawn at random; it is dropped where no connection is ready."""
+        ready = [c for n in sorted(self.connections) for c in self.connections[n] if c.is_ready()]
+        if ready:
+            self.context.rng.choice(ready).send(fields)
+
+    def send_to(self, front: int, fields: Fields) -> None:
+        """Send a request to one front."""
+        ready = [connection for connection in self.connections[front] if connection.is_ready()]
+        if ready:
+            ready[0].send(fields)
+
+    def retry(self, fields: Fields, after: float) -> None:
+        """Send a rejected request once more after so many seconds, under another id."""
+        if fields.get("retry") is None:
+            self.machine.callLater(after, self.send, fields | {"id": self.next_id(), "retry": "1"})
