--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -127,7 +127,7 @@
         self.read_delay = delay
         try:
             self.dataReceived(data)
-        except Exception:  # ends this connection only, as the reactor would; it is logged
+        except Exception:  # noqa: BLE001  # ends this connection only, as the reactor would; it is logged
             self.owner.log_fault("a resumed connection")
             self.transport.abortConnection()
         finally:
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -234,7 +234,7 @@
         try:
             self._add(client)
             client.resume(transport, record)
-        except Exception:  # ends this connection only; it is logged
+        except Exception:  # noqa: BLE001  # ends this connection only; it is logged
             self.owner.log_fault("a resumed connection")
             transport.abortConnection()
             return
--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -15,7 +15,7 @@
 from twisted.web.client import URI, Agent
 from twisted.web.http_headers import Headers
 from twisted.web.iweb import IAgentEndpointFactory
-from zope.interface import implementer  # type: ignore[import-untyped]  # it ships no type hints
+from zope.interface import implementer
 
 from weldbend.event_bus.errors import InvalidEventError, InvalidStreamError
 from weldbend.event_bus.events import SequencedEvent, read_event
--- a/weldbend/front/twisted_log.py
+++ b/weldbend/front/twisted_log.py
@@ -1,7 +1,7 @@
 """Twisted's log: failures that it caught go to the front's log and are counted."""
 
 from twisted.logger import ILogObserver, LogEvent, LogLevel, formatEvent
-from zope.interface import implementer  # type: ignore[import-untyped]  # ships neither stubs nor py.typed
+from zope.interface import implementer
 
 from weldbend.front.counters import FrontCounters
 
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -14,7 +14,7 @@
 from twisted.internet import tcp
 from twisted.internet.interfaces import IReadDescriptor
 from twisted.python.failure import Failure
-from zope.interface import implementer  # type: ignore[import-untyped]  # it ships no type hints
+from zope.interface import implementer
 
 if TYPE_CHECKING:
     from twisted.internet.protocol import Protocol as ConnectionProtocol
@@ -115,7 +115,7 @@
         if type(transport) is not tcp.Server or not transport.connected or transport.disconnecting:
             return None
         # Twisted has no public access to what was written but not sent yet.
-        if transport.dataBuffer or transport._tempDataBuffer:
+        if transport.dataBuffer or transport._tempDataBuffer:  # noqa: SLF001
             return None
         transport.stopReading()  # type: ignore[no-untyped-call]  # Twisted's method has no hints
         transport.stopWriting()  # type: ignore[no-untyped-call]  # Twisted's method has no hints
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.interfaces import IReadDescriptor
 from twisted.python.failure import Failure
-from zope.interface import implementer  # type: ignore[import-untyped]  # it ships no type hints
+from zope.interface import implementer
 
 from weldbend.idle_connections.connection_table import IDLE, ConnectionRecord, ConnectionTable
 from weldbend.idle_connections.epoll_set import Reactor
--- a/weldbend/installation/reader.py
+++ b/weldbend/installation/reader.py
@@ -59,7 +59,7 @@
     Raises:
         InstallationError: The file cannot be read, is too long, or is not INI in UTF-8.
     """
-    from configobj import (  # type: ignore[import-untyped]  # it ships no type hints
+    from configobj import (
         ConfigObj,
         ConfigObjError,
     )
