--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -86,7 +86,7 @@
         """An operator connects."""
         return AdminConnection(self)
 
-    def answer(self, question: Question) -> Any:  # noqa: ANN401, RUF100 - what JSON can hold
+    def answer(self, question: Question) -> Any:  # noqa: ANN401 - what JSON can hold
         """Answer a question.
 
         Raises:
--- a/weldbend/fleet/cli.py
+++ b/weldbend/fleet/cli.py
@@ -17,7 +17,7 @@
 MAX_ANSWER = 1 << 24  # bytes
 
 
-def ask(control: str, **question: Any) -> Any:  # noqa: ANN401, RUF100 - what JSON can hold
+def ask(control: str, **question: Any) -> Any:  # noqa: ANN401 - what JSON can hold
     """Ask one question, and return its answer.
 
     Raises:
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -225,7 +225,7 @@
         """The connection is open."""
         return self.manager.open_end(self.peer)
 
-    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401, RUF100 - zope has no types
+    def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401 - zope has no types
         """The connection could not be opened."""
         self.manager.connect_failed(self.peer)
 
--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -27,7 +27,7 @@
         """Accept a request whose last byte has come, or answer it at once."""
         try:
             self._admit(client_request)
-        except Exception:  # noqa: BLE001, RUF100 - an error in one request must not end its connection
+        except Exception:  # noqa: BLE001 - an error in one request must not end its connection
             self.context.counters.record_error("admission")
             if not client_request.is_answered:
                 client_request.answer_failed()
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -183,6 +183,6 @@
         """
         try:
             call(request, *args)
-        except Exception:  # noqa: BLE001, RUF100 - an error in one request must not end the others
+        except Exception:  # noqa: BLE001 - an error in one request must not end the others
             self.context.counters.record_error(request.id)
             self.abort(request)
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -125,13 +125,13 @@
         while batch:
             try:
                 actions = self.router.handle(self.context.clock.now(), self._without_cancelled(batch))
-            except Exception:  # noqa: BLE001, RUF100 - an error in one request ends that one, not the front
+            except Exception:  # noqa: BLE001 - an error in one request ends that one, not the front
                 actions = self.router.actions
                 self._abort_request_of(self._event_in_hand)
             for action in actions:
                 try:
                     self.perform(action)
-                except Exception:  # noqa: BLE001, RUF100 - as above
+                except Exception:  # noqa: BLE001 - as above
                     self._abort_request_of(action)
         self.endpoints.forget_removed()
         self.requests.remove_finished()
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -44,7 +44,7 @@
                 case Purge(key, group, issued):
                     self.queue.post(ObjectsPurged(key, group, self.context.clock.age(issued)))
                     self.pool.cancel_purged(key, group)
-        except Exception:  # noqa: BLE001, RUF100 - an event that cannot be applied must not stop the bus
+        except Exception:  # noqa: BLE001 - an event that cannot be applied must not stop the bus
             self.context.counters.record_error(sequenced)
 
     def update_list(self, is_complete: bool, records: list[EndpointRecord]) -> None:
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -28,7 +28,7 @@
         events, self.events = self.events, []
         try:
             return [wire.action_text(action) for action in self.router.handle(now, events)]
-        except Exception as error:  # noqa: BLE001, RUF100 - the simulator is told of any error
+        except Exception as error:  # noqa: BLE001 - the simulator is told of any error
             return ["panic " + "".join(traceback.format_exception(error)).replace("\n", " | ")]
 
 
