--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -36,21 +36,21 @@
 ONE, TWO = {b"aaaa": b"1" * 32}, {b"bbbb": b"2" * 32}
 
 
-# The seal.
+# Message authentication.
 
 
 def ends(keys=ONE, other=ONE):
     return MessageAuthenticator("f", "a", 10, keys), MessageAuthenticator("f", "b", 20, other)
 
 
-def cause(sealer, data, **held):
+def cause(authenticator, data, **held):
     with pytest.raises(AuthenticationError) as wrong:
-        sealer.verify(data, **held)
-    assert sealer.dropped[str(wrong.value)] >= 1
+        authenticator.verify(data, **held)
+    assert authenticator.dropped[str(wrong.value)] >= 1
     return str(wrong.value)
 
 
-def test_a_sealed_message_opens_once():
+def test_an_authenticated_message_is_accepted_once():
     a, b = ends()
     data = a.authenticate("b", b"hello")
     assert b.verify(data).body == b"hello"
@@ -77,7 +77,8 @@
     )
     assert cause(b, a.authenticate("b", b"x", True)) == "of the other kind of path"
     assert (
-        cause(b, a.authenticate("b", b"x", True, b"one link"), link=True, session=b"another") == "wrong MAC"
+        cause(b, a.authenticate("b", b"x", True, b"one link"), over_connection=True, session=b"another")
+        == "wrong MAC"
     )
     assert cause(b, b"\x01") == "too short"
     assert cause(b, bytes(1 << 20)) == "too long"
@@ -114,7 +115,7 @@
 
 @settings(max_examples=200, derandomize=True)
 @given(st.binary(max_size=300))
-def test_bytes_that_are_no_message_are_refused(data):
+def test_bytes_that_are_no_message_are_rejected(data):
     for read in (m.read_datagram, m.read_linked):
         try:
             read(data)
@@ -125,9 +126,9 @@
 def test_lengths_are_bounded_before_decoding():
     with pytest.raises(m.InvalidPeerMessageError, match="too long"):
         m.read_linked(bytes(3 << 20))
-    rumour = m.MemberUpdate("x", 1, 0, 0, "y")
+    update = m.MemberUpdate("x", 1, 0, 0, "y")
     with pytest.raises(m.InvalidPeerMessageError):
-        m.read_datagram(m.encode(m.Probe(1, [rumour] * 30)))
+        m.read_datagram(m.encode(m.Probe(1, [update] * 30)))
     op = m.Operation("w", 1, 1, "purge", "k:1", [1], 0.0)
     with pytest.raises(m.InvalidPeerMessageError):
         m.read_linked(m.encode(m.Delta([op] * 10_000)))
@@ -189,7 +190,7 @@
     assert pair.fronts["a"].counts["asked through others"] > 0
 
 
-def test_a_front_that_hears_nobody_judges_nobody():
+def test_an_isolated_front_judges_nobody():
     pair = Pair(*"abcde")
     pair.run(12)
     pair.lost = {(x, y) for x in "abcde" for y in "abcde" if "e" in (x, y)}
@@ -201,7 +202,7 @@
     assert {pair.state(x, "e") for x in "abcd"} == {State.ALIVE}
 
 
-def test_a_front_that_stood_still_declares_nobody_dead_and_refutes_its_own_death():
+def test_a_paused_front_declares_nobody_dead_and_refutes_its_own_death():
     pair = Pair(*"abcd")
     pair.run(12)
     frozen = pair.fronts.pop("d")
@@ -215,7 +216,7 @@
     assert {pair.state(x, "d") for x in "abc"} == {State.ALIVE}
 
 
-def test_a_restart_under_an_older_clock_is_told_and_goes_on_under_a_later_epoch():
+def test_a_restart_under_an_older_clock_is_notified_and_goes_on_under_a_later_epoch():
     pair = Pair(*"abc")
     pair.run(12)
     pair.fronts["c"] = Membership("c", 7, pair.terms, "abc", 9, pair.now)
@@ -261,7 +262,7 @@
     assert pair.state("a", "c") is State.ALIVE
 
 
-def test_a_member_that_is_no_longer_named_is_not_heard():
+def test_messages_of_a_member_that_is_no_longer_named_are_dropped():
     pair = Pair(*"abc")
     pair.run(12)
     a = pair.fronts["a"]
@@ -273,7 +274,7 @@
 
 @settings(max_examples=100, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 3), st.sampled_from([0, 1, 2])), max_size=12), st.randoms())
-def test_rumours_in_any_order_come_to_one_belief(told, rng):
+def test_updates_in_any_order_come_to_one_belief(told, rng):
     believed = set()
     for _ in range(3):
         order = told * 2
@@ -286,7 +287,7 @@
     assert len(believed) == 1
 
 
-def test_a_second_voice_shortens_a_suspicion_where_few_could_confirm_it():
+def test_a_second_reporter_shortens_a_suspicion_where_few_could_confirm_it():
     pair = Pair(*"abc")
     pair.run(12)
     pair.fronts.pop("c")
@@ -294,10 +295,10 @@
     while pair.state("a", "c") is not State.DEAD:
         pair.run(pair.now + 0.5)
         assert pair.now < begun + 12, "as long as a suspicion that nobody confirms"
-    assert pair.now - begun > pair.terms.suspicion(3, 1)
+    assert pair.now - begun > pair.terms.suspicion_timeout(3, 1)
 
 
-def test_a_new_start_behind_a_lost_path_is_known_through_a_helper():
+def test_a_new_start_behind_a_lost_path_is_learnt_through_a_helper():
     pair = Pair(*"abc")
     pair.run(12)
     pair.lost = {("a", "b"), ("b", "a")}
@@ -307,7 +308,7 @@
     assert pair.state("a", "b") is State.ALIVE
 
 
-def test_one_that_does_not_refute_is_told_once_an_interval():
+def test_a_member_that_does_not_refute_is_notified_once_an_interval():
     pair = Pair(*"ab")
     pair.run(8)
     a = pair.fronts["a"]
@@ -578,12 +579,14 @@
     held = AntiEntropy(ReplicatedStore("a", 1), terms, 1, lambda _: None, 0.0)
     held.peer_connected("b", 0.0)
     (say,) = held.handle(0.1, "b", m.SnapshotRequest(""))
-    assert isinstance(say.body, m.SnapshotRefusal) and say.body.why == "not caught up"
+    assert isinstance(say.body, m.SnapshotRefusal) and say.body.reason == "not caught up"
 
 
 # Whole fleets from one integer.
 
-SMALL = ModelSettings(fleet=FleetSettings(ops=16, patience=1.5, widest=2.0), faults=5, rate=5.0)
+SMALL = ModelSettings(
+    fleet=FleetSettings(ops=16, min_suspicion=1.5, suspicion_spread=2.0), faults=5, rate=5.0
+)
 
 
 @pytest.mark.parametrize("seed", range(1, 13))
@@ -668,7 +671,7 @@
     "an older epoch is taken for the newer": lambda mp: mp.setattr(
         Membership, "receive", accepts_any_epoch(Membership.receive)
     ),
-    "a rumour of one's own death is let stand": patch(Membership, "refute", lambda self, update: None),
+    "an update of one's own death is not refuted": patch(Membership, "refute", lambda self, update: None),
     "an own epoch is never raised": patch(Membership, "raise_epoch", lambda self, epoch, now: None),
     "one that caught up never says so": patch(AntiEntropy, "set_caught_up", lambda self, now: None),
 }
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -115,7 +115,7 @@
         assert fleet.membership.counts["stood still"] >= 1 and fleet.membership.counts["known dead"] == 0
 
 
-def test_a_front_that_stood_still_reads_what_it_missed_before_it_sends():
+def test_a_paused_front_reads_what_it_missed_before_it_sends():
     def late(made):
         made.network.extra_delay[("10.0.2.1", "10.0.0.1")] = (
             0.1  # its bus comes a moment after its clients do
@@ -171,7 +171,7 @@
         fleet = shared(made, number).fleet
         assert fleet.membership.members["n4"].state is State.ALIVE, "it answers probes"
         assert ("purge", "g:1") in fleet.store.items
-        assert all(end.outbox.size <= fleet.settings.outbox for end in fleet.connections.ends)
+        assert all(end.outbox.size <= fleet.settings.outbox_capacity for end in fleet.connections.ends)
 
 
 def test_one_of_a_newer_version_is_left_alone_and_no_harm_to_the_others(monkeypatch):
@@ -221,7 +221,7 @@
 
 
 @pytest.mark.parametrize("rule", sorted(SABOTAGE))
-def test_a_bridge_that_heeds_nothing_is_caught(rule, monkeypatch):
+def test_an_adapter_that_applies_nothing_is_caught(rule, monkeypatch):
     SABOTAGE[rule](monkeypatch)
     made = run((2.0, cut({2}, 8.0)), (3.0, drain("e1")), (3.5, purge_group), (4.0, drain("e2")))
     assert rule in violations(made)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -183,7 +183,7 @@
         "edits": 0.0,
     }
     terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3,
-                            limits=LimitSettings(verdicts=verdicts_on))  # fmt: skip
+                            limits=LimitSettings(ejections=verdicts_on))  # fmt: skip
     made = FleetRun(seed, FleetRunSettings(**held | {"edges": 6, "fleet": terms} | shape))
     made.failing = Failing(made)
     made.events.schedule(4.0, lambda: made.failing.bad.add("e1"))
@@ -250,7 +250,7 @@
 
 
 def test_strict_rates_hold_for_the_whole_fleet_and_a_split():
-    limits = LimitSettings(strict=(("photo", 30.0),), cold=False)
+    limits = LimitSettings(leased_rates=(("photo", 30.0),), slow_start=False)
     terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3, limits=limits)
     shape = FleetRunSettings(
         faults=0, fleet_faults=0, rate=60.0, seconds=20.0, calm=0.0, orders=0.0, edits=0.0, fleet=terms
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -19,7 +19,7 @@
 from weldbend.cache_protocol import commands as line_commands
 from weldbend.event_bus import events, sse
 from weldbend.fleet import cli, messages
-from weldbend.fleet import message_authentication as seal
+from weldbend.fleet import message_authentication as authentication
 from weldbend.fleet.admin_server import AdminServer
 from weldbend.fleet.replicated_items import ITEM_KINDS
 from weldbend.fleet.replicated_store import ReplicatedStore
@@ -186,13 +186,13 @@
 
 
 @pytest.mark.parametrize("case", cases("sealed.json"))
-def test_a_sealed_message_has_its_recorded_bytes_and_is_opened_as_it_was(case):
+def test_an_authenticated_message_has_its_recorded_bytes_and_is_verified_as_it_was(case):
     fleet, sender, to, epoch, number, link = case["header"]
     body, session = bytes.fromhex(case["body"]), bytes.fromhex(case["session"])
-    sealer = seal.MessageAuthenticator(fleet, sender, epoch, seal.read_keys(KEYS))
-    sealer.number = number - 1
-    assert sealer.authenticate(to, body, link, session).hex() == case["hex"]
-    opened = seal.MessageAuthenticator(fleet, to, 1, seal.read_keys(KEYS)).verify(
+    authenticator = authentication.MessageAuthenticator(fleet, sender, epoch, authentication.read_keys(KEYS))
+    authenticator.number = number - 1
+    assert authenticator.authenticate(to, body, link, session).hex() == case["hex"]
+    opened = authentication.MessageAuthenticator(fleet, to, 1, authentication.read_keys(KEYS)).verify(
         bytes.fromhex(case["hex"]), link, session
     )
     assert plain(opened.header) == case["header"]
@@ -201,7 +201,7 @@
 
 @pytest.mark.parametrize("case", cases("items.json"))
 def test_a_recorded_item_is_taken_and_passed_on_as_it_was(case):
-    (op,) = messages.read_linked(bytes.fromhex(case["hex"])).ops
+    (op,) = messages.read_linked(bytes.fromhex(case["hex"])).operations
     assert plain(op) == case["values"]
     copies = ReplicatedStore("n9", 5)
     assert plain(copies.apply(op, 100.0)) == case["change"]
@@ -238,7 +238,7 @@
         if not case["header"][5]:  # not of a link; one of them is meant for another, and dropped
             fleet.datagrams.datagramReceived(bytes.fromhex(case["hex"]), ("127.0.0.2", 7400))
     for case in recorded("items.json"):
-        for op in messages.read_linked(bytes.fromhex(case["hex"])).ops:
+        for op in messages.read_linked(bytes.fromhex(case["hex"])).operations:
             fleet.store.apply(op, 100.0)
     return AdminServer(fleet, {})
 
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -82,7 +82,7 @@
         load_keys(fleet.keys)
     except FleetConfigurationError as error:
         raise InvalidSectionError(installation, "fleet", error) from None
-    limited = {name for name, _ in (*fleet.limits.strict, *fleet.limits.soft)}
+    limited = {name for name, _ in (*fleet.limits.leased_rates, *fleet.limits.demand_rates)}
     unknown = sorted(limited - set(site.settings.classes))
     if unknown:
         raise InvalidSectionError(installation, "limits", f"no request class {unknown[0]!r}")
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -254,21 +254,21 @@
     def _handle_comparison(self, link: Link, summary: m.Summary, now: float) -> list[PeerMessage]:
         is_first = link.compared_at == -math.inf
         link.last_received = summary.number
-        if summary.seen < link.first_valid:  # it may have waited here while this process stood still
+        if summary.last_received < link.first_valid:  # it may have waited here while this process stood still
             return [self.comparison(link.peer, now)] if is_first and self._may_reply(link, now) else []
         link.vector = dict(summary.vector)
-        link.is_caught_up = summary.whole
+        link.is_caught_up = summary.is_caught_up
         link.compared_at = now
         missing = self.store.changes_after(link.vector, now, BATCH)
         found = self._send_changes(link, missing, now) if missing else []  # None: it requests a snapshot
         if self.store.is_behind(link.vector):
             return found + self._catch_up(link, is_first, now)
         self._compare_digests(link, summary, missing, now)
-        if link.mismatches >= MISMATCHES and summary.whole and not self.transfer:
+        if link.mismatches >= MISMATCHES and summary.is_caught_up and not self.transfer:
             link.mismatches = 0
             self.counts["replicas that differed"] += 1
             return found + self._request_snapshot(now, "", link.peer)
-        if not self.is_caught_up and (summary.whole or self._all_peers_equal(now)):
+        if not self.is_caught_up and (summary.is_caught_up or self._all_peers_equal(now)):
             self.set_caught_up(now)
         return found
 
@@ -375,13 +375,13 @@
         if transfer is None or transfer.donor != link.peer:
             self.counts["snapshot chunks not requested"] += 1
             return []
-        for change in self.store.load_snapshot(body.ops, now):
+        for change in self.store.load_snapshot(body.operations, now):
             self._changed(change)
         transfer.after = body.after
         transfer.received_at = now
         if body.vector:
             transfer.lower_floor(body.vector)
-        if not body.last:
+        if not body.is_last:
             return []
         self.store.advance_to(transfer.floor or {}, now)
         self.transfer = None
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -43,21 +43,21 @@
 
     def exceeds_limit(self, client: str) -> bool:
         """Count a request; return whether it is to be rejected as beyond its client's limit."""
-        if not self.context.limits.client:
+        if not self.context.limits.client_rate:
             return False
         self.requests[client] += 1
         return self._is_excess(client)
 
     def _is_excess(self, client: str) -> bool:
         """By chance, as much as one client requests of all fronts beyond its limit."""
-        limit = self.context.limits.client
+        limit = self.context.limits.client_rate
         elsewhere = sum(rate for _, rate in self.context.peer_figures("heavy", client).values())
         total = self.rates.get(client, 0.0) + elsewhere
         return total > limit and self.context.random.random() >= limit / total
 
     def tick(self) -> None:
         """Update the mean rates and publish the highest ones."""
-        limit = self.context.limits.client
+        limit = self.context.limits.client_rate
         if not limit:
             return
         for client in set(self.requests) | set(self.rates):
@@ -124,7 +124,7 @@
         reports: dict[str, list[ClientBan]] = defaultdict(list)
         for client, writer, item in self.context.live_figures("cast", now):
             reports[client].append(ClientBan(writer, item.written_at - float(item.value[2])))
-        found = banned_clients(reports, self.context.limits.cast, now)
+        found = banned_clients(reports, self.context.limits.ban_duration, now)
         for client in set(found) - set(self.banned):
             reporters = ", ".join(sorted(ban.front for ban in reports[client]))
             logger.bind(client=client).warning("fleet: client {} is banned by {}", client, reporters)
--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -53,7 +53,7 @@
 
     def __init__(self, context: QuotaContext) -> None:
         self.context = context
-        self.rates = {name: DemandLimit(rate) for name, rate in context.limits.soft}
+        self.rates = {name: DemandLimit(rate) for name, rate in context.limits.demand_rates}
         self.parents = DemandEstimate()
         self.parent_fraction = 0.0
 
@@ -70,7 +70,7 @@
 
     def _divide_parents(self, now: float, alive: list[str]) -> None:
         context = self.context
-        if not context.limits.parents:
+        if not context.limits.parent_quotas:
             return
         coverage = min(1.0, len(context.front_names()) / context.settings.fronts)
         fraction = round(self._divide(PARENTS, self.parents, now, alive) * coverage, 4)
@@ -87,7 +87,7 @@
             }
             for name, rate in sorted(self.rates.items())
         ]  # fmt: skip
-        if self.context.limits.parents:
+        if self.context.limits.parent_quotas:
             rows.append({
                 "limit": PARENTS, "kind": "soft", "part": self.parent_fraction,
                 "need": round(self.parents.mean, 2), "others": self._peers_shown(PARENTS),
--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -155,7 +155,7 @@
             self.announce(member.name)  # another reporter is news
         member.suspected_by.add(reporter)
         confirmations = min(len(member.suspected_by) - 1, self.settings.helpers)
-        member.suspicion_deadline = member.since + self.settings.suspicion(
+        member.suspicion_deadline = member.since + self.settings.suspicion_timeout(
             len(self.members) + 1, confirmations
         )
 
@@ -200,7 +200,7 @@
         What concerns the recipient itself goes before all, so that it can refute it (Lifeguard's buddy
         system, section IV-C).
         """
-        most_transmissions = self.settings.repeats(len(self.members) + 1)
+        most_transmissions = self.settings.gossip_transmissions(len(self.members) + 1)
         updates: list[m.MemberUpdate] = []
         if recipient.state >= State.SUSPECT and recipient.epoch:
             updates.append(self.as_update(recipient))
--- a/weldbend/fleet/message_authentication.py
+++ b/weldbend/fleet/message_authentication.py
@@ -98,10 +98,10 @@
 
     fleet: Name
     sender: Name
-    to: Name
+    recipient: Name
     epoch: Count
     number: Count
-    link: bool = False  # of a connection, where numbers follow each other; else of a datagram
+    over_connection: bool = False  # of a connection, where numbers follow each other; else of a datagram
 
 
 @dataclass(frozen=True, slots=True)
@@ -183,23 +183,29 @@
         """Go by these keys from now on."""
         self.keys = dict(keys)
 
-    def authenticate(self, to: str, body: bytes, link: bool = False, session: bytes = b"") -> bytes:
+    def authenticate(
+        self, recipient: str, body: bytes, over_connection: bool = False, session: bytes = b""
+    ) -> bytes:
         """The bytes of one message to a member.
 
         Args:
-            to: the recipient's name.
+            recipient: the member's name.
             body: the encoded message.
-            link: whether it goes over a connection, and not as a datagram.
+            over_connection: whether it goes over a connection, and not as a datagram.
             session: what both ends of a connection drew, so that a recorded message fits no other.
         """
         self.number += 1
-        header = _encoder.encode(Header(self.fleet, self.name, to, self.epoch, self.number, link))
+        header = _encoder.encode(
+            Header(self.fleet, self.name, recipient, self.epoch, self.number, over_connection)
+        )
         key_id, secret = next(iter(self.keys.items()))
         content = len(header).to_bytes(2, "big") + header + body
         return bytes((VERSION,)) + key_id + mac(secret, key_id, content, session) + content
 
-    def verify(self, data: bytes, link: bool = False, session: bytes = b"") -> AuthenticatedMessage:
-        """Check a message, whose number is used up by that; `link` and `session` as in `authenticate`.
+    def verify(
+        self, data: bytes, over_connection: bool = False, session: bytes = b""
+    ) -> AuthenticatedMessage:
+        """Check a message, which uses up its number; `over_connection` and `session` as in `authenticate`.
 
         Raises:
             AuthenticationError: it is dropped, and its cause is counted.
@@ -208,7 +214,7 @@
             content = self._check_mac(data, session)
             length = int.from_bytes(content[:2], "big")
             header = self._read_header(content[2 : 2 + length])
-            self._check_header(header, link)
+            self._check_header(header, over_connection)
         except AuthenticationError as error:
             self.dropped[error.cause.value] += 1
             raise
@@ -239,14 +245,14 @@
         except (msgspec.DecodeError, msgspec.ValidationError):
             raise AuthenticationError(DropCause.UNREADABLE_HEADER) from None
 
-    def _check_header(self, header: Header, link: bool) -> None:
+    def _check_header(self, header: Header, over_connection: bool) -> None:
         if header.fleet != self.fleet:
             raise AuthenticationError(DropCause.OTHER_FLEET)
         if header.sender == self.name and header.epoch == self.epoch:
             raise AuthenticationError(DropCause.REFLECTED)
-        if header.to != self.name:
+        if header.recipient != self.name:
             raise AuthenticationError(DropCause.OTHER_RECIPIENT)
-        if header.link is not link:
+        if header.over_connection is not over_connection:
             raise AuthenticationError(DropCause.OTHER_TRANSPORT)
         if not self._window(header).accept(header.number):
             raise AuthenticationError(DropCause.REPLAYED)
@@ -257,7 +263,7 @@
         A message of an epoch before all of them is dropped: its numbers would be new here, and it could be
         replayed.
         """
-        epochs = self.windows.setdefault((header.sender, header.link), {})
+        epochs = self.windows.setdefault((header.sender, header.over_connection), {})
         if header.epoch not in epochs:
             if epochs and header.epoch < min(epochs) and len(epochs) >= MAX_EPOCHS:
                 raise AuthenticationError(DropCause.EXPIRED_EPOCH)
--- a/weldbend/fleet/messages.py
+++ b/weldbend/fleet/messages.py
@@ -176,15 +176,15 @@
 
     vector: Vector
     digest: Count
-    whole: bool
+    is_caught_up: bool
     number: Count = 0  # of the sender's summaries on this connection
-    seen: Count = 0  # the number of the other end's last one that had come: how old this one may be
+    last_received: Count = 0  # the number of the other end's last one that had come: how old this one may be
 
 
 class Delta(Body, tag=22, frozen=True, array_like=True):
     """Changes that the recipient may lack."""
 
-    ops: Operations
+    operations: Operations
 
 
 class SnapshotRequest(Body, tag=23, frozen=True, array_like=True):
@@ -196,16 +196,16 @@
 class SnapshotChunk(Body, tag=24, frozen=True, array_like=True):
     """A chunk of a snapshot, in order of its keys. A donor's first says in `vector` what it had by then."""
 
-    ops: Operations
+    operations: Operations
     after: Annotated[str, Meta(max_length=120)]  # the last key in this chunk
-    last: bool
+    is_last: bool
     vector: Vector
 
 
 class SnapshotRefusal(Body, tag=25, frozen=True, array_like=True):
     """No snapshot from here: the sender has not caught up itself, or serves others."""
 
-    why: Annotated[str, Meta(max_length=32)]
+    reason: Annotated[str, Meta(max_length=32)]
 
 
 LeaseMessage = AcquireLease | GrantLease | ReleaseLease
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -59,7 +59,7 @@
         self.peer = peer
         self.is_initiator = bool(peer)
         self.buffer = Ring(RECEIVE_BUFFER)
-        self.outbox = Outbox(manager.settings.outbox)
+        self.outbox = Outbox(manager.settings.outbox_capacity)
         self.nonce = manager.runtime.random_bytes(NONCE_SIZE)
         self.session = b""
         self.is_paused = False
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -65,7 +65,7 @@
 
     def _open_rates(self) -> None:
         context, times = self.context, self._times(WINDOW)
-        for name, rate in context.limits.strict:
+        for name, rate in context.limits.leased_rates:
             self.rates[name] = LeasedRate(rate * WINDOW, times)
             self.leases.open(
                 f"type:{name}", context.front_names(), rate * WINDOW, times, self.rates[name], context.now()
@@ -73,7 +73,7 @@
 
     def _times(self, window: float) -> LeaseTimes:
         limits = self.context.limits
-        return LeaseTimes(limits.lease, window, limits.drift)
+        return LeaseTimes(limits.lease_term, window, limits.clock_drift)
 
     # Admission.
 
@@ -117,7 +117,7 @@
         self.slow_start.tick()
         self.demand.tick(now, alive)
         self.client_rate.tick()
-        if self.context.limits.verdicts:
+        if self.context.limits.ejections:
             self.ejections.update_ejections(now, reports, alive)
             self.bans.tick(now)
             self.ejections.find_unlisted_starts(now)
@@ -132,7 +132,7 @@
         `MEMBERS_INTERVAL`.
         """
         context = self.context
-        checksum = zlib.crc32(f"{context.front_names()} {context.limits.strict}".encode())
+        checksum = zlib.crc32(f"{context.front_names()} {context.limits.leased_rates}".encode())
         if checksum != self._members_checksum or now - self._members_published_at >= MEMBERS_INTERVAL:
             self._members_checksum, self._members_published_at = checksum, now
             context.publish_figure("names", "", float(checksum))
@@ -151,7 +151,7 @@
         Where members are fewer, quotas grow only once all fronts name the same.
         """
         now = self.context.now()
-        for name, rate in self.context.limits.strict:
+        for name, rate in self.context.limits.leased_rates:
             if name in self.rates:
                 self.rates[name].limit = rate * WINDOW
         current = set(self.context.front_names())
--- a/weldbend/fleet/settings.py
+++ b/weldbend/fleet/settings.py
@@ -28,26 +28,26 @@
     """What is limited for the whole fleet, as `[limits]` sets it.
 
     Attributes:
-        lease: seconds for which a lease on a strict limit lasts.
-        drift: fraction by which steady clocks may run apart.
-        cold: whether budgets of caches that warm up are shared by leases.
-        parents: whether what is in flight at all parents is divided by demand.
-        verdicts: whether caches are ejected by the reports of several fronts.
-        cast: seconds for which a client stays banned.
-        strict: request classes and their rates, requests a second of all fronts, that are never exceeded.
-        soft: request classes and their rates that are divided by demand.
-        client: requests a second of one client (address) at all fronts; 0 for no limit.
+        lease_term: seconds for which a lease on a strict limit lasts.
+        clock_drift: fraction by which steady clocks may run apart.
+        slow_start: whether budgets of caches that warm up are shared by leases.
+        parent_quotas: whether what is in flight at all parents is divided by demand.
+        ejections: whether caches are ejected by the reports of several fronts.
+        ban_duration: seconds for which a client stays banned.
+        leased_rates: request classes and their rates, requests a second of all fronts, never exceeded.
+        demand_rates: request classes and their rates that are divided by demand.
+        client_rate: requests a second of one client (address) at all fronts; 0 for no limit.
     """
 
-    lease: float = 1.0
-    drift: float = 0.01
-    cold: bool = True
-    parents: bool = True
-    verdicts: bool = True
-    cast: float = 600.0
-    strict: tuple[tuple[str, float], ...] = ()
-    soft: tuple[tuple[str, float], ...] = ()
-    client: float = 0.0
+    lease_term: float = 1.0
+    clock_drift: float = 0.01
+    slow_start: bool = True
+    parent_quotas: bool = True
+    ejections: bool = True
+    ban_duration: float = 600.0
+    leased_rates: tuple[tuple[str, float], ...] = ()
+    demand_rates: tuple[tuple[str, float], ...] = ()
+    client_rate: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,12 +64,12 @@
         interval: time in which a front sends one probe.
         timeout: time in which a direct probe is answered.
         helpers: how many members are asked to probe on this front's behalf.
-        patience: shortest suspicion, in intervals and decades of members.
-        widest: factor by which a suspicion lasts longer that nobody else has confirmed.
+        min_suspicion: shortest suspicion, in intervals and decades of members.
+        suspicion_spread: factor by which a suspicion lasts longer that nobody else has confirmed.
         alone: time without a message from anybody after which this front judges nobody.
         stalled: time between two ticks after which this process counts as paused.
         rate: bytes a second to one peer, snapshots and deltas together.
-        outbox: bytes that wait for one peer at most.
+        outbox_capacity: bytes that wait for one peer at most.
         ops: operations of each writer that are retained for deltas.
         exchange: time between two summaries to one peer.
         limits: what is limited for the whole fleet.
@@ -85,30 +85,30 @@
     interval: float = 1.0
     timeout: float = 0.3
     helpers: int = 3
-    patience: float = 4.0
-    widest: float = 5.0
+    min_suspicion: float = 4.0
+    suspicion_spread: float = 5.0
     alone: float = 3.0
     stalled: float = 2.0
     rate: int = 256_000
-    outbox: int = 1_000_000
+    outbox_capacity: int = 1_000_000
     ops: int = 4096
     exchange: float = 2.0
     limits: LimitSettings = field(default_factory=LimitSettings)
     popularity: bool = False
 
-    def suspicion(self, members: int, confirmations: int) -> float:
+    def suspicion_timeout(self, members: int, confirmations: int) -> float:
         """Seconds of a suspicion that so many other members have confirmed, in a fleet of `members`.
 
         Lifeguard (Dadgar, Phillips, Currey 2018), section IV-B: from the longest down to the shortest, by the
         logarithm of the confirmations.
         """
-        shortest = self.patience * max(1.0, math.log10(max(members, 1))) * self.interval
-        longest = shortest * self.widest
+        shortest = self.min_suspicion * max(1.0, math.log10(max(members, 1))) * self.interval
+        longest = shortest * self.suspicion_spread
         possible = max(min(self.helpers, members - 2), 0)  # who could confirm it at all
         if confirmations >= possible:
             return shortest
         return longest - (longest - shortest) * math.log(confirmations + 1) / math.log(possible + 1)
 
-    def repeats(self, members: int) -> int:
+    def gossip_transmissions(self, members: int) -> int:
         """How often an update is passed on: SWIM (Das, Gupta, Motivala 2002), section 4.1, with lambda 3."""
         return math.ceil(3 * math.log10(members + 1)) + 1
--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -72,7 +72,7 @@
     @property
     def is_enabled(self) -> bool:
         """Whether such budgets are shared by leases at all."""
-        return self.context.limits.cold and bool(self.context.settings.weighted)
+        return self.context.limits.slow_start and bool(self.context.settings.weighted)
 
     def owners(self, limit: str) -> list[str]:
         """Return the fronts that own a limit: of an edge cache those of this front's zone, else all."""
@@ -121,7 +121,7 @@
         sharers = settings.zone_fronts if cache.role is Role.EDGE else settings.fronts
         budget.coverage = min(1.0, len(owners) / sharers)
         times = LeaseTimes(
-            self.context.limits.lease, settings.edge_overload_window, self.context.limits.drift
+            self.context.limits.lease_term, settings.edge_overload_window, self.context.limits.clock_drift
         )
         opened = self.leases.open(
             limit, owners, self._first_attempts(cache), times, budget, self.context.now()
--- a/weldbend/installation/keys.py
+++ b/weldbend/installation/keys.py
@@ -86,14 +86,14 @@
         timeout = values.format_duration(settings.timeout)
         interval = values.format_duration(settings.interval)
         return f"timeout ({timeout}) must be at most half of interval ({interval})"
-    if settings.outbox < MIN_OUTBOX:
+    if settings.outbox_capacity < MIN_OUTBOX:
         return f"outbox must hold two of the longest messages ({MIN_OUTBOX})"
     return None
 
 
 def limit_conflict(settings: fleet.LimitSettings) -> str | None:
     """Return what is impossible about settings of limits, or None."""
-    both = {name for name, _ in settings.strict} & {name for name, _ in settings.soft}
+    both = {name for name, _ in settings.leased_rates} & {name for name, _ in settings.demand_rates}
     return f"{min(both)} has a strict limit and a soft one" if both else None
 
 
@@ -131,7 +131,7 @@
         duration_key("stalled", "stalled", 0.2, 60.0),
         duration_key("exchange", "exchange", 0.1, 60.0),
         count_key("rate", "rate", 10_000, 100_000_000),
-        count_key("outbox", "outbox", 65_536, 64_000_000),
+        count_key("outbox", "outbox_capacity", 65_536, 64_000_000),
         count_key("ops", "ops", 16, 65_536),
         switch_key("popularity", "popularity"),
     ),
@@ -141,15 +141,15 @@
 
 LIMITS = Section(
     keys=(
-        duration_key("lease", "lease", 0.2, 60.0),
-        Key("drift", "drift", values.percentage_between(0.0, 0.2), values.format_percentage),
-        switch_key("cold", "cold"),
-        switch_key("parents", "parents"),
-        switch_key("verdicts", "verdicts"),
-        duration_key("cast-for", "cast", 1.0, 900.0),
-        Key("strict", "strict", values.parse_rates, values.format_rates),
-        Key("soft", "soft", values.parse_rates, values.format_rates),
-        Key("client", "client", values.float_between(0, 1_000_000), values.format_float),
+        duration_key("lease", "lease_term", 0.2, 60.0),
+        Key("drift", "clock_drift", values.percentage_between(0.0, 0.2), values.format_percentage),
+        switch_key("cold", "slow_start"),
+        switch_key("parents", "parent_quotas"),
+        switch_key("verdicts", "ejections"),
+        duration_key("cast-for", "ban_duration", 1.0, 900.0),
+        Key("strict", "leased_rates", values.parse_rates, values.format_rates),
+        Key("soft", "demand_rates", values.parse_rates, values.format_rates),
+        Key("client", "client_rate", values.float_between(0, 1_000_000), values.format_float),
     ),
     defaults=fleet.LimitSettings(),
     find_conflict=limit_conflict,
