--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -1,4 +1,4 @@
-"""What fronts know together, and what each makes of it: deduped downloads, evidence on caches, wishes."""
+"""What fronts know together: possible executions, health reports on caches, popularity of objects."""
 
 import math
 
@@ -20,7 +20,7 @@
 )
 from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 
-# Deduped downloads that may have run elsewhere.
+# Requests with an idempotency key that another front may have executed.
 
 ORDER = {
     "order": content(
@@ -39,7 +39,7 @@
     return front.trace[-1]
 
 
-def test_a_repeat_goes_only_to_the_group_in_which_another_front_had_it_run():
+def test_a_repeat_goes_only_to_the_group_in_which_another_front_had_it_executed():
     chosen = {asked([PossibleExecution("", cell, 0.5)]) for cell in (1, 2)}
     assert {line.split()[2] for line in chosen} == {"21", "22"}
     assert all(" look " in line or "fill" in line for line in chosen)
@@ -54,11 +54,11 @@
     ],
     ids=["in no group", "past its window", "in two groups"],
 )  # fmt: skip
-def test_a_repeat_that_no_group_would_drop_is_abandoned(ran):
+def test_a_repeat_that_no_group_would_drop_fails(ran):
     assert asked(ran) == "1.00 d: abandoned"
 
 
-def test_news_of_a_pull_elsewhere_binds_a_download_that_is_open():
+def test_an_attempt_of_another_front_binds_a_request_that_is_open():
     front = Front(ORIGINS, classes=ORDER, allows_bypass=True)
     front.ask("d", type="order", now=1.0)
     front.end("d", AttemptResult.UNREACHABLE, now=1.1)
@@ -70,7 +70,7 @@
     front.at(1.4, ExecutedElsewhere("nobody", PossibleExecution("", 1, 1.0)))
 
 
-def test_the_first_pull_is_dated_by_the_stricter_clock():
+def test_the_first_attempt_is_dated_by_the_stricter_clock():
     value = ("c:1", 99_000)  # at 99 s of the writer's Unix clock
     assert idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=101.0) == PossibleExecution(
         "", 1, 10.0
@@ -86,7 +86,7 @@
     assert idempotency.deduplication_group(DeduplicationScope.ALL, "z", 4) == ""
 
 
-def test_what_cannot_be_known_counts_as_run_for_a_window_and_no_longer():
+def test_what_cannot_be_known_counts_as_executed_for_a_window_and_no_longer():
     unknown, here = idempotency.UnknownAttempts(3.0), Member("b", epoch=5, state=State.ALIVE, received_at=9.0)
     assert not unknown.may_exist(True, {}, [here], 10.0)
     assert unknown.may_exist(False, {}, [here], 10.0), "not caught up"
@@ -97,26 +97,30 @@
     assert not unknown.may_exist(True, {}, [Member("c")], 10.0), "one never heard of"
 
 
-# Evidence on caches.
+# Health reports on caches.
 
 
-def words(*records, whole=(100.0, 0.0), **held):
+def reports(*records, whole=(100.0, 0.0), **held):
     return [HealthReport(f"w{n}", held.get("is_near", True), held.get("age", 0.0), record, whole)
             for n, record in enumerate(records)]  # fmt: skip
 
 
-def test_no_front_alone_makes_another_doubt_a_cache():
-    assert combined(words((0.0, 1e9))) == (0.0, 0.0)
-    assert combined(words((0.0, 1e9), (5.0, 0.0), (5.0, 0.0))) == (0.0, 0.0)
-    assert combined(words((0.0, 4.0), (0.0, 4.0)))[1] > 3
+def test_no_front_alone_makes_another_suspect_a_cache():
+    assert combined(reports((0.0, 1e9))) == (0.0, 0.0)
+    assert combined(reports((0.0, 1e9), (5.0, 0.0), (5.0, 0.0))) == (0.0, 0.0)
+    assert combined(reports((0.0, 4.0), (0.0, 4.0)))[1] > 3
 
 
-def test_a_word_counts_less_the_older_the_further_and_the_worse_its_writer_does_everywhere():
-    (plain,), (old,), (far,) = words((0.0, 4.0)), words((0.0, 4.0), age=5.0), words((0.0, 4.0), is_near=False)
+def test_a_report_counts_less_the_older_the_further_and_the_worse_its_writer_fares():
+    (plain,), (old,), (far,) = (
+        reports((0.0, 4.0)),
+        reports((0.0, 4.0), age=5.0),
+        reports((0.0, 4.0), is_near=False),
+    )
     assert weight(old) == pytest.approx(weight(plain) / 2) and weight(far) == weight(plain) / 2
-    (own_line,) = words((0.0, 4.0), whole=(2.0, 40.0))
+    (own_line,) = reports((0.0, 4.0), whole=(2.0, 40.0))
     assert weight(own_line) < 0.02 * weight(plain)
-    assert weight(words((0.0, 4.0), age=health_reports.SPAN + 1)[0]) == 0
+    assert weight(reports((0.0, 4.0), age=health_reports.SPAN + 1)[0]) == 0
 
 
 @settings(max_examples=200, derandomize=True)
@@ -124,7 +128,7 @@
     st.lists(st.tuples(st.floats(0, 1e9), st.floats(0, 1e9), st.floats(0, 30), st.booleans()), max_size=8),
     st.tuples(st.floats(0, 1e9), st.floats(0, 1e9)),
 )
-def test_whatever_is_claimed_evidence_is_bounded(told, whole):
+def test_whatever_is_claimed_health_reports_are_bounded(told, whole):
     found = [
         HealthReport(f"w{n}", near, age, (good, bad), whole) for n, (good, bad, age, near) in enumerate(told)
     ]
@@ -132,7 +136,7 @@
     assert math.isfinite(good) and good + bad <= health_reports.MOST_ANSWERS * max(len(found) - 1, 0) + 1e-6
 
 
-def test_a_front_speaks_of_what_ends_badly_and_says_when_it_is_well_again():
+def test_a_front_reports_what_fails_and_when_it_has_recovered():
     reporter = HealthReporter()
     assert reporter.due_reports(0.0, {"e1": (9.0, 0.0)}) == []
     assert reporter.due_reports(1.0, {"e1": (9.0, 2.0), "e2": (5.0, 0.0)}) == [
@@ -148,7 +152,7 @@
     assert reporter.due_reports(9.0, {"e1": (9.0, 0.0)}) == []
 
 
-def test_evidence_of_peers_has_a_cache_passed_by_that_this_front_never_saw_fail():
+def test_reports_of_peers_have_a_cache_avoided_that_this_front_never_saw_fail():
     def share(good, bad):
         front = Front(CACHES)
         front.ask("x", now=1.0)
@@ -165,10 +169,10 @@
     assert share(0.0, 9.0) < 0.2
 
 
-# What others were asked for.
+# Popularity.
 
 
-def test_a_slot_is_told_whole_and_counted_once_for_each_front():
+def test_a_slot_is_published_completely_and_counted_once_for_each_front():
     slots = PopularitySlots()
     assert slots.tick(0.0) is None
     names = [popularity.object_hash("a", part) for part in range(50)]
@@ -188,7 +192,7 @@
     assert not counts.counts and counts.size == 0
 
 
-def test_slots_and_what_is_held_of_them_are_bounded(monkeypatch):
+def test_slots_and_their_counts_are_bounded(monkeypatch):
     slots = PopularitySlots(began_at=0.0)
     for name in range(popularity.MOST_HASHES + 10):
         slots.add(name)
@@ -209,7 +213,7 @@
     assert counts.size == popularity.MOST_HASHES and counts.rejected == 4
 
 
-def test_a_wish_that_another_front_had_before_counts_as_the_second_one():
+def test_a_request_that_another_front_had_before_counts_as_the_second_one():
     def kept(elsewhere):
         front = Front(CACHES)
         front.at(1.0, RequestReceived("d", "k", 0, 3, "photo", 0.0, False, 7.0, 0.0, (), elsewhere))
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,6 +1,4 @@
-"""Shares of limits: never more than the limit, whatever links, clocks and processes do; and little of it
-idle.
-"""
+"""Limits shared by leases: never exceeded, whatever networks, clocks and processes do, and seldom idle."""
 
 from dataclasses import replace
 from fractions import Fraction
@@ -39,7 +37,7 @@
     return LeaseLedger(own, TIMES, 1, **held)
 
 
-# One book.
+# One ledger.
 
 
 @settings(max_examples=60, derandomize=True)
@@ -56,7 +54,7 @@
     assert shares == owned_parts(limit, sorted(names, reverse=True), attempts)
 
 
-def test_what_is_lent_is_out_until_the_term_and_a_window_are_surely_over():
+def test_what_is_granted_is_out_until_the_term_and_a_window_are_surely_over():
     lender, borrower = ledger_of(), ledger_of(0)
     number = borrower.request(10.0, "a", 30)
     grant = lender.grant(10.4, Borrower("b", 1, number), 30, used=0)
@@ -68,19 +66,19 @@
     assert lender.retained(13.4) == 70 and lender.retained(13.43) == 100
 
 
-def test_nothing_is_lent_that_the_own_last_window_needs():
+def test_nothing_is_granted_that_the_own_last_window_needs():
     lender = ledger_of()
     assert lender.grant(0.0, Borrower("b", 1, 1), 100, used=60.5).parts == 39
     assert lender.grant(0.0, Borrower("c", 1, 1), 100, used=60.5).parts == 0
 
 
-def test_the_same_asking_is_lent_once_however_often_it_comes():
+def test_the_same_request_is_granted_once_however_often_it_comes():
     lender = ledger_of()
     first = lender.grant(0.0, Borrower("b", 1, 1), 30, 0)
     assert lender.grant(0.5, Borrower("b", 1, 1), 30, 0) == replace(first, spare=0)
     assert lender.retained(0.5) == 70
     lender.grant(1.0, Borrower("b", 1, 2), 40, 0)
-    assert lender.retained(1.0) == 60, "a later asking takes the place of the one before"
+    assert lender.retained(1.0) == 60, "a later request takes the place of the one before"
     assert lender.grant(1.1, Borrower("b", 1, 1), 30, 0).parts == 0, "and one that comes late is refused"
 
 
@@ -95,13 +93,13 @@
 
 
 @pytest.mark.parametrize("late", [1.97, 30.0])
-def test_an_answer_after_the_end_is_no_loan(late):
+def test_an_answer_after_the_end_is_no_lease(late):
     borrower = ledger_of(0)
     number = borrower.request(0.0, "a", 30)
     assert not borrower.accept_grant(late, "a", Grant(1, number, 30)) and borrower.available(late) == 0
 
 
-def test_answers_to_nothing_asked_are_no_loans():
+def test_answers_to_no_request_are_no_leases():
     borrower = ledger_of(0)
     number = borrower.request(0.0, "a", 30)
     for lender, grant in (
@@ -120,7 +118,7 @@
     assert TIMES.recovery >= TIMES.term + TIMES.window
 
 
-def test_a_loan_given_back_counts_for_a_window_yet():
+def test_a_released_lease_counts_for_a_window_yet():
     lender, borrower = ledger_of(), ledger_of(0)
     number = borrower.request(0.0, "a", 30)
     borrower.accept_grant(0.1, "a", lender.grant(0.05, Borrower("b", 1, number), 30, 0))
@@ -180,12 +178,12 @@
         return super().accept_grant(now, lender, replace(grant, epoch=self.epoch))
 
 
-class KeepsWhatItLends(LeaseLedger):
+class KeepsWhatItGrants(LeaseLedger):
     def retained(self, now):
         return 0 if now < self.recovering_until else self.own
 
 
-class LendsOn(LeaseLedger):
+class GrantsLeasedParts(LeaseLedger):
     def grant(self, now, borrower, parts, used):
         own, self.own = self.own, self.own + self.leased_parts(now)
         try:
@@ -231,8 +229,8 @@
     NeverEnds: Scope(asks=1, **NOTHING),
     CountsFromTheAnswer: Scope(asks=1, **NOTHING),
     TakesAnswersToAnotherRun: Scope(own=(1, 0), asks=2, **NOTHING | {"deaths": 1}),
-    KeepsWhatItLends: Scope(asks=1, **NOTHING),
-    LendsOn: Scope(asks=2, parts=2, times=EXACT, **NOTHING),
+    KeepsWhatItGrants: Scope(asks=1, **NOTHING),
+    GrantsLeasedParts: Scope(asks=2, parts=2, times=EXACT, **NOTHING),
     FreesTheRestAtOnce: Scope(own=(2, 0), asks=2, **NOTHING),
     CountsNoWindow: Scope(own=(1, 0), asks=1, times=WINDOWS, **NOTHING),
     CountsNoDrift: Scope(own=(1, 0), asks=1, times=APART, **NOTHING | {"skips": 3}),
@@ -240,7 +238,7 @@
 
 
 @pytest.mark.parametrize("sabotage", REFUTED, ids=lambda made: made.__name__)
-def test_a_sabotaged_book_is_refuted_with_a_trace(sabotage):
+def test_a_sabotaged_ledger_is_refuted_with_a_trace(sabotage):
     scope = REFUTED[sabotage]
     found = LeaseModel(scope, sabotage).explore()
     assert found.trace and found.trace[-1].endswith("spends"), found
@@ -248,7 +246,7 @@
     assert not sound.trace and sound.is_complete, "and the book as it is holds in the same scope"
 
 
-# What is asked for, kept back and lent.
+# What is requested, reserved and granted.
 
 
 NOW = TimeSlot(1, 0.0)
@@ -258,39 +256,39 @@
     return policy.grantable(LeaseRequest(borrower, parts, had), LenderBalance(available, used), slot)
 
 
-def wants(attempts, unit=10.0, name="a", owners=None):
+def policy_with_demand(attempts, attempt=10.0, name="a", owners=None):
     held = LeasePolicy("limit", name, TIMES, owners or {"a": 100, "b": 100, "c": 100}, RandomSource(1))
-    held.observe(0.0, Usage(0.0, attempts * unit, unit))
+    held.observe(0.0, Usage(0.0, attempts * attempt, attempt))
     return held
 
 
-def test_a_need_of_its_own_is_not_lent_and_what_lies_idle_is():
-    idle, busy = wants(0), wants(9)
+def test_an_own_demand_is_not_granted_and_what_lies_idle_is():
+    idle, busy = policy_with_demand(0), policy_with_demand(9)
     assert grantable(idle, "b", 60, 100, 0.0, 1) == 60
-    assert grantable(busy, "b", 60, 100, 0.0, 1) == 40, "nine pulls, and three less by chance"
+    assert grantable(busy, "b", 60, 100, 0.0, 1) == 40, "nine attempts, and three less by chance"
     assert grantable(busy, "b", 60, 100, 95.0, 1) == 5, "what it has spent is spent"
 
 
-def test_a_hoarder_and_a_liar_get_no_more_than_lies_idle_and_no_longer_than_a_term():
-    owner, ledger = wants(8), LeaseLedger(100, TIMES, 1)
+def test_false_claims_get_no_more_than_lies_idle_and_no_longer_than_a_term():
+    owner, ledger = policy_with_demand(8), LeaseLedger(100, TIMES, 1)
     got = ledger.grant(0.0, Borrower("liar", 1, 1), grantable(owner, "liar", PARTS, 100, 0.0, 1), 0.0).parts
     assert got <= 40 and ledger.retained(0.0) >= 60
     for look in range(20):  # now it needs all of it itself
         owner.observe(0.1 + look / 10, Usage(0.0, 130.0, 10.0))
-    assert grantable(owner, "liar", PARTS, 100, 0.0, 1, had=got) == 0, "nothing is prolonged"
+    assert grantable(owner, "liar", PARTS, 100, 0.0, 1, had=got) == 0, "nothing is renewed"
     assert ledger.retained(TIMES.recovery) == 100
 
 
-def test_a_share_too_small_for_a_pull_goes_to_the_one_whose_turn_it_is():
-    mine, other = wants(1, unit=150.0), wants(1, unit=150.0, name="b")
+def test_parts_too_few_for_an_attempt_go_to_the_one_with_precedence():
+    mine, other = policy_with_demand(1, attempt=150.0), policy_with_demand(1, attempt=150.0, name="b")
     for turn in range(20):
         a_lends, b_lends = grantable(mine, "b", 50, 100, 0.0, turn), grantable(other, "a", 50, 100, 0.0, turn)
         assert sorted((a_lends, b_lends)) == [0, 50], "one of both, never both and never none"
         assert (a_lends > 0) == (rank("limit", turn, "b") > rank("limit", turn, "a"))
 
 
-def test_it_asks_for_what_it_lacks_prolongs_what_it_needs_and_gives_back_the_rest():
-    held, ledger = wants(20), LeaseLedger(100, TIMES, 1)
+def test_it_requests_what_it_lacks_renews_what_it_needs_and_releases_the_rest():
+    held, ledger = policy_with_demand(20), LeaseLedger(100, TIMES, 1)
     plans = held.plan(0.1, ledger, ["b", "c"], NOW)
     assert {type(plan) for plan in plans} == {PlannedAcquire} and sum(plan.parts for plan in plans) == 140
     for plan in plans:
@@ -298,14 +296,14 @@
         ledger.accept_grant(0.2, plan.lender, Grant(1, number, plan.parts))
     assert held.plan(0.3, ledger, ["b", "c"], NOW) == []
     held.observe(1.4, Usage(200.0, 200.0, 10.0))
-    assert sorted(plan.lender for plan in held.plan(1.4, ledger, ["b", "c"], NOW)) == ["b", "c"], "prolonged"
+    assert sorted(plan.lender for plan in held.plan(1.4, ledger, ["b", "c"], NOW)) == ["b", "c"], "renewed"
     held.demand_until = 1.4
     held.observe(1.5, Usage(0.0, 50.0, 10.0))
     assert {type(plan) for plan in held.plan(1.5, ledger, ["b", "c"], NOW)} == {PlannedRelease}
 
 
-def test_less_than_a_pull_gathered_in_vain_is_given_back():
-    held, ledger = wants(1, unit=150.0), LeaseLedger(100, TIMES, 1)
+def test_less_than_an_attempt_gathered_in_vain_is_released():
+    held, ledger = policy_with_demand(1, attempt=150.0), LeaseLedger(100, TIMES, 1)
     number = ledger.request(0.0, "b", 20)
     ledger.accept_grant(0.1, "b", Grant(1, number, 20))
     held.refused_until = {"b": 99.0, "c": 99.0}
@@ -335,7 +333,7 @@
 
 
 @pytest.mark.parametrize("demand", ["even", "skewed", "moving", "wandering"])
-def test_a_split_leaves_nobody_worse_off_than_fixed_shares(demand):
+def test_a_partition_leaves_nobody_worse_off_than_fixed_quotas(demand):
     leases, fixed = (used(kind, demand, faults=SPLIT) for kind in ("leases", "fixed"))
     assert leases.utilisation() >= 0.97 * fixed.utilisation() and leases.worst() <= 200
 
@@ -361,14 +359,14 @@
     assert 60 < max(beyond) <= 120, "over, by no more than what is lent at most"
 
 
-def test_two_hundred_fronts_and_a_budget_of_one_pull():
+def test_two_hundred_fronts_and_a_budget_of_one_attempt():
     run = QuotaExperiment(
         1, QuotaSettings(fronts=200, most=1.0, rate=100.0, demand="even", seconds=8.0)
     ).play()
     assert run.worst() == 1 and len(run.admitted) >= 2, "one front at a time gathers all of it"
 
 
-def test_all_started_at_once_hold_nothing_until_the_oldest_loan_would_have_ended():
+def test_all_started_at_once_hold_nothing_until_the_oldest_lease_would_have_ended():
     run = QuotaExperiment(1, QuotaSettings(seconds=8.0, demand="even", faults=()))
     for number in range(4):
         run.fronts[number].is_up = False
@@ -377,12 +375,12 @@
     assert min(run.admitted) >= run.settings.times.recovery * 0.98 and run.worst() <= 60
 
 
-def test_a_lender_that_dies_and_returns_does_not_spend_what_is_still_lent():
+def test_a_lender_that_dies_and_returns_does_not_spend_what_is_still_granted():
     settings = QuotaSettings(seconds=14.0, faults=tuple((at, "kill", 0.3) for at in (4.0, 6.0, 8.0, 10.0)))
     assert max(QuotaExperiment(seed, settings).play().worst() for seed in range(1, 9)) <= settings.most
 
 
-def test_a_process_frozen_past_its_lease_looks_at_the_clock_before_it_spends():
+def test_a_process_frozen_past_its_lease_reads_the_clock_before_it_spends():
     run = QuotaExperiment(1, QuotaSettings(demand="skewed", seconds=14.0))
     run.events.schedule(6.0, lambda: setattr(run.fronts[0], "frozen_until", 9.5))
     run.play()
@@ -406,10 +404,10 @@
     assert LIMIT.startswith("type:")
 
 
-# Soft ones.
+# Limits divided by demand.
 
 
-def test_parts_by_need_add_up_to_one_where_views_are_alike():
+def test_fractions_by_demand_add_up_to_one_where_views_are_alike():
     needs = {"a": 90.0, "b": 8.0, "c": 2.0}
     parts = [
         demand_fraction(one, needs[one], {n: PeerFigure(0.5, needs[n]) for n in needs if n != one}, needs)
@@ -424,11 +422,11 @@
     assert demand_fraction("a", 9.0, {"b": PeerFigure(0.1, 9.0)}, []) == 1.0, "alone in its view"
 
 
-def test_a_need_is_a_running_mean():
-    need = DemandEstimate()
-    need.update(0.0)
+def test_a_demand_is_a_running_mean():
+    demand = DemandEstimate()
+    demand.update(0.0)
     for second in range(1, 12):
         for _ in range(10):
-            need.add()
-        need.update(float(second))
-    assert need.mean == pytest.approx(10.0, rel=0.01)
+            demand.add()
+        demand.update(float(second))
+    assert demand.mean == pytest.approx(10.0, rel=0.01)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts of a fleet: who brings one about, how it ends, and how a cache comes back."""
+"""Ejections by a fleet: who brings one about, how it ends, and how a cache recovers."""
 
 import pytest
 from loguru import logger
@@ -18,47 +18,49 @@
 from weldbend.testbed.fleet.simulated_fleet import QUICK, FleetRun, FleetRunSettings
 from weldbend.testbed.simulation.auditor import Auditor
 
-WELL, BAD = (9.0, 0.0), (1.0, 8.0)
+WELL, FAILING = (9.0, 0.0), (1.0, 8.0)
 ZONES = {"a": "u", "b": "u", "c": "l", "d": "l"}
 
 
-def words(whole=(50.0, 0.0), **records):
+def reports(whole=(50.0, 0.0), **records):
     return [HealthReport(name, True, 0.5, record, tuple(map(sum, zip(whole, record, strict=True))))
             for name, record in records.items()]  # fmt: skip
 
 
-def verdict(own="u", **records):
-    return accusation(words(**records), ZONES, own)
+def judged(own="u", **records):
+    return accusation(reports(**records), ZONES, own)
 
 
-def test_one_front_alone_brings_no_verdict_about():
-    assert not verdict(a=BAD).is_outlier
-    assert not verdict(a=BAD, b=WELL, c=WELL).is_outlier
-    assert verdict(a=BAD, b=BAD).is_outlier
+def test_one_front_alone_brings_no_ejection_about():
+    assert not judged(a=FAILING).is_outlier
+    assert not judged(a=FAILING, b=WELL, c=WELL).is_outlier
+    assert judged(a=FAILING, b=FAILING).is_outlier
 
 
 def test_most_of_those_that_know_have_to_accuse():
-    assert not verdict(a=BAD, b=WELL, c=BAD, d=WELL).is_outlier, "two verdicts that contradict are none"
-    assert verdict(a=BAD, b=BAD, c=WELL).reporters == ("a", "b")
-    assert not verdict(a=BAD, b=(0.5, 1.0), c=WELL, d=WELL).is_outlier, "who tried once does not know"
+    assert not judged(
+        a=FAILING, b=WELL, c=FAILING, d=WELL
+    ).is_outlier, "two halves that contradict eject nothing"
+    assert judged(a=FAILING, b=FAILING, c=WELL).reporters == ("a", "b")
+    assert not judged(a=FAILING, b=(0.5, 1.0), c=WELL, d=WELL).is_outlier, "who tried once does not know"
 
 
-def test_one_whose_own_line_is_bad_is_not_heard():
-    said = [*words(whole=(2.0, 40.0), a=BAD, b=BAD), *words(c=WELL)]
+def test_a_report_of_one_whose_own_network_is_faulty_does_not_count():
+    said = [*reports(whole=(2.0, 40.0), a=FAILING, b=FAILING), *reports(c=WELL)]
     assert not accusation(said, ZONES, "u").is_outlier
 
 
-def test_what_is_bad_for_one_zone_is_that_zones_verdict():
-    records = {"a": BAD, "b": BAD, "c": WELL, "d": WELL}
-    assert verdict("u", **records) == outlier_detection.Accusation(True, ("a", "b"), "u")
-    assert not verdict("l", **records).is_outlier
-    assert verdict("u", a=BAD, b=BAD, c=BAD, d=BAD).zone == ""
+def test_what_fails_for_one_zone_is_ejected_in_that_zone():
+    records = {"a": FAILING, "b": FAILING, "c": WELL, "d": WELL}
+    assert judged("u", **records) == outlier_detection.Accusation(True, ("a", "b"), "u")
+    assert not judged("l", **records).is_outlier
+    assert judged("u", a=FAILING, b=FAILING, c=FAILING, d=FAILING).zone == ""
 
 
 KINDS = {f"e{n}": "EDGE" for n in range(1, 7)}
 
 
-def held(detector, now, alive="bcd", **said):
+def tick(detector, now, alive="bcd", **said):
     return detector.tick(now, said, KINDS, dict.fromkeys("abcd", "u"), alive)
 
 
@@ -66,67 +68,69 @@
     return max(here, key=lambda name: outlier_detection.rank(uid, round_, name))
 
 
-def test_a_verdict_ends_one_tries_and_the_others_follow_by_a_ramp():
+def test_an_ejection_ends_one_front_probes_and_the_others_follow_by_a_ramp():
     detectors = {name: OutlierDetector(name) for name in "abcd"}
 
-    def turn(now, **said):
+    def tick_all(now, **said):
         return {
-            n: held(c, now, "".join(o for o in "abcd" if o != n), **said).get("e1")
-            for n, c in detectors.items()
+            name: tick(detector, now, set("abcd") - {name}, **said).get("e1")
+            for name, detector in detectors.items()
         }
 
     tries = prober_of("e1", 1)
-    assert set(turn(0.0, e1=words(a=BAD, b=BAD)).values()) == {0.0}
-    assert set(turn(1.9).values()) == {0.0}
-    trial = turn(2.0)
+    assert set(tick_all(0.0, e1=reports(a=FAILING, b=FAILING)).values()) == {0.0}
+    assert set(tick_all(1.9).values()) == {0.0}
+    trial = tick_all(2.0)
     assert trial == {
         name: (outlier_detection.HALF_OPEN_FRACTION if name == tries else 0.0) for name in "abcd"
     }
-    turn(3.0, e1=words(**{tries: (1.0, 8.0)}))
-    assert turn(3.5, e1=words(**{tries: (1.0, 8.0)})) == trial, "what it holds from before is no outcome"
-    ramp = turn(4.0, e1=words(**{tries: (4.0, 7.0)}))
+    tick_all(3.0, e1=reports(**{tries: (1.0, 8.0)}))
+    assert (
+        tick_all(3.5, e1=reports(**{tries: (1.0, 8.0)})) == trial
+    ), "what it holds from before is no outcome"
+    ramp = tick_all(4.0, e1=reports(**{tries: (4.0, 7.0)}))
     assert set(ramp.values()) == {outlier_detection.RAMP_START}
-    assert {round(part, 2) for part in turn(6.0).values()} == {0.55}
-    assert set(turn(8.0).values()) == {1.0}
+    assert {round(part, 2) for part in tick_all(6.0).values()} == {0.55}
+    assert set(tick_all(8.0).values()) == {1.0}
     assert detectors["a"].records["e1"].state is EjectionState.ADMITTED
-    turn(80.0)
+    tick_all(80.0)
     assert "e1" not in detectors["a"].records
 
 
-def test_a_relapse_makes_the_next_term_longer_and_a_failed_trial_is_one():
+def test_a_relapse_makes_the_next_ejection_longer_and_a_failed_probe_is_one():
     detector = OutlierDetector("a")
-    held(detector, 0.0, e1=words(a=BAD, b=BAD))
+    tick(detector, 0.0, e1=reports(a=FAILING, b=FAILING))
     case, terms = detector.records["e1"], [2.0]
     for _ in range(7):
-        held(detector, now := case.until)
+        tick(detector, now := case.until)
         for bad in (8.0, 11.0):
-            held(detector, now := now + 0.5, e1=words(**{prober_of("e1", case.round): (1.0, bad)}))
+            tick(detector, now := now + 0.5, e1=reports(**{prober_of("e1", case.round): (1.0, bad)}))
         assert case.state is EjectionState.EJECTED
         terms.append(case.until - now)
     assert terms[:3] == [2.0, 3.0, 4.5] and terms[-1] == outlier_detection.MOST_EJECTION_SECONDS
 
 
-def test_where_who_tries_says_nothing_another_one_does():
+def test_where_the_prober_reports_nothing_another_one_is_drawn():
     detector = OutlierDetector("a")
-    held(detector, 0.0, e1=words(a=BAD, b=BAD))
+    tick(detector, 0.0, e1=reports(a=FAILING, b=FAILING))
     rounds = []
     for step in range(5):
-        held(detector, 2.0 + 5.0 * step)
+        tick(detector, 2.0 + 5.0 * step)
         rounds.append(detector.records["e1"].round)
     assert rounds == [1, 2, 3, 4, 5]
     assert len({prober_of("e1", round_) for round_ in rounds}) > 1
 
 
-def test_no_more_than_a_third_of_a_kind_is_shut():
+def test_no_more_than_a_third_of_a_kind_is_ejected():
     detector = OutlierDetector("a")
-    found = held(detector, 0.0, **{uid: words(a=BAD, b=BAD) for uid in KINDS})
+    found = tick(detector, 0.0, **{uid: reports(a=FAILING, b=FAILING) for uid in KINDS})
     assert len(found) == 2, "all failing at once is the site's trouble, not six caches'"
     assert [(change.cache, change.before, change.after) for change in detector.pop_changes()] == [
         (u, EjectionState.ADMITTED, EjectionState.EJECTED) for u in ("e1", "e2")
     ]
 
 
-def test_a_client_is_cast_out_by_two_and_for_a_time():
+def test_a_client_is_banned_by_two_and_for_a_time():
     assert banned_clients({"10.0.0.9": [ClientBan("a", 5.0)]}, 600.0, 6.0) == {}
     assert (
         banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("a", 9.0)]}, 600.0, 10.0) == {}
@@ -140,7 +144,7 @@
     assert banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("b", 9.0)]}, 600.0, 610.0) == {}
 
 
-def test_a_start_that_no_list_tells_is_one_that_two_saw():
+def test_an_unlisted_start_is_one_that_two_saw():
     def starts(**moments):
         return unlisted_starts(CacheBreak("e1", front, at) for front, at in moments.items())
 
@@ -210,7 +214,7 @@
     assert attempts(with_, "e1", 26.0, 30.0) > 0.5 * attempts(with_, "e1", 0.0, 4.0)
 
 
-def test_a_front_that_reaches_half_of_the_caches_casts_none_of_them_out():
+def test_a_front_that_reaches_half_of_the_caches_ejects_none_of_them():
     def deaf(made):
         hosts = {made.site.machines[uid].host for uid in ("e1", "e2", "e3")}
         made.network.blocked_paths |= {(h, "10.0.0.1") for h in hosts} | {("10.0.0.1", h) for h in hosts}
@@ -224,7 +228,7 @@
         assert made.site.fronts[number][1].fleet_adapter.quota_service.counts["ejection state: ejected"] == 0
 
 
-def test_a_client_that_walks_from_front_to_front_is_refused_by_the_third():
+def test_a_client_that_goes_from_front_to_front_is_refused_by_the_third():
     made = FleetRun(3, FleetRunSettings(faults=0, fleet_faults=0, rate=10.0, seconds=12.0, calm=0.0))
     for number, at in ((1, 3.0), (2, 5.0)):
         made.events.schedule(at, lambda n=number: made.site.fronts[n][1].gateway.report_ban("10.0.9.9"))
@@ -249,7 +253,7 @@
     assert welcome == {4.0: True, 7.0: False, 10.0: True, 11.5: False}
 
 
-def test_strict_rates_hold_for_the_whole_fleet_and_a_split():
+def test_strict_rates_hold_for_the_whole_fleet_and_a_partition():
     limits = LimitSettings(leased_rates=(("photo", 30.0),), slow_start=False)
     terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3, limits=limits)
     shape = FleetRunSettings(
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -22,8 +22,8 @@
 from weldbend.routing.random_source import RandomSource
 
 BATCH = 256  # changes or items in one message
-DONOR_TIMEOUT = 2.0  # seconds without a chunk after which another donor is asked
-SILENT_DONOR_BACKOFF = 8.0  # seconds for which a donor that timed out is not asked again
+DONOR_TIMEOUT = 2.0  # seconds without a chunk after which another donor is chosen
+SILENT_DONOR_BACKOFF = 8.0  # seconds for which a donor that timed out is not chosen again
 PROTOCOL_VERSIONS = (1, 1)  # of connections between fronts: the least and the most spoken here
 MISMATCHES = 3  # comparisons in a row with equal vectors and other checksums, after which replicas are merged
 MOST_SNAPSHOTS = 2  # served at a time
@@ -307,7 +307,7 @@
         """Whether what all connected ones hold is all there is, as when all were started at once.
 
         Guards against a fleet that waits for a donor for ever. Should also cover one that is alone. Harm:
-        with a single peer heard of so far, what a third knew is had a little later.
+        with a single peer compared with so far, what a third knew comes a little later.
         """
         recent = [
             link for link in self.links.values() if now - link.compared_at < SETTLING * self.settings.exchange
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -13,11 +13,13 @@
 
 from weldbend.fleet.outlier_detection import ClientBan, banned_clients
 from weldbend.fleet.quota_context import QuotaContext
+from weldbend.fleet.replicated_items import CLIENT_BAN, CLIENT_RATE, SETTING
 
 MOST_PUBLISHED = 8  # clients that this front publishes in a second, those that request the most
 SMOOTHING = 0.5  # weight of the last second in a client's mean rate
 NEGLIGIBLE = 0.05  # requests a second below which a client is forgotten
 ADDRESS = re.compile(r"[0-9a-fA-F.:]{2,45}")
+SETTING_PREFIX = "cast/"  # of the names of operators' settings on clients
 REINSTATE, BAN_UNTIL = "pardon", "until"  # verbs of an operator's setting on a client
 
 
@@ -51,7 +53,7 @@
     def _is_excess(self, client: str) -> bool:
         """By chance, as much as one client requests of all fronts beyond its limit."""
         limit = self.context.limits.client_rate
-        elsewhere = sum(rate for _, rate in self.context.peer_figures("heavy", client).values())
+        elsewhere = sum(rate for _, rate in self.context.peer_figures(CLIENT_RATE, client).values())
         total = self.rates.get(client, 0.0) + elsewhere
         return total > limit and self.context.random.random() >= limit / total
 
@@ -71,7 +73,7 @@
         busiest = sorted(self.rates, key=lambda client: self.rates[client], reverse=True)
         for client in busiest[:MOST_PUBLISHED]:
             if self.rates[client] >= least:
-                self.context.publish_figure("heavy", client, round(self.rates[client], 1))
+                self.context.publish_figure(CLIENT_RATE, client, round(self.rates[client], 1))
 
 
 class ClientBans:
@@ -86,8 +88,8 @@
         self.banned: dict[str, float] = {}
 
     def publish(self, client: str) -> None:
-        """Tell the fleet that this front has banned a client."""
-        self.context.publish_figure("cast", client, 0.0)
+        """Publish that this front has banned a client."""
+        self.context.publish_figure(CLIENT_BAN, client, 0.0)
 
     def is_banned(self, client: str) -> bool:
         """Whether the fleet has banned a client, or an operator; counts the connections of those it has."""
@@ -100,7 +102,7 @@
 
     def _override(self, client: str) -> bool | None:
         """What an operator decided on a client; None where that is nothing, or no longer holds."""
-        item = self.context.item("setting", f"cast/{client}")
+        item = self.context.item(SETTING, SETTING_PREFIX + client)
         if item is None or not isinstance(item.value[1], str):
             return None
         verb, _, until = item.value[1].partition(" ")
@@ -115,14 +117,14 @@
     def _last_reported(self, client: str) -> float:
         """When a front last published that it has banned a client."""
         reports = (
-            item.written_at for key, item in self.context.items("cast") if key.startswith(f"{client}|")
+            item.written_at for key, item in self.context.items(CLIENT_BAN) if key.startswith(f"{client}|")
         )
         return max(reports, default=-math.inf)
 
     def tick(self, now: float) -> None:
         """Find anew which clients enough fronts have banned."""
         reports: dict[str, list[ClientBan]] = defaultdict(list)
-        for client, writer, item in self.context.live_figures("cast", now):
+        for client, writer, item in self.context.live_figures(CLIENT_BAN, now):
             reports[client].append(ClientBan(writer, item.written_at - float(item.value[2])))
         found = banned_clients(reports, self.context.limits.ban_duration, now)
         for client in set(found) - set(self.banned):
@@ -142,7 +144,7 @@
         """
         if not ADDRESS.fullmatch(client):
             raise InvalidClientAddressError(client)
-        self.context.publish_setting(f"cast/{client}", text)
+        self.context.publish_setting(SETTING_PREFIX + client, text)
         return text
 
     def override_until(self, client: str, seconds: float) -> str:
--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -9,6 +9,7 @@
 
 from weldbend.fleet.demand_share import DemandEstimate, demand_fraction
 from weldbend.fleet.quota_context import QuotaContext
+from weldbend.fleet.replicated_items import DEMAND
 from weldbend.routing.events import ParentQuota
 
 WINDOW = 1.0  # seconds in which an operator's rate holds
@@ -65,8 +66,8 @@
 
     def _divide(self, subject: str, estimate: DemandEstimate, now: float, alive: Iterable[str]) -> float:
         demand = estimate.update(now)
-        self.context.publish_figure("need", subject, round(demand, 2))
-        return demand_fraction(self.context.name, demand, self.context.peer_figures("need", subject), alive)
+        self.context.publish_figure(DEMAND, subject, round(demand, 2))
+        return demand_fraction(self.context.name, demand, self.context.peer_figures(DEMAND, subject), alive)
 
     def _divide_parents(self, now: float, alive: list[str]) -> None:
         context = self.context
@@ -95,5 +96,5 @@
         return rows
 
     def _peers_shown(self, subject: str) -> dict[str, list[float]]:
-        figures = self.context.peer_figures("need", subject)
+        figures = self.context.peer_figures(DEMAND, subject)
         return {name: [round(age, 2), demand] for name, (age, demand) in figures.items()}
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -14,6 +14,7 @@
     unlisted_starts,
 )
 from weldbend.fleet.quota_context import QuotaContext
+from weldbend.fleet.replicated_items import CACHE_BREAK
 from weldbend.routing.events import EjectionUpdate, PeerKnowledge
 
 
@@ -69,7 +70,7 @@
         breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_off.items()]
         breaks += [
             CacheBreak(uid, writer, item.written_at - float(item.value[2]))
-            for uid, writer, item in self.context.live_figures("broke", now)
+            for uid, writer, item in self.context.live_figures(CACHE_BREAK, now)
             if writer != self.context.name
         ]
         for uid, at in unlisted_starts(breaks).items():
@@ -87,7 +88,7 @@
             at = cache.breaks.unreachable_at if cache else -math.inf
             if at > self.broken_off.get(uid, -math.inf) and now - at < START_WINDOW:
                 self.broken_off[uid] = at
-                self.context.publish_figure("broke", uid, round(now - at, 3))
+                self.context.publish_figure(CACHE_BREAK, uid, round(now - at, 3))
 
     def status_rows(self, now: float) -> list[dict[str, object]]:
         """Return what the admin question `verdicts` shows of caches."""
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownAttempts:
-    """Whether there may be attempts of which this front was not told.
+    """Whether there may be attempts of which this front does not know.
 
     Attributes:
         window: seconds: the longest deduplication window of any request class.
--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -224,9 +224,7 @@
         run = (borrower.name, borrower.epoch)
         before = {one: loan for one, loan in self.granted.items() if (one.name, one.epoch) == run}
         if any(one.number > borrower.number for one in before):
-            return Grant(
-                borrower.epoch, borrower.number, 0
-            )  # late: the borrower has gone on with a later one
+            return Grant(borrower.epoch, borrower.number, 0)  # late: a later request was granted
         had = sum(loan.parts for loan in before.values())
         retained = self.retained(now)
         granted = max(min(parts, had + int(retained - used)), 0)
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -132,8 +132,8 @@
         best_rank: the highest in that slot.
         gathering_since: since when it holds less than an attempt and requests the rest; None where not.
         backoff_until: until when it sends no requests, having gathered in vain.
-        spare_hints: what lenders said they could spare.
-        refused_until: until when lenders are not asked again.
+        spare_hints: what lenders could spare, by their answers.
+        refused_until: until when lenders get no more requests.
     """
 
     limit: str
@@ -220,7 +220,7 @@
         """Return how many parts of what is available to grant on a request.
 
         A lease is renewed unless this front certainly demands it, since what is taken back and granted again
-        lies idle for a window each time. What this front demands itself stays, so one that hoards or lies
+        lies idle for a window each time. What this front demands itself stays, so one that claims too much
         gets only what lies idle, for a term. Parts that are less than an attempt are worth nothing here
         alone: all of them go to a front that has precedence in this time slot.
         """
@@ -332,9 +332,9 @@
     ) -> Iterator[PlannedAcquire]:
         """Requests to some lenders that may have something to spare.
 
-        Those that said so come first, the others in random order. A front that gathers an attempt asks those
-        first that rank next in this slot: they then leave it to this one. From each lender there is one lease
-        at most: more is requested together with what is leased.
+        Those whose answers say so come first, the others in random order. A front that gathers an attempt
+        sends to those first that rank next in this slot: they then leave it to this one. From each lender
+        there is one lease at most: more is requested together with what is leased.
         """
         if missing <= 0:
             return
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -1,6 +1,6 @@
 """The strict limits that this front shares with others by leases: their ledgers and messages. No I/O.
 
-A limit has a name that all compute alike. Its `Spender` says what it used, and is told what it may spend
+A limit has a name that all compute alike. Its `Spender` reports what it used, and is handed what it may spend
 before any answer to others leaves: what is granted is out here first.
 """
 
@@ -63,7 +63,7 @@
         ledger: of its leases.
         policy: for its leases.
         spender: from it.
-        allowance: what the spender was told last; None before the first time.
+        allowance: what the spender was handed last; None before the first time.
         retries: how often a request was sent again, by its number.
     """
 
@@ -77,7 +77,7 @@
     retries: dict[int, int] = field(default_factory=dict)
 
     def update_spender(self, now: float) -> None:
-        """Tell the spender what the ledger holds, where that has changed."""
+        """Hand the spender what the ledger holds, where that has changed."""
         ledger = self.ledger
         allowance = Allowance(max(ledger.retained(now), 0), ledger.leased_parts(now), ledger.first_end(now))
         if allowance != self.allowance:
--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -6,7 +6,7 @@
 
 from weldbend.event_bus.endpoint_registry import EndpointRegistry
 from weldbend.fleet.demand_share import PeerFigure
-from weldbend.fleet.replicated_items import ITEM_KINDS
+from weldbend.fleet.replicated_items import ITEM_KINDS, SETTING
 from weldbend.fleet.replicated_store import Item
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.settings import LimitSettings
@@ -150,9 +150,9 @@
 
     def publish_setting(self, name: str, text: str) -> None:
         """Publish an operator's setting for the whole fleet: the latest version holds."""
-        current = self.item("setting", name)
+        current = self.item(SETTING, name)
         version = int(current.value[0]) + 1 if current else 1
-        self.fleet.publish("setting", name, version, text)
+        self.fleet.publish(SETTING, name, version, text)
 
     def peer_figures(self, kind: str, subject: str) -> dict[str, PeerFigure]:
         """What other fronts published on a subject, as far as it still counts, by front."""
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -18,6 +18,7 @@
 from weldbend.fleet.lease_service import LeasedRate, LeaseService
 from weldbend.fleet.membership_view import Reachability
 from weldbend.fleet.quota_context import FrontLoop, QuotaContext
+from weldbend.fleet.replicated_items import MEMBERS
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.slow_start_quotas import SlowStartQuotas
 from weldbend.routing.random_source import RandomSource
@@ -96,7 +97,7 @@
         return self.bans.is_banned(client)
 
     def publish_ban(self, client: str) -> None:
-        """Tell the fleet that this front has banned a client."""
+        """Publish that this front has banned a client."""
         self.bans.publish(client)
 
     def cache_restarted(self, uid: str) -> None:
@@ -125,20 +126,20 @@
     # Membership.
 
     def _confirm_members(self, now: float) -> None:
-        """Let a newcomer own quotas once all that it hears of name the same members.
+        """Let a newcomer own quotas once all that it has figures of name the same members.
 
         Guards against quotas of two sets of members, or of two limits, which add up to more than one. A front
-        that hears nobody has its fixed quota. Harm: a start waits for the next figure of the others, at most
-        `MEMBERS_INTERVAL`.
+        that receives nothing has its fixed quota. Harm: a start waits for the next figure of the others, at
+        most `MEMBERS_INTERVAL`.
         """
         context = self.context
         checksum = zlib.crc32(f"{context.front_names()} {context.limits.leased_rates}".encode())
         if checksum != self._members_checksum or now - self._members_published_at >= MEMBERS_INTERVAL:
             self._members_checksum, self._members_published_at = checksum, now
-            context.publish_figure("names", "", float(checksum))
+            context.publish_figure(MEMBERS, "", float(checksum))
         if not self.leases.is_newcomer:
             return
-        published = context.peer_figures("names", "")
+        published = context.peer_figures(MEMBERS, "")
         agree = bool(published) and all(int(figure) == checksum for _, figure in published.values())
         members = context.fleet.membership
         is_alone = members.reachability(now) is Reachability.ALONE and now >= self.leases.recovering_until
--- a/weldbend/fleet/replicated_items.py
+++ b/weldbend/fleet/replicated_items.py
@@ -14,6 +14,21 @@
 Value = tuple[int | float | str, ...]
 FieldCheck = Callable[[object], bool]
 
+# Names of the kinds, as they are sent and stored.
+PURGE = "purge"
+DRAIN = "drain"
+START = "start"
+FIRST_ATTEMPT = "keyed"
+HEALTH_REPORT = "evidence"
+POPULARITY = "popular"
+DEMAND = "need"
+CLIENT_RATE = "heavy"
+CLIENT_BAN = "cast"
+CACHE_BREAK = "broke"
+MEMBERS = "names"
+BUS_POSITION = "bus"
+SETTING = "setting"
+
 MOST_INTEGER = 1 << 53  # exact in a float as well
 MOST_FIGURE = 1e12
 ANYWHERE, NOWHERE = "", "!"  # groups in which an idempotency key holds: all caches, and none
@@ -81,7 +96,7 @@
     return one[0] if one[0] == other[0] else NOWHERE, min(one[1], other[1])
 
 
-def shared(
+def written_by_all(
     merge: Callable[[Value, Value], Value],
     lifetime: float,
     *fields: FieldCheck,
@@ -114,29 +129,29 @@
 
 ITEM_KINDS: dict[str, ItemKind] = {
     # object `k:KEY` or group `g:N` -> Unix ms of the purge. The latest purge is the strictest.
-    "purge": shared(max, 60.0, is_integer, keys=PURGED),
+    PURGE: written_by_all(max, 60.0, is_integer, keys=PURGED),
     # cache -> (revision of the list, 0 up, 1 draining, 2 removed). The newer list holds, else the strictest.
-    "drain": shared(max, 600.0, is_integer, is_list_state),
+    DRAIN: written_by_all(max, 600.0, is_integer, is_list_state),
     # cache -> Unix ms of its start. The latest start is the coldest cache.
-    "start": shared(max, 120.0, is_integer),
+    START: written_by_all(max, 120.0, is_integer),
     # idempotency key -> (group that may have executed it, Unix ms of the first attempt); of two groups: none
-    "keyed": shared(earliest, 30.0, is_group, is_integer),
+    FIRST_ATTEMPT: written_by_all(earliest, 30.0, is_group, is_integer),
     # cache|writer -> (epoch, number, good, failed): how one front's attempts there ended
-    "evidence": per_writer(20.0, True, *VERSION, is_figure, is_figure),
-    # slot|writer -> (epoch, number, packed names) of objects that one front was asked for in some seconds
-    "popular": per_writer(256.0, False, *VERSION, is_text),
+    HEALTH_REPORT: per_writer(20.0, True, *VERSION, is_figure, is_figure),
+    # slot|writer -> (epoch, number, packed names) of objects that one front was requested in some seconds
+    POPULARITY: per_writer(256.0, False, *VERSION, is_text),
     # `parents` or request class|writer -> (epoch, number, amount): one front's demand, a second
-    "need": per_writer(20.0, False, *VERSION, is_figure),
+    DEMAND: per_writer(20.0, False, *VERSION, is_figure),
     # client|writer -> (epoch, number, requests a second) of one that requests much of one front
-    "heavy": per_writer(20.0, False, *VERSION, is_figure),
+    CLIENT_RATE: per_writer(20.0, False, *VERSION, is_figure),
     # client|writer -> (epoch, number, seconds since): one front has banned it
-    "cast": per_writer(900.0, True, *VERSION, is_figure),
+    CLIENT_BAN: per_writer(900.0, True, *VERSION, is_figure),
     # cache|writer -> (epoch, number, seconds since): its connections broke and it could not be reached again
-    "broke": per_writer(60.0, True, *VERSION, is_figure),
+    CACHE_BREAK: per_writer(60.0, True, *VERSION, is_figure),
     # |writer -> (epoch, number, checksum): the members that one front's file names
-    "names": per_writer(60.0, True, *VERSION, is_figure),
+    MEMBERS: per_writer(60.0, True, *VERSION, is_figure),
     # writer -> number of the last event that it read from the bus
-    "bus": per_writer(600.0, False, is_integer),
+    BUS_POSITION: per_writer(600.0, False, is_integer),
     # operators' settings for the fleet, by name -> (version, value)
-    "setting": shared(max, math.inf, is_integer, is_anything, is_critical=False),
+    SETTING: written_by_all(max, math.inf, is_integer, is_anything, is_critical=False),
 }
--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -11,6 +11,7 @@
 from weldbend.fleet.lease_policy import Usage
 from weldbend.fleet.lease_service import LeaseService
 from weldbend.fleet.quota_context import FrontLoop, QuotaContext
+from weldbend.fleet.replicated_items import START
 from weldbend.routing.cache_state import Cache
 from weldbend.routing.events import SlowStartQuota
 from weldbend.routing.reports import slow_start_demand
@@ -100,7 +101,7 @@
     def open(self, uid: str) -> None:
         """Share the budget of a cache that has started, as far as this front knows, from now on."""
         context = self.context
-        start = context.item("start", uid)
+        start = context.item(START, uid)
         cache = context.cache(uid)
         if not (start and cache and self.is_enabled):
             return
@@ -151,5 +152,5 @@
             cache = self.context.loop.router.caches.get(budget.cache)
             if cache is None or cache.is_warm():
                 self.close(limit)
-        for uid in [uid for uid, _ in self.context.items("start")]:
+        for uid in [uid for uid, _ in self.context.items(START)]:
             self.open(uid)
