--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -14,7 +14,7 @@
 from twisted.python.failure import Failure
 
 from weldbend.fleet import fleet_status
-from weldbend.fleet.replicated_items import Value
+from weldbend.fleet.replicated_items import SETTING, Value
 from weldbend.fleet.runtime import ListeningPort, Reactor, StreamTransport
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.settings import split_address
@@ -108,9 +108,9 @@
     def _set(self, question: Question) -> Value:
         """Write an operators' setting; its value from now on."""
         name, version, value = str(question["name"]), int(question["version"]), str(question["value"])
-        current = self.fleet.store.items.get(("setting", name))
+        current = self.fleet.store.items.get((SETTING, name))
         if current and version <= float(current.value[0]):
             problem = f"{name} is at version {current.value[0]} already"
             raise ValueError(problem)
-        self.fleet.publish("setting", name, version, value)
-        return self.fleet.store.items["setting", name].value
+        self.fleet.publish(SETTING, name, version, value)
+        return self.fleet.store.items[SETTING, name].value
--- a/weldbend/fleet/cache_states.py
+++ b/weldbend/fleet/cache_states.py
@@ -14,6 +14,7 @@
 from weldbend.event_bus.events import EndpointRecord
 from weldbend.fleet.conservative_merge import STATES, stricter_state
 from weldbend.fleet.quota_service import QuotaService
+from weldbend.fleet.replicated_items import DRAIN, START
 from weldbend.fleet.service import Fleet
 from weldbend.routing.events import PeerKnowledge
 
@@ -44,10 +45,10 @@
 
     def publish(self, record: EndpointRecord, offset: int) -> None:
         """Publish what the bus's event of that number says of a cache."""
-        if record.state != "up" or ("drain", record.uid) in self.fleet.store.items:
-            self.fleet.publish("drain", record.uid, offset, STATES.index(record.state))
+        if record.state != "up" or (DRAIN, record.uid) in self.fleet.store.items:
+            self.fleet.publish(DRAIN, record.uid, offset, STATES.index(record.state))
         if record.started_at:
-            self.fleet.publish("start", record.uid, round(record.started_at * 1000))
+            self.fleet.publish(START, record.uid, round(record.started_at * 1000))
         self.apply(record.uid)
         if record.started_at:
             self.quotas.cache_restarted(record.uid)
@@ -60,7 +61,7 @@
         number = self.dispatcher.names.numbers.get(uid)
         if number is None:
             return
-        drain = self.fleet.store.items.get(("drain", uid))
+        drain = self.fleet.store.items.get((DRAIN, uid))
         state_name = stricter_state(drain.value if drain else None, self.bus_offset)
         state = ENDPOINT_STATES[state_name] if state_name else None
         started = self._started(uid)
@@ -81,7 +82,7 @@
 
     def _started(self, uid: str) -> float | None:
         """When the cache last started, in this front's time; None where nobody has said so."""
-        item = self.fleet.store.items.get(("start", uid))
+        item = self.fleet.store.items.get((START, uid))
         if item is None:
             return None
         return self.dispatcher.names.start_time(uid, float(item.value[0]) / 1000, self.dispatcher.clock.now())
--- a/weldbend/fleet/execution_exchange.py
+++ b/weldbend/fleet/execution_exchange.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from weldbend.fleet import idempotency
-from weldbend.fleet.replicated_items import ITEM_KINDS, NOWHERE
+from weldbend.fleet.replicated_items import FIRST_ATTEMPT, ITEM_KINDS, NOWHERE
 from weldbend.fleet.replicated_store import Change
 from weldbend.fleet.service import Fleet
 from weldbend.routing.events import ExecutedElsewhere, PossibleExecution
@@ -13,8 +13,6 @@
 if TYPE_CHECKING:
     from weldbend.front.dispatcher import Dispatcher
 
-KIND = "keyed"  # of the items that name possible executions
-
 
 class ExecutionExchange:
     """Publishes attempts of this front, and binds requests to the group that may have executed them."""
@@ -38,7 +36,9 @@
             group = idempotency.deduplication_group(
                 request_class.deduplication_scope, destination.zone, destination.cell
             )
-            self.fleet.publish(KIND, idempotency_key, group, int(self.dispatcher.clock.unix() * 1000))
+            self.fleet.publish(
+                FIRST_ATTEMPT, idempotency_key, group, int(self.dispatcher.clock.unix() * 1000)
+            )
 
     def possible_executions(
         self, class_name: str, idempotency_key: str, is_retry: bool
@@ -48,8 +48,8 @@
         now = self.fleet.timers.now()
         if request_class.idempotency is not Idempotency.DEDUPLICATED:
             return ()
-        item = self.fleet.store.items.get((KIND, idempotency_key))
-        if item and item.is_live(ITEM_KINDS[KIND], now):
+        item = self.fleet.store.items.get((FIRST_ATTEMPT, idempotency_key))
+        if item and item.is_live(ITEM_KINDS[FIRST_ATTEMPT], now):
             self.counts["requests possibly executed elsewhere"] += 1
             return (
                 idempotency.possible_execution(
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -13,6 +13,7 @@
 from loguru import logger
 
 from weldbend.event_bus.events import EndpointListUpdate, Purge, SequencedEvent
+from weldbend.fleet import replicated_items
 from weldbend.fleet.admin_server import AdminServer
 from weldbend.fleet.cache_states import CacheStates
 from weldbend.fleet.execution_exchange import ExecutionExchange
@@ -110,7 +111,7 @@
                     self.cache_states.publish(record, sequenced.offset)
             case Purge() as purge:
                 self.purges.publish(purge)
-        self.fleet.publish("bus", self.fleet.name, self.cache_states.bus_offset)
+        self.fleet.publish(replicated_items.BUS_POSITION, self.fleet.name, self.cache_states.bus_offset)
 
     def attempt_sent(self, class_name: str, idempotency_key: str, cache: int) -> None:
         """An attempt of a request with an idempotency key goes out."""
@@ -149,13 +150,13 @@
     def apply_change(self, change: Change) -> None:
         """An item of the replicated state has become stricter."""
         match change.kind:
-            case "purge":
+            case replicated_items.PURGE:
                 self.purges.apply(change)
-            case "drain" | "start":
+            case replicated_items.DRAIN | replicated_items.START:
                 self.cache_states.apply(change.key)
-            case "keyed":
+            case replicated_items.FIRST_ATTEMPT:
                 self.executions.apply(change)
-            case "popular":
+            case replicated_items.POPULARITY:
                 self.popularity.apply(change)
 
     # Time.
--- a/weldbend/fleet/health_exchange.py
+++ b/weldbend/fleet/health_exchange.py
@@ -5,6 +5,7 @@
 
 from weldbend.fleet import health_reports
 from weldbend.fleet.health_reports import NO_OUTCOMES, HealthReport, HealthReporter, Outcomes
+from weldbend.fleet.replicated_items import HEALTH_REPORT
 from weldbend.fleet.service import Fleet
 from weldbend.routing.events import PeerHealthReport
 from weldbend.routing.reports import health_counts
@@ -12,7 +13,6 @@
 if TYPE_CHECKING:
     from weldbend.front.dispatcher import Dispatcher
 
-KIND = "evidence"  # of the items that hold one front's record of one cache
 
 Reports = dict[str, list[HealthReport]]
 """Reports of fronts by the name of the cache."""
@@ -41,7 +41,7 @@
         """What other members report of each cache now."""
         records: dict[str, dict[str, tuple[float, Outcomes]]] = defaultdict(dict)
         for (kind, key), item in self.fleet.store.items.items():
-            if kind == KIND and now - item.written_at < health_reports.SPAN:
+            if kind == HEALTH_REPORT and now - item.written_at < health_reports.SPAN:
                 uid, _, writer = key.rpartition("|")
                 records[uid][writer] = now - item.written_at, (float(item.value[2]), float(item.value[3]))
         settings = self.fleet.settings
@@ -69,7 +69,7 @@
         for uid, record in self.reporter.due_reports(now, records, reports):
             self.number += 1
             key = f"{uid}|{self.fleet.name}"
-            self.fleet.publish(KIND, key, self.fleet.store.epoch, self.number, *record)
+            self.fleet.publish(HEALTH_REPORT, key, self.fleet.store.epoch, self.number, *record)
 
     def _post(self, reports: Reports) -> None:
         """Tell the decisions what peers' reports on each cache amount to, where that has changed."""
--- a/weldbend/fleet/popularity_exchange.py
+++ b/weldbend/fleet/popularity_exchange.py
@@ -4,15 +4,13 @@
 
 from weldbend.fleet import popularity
 from weldbend.fleet.popularity import PopularityCounts, PopularitySlots
-from weldbend.fleet.replicated_items import ITEM_KINDS
+from weldbend.fleet.replicated_items import ITEM_KINDS, POPULARITY
 from weldbend.fleet.replicated_store import Change
 from weldbend.fleet.service import Fleet
 
 if TYPE_CHECKING:
     from weldbend.front.dispatcher import Dispatcher
 
-KIND = "popular"  # of the items that name requested objects
-
 
 class PopularityExchange:
     """Publishes what this front's clients request, and counts what others of its zone publish."""
@@ -42,7 +40,7 @@
         writer = change.key.rpartition("|")[2]
         zones = {peer.name: peer.zone for peer in settings.peers} | {self.fleet.name: settings.zone}
         if settings.popularity and zones.get(writer) == settings.zone:
-            until = self.fleet.timers.now() + ITEM_KINDS[KIND].lifetime - change.age
+            until = self.fleet.timers.now() + ITEM_KINDS[POPULARITY].lifetime - change.age
             self.peer_counts.replace(change.key, str(change.value[2]), until)
 
     def tick(self, now: float) -> None:
@@ -52,4 +50,4 @@
             number, names = slot
             key = f"{number % popularity.SLOTS}|{self.fleet.name}"
             self.peer_counts.remove(key)  # of this front's process before this one
-            self.fleet.publish(KIND, key, self.fleet.store.epoch, number, names)
+            self.fleet.publish(POPULARITY, key, self.fleet.store.epoch, number, names)
--- a/weldbend/fleet/purges.py
+++ b/weldbend/fleet/purges.py
@@ -5,6 +5,7 @@
 
 from weldbend.event_bus.events import Purge
 from weldbend.fleet.conservative_merge import PeerPurges
+from weldbend.fleet.replicated_items import PURGE
 from weldbend.fleet.replicated_store import Change
 from weldbend.fleet.service import Fleet
 from weldbend.routing.events import ObjectsPurged
@@ -28,7 +29,7 @@
     def publish(self, purge: Purge) -> None:
         """Publish a purge that this front's bus delivered."""
         key = f"{KEY_PREFIX}{purge.key}" if purge.key else f"{GROUP_PREFIX}{purge.group}"
-        self.fleet.publish("purge", key, int(purge.purged_at * 1000))
+        self.fleet.publish(PURGE, key, int(purge.purged_at * 1000))
 
     def apply(self, change: Change) -> None:
         """Apply a purge of a peer, unless too many came in this second."""
