--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -431,7 +431,7 @@
 
 
 def test_a_snapshot_goes_on_with_another_donor_where_the_first_broke_off():
-    terms = FleetSettings(ops=16, rate=10_000_000)
+    terms = FleetSettings(retained_operations=16, peer_rate=10_000_000)
     donors = {name: AntiEntropy(ReplicatedStore(name, 1, 16), terms, 1, lambda _: None, 0.0) for name in "bc"}
     for n in range(700):
         for donor in donors.values():
@@ -467,7 +467,7 @@
 
 def donors_and_late(ops=16, names="bc", **terms):
     """Some donors that have caught up, with 700 items, and one that lacks all of it."""
-    held = FleetSettings(ops=ops, **{"rate": 10_000_000, **terms})
+    held = FleetSettings(retained_operations=ops, **{"peer_rate": 10_000_000, **terms})
     donors = {
         name: AntiEntropy(ReplicatedStore(name, 1, ops), held, 1, lambda _: None, 0.0) for name in names
     }
@@ -530,7 +530,7 @@
 
 
 def test_a_snapshot_goes_no_faster_than_its_rate():
-    donors, _, want = donors_and_late(rate=10_000)
+    donors, _, want = donors_and_late(peer_rate=10_000)
     donor = donors[want.to]
     sent, now = 0, 0.2
     says = donor.handle(now, "a", want.body)
@@ -585,7 +585,7 @@
 # Whole fleets from one integer.
 
 SMALL = ModelSettings(
-    fleet=FleetSettings(ops=16, min_suspicion=1.5, suspicion_spread=2.0), faults=5, rate=5.0
+    fleet=FleetSettings(retained_operations=16, min_suspicion=1.5, suspicion_spread=2.0), faults=5, rate=5.0
 )
 
 
@@ -704,7 +704,7 @@
     def __init__(self, folder):
         (folder / "keys").write_text("0badcafe " + "5a" * 32)
         self.stage = Stage()
-        terms = FleetSettings(keys=str(folder / "keys"), peers=(Peer("n2", "127.0.0.1", 7402),))
+        terms = FleetSettings(key_file=str(folder / "keys"), peers=(Peer("n2", "127.0.0.1", 7402),))
         door = self.stage.door
         runtime = Runtime(self.stage.reactor, door.timers, door.clock.random_bytes)
         self.adapter = FleetAdapter(door.dispatcher, "n1", terms, runtime, 5)
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -186,8 +186,14 @@
         "orders": 0.0,
         "edits": 0.0,
     }
-    terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3,
-                            limits=LimitSettings(ejections=verdicts_on))  # fmt: skip
+    terms = QUICK.__class__(
+        probe_interval=0.2,
+        probe_timeout=0.08,
+        isolation_timeout=1.5,
+        pause_threshold=0.5,
+        summary_interval=0.3,
+        limits=LimitSettings(ejections=verdicts_on),
+    )
     made = FleetRun(seed, FleetRunSettings(**held | {"edges": 6, "fleet": terms} | shape))
     made.failing = Failing(made)
     made.events.schedule(4.0, lambda: made.failing.bad.add("e1"))
@@ -255,7 +261,14 @@
 
 def test_strict_rates_hold_for_the_whole_fleet_and_a_partition():
     limits = LimitSettings(leased_rates=(("photo", 30.0),), slow_start=False)
-    terms = QUICK.__class__(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3, limits=limits)
+    terms = QUICK.__class__(
+        probe_interval=0.2,
+        probe_timeout=0.08,
+        isolation_timeout=1.5,
+        pause_threshold=0.5,
+        summary_interval=0.3,
+        limits=limits,
+    )
     shape = FleetRunSettings(
         faults=0, fleet_faults=0, rate=60.0, seconds=20.0, calm=0.0, orders=0.0, edits=0.0, fleet=terms
     )
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -231,7 +231,7 @@
     (folder / "keys").write_text(KEYS)
     peers = tuple(Peer(f"n{n}", f"127.0.0.{n}", 7400, "upper") for n in (2, 3, 4))
     terms = FleetSettings(
-        listen="127.0.0.1:7400", fleet="north", zone="upper", keys=str(folder / "keys"), peers=peers
+        listen="127.0.0.1:7400", fleet="north", zone="upper", key_file=str(folder / "keys"), peers=peers
     )
     fleet = Fleet(Runtime(None, Held(), bytes), "n1", terms, lambda change: None, 1_700_000_000_000)
     for case in recorded("sealed.json"):
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -79,7 +79,7 @@
     from weldbend.fleet.service import FleetConfigurationError, load_keys
 
     try:
-        load_keys(fleet.keys)
+        load_keys(fleet.key_file)
     except FleetConfigurationError as error:
         raise InvalidSectionError(installation, "fleet", error) from None
     limited = {name for name, _ in (*fleet.limits.leased_rates, *fleet.limits.demand_rates)}
--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -74,7 +74,7 @@
 
     def listen(self, reactor: Reactor) -> None:
         """Open the port."""
-        host, port = split_address(self.fleet.settings.control)
+        host, port = split_address(self.fleet.settings.admin_address)
         self.port = reactor.listenTCP(port, self, interface=host)
 
     def stop(self) -> None:
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -152,7 +152,7 @@
 
     def peer_connected(self, peer: str, now: float) -> list[PeerMessage]:
         """A connection to a peer is up: send a comparison first."""
-        self.links[peer] = Link(peer, tokens=float(self.settings.rate), tokens_at=now)
+        self.links[peer] = Link(peer, tokens=float(self.settings.peer_rate), tokens_at=now)
         return [self.comparison(peer, now)]
 
     def peer_disconnected(self, peer: str, now: float) -> list[PeerMessage]:
@@ -189,7 +189,7 @@
         return PeerMessage(peer, body, Priority.COMPARISON)
 
     def _digest(self, now: float) -> int:
-        return self.store.digest(now, DIGEST_MARGIN * self.settings.exchange)
+        return self.store.digest(now, DIGEST_MARGIN * self.settings.summary_interval)
 
     # This front's own changes.
 
@@ -290,7 +290,7 @@
 
     def _may_reply(self, link: Link, now: float) -> bool:
         """Whether a comparison may be answered by one: two that are each behind must not go on so."""
-        if now - link.replied_at <= self.settings.exchange / 2:
+        if now - link.replied_at <= self.settings.summary_interval / 2:
             return False
         link.replied_at = now
         return True
@@ -298,10 +298,10 @@
     def _requires_snapshot(self, link: Link) -> bool:
         """Whether more is missing than another keeps as changes, so only a snapshot will do."""
         gap = sum(max(n - self.store.last_number(run), 0) for run, n in link.vector.items())
-        return not self.is_caught_up or gap > self.settings.ops // 2
+        return not self.is_caught_up or gap > self.settings.retained_operations // 2
 
     def _has_settled(self, now: float) -> bool:
-        return now - self._lagging_since > SETTLING * self.settings.exchange
+        return now - self._lagging_since > SETTLING * self.settings.summary_interval
 
     def _all_peers_equal(self, now: float) -> bool:
         """Whether what all connected ones hold is all there is, as when all were started at once.
@@ -310,7 +310,9 @@
         with a single peer compared with so far, what a third knew comes a little later.
         """
         recent = [
-            link for link in self.links.values() if now - link.compared_at < SETTLING * self.settings.exchange
+            link
+            for link in self.links.values()
+            if now - link.compared_at < SETTLING * self.settings.summary_interval
         ]
         return self._has_settled(now) and all(
             not link.is_caught_up and not self.store.is_behind(link.vector) for link in recent
@@ -319,7 +321,7 @@
     def _send_changes(self, link: Link, ops: list[m.Operation], now: float) -> list[PeerMessage]:
         """As much as its rate allows; what is left over the next comparison finds."""
         body = m.Delta(ops)
-        if not link.consume(len(m.encode(body)), self.settings.rate, now):
+        if not link.consume(len(m.encode(body)), self.settings.peer_rate, now):
             return []
         for op in ops:
             link.has_run_up_to(op)
@@ -364,7 +366,7 @@
         # what is changed meanwhile comes as changes: the snapshot amounts to what was held when it began
         vector = {} if link.has_snapshot_vector else self.store.vector()
         body = m.SnapshotChunk(chunk.operations, chunk.after, chunk.is_last, vector)
-        if not link.consume(len(m.encode(body)), self.settings.rate, now):
+        if not link.consume(len(m.encode(body)), self.settings.peer_rate, now):
             return []
         link.serving_after = None if chunk.is_last else chunk.after
         link.has_snapshot_vector = True
@@ -416,7 +418,9 @@
             self._refused_until[self.transfer.donor] = now + SILENT_DONOR_BACKOFF
             found += self._request_snapshot(now, self.transfer.after)
         if now >= self._next_comparison:
-            self._next_comparison = now + self.settings.exchange * (0.75 + 0.5 * self._random.random())
+            self._next_comparison = now + self.settings.summary_interval * (
+                0.75 + 0.5 * self._random.random()
+            )
             self.store.discard_expired(now)
             found += [self.comparison(peer, now) for peer in self.links]
             if not self.is_caught_up and not self.links and self._has_settled(now):
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -81,7 +81,7 @@
     def start(self, known: Iterable[SequencedEvent]) -> None:
         """Join the fleet; `known` are the bus's events that the configuration includes."""
         self.fleet.start()
-        if self.fleet.settings.control:
+        if self.fleet.settings.admin_address:
             self.admin_server.listen(self.runtime.reactor)
         for sequenced in known:
             self.publish_bus_event(sequenced)
--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -171,7 +171,7 @@
         """Give those whose deadline has passed another interval: this front can judge nobody now."""
         for member in self.members.values():
             if member.suspicion_deadline <= now:
-                member.suspicion_deadline = now + self.settings.interval
+                member.suspicion_deadline = now + self.settings.probe_interval
 
     def extend_suspicions(self, seconds: float) -> None:
         """Move all deadlines by the time for which this process was paused."""
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -95,7 +95,7 @@
         if not self.members:
             return Reachability.CLEAR
         latest = max(member.received_at for member in self.members.values())
-        if now - max(latest, self.active_since) > self.settings.alone:
+        if now - max(latest, self.active_since) > self.settings.isolation_timeout:
             return Reachability.ALONE
         active = dead = 0
         for member in self.members.values():
@@ -129,7 +129,9 @@
 
     def was_paused(self, now: float) -> bool:
         """Whether this process was paused since its last `advance`, which is overdue then."""
-        return now - self.last_advance > self.settings.stalled + self.health.stretched(self.settings.interval)
+        return now - self.last_advance > self.settings.pause_threshold + self.health.stretched(
+            self.settings.probe_interval
+        )
 
     def _resume_after_pause(self, now: float) -> None:
         """This process was stopped, or its machine frozen: what it knew is old.
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -347,7 +347,7 @@
         """Drop silent connections: each end sends a summary every few seconds, so the path is lost."""
         now = self.runtime.timers.now()
         for end in list(self.established_by_peer.values()):
-            if now - end.received_at > SILENT_SUMMARIES * self.settings.exchange:
+            if now - end.received_at > SILENT_SUMMARIES * self.settings.summary_interval:
                 end.drop("silent")
 
     def stop(self) -> None:
--- a/weldbend/fleet/probing.py
+++ b/weldbend/fleet/probing.py
@@ -59,7 +59,7 @@
         self.round: list[Member] = []
         self.draws = 0
         self.pending: dict[int, PendingProbe] = {}
-        self.next_at = now + self.random.random() * self.settings.interval  # not all fronts in step
+        self.next_at = now + self.random.random() * self.settings.probe_interval  # not all fronts in step
 
     @property
     def settings(self) -> FleetSettings:
@@ -79,7 +79,7 @@
 
     def postpone(self, now: float) -> None:
         """Probe nobody for another interval."""
-        self.next_at = now + self.settings.interval
+        self.next_at = now + self.settings.probe_interval
 
     # Time.
 
@@ -97,7 +97,7 @@
         """The probe of this interval, if it is due."""
         if now < self.next_at:
             return []
-        self.next_at = now + self.health.stretched(self.settings.interval)
+        self.next_at = now + self.health.stretched(self.settings.probe_interval)
         target = self._next_target()
         return [self.probe(target, now)] if target else []
 
@@ -129,8 +129,8 @@
     def probe(self, target: Member, now: float, requester: str = "", requester_number: int = 0) -> Send:
         """Probe a member now, on another's behalf where `requester` is given."""
         number = int(self.random.random() * (1 << 32)) << 20 | len(self.pending)
-        timeout = self.health.stretched(self.settings.timeout)
-        own_end = max(self.health.stretched(self.settings.interval), 2 * timeout)
+        timeout = self.health.stretched(self.settings.probe_timeout)
+        own_end = max(self.health.stretched(self.settings.probe_interval), 2 * timeout)
         self.pending[number] = PendingProbe(
             number,
             target,
@@ -147,7 +147,7 @@
 
         Guards, by once an interval, against two that answer each other without end where it does not refute.
         """
-        if now - member.notified_at < self.settings.interval:
+        if now - member.notified_at < self.settings.probe_interval:
             return []
         member.notified_at = now
         return [self.probe(member, now)]
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -118,9 +118,9 @@
         now = self.timers.now()
         peers = [peer.name for peer in settings.peers]
         self.counts: Counter[str] = Counter()
-        self.authenticator = MessageAuthenticator(settings.fleet, name, epoch, load_keys(settings.keys))
+        self.authenticator = MessageAuthenticator(settings.fleet, name, epoch, load_keys(settings.key_file))
         self.membership = Membership(name, epoch, settings, peers, seed, now)
-        self.store = ReplicatedStore(name, epoch, settings.ops)
+        self.store = ReplicatedStore(name, epoch, settings.retained_operations)
         self.anti_entropy = AntiEntropy(self.store, settings, seed + 1, on_change, now)
         self.connections = PeerConnections(runtime, self.authenticator, settings, self)
         self.datagrams = DatagramPort(runtime, self.authenticator, self.datagram_received, self.counts)
@@ -159,7 +159,7 @@
             FleetConfigurationError: only a restart can change that, or the keys cannot be used; nothing has
                 changed then.
         """
-        keys = load_keys(settings.keys)
+        keys = load_keys(settings.key_file)
         fixed = [name for name in FIXED_SETTINGS if getattr(settings, name) != getattr(self.settings, name)]
         if fixed:
             raise FixedSettingsError(fixed)
--- a/weldbend/fleet/settings.py
+++ b/weldbend/fleet/settings.py
@@ -58,20 +58,20 @@
         listen: host:port of this front's datagrams and connections; empty for a front without a fleet.
         fleet: the fleet's name.
         zone: this front's zone.
-        keys: path of the key file.
+        key_file: path of the key file.
         peers: all named members.
-        control: host:port on loopback for `weldbend fleet`; empty for none.
-        interval: time in which a front sends one probe.
-        timeout: time in which a direct probe is answered.
+        admin_address: host:port on loopback for `weldbend fleet`; empty for none.
+        probe_interval: time in which a front sends one probe.
+        probe_timeout: time in which a direct probe is answered.
         helpers: how many members are asked to probe on this front's behalf.
         min_suspicion: shortest suspicion, in intervals and decades of members.
         suspicion_spread: factor by which a suspicion lasts longer that nobody else has confirmed.
-        alone: time without a message from anybody after which this front judges nobody.
-        stalled: time between two ticks after which this process counts as paused.
-        rate: bytes a second to one peer, snapshots and deltas together.
+        isolation_timeout: time without a message from anybody after which this front judges nobody.
+        pause_threshold: time between two ticks after which this process counts as paused.
+        peer_rate: bytes a second to one peer, snapshots and deltas together.
         outbox_capacity: bytes that wait for one peer at most.
-        ops: operations of each writer that are retained for deltas.
-        exchange: time between two summaries to one peer.
+        retained_operations: operations of each writer that are retained for deltas.
+        summary_interval: time between two summaries to one peer.
         limits: what is limited for the whole fleet.
         popularity: whether fronts of a zone count their clients' requests together.
     """
@@ -79,20 +79,20 @@
     listen: str = ""
     fleet: str = "fleet"
     zone: str = ""
-    keys: str = ""
+    key_file: str = ""
     peers: tuple[Peer, ...] = ()
-    control: str = ""
-    interval: float = 1.0
-    timeout: float = 0.3
+    admin_address: str = ""
+    probe_interval: float = 1.0
+    probe_timeout: float = 0.3
     helpers: int = 3
     min_suspicion: float = 4.0
     suspicion_spread: float = 5.0
-    alone: float = 3.0
-    stalled: float = 2.0
-    rate: int = 256_000
+    isolation_timeout: float = 3.0
+    pause_threshold: float = 2.0
+    peer_rate: int = 256_000
     outbox_capacity: int = 1_000_000
-    ops: int = 4096
-    exchange: float = 2.0
+    retained_operations: int = 4096
+    summary_interval: float = 2.0
     limits: LimitSettings = field(default_factory=LimitSettings)
     popularity: bool = False
 
@@ -102,7 +102,7 @@
         Lifeguard (Dadgar, Phillips, Currey 2018), section IV-B: from the longest down to the shortest, by the
         logarithm of the confirmations.
         """
-        shortest = self.min_suspicion * max(1.0, math.log10(max(members, 1))) * self.interval
+        shortest = self.min_suspicion * max(1.0, math.log10(max(members, 1))) * self.probe_interval
         longest = shortest * self.suspicion_spread
         possible = max(min(self.helpers, members - 2), 0)  # who could confirm it at all
         if confirmations >= possible:
--- a/weldbend/installation/keys.py
+++ b/weldbend/installation/keys.py
@@ -80,11 +80,11 @@
     """Return what is impossible about settings of a fleet, or None."""
     if not settings.listen:
         return "peers without listen: this front has no place in the fleet" if settings.peers else None
-    if not settings.keys:
+    if not settings.key_file:
         return "listen without keys: messages between fronts are authenticated"
-    if 2 * settings.timeout > settings.interval:
-        timeout = values.format_duration(settings.timeout)
-        interval = values.format_duration(settings.interval)
+    if 2 * settings.probe_timeout > settings.probe_interval:
+        timeout = values.format_duration(settings.probe_timeout)
+        interval = values.format_duration(settings.probe_interval)
         return f"timeout ({timeout}) must be at most half of interval ({interval})"
     if settings.outbox_capacity < MIN_OUTBOX:
         return f"outbox must hold two of the longest messages ({MIN_OUTBOX})"
@@ -121,18 +121,18 @@
         optional_key("listen", "listen", values.parse_address),
         Key("name", "fleet", values.parse_name),
         optional_key("zone", "zone", values.parse_name),
-        optional_key("keys", "keys", values.parse_optional),
+        optional_key("keys", "key_file", values.parse_optional),
         Key("peers", "peers", values.parse_peers, values.format_peers),
-        optional_key("control", "control", values.parse_loopback_address),
-        duration_key("interval", "interval", 0.05, 60.0),
-        duration_key("timeout", "timeout", 0.01, 30.0),
+        optional_key("control", "admin_address", values.parse_loopback_address),
+        duration_key("interval", "probe_interval", 0.05, 60.0),
+        duration_key("timeout", "probe_timeout", 0.01, 30.0),
         count_key("helpers", "helpers", 1, 8),
-        duration_key("alone", "alone", 0.2, 300.0),
-        duration_key("stalled", "stalled", 0.2, 60.0),
-        duration_key("exchange", "exchange", 0.1, 60.0),
-        count_key("rate", "rate", 10_000, 100_000_000),
+        duration_key("alone", "isolation_timeout", 0.2, 300.0),
+        duration_key("stalled", "pause_threshold", 0.2, 60.0),
+        duration_key("exchange", "summary_interval", 0.1, 60.0),
+        count_key("rate", "peer_rate", 10_000, 100_000_000),
         count_key("outbox", "outbox_capacity", 65_536, 64_000_000),
-        count_key("ops", "ops", 16, 65_536),
+        count_key("ops", "retained_operations", 16, 65_536),
         switch_key("popularity", "popularity"),
     ),
     defaults=fleet.FleetSettings(),
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -211,7 +211,7 @@
         last = max(settings.seconds - settings.calm - LONGEST_FAULT, 3.0)
         for _ in range(settings.faults):
             self.events.schedule(rng.uniform(2.0, last), self.inject_fault)
-        changes = int(settings.rate * (settings.seconds - 2 * settings.fleet.exchange))
+        changes = int(settings.rate * (settings.seconds - 2 * settings.fleet.summary_interval))
         for _ in range(changes):
             self.events.schedule(rng.uniform(0.0, settings.seconds - LAST_CHANGES), self._publish_any)
         self.events.run(settings.seconds)
--- a/weldbend/testbed/fleet/model_network.py
+++ b/weldbend/testbed/fleet/model_network.py
@@ -46,7 +46,7 @@
         now, settings = self.events.now, network.settings.fleet
         seed = network.rng.randrange(1 << 30)
         self.members = Membership(name, epoch, settings, network.names, seed, now)
-        self.copies = ReplicatedStore(name, epoch, settings.ops)
+        self.copies = ReplicatedStore(name, epoch, settings.retained_operations)
         self.changes: list[Change] = []
         self.exchange = AntiEntropy(self.copies, settings, seed + 1, self.changes.append, now)
         self.frozen_until = -math.inf
--- a/weldbend/testbed/fleet/simulated_benchmarks.py
+++ b/weldbend/testbed/fleet/simulated_benchmarks.py
@@ -129,7 +129,7 @@
     )
     others = [entry for entry in transitions if entry not in of_victim]
     false_deaths = sum("-> DEAD" in line and at > SETTLED_AT for at, line in others)
-    timeout = min(dead, default=settings.fleet.interval * 5)
+    timeout = min(dead, default=settings.fleet.probe_interval * 5)
     late = sum(end - begin > timeout for spans in freezes.values() for begin, end in spans)
     return {
         "suspected first": min(suspected, default=None),
@@ -168,7 +168,7 @@
     `rate` bounds snapshot transfer, in bytes a second.
     """
     settings = ModelSettings(fronts=4, seconds=60.0, calm=0.0, faults=0, rate=0.0, loss=0.0)
-    settings = replace(settings, fleet=replace(settings.fleet, rate=rate))
+    settings = replace(settings, fleet=replace(settings.fleet, peer_rate=rate))
     fleet = FleetModel(1, settings)
     caught_up: list[float] = []
 
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -27,7 +27,9 @@
 KEY = "0badcafe " + "5a" * 32 + "\n"  # of the messages between fronts, in the testbed only
 FLEET_FAULTS = ("split", "one_way", "freeze", "slow", "lossy", "bus_cut", "all")
 IN_TRANSIT = 8  # changes of one front that others may lack at the end: each front makes some every second
-QUICK = FleetSettings(interval=0.2, timeout=0.08, alone=1.5, stalled=0.5, exchange=0.3)
+QUICK = FleetSettings(
+    probe_interval=0.2, probe_timeout=0.08, isolation_timeout=1.5, pause_threshold=0.5, summary_interval=0.3
+)
 RECONNECT = 2.5  # seconds after a cut of the event bus until a front has surely read what it missed
 SHUTDOWN = 4.0  # seconds that a graceful shutdown may take
 FIRST_FAULT = 1.0  # seconds after the start
@@ -95,10 +97,10 @@
         return replace(
             self.settings.fleet,
             listen=f"{front_host(number)}:{FLEET_PORT}",
-            keys=key_file(),
+            key_file=key_file(),
             peers=peers,
             zone=self.zone(number),
-            control="",
+            admin_address="",
         )
 
     def create_front(self, machine: Machine, site: Site) -> Front:
