--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""The fault injector: plans that are checked, deeds that depend on the seed alone, and sockets between."""
+"""The fault injector: plans that are checked, faults that depend on the seed alone, and sockets between."""
 
 import json
 import random
@@ -72,7 +72,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 1 << 30), st.sampled_from(["drop", "duplicate", "reorder", "corrupt", "cut", "delay"]))
-def test_the_same_seed_strikes_the_same_however_the_bytes_are_split(seed, kind):
+def test_the_same_seed_injects_the_same_however_the_bytes_are_split(seed, kind):
     rng, results = random.Random(seed), []
     held = {"kind": kind, "chance": "0.4"} | ({"for": "10 ms"} if kind == "delay" else {})
     for _ in range(2):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The laboratory: the emulated site alone, and with a real front under load."""
+"""The testbed: the emulated site alone, and with a real front under load."""
 
 import json
 import random
@@ -19,49 +19,51 @@
 KEY = key_of(1)
 
 
-def small(room=1 << 20):
+def small_site(capacity=1 << 20):
     caches = [
-        EmulatedCache("e1", "box", room),
-        EmulatedCache("p1", "parent", room),
+        EmulatedCache("e1", "box", capacity),
+        EmulatedCache("p1", "parent", capacity),
         EmulatedCache("o1", "origin", 0),
     ]
     return EmulatedCaches(caches, Sizes(), edge_rate=1e6, edge_delay=0.01)
 
 
-def look(**fields):
+def lookup_fields(**fields):
     return {"queue": "photo", "path": KEY, "blk": "0", "budget": "6000"} | fields
 
 
-def test_the_emulated_site_fills_keeps_and_joins_and_sends_over_thin_links():
-    caches, size = small(), Sizes().of(KEY, 0)
-    words = [caches.execute("e1", look(), 0.0, 100.0).word]
-    first = caches.execute("e1", look(**{"from": "p1", "rank": "1", "mode": "j"}), 0.0, 100.0)
-    second = caches.execute("e1", look(**{"from": "p1", "mode": "j"}), 0.0, 100.0)
+def test_the_emulated_site_fills_caches_and_joins_fills_over_slow_links():
+    caches, size = small_site(), Sizes().of(KEY, 0)
+    words = [caches.execute("e1", lookup_fields(), 0.0, 100.0).word]
+    first = caches.execute("e1", lookup_fields(**{"from": "p1", "rank": "1", "mode": "j"}), 0.0, 100.0)
+    second = caches.execute("e1", lookup_fields(**{"from": "p1", "mode": "j"}), 0.0, 100.0)
     assert words == ["LACK"] and first.fields["detail"] == "o" and second.fields["detail"] == "j"
     assert first.body == body(KEY, 0, size) and first.at > 0.01 + size / 1e6
-    hit = caches.execute("e1", look(), 9.0, 109.0)
+    hit = caches.execute("e1", lookup_fields(), 9.0, 109.0)
     assert hit.fields["detail"] == "h" and hit.at < 9.01 and hit.fields["born"] == "100000"
-    assert caches.execute("e1", look(oldest="5000"), 9.0, 109.0).word == "LACK"
+    assert caches.execute("e1", lookup_fields(oldest="5000"), 9.0, 109.0).word == "LACK"
     caches.caches["e1"].purge(KEY)
-    assert caches.execute("e1", look(), 9.0, 109.0).word == "LACK"
-    assert caches.execute("e1", look(**{"from": "p1", "mode": "h"}), 9.0, 109.0).fields["detail"] == "f"
+    assert caches.execute("e1", lookup_fields(), 9.0, 109.0).word == "LACK"
+    assert (
+        caches.execute("e1", lookup_fields(**{"from": "p1", "mode": "h"}), 9.0, 109.0).fields["detail"] == "f"
+    )
 
 
-def test_a_marked_write_runs_once_in_the_emulated_site():
-    caches = small()
+def test_a_write_with_an_idempotency_key_is_executed_once_in_the_emulated_site():
+    caches = small_site()
     for when in (0.0, 3.0, 20.0):
-        assert caches.execute("o1", look(queue="order", uniq="ab"), when, when).word == "DONE"
+        assert caches.execute("o1", lookup_fields(queue="order", uniq="ab"), when, when).word == "DONE"
     assert caches.caches["o1"].counts["effects"] == 2 and caches.caches["o1"].counts["repeats dropped"] == 1
 
 
-def test_room_ends_and_the_lowest_rank_goes_first():
-    caches = small(room=100_000)
+def test_beyond_the_capacity_the_lowest_rank_is_evicted_first():
+    caches = small_site(capacity=100_000)
     for rank, object_ in [("1", 1), *(("0", n) for n in range(2, 40)), *(("1", n) for n in range(40, 43))]:
-        asked = look(path=key_of(object_), rank=rank, **{"from": "p1"})
+        asked = lookup_fields(path=key_of(object_), rank=rank, **{"from": "p1"})
         caches.execute("e1", asked, float(object_), float(object_))
-    held = caches.caches["e1"].copies
-    assert caches.caches["e1"].used == sum(c.size for c in held.values()) <= 100_000
-    assert (KEY, 0) in held and (key_of(42), 0) in held
+    cached = caches.caches["e1"].copies
+    assert caches.caches["e1"].used == sum(c.size for c in cached.values()) <= 100_000
+    assert (KEY, 0) in cached and (key_of(42), 0) in cached
 
 
 @given(st.integers(0, 1 << 32))
@@ -86,7 +88,7 @@
 
 
 @pytest.mark.parametrize("bad", [b"do a - 99999\r\n", b"do a - x\r\n", b"get\r\n", b"x" * 4096])
-def test_what_is_no_command_is_told(bad):
+def test_what_is_no_command_is_an_error(bad):
     ring = Ring(1 << 13)
     ring.write(bad)
     with pytest.raises(InvalidCommandError):
@@ -104,7 +106,7 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=120)
 
 
-def test_the_demo_downloads_from_a_real_front(tmp_path):
+def test_the_demo_requests_from_a_real_front(tmp_path):
     path = tmp_path / "demo.json"
     done = lab("demo", "--rate", "40", "--seconds", "2", "--json", str(path))
     assert done.returncode == 0, done.stderr
@@ -115,7 +117,7 @@
     assert report["boxes"]["box asked"] >= counts["fulfilled"] * 0.9 and "p99, ms" in done.stdout
 
 
-def test_idle_connections_are_parked_and_a_mass_of_them_wakes_in_a_real_front(tmp_path):
+def test_many_idle_connections_wake_at_once_in_a_real_front(tmp_path):
     path = tmp_path / "idle.json"
     words = ("--connections", "600", "--pairs", "0", "--busy-rate", "20", "--json", str(path))
     done = lab("idle", *words, "--wake", "1.0", "--wake-with", "photo")
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,4 +1,4 @@
-"""The deterministic laboratory: exact repeats, a front that keeps the rules, sabotage that is caught."""
+"""The deterministic simulation: exact repeats, a front that keeps the rules, sabotage that is caught."""
 
 import os
 import subprocess
@@ -36,14 +36,14 @@
         "from weldbend.testbed.simulation.settings import RunSettings\n"
         "print([Run(seed, RunSettings(seconds=4.0)).play().digest() for seed in (3, 4)])"
     )
-    told = set()
+    outputs = set()
     for hashes in ("0", "1", "2"):
         held = os.environ | {"PYTHONHASHSEED": hashes}
         done = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=90, env=held
         )
-        told.add(done.stdout)
-    assert len(told) == 1 and "', '" in told.pop()
+        outputs.add(done.stdout)
+    assert len(outputs) == 1 and "', '" in outputs.pop()
 
 
 def test_the_byte_digest_tells_runs_apart_and_holds_when_a_class_is_renamed(monkeypatch):
@@ -93,11 +93,11 @@
     patched(monkeypatch, ClientRequest, "answer_served", made)
 
 
-def takes_a_reset_for_never_run(monkeypatch):
+def treats_a_reset_as_never_executed(monkeypatch):
     monkeypatch.setitem(request_codec.LOSSES, AttemptLoss.RESET, AttemptResult.SUPERSEDED)
 
 
-def lets_every_repeat_pass(monkeypatch):
+def allows_every_retry(monkeypatch):
     monkeypatch.setattr(Admission, "is_safe", lambda self, attempt: True)
 
 
@@ -109,7 +109,7 @@
     monkeypatch.setattr(CacheConnection, "cancel", cancel)
 
 
-def sends_second_copies(monkeypatch):
+def sends_second_attempts(monkeypatch):
     def made(call_off):
         return (
             lambda self, request, attempt: self.end(request, attempt, AttemptResult.CANCELLED)
@@ -120,13 +120,13 @@
     patched(monkeypatch, AttemptManager, "cancel", made)
 
 
-def takes_draining_for_ready(monkeypatch):
+def treats_draining_as_ready(monkeypatch):
     from weldbend.event_bus import endpoint_registry
 
     monkeypatch.setitem(endpoint_registry.ENDPOINT_STATES, "draining", EndpointState.READY)
 
 
-def does_not_hear_list_changes(monkeypatch):
+def ignores_endpoint_list_changes(monkeypatch):
     patched(
         monkeypatch,
         EndpointUpdates,
@@ -135,11 +135,11 @@
     )
 
 
-def sends_all_to_cold_caches(monkeypatch):
+def ignores_warm_up_budgets(monkeypatch):
     monkeypatch.setattr(Admission, "is_bearable", lambda self, cache, request: True)
 
 
-def does_not_believe_in_starts(monkeypatch):
+def ignores_cache_starts(monkeypatch):
     from weldbend.event_bus.endpoint_registry import EndpointRegistry
 
     def made(entry):
@@ -152,11 +152,11 @@
     patched(monkeypatch, EndpointRegistry, "endpoint", made)
 
 
-def does_not_hear_purges(monkeypatch):
+def ignores_purges(monkeypatch):
     monkeypatch.setattr(Admission, "record_purge", lambda self, purge: None)
 
 
-def asks_for_any_age(monkeypatch):
+def accepts_any_age(monkeypatch):
     monkeypatch.setattr(Admission, "max_age", lambda self, attempt: 0.0)
 
 
@@ -165,16 +165,16 @@
     [
         (answers_twice, "one answer"),
         (forgets_to_answer, "one answer"),
-        (takes_a_reset_for_never_run, "no effect twice"),
-        (lets_every_repeat_pass, "no effect twice"),
+        (treats_a_reset_as_never_executed, "no effect twice"),
+        (allows_every_retry, "no effect twice"),
         (forgets_to_undo, "no effect twice"),
-        (sends_second_copies, "no effect twice"),
-        (takes_draining_for_ready, "drains kept"),
-        (does_not_hear_list_changes, "drains kept"),
-        (sends_all_to_cold_caches, "cold not pushed over"),
-        (does_not_believe_in_starts, "cold not pushed over"),
-        (does_not_hear_purges, "purges kept"),
-        (asks_for_any_age, "purges kept"),
+        (sends_second_attempts, "no effect twice"),
+        (treats_draining_as_ready, "drains kept"),
+        (ignores_endpoint_list_changes, "drains kept"),
+        (ignores_warm_up_budgets, "cold not pushed over"),
+        (ignores_cache_starts, "cold not pushed over"),
+        (ignores_purges, "purges kept"),
+        (accepts_any_age, "purges kept"),
     ],
 )
 def test_the_auditor_catches(monkeypatch, sabotage, rule):
--- a/weldbend/testbed/commands/idle.py
+++ b/weldbend/testbed/commands/idle.py
@@ -38,14 +38,17 @@
 def measure(options: IdleOptions, installation: str, show: Callable[[str], None]) -> dict[str, Any]:
     """All measurements that the options ask for, by name."""
     report: dict[str, Any] = {}
-    counts, rate = list(options.counts), options.open_rate
+    counts = list(options.counts)
+    rate = options.open_rate
     if counts:
         report["memory"] = idle_benchmark.measure_memory(counts, None, installation, show, rate)
         if options.before:
             report["memory before"] = idle_benchmark.measure_memory(
                 counts, options.before, installation, show, rate
             )
-    connections, busy_rate, seconds = options.connections, options.busy_rate, options.seconds
+    connections = options.connections
+    busy_rate = options.busy_rate
+    seconds = options.seconds
     if options.fronts > 1:
         report["many"] = idle_benchmark.measure_many(
             connections, options.fronts, busy_rate, seconds, installation, show
--- a/weldbend/testbed/commands/site.py
+++ b/weldbend/testbed/commands/site.py
@@ -150,7 +150,9 @@
 
 def summary(report: dict[str, Any]) -> list[str]:
     """The lines of a table of a load and of what the caches did."""
-    counts, caches, latency = report["counts"], report["boxes"], report["latency_ms"]
+    counts = report["counts"]
+    caches = report["boxes"]
+    latency = report["latency_ms"]
     rows = [
         ["requests", counts.get("asked", 0)],
         ["served", counts.get("fulfilled", 0)],
--- a/weldbend/testbed/emulator/cache_model.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -183,7 +183,8 @@
         self, cache: EmulatedCache, source: EmulatedCache, lookup: Lookup, fields: dict[str, str]
     ) -> TimedAnswer:
         """Fill a miss from its source, or join a fill of the same part that is under way."""
-        place, now = lookup.place, lookup.now
+        place = lookup.place
+        now = lookup.now
         modes = fields.get("mode", "").split("+")
         if "j" in modes and cache.is_filling(place, now):
             complete, copy = cache.filling[place]
@@ -193,11 +194,13 @@
         if found is None and source.kind != "origin" and "h" in modes:
             source.count("lacked")
             return TimedAnswer(now + self.links[cache.uid].delay, "LACK", {"detail": "l"})
-        complete, detail = now, "f"
+        complete = now
+        detail = "f"
         if found is None:
             found = Copy(self.sizes.of(*place), int(lookup.unix * 1000), 0)
             self._origin().count("fills")
-            complete, detail = self.origin_link.transfer(now, found.size), "o"
+            complete = self.origin_link.transfer(now, found.size)
+            detail = "o"
             if source.kind != "origin" and "n" not in modes:
                 source.keep(place, Copy(found.size, found.born, 0))
         else:
--- a/weldbend/testbed/emulator/objects.py
+++ b/weldbend/testbed/emulator/objects.py
@@ -45,7 +45,8 @@
 
 def zipf_weights(count: int, skew: float = 0.9) -> list[float]:
     """Cumulative weights of `count` objects by Zipf's law, to draw from."""
-    total, weights = 0.0, []
+    total = 0.0
+    weights = []
     for rank in range(1, count + 1):
         total += rank**-skew
         weights.append(total)
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -140,7 +140,8 @@
 
     def inject_fault(self) -> None:
         """Inject a fault drawn at random."""
-        rng, network = self.rng, self.network
+        rng = self.rng
+        network = self.network
         kind = rng.choice(self.settings.kinds)
         name = rng.choice(self.names)
         seconds = rng.uniform(1.0, LONGEST_FAULT)
@@ -204,7 +205,8 @@
 
     def run(self) -> "FleetModel":
         """Carry out the whole run."""
-        settings, rng = self.settings, self.rng
+        settings = self.settings
+        rng = self.rng
         for name in self.names:
             self._start_after(rng.random() * 0.5, name)
         self.events.run(STARTED_BY)
--- a/weldbend/testbed/fleet/lease_model.py
+++ b/weldbend/testbed/fleet/lease_model.py
@@ -234,7 +234,8 @@
         """
         first = self.first()
         reached: dict[State, tuple[State | None, str]] = {first: (None, "")}
-        frontier, depth = [first], 0
+        frontier = [first]
+        depth = 0
         while frontier and depth < self.scope.depth:
             depth += 1
             following = []
--- a/weldbend/testbed/fleet/model_network.py
+++ b/weldbend/testbed/fleet/model_network.py
@@ -43,7 +43,8 @@
         self.events = network.events
         self.name = name
         self.epoch = epoch
-        now, settings = self.events.now, network.settings.fleet
+        now = self.events.now
+        settings = network.settings.fleet
         seed = network.rng.randrange(1 << 30)
         self.members = Membership(name, epoch, settings, network.names, seed, now)
         self.copies = ReplicatedStore(name, epoch, settings.retained_operations)
--- a/weldbend/testbed/fleet/process_benchmarks.py
+++ b/weldbend/testbed/fleet/process_benchmarks.py
@@ -100,7 +100,8 @@
         return {n: process_usage.usage(p.pid) for n, p in self.site.running.items() if p.pid}
 
     def _on_load_end(self, load: Load | None) -> None:
-        after, seconds = self._usages(), time.monotonic() - self.begun
+        after = self._usages()
+        seconds = time.monotonic() - self.begun
         stalled = len(self.site.numbers) if self.has_stalled else None
         without_load = [number for number in after if number not in (1, stalled)]
         cpu = [(after[n].cpu - self.before[n].cpu) / seconds for n in without_load]
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -57,7 +57,8 @@
 
     def demand_of(self, number: int, at: float) -> float:
         """Requests a second that come to a front at a moment."""
-        count, total = self.fronts, self.rate
+        count = self.fronts
+        total = self.rate
         match self.demand:
             case "even":
                 return total / count
@@ -271,7 +272,8 @@
             self.admitted.append(self.events.now)
 
     def _schedule_requests(self) -> None:
-        settings, rng = self.settings, self.rng
+        settings = self.settings
+        rng = self.rng
         for number in range(settings.fronts):
             at = 0.0
             while (at := at + rng.expovariate(settings.rate)) < settings.seconds:
@@ -330,7 +332,8 @@
 
     def worst(self, window: float | None = None) -> int:
         """The most that was admitted in any window; None is the limit's own."""
-        span, most = window or self.settings.times.window, 0
+        span = window or self.settings.times.window
+        most = 0
         for place, at in enumerate(self.admitted):
             most = max(most, place + 1 - bisect_right(self.admitted, at - span, 0, place))
         return most
@@ -355,7 +358,8 @@
 
 def search(seeds: range) -> dict[str, Any]:
     """How near to the limit all windows of many seeds came, and the seeds that passed it."""
-    over, worst = [], 0.0
+    over = []
+    worst = 0.0
     for seed in seeds:
         settings = draw_settings(seed)
         fraction = QuotaExperiment(seed, settings).play().worst() / (settings.most * settings.times.window)
--- a/weldbend/testbed/fleet/relay_network.py
+++ b/weldbend/testbed/fleet/relay_network.py
@@ -63,7 +63,8 @@
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
         """Pass one datagram on: never, once or twice."""
-        network, path = self.network, self.path
+        network = self.network
+        path = self.path
         if not network.is_open(path) or network.random.random() < network.loss.get(path, 0.0):
             return
         delay = network.delay.get(path, 0.0)
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -189,13 +189,16 @@
 
     def schedule_faults(self) -> None:
         """Schedule those of the site first; all are over when the calm end begins."""
-        settings, rng, last = self.settings, self.rng, self.settings.seconds - self.settings.calm
+        settings = self.settings
+        rng = self.rng
+        last = self.settings.seconds - self.settings.calm
         for _ in range(settings.faults):
             at = rng.uniform(FIRST_FAULT, last)
             self.events.schedule(at, self.site_faults.by_kind[rng.choice(settings.fault_kinds)])
         planned: list[tuple[str, float, float]] = []
         for _ in range(settings.fleet_faults):
-            kind, duration = rng.choice(settings.fleet_fault_kinds), rng.uniform(0.5, 6.0)
+            kind = rng.choice(settings.fleet_fault_kinds)
+            duration = rng.uniform(0.5, 6.0)
             planned.append((kind, rng.uniform(FIRST_FAULT, max(last - duration, 1.5)), duration))
         for kind, at, duration in planned:
             is_partitioned = any(
@@ -296,7 +299,8 @@
         """What fronts differ on at the end, where all was calm for long enough."""
         if not self.settings.has_fleet:
             return []
-        now, nodes = self.events.now + STEADY_CLOCK_AHEAD, self.nodes()
+        now = self.events.now + STEADY_CLOCK_AHEAD
+        nodes = self.nodes()
         errors = audit(AuditedFleet(nodes, now, in_transit=IN_TRANSIT))
         for name in sorted({name for node in nodes.values() for name in node.copies.items}):
             items = {front: node.copies.items.get(name) for front, node in nodes.items()}
--- a/weldbend/testbed/load/connection_holder.py
+++ b/weldbend/testbed/load/connection_holder.py
@@ -99,7 +99,8 @@
 
     def open(self, count: int, rate: float, source: int) -> dict[str, Any]:
         """Connect `count`, `rate` a second, and let each send one health check."""
-        begun, failed = time.monotonic(), 0
+        begun = time.monotonic()
+        failed = 0
         for number in range(count):
             if (wait := begun + number / rate - time.monotonic()) > 0:
                 time.sleep(wait)
@@ -138,7 +139,8 @@
         self.request_count += 1
         if what == "probe":
             return client_calls.probe(WAKE_SEQID)
-        key, part = objects.key_of(self.rng.randrange(1, OBJECTS)), 0
+        key = objects.key_of(self.rng.randrange(1, OBJECTS))
+        part = 0
         fields = {
             "class": "photo",
             "id": f"{self.seed & 0xFFFF:04x}{self.request_count:012x}",
--- a/weldbend/testbed/load/generator.py
+++ b/weldbend/testbed/load/generator.py
@@ -62,7 +62,9 @@
 
     def arrivals(self) -> list[Arrival]:
         """The whole schedule: the same seed gives the same."""
-        rng, at, arrivals = random.Random(self.seed), 0.0, []
+        rng = random.Random(self.seed)
+        at = 0.0
+        arrivals = []
         weights = objects.zipf_weights(self.objects)
         while (at := at + rng.expovariate(self.rate)) < self.seconds:
             rank = bisect(weights, rng.random() * weights[-1]) + 1
@@ -259,7 +261,8 @@
         if request is None:
             counts["answers to nothing asked"] += 1
             return
-        seconds, arrival = time.monotonic() - request.due, request.arrival
+        seconds = time.monotonic() - request.due
+        arrival = request.arrival
         counts[answer.outcome] += 1
         if answer.outcome == "fulfilled":
             record(self.tally.latency, seconds)
--- a/weldbend/testbed/load/idle_benchmark.py
+++ b/weldbend/testbed/load/idle_benchmark.py
@@ -137,7 +137,9 @@
         with running_site(1, count + RESERVE, program, None if program else installation) as site:
             BusyLoad(site.fronts, 86, 3, 9).report()
             time.sleep(SETTLE)
-            before, slab, cpu_none = site.anonymous(), process_usage.kernel_sockets(), site.cpu(5)
+            before = site.anonymous()
+            slab = process_usage.kernel_sockets()
+            cpu_none = site.cpu(5)
             with idle_connections(site.fronts, count, rate):
                 time.sleep(SETTLE)
                 bytes_each = (site.anonymous() - before) / count
@@ -200,7 +202,8 @@
             load = BusyLoad(site.fronts, rate, 8, round(1000 * fraction))
             time.sleep(2.5)
             holders[0].send(f"wake {fraction} {what} 12")
-            woken, report = holders[0].receive(), load.report()
+            woken = holders[0].receive()
+            report = load.report()
             report.pop("histogram")
             row = {"share": fraction, "what": what, "woken": woken, "busy": report}
             show(json.dumps(row))
@@ -214,7 +217,8 @@
 def measure_many(count: int, fronts: int, rate: float, seconds: float, installation: str, show: Show) -> Row:
     """The published run: so many idle connections over several fronts, busy requests beside them."""
     with running_site(fronts, count // fronts + RESERVE, None, installation) as site:
-        before, slab = site.anonymous(), process_usage.kernel_sockets()
+        before = site.anonymous()
+        slab = process_usage.kernel_sockets()
         with idle_connections(site.fronts, count) as holders:
             time.sleep(SETTLE)
             idle_cpu = site.cpu(5)
--- a/weldbend/testbed/load/process_usage.py
+++ b/weldbend/testbed/load/process_usage.py
@@ -10,7 +10,9 @@
 PAGE = os.sysconf("SC_PAGE_SIZE")  # bytes
 KIBIBYTE = 1024
 # Places in /proc/PID/stat, counted from after the command's name.
-USER_TICKS, SYSTEM_TICKS, RESIDENT_PAGES = 11, 12, 21
+USER_TICKS = 11
+SYSTEM_TICKS = 12
+RESIDENT_PAGES = 21
 PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.9)  # of a plot
 
 Cell = str | int | float
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -136,7 +136,8 @@
     def _on_client_answer(self, observed: ObservedMessage, answer: ClientAnswer) -> None:
         if answer.outcome == "probe":
             return
-        at, request = observed.at, self.by_call.get((observed.link, answer.seqid))
+        at = observed.at
+        request = self.by_call.get((observed.link, answer.seqid))
         if request is None:
             self._add_violation(Rule.ONE_ANSWER, f"seqid {answer.seqid}", at, "an answer to no request")
             return
@@ -177,7 +178,8 @@
                 )
 
     def _on_command(self, observed: ObservedMessage, command: Command) -> None:
-        at, request = observed.at, self.requests.get((observed.front, command.name))
+        at = observed.at
+        request = self.requests.get((observed.front, command.name))
         if request is None:
             if command.word == "do":
                 self._add_violation(Rule.ONE_ANSWER, command.name, at, "an attempt of no client's request")
@@ -237,7 +239,8 @@
     def _check_warm_up(
         self, observed: ObservedMessage, request: RequestRecord, uid: str, start: CacheStart
     ) -> None:
-        at, rule = observed.at, self.rules.warm_ups.get(start.kind)
+        at = observed.at
+        rule = self.rules.warm_ups.get(start.kind)
         if rule is None or at < self.known_since(observed.front, start.announced) + self.rules.start:
             return
         fraction = rule.least_fraction + (1 - rule.least_fraction) * (at - start.began) / rule.warm_after
--- a/weldbend/testbed/simulation/datagrams.py
+++ b/weldbend/testbed/simulation/datagrams.py
@@ -28,7 +28,8 @@
 
     def write(self, data: bytes, to: Address) -> None:
         """Send one datagram."""
-        network, path = self.network, (self.machine.host, to[0])
+        network = self.network
+        path = (self.machine.host, to[0])
         network.record_bytes(f"datagram {self.machine.host}>{to[0]}:{to[1]}", data)
         if not network.is_open(*path) or network.random.random() < network.datagram_loss.get(path, 0.0):
             return
--- a/weldbend/testbed/simulation/machine.py
+++ b/weldbend/testbed/simulation/machine.py
@@ -99,7 +99,8 @@
 
     def arrive(self) -> None:
         """The request has reached the host that is dialled, if the network lets it."""
-        network, here = self.network, self.machine.host
+        network = self.network
+        here = self.machine.host
         there, port = self.connector.destination.host, self.connector.destination.port
         is_reachable = not {here, there} & network.unreachable_hosts
         if not (is_reachable and network.is_open(here, there) and network.is_open(there, here)):
--- a/weldbend/testbed/simulation/observation.py
+++ b/weldbend/testbed/simulation/observation.py
@@ -27,10 +27,12 @@
         front_names = {machine.host: machine.name for machine, _ in self.site.fronts.values()}
         near_host, far_host = near.machine.host, far.machine.host
         if near_host == CLIENT_HOST:
-            front, peer, front_end = front_names[far_host], "clients", far
+            front, peer = front_names[far_host], "clients"
+            front_end = far
             near_traffic, far_traffic = Traffic.CLIENT_CALLS, Traffic.CLIENT_ANSWERS
         elif near_host in front_names and far_host in self.site.uid_at:
-            front, peer, front_end = front_names[near_host], self.site.uid_at[far_host], near
+            front, peer = front_names[near_host], self.site.uid_at[far_host]
+            front_end = near
             near_traffic, far_traffic = Traffic.CACHE_COMMANDS, Traffic.CACHE_ANSWERS
             now = self.context.network.events.now
             far.fault_stream = self.injector.stream(link, Direction.BACK, now)
--- a/weldbend/testbed/simulation/settings.py
+++ b/weldbend/testbed/simulation/settings.py
@@ -36,8 +36,11 @@
     "rewrite": {"set": ("born", "ver", "use", "length", "detail", "waited"), "to": ("1", "99", "x", "-5")},
 }
 PURGE_GROUPS = 4  # groups that objects belong to, by rank; a purge may name one
-FRONT_PORT, CACHE_PORT, BUS_PORT = 7001, 7100, 9092
-BUS_HOST, CLIENT_HOST = "10.0.2.1", "10.0.3.1"
+FRONT_PORT = 7001
+CACHE_PORT = 7100
+BUS_PORT = 9092
+BUS_HOST = "10.0.2.1"
+CLIENT_HOST = "10.0.3.1"
 
 
 def front_host(number: int) -> str:
--- a/weldbend/testbed/simulation/site.py
+++ b/weldbend/testbed/simulation/site.py
@@ -124,7 +124,8 @@
         """A cache dies and is back, empty, half a second later; the endpoint list states its start."""
         self.context.log.add(f"restart of {uid}")
         self.machines[uid].kill()
-        host, kind = self.machines[uid].host, self.targets[uid]["model"]
+        host = self.machines[uid].host
+        kind = self.targets[uid]["model"]
         self.down_caches.add(uid)
 
         def start_again() -> None:
--- a/weldbend/testbed/simulation/site_faults.py
+++ b/weldbend/testbed/simulation/site_faults.py
@@ -32,7 +32,8 @@
 
     def schedule(self) -> None:
         """Schedule the faults of a whole run at random times."""
-        settings, rng = self.context.settings, self.context.rng
+        settings = self.context.settings
+        rng = self.context.rng
         for _ in range(settings.faults):
             kind = rng.choice(settings.fault_kinds)
             at = rng.uniform(0.8, settings.seconds - 1.5)
@@ -50,7 +51,8 @@
 
     def purge(self) -> None:
         """One object or one group of them is purged, and later its old copies are gone everywhere."""
-        rng, site = self.context.rng, self.site
+        rng = self.context.rng
+        site = self.site
         key = objects.key_of(rng.randint(1, 6))
         stamp = site.unix_ms()
         if rng.random() < ONE_OBJECT:
@@ -66,7 +68,8 @@
     def vanish(self) -> None:
         """Nothing reaches or leaves a cache for a second."""
         if uid := self.site.draw_cache("box", "parent"):
-            network, host = self.context.network, self.site.machines[uid].host
+            network = self.context.network
+            host = self.site.machines[uid].host
             self.context.log.add(f"{uid} vanishes")
             network.unreachable_hosts.add(host)
             network.events.schedule(VANISHED_FOR, lambda: network.unreachable_hosts.discard(host))
--- a/weldbend/testbed/simulation/transports.py
+++ b/weldbend/testbed/simulation/transports.py
@@ -148,7 +148,8 @@
         if self.tap:
             self.tap(data)
         assert self.peer
-        peer, random = self.peer, self.network.random
+        peer = self.peer
+        random = self.network.random
         peer.unread += len(data)
         while data:
             size = len(data) if random.random() < SINGLE_PIECE else random.randint(1, len(data))
--- a/weldbend/testbed/simulation/workload.py
+++ b/weldbend/testbed/simulation/workload.py
@@ -119,7 +119,9 @@
 
     def schedule(self) -> None:
         """Schedule the requests of the whole run."""
-        settings, rng, at = self.context.settings, self.context.rng, FIRST_ARRIVAL
+        settings = self.context.settings
+        rng = self.context.rng
+        at = FIRST_ARRIVAL
         weights = objects.zipf_weights(settings.objects)
         while (at := at + rng.expovariate(settings.rate)) < settings.seconds:
             rank = bisect(weights, rng.random() * weights[-1]) + 1
@@ -142,7 +144,8 @@
 
     def request_fields(self, request_class: str, rank: int) -> Fields:
         """The fields of a new request for an object, as they go over the wire."""
-        key, part = objects.key_of(rank), self.context.rng.randrange(2)
+        key = objects.key_of(rank)
+        part = self.context.rng.randrange(2)
         fields = {
             "class": request_class,
             "id": self.next_id(),
