--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -619,11 +619,6 @@
     return lambda monkeypatch: monkeypatch.setattr(owner, name, value)
 
 
-def counts_over_gaps(self, log, op, said):
-    log.number = max(log.number, op.number)
-    log.operations.append(LoggedOperation(op, said))
-
-
 def counted_at_once(self, op, now):
     log = self.logs.setdefault(f"{op.writer}/{op.epoch}", OperationLog())
     if op.number <= log.number:
