--- a/weldbend/testbed/emulator/cache_model.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -38,6 +38,7 @@
     word: str
     fields: dict[str, str]
     body: bytes = b""
+    made_ms: int | None = None  # when the origin gave out the copy, as `Copy.made_ms`; None without one
 
 
 @dataclass(slots=True)
@@ -45,7 +46,8 @@
     """One cached part of an object."""
 
     size: int
-    born: int  # Unix milliseconds
+    born: int  # Unix milliseconds at which the origin gave it out, by the clock of that moment
+    made_ms: int  # the same in milliseconds of the steady clock, by which its age is measured
     rank: int  # 0 is evicted first
 
 
@@ -89,7 +91,7 @@
         copy = self.copies.get(lookup.place)
         if self.is_filling(lookup.place, lookup.now):
             return None
-        if copy and (lookup.max_age is None or lookup.unix * 1000 - copy.born <= lookup.max_age):
+        if copy and (lookup.max_age is None or lookup.now * 1000 - copy.made_ms <= lookup.max_age):
             self.copies.move_to_end(lookup.place)
             return copy
         return None
@@ -119,7 +121,8 @@
         else:
             self.count("repeats dropped")
         fields = {"ver": "w", "born": str(int(unix * 1000))}
-        return TimedAnswer(now + WRITE_FACTOR * self.service_time, "DONE", fields, b"ok")
+        done = now + WRITE_FACTOR * self.service_time
+        return TimedAnswer(done, "DONE", fields, b"ok", int(now * 1000))
 
     def _forget_writes(self, now: float) -> None:
         while self.executed:
@@ -134,7 +137,8 @@
         if ready > now + self.service_time:
             fields["waited"] = str(int((ready - now) * 1000))
         fields["use"] = f"inflight:{self.open};util:{min(self.open / self.max_open, 1.0):.2f}"
-        return TimedAnswer(max(ready, now + self.service_time), "DONE", fields, body(*place, copy.size))
+        done = max(ready, now + self.service_time)
+        return TimedAnswer(done, "DONE", fields, body(*place, copy.size), copy.made_ms)
 
 
 class EmulatedCaches:
@@ -169,7 +173,7 @@
             cache.count("origin")
             size = self.sizes.of(*place)
             ready = cache.uplink.transfer(now, size)
-            return cache.answer_with(place, Copy(size, int(unix * 1000), 0), ready, "o", now)
+            return cache.answer_with(place, Copy(size, int(unix * 1000), int(now * 1000), 0), ready, "o", now)
         if copy := cache.find(lookup):
             cache.count("hits")
             return cache.answer_with(place, copy, cache.uplink.transfer(now, copy.size), "h", now)
@@ -197,18 +201,18 @@
         complete = now
         detail = "f"
         if found is None:
-            found = Copy(self.sizes.of(*place), int(lookup.unix * 1000), 0)
+            found = Copy(self.sizes.of(*place), int(lookup.unix * 1000), int(now * 1000), 0)
             self._origin().count("fills")
             complete = self.origin_link.transfer(now, found.size)
             detail = "o"
             if source.kind != "origin" and "n" not in modes:
-                source.keep(place, Copy(found.size, found.born, 0))
+                source.keep(place, Copy(found.size, found.born, found.made_ms, 0))
         else:
             source.count("fills")
         source.count("bytes", found.size)
         if cache.uid in self.links:
             complete = self.links[cache.uid].transfer(complete, found.size)
-        copy = Copy(found.size, found.born, int(fields.get("rank", "0")))
+        copy = Copy(found.size, found.born, found.made_ms, int(fields.get("rank", "0")))
         self._keep_filled(cache, place, complete, copy, now)
         cache.count("filled from origin" if detail == "o" else "filled")
         return cache.answer_with(place, copy, cache.uplink.transfer(complete, copy.size), detail, now)
--- a/weldbend/testbed/emulator/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -13,7 +13,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol.answers import InvalidAnswerError
 from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, encode_answer
-from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches
+from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, TimedAnswer
 from weldbend.testbed.emulator.configuration import listing
 from weldbend.testbed.reactor import DelayedCall, Reactor
 
@@ -74,6 +74,7 @@
         except (KeyError, ValueError):
             self.write(encode_answer(command.name, "BROKE", {}))
             return
+        self.server.on_executed(command.name, answer)
         cache.open += 1
 
         def send() -> None:
@@ -102,7 +103,11 @@
 
 
 class CacheServer(Factory):
-    """Serves one emulated cache; `now` and `unix` are its clocks, in seconds."""
+    """Serves one emulated cache; `now` and `unix` are its clocks, in seconds.
+
+    Attributes:
+        on_executed: called with a request's id and its answer, before that is sent and any fault changes it.
+    """
 
     noisy = False
 
@@ -113,8 +118,10 @@
         cache: EmulatedCache,
         now: Callable[[], float] = time.monotonic,
         unix: Callable[[], float] = time.time,
+        on_executed: Callable[[str, TimedAnswer], None] = lambda name, answer: None,
     ) -> None:
         self.reactor = reactor
+        self.on_executed = on_executed
         self.caches = caches
         self.cache = cache
         self.now = now
--- a/weldbend/testbed/simulation/audit_records.py
+++ b/weldbend/testbed/simulation/audit_records.py
@@ -68,7 +68,7 @@
     announced: float  # when the event bus published it
     key: str | None
     group: int
-    stamp: float  # Unix milliseconds; copies born before are purged
+    issued_ms: int  # virtual milliseconds; copies made before are purged
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,7 +94,7 @@
     source: str | None
     ended: float | None = None
     outcome: str = ""  # how it ended: an answer's word, `undone` or `reset`
-    born: float | None = None  # Unix milliseconds of the copy that it brought
+    made_ms: int | None = None  # virtual milliseconds at which the copy that it brought was made
 
     def is_possibly_executed(self) -> bool:
         """Whether its command may have been executed."""
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -43,6 +43,7 @@
         self.starts: dict[str, CacheStart] = {}
         self.draining: dict[str, float] = {}  # uid -> when the event bus published it
         self.purges: list[Purge] = []
+        self.copies_given: dict[tuple[str, str], int] = {}  # by cache and request: when the copy was made
         self.violations: list[Violation] = []
         self.counts: dict[str, int] = defaultdict(int)
         # Seconds of one flow that the requests of each class take together, and their number.
@@ -63,7 +64,15 @@
             else:
                 self.draining.setdefault(target["uid"], at)
         if ban := event.get("ban"):
-            self.purges.append(Purge(at, ban.get("url"), ban.get("tag", 0), ban["ts"]))
+            self.purges.append(Purge(at, ban.get("url"), ban.get("tag", 0), int(at * 1000)))
+
+    def on_copy_given(self, cache: str, request: str, made_ms: int | None) -> None:
+        """A cache has executed an attempt, with a copy made at a virtual millisecond; None without one.
+
+        What the answer says of it (`born`) may be changed on its way, and is a stamp of a clock that steps.
+        """
+        if made_ms is not None:
+            self.copies_given[cache, request] = made_ms
 
     def on_front_killed(self, front: str) -> None:
         """A front died: what it had not answered is excused."""
@@ -168,13 +177,13 @@
             is_hit = purge.key == request.key if purge.key else purge.group == request.group
             in_effect = self.known_since(front, purge.announced) + self.rules.purge + SLACK
             is_late = attempt.at > in_effect
-            if is_hit and is_late and attempt.born is not None and attempt.born < purge.stamp:
+            if is_hit and is_late and attempt.made_ms is not None and attempt.made_ms < purge.issued_ms:
                 self._add_violation(
                     Rule.PURGES,
                     request,
                     at,
-                    f"purge of {purge.stamp} published at {purge.announced:.4f}",
-                    f"copy born {attempt.born:.0f} served by {attempt}",
+                    f"purge published at {purge.announced:.4f}",
+                    f"copy made at {attempt.made_ms / 1000:.3f} served by {attempt}",
                 )
 
     def _on_command(self, observed: ObservedMessage, command: Command) -> None:
@@ -267,8 +276,7 @@
         if request is None:
             return
         for attempt in self._end_attempts(request, observed, answer.status):
-            born = answer.fields.get("born", "")
-            attempt.born = float(born) if born.isdigit() else None
+            attempt.made_ms = self.copies_given.get((observed.peer, answer.name))
 
     def _on_closed(self, observed: ObservedMessage) -> None:
         """A connection has ended for the front: attempts on it are over, and nobody waits on it."""
--- a/weldbend/testbed/simulation/site.py
+++ b/weldbend/testbed/simulation/site.py
@@ -8,7 +8,7 @@
 
 from weldbend.front.configuration import Site, read_site
 from weldbend.front.server import Front
-from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link
+from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link, TimedAnswer
 from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
 from weldbend.testbed.emulator.objects import Sizes
 from weldbend.testbed.emulator.servers import CacheServer, EventBusServer
@@ -107,7 +107,13 @@
         self.caches.caches[uid] = cache
         if kind == "box":
             self.caches.links[uid] = Link(*EDGE_LINK)
-        server = CacheServer(machine, self.caches, cache, lambda: self.events.now, self.events.unix)
+
+        def on_executed(name: str, answer: TimedAnswer) -> None:
+            self.context.auditor.on_copy_given(uid, name, answer.made_ms)
+
+        server = CacheServer(
+            machine, self.caches, cache, lambda: self.events.now, self.events.unix, on_executed
+        )
         machine.listenTCP(CACHE_PORT, server)
         zone = "z" if kind == "box" else "h"
         self.targets[uid] = target(
@@ -157,10 +163,10 @@
         ]
         return self.context.rng.choice(candidates) if len(candidates) > 1 else None
 
-    def drop_copies(self, keys: set[str], stamp: int) -> None:
-        """Drop from all caches the copies of some objects that were born before a stamp."""
+    def drop_copies(self, keys: set[str], purged_ms: int) -> None:
+        """Drop from all caches the copies of some objects that were made before a virtual millisecond."""
         for cache in self.caches.caches.values():
-            for place in [p for p, copy in cache.copies.items() if p[0] in keys and copy.born < stamp]:
+            for place in [p for p, copy in cache.copies.items() if p[0] in keys and copy.made_ms < purged_ms]:
                 cache.used -= cache.copies.pop(place).size
 
     # The event bus.
--- a/weldbend/testbed/simulation/site_faults.py
+++ b/weldbend/testbed/simulation/site_faults.py
@@ -55,6 +55,7 @@
         site = self.site
         key = objects.key_of(rng.randint(1, 6))
         stamp = site.unix_ms()
+        purged_ms = int(self.context.network.events.now * 1000)
         if rng.random() < ONE_OBJECT:
             site.publish(ban={"url": key, "ts": stamp})
             keys = {key}
@@ -63,7 +64,7 @@
             ranks = range(1, self.context.settings.objects + 1)
             keys = {objects.key_of(rank) for rank in ranks if rank % PURGE_GROUPS == PURGED_GROUP}
         dropped_after = SETTINGS["family_info"]["gone_everywhere_us"] / 1e6
-        self.context.network.events.schedule(dropped_after, lambda: site.drop_copies(keys, stamp))
+        self.context.network.events.schedule(dropped_after, lambda: site.drop_copies(keys, purged_ms))
 
     def vanish(self) -> None:
         """Nothing reaches or leaves a cache for a second."""
