--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -6,6 +6,7 @@
 """
 
 import errno
+import math
 from collections import deque
 from collections.abc import Callable
 from typing import Protocol
@@ -15,8 +16,9 @@
 from twisted.python.failure import Failure
 
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.attempt import Attempt, AttemptLoss
+from weldbend.caches.attempt import Attempt, AttemptCarrier, AttemptLoss
 from weldbend.caches.connection import CacheConnection
+from weldbend.caches.connection_limiter import ConnectionLimiter
 from weldbend.caches.interfaces import Connector, Reactor, Timers
 from weldbend.caches.limits import CacheLimits
 from weldbend.invariants import anomalies
@@ -53,8 +55,15 @@
     def on_health_answer(self) -> Callable[[int, Answer], bool]:
         """Called with each answer that belongs to no attempt; returns whether it is one to a health check."""
 
-    def connection_count(self) -> int:
-        """How many connections there are to all caches, those under way too."""
+    @property
+    def limiter(self) -> ConnectionLimiter:
+        """The bound on connections to all caches."""
+
+    def attempts_wait(self, endpoint: "EndpointConnections") -> None:
+        """Attempts wait for a connection to a cache."""
+
+    def no_attempt_waits(self, endpoint: "EndpointConnections") -> None:
+        """No attempt waits for a connection to a cache any more."""
 
 
 class ConnectAttempt(ClientFactory):
@@ -95,6 +104,7 @@
         self.is_closed = False
         self.resets = 0  # connects in a row that were accepted and reset
         self.is_send_scheduled = False
+        self.had_turn_at = -math.inf  # when it last had its turn to connect, after a wait for room
 
     @property
     def max_streams(self) -> int:
@@ -113,6 +123,7 @@
         if not self._send_now(attempt):
             attempt.queued_at = self.pool.timers.now()
             self.waiting.append(attempt)
+            self.pool.attempts_wait(self)
             self.pool.timers.after(self.pool.limits.connect_timeout, lambda: self._wait_expired(attempt))
             self._connect()
 
@@ -121,9 +132,26 @@
         usable = [c for c in self.connections if c.can_send(attempt.name) and not self._is_stale(c)]
         if not usable or self.is_closed:
             return False
-        min(usable, key=lambda c: len(c.in_flight)).send(attempt)
+        connection = min(usable, key=lambda c: len(c.in_flight))
+        self.pool.limiter.use(connection)
+        connection.send(attempt)
         return True
 
+    def send_health_check(self, tag: str, command: bytes) -> bool:
+        """Send a health check on a connection that is up; false where there is none."""
+        usable = [c for c in self.connections if c.can_send(tag)]
+        if usable:
+            self.pool.limiter.hold(usable[0])
+            usable[0].write(command)
+        return bool(usable)
+
+    def cancel(self, attempt: Attempt, carrier: AttemptCarrier) -> None:
+        """Cancel an attempt that is in flight on a connection; its answer may still come there."""
+        for connection in self.connections:
+            if connection is carrier:
+                self.pool.limiter.hold(connection)
+        carrier.cancel(attempt)
+
     def _is_stale(self, connection: CacheConnection) -> bool:
         """Drain one that its cache is about to close for idleness: a command could cross the close."""
         limits = self.pool.limits
@@ -142,6 +170,8 @@
         if self.waiting and not self.is_send_scheduled:
             self.is_send_scheduled = True
             self.pool.reactor.callLater(0, self._send_waiting_now)
+        if not self.waiting:
+            self._note_idle()
 
     def _send_waiting_now(self) -> None:
         """Send the waiting attempts, in their order.
@@ -161,16 +191,41 @@
                 self.waiting.popleft()
             else:
                 break
+        self._waiting_changed()
+        self._note_idle()
+
+    def _note_idle(self) -> None:
+        """What nothing is under way on may make way for connections to other caches."""
+        for connection in self.connections:
+            self.pool.limiter.note_idle(connection)
 
     def _wait_expired(self, attempt: Attempt) -> None:
+        """End an attempt that has waited for as long as a connection may take to come up.
+
+        Guards a cache from being taken for unreachable where there was no room to connect to it: that says
+        nothing of the cache, and is decided anew. Harm: one more decision.
+        """
         if attempt in self.waiting:
+            had_no_room = self in self.pool.limiter.queue or self.had_turn_at > attempt.queued_at
             self.waiting.remove(attempt)
-            attempt.finish(AttemptLoss.UNREACHABLE)
+            attempt.finish(AttemptLoss.SUPERSEDED if had_no_room else AttemptLoss.UNREACHABLE)
+        self._waiting_changed()
+
+    def withdraw(self, attempt: Attempt) -> None:
+        """Have an attempt wait no longer; its end is not reported."""
+        if attempt in self.waiting:
+            self.waiting.remove(attempt)
+            self._waiting_changed()
+
+    def _waiting_changed(self) -> None:
+        if not self.waiting:
+            self.pool.no_attempt_waits(self)
 
     def cancel_waiting(self, is_superseded: Callable[[Attempt], bool]) -> None:
         """Cancel waiting attempts that are superseded."""
         cancelled = [attempt for attempt in self.waiting if is_superseded(attempt)]
         self.waiting = deque(attempt for attempt in self.waiting if attempt not in cancelled)
+        self._waiting_changed()
         for attempt in cancelled:
             attempt.finish(AttemptLoss.SUPERSEDED)
 
@@ -182,21 +237,41 @@
     # Connecting.
 
     def _connect(self, minimum: int = 0) -> None:
-        """Have as many connections under way as the waiting attempts need, or a `minimum` of them."""
-        while not self.is_closed and self._expected_streams() < max(len(self.waiting), minimum):
-            if self.pool.connection_count() >= self.pool.limits.max_connections:
+        """Have as many connections under way as the waiting attempts need, or a `minimum` of them.
+
+        At the bound on connections to all caches, they are made in turn.
+        """
+        limiter = self.pool.limiter
+        while self._needs_connection(minimum):
+            if not (limiter.has_room() if minimum else limiter.admit(self)):
                 break
-            attempt = ConnectAttempt(self)
-            timeout = self.pool.limits.connect_timeout
-            self.connecting[attempt] = self.pool.reactor.connectTCP(self.host, self.port, attempt, timeout)
+            self._begin_connect()
+
+    def _needs_connection(self, minimum: int = 0) -> bool:
+        """Whether those that are being made carry less than what waits, or than the `minimum`."""
+        expected_streams = len(self.connecting) * self.max_streams
+        return not self.is_closed and expected_streams < max(len(self.waiting), minimum)
+
+    def _begin_connect(self) -> None:
+        attempt = ConnectAttempt(self)
+        self.pool.limiter.connect_begun()
+        timeout = self.pool.limits.connect_timeout
+        self.connecting[attempt] = self.pool.reactor.connectTCP(self.host, self.port, attempt, timeout)
+
+    def connect_in_turn(self) -> None:
+        """Begin one connection, if one is still wanted; where that is not enough, wait for the next turn."""
+        self.had_turn_at = self.pool.timers.now()
+        if self._needs_connection():
+            self._begin_connect()
+            self._connect()
 
-    def _expected_streams(self) -> int:
-        """How many attempts the connections that are being made will carry."""
-        return len(self.connecting) * self.max_streams
+    def _connect_ended(self, attempt: ConnectAttempt) -> None:
+        if self.connecting.pop(attempt, None) is not None:
+            self.pool.limiter.connect_ended()
 
     def connect_succeeded(self, attempt: ConnectAttempt) -> CacheConnection:
         """The object for a connection that has come up."""
-        self.connecting.pop(attempt, None)
+        self._connect_ended(attempt)
         return CacheConnection(self, self.pool.timers)
 
     def connect_failed(self, attempt: ConnectAttempt, is_reset: bool) -> None:
@@ -206,7 +281,7 @@
         times. Guards against treating that cache as one that is down. Harm: some connects more to one that
         always does so.
         """
-        self.connecting.pop(attempt, None)
+        self._connect_ended(attempt)
         self.resets = self.resets + 1 if is_reset else MAX_RESETS
         if self.resets < MAX_RESETS:
             self._connect()
@@ -218,6 +293,7 @@
 
     def connection_opened(self, connection: CacheConnection) -> None:
         """Use a connection that has come up, unless its cache has left meanwhile."""
+        self.pool.limiter.opened(connection)
         if self.is_closed:
             connection.close()
             return
@@ -229,6 +305,7 @@
 
     def connection_lost(self, connection: CacheConnection) -> None:
         """Replace one that broke with attempts in flight at once: whether it can be tells what happened."""
+        self.pool.limiter.closed(connection)
         if connection in self.connections:
             self.connections.remove(connection)
         self._connect(minimum=1 if connection.in_flight and not self.connections else 0)
--- a/weldbend/caches/pool.py
+++ b/weldbend/caches/pool.py
@@ -7,6 +7,7 @@
 from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.attempt import Attempt, AttemptLoss
 from weldbend.caches.connection import CacheConnection
+from weldbend.caches.connection_limiter import ConnectionLimiter
 from weldbend.caches.endpoint_connections import EndpointConnections
 from weldbend.caches.interfaces import Reactor, Timers
 from weldbend.caches.limits import CacheLimits
@@ -24,6 +25,8 @@
             whether it is one to a health check.
         on_connected: Called with each cache to which a connection has come up.
         endpoints: The connections of each cache, by its number.
+        waiting_endpoints: The caches for which attempts wait for a connection.
+        limiter: The bound on connections to all caches.
         is_read_paused: Whether no connection is read, since what is read has nowhere to go.
     """
 
@@ -33,8 +36,13 @@
     on_health_answer: Callable[[int, Answer], bool]
     on_connected: Callable[[int], None]
     endpoints: dict[int, EndpointConnections] = field(default_factory=dict, init=False)
+    waiting_endpoints: dict[EndpointConnections, None] = field(default_factory=dict, init=False)
+    limiter: ConnectionLimiter = field(init=False)
     is_read_paused: bool = field(default=False, init=False)
 
+    def __post_init__(self) -> None:
+        self.limiter = ConnectionLimiter(self)
+
     # Changes of the endpoint list, and purges.
 
     def update_endpoint(self, cache: int, host: str, port: int, started_at: float, is_usable: bool) -> None:
@@ -73,9 +81,17 @@
         self._cancel_waiting(lambda attempt: attempt.key == key if key else attempt.group == group)
 
     def _cancel_waiting(self, is_superseded: Callable[[Attempt], bool]) -> None:
-        for endpoint in list(self.endpoints.values()):
-            if endpoint.waiting:
-                endpoint.cancel_waiting(is_superseded)
+        for endpoint in list(self.waiting_endpoints):
+            endpoint.cancel_waiting(is_superseded)
+
+    def attempts_wait(self, endpoint: EndpointConnections) -> None:
+        """Note a cache for which attempts wait for a connection."""
+        self.waiting_endpoints[endpoint] = None
+
+    def no_attempt_waits(self, endpoint: EndpointConnections) -> None:
+        """Forget a cache for which no attempt waits any more."""
+        self.waiting_endpoints.pop(endpoint, None)
+        self.limiter.withdraw(endpoint)
 
     # Attempts and health checks.
 
@@ -92,13 +108,14 @@
         if attempt.is_over:
             return True
         attempt.is_over = True
-        if attempt.connection:
-            attempt.connection.cancel(attempt)
-            return True
         endpoint = self.endpoints.get(attempt.cache)
-        if endpoint and attempt in endpoint.waiting:
-            endpoint.waiting.remove(attempt)
-        return False
+        if attempt.connection and endpoint:
+            endpoint.cancel(attempt, attempt.connection)
+        elif attempt.connection:
+            attempt.connection.cancel(attempt)
+        elif endpoint:
+            endpoint.withdraw(attempt)
+        return attempt.connection is not None
 
     def send_health_check(self, cache: int, tag: str, wants_load: bool) -> bool:
         """Send a health check over a connection that is up; false where there is none.
@@ -109,22 +126,18 @@
             wants_load: Whether to ask for a load report as well.
         """
         endpoint = self.endpoints.get(cache)
-        usable = [c for c in endpoint.connections if c.can_send(tag)] if endpoint else []
-        if usable:
-            usable[0].write((commands.top if wants_load else commands.ping)(tag))
-        return bool(usable)
+        command = (commands.top if wants_load else commands.ping)(tag)
+        return endpoint is not None and endpoint.send_health_check(tag, command)
 
     # All connections.
 
     def all_connections(self) -> Iterable[CacheConnection]:
-        """Each connection that is up."""
-        return (connection for endpoint in self.endpoints.values() for connection in endpoint.connections)
+        """Each connection that is up, those to caches that have left the list too."""
+        return self.limiter.open
 
     def connection_count(self) -> int:
         """How many connections there are, those that are being made too."""
-        return sum(
-            len(endpoint.connections) + len(endpoint.connecting) for endpoint in self.endpoints.values()
-        )
+        return self.limiter.count()
 
     def pause_reading(self, is_paused: bool) -> None:
         """Stop or resume reading all: what is read must have somewhere to go."""
