--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -15,6 +15,7 @@
     RESET = auto()  # the connection ended after the first byte had gone out
     MALFORMED = auto()  # the connection brought what is no answer, and was ended
     SUPERSEDED = auto()  # cancelled before any byte went out
+    LOCAL_FAULT = auto()  # this machine could make no connection meanwhile; no byte went out
 
 
 class AttemptCarrier(Protocol):
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -29,6 +29,7 @@
     AttemptLoss.RESET: AttemptResult.RESET,
     AttemptLoss.MALFORMED: AttemptResult.MALFORMED,
     AttemptLoss.SUPERSEDED: AttemptResult.SUPERSEDED,
+    AttemptLoss.LOCAL_FAULT: AttemptResult.LOCAL_FAULT,
 }
 FILL_HINTS = dict(zip("hfojsrblnx", list(FillHint)[1:], strict=True))  # by the letter on the wire
 HEX16 = re.compile(r"[0-9a-f]{16}")
--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -101,13 +101,18 @@
         return None
 
     def is_exhausted(self, request: Request) -> bool:
-        """Whether a request gets no further attempt: no time, no attempts, or no retry budget is left."""
+        """Whether a request gets no further attempt: no time, no attempts, or no retry budget is left.
+
+        Attempts that this machine's faults ended are not counted: each took the time for a connect, so the
+        deadline bounds them.
+        """
         now = self.context.now
         errors = sum(attempt.result is AttemptResult.ERROR for attempt in request.attempts)
         budget = RETRY_BUDGET * self.requests.total(now) + RETRY_ALLOWANCE
         is_spent = request.needs_retry() and self.retries.total(now) >= budget
         is_over = request.is_closed or now >= request.received.deadline
-        is_last = len(request.attempts) >= self.context.settings.max_attempts
+        counted = sum(attempt.result is not AttemptResult.LOCAL_FAULT for attempt in request.attempts)
+        is_last = counted >= self.context.settings.max_attempts
         return errors >= MAX_ERRORS or is_spent or is_over or is_last
 
     def is_safe(self, attempt: Attempt) -> bool:
--- a/weldbend/routing/events.py
+++ b/weldbend/routing/events.py
@@ -51,10 +51,18 @@
     """The cache that was looked at, or the source that answers from its copies alone, lacks the object."""
     MALFORMED = auto()
     """Its connection brought what is no answer: it may have been executed."""
+    LOCAL_FAULT = auto()
+    """This front's machine could make no connection: it never left, and nothing is known of its cache."""
 
 
 NEVER_EXECUTED = frozenset(
-    {AttemptResult.REJECTED, AttemptResult.UNREACHABLE, AttemptResult.SUPERSEDED, AttemptResult.MISS}
+    {
+        AttemptResult.REJECTED,
+        AttemptResult.UNREACHABLE,
+        AttemptResult.SUPERSEDED,
+        AttemptResult.MISS,
+        AttemptResult.LOCAL_FAULT,
+    }
 )
 """Results that prove that an attempt was not executed."""
 ANSWERED = frozenset({AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.REJECTED, AttemptResult.ERROR})
--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -10,8 +10,18 @@
 
 TIMEOUT_FACTOR = 2.5  # expected durations that an attempt may take before it is suspected
 ANSWERS_DUE = 3.0  # answers that would have come meanwhile, from which on a cache's silence says something
-NO_EVIDENCE = {AttemptResult.CANCELLED, AttemptResult.SUPERSEDED, AttemptResult.MALFORMED}
-NO_RETRY = {AttemptResult.MISS, AttemptResult.MALFORMED, AttemptResult.RESET}  # a further attempt is no retry
+NO_EVIDENCE = {
+    AttemptResult.CANCELLED,
+    AttemptResult.SUPERSEDED,
+    AttemptResult.MALFORMED,
+    AttemptResult.LOCAL_FAULT,
+}
+NO_RETRY = {  # a further attempt is no retry
+    AttemptResult.MISS,
+    AttemptResult.MALFORMED,
+    AttemptResult.RESET,
+    AttemptResult.LOCAL_FAULT,
+}
 
 
 class Request(RequestRecord):
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -55,7 +55,7 @@
     "disk": ListScope.REMEMBERED,
     "error": ListScope.FAILED,
 }
-RESULTS = dict(enumerate(AttemptResult, 1))
+RESULTS = dict(enumerate((r for r in AttemptResult if r is not AttemptResult.LOCAL_FAULT), 1))
 FILL_HINTS = dict(enumerate(FillHint))
 MICROSECONDS = 1e6  # in a second
 ROUNDING = 1e-3  # microseconds: a time that is a whole number of them but for rounding is that number
