--- /dev/null
+++ b/weldbend/caches/connect_backoff.py
@@ -0,0 +1,41 @@
+"""How long connects to one cache wait while this machine cannot make any. Pure: time is handed in.
+
+The waits double up to a bound, and each is drawn from its upper half. The draw depends on the address and the
+moment alone, so a virtual run repeats exactly, and fronts that share a machine do not retry in step.
+"""
+
+import math
+import random
+
+MIN_DELAY = 0.01  # seconds before the first retry
+MAX_DELAY = 0.1  # seconds; a request waits for a connection a few times as long
+
+
+class ConnectBackoff:
+    """The faults of this machine that came in a row, and the retry that is due.
+
+    Attributes:
+        is_waiting: whether a retry is due later, and no connect is to be begun before.
+        began_at: when the first fault in a row came (seconds of the front's clock).
+    """
+
+    def __init__(self, address: str) -> None:
+        self.address = address
+        self.is_waiting = False
+        self.began_at = -math.inf
+        self.faults = 0
+
+    def record_fault(self, now: float) -> float | None:
+        """Count a fault; the seconds until the retry that it needs, None where one is due already."""
+        if not self.faults:
+            self.began_at = now
+        if self.is_waiting:
+            return None
+        self.is_waiting = True
+        longest: float = min(MIN_DELAY * 2**self.faults, MAX_DELAY)
+        self.faults += 1
+        return longest * (1 + random.Random(f"{self.address} {now}").random()) / 2
+
+    def clear(self) -> None:
+        """Begin anew: this machine could make a connection, or learned of the other end that it cannot."""
+        self.faults = 0
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -10,16 +10,19 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from twisted.internet.error import ConnectionDone
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
 from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.attempt import Attempt, AttemptLoss
+from weldbend.caches.connect_backoff import ConnectBackoff
 from weldbend.caches.connection import CacheConnection
 from weldbend.caches.interfaces import Connector, Reactor, Timers
 from weldbend.caches.limits import CacheLimits
 from weldbend.invariants import anomalies
+from weldbend.socket_errors import FaultSide, connect_fault_side, error_number
 
 RESET_ERRORS = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE)
 MAX_RESETS = 5  # connects in a row that may be accepted and reset
@@ -71,7 +74,18 @@
 
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
         """Report that none came up; Twisted calls it."""
-        self.endpoint.connect_failed(self, getattr(reason.value, "osError", None) in RESET_ERRORS)
+        self.endpoint.connect_failed(self, connect_error_number(reason.value))
+
+
+def connect_error_number(error: object) -> int | None:
+    """The error number of a connect that failed; None where there was none, as for a timeout.
+
+    Twisted takes EAGAIN for a connect under way; the socket, which is not, then shows its end at once.
+    """
+    cause = error.args[0] if isinstance(error, Exception) and error.args else None
+    if isinstance(cause, Failure) and isinstance(cause.value, ConnectionDone):
+        return errno.EAGAIN
+    return error_number(error)
 
 
 class EndpointConnections:
@@ -94,6 +108,7 @@
         self.waiting: deque[Attempt] = deque()
         self.is_closed = False
         self.resets = 0  # connects in a row that were accepted and reset
+        self.backoff = ConnectBackoff(f"{host}:{port}")
         self.is_send_scheduled = False
 
     @property
@@ -165,7 +180,7 @@
     def _wait_expired(self, attempt: Attempt) -> None:
         if attempt in self.waiting:
             self.waiting.remove(attempt)
-            attempt.finish(AttemptLoss.UNREACHABLE)
+            attempt.finish(AttemptLoss.LOCAL_FAULT if attempt.is_held_up else AttemptLoss.UNREACHABLE)
 
     def cancel_waiting(self, is_superseded: Callable[[Attempt], bool]) -> None:
         """Cancel waiting attempts that are superseded."""
@@ -183,12 +198,39 @@
 
     def _connect(self, minimum: int = 0) -> None:
         """Have as many connections under way as the waiting attempts need, or a `minimum` of them."""
-        while not self.is_closed and self._expected_streams() < max(len(self.waiting), minimum):
+        while not (self.is_closed or self.backoff.is_waiting) and self._expected_streams() < max(
+            len(self.waiting), minimum
+        ):
             if self.pool.connection_count() >= self.pool.limits.max_connections:
                 break
-            attempt = ConnectAttempt(self)
-            timeout = self.pool.limits.connect_timeout
+            self._begin_connect()
+
+    def _begin_connect(self) -> None:
+        attempt = ConnectAttempt(self)
+        timeout = self.pool.limits.connect_timeout
+        try:
             self.connecting[attempt] = self.pool.reactor.connectTCP(self.host, self.port, attempt, timeout)
+        except OSError:  # nothing has left this machine
+            self._connect_later()
+
+    def _connect_later(self) -> None:
+        """Have the attempts go on waiting, and connect again after a backoff.
+
+        Guards against taking a cache for one that is down, or may have restarted, for a fault of this
+        machine. Harm: an attempt waits for as long as a connect may take, where another cache might have had
+        a connection.
+        """
+        for attempt in self.waiting:
+            attempt.is_held_up = True
+        delay = self.backoff.record_fault(self.pool.timers.now())
+        if delay is not None:
+            self.pool.timers.after(delay, self._connect_again)
+
+    def _connect_again(self) -> None:
+        """Connect for those that wait, and for a while without any: it tells what broke a connection."""
+        self.backoff.is_waiting = False
+        is_recent = self.pool.timers.now() < self.backoff.began_at + self.pool.limits.connect_timeout
+        self._connect(minimum=1 if is_recent and not self.connections else 0)
 
     def _expected_streams(self) -> int:
         """How many attempts the connections that are being made will carry."""
@@ -199,15 +241,20 @@
         self.connecting.pop(attempt, None)
         return CacheConnection(self, self.pool.timers)
 
-    def connect_failed(self, attempt: ConnectAttempt, is_reset: bool) -> None:
+    def connect_failed(self, attempt: ConnectAttempt, error: int | None) -> None:
         """End all waiting attempts: where one connect is refused or times out, others would be too.
 
+        A fault of this machine ends none: it is tried again while they wait.
         One that was accepted and reset shows that its cache is up, so it is tried again, a bounded number of
         times. Guards against treating that cache as one that is down. Harm: some connects more to one that
         always does so.
         """
         self.connecting.pop(attempt, None)
-        self.resets = self.resets + 1 if is_reset else MAX_RESETS
+        if connect_fault_side(error) is FaultSide.THIS_MACHINE:
+            self._connect_later()
+            return
+        self.backoff.clear()
+        self.resets = self.resets + 1 if error in RESET_ERRORS else MAX_RESETS
         if self.resets < MAX_RESETS:
             self._connect()
             return
@@ -222,6 +269,7 @@
             connection.close()
             return
         self.resets = 0
+        self.backoff.clear()
         self.connections.append(connection)
         self.pool.on_connected(self.cache)
         connection.pause_reading(self.pool.is_read_paused)
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -85,10 +85,22 @@
         return bool(is_guarded_retry) or not self.endpoints.started.isdisjoint((action.cache, action.source))
 
     def _timeout_attempt(self, request: OpenRequest, attempt: Attempt) -> None:
-        if not attempt.is_over:
+        if self.is_held_up(attempt):
+            self.give_up_held_up(request, attempt)
+        elif not attempt.is_over:
             self.pool.cancel(attempt)
             self.end(request, attempt, AttemptResult.TIMED_OUT)
 
+    @staticmethod
+    def is_held_up(attempt: Attempt) -> bool:
+        """Whether an attempt has not gone out, and a fault of this machine is among the reasons."""
+        return attempt.is_waiting() and attempt.is_held_up
+
+    def give_up_held_up(self, request: OpenRequest, attempt: Attempt) -> None:
+        """End an attempt that is held up: that it is late says nothing about its cache."""
+        self.pool.cancel(attempt)
+        self.end(request, attempt, AttemptResult.LOCAL_FAULT)
+
     def cancel(self, request: OpenRequest, attempt: Attempt) -> None:
         """Cancel an attempt; nothing happens where it has ended."""
         if not attempt.is_over:
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -181,11 +181,17 @@
             request.timers.append(timer)
 
     def _fire_timer(self, action: SetTimer) -> None:
-        """Post that a timer is due, and whether the connection of its attempt has brought nothing since."""
+        """Post that a timer is due, and whether the connection of its attempt has brought nothing since.
+
+        An attempt that a fault of this machine holds up is ended instead: its cache is not to blame.
+        """
         request = self.requests.by_id.get(action.id) if action.attempt >= 0 else None
         is_silent = False
         if request:
             attempt = request.attempts[action.attempt]
+            if self.attempts.is_held_up(attempt):
+                self.attempts.guard(request, self.attempts.give_up_held_up, attempt)
+                return
             is_silent = bool(attempt.connection and attempt.connection.received_at <= attempt.sent_at)
         self.queue.post(TimerFired(action.token, is_silent))
 
--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -101,6 +101,8 @@
             self.record_served(attempt, attempt.ended.duration)
         elif attempt.result is AttemptResult.MISS:
             self.record_miss(attempt)
+        elif attempt.result is AttemptResult.LOCAL_FAULT:
+            self.pass_by(attempt.cache)
         elif attempt.result not in NO_EVIDENCE and not attempt.is_suspected:
             self.blame(attempt)
         if attempt.ended.request_closed:
@@ -110,6 +112,12 @@
         else:
             self.forget_if_done()
 
+    def pass_by(self, cache: Cache) -> None:
+        """Prefer another cache for this request: this machine may have a connection or a route there."""
+        self.failed_at.add(cache)
+        if cache is self.missed_at:
+            self.missed_at = None
+
     def record_served(self, attempt: Attempt, duration: float) -> None:
         """Learn duration and size; a late answer must not pass for a large object."""
         context, request_class, work = self.context, self.request_class, self.received.work
