--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -11,17 +11,20 @@
 from collections.abc import Callable
 from typing import Protocol
 
+from twisted.internet.error import ConnectionDone
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ClientFactory
 from twisted.python.failure import Failure
 
 from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.attempt import Attempt, AttemptCarrier, AttemptLoss
+from weldbend.caches.connect_backoff import ConnectBackoff
 from weldbend.caches.connection import CacheConnection
 from weldbend.caches.connection_limiter import ConnectionLimiter
 from weldbend.caches.interfaces import Connector, Reactor, Timers
 from weldbend.caches.limits import CacheLimits
 from weldbend.invariants import anomalies
+from weldbend.socket_errors import FaultSide, connect_fault_side, error_number
 
 RESET_ERRORS = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE)
 MAX_RESETS = 5  # connects in a row that may be accepted and reset
@@ -80,7 +83,18 @@
 
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
         """Report that none came up; Twisted calls it."""
-        self.endpoint.connect_failed(self, getattr(reason.value, "osError", None) in RESET_ERRORS)
+        self.endpoint.connect_failed(self, connect_error_number(reason.value))
+
+
+def connect_error_number(error: object) -> int | None:
+    """The error number of a connect that failed; None where there was none, as for a timeout.
+
+    Twisted takes EAGAIN for a connect under way; the socket, which is not, then shows its end at once.
+    """
+    cause = error.args[0] if isinstance(error, Exception) and error.args else None
+    if isinstance(cause, Failure) and isinstance(cause.value, ConnectionDone):
+        return errno.EAGAIN
+    return error_number(error)
 
 
 class EndpointConnections:
@@ -103,6 +117,7 @@
         self.waiting: deque[Attempt] = deque()
         self.is_closed = False
         self.resets = 0  # connects in a row that were accepted and reset
+        self.backoff = ConnectBackoff(f"{host}:{port}")
         self.is_send_scheduled = False
         self.had_turn_at = -math.inf  # when it last had its turn to connect, after a wait for room
 
@@ -208,7 +223,12 @@
         if attempt in self.waiting:
             had_no_room = self in self.pool.limiter.queue or self.had_turn_at > attempt.queued_at
             self.waiting.remove(attempt)
-            attempt.finish(AttemptLoss.SUPERSEDED if had_no_room else AttemptLoss.UNREACHABLE)
+            if had_no_room:
+                attempt.finish(AttemptLoss.SUPERSEDED)
+            elif attempt.is_held_up:
+                attempt.finish(AttemptLoss.LOCAL_FAULT)
+            else:
+                attempt.finish(AttemptLoss.UNREACHABLE)
         self._waiting_changed()
 
     def withdraw(self, attempt: Attempt) -> None:
@@ -250,13 +270,37 @@
     def _needs_connection(self, minimum: int = 0) -> bool:
         """Whether those that are being made carry less than what waits, or than the `minimum`."""
         expected_streams = len(self.connecting) * self.max_streams
-        return not self.is_closed and expected_streams < max(len(self.waiting), minimum)
+        may_connect = not (self.is_closed or self.backoff.is_waiting)
+        return may_connect and expected_streams < max(len(self.waiting), minimum)
 
     def _begin_connect(self) -> None:
         attempt = ConnectAttempt(self)
         self.pool.limiter.connect_begun()
         timeout = self.pool.limits.connect_timeout
-        self.connecting[attempt] = self.pool.reactor.connectTCP(self.host, self.port, attempt, timeout)
+        try:
+            self.connecting[attempt] = self.pool.reactor.connectTCP(self.host, self.port, attempt, timeout)
+        except OSError:  # nothing has left this machine
+            self.pool.limiter.connect_ended()
+            self._connect_later()
+
+    def _connect_later(self) -> None:
+        """Have the attempts go on waiting, and connect again after a backoff.
+
+        Guards against taking a cache for one that is down, or may have restarted, for a fault of this
+        machine. Harm: an attempt waits for as long as a connect may take, where another cache might have had
+        a connection.
+        """
+        for attempt in self.waiting:
+            attempt.is_held_up = True
+        delay = self.backoff.record_fault(self.pool.timers.now())
+        if delay is not None:
+            self.pool.timers.after(delay, self._connect_again)
+
+    def _connect_again(self) -> None:
+        """Connect for those that wait, and for a while without any: it tells what broke a connection."""
+        self.backoff.is_waiting = False
+        is_recent = self.pool.timers.now() < self.backoff.began_at + self.pool.limits.connect_timeout
+        self._connect(minimum=1 if is_recent and not self.connections else 0)
 
     def connect_in_turn(self) -> None:
         """Begin one connection, if one is still wanted; where that is not enough, wait for the next turn."""
@@ -274,15 +318,20 @@
         self._connect_ended(attempt)
         return CacheConnection(self, self.pool.timers)
 
-    def connect_failed(self, attempt: ConnectAttempt, is_reset: bool) -> None:
+    def connect_failed(self, attempt: ConnectAttempt, error: int | None) -> None:
         """End all waiting attempts: where one connect is refused or times out, others would be too.
 
+        A fault of this machine ends none: it is tried again while they wait.
         One that was accepted and reset shows that its cache is up, so it is tried again, a bounded number of
         times. Guards against treating that cache as one that is down. Harm: some connects more to one that
         always does so.
         """
         self._connect_ended(attempt)
-        self.resets = self.resets + 1 if is_reset else MAX_RESETS
+        if connect_fault_side(error) is FaultSide.THIS_MACHINE:
+            self._connect_later()
+            return
+        self.backoff.clear()
+        self.resets = self.resets + 1 if error in RESET_ERRORS else MAX_RESETS
         if self.resets < MAX_RESETS:
             self._connect()
             return
@@ -298,6 +347,7 @@
             connection.close()
             return
         self.resets = 0
+        self.backoff.clear()
         self.connections.append(connection)
         self.pool.on_connected(self.cache)
         connection.pause_reading(self.pool.is_read_paused)
