--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -17,18 +17,19 @@
 PROTOCOLS = {"buffers", "thrift", "cache_protocol"}
 MAY_IMPORT = {
     "__main__": {"cli", "early_signals"},
+    "accept_guard": {"invariants", "socket_errors"},
     "buffers": {"invariants"},
     "cache_protocol": {"buffers"},
     "caches": {"buffers", "cache_protocol", "invariants", "socket_errors"},
     "cli": {"early_signals", "fleet", "front", "installation", "logs", "testbed"},
-    "clients": {"buffers", "idle_connections", "invariants", "thrift"},
+    "clients": {"accept_guard", "buffers", "idle_connections", "invariants", "thrift"},
     "early_signals": set(),
     "event_bus": {"buffers", "invariants", "routing"},
-    "fleet": {"buffers", "event_bus", "invariants", "routing"},
+    "fleet": {"accept_guard", "buffers", "event_bus", "invariants", "routing", "socket_errors"},
     "front": PROTOCOLS
     | {"caches", "clients", "early_signals", "event_bus", "fleet", "idle_connections", "invariants"}
     | {"routing", "site_settings"},
-    "idle_connections": {"invariants"},
+    "idle_connections": {"invariants", "socket_errors"},
     "installation": {"fleet", "idle_connections"},
     "invariants": set(),
     "logs": set(),
--- /dev/null
+++ b/tests/test_failing_calls.py
@@ -0,0 +1,292 @@
+"""System calls that fail around accepted connections, idle ones and logs: nothing spins, stops or is lost."""
+
+import errno
+import os
+import socket
+
+import pytest
+from fronts import Stage, probe
+from twisted.internet import tcp
+from twisted.internet.protocol import Factory, Protocol
+from twisted.internet.testing import MemoryReactorClock
+from twisted.logger import globalLogPublisher
+
+from weldbend.accept_guard import MAX_PAUSE, MIN_PAUSE, AcceptGuard
+from weldbend.idle_connections import epoll_set
+from weldbend.idle_connections.epoll_set import EpollSet, HangupWatcher
+from weldbend.invariants import anomalies
+
+
+class FailingSocket:
+    """A listening socket whose accept fails with these errors first; accepted connections are real."""
+
+    def __init__(self, listening, errors):
+        self.listening, self.errors, self.calls = listening, errors, 0
+
+    def accept(self):
+        self.calls += 1
+        if self.errors:
+            raise OSError(self.errors.pop(0), "injected")
+        return self.listening.accept()
+
+    def __getattr__(self, name):
+        return getattr(self.listening, name)
+
+
+class Listening:
+    """A real Twisted port on loopback, a reactor in the test's hands, and one client that waits."""
+
+    def __init__(self, errors, is_guarded=True):
+        self.reactor, self.accepted = MemoryReactorClock(), []
+        factory = Factory()
+        factory.protocol = Protocol
+        factory.buildProtocol = lambda addr: self.accepted.append(addr) or Protocol()
+        self.port = tcp.Port(0, factory, interface="127.0.0.1", reactor=self.reactor)
+        self.port.startListening()
+        self.socket = self.port.socket
+        self.port.socket = FailingSocket(self.socket, errors)
+        self.failing = self.port.socket
+        self.guard = AcceptGuard(self.port, self.reactor.callLater) if is_guarded else None
+        self.client = socket.create_connection(self.socket.getsockname())
+
+    def is_watched(self):
+        return self.port in self.reactor.readers
+
+    def turn(self, seconds):
+        """Let time pass in steps of a millisecond; the port is ready while its client waits."""
+        for _ in range(round(seconds * 1000)):
+            if self.is_watched():
+                self.port.doRead()
+            self.reactor.advance(0.001)
+
+    def close(self):
+        self.client.close()
+        self.socket.close()
+
+
+@pytest.fixture
+def logged():
+    events = []
+    globalLogPublisher.addObserver(events.append)
+    yield events
+    globalLogPublisher.removeObserver(events.append)
+
+
+@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL])
+def test_while_nothing_can_be_accepted_the_port_rests_and_the_client_waits(number, logged):
+    listening = Listening([number] * 20)
+    listening.turn(0.25)
+    calls = listening.failing.calls
+    assert not listening.accepted and 4 <= calls <= 8, calls  # without a pause it would be 250
+    listening.failing.errors.clear()
+    listening.turn(MAX_PAUSE + 0.01)
+    assert len(listening.accepted) == 1 and listening.is_watched() and listening.guard.faults == 0
+    assert not [event for event in logged if event.get("isError")]
+    listening.close()
+
+
+@pytest.mark.parametrize(
+    "number", [errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH]
+)
+def test_a_connection_that_ended_before_it_was_accepted_costs_the_next_no_time(number, logged):
+    listening = Listening([number] * 3)
+    listening.turn(0.001)
+    assert len(listening.accepted) == 1 and listening.is_watched()
+    assert not [event for event in logged if event.get("isError")]
+    listening.close()
+
+
+def test_very_many_such_ends_in_a_row_are_no_loop():
+    listening = Listening([errno.ECONNABORTED] * 40)
+    listening.turn(0.001)
+    assert listening.failing.calls == 16 and not listening.is_watched()
+    listening.turn(MIN_PAUSE + 0.2)
+    assert len(listening.accepted) == 1
+    listening.close()
+
+
+def test_a_front_that_cannot_accept_does_not_close_its_port_over_those_that_wait():
+    stage = Stage()
+    listener = stage.door.listener
+    listening = Listening([errno.ENFILE], is_guarded=False)
+    listener.port = listening.port
+    listener.port.factory = listener
+    listener.accept_guard = AcceptGuard(listening.port, stage.reactor.callLater, listener.update_accepting)
+    assert not listener.stop() and listener.is_paused
+    assert not listener.stop() and listening.failing.calls == 1  # it rests
+    stage.turn(MIN_PAUSE)
+    assert not listener.stop() and listener.connection_count() == 1  # one has come
+    assert listener.stop() and listener.port is None
+    listening.close()
+
+
+# Idle connections.
+
+
+class Interrupted:
+    """An epoll set whose waits a signal interrupts, and that cannot watch more."""
+
+    def __init__(self, epoll):
+        self.epoll, self.errors = epoll, {}
+
+    def fail(self, name):
+        if name in self.errors:
+            raise OSError(self.errors[name], "injected")
+
+    def poll(self, *args):
+        self.fail("poll")
+        return self.epoll.poll(*args)
+
+    def register(self, *args):
+        self.fail("register")
+        return self.epoll.register(*args)
+
+    def modify(self, *args):
+        self.fail("modify")
+        return self.epoll.modify(*args)
+
+    def __getattr__(self, name):
+        return getattr(self.epoll, name)
+
+
+@pytest.fixture
+def pair():
+    """A server transport on a connected socket, its reactor, and the client's end."""
+    with socket.create_server(("127.0.0.1", 0)) as listening:
+        client = socket.create_connection(listening.getsockname())
+        accepted, address = listening.accept()
+        accepted.setblocking(False)
+        reactor = MemoryReactorClock()
+        transport = tcp.Server(accepted, Protocol(), address, None, 0, reactor)
+        transport.protocol.makeConnection(transport)
+        yield transport, reactor, client
+        client.close()
+
+
+def test_a_signal_during_a_poll_neither_ends_the_pool_nor_loses_what_is_ready(pair):
+    transport, reactor, client = pair
+    idle = EpollSet(reactor)
+    idle.epoll = Interrupted(idle.epoll)
+    fd = idle.detach(transport)
+    client.sendall(b"call")
+    idle.epoll.errors["poll"] = errno.EINTR
+    assert idle.poll_readable(9) == []
+    idle.epoll.errors.clear()
+    assert idle.poll_readable(9) == [fd] and idle.read(fd) == b"call"
+    idle.close(fd)
+    idle.close_set()
+
+
+def test_a_signal_during_a_poll_for_hangups_is_no_error(pair):
+    transport, reactor, client = pair
+    watcher, ended = HangupWatcher(reactor), []
+    watcher.watch(transport, lambda: ended.append(1))
+    watcher.epoll = Interrupted(watcher.epoll)
+    client.close()
+    watcher.epoll.errors["poll"] = errno.EINTR
+    watcher.doRead()
+    watcher.epoll.errors.clear()
+    watcher.doRead()
+    assert ended == [1]
+
+
+@pytest.mark.parametrize("number", [errno.ENOSPC, errno.ENOMEM])
+def test_a_connection_that_the_idle_set_cannot_watch_stays_as_it_is(pair, number):
+    transport, reactor, client = pair
+    idle = EpollSet(reactor)
+    idle.epoll = Interrupted(idle.epoll)
+    idle.epoll.errors["register"] = number
+    assert idle.detach(transport) is None
+    assert transport.connected and transport in reactor.readers
+    client.sendall(b"call")
+    assert transport.socket.recv(9) == b"call"
+    transport.socket.close()
+
+
+@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOMEM])
+def test_a_client_whose_end_cannot_be_watched_stays_connected(pair, number, monkeypatch):
+    transport, reactor, _ = pair
+
+    def refuse():
+        raise OSError(number, "injected")
+
+    monkeypatch.setattr(epoll_set.select, "epoll", refuse)
+    before = anomalies[epoll_set.UNWATCHED]
+    watcher = HangupWatcher(reactor)
+    watcher.watch(transport, lambda: None)
+    assert anomalies[epoll_set.UNWATCHED] == before + 1 and not watcher.callbacks and transport.connected
+    transport.socket.close()
+
+
+def test_a_woken_connection_that_the_reactor_cannot_watch_is_closed_and_the_others_stay(pair):
+    transport, reactor, client = pair
+    idle = EpollSet(reactor)
+    fd = idle.detach(transport)
+
+    def refuse(reader):
+        raise OSError(errno.ENOSPC, "injected")
+
+    reactor.addReader = refuse
+    with pytest.raises(OSError, match="injected"):
+        idle.attach(fd, Protocol())
+    client.settimeout(5)
+    assert client.recv(1) == b""
+    idle.close_set()
+
+
+def parked(count):
+    stage = Stage(parks=True)
+    for _ in range(count):
+        stage.client().dataReceived(probe(1))
+    for _ in range(100):
+        stage.reactor.advance(0.01)
+    stage.note()
+    stage.trace.clear()
+    assert stage.door.listener.idle_count() == count
+    return stage
+
+
+def test_one_idle_connection_that_cannot_be_woken_ends_alone():
+    stage = parked(3)
+    attach = stage.rim.attach
+
+    def attach_all_but_one(fd, protocol):
+        if stage.rim.places[fd] == 1:
+            raise OSError(errno.ENOSPC, "injected")
+        return attach(fd, protocol)
+
+    stage.rim.attach = attach_all_but_one
+    for place in range(3):
+        stage.rim.bring(place, probe(2))
+    stage.door.listener.idle_pool.doRead()
+    stage.turn(0.05)
+    assert sorted(stage.trace) == [f"client {n} < 2 probe: good True" for n in (0, 2)]
+
+
+def test_one_idle_connection_that_cannot_be_watched_again_is_closed_alone():
+    stage = parked(2)
+    stage.rim.read = lambda fd: None  # reported readable, with nothing to read
+
+    def refuse(fd):
+        raise OSError(errno.ENOMEM, "injected")
+
+    stage.rim.rearm = refuse
+    stage.rim.bring(0, b"")
+    stage.door.listener.idle_pool.doRead()
+    assert stage.rim.closed == [0] and stage.door.listener.idle_count() == 1
+
+
+def test_an_error_of_close_frees_the_descriptor_all_the_same(pair, monkeypatch):
+    transport, reactor, client = pair
+    idle = EpollSet(reactor)
+    fd = idle.detach(transport)
+    close = os.close
+
+    def interrupted(number):
+        close(number)
+        raise OSError(errno.EINTR, "injected")
+
+    monkeypatch.setattr(epoll_set.os, "close", interrupted)
+    idle.close(fd)
+    assert client.recv(1) == b""
+    idle.close_set()
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -13,12 +13,13 @@
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import Factory
 
+from weldbend.accept_guard import AcceptGuard
 from weldbend.clients.connection import ClientConnection, ClientOwner
 from weldbend.clients.interfaces import ClientTransport
 from weldbend.idle_connections import policy
 from weldbend.idle_connections.connection_table import ConnectionRecord
 from weldbend.idle_connections.epoll_set import EpollSet, HangupWatcher, Reactor
-from weldbend.idle_connections.idle_pool import DescriptorSet, IdlePool
+from weldbend.idle_connections.idle_pool import FAILED, DescriptorSet, IdlePool
 from weldbend.idle_connections.policy import ConnectionAction, ConnectionSettings
 from weldbend.invariants import anomalies
 
@@ -69,7 +70,8 @@
         checks: When each live connection is checked next, the earliest first.
         idle_pool: The idle connections; None before the port is open.
         port: The listening port; None before it is open and once it is closed.
-        is_paused: Whether no connection is accepted, since the bound is reached.
+        accept_guard: What pauses the port while the system cannot accept; None before it is open.
+        is_paused: Whether no connection is accepted, since the bound is reached or the system cannot.
     """
 
     noisy = False
@@ -83,6 +85,7 @@
         self.checks: deque[tuple[float, ClientConnection]] = deque()
         self.idle_pool: IdlePool | None = None
         self.port: ListeningPort | None = None
+        self.accept_guard: AcceptGuard | None = None
         self.is_paused = False
         self.hangups: HangupWatcher | None = None
         self.checked_at = 0.0
@@ -105,6 +108,7 @@
         )
         self.hangups = HangupWatcher(reactor)
         self.port = reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
+        self.accept_guard = AcceptGuard(self.port, self.owner.call_later, self.update_accepting)
         self.set_keepalive()
 
     def stop(self) -> bool:
@@ -118,7 +122,7 @@
             # Twisted lowers it when a round accepts none.
             self.port.numberAccepts = self.settings.accept_batch
             self.port.doRead()
-            if self.connection_count() == count:
+            if self.connection_count() == count and not self._is_accept_failing():
                 self.port.stopListening()
                 self.port = None
         return not self.port
@@ -230,7 +234,12 @@
         """
         assert self.idle_pool
         client = ClientConnection(self.owner)
-        transport: ClientTransport = self.idle_pool.descriptors.attach(fd, client)
+        try:
+            transport: ClientTransport = self.idle_pool.descriptors.attach(fd, client)
+        except OSError:  # the system cannot watch it: it was closed
+            anomalies[FAILED] += 1
+            self.update_accepting()
+            return
         try:
             self._add(client)
             client.resume(transport, record)
@@ -273,12 +282,16 @@
         return candidates
 
     def update_accepting(self) -> None:
-        """Accept no connections while the bound is reached, and all below it."""
-        is_paused = policy.is_accept_paused(self.connection_count(), self.max_connections)
+        """Accept no connections while the bound is reached or the system cannot, and all else."""
+        is_full = policy.is_accept_paused(self.connection_count(), self.max_connections)
+        is_paused = is_full or self._is_accept_failing()
         if self.port and is_paused is not self.is_paused:
             self.is_paused = is_paused
             (self.port.pauseProducing if is_paused else self.port.resumeProducing)()
 
+    def _is_accept_failing(self) -> bool:
+        return bool(self.accept_guard and self.accept_guard.is_waiting)
+
     # The end.
 
     def is_quiet(self) -> bool:
--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -13,6 +13,7 @@
 from twisted.protocols.basic import LineOnlyReceiver
 from twisted.python.failure import Failure
 
+from weldbend.accept_guard import AcceptGuard
 from weldbend.fleet import fleet_status
 from weldbend.fleet.replicated_items import SETTING, Value
 from weldbend.fleet.runtime import ListeningPort, Reactor, StreamTransport
@@ -76,6 +77,7 @@
         """Open the port."""
         host, port = split_address(self.fleet.settings.admin_address)
         self.port = reactor.listenTCP(port, self, interface=host)
+        AcceptGuard(self.port, self.fleet.timers.after)
 
     def stop(self) -> None:
         """Close the port."""
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -18,6 +18,7 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
+from weldbend.accept_guard import AcceptGuard
 from weldbend.buffers.ring import Ring
 from weldbend.fleet import messages as m
 from weldbend.fleet.anti_entropy import PROTOCOL_VERSIONS, PeerMessage
@@ -283,6 +284,7 @@
     def listen(self, host: str, port: int) -> None:
         """Accept connections of peers."""
         self.port = self.runtime.reactor.listenTCP(port, AcceptorFactory(self), interface=host)
+        AcceptGuard(self.port, self.runtime.timers.after)
 
     def set_members(self, members: Iterable[Peer], neighbours: Iterable[str]) -> None:
         """Replace the members and neighbours; connections to others end."""
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -16,13 +16,30 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
+from weldbend.invariants import anomalies
+from weldbend.socket_errors import NOTHING_WAITS
+
 if TYPE_CHECKING:
     from twisted.internet.protocol import Protocol as ConnectionProtocol
 
 FIRST_READ_BYTES = 1 << 14  # read when a connection wakes; the rest arrives through its transport
 READABLE_ONCE = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLONESHOT
 HANGUP_ONCE = select.EPOLLRDHUP | select.EPOLLONESHOT
-NOTHING_TO_READ = (errno.EAGAIN, errno.EWOULDBLOCK, errno.EINTR)
+NOTHING_TO_READ = (*NOTHING_WAITS, errno.EINTR)
+
+
+UNWATCHED = "clients whose end cannot be watched"  # name of the anomaly counter, as it appears in the log
+
+
+def poll_now(epoll: select.epoll, limit: int = -1) -> list[tuple[int, int]]:
+    """Return what is ready, and nothing where a signal came between: it is reported next time.
+
+    Guards the reader that an epoll set is for the reactor, which drops one that raises. Harm: none known.
+    """
+    try:
+        return epoll.poll(0, limit)
+    except InterruptedError:
+        return []
 
 
 class Reactor(Protocol):
@@ -60,14 +77,25 @@
         return "connections that are not read"
 
     def watch(self, transport: object, callback: Callable[[], None]) -> None:
-        """Call back once when the peer ends the connection; ignored for other kinds of transports."""
+        """Call back once when the peer ends the connection; ignored for other kinds of transports.
+
+        Where the system has no descriptor or memory left for it, the end is noticed when the client is read.
+        """
         if type(transport) is not tcp.Server or not transport.connected:
             return
+        try:
+            self._register(transport.fileno())
+        except OSError:
+            anomalies[UNWATCHED] += 1
+        else:
+            self.callbacks[transport.fileno()] = callback
+
+    def _register(self, fd: int) -> None:
         if self.epoll is None:
-            self.epoll = select.epoll()
+            epoll = select.epoll()
+            self.epoll = epoll
             self.reactor.addReader(self)
-        self.epoll.register(transport.fileno(), HANGUP_ONCE)
-        self.callbacks[transport.fileno()] = callback
+        self.epoll.register(fd, HANGUP_ONCE)
 
     def unwatch(self, callback: Callable[[], None]) -> None:
         """Stop watching; a descriptor that was closed meanwhile has left the set by itself."""
@@ -79,7 +107,7 @@
 
     def doRead(self) -> None:
         """Call back for each connection that has ended."""
-        for fd, _ in self.epoll.poll(0) if self.epoll else ():
+        for fd, _ in poll_now(self.epoll) if self.epoll else ():
             if callback := self.callbacks.get(fd):
                 self.unwatch(callback)
                 callback()
@@ -110,13 +138,17 @@
 
         Returns:
             The descriptor; None if the transport has bytes left to send, is closing, or is not a socket's
-            (one in memory).
+            (one in memory), or if the system cannot watch one more.
         """
         if type(transport) is not tcp.Server or not transport.connected or transport.disconnecting:
             return None
         # Twisted has no public access to what was written but not sent yet.
         if transport.dataBuffer or transport._tempDataBuffer:  # noqa: SLF001
             return None
+        try:
+            self.epoll.register(transport.fileno(), READABLE_ONCE)
+        except OSError:
+            return None
         transport.stopReading()  # type: ignore[no-untyped-call]  # Twisted's method has no hints
         transport.stopWriting()  # type: ignore[no-untyped-call]  # Twisted's method has no hints
         transport.unregisterProducer()  # type: ignore[no-untyped-call]  # Twisted's method has no hints
@@ -124,24 +156,31 @@
         transport.connected = 0
         transport.disconnected = 1
         del transport.protocol, transport.socket, transport.fileno  # no reference cycles: freed at once
-        self.epoll.register(fd, READABLE_ONCE)
         return fd
 
     def attach(self, fd: int, protocol: "ConnectionProtocol") -> tcp.Server:
-        """Return a new transport for a descriptor, with its socket options unchanged; reading starts."""
+        """Return a new transport for a descriptor, with its socket options unchanged; reading starts.
+
+        Raises:
+            OSError: The reactor cannot watch it; the connection is closed.
+        """
         self.epoll.unregister(fd)
         connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
         # Twisted's interfaces are nominal to mypy; the port (None) is used for its address only.
-        transport = tcp.Server(connection, protocol, ("", 0), None, 0, self.reactor)  # type: ignore[arg-type]
+        try:
+            transport = tcp.Server(connection, protocol, ("", 0), None, 0, self.reactor)  # type: ignore[arg-type]
+        except OSError:
+            connection.close()
+            raise
         transport.repstr = f"<woken connection {fd}>"
         return transport
 
     def poll_readable(self, limit: int) -> list[int]:
         """Return descriptors with bytes to read or at their end, each once until `rearm`."""
-        return [fd for fd, _ in self.epoll.poll(0, limit)]
+        return [fd for fd, _ in poll_now(self.epoll, limit)]
 
     def rearm(self, fd: int) -> None:
-        """Report a descriptor again when it next becomes readable."""
+        """Report a descriptor again when it next becomes readable; raises OSError on failure."""
         self.epoll.modify(fd, READABLE_ONCE)
 
     def read(self, fd: int) -> bytes | None:
@@ -161,8 +200,12 @@
             raise
 
     def close(self, fd: int) -> None:
-        """Close a connection; it leaves the set by itself, since nothing else holds the descriptor."""
-        os.close(fd)
+        """Close a connection; it leaves the set by itself, since nothing else holds the descriptor.
+
+        Linux frees the descriptor also where close(2) reports an error.
+        """
+        with suppress(OSError):
+            os.close(fd)
 
     def close_set(self) -> None:
         """Close the epoll set."""
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -21,6 +21,7 @@
     from twisted.internet import tcp
     from twisted.internet.protocol import Protocol as ConnectionProtocol
 
+FAILED = "idle connections that failed"  # name of the anomaly counter, as it appears in the log
 POLL_BATCH = 1024  # descriptors queued as readable in one poll
 
 
@@ -36,7 +37,7 @@
         ...
 
     def attach(self, fd: int, protocol: "ConnectionProtocol") -> "tcp.Server":
-        """Return a new transport for a descriptor."""
+        """Return a new transport for a descriptor; raises OSError where it cannot be watched."""
         ...
 
     def poll_readable(self, limit: int) -> list[int]:
@@ -44,7 +45,7 @@
         ...
 
     def rearm(self, fd: int) -> None:
-        """Report a descriptor again when it next becomes readable."""
+        """Report a descriptor again when it next becomes readable; raises OSError on failure."""
 
     def read(self, fd: int) -> bytes | None:
         """Read; empty at the end, None if nothing waits, raises OSError on failure."""
@@ -162,19 +163,27 @@
             data = self.descriptors.read(fd)
         except OSError:
             data = b""
-            anomalies["idle connections that failed"] += 1
+            anomalies[FAILED] += 1
         if data:
             record = self.table.remove(fd)
             self.wake_count += 1
             self.max_wake_delay = max(self.max_wake_delay, self.now() - record.last_active)
             self.on_woken(fd, record, data)
-        elif data is None:
+        elif data is None and self._rearm(fd):
             self.table.return_to_idle(fd, self.now())
-            self.descriptors.rearm(fd)
         else:
             self.close(fd)
             self.on_closed()
 
+    def _rearm(self, fd: int) -> bool:
+        """Report a descriptor again when it becomes readable; false where that is impossible."""
+        try:
+            self.descriptors.rearm(fd)
+        except OSError:
+            anomalies[FAILED] += 1
+            return False
+        return True
+
     # Closing.
 
     def close(self, fd: int) -> ConnectionRecord:
