--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,8 +1,11 @@
 """System calls that fail around accepted connections, idle ones and logs: nothing spins, stops or is lost."""
 
 import errno
+import json
 import os
 import socket
+import subprocess
+import sys
 
 import pytest
 from fronts import Stage, probe
@@ -290,3 +293,41 @@
     idle.close(fd)
     assert client.recv(1) == b""
     idle.close_set()
+
+
+# Logs.
+
+LOGGING = """
+import os, sys
+from loguru import logger
+from weldbend import logs
+
+form, behind = sys.argv[1:]
+if behind == "closed pipe":
+    reading, writing = os.pipe()
+    os.dup2(writing, 2)
+    os.close(reading)
+elif behind == "full disk":
+    os.dup2(os.open("/dev/full", os.O_WRONLY), 2)
+logs.start("info", form)
+if behind == "closed meanwhile":
+    sys.stderr.close()
+for number in range(200):
+    logger.info("line {} {}", number, "x" * 100)
+print("goes on")
+"""
+
+
+@pytest.mark.parametrize("form", ["text", "json"])
+@pytest.mark.parametrize("behind", ["closed pipe", "full disk", "closed meanwhile", "closed before"])
+def test_what_is_behind_the_log_stops_nobody(form, behind):
+    command = f'exec "$0" -c "$1" {form} "{behind}"' + (" 2>&-" if behind == "closed before" else "")
+    done = subprocess.run(["sh", "-c", command, sys.executable, LOGGING], capture_output=True, timeout=60)
+    assert (done.returncode, done.stdout) == (0, b"goes on\n")
+
+
+def test_a_line_of_either_form_is_written_whole():
+    shown = subprocess.run(
+        [sys.executable, "-c", LOGGING, "json", "nothing"], capture_output=True, timeout=60, check=True
+    ).stderr.splitlines()
+    assert len(shown) == 200 and json.loads(shown[7])["message"] == "line 7 " + "x" * 100
