--- a/weldbend/fleet/datagram_port.py
+++ b/weldbend/fleet/datagram_port.py
@@ -4,6 +4,7 @@
 from collections.abc import Callable
 from typing import cast
 
+from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import DatagramProtocol
 
 from weldbend.fleet import messages as m
@@ -13,6 +14,7 @@
 
 MAX_DATAGRAMS = 2000  # received in a second; more are dropped unread
 MAX_PACKET_SIZE = 65_535  # bytes that one read accepts: a longer datagram than allowed shows as such
+REOPEN_AFTER = 0.2  # seconds after which a port that an error closed is opened again
 
 Handler = Callable[[float, Header, m.Datagram], None]
 """Is called with the moment, the header and the message."""
@@ -31,18 +33,38 @@
         self.handler = handler
         self.counts = counts
         self.port: ListeningPort | None = None
+        self.is_closed = False
         self.second = 0  # that is being counted
         self.received_in_second = 0
 
     def listen(self, host: str, port: int) -> None:
         """Open the port."""
+        self.address = (host, port)
         self.port = self.runtime.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_PACKET_SIZE)
 
     def close(self) -> None:
         """Close the port."""
+        self.is_closed = True
         if self.port:
             self.port.stopListening()
 
+    def stopProtocol(self) -> None:
+        """Open the port again soon, unless it was to close; Twisted closes it when a read fails.
+
+        Guards membership against an error of one read, as where the system lacks memory. Harm: none known.
+        """
+        if not self.is_closed:
+            self.counts["datagram ports that an error closed"] += 1
+            self.runtime.timers.after(REOPEN_AFTER, self._reopen)
+
+    def _reopen(self) -> None:
+        if self.is_closed:
+            return
+        try:
+            self.listen(*self.address)
+        except (CannotListenError, OSError):
+            self.runtime.timers.after(REOPEN_AFTER, self._reopen)
+
     def send(self, peer: Peer, body: m.Datagram) -> None:
         """Send a message, if the port is open; it may be lost like any datagram."""
         if self.port is None:
@@ -50,11 +72,17 @@
         data = self.authenticator.authenticate(peer.name, m.encode(body))
         self.counts["datagrams out"] += 1
         self.counts["datagram bytes out"] += len(data)
-        try:
-            cast(DatagramTransport, self.transport).write(data, (peer.host, peer.port))
-        except OSError:  # a full buffer or no path: a lost datagram, as any other
+        if self.transport is None or not self._write(data, (peer.host, peer.port)):
             self.counts["datagrams that could not go"] += 1
 
+    def _write(self, data: bytes, to: tuple[str, int]) -> bool:
+        """Write a datagram; false where it is lost at once: a full buffer, no route, or a local rule."""
+        try:
+            cast(DatagramTransport, self.transport).write(data, to)
+        except OSError:
+            return False
+        return True
+
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
         """Check a datagram; its sender is known by its header, not by its address."""
         now = self.runtime.timers.now()
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -304,7 +304,10 @@
         self.connecting.add(peer)
         address = self.members[peer]
         factory = InitiatorFactory(self, peer)
-        self.runtime.reactor.connectTCP(address.host, address.port, factory, CONNECT_TIMEOUT)
+        try:
+            self.runtime.reactor.connectTCP(address.host, address.port, factory, CONNECT_TIMEOUT)
+        except OSError:
+            self.connect_failed(peer)
 
     def connect_failed(self, peer: str) -> None:
         """Try again after a backoff that doubles each time."""
