--- /dev/null
+++ b/weldbend/testbed/faults/call_faults.py
@@ -0,0 +1,130 @@
+"""Which socket calls of a process fail, how, how often and when: drawn from a seed. No I/O.
+
+A plan is a few episodes. In each, one call fails with one error, by chance and a bounded number of times,
+between two moments. What is drawn depends on the seed alone; which call it meets depends on the process.
+"""
+
+import errno
+import random
+from dataclasses import dataclass, field
+from enum import Enum
+
+
+class Call(Enum):
+    """The calls that can fail. `CONNECT_RESULT` is what getsockopt tells of a connect that was under way."""
+
+    ACCEPT = "accept"
+    SOCKET = "socket"
+    CONNECT = "connect"
+    CONNECT_RESULT = "connect, later"
+    RECEIVE = "recv"
+    SEND = "send"
+    WAIT = "epoll_wait"
+    WATCH = "epoll_ctl"
+
+
+SHORT = 0  # in place of an error number: the call moves a part of the bytes
+
+BREAKING = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+NO_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+NO_PATH = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNREFUSED)
+ERRORS: dict[Call, tuple[int, ...]] = {
+    Call.ACCEPT: (errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, *NO_RESOURCES),
+    Call.SOCKET: NO_RESOURCES,
+    Call.CONNECT: (
+        *NO_PATH,
+        errno.EADDRNOTAVAIL,
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EPERM,
+    ),
+    Call.CONNECT_RESULT: (*NO_PATH, errno.ECONNRESET),
+    Call.RECEIVE: (SHORT, errno.EAGAIN, *BREAKING, errno.ENOMEM),
+    Call.SEND: (SHORT, errno.EAGAIN, errno.ENOBUFS, *BREAKING, errno.EPIPE, errno.ENOMEM),
+    Call.WAIT: (errno.EINTR,),
+    Call.WATCH: (errno.ENOSPC, errno.ENOMEM),
+}
+ALL_FAULTS = tuple((call, number) for call, numbers in ERRORS.items() for number in numbers)
+HARMLESS_TRANSFERS = frozenset({SHORT, errno.EAGAIN, errno.ENOBUFS})  # of RECEIVE and SEND
+EPISODES = 8  # of a plan
+SHORTEST, LONGEST = 0.05, 0.8  # seconds of an episode
+MOST_BREAKS = 4  # in one episode that ends connections
+MOST_FAULTS = 60  # in one that does not
+
+
+def error_name(number: int) -> str:
+    """How reports name an error."""
+    return errno.errorcode[number] if number else "short"
+
+
+def ends_connection(call: Call, number: int) -> bool:
+    """Whether the connection that the call is for may end by it."""
+    is_transfer = call in (Call.RECEIVE, Call.SEND)
+    return call is Call.WATCH or (is_transfer and number not in HARMLESS_TRANSFERS)
+
+
+@dataclass
+class Episode:
+    """One call that fails for a while.
+
+    Attributes:
+        call: which.
+        number: how; an error number, or SHORT.
+        since: when it begins, in seconds after the start.
+        until: when it ends.
+        chance: with which a call in that time fails.
+        left: how many calls may still fail.
+    """
+
+    call: Call
+    number: int
+    since: float
+    until: float
+    chance: float
+    left: int
+
+
+def draw_plan(seed: int, seconds: float) -> list[Episode]:
+    """The episodes of a seed, spread over so many seconds."""
+    rng = random.Random(f"socket calls {seed}")
+    episodes = []
+    for call, number in rng.sample(ALL_FAULTS, EPISODES):
+        since = rng.uniform(0.0, seconds)
+        until = since + rng.uniform(SHORTEST, LONGEST)
+        is_breaking = ends_connection(call, number)
+        chance = rng.uniform(0.02, 0.3) if is_breaking else rng.choice((0.2, 0.5, 1.0))
+        left = rng.randint(1, MOST_BREAKS if is_breaking else MOST_FAULTS)
+        episodes.append(Episode(call, number, since, until, chance, left))
+    return episodes
+
+
+@dataclass
+class CallFaults:
+    """A plan at work.
+
+    Attributes:
+        episodes: those of the plan.
+        rng: what chance is drawn from.
+        calls: how often each call was made.
+    """
+
+    episodes: list[Episode]
+    rng: random.Random
+    calls: dict[Call, int] = field(default_factory=lambda: dict.fromkeys(Call, 0))
+
+    def draw(self, call: Call, now: float) -> int | None:
+        """How a call that is made now fails: an error number, SHORT, or None for not at all.
+
+        Args:
+            call: the call.
+            now: seconds after the start.
+        """
+        self.calls[call] += 1
+        for episode in self.episodes:
+            is_due = episode.call is call and episode.since <= now < episode.until and episode.left > 0
+            if is_due and self.rng.random() < episode.chance:
+                episode.left -= 1
+                return episode.number
+        return None
--- /dev/null
+++ b/weldbend/testbed/faults/socket_faults.py
@@ -0,0 +1,178 @@
+"""Runs weldbend with socket calls that fail by a seed: `python -m weldbend.testbed.faults.socket_faults`.
+
+    python -m weldbend.testbed.faults.socket_faults --seed 7 --seconds 5 --record FILE -- serve --config FILE
+
+The socket type, `select.epoll` and `os.read` are replaced in this process before Twisted is loaded; nothing
+is traced and no other process is concerned. What was injected is written to the record, a JSON line each,
+with the moment on the machine's monotonic clock; the last line counts the calls. The port is opened without
+faults: a front that cannot listen ends.
+"""
+
+import argparse
+import atexit
+import json
+import os
+import random
+import runpy
+import select
+import socket
+import stat
+import sys
+import time
+from typing import TYPE_CHECKING, Any
+
+from weldbend.testbed.faults.call_faults import SHORT, Call, CallFaults, draw_plan, error_name
+
+if TYPE_CHECKING:
+    from _typeshed import ReadableBuffer
+
+SHORT_PART = 3  # a short transfer moves one part in so many
+SHORT_READ = 64  # bytes that a short read brings at most
+REAL_SOCKET = socket.socket
+REAL_EPOLL = select.epoll
+REAL_READ = os.read
+IN_PROCESS = "process"  # the side of a call that is for no connection
+
+
+class CallInjector:
+    """Decides each call, and writes down what was injected.
+
+    Attributes:
+        is_listening: whether the front's port is open; before, only connects, transfers and waits fail.
+    """
+
+    def __init__(self, faults: CallFaults, record: int) -> None:
+        self.faults = faults
+        self.record = record
+        self.began = time.monotonic()
+        self.is_listening = False
+
+    def draw(self, call: Call, side: str) -> int | None:
+        """How this call fails; None for not at all."""
+        if not self.is_listening and call in (Call.SOCKET, Call.WATCH, Call.ACCEPT):
+            return None
+        now = time.monotonic()
+        number = self.faults.draw(call, now - self.began)
+        if number is not None:
+            self.write({"at": now, "call": call.value, "error": error_name(number), "side": side})
+        return number
+
+    def check(self, call: Call, side: str) -> None:
+        """Raise the error with which this call fails, if it does."""
+        if number := self.draw(call, side):
+            raise OSError(number, os.strerror(number))
+
+    def transfer(self, call: Call, side: str, size: int) -> int:
+        """How many of `size` bytes this call may move; raises OSError where it fails."""
+        number = self.draw(call, side)
+        if number:
+            raise OSError(number, os.strerror(number))
+        part = min(size, SHORT_READ) if call is Call.RECEIVE else size // SHORT_PART
+        return max(part, 1) if number == SHORT and size else size
+
+    def write(self, line: dict[str, Any]) -> None:
+        """Add a line to the record."""
+        os.write(self.record, (json.dumps(line) + "\n").encode())
+
+    def write_totals(self) -> None:
+        """Count the calls that were made."""
+        totals = {call.value: count for call, count in self.faults.calls.items()}
+        self.write({"calls": totals, "seconds": time.monotonic() - self.began})
+
+
+def socket_type(injector: CallInjector) -> type[socket.socket]:
+    """The type of sockets whose calls fail as the injector decides."""
+
+    class FailingSocket(REAL_SOCKET):
+        def __init__(
+            self, family: int = -1, kind: int = -1, protocol: int = -1, fileno: int | None = None
+        ) -> None:
+            self.side = "connected" if fileno is None else "accepted"
+            if fileno is None:
+                injector.check(Call.SOCKET, self.side)
+            super().__init__(family, kind, protocol, fileno)
+
+        def listen(self, *backlog: int) -> None:
+            super().listen(*backlog)
+            injector.is_listening = True
+
+        def accept(self) -> tuple[socket.socket, Any]:
+            injector.check(Call.ACCEPT, "listening")
+            return super().accept()
+
+        def connect_ex(self, address: Any) -> int:  # noqa: ANN401  # as the socket's own
+            return injector.draw(Call.CONNECT, self.side) or super().connect_ex(address)
+
+        def getsockopt(self, level: int, name: int, *size: int) -> Any:  # noqa: ANN401  # as the socket's own
+            if (level, name) == (socket.SOL_SOCKET, socket.SO_ERROR):
+                return injector.draw(Call.CONNECT_RESULT, self.side) or super().getsockopt(level, name)
+            return super().getsockopt(level, name, *size)
+
+        def recv(self, size: int, flags: int = 0) -> bytes:
+            return super().recv(injector.transfer(Call.RECEIVE, self.side, size), flags)
+
+        def send(self, data: "ReadableBuffer", flags: int = 0) -> int:
+            view = memoryview(data)
+            return super().send(view[: injector.transfer(Call.SEND, self.side, len(view))], flags)
+
+    return FailingSocket
+
+
+class FailingEpoll:
+    """An epoll set whose waits and registrations fail as the injector decides."""
+
+    injector: CallInjector
+
+    def __init__(self, *args: int) -> None:
+        self.epoll = REAL_EPOLL(*args)
+
+    def poll(self, *args: Any) -> list[tuple[int, int]]:  # noqa: ANN401  # as the set's own
+        """Wait."""
+        self.injector.check(Call.WAIT, IN_PROCESS)
+        return self.epoll.poll(*args)
+
+    def register(self, *args: Any) -> None:  # noqa: ANN401  # as the set's own
+        """Watch a descriptor."""
+        self.injector.check(Call.WATCH, IN_PROCESS)
+        self.epoll.register(*args)
+
+    def __getattr__(self, name: str) -> Any:  # noqa: ANN401  # any member of an epoll set
+        return getattr(self.epoll, name)
+
+
+def install(injector: CallInjector) -> None:
+    """Have the calls of this process fail from now on."""
+
+    def read(fd: int, size: int) -> bytes:
+        if stat.S_ISSOCK(os.fstat(fd).st_mode):  # an idle connection wakes
+            size = injector.transfer(Call.RECEIVE, "accepted", size)
+        return REAL_READ(fd, size)
+
+    replaced: Any = socket
+    replaced.socket = socket_type(injector)
+    replaced = select
+    FailingEpoll.injector = injector
+    replaced.epoll = FailingEpoll
+    replaced = os
+    replaced.read = read
+
+
+def main() -> None:
+    """Parse the command line, install the faults, and run weldbend with the rest of it."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--seed", type=int, required=True)
+    parser.add_argument("--seconds", type=float, default=5.0, help="over which the faults are spread")
+    parser.add_argument("--record", required=True, help="file that what was injected is added to")
+    parser.add_argument("command", nargs="+", help="of weldbend, as in `-- serve --config FILE`")
+    options = parser.parse_args()
+    record = os.open(options.record, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
+    faults = CallFaults(draw_plan(options.seed, options.seconds), random.Random(f"calls {options.seed}"))
+    injector = CallInjector(faults, record)
+    atexit.register(injector.write_totals)
+    install(injector)
+    sys.argv = ["weldbend", *options.command]
+    runpy.run_module("weldbend", run_name="__main__")  # loads Twisted, which takes the types that it finds
+
+
+if __name__ == "__main__":
+    main()
