--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -59,6 +59,7 @@
         suspected_by: names of the fronts that suspect it.
         suspicion_deadline: when the suspicion becomes a death, infinite where there is none.
         notified_at: when it was last probed, out of schedule, because it passes for suspect or dead.
+        unanswered_probes: of this front's own since it last answered one itself.
     """
 
     name: str
@@ -70,6 +71,7 @@
     suspected_by: set[str] = field(default_factory=set)
     suspicion_deadline: float = math.inf
     notified_at: float = -math.inf
+    unanswered_probes: int = 0
 
     def rank(self) -> Rank:
         """The place of the current belief in the order of beliefs."""
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -23,6 +23,7 @@
 from weldbend.fleet.settings import FleetSettings
 
 MAX_INCARNATION_LEAP = 1 << 16  # by which gossip may raise an incarnation
+UNANSWERED_PROBES = 2  # after which what a member's probe says of this front's epoch is taken
 CONTESTED_RAISES = 3  # so many forced new epochs in the time below: another process runs under this name
 CONTESTED_WINDOW = 30.0  # seconds
 
@@ -173,6 +174,7 @@
     def _handle(self, member: Member, body: m.Datagram, now: float) -> list[Send]:
         match body:
             case m.Probe(number, updates):
+                self._check_own_epoch(member, updates, now)
                 self.apply_updates(updates, now)
                 answers = [Send(member.name, m.Ack(number, self.table.gossip_for(member)))]
                 if member.state >= State.SUSPECT:
@@ -195,6 +197,20 @@
                 self.table.update(member, Rank(member.epoch, member.incarnation, State.LEFT), now, "left")
         return []
 
+    def _check_own_epoch(self, prober: Member, updates: Iterable[m.MemberUpdate], now: float) -> None:
+        """Go on above a later start of this name, of which a probe speaks whose sender never answers.
+
+        Guards against a front whose clock went back behind all those of its runs whose numbers another
+        remembers: what it sends is dropped there before anybody could say that it is out of date. Harm: one
+        that lies has this front go on under a later epoch, as with `StaleEpoch`.
+        """
+        if prober.unanswered_probes < UNANSWERED_PROBES or self.local.is_leaving:
+            return
+        for update in updates:
+            if update.name == self.name and update.epoch > self.epoch:
+                self.raise_epoch(update.epoch, now)
+                prober.unanswered_probes = 0
+
     def raise_epoch(self, later_epoch: int, now: float) -> None:
         """Another front knows a later start of this name: this clock went back, or there is a double.
 
--- a/weldbend/fleet/probing.py
+++ b/weldbend/fleet/probing.py
@@ -140,6 +140,7 @@
             ends_at=now + (timeout if requester else own_end),
         )
         self.counts["probes"] += 1
+        target.unanswered_probes += not requester
         return Send(target.name, m.Probe(number, self.table.gossip_for(target)))
 
     def notify(self, member: Member, now: float) -> list[Send]:
@@ -196,6 +197,7 @@
             probe.is_answered = True
             return []
         probe.is_answered = True
+        member.unanswered_probes = 0
         if probe.requester:
             requester = self.table.members.get(probe.requester)
             gossip = self.table.gossip_for(requester) if requester else []
--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -128,7 +128,7 @@
 
     Attributes:
         name: this front's.
-        epoch: of this run.
+        epoch: of this run, as it stands now.
         items: by kind and key.
         logs: changes by run.
         counts: counters.
@@ -148,6 +148,15 @@
         """The name of this front's own run."""
         return run_of(self.name, self.epoch)
 
+    def set_epoch(self, epoch: int) -> None:
+        """Write under another epoch from now on: this run's epoch was raised.
+
+        Guards against figures (their greatest epoch and number hold) that stay behind those of an earlier run
+        for ever, because this run began under a clock that had gone back. Harm: one more run's numbers are
+        remembered by all, for `RUN_LIFETIME`.
+        """
+        self.epoch = epoch
+
     # Changes.
 
     def write(self, now: float, kind: str, key: str, *value: int | float | str) -> Change | None:
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -191,6 +191,7 @@
         self.detect_pause(now)
         self._send_datagrams(self.membership.advance(now))
         self._log_changes(now)
+        self._follow_own_epoch()
         self._send_messages(self.anti_entropy.tick(now))
         if self.lease_service:
             self._send_datagrams(self.lease_service.tick(now, self.live_members()))
@@ -215,12 +216,17 @@
                 "fleet: own reachability was {}, is {}", self.logged_reachability.name, reachability.name
             )
             self.logged_reachability = reachability
+
+    def _follow_own_epoch(self) -> None:
+        """Have all that goes by this front's epoch go by the membership's, which others may have raised."""
         epoch = self.membership.epoch
-        if epoch != self.authenticator.epoch:  # this clock went back, or there is a double
-            logger.warning("fleet: own epoch raised from {} to {}", self.authenticator.epoch, epoch)
-            self.authenticator.epoch = epoch
-            if self.lease_service:
-                self.lease_service.set_epoch(epoch)
+        if epoch == self.authenticator.epoch:
+            return
+        logger.warning("fleet: own epoch raised from {} to {}", self.authenticator.epoch, epoch)
+        self.authenticator.epoch = epoch  # this clock went back, or there is a double
+        self.store.set_epoch(epoch)
+        if self.lease_service:
+            self.lease_service.set_epoch(epoch)
 
     def report(self) -> None:
         """Log all counters, every `REPORT_INTERVAL`."""
@@ -262,6 +268,7 @@
             return
         self._send_datagrams(self.membership.receive(now, header.sender, header.epoch, body))
         self._log_changes(now)
+        self._follow_own_epoch()
 
     def _lease_message_received(self, now: float, header: Header, body: m.LeaseMessage) -> None:
         """About a strict limit: only of a member, in the epoch that is known of it."""
