--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -1,8 +1,10 @@
 """Fleets whose wall clocks are stepped: epochs, moments of others, slots of leases, and virtual fleets."""
 
 import pytest
-from fronts import Stage
+from fronts import KEY, Stage, listing, target
 
+from weldbend.event_bus.events import Purge
+from weldbend.fleet import idempotency
 from weldbend.fleet import messages as m
 from weldbend.fleet.front_adapter import FleetAdapter
 from weldbend.fleet.member_table import State
@@ -11,6 +13,7 @@
 from weldbend.fleet.replicated_store import ReplicatedStore
 from weldbend.fleet.runtime import Runtime
 from weldbend.fleet.settings import FleetSettings, Peer
+from weldbend.routing.events import ObjectsPurged
 
 KEYS = {b"aaaa": b"1" * 32}
 HOUR = 3600.0  # seconds
@@ -131,3 +134,95 @@
     assert joined.fleet.lease_service.epoch == later + 1
     joined.adapter.quota_service.context.publish_figure("need", "parents", 2.0)
     assert joined.fleet.store.items["need", "parents|n1"].value[2] == 2.0
+
+
+# Moments that others speak of.
+
+
+STEPS = [0.2, 7.0, HOUR, -0.2, -7.0, -HOUR]
+
+
+def purges_posted(joined):
+    """Ages of the purges that come to the decisions from now on."""
+    ages = []
+    post = joined.stage.dispatcher.post
+    joined.stage.dispatcher.post = lambda event, first=False: (
+        ages.append(event.age) if isinstance(event, ObjectsPurged) else None,
+        post(event, first),
+    )
+    return ages
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_a_purge_of_a_peer_counts_from_when_it_was_published(tmp_path, step):
+    joined = Joined(tmp_path)
+    ages = purges_posted(joined)
+    stamp = int(joined.stage.unix() * 1000)
+    joined.offset = step
+    joined.peer("purge", f"k:{KEY}", stamp, age=0.25)
+    assert ages == [pytest.approx(0.25)]
+
+
+def test_a_purge_that_a_peer_replays_is_not_issued_again(tmp_path):
+    joined = Joined(tmp_path)
+    stamp = int(joined.stage.unix() * 1000)
+    joined.stage.bus({"offset": 6, "ban": {"url": KEY, "ts": stamp}})
+    joined.adapter.purges.publish(Purge(KEY, 0, stamp / 1000))
+    joined.fleet.store.items.clear()  # it has lasted its time
+    joined.stage.turn(70.0)
+    ages = purges_posted(joined)
+    joined.peer("purge", f"k:{KEY}", stamp)
+    assert ages == [] and joined.adapter.counts["peer purges replayed"] == 1
+    joined.peer("purge", f"k:{KEY}", stamp + 5)
+    assert ages == [pytest.approx(0.0)], "another one of the same object"
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_a_start_that_a_peer_speaks_of_is_not_earlier_than_known_and_stays(tmp_path, step):
+    joined = Joined(tmp_path)
+    registry, stamp = joined.stage.dispatcher.names, int(joined.stage.unix() * 1000)
+    joined.offset = step
+    joined.peer("start", "e1", stamp, age=0.25)
+    started = joined.now() - 0.25
+    assert registry.starts["e1"] == (stamp / 1000, pytest.approx(started))
+    joined.offset = -step
+    joined.stage.turn(2.0)
+    joined.peer("start", "e1", stamp)  # another peer has read of it now
+    joined.stage.bus(listing(10, target("e1", port=1, boot=stamp)))
+    cache = joined.stage.dispatcher.router.caches[registry.numbers["e1"]]
+    assert cache.started == pytest.approx(started)
+
+
+@pytest.mark.parametrize("step", STEPS)
+def test_a_first_attempt_is_never_dated_later_than_its_first_write(tmp_path, step):
+    joined = Joined(tmp_path)
+    scope = joined.adapter.executions
+    first = joined.now()
+    joined.peer("keyed", "once", "c:1", int(joined.stage.unix() * 1000))
+    joined.stage.turn(2.0)
+    joined.offset = step
+    joined.peer("keyed", "once", "c:1", int((joined.stage.unix() + step) * 1000), writer="n3")  # a repeat
+    joined.stage.turn(0.5)
+    item = joined.fleet.store.items["keyed", "once"]
+    found = scope._possible_execution(item, joined.now())
+    assert found.sent <= first
+    assert found.sent >= first - 2 * idempotency.MOST_CLOCK_ERROR
+
+
+def test_a_snapshot_dates_a_first_attempt_as_its_donor_does():
+    donor, late = ReplicatedStore("a", 1), ReplicatedStore("c", 1)
+    donor.write(10.0, "keyed", "once", "c:1", 5000)
+    donor.apply(m.Operation("b", 1, 1, "keyed", "once", ["c:1", 9000], 0.0), 40.0 - 1.0)
+    (chunk,) = donor.snapshot_chunks("", 39.5, 10)
+    late.load_snapshot(chunk.operations, 100.0)
+    item = late.items["keyed", "once"]
+    assert (item.written_at, item.first_written_at) == (99.5, 100.0 - 29.5)
+
+
+def test_time_slots_of_leases_do_not_move_with_a_step(tmp_path):
+    joined = Joined(tmp_path)
+    slots = joined.fleet.lease_service._unix
+    before = slots()
+    joined.offset = HOUR
+    joined.stage.turn(1.0)
+    assert slots() == pytest.approx(before + 1.0)
--- a/weldbend/fleet/cache_states.py
+++ b/weldbend/fleet/cache_states.py
@@ -81,8 +81,18 @@
             )
 
     def _started(self, uid: str) -> float | None:
-        """When the cache last started, in this front's time; None where nobody has said so."""
+        """When the cache last started, in this front's time, at the latest; None where nobody has said so.
+
+        A start that this front's own list has not named yet is dated by when its first writer had read of it,
+        which is later than the start itself: the strict side. The stamp only says which start it is.
+        """
         item = self.fleet.store.items.get((START, uid))
         if item is None:
             return None
-        return self.dispatcher.names.start_time(uid, float(item.value[0]) / 1000, self.dispatcher.clock.now())
+        starts, stamp = self.dispatcher.names.starts, float(item.value[0]) / 1000
+        known = starts.get(uid)
+        if known and known[0] >= stamp:
+            return known[1]
+        moment = min(item.first_written_at, self.dispatcher.clock.now())
+        starts[uid] = stamp, moment  # so that the own list's word of the same start is no other one
+        return moment
--- a/weldbend/fleet/execution_exchange.py
+++ b/weldbend/fleet/execution_exchange.py
@@ -5,8 +5,9 @@
 
 from weldbend.fleet import idempotency
 from weldbend.fleet.replicated_items import FIRST_ATTEMPT, ITEM_KINDS, NOWHERE
-from weldbend.fleet.replicated_store import Change
+from weldbend.fleet.replicated_store import Change, Item
 from weldbend.fleet.service import Fleet
+from weldbend.fleet.steady_unix import SteadyUnixTime
 from weldbend.routing.events import ExecutedElsewhere, PossibleExecution
 from weldbend.routing.settings import DeduplicationScope, Idempotency
 
@@ -21,6 +22,7 @@
         self.dispatcher = dispatcher
         self.fleet = fleet
         self.counts = counts
+        self.unix = SteadyUnixTime(dispatcher.clock)
         windows = [
             request_class.deduplication_window
             for request_class in dispatcher.site.settings.classes.values()
@@ -36,9 +38,7 @@
             group = idempotency.deduplication_group(
                 request_class.deduplication_scope, destination.zone, destination.cell
             )
-            self.fleet.publish(
-                FIRST_ATTEMPT, idempotency_key, group, int(self.dispatcher.clock.unix() * 1000)
-            )
+            self.fleet.publish(FIRST_ATTEMPT, idempotency_key, group, int(self.unix() * 1000))
 
     def possible_executions(
         self, class_name: str, idempotency_key: str, is_retry: bool
@@ -51,17 +51,16 @@
         item = self.fleet.store.items.get((FIRST_ATTEMPT, idempotency_key))
         if item and item.is_live(ITEM_KINDS[FIRST_ATTEMPT], now):
             self.counts["requests possibly executed elsewhere"] += 1
-            return (
-                idempotency.possible_execution(
-                    item.value, item.written_at, now, self.dispatcher.clock.unix()
-                ),
-            )
+            return (self._possible_execution(item, now),)
         has_scope = request_class.deduplication_scope is not DeduplicationScope.ALL
         if is_retry and has_scope and self._may_lack_attempts(now):
             self.counts["retries treated as possibly executed"] += 1
             return (PossibleExecution(NOWHERE, -1, now),)
         return ()
 
+    def _possible_execution(self, item: Item, now: float) -> PossibleExecution:
+        return idempotency.possible_execution(item.value, item.first_written_at, now, self.unix())
+
     def _may_lack_attempts(self, now: float) -> bool:
         members = self.fleet.membership.members.values()
         return self.unknown_attempts.may_exist(
@@ -71,8 +70,8 @@
     def apply(self, change: Change) -> None:
         """Bind open requests to what another front has just published."""
         now = self.fleet.timers.now()
-        unix = self.dispatcher.clock.unix()
+        item = self.fleet.store.items[FIRST_ATTEMPT, change.key]
         for request in self.dispatcher.requests.by_client_id.values():
             if request.parsed.idempotency_key == change.key:
-                execution = idempotency.possible_execution(change.value, now - change.age, now, unix)
+                execution = self._possible_execution(item, now)
                 self.dispatcher.post(ExecutedElsewhere(request.id, execution))
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -38,12 +38,13 @@
 def possible_execution(value: Value, written_at: float, now: float, unix: float) -> PossibleExecution:
     """Return what an item `keyed` binds.
 
-    The first attempt is dated by its writer's Unix clock, and at most by when the item was written: a clock
-    ahead makes no window longer. One that is behind makes it shorter, which is the strict side.
+    The first attempt is dated by its writer's Unix clock, and at most by when the item was first written: no
+    clock makes the window longer. One that is wrong by less than `MOST_CLOCK_ERROR` may make it shorter by as
+    much, which is the strict side.
 
     Args:
         value: of the item: the group, and the Unix milliseconds of the first attempt.
-        written_at: when it was written last, in this front's time.
+        written_at: when it was written first, in this front's time.
         now: seconds of the steady clock.
         unix: the same moment by the Unix clock.
     """
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -21,6 +21,7 @@
 from weldbend.fleet.replicated_items import MEMBERS
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.slow_start_quotas import SlowStartQuotas
+from weldbend.fleet.steady_unix import SteadyUnixTime
 from weldbend.routing.random_source import RandomSource
 
 WINDOW = 1.0  # seconds in which an operator's rate holds
@@ -59,7 +60,7 @@
             context.random,
             context.now() + self._times(longest).recovery,
             self.slow_start.open_requested,
-            context.loop.clock.unix,
+            SteadyUnixTime(context.loop.clock),
         )
         leases.is_newcomer = bool(context.fleet.membership.members)
         return leases
--- a/weldbend/fleet/replicated_items.py
+++ b/weldbend/fleet/replicated_items.py
@@ -47,6 +47,7 @@
         lifetime: seconds since it was written.
         is_critical: whether a rule of the front rests on it: such changes are dropped last.
         has_writer_key: whether keys end in `|` and the writer, so that each writes items of its own.
+        keeps_first: whether the first write dates the item, whatever it said; else the first of its value.
     """
 
     is_valid: Callable[[str, Value, str], bool]
@@ -54,6 +55,7 @@
     lifetime: float
     is_critical: bool = True
     has_writer_key: bool = False
+    keeps_first: bool = False
 
 
 def is_integer(value: object, least: int = 0, most: int = MOST_INTEGER) -> bool:
@@ -102,13 +104,14 @@
     *fields: FieldCheck,
     keys: re.Pattern[str] | None = None,
     is_critical: bool = True,
+    keeps_first: bool = False,
 ) -> ItemKind:
     """Return a kind of which all fronts write the same items, with a check for each field of a value."""
 
     def is_valid(key: str, value: Value, writer: str) -> bool:
         return has_fields(value, fields) and (keys is None or keys.fullmatch(key) is not None)
 
-    return ItemKind(is_valid, merge, lifetime, is_critical)
+    return ItemKind(is_valid, merge, lifetime, is_critical, keeps_first=keeps_first)
 
 
 def per_writer(lifetime: float, is_critical: bool, *fields: FieldCheck) -> ItemKind:
@@ -135,7 +138,7 @@
     # cache -> Unix ms of its start. The latest start is the coldest cache.
     START: written_by_all(max, 120.0, is_integer),
     # idempotency key -> (group that may have executed it, Unix ms of the first attempt); of two groups: none
-    FIRST_ATTEMPT: written_by_all(earliest, 30.0, is_group, is_integer),
+    FIRST_ATTEMPT: written_by_all(earliest, 30.0, is_group, is_integer, keeps_first=True),
     # cache|writer -> (epoch, number, good, failed): how one front's attempts there ended
     HEALTH_REPORT: per_writer(20.0, True, *VERSION, is_figure, is_figure),
     # slot|writer -> (epoch, number, packed names) of objects that one front was requested in some seconds
--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -38,10 +38,25 @@
 
 @dataclass(slots=True)
 class Item:
-    """A replicated item; `written_at` is when it was written last by any front, in this front's time."""
+    """A replicated item; both moments are in this front's time.
+
+    Attributes:
+        value: what the strictest of its writes said.
+        written_at: when it was written last by any front.
+        first_written_at: when its value was written first, or the item at all (`ItemKind.keeps_first`), as
+            far as is known here: what it speaks of had happened by then, whatever anybody's wall clock says.
+    """
 
     value: Value
     written_at: float
+    first_written_at: float
+
+    def date_first(self, kind: ItemKind, value: Value, merged: Value, written_at: float) -> None:
+        """Note a write of `value`, which together with the present one makes `merged`."""
+        if kind.keeps_first or value == merged == self.value:
+            self.first_written_at = min(self.first_written_at, written_at)
+        elif merged != self.value:
+            self.first_written_at = written_at
 
     def is_live(self, kind: ItemKind, now: float) -> bool:
         """Whether it still counts."""
@@ -197,17 +212,20 @@
 
     def _merge(self, op: Operation, value: Value, now: float) -> Change | None:
         rules, written_at = ITEM_KINDS[op.kind], now - op.age
+        current = self.items.get((op.kind, op.key))
         if now >= written_at + rules.lifetime:
+            if current and rules.keeps_first:
+                current.date_first(rules, value, current.value, written_at)
             return None
-        current = self.items.get((op.kind, op.key))
         if current is None or not current.is_live(rules, now):
             if current is None and not self._has_capacity(rules, now):
                 self.counts["items over the bound"] += 1
                 return None
-            self.items[op.kind, op.key] = Item(value, written_at)
+            self.items[op.kind, op.key] = Item(value, written_at, written_at)
             return Change(op.kind, op.key, value, op.age, op.writer)
         merged = rules.merge(current.value, value)
         is_stricter = merged != current.value
+        current.date_first(rules, value, merged, written_at)
         current.written_at = max(current.written_at, written_at)  # any write keeps the strictest value
         current.value = merged
         age = now - current.written_at
@@ -303,14 +321,20 @@
                 kind, _, key = name.partition(" ")
                 item = self.items.get((kind, key))
                 if item and item.is_live(ITEM_KINDS[kind], now):
-                    operations.append(self._as_operation(kind, key, item, now))
+                    operations += self._as_operations(kind, key, item, now)
             yield SnapshotChunk(operations, names[-1] if names else after, not rest)
             if not rest:
                 return
 
-    def _as_operation(self, kind: str, key: str, item: Item, now: float) -> Operation:
-        writer = writer_of(key) if ITEM_KINDS[kind].has_writer_key else self.name
-        return Operation(writer, 0, 0, kind, key, list(item.value), max(now - item.written_at, 0.0))
+    def _as_operations(self, kind: str, key: str, item: Item, now: float) -> list[Operation]:
+        """The last write of an item, and the first one too where that dates it."""
+        rules = ITEM_KINDS[kind]
+        writer = writer_of(key) if rules.has_writer_key else self.name
+        moments = [item.written_at]
+        if rules.keeps_first and item.first_written_at < item.written_at:
+            moments.append(item.first_written_at)
+        value = list(item.value)
+        return [Operation(writer, 0, 0, kind, key, value, max(now - at, 0.0)) for at in moments]
 
     def load_snapshot(self, ops: Iterable[Operation], now: float) -> list[Change]:
         """Merge items of a snapshot, which are not numbered; return those that became stricter."""
