--- a/weldbend/testbed/cli.py
+++ b/weldbend/testbed/cli.py
@@ -4,6 +4,7 @@
     faults,
     fleet,
     idle,
+    scale,
     simulation,
     site,
 )
--- a/weldbend/testbed/emulator/cache_model.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -140,16 +140,23 @@
 class EmulatedCaches:
     """All caches of a site, and the links between them.
 
-    An edge is linked to its parents by `edge_rate` bytes a second with `edge_delay` seconds of delay.
+    An edge is linked to its parents by `edge_rate` bytes a second with `edge_delay` seconds of delay, all
+    parents to the origin by `origin_rate` bytes a second; None for four times an edge's rate.
     """
 
     def __init__(
-        self, caches: list[EmulatedCache], sizes: Sizes, edge_rate: float = 12.5e6, edge_delay: float = 0.02
+        self,
+        caches: list[EmulatedCache],
+        sizes: Sizes,
+        edge_rate: float = 12.5e6,
+        edge_delay: float = 0.02,
+        origin_rate: float | None = None,
     ) -> None:
         self.caches = {cache.uid: cache for cache in caches}
+        self.origin = next((cache for cache in caches if cache.kind == "origin"), None)
         self.sizes = sizes
         self.links = {cache.uid: Link(edge_rate, edge_delay) for cache in caches if cache.kind == "box"}
-        self.origin_link = Link(4 * edge_rate, edge_delay / 2)  # from the origin to the parents
+        self.origin_link = Link(origin_rate or 4 * edge_rate, edge_delay / 2)  # from it to the parents
 
     def execute(self, uid: str, fields: dict[str, str], now: float, unix: float) -> TimedAnswer:
         """Execute one command; `now` and `unix` are seconds of the steady and the Unix clock.
@@ -168,6 +175,7 @@
         if cache.kind == "origin":
             cache.count("origin")
             size = self.sizes.of(*place)
+            cache.count("bytes read", size)
             ready = cache.uplink.transfer(now, size)
             return cache.answer_with(place, Copy(size, int(unix * 1000), 0), ready, "o", now)
         if copy := cache.find(lookup):
@@ -198,7 +206,9 @@
         detail = "f"
         if found is None:
             found = Copy(self.sizes.of(*place), int(lookup.unix * 1000), 0)
-            self._origin().count("fills")
+            if self.origin:
+                self.origin.count("fills")
+                self.origin.count("bytes read", found.size)
             complete = self.origin_link.transfer(now, found.size)
             detail = "o"
             if source.kind != "origin" and "n" not in modes:
@@ -213,9 +223,6 @@
         cache.count("filled from origin" if detail == "o" else "filled")
         return cache.answer_with(place, copy, cache.uplink.transfer(complete, copy.size), detail, now)
 
-    def _origin(self) -> EmulatedCache:
-        return next(cache for cache in self.caches.values() if cache.kind == "origin")
-
     @staticmethod
     def _keep_filled(cache: EmulatedCache, place: Place, complete: float, copy: Copy, now: float) -> None:
         cache.filling[place] = complete, copy
--- a/weldbend/testbed/emulator/emulated_site.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Factory, ProcessProtocol
 from twisted.python.failure import Failure
 
-from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches
+from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link
 from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
 from weldbend.testbed.emulator.objects import Sizes
 from weldbend.testbed.emulator.servers import CacheServer, EventBusServer
@@ -19,7 +19,7 @@
 LOOPBACK = "127.0.0.1"
 READY_LINE = b"serves on"  # in the log of a front that serves
 LOG_TAIL = 4096  # bytes of a log in which that is looked for
-CACHE_WEIGHT = 100  # flows that a cache's link carries
+CACHE_WEIGHT = 100.0  # flows that a cache's link carries
 
 # Versions before 0.4 close what is idle for 4.5 s: not here, so that it can be measured.
 KEEP_IDLE = "from weldbend.clients import connection; connection.IDLE = 1e6; "
@@ -37,10 +37,14 @@
     parent_capacity: int = 192 << 20  # bytes
     edge_rate: float = 12.5e6  # bytes a second of the link of an edge to its parents
     edge_delay: float = 0.02  # seconds of delay on it
+    origin_rate: float = 50e6  # bytes a second of the link of the origin to all parents
+    cache_rate: float = 60e6  # bytes a second of the link of an edge or parent to the fronts
+    cache_weight: float = CACHE_WEIGHT  # of an edge or parent, in the endpoint list
+    cache_max_open: int = 64  # commands that an edge or parent executes at a time
     sizes: Sizes = field(default_factory=Sizes)
     sockets: int = 1024  # of each front
     memory_mb: int = 192  # of each front
-    open_cap: int = 400  # requests in flight to a cache
+    open_cap: int = 400  # requests that a front may have open
 
 
 class FrontProcess(ProcessProtocol):
@@ -80,23 +84,32 @@
         kinds = [("box", "e", settings.edges), ("parent", "p", settings.parents), ("origin", "o", 1)]
         capacities = {"box": settings.edge_capacity, "parent": settings.parent_capacity, "origin": 0}
         caches = [
-            EmulatedCache(f"{letter}{number}", kind, capacities[kind])
+            self._cache(f"{letter}{number}", kind, capacities[kind])
             for kind, letter, count in kinds
             for number in range(1, count + 1)
         ]
-        self.caches = EmulatedCaches(caches, settings.sizes, settings.edge_rate, settings.edge_delay)
+        self.caches = EmulatedCaches(
+            caches, settings.sizes, settings.edge_rate, settings.edge_delay, settings.origin_rate
+        )
         self.targets = [self._listen(cache) for cache in caches]
         self.bus = EventBusServer(reactor, self.targets)
         self.bus_port: int = reactor.listenTCP(0, self.bus, interface=LOOPBACK).getHost().port
         self.fronts: list[str] = []  # addresses
         self.processes: list[Any] = []
 
+    def _cache(self, uid: str, kind: str, capacity: int) -> EmulatedCache:
+        if kind == "origin":
+            return EmulatedCache(uid, kind, capacity)
+        uplink = Link(self.settings.cache_rate)
+        return EmulatedCache(uid, kind, capacity, max_open=self.settings.cache_max_open, uplink=uplink)
+
     def _listen(self, cache: EmulatedCache) -> dict[str, Any]:
         """Serve a cache; its entry in the endpoint list."""
         server = CacheServer(self.reactor, self.caches, cache)
         port = self.reactor.listenTCP(0, server, interface=LOOPBACK).getHost().port
         zone = "z" if cache.kind == "box" else "h"
-        return target(cache.uid, cache.kind, zone, port, capacity_hint=CACHE_WEIGHT)
+        weight = CACHE_WEIGHT if cache.kind == "origin" else self.settings.cache_weight
+        return target(cache.uid, cache.kind, zone, port, capacity_hint=weight)
 
     def configure(self, number: int, bus_port: int | None = None) -> tuple[Path, str]:
         """Write the configuration of one front; returns its file and the address that it will listen on.
--- a/weldbend/testbed/emulator/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -40,6 +40,7 @@
     def connectionMade(self) -> None:
         """A front has connected."""
         self.transport.setTcpNoDelay(True)
+        self.server.cache.count("connections made")
 
     def dataReceived(self, data: bytes) -> None:
         """Execute the commands that are complete; what is no command closes the connection."""
@@ -161,7 +162,9 @@
     def send(self, event: Event) -> None:
         """Send one event, if the connection is open."""
         if self.transport:
-            self.transport.write(f"id: {event['offset']}\ndata: {json.dumps(event)}\n\n".encode())
+            data = f"id: {event['offset']}\ndata: {json.dumps(event)}\n\n".encode()
+            self.bus.event_bytes += len(data)
+            self.transport.write(data)
 
     def send_comment(self) -> None:
         """Send a comment, as a heartbeat."""
@@ -180,6 +183,7 @@
 
     def __init__(self, reactor: Reactor, targets: list[Event]) -> None:
         self.reactor = reactor
+        self.event_bytes = 0  # sent to all readers, without comments
         self.readers = dict[EventBusConnection, None]()
         self.events = [listing(1, *targets, whole=True)]
         self._send_heartbeat()
--- a/weldbend/testbed/load/process_usage.py
+++ b/weldbend/testbed/load/process_usage.py
@@ -47,6 +47,12 @@
     return usage(pid).memory if size is None else size
 
 
+def peak_memory(pid: int) -> int:
+    """The most resident bytes that a process has had; raises OSError where it is gone."""
+    size = read_kibibytes(f"/proc/{pid}/status", "VmHWM:")
+    return usage(pid).memory if size is None else size
+
+
 def kernel_sockets() -> int:
     """Bytes of the kernel's own structures (slab), of the whole machine."""
     return read_kibibytes("/proc/meminfo", "Slab:") or 0
--- /dev/null
+++ b/weldbend/testbed/scale/bounds.py
@@ -0,0 +1,60 @@
+"""How far the needs of a front may grow with the number of caches (the operators' table). No I/O."""
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from weldbend.testbed.scale.figures import ScaleFigures
+
+MEGABYTE = 1e6  # bytes
+KILOBYTE = 1e3  # bytes
+THOUSAND = 1000  # caches
+
+
+@dataclass(frozen=True, slots=True)
+class Bound:
+    """One line of the table.
+
+    Attributes:
+        name: What is bounded, with its unit.
+        value: The figure, in that unit.
+        factor: Times the figure at the usual size.
+        extra: What may be added to that.
+        extra_per_thousand: What may be added for each thousand caches.
+        is_least: Whether the figure must not fall below the bound, rather than not pass it.
+        is_counted: Whether the figure is counted, and so the same on a slow machine.
+    """
+
+    name: str
+    value: Callable[[ScaleFigures], float]
+    factor: float
+    extra: float = 0.0
+    extra_per_thousand: float = 0.0
+    is_least: bool = False
+    is_counted: bool = True
+
+    def limit(self, usual: ScaleFigures, large: ScaleFigures) -> float:
+        """The bound at the large size."""
+        return (
+            self.factor * self.value(usual) + self.extra + self.extra_per_thousand * large.caches / THOUSAND
+        )
+
+    def is_held(self, usual: ScaleFigures, large: ScaleFigures) -> bool:
+        """Whether the large size keeps to it."""
+        limit, value = self.limit(usual, large), self.value(large)
+        return value >= limit if self.is_least else value <= limit
+
+
+BOUNDS = (
+    Bound("CPU, s", lambda f: f.cpu, 1.4, 0.02, 0.12, is_counted=False),
+    Bound("peak memory, MB", lambda f: f.memory / MEGABYTE, 1.5, 8.0, 4.0, is_counted=False),
+    Bound("descriptors", lambda f: f.descriptors, 2.0, 40.0),
+    Bound("connections made", lambda f: f.connections, 2.5, 40.0),
+    Bound("bytes of lists, KB", lambda f: f.list_bytes / KILOBYTE, 2.0, 64.0, 500.0),
+    Bound("share served", lambda f: f.served, 0.85, is_least=True),
+)
+
+
+def broken_bounds(usual: ScaleFigures, large: ScaleFigures, is_counted_only: bool) -> list[Bound]:
+    """The lines that are missed; where asked for, only of those that are counted."""
+    judged = [bound for bound in BOUNDS if bound.is_counted or not is_counted_only]
+    return [bound for bound in judged if not bound.is_held(usual, large)]
--- /dev/null
+++ b/weldbend/testbed/scale/report.py
@@ -0,0 +1,60 @@
+"""The table and the plot of two sizes of a site beside the bounds."""
+
+from collections.abc import Callable
+
+from weldbend.testbed.load import process_usage
+from weldbend.testbed.load.process_usage import Cell
+from weldbend.testbed.scale.bounds import BOUNDS, MEGABYTE
+from weldbend.testbed.scale.figures import ScaleFigures
+
+Value = Callable[[ScaleFigures], float]
+
+SHOWN: tuple[tuple[str, Value], ...] = (
+    ("caches", lambda f: f.caches),
+    ("requests", lambda f: f.requests),
+    ("CPU until it serves, s", lambda f: f.start_cpu),
+    ("commands at edges", lambda f: f.lookups),
+    ("answered from copies, share", lambda f: f.hits),
+    ("bytes from the origin, MB", lambda f: f.origin_bytes / MEGABYTE),
+    ("edges used, share", lambda f: f.edges_used),
+    ("commands at the busiest tenth of edges, share", lambda f: f.busiest_share),
+)
+HEAD = ("for each front", "usual", "large", "bound", "verdict")
+
+
+def table(usual: ScaleFigures, large: ScaleFigures, is_counted_only: bool) -> str:
+    """Each bounded line with its verdict, then what is shown beside them."""
+    rows: list[list[Cell]] = []
+    for bound in BOUNDS:
+        is_judged = bound.is_counted or not is_counted_only
+        verdict = "held" if bound.is_held(usual, large) else "missed"
+        sign = ">= " if bound.is_least else "<= "
+        limit = f"{sign}{bound.limit(usual, large):.2f}"
+        rows.append([bound.name, *_pair(bound.value, usual, large), limit, verdict if is_judged else "-"])
+    for name, value in SHOWN:
+        rows.append([name, *_pair(value, usual, large), "", ""])
+    return process_usage.table(rows, HEAD)
+
+
+def _pair(value: Value, usual: ScaleFigures, large: ScaleFigures) -> list[Cell]:
+    return [float(value(usual)), float(value(large))]
+
+
+def plot(path: str, usual: ScaleFigures, large: ScaleFigures) -> None:
+    """Draw each figure at the large size as a part of its bound, as a PNG."""
+    # Here, so that only a command that draws loads it.
+    import matplotlib
+
+    matplotlib.use("Agg")
+    from matplotlib import pyplot
+
+    figure, axes = pyplot.subplots(figsize=(8, 4))
+    names = [bound.name for bound in BOUNDS]
+    parts = [bound.value(large) / (bound.limit(usual, large) or 1) for bound in BOUNDS]
+    colours = ["tab:blue" if bound.is_held(usual, large) else "tab:red" for bound in BOUNDS]
+    axes.barh(names, parts, color=colours)
+    axes.axvline(1.0, color="black", linewidth=1)
+    axes.set(xlabel="part of the bound", title=f"{usual.caches} caches and {large.caches}")
+    axes.invert_yaxis()
+    figure.tight_layout()
+    figure.savefig(path, dpi=90)
--- /dev/null
+++ b/weldbend/testbed/scale/site_run.py
@@ -0,0 +1,143 @@
+"""Plays one size of a site: caches, bus and load in this process, fronts as child processes."""
+
+import os
+from collections.abc import Callable
+from random import Random
+
+from weldbend.testbed.emulator.configuration import listing
+from weldbend.testbed.emulator.emulated_site import EmulatedSite
+from weldbend.testbed.errors import TestbedError
+from weldbend.testbed.load import process_usage
+from weldbend.testbed.load.generator import Load
+from weldbend.testbed.reactor import ProcessReactor
+from weldbend.testbed.scale.figures import ScaleFigures, busiest_share, used_share
+from weldbend.testbed.scale.plan import ScalePlan
+
+SAMPLE_PERIOD = 0.1  # seconds
+MAX_START_TIME = 60.0  # seconds within which all fronts have to serve
+MAX_OVERTIME = 30.0  # seconds beyond the load's own within which it has to be over
+DRAINED_FOR = 2.0  # seconds for which a cache whose entry changes is listed as draining
+
+
+class ScaleRunError(TestbedError):
+    """A run that did not come to its end."""
+
+
+class FrontEndedError(ScaleRunError):
+    """A front ended before the load was over."""
+
+    def __init__(self, code: int, folder: str) -> None:
+        super().__init__(f"a front ended with {code} before the load was over; its log is in {folder}")
+
+
+class OverdueError(ScaleRunError):
+    """Fronts or load took too long."""
+
+    def __init__(self, part: str, folder: str) -> None:
+        super().__init__(f"{part} took too long; the logs of the fronts are in {folder}")
+
+
+class SiteRun:
+    """One site, its load and what was measured; `on_end` is called with the figures, or what went wrong."""
+
+    def __init__(
+        self,
+        reactor: ProcessReactor,
+        plan: ScalePlan,
+        on_end: Callable[[ScaleFigures | ScaleRunError], None],
+    ) -> None:
+        self.reactor = reactor
+        self.plan = plan
+        self.on_end = on_end
+        self.site = EmulatedSite(reactor, plan.site_settings())
+        self.random = Random(plan.seed)
+        self.start_cpu: list[float] = []  # of each front
+        self.descriptors: list[int] = []  # most of each front
+        self.load: Load | None = None
+        self.figures: ScaleFigures | None = None
+        self.is_over = False
+
+    def start(self) -> None:
+        """Start the fronts, then the load."""
+        self.site.start(self._on_ready, self._on_front_end, ("--log-form", "json"))
+        self._limit_time(MAX_START_TIME, "starting", lambda: self.load is None)
+
+    def _limit_time(self, seconds: float, part: str, is_missing: Callable[[], bool]) -> None:
+        def check() -> None:
+            if is_missing():
+                self._end(OverdueError(part, str(self.site.folder)))
+
+        self.reactor.callLater(seconds, check)
+
+    def _on_ready(self) -> None:
+        plan = self.plan
+        self.start_cpu = [process_usage.usage(pid).cpu for pid in self.site.pids()]
+        self.descriptors = [0] * plan.fronts
+        self._sample()
+        sizes = self.site.settings.sizes
+        self.load = Load(self.reactor, plan.load_plan(), self.site.fronts, sizes, self._on_load_end)
+        self.load.start()
+        self._change_list()
+        self._limit_time(plan.seconds + MAX_OVERTIME, "the load", lambda: self.figures is None)
+
+    def _sample(self) -> None:
+        if self.is_over or self.figures:
+            return
+        counts = [len(os.listdir(f"/proc/{pid}/fd")) for pid in self.site.pids()]
+        self.descriptors = [max(pair) for pair in zip(self.descriptors, counts, strict=True)]
+        self.reactor.callLater(SAMPLE_PERIOD, self._sample)
+
+    def _change_list(self) -> None:
+        """Publish the next change: a cache drains, and is up again some seconds later."""
+        rate = self.plan.changes_per_second()
+        if self.is_over or self.figures or not rate:
+            return
+        entry = self.random.choice(self.site.targets[:-1])  # the origin is the last
+        self._publish(entry, "draining")
+        self.reactor.callLater(DRAINED_FOR, self._publish, entry, "up")
+        self.reactor.callLater(2 / rate, self._change_list)
+
+    def _publish(self, entry: dict[str, object], state: str) -> None:
+        change = listing(0, entry | {"state": state})["topology"]
+        self.site.bus.publish(topology=change | {"rev": len(self.site.bus.events) + 1})
+
+    def _on_load_end(self, load: Load) -> None:
+        self.figures = self._measure(load)
+        self.site.stop()
+
+    def _measure(self, load: Load) -> ScaleFigures:
+        fronts, counts = self.plan.fronts, self.site.counts()
+        pids = self.site.pids()
+        caches = self.site.caches.caches.values()
+        lookups = [cache.counts.get("asked", 0) for cache in caches if cache.kind == "box"]
+        requests = len(load.arrivals)
+        hits = counts.get("box hits", 0) + counts.get("box joined", 0) + counts.get("box filled", 0)
+        connections = sum(cache.counts.get("connections made", 0) for cache in caches)
+        return ScaleFigures(
+            caches=self.plan.count(),
+            requests=requests,
+            served=load.tally.counts["fulfilled"] / max(requests, 1),
+            start_cpu=sum(self.start_cpu) / fronts,
+            cpu=sum(process_usage.usage(pid).cpu for pid in pids) / fronts,
+            memory=sum(process_usage.peak_memory(pid) for pid in pids) // fronts,
+            descriptors=max(self.descriptors),
+            connections=connections / fronts,
+            list_bytes=self.site.bus.event_bytes / fronts,
+            lookups=sum(lookups),
+            hits=hits / max(requests, 1),
+            origin_bytes=counts.get("origin bytes read", 0),
+            edges_used=used_share(lookups),
+            busiest_share=busiest_share(lookups),
+        )
+
+    def _on_front_end(self, code: int) -> None:
+        if self.figures is None:
+            self._end(FrontEndedError(code, str(self.site.folder)))
+        elif not self.site.pids():
+            self._end(self.figures)
+
+    def _end(self, outcome: ScaleFigures | ScaleRunError) -> None:
+        if not self.is_over:
+            self.is_over = True
+            self.site.stop()
+            self.on_end(outcome)
