--- /dev/null
+++ b/tests/test_last_moments.py
@@ -0,0 +1,151 @@
+"""The end of a shutdown: clients send until SIGKILL, whatever the longest deadline, and all get an answer."""
+
+import socket
+import subprocess
+import sys
+import threading
+import time
+
+import pytest
+from fronts import Stage, answer_text, process, target
+
+from weldbend.buffers.ring import Ring
+from weldbend.testbed.emulator.configuration import SETTINGS
+from weldbend.testbed.emulator.configuration import configuration as emulated_configuration
+from weldbend.thrift import messages
+from weldbend.thrift.framing import next_frame
+
+LONG = 20.0  # seconds after which a test gives up
+PAUSE = 0.02  # seconds between two requests of one client
+MOST_OPEN = 25  # requests of one client without an answer
+CROSSING = 0.05  # seconds before the end of a connection in which a request crosses it and is sent again
+
+
+def stage_with_deadlines(seconds):
+    stage = Stage()
+    for kind in stage.door.site.settings.classes.values():
+        object.__setattr__(kind, "deadline_after", seconds)
+    return stage
+
+
+@pytest.mark.parametrize("longest", [0.1, 0.3, 1.0, 3.0, 9.0])
+def test_requests_that_come_until_the_kill_are_answered_and_the_front_ends_before_it(longest):
+    stage = stage_with_deadlines(longest)
+    client = stage.client()
+    kill = min(longest, 3.0) + 0.7
+    stage.door.terminate()
+    sent = 0
+    while not stage.reactor.hasStopped and stage.reactor.seconds() < kill + 1.0:
+        if not client.transport.disconnecting:
+            sent += 1
+            stage.say(client, process(sent, wait="100"))
+        stage.turn(0.01)
+    ended = stage.reactor.seconds()
+    answered = {int(line.split()[3]) for line in stage.trace if line.startswith("client 0 <")}
+    assert answered == set(range(1, sent + 1)) and sent > 20
+    assert ended < kill, "it has ended before it can be killed"
+
+
+def test_calls_that_lie_unhandled_behind_a_slow_reader_are_answered_at_the_last_moment():
+    stage = stage_with_deadlines(0.3)
+    client = stage.client()
+    client.pauseProducing()
+    for seqid in (101, 102):  # the second waits for room in the ring
+        client.writer.write(messages.answer("process", seqid, bytes(240_000), {}, True))
+    stage.say(client, process(1, wait="300"), process(2, wait="300"))
+    assert not client.open_requests and len(client.incoming)
+    stage.door.terminate()
+    stage.turn(0.7)
+    stage.turn(0.03)
+    assert not client.transport.disconnecting, "it has answers that wait"
+    client.resumeProducing()
+    stage.turn(0.01)
+    assert client.transport.disconnecting
+    stage.shows("""
+        client 0 < 101 process: '240000 bytes'
+        client 0 < 102 process: '240000 bytes'
+        client 0 < 1 throttled {'after': '1000'}
+        client 0 < 2 throttled {'after': '1000'}
+    """)
+
+
+class Client(threading.Thread):
+    """Sends requests on one connection until the other side ends it, and keeps what is answered."""
+
+    def __init__(self, address, number):
+        super().__init__()
+        self.address, self.number = address, number
+        self.sent, self.answers, self.ended = {}, {}, 0.0
+
+    def run(self):
+        ring = Ring(1 << 20)
+        with socket.create_connection(self.address, LONG) as connection:
+            connection.settimeout(PAUSE)
+            while not self.ended:
+                seqid = len(self.sent) + 1
+                name = f"{self.number:08x}{seqid:08x}"
+                try:
+                    if len(self.sent) - len(self.answers) < MOST_OPEN:
+                        connection.sendall(process(seqid, wait="300", id=name))
+                        self.sent[seqid] = time.monotonic()
+                    ring.write(data := connection.recv(1 << 16))
+                except TimeoutError:
+                    continue
+                except OSError:
+                    data = b""
+                if not data:
+                    self.ended = time.monotonic()
+                while frame := next_frame(ring, 1 << 20):
+                    text = answer_text(frame)
+                    self.answers[int(text.split()[0])] = text
+
+
+def short_site(tmp_path, cache, bus, listen):
+    lanes = [lane | {"deadline_us": 300000, "goal_time_us": 200000} for lane in SETTINGS["lanes"]]
+    entry = target("e1", port=cache.getsockname()[1]) | {"capacity_hint": 1000}
+    path = tmp_path / "front.json"
+    path.write_text(
+        emulated_configuration(
+            (entry,),
+            settings=SETTINGS | {"lanes": lanes},
+            listen=f"127.0.0.1:{listen}",
+            bus=f"127.0.0.1:{bus.getsockname()[1]}",
+        )
+    )
+    return path
+
+
+def test_a_process_with_deadlines_of_300_ms_answers_until_it_ends_in_time(tmp_path):
+    """Its cache takes everything and answers nothing; clients send until their connections are ended."""
+    with (
+        socket.create_server(("127.0.0.1", 0), backlog=64) as cache,
+        socket.create_server(("127.0.0.1", 0)) as bus,
+        socket.create_server(("127.0.0.1", 0)) as spare,
+    ):
+        port = spare.getsockname()[1]
+        spare.close()
+        command = [sys.executable, "-O", "-m", "weldbend", "serve", "--config"]
+        command.append(str(short_site(tmp_path, cache, bus, port)))
+        front = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
+        try:
+            assert any("serves on" in line for line in front.stderr)
+            clients = [Client(("127.0.0.1", port), number) for number in range(1, 4)]
+            for client in clients:
+                client.start()
+            time.sleep(0.3)
+            told = time.monotonic()
+            front.terminate()
+            front.wait(LONG)
+            took = time.monotonic() - told
+            for client in clients:
+                client.join(LONG)
+        finally:
+            if front.poll() is None:
+                front.kill()
+            front.wait(LONG)
+            front.stderr.close()
+    assert took < 1.0, "SIGKILL may come after the longest deadline and 0.7 s"
+    for client in clients:
+        owed = {seqid for seqid, at in client.sent.items() if at < client.ended - CROSSING}
+        assert client.ended > told + 0.6, "it was served up to the end"
+        assert len(owed) > 20 and owed <= set(client.answers), sorted(owed - set(client.answers))
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -75,6 +75,7 @@
         active_at: When it last was not idle (seconds of the front's clock, as all moments here).
         call_started_at: Since when an incomplete call has been arriving.
         is_draining: Whether no further calls are read; it closes once the open ones are answered.
+        is_finishing: Whether this front ends it, and handles the calls that it has read all the same.
         is_closing: Whether this front has closed its side and discards what still arrives.
         is_lost: Whether it has ended, or has become an idle connection without an object.
         is_read_paused: Whether the socket is not read at present.
@@ -83,6 +84,7 @@
     # Twisted declares an ITransport, which lacks most of what a TCP transport offers (see ClientTransport).
     transport: Any = None
     is_draining = False
+    is_finishing = False
     is_lost = False
     is_read_paused = False
     is_reading = False
@@ -149,12 +151,15 @@
         self.read_calls()
 
     def read_calls(self) -> None:
-        """Handle the calls that are complete, but none of a client that does not read its answers."""
+        """Handle the calls that are complete, but none of a client that does not read its answers.
+
+        At the end of this connection those are handled as well: a request that was read is answered.
+        """
         if self.is_reading:  # a call answered at once lets the next one in: in this loop, not inside it
             return
         self.is_reading = True
         try:
-            while not self.is_draining and not self.writer.queue:
+            while not self.is_draining and (self.is_finishing or not self.writer.queue):
                 data = next_frame(self.incoming, MAX_FRAME)
                 if data is None:
                     break
@@ -340,7 +345,9 @@
     # Closing.
 
     def finish_and_close(self) -> None:
-        """Read no further calls, and close once the open ones are answered."""
+        """Handle what has been read, read no further calls, and close once the open ones are answered."""
+        self.is_finishing = True
+        self.read_calls()
         self.is_draining = True
         self._close_if_done()
 
--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -13,7 +13,11 @@
 
 
 class Admission:
-    """Accepts requests or turns them away."""
+    """Accepts requests or turns them away.
+
+    Attributes:
+        is_rejecting: whether it accepts none, since the process is about to end.
+    """
 
     def __init__(
         self, context: FrontContext, queue: EventQueue, requests: RequestTable, attempts: AttemptManager
@@ -22,6 +26,7 @@
         self.queue = queue
         self.requests = requests
         self.attempts = attempts
+        self.is_rejecting = False
 
     def handle(self, client_request: ClientRequest) -> None:
         """Accept a request whose last byte has come, or answer it at once."""
@@ -51,7 +56,7 @@
             self.context.counters.counts["invalid requests"] += 1
             self._refuse_duplicate(client_request, duplicate.client_request)
             return
-        if len(self.requests.by_id) >= site.max_open_requests:
+        if self.is_rejecting or len(self.requests.by_id) >= site.max_open_requests:
             client_request.answer_rejected(site.settings.max_retry_after)
             return
         request = self._open(client_request, parsed)
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -34,8 +34,8 @@
 # All in seconds.
 MIN_SHUTDOWN = 0.7  # from SIGTERM to the end at least: clients still come
 MAX_DEADLINE = 3.0  # the part of the longest deadline that a shutdown waits for: SIGKILL comes soon after
-ABORT_DELAY = 0.4  # after that deadline what is still open is aborted
-FORCED_END = 0.1  # after that the front ends in any case
+ABORT_DELAY = 0.4  # after that deadline what is still open is aborted, and what still comes is rejected
+FORCED_END = 0.2  # after that the front ends in any case
 SHUTDOWN_POLL = 0.02  # between two checks whether all is answered
 SHUTDOWN_POLL_IDLE = 0.002  # the same while idle connections are closed, a batch each time
 MAX_BUS_WAIT = 0.3  # that a start waits for the bus
@@ -51,6 +51,7 @@
         fleet_adapter: None where the installation names no fleet.
         is_open: whether the port is open.
         stop_requested: when SIGTERM came; None before.
+        is_aborting: whether SIGKILL is near, and nothing new is begun.
     """
 
     def __init__(
@@ -83,6 +84,7 @@
         self.is_open = False
         self._has_tried_to_open = False
         self.stop_requested: float | None = None
+        self.is_aborting = False
 
     @property
     def site(self) -> Site:
@@ -215,8 +217,8 @@
         if self.stop_requested is None:
             self.stop_requested = self.clock.now()
             logger.info("shutdown requested; {} requests open", len(self.dispatcher.requests))
-            self.timers.after(MIN_SHUTDOWN, self._end_if_done)
-            self.timers.after(self._abort_after(), self.dispatcher.attempts.abort_all)
+            self.timers.after(min(MIN_SHUTDOWN, self._abort_after()), self._end_if_done)
+            self.timers.after(self._abort_after(), self._abort_all)
 
     def _abort_after(self) -> float:
         """Return the seconds from SIGTERM to the moment in which what is still open is aborted."""
@@ -224,6 +226,16 @@
         longest = max(request_class.deadline_after for request_class in classes)
         return min(longest, MAX_DEADLINE) + ABORT_DELAY
 
+    def _abort_all(self) -> None:
+        """Answer what is open, and at once what still comes; the next checks close every connection.
+
+        Guards against clients that send until SIGKILL: a front that waits for a quiet moment among them ends
+        with requests open. Harm: these requests are rejected although there was time for some of them.
+        """
+        self.is_aborting = True
+        self.dispatcher.admission.is_rejecting = True
+        self.dispatcher.attempts.abort_all()
+
     def _end_if_done(self) -> None:
         """End when all is answered; checked again and again, since new requests come until the last moment.
 
@@ -238,7 +250,7 @@
         if is_late or not (requests or self.listener.connection_count()):
             self._end()
             return
-        if has_stopped_accepting and not requests and self.listener.is_quiet():
+        if self.is_aborting or (has_stopped_accepting and not requests and self.listener.is_quiet()):
             self.listener.close_batch()
         self.timers.after(
             SHUTDOWN_POLL_IDLE if self.listener.idle_count() else SHUTDOWN_POLL, self._end_if_done
