--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -12,7 +12,7 @@
 from weldbend.routing.slow_start import RECONNECT_GRACE, RECONNECT_WINDOW, SlowStart
 
 HEALTH_WINDOW = 10.0  # seconds of answers that a cache is judged by
-LATE_WEIGHT = 0.5  # what a late answer counts against a cache, a failed one counting one
+LATE_WEIGHT = 0.5  # what a late answer counts against a cache, a failed one counting one; exact in binary
 OUTLIER_BAR = 0.8  # a suspected cache must draw this part of its peers' success
 LEAST_PRIOR, MOST_PRIOR = 0.1, 0.95  # within which the peers' success serves as prior
 
@@ -26,10 +26,15 @@
 
     def restart(self, started: float | None) -> None:
         """Forget what was learned of it: it has started anew, or is new."""
+        group = self.group
+        if group is not None:
+            group.leave_sums(self)
         self.started = started
         self.clear(HEALTH_WINDOW, ConnectionBreaks(RECONNECT_GRACE, RECONNECT_WINDOW))
         self.concurrency = ConcurrencyLimit(self)
         self.slow_start = SlowStart(self)
+        if group is not None:
+            group.join_sums(self)
 
     def handle(self, message: CacheMessage) -> None:
         """Take in what the list, peers, settings or attempts tell of it."""
@@ -39,6 +44,7 @@
                     self.restart(message.started)
                 self.state = message.state
                 self.weight = message.weight
+                self.context.changed[self] = None
             case events.PeerKnowledge():
                 self.apply_peer_knowledge(message)
             case events.SettingsChanged():
@@ -56,6 +62,7 @@
             self.restart(known.started)
         if known.state and known.state.value > self.state.value:
             self.state = known.state
+            self.context.changed[self] = None
 
     def record_outcome(self, outcome: Outcome) -> None:
         """Judge it by the end of an attempt; a lost connection counts once, whatever was in flight on it."""
--- a/weldbend/routing/concurrency.py
+++ b/weldbend/routing/concurrency.py
@@ -2,11 +2,12 @@
 
 import math
 
+from weldbend.routing.cache_group import RoleGroup
 from weldbend.routing.context import Context
 from weldbend.routing.messages import Outcome
 from weldbend.routing.records import CacheRecord
 from weldbend.routing.settings import Role
-from weldbend.routing.windows import WindowedSum
+from weldbend.routing.windows import PooledSum
 
 DECREASE_FACTOR = 0.6  # what a decrease leaves of a limit
 DECREASE_INTERVAL = 0.1  # seconds between two decreases
@@ -30,8 +31,8 @@
         self.cache = cache
         is_told = cache.context.settings.weighted and cache.role is not Role.ORIGIN
         self.limit = initial_limit(cache.weight / cache.sharers) if is_told else INITIAL_LIMIT
-        self.timely = WindowedSum(OVERLOAD_WINDOW)
-        self.late = WindowedSum(OVERLOAD_WINDOW)
+        self.timely = PooledSum(OVERLOAD_WINDOW)
+        self.late = PooledSum(OVERLOAD_WINDOW)
         self.decreased_at = -math.inf
 
     def has_capacity(self, is_densest: bool, is_primary: bool) -> bool:
@@ -45,6 +46,8 @@
     def count(self, outcome: Outcome) -> None:
         """Count an answer that came in time, or one that was late or none."""
         (self.timely if outcome is Outcome.SUCCESS else self.late).add(self.cache.context.now)
+        if outcome is not Outcome.SUCCESS and self.cache.group is not None:
+            self.cache.group.record_late(self)
 
     def adapt(self, outcome: Outcome) -> None:
         """Additive increase, by one for all fronts of the zone, where it is used; multiplicative decrease."""
@@ -52,7 +55,12 @@
         if outcome is Outcome.SUCCESS:
             is_used = 2 * len(self.cache.in_flight) + 1 >= self.limit
             self.limit += is_used / max(self.limit, 1) / context.settings.zone_fronts
-        elif now >= self.decreased_at + DECREASE_INTERVAL and is_overloaded([self], now):
+        elif now >= self.decreased_at + DECREASE_INTERVAL:
+            self.decrease_if_overloaded(now)
+
+    def decrease_if_overloaded(self, now: float) -> None:
+        """Decrease the limit where more than a few answers came late."""
+        if is_overloaded(self.late.total(now), self.timely.total(now)):
             self.decreased_at = now
             self.limit = max(LEAST_FLEET_LIMIT / self.cache.sharers, self.limit * DECREASE_FACTOR)
 
@@ -72,7 +80,7 @@
 
     def limit(self) -> float:
         """Attempts that may be in flight."""
-        weight = sum(parent.weight for parent in self.context.ready[Role.PARENT])
+        weight = self.context.ready[Role.PARENT].ranking.weight()
         return self.fraction * initial_limit(weight * self.context.parent_fraction)
 
     def record(self, outcome: Outcome) -> None:
@@ -84,10 +92,17 @@
                 step = 1 / max(limit, 1) ** 2 / self.context.settings.zone_fronts
                 self.fraction = min(1.0, self.fraction + step)
         elif now >= self.decreased_at + DECREASE_INTERVAL and len(parents) > 1:
-            limits = [parent.concurrency for parent in parents]
-            if is_overloaded(sorted(limits, key=lambda limit: limit.late.total(now))[:-1], now):
-                self.decreased_at = now
-                self.fraction *= DECREASE_FACTOR
+            self.decrease_if_overloaded(parents, now)
+
+    def decrease_if_overloaded(self, parents: RoleGroup, now: float) -> None:
+        """Decrease the limit where all parents but the worst one are late together."""
+        late, timely = parents.late.total(now), parents.timely.total(now)
+        if worst := parents.most_late():
+            late -= worst.late.total(now)
+            timely -= worst.timely.total(now)
+        if is_overloaded(late, timely):
+            self.decreased_at = now
+            self.fraction *= DECREASE_FACTOR
 
     def has_capacity(self, is_densest: bool) -> bool:
         """Whether one more may go, below one by chance; always where the sizes of links are not told."""
@@ -102,7 +117,6 @@
     return fair_quota + INITIAL_SPREAD * math.sqrt(fair_quota)
 
 
-def is_overloaded(limits: list[ConcurrencyLimit], now: float) -> bool:
+def is_overloaded(late: float, timely: float) -> bool:
     """Whether more than one answer, and too large a part of them, came late: overload, not large objects."""
-    late = sum(limit.late.total(now) for limit in limits)
-    return late > 1 + OVERLOAD_LATE_FRACTION * (late + sum(limit.timely.total(now) for limit in limits))
+    return late > 1 + OVERLOAD_LATE_FRACTION * (late + timely)
--- a/weldbend/routing/context.py
+++ b/weldbend/routing/context.py
@@ -5,6 +5,7 @@
 
 from weldbend.routing.actions import Action, SetTimer
 from weldbend.routing.actor import Actor, Mailbox
+from weldbend.routing.cache_group import CacheGroup, RoleGroup
 from weldbend.routing.class_statistics import ClassStatistics
 from weldbend.routing.events import EndpointState
 from weldbend.routing.random_source import RandomSource
@@ -29,7 +30,9 @@
         mailbox: messages between the parts.
         statistics: measured duration and size of answers.
         caches: all known caches by number.
+        changed: those of which something has changed that says whether they can be used.
         ready: those that this front may use, by role.
+        hub_parents: those of the parents that stand at the hub.
         requests: the open ones, and those with attempts in flight, by id.
         parent_fraction: this front's fraction of what all fronts have in flight at the parents.
         parents_in_flight: attempts of this front in flight at all parents.
@@ -41,6 +44,7 @@
     placement: Actor[Any]
     admission: Actor[Any]
     parents: "ParentConcurrencyLimit"
+    ready: dict[Role, RoleGroup]
 
     def __init__(self, seed: int, settings: SiteSettings, statistics: ClassStatistics) -> None:
         self.settings = settings
@@ -52,7 +56,8 @@
         self.post = self.mailbox.post
         self.statistics = statistics
         self.caches: dict[int, Cache] = {}
-        self.ready: dict[Role, list[Cache]] = {role: [] for role in Role}
+        self.changed: dict[Cache, None] = {}
+        self.hub_parents = CacheGroup()
         self.requests: dict[str, Request] = {}
         self.parents_in_flight = 0
         self.parent_fraction = 1 / settings.fronts
@@ -68,16 +73,31 @@
         if settings.fronts != self.settings.fronts:
             self.parent_fraction = 1 / settings.fronts
         self.settings = settings
+        self.changed = dict.fromkeys(self.caches.values())
         still_open = {request.request_class.name for request in self.requests.values()}
         self.statistics.change_classes(settings.classes.values(), still_open)
 
     def update_ready(self) -> None:
-        """Forget caches that were removed, as numbers are never used again, and list those that are ready."""
-        for cache in [c for c in self.caches.values() if c.state is EndpointState.REMOVED]:
-            del self.caches[cache.id]
-        ready = [c for c in self.caches.values() if c.state is EndpointState.READY]
-        near = [c for c in ready if c.role is not Role.EDGE or c.zone == self.settings.zone]
-        self.ready = {role: [c for c in near if c.role is role] for role in Role}
+        """Forget caches that were removed, as numbers are never used again, and find those that are ready.
+
+        The cost is that of the caches that have changed.
+        """
+        for cache in self.changed:
+            if cache.state is EndpointState.REMOVED:
+                self.caches.pop(cache.id, None)
+            is_near = cache.role is not Role.EDGE or cache.zone == self.settings.zone
+            is_ready = cache.state is EndpointState.READY and is_near
+            is_at_hub = cache.role is Role.PARENT and cache.zone == self.settings.hub
+            self.put_or_remove(cache, self.ready[cache.role], is_ready)
+            self.put_or_remove(cache, self.hub_parents, is_ready and is_at_hub)
+        self.changed.clear()
+
+    def put_or_remove(self, cache: "Cache", group: CacheGroup, is_member: bool) -> None:
+        """Have a cache in a group or not; its weight counts where the list tells how large links are."""
+        if is_member:
+            group.put(cache, cache.weight if self.settings.weighted else 1.0)
+        else:
+            group.remove(cache)
 
     def start_timer(self, delay: float, token: str, request: str = "", attempt: int = -1) -> None:
         """Have `TimerFired(token)` come after `delay` seconds."""
--- a/weldbend/routing/endpoint_table.py
+++ b/weldbend/routing/endpoint_table.py
@@ -35,3 +35,4 @@
         for cache in self.context.caches.values():
             if cache.id not in named:
                 cache.state = EndpointState.REMOVED
+                self.context.changed[cache] = None
--- a/weldbend/routing/placement.py
+++ b/weldbend/routing/placement.py
@@ -1,12 +1,12 @@
 """The paper's placement: prefilter, value and cache rate of a copy, and the hash that picks caches."""
 
 from weldbend.routing.actor import Actor
+from weldbend.routing.cache_group import CacheGroup, Choices
 from weldbend.routing.cache_rates import CacheRates
 from weldbend.routing.cache_state import Cache
 from weldbend.routing.context import Context
 from weldbend.routing.messages import Blocked, PlacementMessage
-from weldbend.routing.records import Attempt, success_rate
-from weldbend.routing.rendezvous import rank_by_hash
+from weldbend.routing.records import Attempt
 from weldbend.routing.requests import Request
 from weldbend.routing.settings import Role
 
@@ -17,6 +17,7 @@
 COPY_RANK = 2  # the rank of such a copy
 TABLE_SIZE = 8192  # objects that the prefilter remembers
 RATE_WINDOW = 10.0  # seconds over which cache rates are measured
+MOST_CHOICES = 32  # caches of a group, the first by hash, that one request may try or draw for
 LACK_WINDOW = 10.0  # seconds after a decrease for which a parent that lacks an object is not preferred
 
 
@@ -43,9 +44,9 @@
             origin = self.pick(request, self.context.ready[Role.ORIGIN], 0.0)
             return Attempt(request, origin) if origin else None
         edges, missed_at = self.context.ready[Role.EDGE], request.missed_at
-        if missed_at in edges and missed_at not in request.ruled_out:
+        if missed_at is not None and missed_at in edges and missed_at not in request.ruled_out:
             return self.plan_fill(request, missed_at)
-        edge = self.pick(request, edges, success_rate(edges, self.context.now))
+        edge = self.pick(request, edges, edges.success_rate())
         if edge is None:
             return self.plan_at_parent(request)
         # a warming edge is filled without a lookup: it holds little, and each attempt counts in its budget
@@ -61,7 +62,7 @@
         if parent is None:
             return None
         lacks = request.lacking_parent or not parent.is_warm() or request.request_class.origin_only
-        return Attempt(request, parent, origins[0] if lacks else None)
+        return Attempt(request, parent, origins.first() if lacks else None)
 
     def plan_fill(self, request: Request, edge: Cache) -> Attempt | None:
         """A parent first gives what it holds: wanted before, if at another front, the edge may keep that.
@@ -74,7 +75,7 @@
         attempt, origins = Attempt(request, edge, source), self.context.ready[Role.ORIGIN]
         is_parent = source.role is Role.PARENT and not request.request_class.origin_only
         if is_parent and origins and edge.is_warm():
-            attempt.origin = origins[0] if request.lacking_parent else None
+            attempt.origin = origins.first() if request.lacking_parent else None
             attempt.only_cached = not request.lacking_parent and source.is_warm()
         self.decide_copies(attempt)
         return attempt
@@ -105,27 +106,38 @@
     def pick_source(self, request: Request) -> Cache | None:
         """The hub's parent by hash, then any by hash; the origin where no parent does as well."""
         parents, origins = self.context.ready[Role.PARENT], self.context.ready[Role.ORIGIN]
-        lacking, near = request.lacking_parent, [c for c in parents if c.zone == self.context.settings.hub]
+        lacking, near = request.lacking_parent, self.context.hub_parents
         if lacking and self.context.now - lacking.concurrency.decreased_at < LACK_WINDOW:
             near = parents
         if picked := self.pick_trusted(request, near or parents, 1.0):
             return picked
-        success = 1 - min((cache.failure_rate() for cache in parents + origins), default=0.0)
+        candidates = [*self.choices(request, parents), *self.choices(request, origins)]
+        success = 1 - min((cache.failure_rate() for cache in candidates), default=0.0)
         picked = self.pick_trusted(request, parents, success)
-        if picked or any(parent in request.ruled_out for parent in parents):
+        if picked or any(cache in parents for cache in request.ruled_out):
             return picked or self.pick_trusted(request, origins, success)
-        sound = (cache for cache in parents + origins if cache not in request.failed_at)
+        sound = (cache for cache in candidates if cache not in request.failed_at)
         return max(sound, key=Cache.draw_success, default=None)
 
-    def pick(self, request: Request, caches: list[Cache], peer_success: float) -> Cache | None:
+    def pick(self, request: Request, caches: CacheGroup, peer_success: float) -> Cache | None:
         """The first by hash that is trusted, else the best draw of those not ruled out."""
         if picked := self.pick_trusted(request, caches, peer_success):
             return picked
-        ranked = rank_by_hash(request, caches)
+        ranked = [cache for cache in self.choices(request, caches) if cache not in request.ruled_out]
         sound = [cache for cache in ranked if cache not in request.failed_at]
         return max(sound or ranked, key=Cache.draw_success, default=None)
 
-    def pick_trusted(self, request: Request, caches: list[Cache], peer_success: float) -> Cache | None:
-        """The first by hash that is trusted and has not failed the request."""
-        sound = (cache for cache in rank_by_hash(request, caches) if cache not in request.failed_at)
-        return next((cache for cache in sound if cache.is_trusted(peer_success)), None)
+    def pick_trusted(self, request: Request, caches: CacheGroup, peer_success: float) -> Cache | None:
+        """The first by hash that is trusted, not ruled out, and has not failed the request."""
+        excluded = request.ruled_out | request.failed_at
+        left = (cache for cache in self.choices(request, caches) if cache not in excluded)
+        return next((cache for cache in left if cache.is_trusted(peer_success)), None)
+
+    def choices(self, request: Request, caches: CacheGroup) -> Choices:
+        """The first caches by hash: no request tries more, however many there are.
+
+        Guards against requests whose work grows with the number of caches, where none is trusted or all are
+        over their limits. Harm: one whose first `MOST_CHOICES` are all of no use is rejected, or gets a bad
+        cache, though a later one would do.
+        """
+        return request.choices_in(caches, MOST_CHOICES)
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -6,6 +6,7 @@
 
 from weldbend.routing.actions import SendAttempt
 from weldbend.routing.actor import Actor
+from weldbend.routing.cache_group import CacheGroup, Choices, RoleGroup
 from weldbend.routing.connection_breaks import ConnectionBreaks
 from weldbend.routing.context import Context
 from weldbend.routing.events import (
@@ -25,7 +26,7 @@
 )
 from weldbend.routing.messages import CacheMessage, Popularity, RequestMessage
 from weldbend.routing.settings import DeduplicationScope, RequestClass, Role
-from weldbend.routing.windows import WindowedSum
+from weldbend.routing.windows import PooledSum, WindowedSum
 
 if TYPE_CHECKING:
     from weldbend.routing.cache_state import Cache
@@ -113,7 +114,7 @@
         attempts: this front's, in the order in which they were sent.
         failed_at: caches that failed it.
         ruled_out: caches that may not be used for it.
-        hash_ranks: what the hash draws for each cache.
+        choices: the caches that come first for its object, by the group that they are chosen from.
         missed_at: the edge that was looked at and lacks the object.
         lacking_parent: the parent that was found to lack it.
         error_suspects: caches that answered with an error, and may be at fault for it.
@@ -131,7 +132,7 @@
         self.attempts: list[Attempt] = []
         self.failed_at: set[Cache] = set()
         self.ruled_out: set[Cache] = set()
-        self.hash_ranks: dict[Cache, float] = {}
+        self.choices: dict[CacheGroup, Choices] = {}
         self.missed_at: Cache | None = None
         self.lacking_parent: Cache | None = None
         self.error_suspects: list[Cache] = []
@@ -160,6 +161,12 @@
         parent = attempt.cache if attempt.cache.role is Role.PARENT else self.lacking_parent
         self.lacking_parent = attempt.source or parent
 
+    def choices_in(self, group: CacheGroup, most: int) -> Choices:
+        """The caches of a group that come first for its object, at most so many."""
+        if group not in self.choices:
+            self.choices[group] = Choices(group, self.object_name, most)
+        return self.choices[group]
+
     def forget_if_done(self) -> None:
         """Let go of the request, unless an attempt is in flight."""
         if not self.in_flight():
@@ -182,6 +189,7 @@
         breaks: when its connections broke.
         in_flight: attempts that count against its limit.
         passing_through: fills that pass it.
+        group: the ready caches of its role, if it is among them.
     """
 
     def __init__(self, context: Context, endpoint: Endpoint) -> None:
@@ -200,6 +208,7 @@
         self.admitted_fraction = 1.0
         self.sent_work = WindowedSum(context.settings.edge_overload_window)
         self.in_flight: dict[Attempt, None] = {}
+        self.group: RoleGroup | None = None
 
     def clear(self, health_window: float, breaks: ConnectionBreaks) -> None:
         """Forget all that was seen of it here: nothing is in flight there any more, as far as limits go."""
@@ -209,8 +218,8 @@
         self.sharers = self.context.settings.sharers(self.role)
         self.quota = SlowStartQuota(self.id)
         self.wanted_work = WindowedSum(self.context.settings.edge_overload_window)
-        self.successes = WindowedSum(health_window)
-        self.failures = WindowedSum(health_window)
+        self.successes = PooledSum(health_window)
+        self.failures = PooledSum(health_window)
         self.answers = WindowedSum(health_window)
         self.lost_at = -math.inf
         self.in_flight = {}
@@ -264,13 +273,6 @@
             self.context.parents_in_flight += change
 
 
-def success_rate(caches: "list[Cache]", now: float) -> float:
-    """Successes among the attempts at all of these caches, one success assumed."""
-    failures = sum(cache.failures.total(now) for cache in caches)
-    successes = sum(cache.successes.total(now) for cache in caches) if failures else 0.0
-    return (successes + 1) / (successes + failures + 1)
-
-
 def is_same_group(
     scope: DeduplicationScope, execution: Attempt | PossibleExecution, attempt: Attempt
 ) -> bool:
--- a/weldbend/routing/rendezvous.py
+++ b/weldbend/routing/rendezvous.py
@@ -1,31 +1,139 @@
-"""Weighted rendezvous hashing: the same ranking of caches for an object at every front."""
+"""Weighted rendezvous hashing in two levels: the same ranking of caches for an object at every front.
 
-import math
-from hashlib import blake2b
-from typing import TYPE_CHECKING
+Each cache belongs to one of `BUCKETS` buckets, by a hash of its number. An object draws an exponential time
+for each bucket, whose rate is the weight of the caches in it, and then one for each cache of the bucket that
+comes first: `BUCKETS` + n / `BUCKETS` draws instead of n. The order has the distribution of plain weighted
+rendezvous hashing: of the caches that are left, each comes next in proportion to its weight.
+docs/scale-design.md has the options that were weighed.
+"""
 
-if TYPE_CHECKING:
-    from weldbend.routing.cache_state import Cache
-    from weldbend.routing.requests import Request
+import math
+from collections.abc import Iterator
+from hashlib import blake2b, shake_128
+from heapq import heapify, heappop, heapreplace
+from itertools import compress, islice
+from struct import Struct
 
+BUCKETS = 256  # a power of two, up to 256, so that one byte of a hash tells the bucket
 DIGEST_BYTES = 7
 DIGEST_RANGE = 2 ** (8 * DIGEST_BYTES)
+NUMBERS = Struct(f"<{BUCKETS}I")
+NUMBER_RANGE = 2**32
+NUMBER_BYTES = 4
+HALF = b"\x80" * BUCKETS  # as the lowest byte of each number: it is never 0
+ROUNDING = 1e-9  # relative slack, far above the error of a logarithm
 
 
-def hash_rank(object_name: str, cache: int, weight: float) -> float:
-    """The rank of a cache for an object: the highest one is chosen, in proportion to the weights.
+def arrival_time(object_name: str, cache: int, weight: float) -> float:
+    """The time drawn for a cache and an object: the lowest one is chosen, in proportion to the weights.
 
     The logarithm of a number drawn by a hash from (0, 1], over the weight (Schindelhauer and Schomaker 2005).
     """
     digest = blake2b(f"{object_name} {cache}".encode(), digest_size=DIGEST_BYTES).digest()
-    return math.log((int.from_bytes(digest) + 1) / (DIGEST_RANGE + 1)) / weight
+    return -math.log((int.from_bytes(digest) + 1) / (DIGEST_RANGE + 1)) / weight
+
+
+def bucket_numbers(object_name: str) -> tuple[int, ...]:
+    """What an object draws for each bucket, from (0, `NUMBER_RANGE`)."""
+    digest = bytearray(shake_128(object_name.encode()).digest(NUMBER_BYTES * BUCKETS))
+    digest[::NUMBER_BYTES] = HALF
+    return NUMBERS.unpack(digest)
+
+
+class Bucket:
+    """The caches of one bucket, with their weights.
+
+    Attributes:
+        number: of the bucket.
+        weights: by cache.
+        weight: their sum, rounded once, so that it does not depend on the order of changes.
+    """
+
+    def __init__(self, number: int) -> None:
+        self.number = number
+        self.weights: dict[int, float] = {}
+        self.weight = 0.0
+
+    def change(self, cache: int, weight: float | None) -> None:
+        """Give a cache another weight; None removes it."""
+        self.weights.pop(cache, None)
+        if weight is not None:
+            self.weights[cache] = weight
+        self.weight = math.fsum(self.weights.values())
+
+    def first_time(self, numbers: tuple[int, ...]) -> float:
+        """When its first cache arrives."""
+        return -math.log(numbers[self.number] / NUMBER_RANGE) / self.weight
+
+    def ranked(self, object_name: str) -> list[int]:
+        """Its caches, the last choice first."""
+        if len(self.weights) == 1:
+            return list(self.weights)
+        times = {cache: arrival_time(object_name, cache, weight) for cache, weight in self.weights.items()}
+        return sorted(times, key=lambda cache: (times[cache], cache), reverse=True)
+
+    def wait(self, object_name: str, left: list[int]) -> float:
+        """Seconds from one arrival to the next one, where these caches are left."""
+        weight = math.fsum(self.weights[cache] for cache in left)
+        return arrival_time(f"{object_name} bucket {self.number}", len(left), weight)
+
+
+class Ranking:
+    """Caches by weight, ranked for any object; a change of one costs about what a ranking costs.
+
+    Attributes:
+        buckets: those that hold caches, by number.
+        occupied: which numbers these are.
+        weight_ratio: the weight of the heaviest of them over that of the lightest.
+    """
+
+    def __init__(self) -> None:
+        self.buckets: dict[int, Bucket] = {}
+        self.occupied = bytearray(BUCKETS)
+        self.weight_ratio = 1.0
+
+    def change(self, cache: int, weight: float | None) -> None:
+        """Rank a cache by this weight, over 0; None removes it."""
+        number = blake2b(b"%d" % cache, digest_size=1).digest()[0] % BUCKETS
+        bucket = self.buckets.setdefault(number, Bucket(number))
+        bucket.change(cache, weight)
+        if not bucket.weights:
+            del self.buckets[number]
+        self.occupied[number] = bool(bucket.weights)
+        weights = [bucket.weight for bucket in self.buckets.values()] or [1.0]
+        self.weight_ratio = max(weights) / min(weights)
+
+    def weight(self) -> float:
+        """The weight of all caches together."""
+        return math.fsum(bucket.weight for bucket in self.buckets.values())
+
+    def ranked(self, object_name: str) -> Iterator[int]:
+        """All caches, the first choice first; each is found only when it is asked for."""
+        if self.buckets:
+            numbers = bucket_numbers(object_name)
+            yield self.first_bucket(numbers).ranked(object_name)[-1]
+            yield from islice(self.in_order(object_name, numbers), 1, None)
 
+    def first_bucket(self, numbers: tuple[int, ...]) -> Bucket:
+        """The bucket whose first cache arrives first; it is among those with a number near the highest."""
+        highest = max(compress(numbers, self.occupied)) / NUMBER_RANGE
+        least = highest**self.weight_ratio * NUMBER_RANGE * (1 - ROUNDING)
+        near = [bucket for bucket in self.buckets.values() if numbers[bucket.number] >= least]
+        return min(near, key=lambda bucket: (bucket.first_time(numbers), bucket.number))
 
-def rank_by_hash(request: "Request", caches: "list[Cache]") -> "list[Cache]":
-    """The caches that are not ruled out for a request, the first choice first."""
-    left = [cache for cache in caches if cache not in request.ruled_out]
-    ranks, is_weighted = request.hash_ranks, request.context.settings.weighted
-    for cache in left:
-        if cache not in ranks:
-            ranks[cache] = hash_rank(request.object_name, cache.id, cache.weight if is_weighted else 1.0)
-    return sorted(left, key=ranks.__getitem__, reverse=True)
+    def in_order(self, object_name: str, numbers: tuple[int, ...]) -> Iterator[int]:
+        """All caches in the order of their arrival, with waits drawn for those that share a bucket."""
+        arrivals = [(bucket.first_time(numbers), bucket.number) for bucket in self.buckets.values()]
+        heapify(arrivals)
+        orders: dict[int, list[int]] = {}
+        while arrivals:
+            time, number = arrivals[0]
+            bucket = self.buckets[number]
+            if number not in orders:
+                orders[number] = bucket.ranked(object_name)
+            left = orders[number]
+            yield left.pop()
+            if left:
+                heapreplace(arrivals, (time + bucket.wait(object_name, left), number))
+            else:
+                heappop(arrivals)
--- a/weldbend/routing/router.py
+++ b/weldbend/routing/router.py
@@ -9,16 +9,17 @@
 from weldbend.routing import events
 from weldbend.routing.actions import Action, WatchEndpoints
 from weldbend.routing.admission import Admission
-from weldbend.routing.cache_state import Cache
+from weldbend.routing.cache_group import RoleGroup
+from weldbend.routing.cache_state import HEALTH_WINDOW, Cache
 from weldbend.routing.class_statistics import ClassStatistics
-from weldbend.routing.concurrency import ParentConcurrencyLimit
+from weldbend.routing.concurrency import OVERLOAD_WINDOW, ParentConcurrencyLimit
 from weldbend.routing.context import Context
 from weldbend.routing.endpoint_table import EndpointTable
 from weldbend.routing.event_dispatch import EventDispatcher
 from weldbend.routing.events import ListScope
 from weldbend.routing.placement import HIGHEST_LEVEL, TABLE_SIZE, Placement
 from weldbend.routing.prefilter import Prefilter
-from weldbend.routing.settings import SiteSettings
+from weldbend.routing.settings import Role, SiteSettings
 
 STATISTICS_WINDOW = 10.0  # seconds that durations of answers are remembered for
 WORK_PRIOR = 4  # answers that a class's latency objective counts for in its mean work
@@ -34,6 +35,7 @@
         classes = settings.classes.values()
         statistics = ClassStatistics(classes, STATISTICS_WINDOW, WORK_PRIOR, LEAST_EXPECTED)
         self.context = context = Context(seed, settings, statistics)
+        context.ready = {role: RoleGroup(context, HEALTH_WINDOW, OVERLOAD_WINDOW) for role in Role}
         context.parents = ParentConcurrencyLimit(context)
         self.prefilter = context.prefilter = Prefilter(context, TABLE_SIZE, HIGHEST_LEVEL)
         self.placement = context.placement = Placement(context)
--- a/weldbend/routing/windows.py
+++ b/weldbend/routing/windows.py
@@ -31,15 +31,62 @@
             self._advance(now)
         return self.sum
 
+    def merge(self, other: "WindowedSum", now: float, sign: int) -> None:
+        """Add what another sum of the same span holds (`sign` 1), or take it off again (-1).
+
+        Sums of one span change buckets at the same moments. What is taken off leaves nothing behind where
+        the amounts are exact in binary, as whole numbers and halves are.
+        """
+        self.total(now)
+        other.total(now)
+        self.sums = [own + sign * added for own, added in zip(self.sums, other.sums, strict=True)]
+        self.sum = sum(self.sums)
+
     def _advance(self, now: float) -> None:
         """Go on to the bucket of `now`, and empty those that were passed over."""
-        current = max(int(now / self.width), self.bucket + 1)
+        current = self._bucket_at(now)
         for passed in range(max(self.bucket + 1, current - len(self.sums) + 1), current + 1):
             self.sums[passed % len(self.sums)] = 0.0
         self.bucket = current
         self.sum = sum(self.sums)
         self.bucket_end = (current + 1) * self.width
 
+    def _bucket_at(self, now: float) -> int:
+        """The bucket of a moment: the one whose start, as computed here, is the last one not after it."""
+        bucket = int(now / self.width)
+        while bucket * self.width > now:
+            bucket -= 1
+        while (bucket + 1) * self.width <= now:
+            bucket += 1
+        return bucket
+
+
+class PooledSum(WindowedSum):
+    """A windowed sum that may also count in a pool: a sum of the same span over several of its kind."""
+
+    __slots__ = ("pool",)
+
+    def __init__(self, span: float, buckets: int = 10) -> None:
+        super().__init__(span, buckets)
+        self.pool: WindowedSum | None = None
+
+    def add(self, now: float, amount: float = 1.0) -> None:
+        """Add an amount at the moment `now`, here and in the pool."""
+        super().add(now, amount)
+        if self.pool is not None:
+            self.pool.add(now, amount)
+
+    def join(self, pool: WindowedSum, now: float) -> None:
+        """Count in a pool from now on, with all that was counted before; it must be in none."""
+        pool.merge(self, now, 1)
+        self.pool = pool
+
+    def leave(self, now: float) -> None:
+        """Count in no pool any more; what was counted here leaves it as well."""
+        if self.pool is not None:
+            self.pool.merge(self, now, -1)
+            self.pool = None
+
 
 class DecayingAverage:
     """A smoothed measurement that is forgotten linearly when no new one comes.
