--- a/weldbend/routing/actor.py
+++ b/weldbend/routing/actor.py
@@ -1,4 +1,4 @@
-"""The form of a router's parts: each has an inbox, and one loop hands it what lies there."""
+"""The form of a router's parts: each handles messages, and one loop hands them over."""
 
 from collections import deque
 from typing import Generic, TypeVar
@@ -7,10 +7,7 @@
 
 
 class Actor(Generic[Message]):
-    """One that handles messages from its inbox, one after another."""
-
-    def __init__(self) -> None:
-        self.inbox: deque[Message] = deque()
+    """One that handles messages, one after another."""
 
     def handle(self, message: Message) -> None:
         """Act on one message."""
@@ -18,18 +15,22 @@
 
 
 class Mailbox:
-    """The inboxes that hold something, in the order in which their messages came."""
+    """The messages that wait, in the order in which they came, and whom each is for.
+
+    One queue for all: a queue for each cache would take most of its memory.
+    """
 
     def __init__(self) -> None:
-        self.waiting: deque[Actor[object]] = deque()
+        self.receivers: deque[Actor[object]] = deque()
+        self.messages: deque[object] = deque()
 
     def post(self, actor: Actor[Message], message: Message) -> None:
-        """Put a message into an actor's inbox."""
-        actor.inbox.append(message)
-        self.waiting.append(actor)  # type: ignore[arg-type]  # each actor only gets what it can handle
+        """Have an actor handle a message after all that wait."""
+        self.receivers.append(actor)  # type: ignore[arg-type]  # each actor only gets what it can handle
+        self.messages.append(message)
 
     def deliver_all(self) -> None:
-        """Hand over message by message until every inbox is empty."""
-        while self.waiting:
-            actor = self.waiting.popleft()
-            actor.handle(actor.inbox.popleft())
+        """Hand over message by message until none is left."""
+        while self.receivers:
+            actor = self.receivers.popleft()
+            actor.handle(self.messages.popleft())
--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -29,7 +29,6 @@
     """The one gate of a router."""
 
     def __init__(self, context: Context) -> None:
-        super().__init__()
         self.context = context
         self.warm_load = WarmLoad(context, WARM_LOAD_WINDOW)
         self.purges = PurgeTable()
--- a/weldbend/routing/cache_group.py
+++ b/weldbend/routing/cache_group.py
@@ -4,6 +4,7 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
+from weldbend.routing.cold_caches import ColdCaches
 from weldbend.routing.rendezvous import Ranking
 from weldbend.routing.windows import WindowedSum
 
@@ -76,6 +77,7 @@
     Attributes:
         successes, failures: how attempts ended, within the health window.
         timely, late: answers in time, and those late or none, within the overload window.
+        cold: those of its caches that warm up.
         late_limits: those that may have counted a late one within the overload window.
     """
 
@@ -86,6 +88,7 @@
         self.failures = WindowedSum(health_window)
         self.timely = WindowedSum(overload_window)
         self.late = WindowedSum(overload_window)
+        self.cold = ColdCaches()
         self.late_limits: dict[ConcurrencyLimit, None] = {}
 
     def put(self, cache: "Cache", weight: float) -> None:
@@ -101,7 +104,7 @@
         super().remove(cache)
 
     def join_sums(self, cache: "Cache") -> None:
-        """Count what a cache has counted, and what it will count."""
+        """Count what a cache has counted and will count, and whether it is warm."""
         now = self.context.now
         cache.group = self
         cache.successes.join(self.successes, now)
@@ -109,9 +112,10 @@
         cache.concurrency.timely.join(self.timely, now)
         cache.concurrency.late.join(self.late, now)
         self.late_limits[cache.concurrency] = None
+        self.cold.look_at(cache, now)
 
     def leave_sums(self, cache: "Cache") -> None:
-        """Count no longer what a cache has counted."""
+        """Count a cache no longer, nor what it has counted."""
         now = self.context.now
         cache.group = None
         cache.successes.leave(now)
@@ -119,6 +123,7 @@
         cache.concurrency.timely.leave(now)
         cache.concurrency.late.leave(now)
         self.late_limits.pop(cache.concurrency, None)
+        self.cold.forget(cache)
 
     def record_late(self, limit: "ConcurrencyLimit") -> None:
         """Remember that the limit of one of its caches has counted a late answer."""
--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -49,12 +49,16 @@
                 self.apply_peer_knowledge(message)
             case events.SettingsChanged():
                 self.change_settings()
+                self.look_whether_warm()
             case Attempt():
                 self.track(message)
+                if message.result in events.BROKEN:
+                    self.look_whether_warm()
             case Outcome():
                 self.record_outcome(message)
             case _:
                 self.update(message)
+                self.look_whether_warm()
 
     def apply_peer_knowledge(self, known: events.PeerKnowledge) -> None:
         """Stricter at once, and never less strict."""
@@ -81,6 +85,11 @@
             self.context.parents.record(outcome)
         self.concurrency.adapt(outcome)
 
+    def look_whether_warm(self) -> None:
+        """Have its group know whether it is warm, after an event that may have changed that."""
+        if self.group is not None:
+            self.group.cold.look_at(self, self.context.now)
+
     def is_warm(self) -> bool:
         """Whether it bears its full load again."""
         return self.slow_start.capacity_fraction() >= 1
--- a/weldbend/routing/placement.py
+++ b/weldbend/routing/placement.py
@@ -25,7 +25,6 @@
     """Picks the cache that answers, the source that a miss is filled from, and where a copy stays."""
 
     def __init__(self, context: Context) -> None:
-        super().__init__()
         self.context = context
         self.rates = CacheRates(HOP_VALUE, RATE_WINDOW)
 
--- a/weldbend/routing/prefilter.py
+++ b/weldbend/routing/prefilter.py
@@ -17,7 +17,6 @@
     """
 
     def __init__(self, context: Context, size: int, highest: int) -> None:
-        super().__init__()
         self.context = context
         self.counts = ObjectCounts(size)
         self.highest = highest
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -123,7 +123,6 @@
     """
 
     def __init__(self, context: Context, received: RequestReceived, request_class: RequestClass) -> None:
-        super().__init__()
         self.context = context
         self.received = received
         self.request_class = request_class
@@ -193,7 +192,6 @@
     """
 
     def __init__(self, context: Context, endpoint: Endpoint) -> None:
-        super().__init__()
         self.context = context
         self.id = endpoint.id
         self.role = endpoint.role
--- a/weldbend/routing/rendezvous.py
+++ b/weldbend/routing/rendezvous.py
@@ -84,13 +84,12 @@
     Attributes:
         buckets: those that hold caches, by number.
         occupied: which numbers these are.
-        weight_ratio: the weight of the heaviest of them over that of the lightest.
     """
 
     def __init__(self) -> None:
         self.buckets: dict[int, Bucket] = {}
         self.occupied = bytearray(BUCKETS)
-        self.weight_ratio = 1.0
+        self._weight_ratio: float | None = None
 
     def change(self, cache: int, weight: float | None) -> None:
         """Rank a cache by this weight, over 0; None removes it."""
@@ -100,8 +99,14 @@
         if not bucket.weights:
             del self.buckets[number]
         self.occupied[number] = bool(bucket.weights)
-        weights = [bucket.weight for bucket in self.buckets.values()] or [1.0]
-        self.weight_ratio = max(weights) / min(weights)
+        self._weight_ratio = None
+
+    def weight_ratio(self) -> float:
+        """The weight of the heaviest bucket over that of the lightest one; there must be one."""
+        if self._weight_ratio is None:
+            weights = [bucket.weight for bucket in self.buckets.values()]
+            self._weight_ratio = max(weights) / min(weights)
+        return self._weight_ratio
 
     def weight(self) -> float:
         """The weight of all caches together."""
@@ -117,7 +122,7 @@
     def first_bucket(self, numbers: tuple[int, ...]) -> Bucket:
         """The bucket whose first cache arrives first; it is among those with a number near the highest."""
         highest = max(compress(numbers, self.occupied)) / NUMBER_RANGE
-        least = highest**self.weight_ratio * NUMBER_RANGE * (1 - ROUNDING)
+        least = highest ** self.weight_ratio() * NUMBER_RANGE * (1 - ROUNDING)
         near = [bucket for bucket in self.buckets.values() if numbers[bucket.number] >= least]
         return min(near, key=lambda bucket: (bucket.first_time(numbers), bucket.number))
 
--- a/weldbend/routing/slow_start.py
+++ b/weldbend/routing/slow_start.py
@@ -28,13 +28,25 @@
         be reached again at once. Harm: one cut off gets little until it would be warm.
         """
         now, warm_up = self.context.now, self.context.settings.warm_up(self.cache.role)
-        told = -math.inf if self.cache.started is None else self.cache.started
-        started = max(told, self.cache.breaks.possible_restart(now))
+        started = self.possible_start()
         if started == -math.inf or self.cache.role is Role.ORIGIN:
             return 1.0
         first, age = warm_up.start_capacity, max(now - started, 0.0)
         return min(1.0, first + (1 - first) * age / warm_up.seconds)
 
+    def possible_start(self) -> float:
+        """The last moment at which it may have started; minus infinity for long ago."""
+        told = -math.inf if self.cache.started is None else self.cache.started
+        return max(told, self.cache.breaks.possible_restart(self.context.now))
+
+    def next_change(self) -> float:
+        """The next moment at which it may become warm, or cold, without an event; infinite for never."""
+        now, breaks = self.context.now, self.cache.breaks
+        settles = breaks.settles_at() if now < breaks.settles_at() else math.inf
+        if self.capacity_fraction() >= 1:
+            return settles
+        return min(settles, self.possible_start() + self.context.settings.warm_up(self.cache.role).seconds)
+
     def admits(self, work: float, warm_load: float) -> bool:
         """Whether this much work may go: within this front's quota of what it can bear.
 
--- a/weldbend/routing/warm_load.py
+++ b/weldbend/routing/warm_load.py
@@ -24,8 +24,7 @@
         """Count what an attempt brought at each cache that it touched, if most of its role are warm."""
         for cache in attempt.caches():
             peers, now = self.context.ready[cache.role], self.context.now
-            warm = sum(peer.is_warm() for peer in peers)
-            if 2 * warm > len(peers) and cache.is_warm():
+            if 2 * peers.cold.count(now) < len(peers) and cache.is_warm():
                 served = self.served[cache.role]
                 served.add(now, self.context.mean_work(attempt.request))
                 self.flows[cache.role] = served.total(now) / self.window / len(peers)
--- a/weldbend/routing/windows.py
+++ b/weldbend/routing/windows.py
@@ -7,22 +7,32 @@
     Args:
         span: seconds that the sum covers.
         buckets: parts that it is divided into; the sum covers up to one part more than `span`.
+
+    Attributes:
+        width: seconds of a bucket.
+        bucket: number of the newest one; bucket 0 begins at moment 0.
+        bucket_end: moment at which the next one begins.
+        sum: of all buckets.
+        sums: of each bucket, at its number modulo their count; None where all are 0.
     """
 
-    __slots__ = ("bucket", "bucket_end", "sum", "sums", "width")
+    __slots__ = ("bucket", "bucket_end", "buckets", "sum", "sums", "width")
 
     def __init__(self, span: float, buckets: int = 10) -> None:
+        self.buckets = buckets + 1
         self.width = span / buckets
         self.bucket = 0
         self.bucket_end = self.width
         self.sum = 0.0
-        self.sums = [0.0] * (buckets + 1)
+        self.sums: list[float] | None = None
 
     def add(self, now: float, amount: float = 1.0) -> None:
         """Add an amount at the moment `now`, which never goes back."""
         if now >= self.bucket_end:
             self._advance(now)
-        self.sums[self.bucket % len(self.sums)] += amount
+        if self.sums is None:
+            self.sums = [0.0] * self.buckets
+        self.sums[self.bucket % self.buckets] += amount
         self.sum += amount
 
     def total(self, now: float) -> float:
@@ -39,16 +49,21 @@
         """
         self.total(now)
         other.total(now)
-        self.sums = [own + sign * added for own, added in zip(self.sums, other.sums, strict=True)]
-        self.sum = sum(self.sums)
+        if other.sums is not None:
+            own_sums = self.sums or [0.0] * self.buckets
+            self.sums = [own + sign * added for own, added in zip(own_sums, other.sums, strict=True)]
+            self.sum = sum(self.sums)
 
     def _advance(self, now: float) -> None:
         """Go on to the bucket of `now`, and empty those that were passed over."""
         current = self._bucket_at(now)
-        for passed in range(max(self.bucket + 1, current - len(self.sums) + 1), current + 1):
-            self.sums[passed % len(self.sums)] = 0.0
+        if current - self.bucket >= self.buckets:
+            self.sums = None
+        if self.sums is not None:
+            for passed in range(self.bucket + 1, current + 1):
+                self.sums[passed % self.buckets] = 0.0
         self.bucket = current
-        self.sum = sum(self.sums)
+        self.sum = sum(self.sums) if self.sums else 0.0
         self.bucket_end = (current + 1) * self.width
 
     def _bucket_at(self, now: float) -> int:
