--- /dev/null
+++ b/tests/test_scale.py
@@ -0,0 +1,255 @@
+"""The work of a request, an answer or a change of one cache does not grow with the caches that exist."""
+
+import sys
+from dataclasses import replace
+
+import pytest
+from fronts import SITE, content
+from hypothesis import given, settings
+from hypothesis import strategies as st
+
+from weldbend.routing.actions import SendAttempt
+from weldbend.routing.events import (
+    AttemptEnded,
+    AttemptResult,
+    ConnectionOpened,
+    Endpoint,
+    EndpointsListed,
+    EndpointState,
+    FillHint,
+    ListScope,
+    PeerKnowledge,
+    RequestReceived,
+    SettingsChanged,
+)
+from weldbend.routing.messages import Outcome
+from weldbend.routing.placement import MOST_CHOICES
+from weldbend.routing.router import Router
+from weldbend.routing.settings import Role
+
+SMALL, LARGE = 100, 3200
+ROLES = (Role.EDGE,) * 7 + (Role.PARENT,) * 2 + (Role.ORIGIN,)
+
+
+def endpoint(number, weight=10.0, **changes):
+    role = changes.pop("role", ROLES[number % 10])
+    zone = changes.pop("zone", "z" if role is Role.EDGE else "h")
+    return Endpoint(
+        number, weight, zone, 0, role, changes.get("state", EndpointState.READY), changes.get("started")
+    )
+
+
+class Site:
+    """A router with so many caches, that bear as much together whatever their number."""
+
+    def __init__(self, caches, **site):
+        self.router = Router(7, replace(SITE, classes={"photo": content()}, **site))
+        self.now = 1.0
+        self.endpoints = [endpoint(n, 10.0 * SMALL / caches) for n in range(caches)]
+        self.handle(EndpointsListed(ListScope.COMPLETE, tuple(self.endpoints)))
+
+    def handle(self, *events):
+        return self.router.handle(self.now, events)
+
+    def play(self, number, results):
+        """A request whose attempts end so, one after the other."""
+        self.now += 0.02
+        actions = self.handle(
+            RequestReceived(f"r{number}", f"k{number}", 0, 3, "photo", 0.0, False, self.now + 6)
+        )
+        for attempt, result in enumerate(results):
+            if not any(isinstance(action, SendAttempt) for action in actions):
+                break
+            is_served = result is AttemptResult.SERVED
+            ended = AttemptEnded(f"r{number}", attempt, result, 0.1, is_served, FillHint.NONE, 0.1, None)
+            actions = self.handle(ended)
+
+    def lines(self, play):
+        """Lines that the decisions run, each turn of a loop counted."""
+        counted = 0
+
+        def trace(frame, event, argument):
+            nonlocal counted
+            if "routing" not in frame.f_code.co_filename:
+                return None
+            counted += 1
+            return trace
+
+        before = sys.gettrace()
+        sys.settrace(trace)
+        try:
+            play()
+        finally:
+            sys.settrace(before)
+        return counted
+
+    def limit_all(self, limit):
+        for cache in self.router.caches.values():
+            cache.concurrency.limit = limit
+
+
+MISS, SERVED, ERROR, RESET = (
+    AttemptResult.MISS,
+    AttemptResult.SERVED,
+    AttemptResult.ERROR,
+    AttemptResult.RESET,
+)
+ENDS = {
+    "served": (SERVED,),
+    "filled": (MISS, MISS, SERVED),
+    "failed": (ERROR, ERROR, ERROR),
+    "broken": (RESET, RESET, MISS, RESET, SERVED),
+}
+
+
+def requests_cost(caches, results, **site):
+    """Lines for a request, once all that such requests lead to has happened before."""
+    held = Site(caches, **site)
+    for number in range(30):
+        held.play(number, results)
+    return held.lines(lambda: [held.play(100 + number, results) for number in range(10)]) / 10
+
+
+@pytest.mark.parametrize("weighted", (True, False))
+@pytest.mark.parametrize("ends", ENDS)
+def test_the_work_of_a_request_does_not_grow_with_the_caches(ends, weighted):
+    small, large = (requests_cost(size, ENDS[ends], weighted=weighted) for size in (SMALL, LARGE))
+    assert large < 2.5 * small, (small, large)
+
+
+def test_the_work_of_a_request_stays_bounded_where_every_cache_is_over_its_limit():
+    costs = []
+    for size in (SMALL, LARGE):
+        site = Site(size)
+        site.limit_all(0.0)
+        costs.append(site.lines(lambda site=site: site.play(1, ())))
+    assert costs[1] < 2.5 * costs[0], costs
+
+
+def test_the_work_of_a_request_stays_bounded_where_no_parent_is_trusted():
+    """From the size on at which each role has more caches than one request may try."""
+    costs = []
+    for size in (4 * SMALL, LARGE):
+        site = Site(size)
+        for cache in site.router.caches.values():
+            for _ in range(20):
+                cache.handle(Outcome.FAILURE)
+        costs.append(site.lines(lambda site=site: site.play(1, (MISS, MISS, SERVED))))
+    assert costs[1] < 2.5 * costs[0], costs
+
+
+@pytest.mark.parametrize("what", ("drains", "peers know more", "started anew", "another weight"))
+def test_a_change_of_one_cache_costs_the_same_among_many(what):
+    costs = []
+    for size in (SMALL, LARGE):
+        site = Site(size)
+        number = 10
+        event = {
+            "drains": EndpointsListed(ListScope.CHANGES, (endpoint(number, state=EndpointState.DRAINING),)),
+            "peers know more": PeerKnowledge(number, EndpointState.REMOVED, None),
+            "started anew": EndpointsListed(ListScope.CHANGES, (endpoint(number, started=0.5),)),
+            "another weight": EndpointsListed(ListScope.CHANGES, (endpoint(number, weight=77.0),)),
+        }[what]
+        costs.append(site.lines(lambda site=site, event=event: site.handle(event)))
+    assert costs[1] < 2 * costs[0], costs
+
+
+def test_a_request_tries_the_first_caches_by_rank_and_no_more():
+    """All are over their limits but the one that is ranked last of those that it may try, then the next."""
+    for place, is_found in ((0, True), (MOST_CHOICES - 1, True), (MOST_CHOICES, False)):
+        site = Site(400)
+        edges = list(site.router.context.ready[Role.EDGE].ranked("k1 0"))
+        site.limit_all(0.0)
+        edges[place].concurrency.limit = 9.0
+        site.play(1, ())
+        request = site.router.requests.get("r1")
+        sent_to = [attempt.cache for attempt in request.attempts] if request else []
+        assert sent_to == ([edges[place]] if is_found else [])
+
+
+STATES = st.sampled_from(EndpointState)
+NUMBERS = st.integers(0, 29)
+SPANS = st.sampled_from((0.0, 0.05, 0.1, 0.3, 1.0, 2.9, 7.0, 30.0))
+STEPS = st.one_of(
+    st.tuples(
+        st.just("list"), NUMBERS, STATES, st.sampled_from((1.0, 3.0)), st.sampled_from((None, -2.0, 5.0))
+    ),
+    st.tuples(st.just("complete"), NUMBERS),
+    st.tuples(
+        st.just("peers"), NUMBERS, st.sampled_from((None, *EndpointState)), st.sampled_from((None, 0.0))
+    ),
+    st.tuples(st.just("outcome"), NUMBERS, st.sampled_from(Outcome)),
+    st.tuples(st.just("break"), NUMBERS, st.booleans()),
+    st.tuples(st.just("open"), NUMBERS),
+    st.tuples(st.just("zone"), st.sampled_from(("z", "y"))),
+    st.tuples(st.just("wait"), SPANS),
+)
+
+
+def play_step(site, step):
+    """One change of those that `STEPS` draws."""
+    kind, *details = step
+    caches = site.router.caches
+    cache = caches.get(details[0])
+    match kind:
+        case "list":
+            number, state, weight, started = details
+            moment = None if started is None else site.now + started
+            held = endpoint(number, weight, state=state, started=moment)
+            site.handle(EndpointsListed(ListScope.CHANGES, (held,)))
+        case "complete":
+            named = tuple(endpoint(n) for n in range(30) if n % 7 != details[0] % 7)
+            site.handle(EndpointsListed(ListScope.COMPLETE, named))
+        case "peers":
+            number, state, started = details
+            site.handle(PeerKnowledge(number, state, None if started is None else site.now))
+        case "outcome" if cache:
+            cache.handle(details[1])
+        case "break" if cache:
+            cache.breaks.record_break(site.now, details[1])
+            cache.look_whether_warm()
+        case "open":
+            site.handle(ConnectionOpened(details[0]))
+        case "zone":
+            changed = replace(
+                site.router.context.settings, zone=details[0], hub="h" if details[0] == "z" else "g"
+            )
+            site.handle(SettingsChanged(changed))
+        case "wait":
+            site.now += details[0]
+            site.handle()
+
+
+def check_sums(site):
+    """What is kept by changes is what going through all caches gives."""
+    context, now = site.router.context, site.now
+    for role, group in context.ready.items():
+        near = role is not Role.EDGE or context.settings.zone == "z"
+        ready = [
+            c
+            for c in site.router.caches.values()
+            if c.role is role and c.state is EndpointState.READY and near
+        ]
+        assert set(group) == set(ready)
+        assert group.weights == {cache.id: cache.weight for cache in ready}
+        assert group.successes.total(now) == sum(cache.successes.total(now) for cache in ready)
+        assert group.failures.total(now) == sum(cache.failures.total(now) for cache in ready)
+        limits = [cache.concurrency for cache in ready]
+        assert group.timely.total(now) == sum(limit.timely.total(now) for limit in limits)
+        assert group.late.total(now) == sum(limit.late.total(now) for limit in limits)
+        most_late = group.most_late()
+        most = max((limit.late.total(now) for limit in limits), default=0.0)
+        assert (most_late.late.total(now) if most_late else 0.0) == most
+        assert group.cold.count(now) == sum(not cache.is_warm() for cache in ready)
+    parents = [cache for cache in context.ready[Role.PARENT] if cache.zone == context.settings.hub]
+    assert set(context.hub_parents) == set(parents)
+    assert all(cache.state is not EndpointState.REMOVED for cache in site.router.caches.values())
+
+
+@settings(max_examples=80, deadline=None, derandomize=True)
+@given(st.lists(STEPS, max_size=40))
+def test_sums_kept_by_changes_are_those_over_all_caches(steps):
+    site = Site(30)
+    for step in steps:
+        play_step(site, step)
+        check_sums(site)
