--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -8,13 +8,15 @@
 import sys
 
 import pytest
-from fronts import Stage, probe
+from fronts import Stage, configuration, probe
 from twisted.internet import tcp
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.testing import MemoryReactorClock
 from twisted.logger import globalLogPublisher
 
 from weldbend.accept_guard import MAX_PAUSE, MIN_PAUSE, AcceptGuard
+from weldbend.front.configuration import read_site
+from weldbend.front.server import Front
 from weldbend.idle_connections import epoll_set
 from weldbend.idle_connections.epoll_set import EpollSet, HangupWatcher
 from weldbend.invariants import anomalies
@@ -123,6 +125,23 @@
     listening.close()
 
 
+@pytest.mark.parametrize("number", [errno.EADDRINUSE, errno.ENOMEM, errno.ENOSPC])
+def test_a_front_whose_port_cannot_be_opened_says_so_and_ends(number):
+    """It went on without a port where listen(2) or epoll_ctl failed, which Twisted does not translate."""
+    reactor, stopped = MemoryReactorClock(), []
+    front = Front(reactor, read_site(configuration()))
+    front.clock.now = reactor.seconds
+
+    def refuse(*args, **kwargs):
+        raise OSError(number, "injected")
+
+    reactor.listenTCP = refuse
+    reactor.stop = lambda: stopped.append(True)
+    front.start()
+    reactor.advance(1.0)
+    assert stopped and not front.is_open
+
+
 # Idle connections.
 
 
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
+from twisted.internet.error import CannotListenError
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import Factory
 
@@ -107,7 +108,10 @@
             reactor, epoll_set, self.settings, self.owner.now, self.resume, self.update_accepting
         )
         self.hangups = HangupWatcher(reactor)
-        self.port = reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
+        try:
+            self.port = reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
+        except OSError as error:  # listen(2) or epoll_ctl: Twisted turns only the errors before into its own
+            raise CannotListenError(host, port, error) from error  # type: ignore[no-untyped-call]  # no hints
         self.accept_guard = AcceptGuard(self.port, self.owner.call_later, self.update_accepting)
         self.set_keepalive()
 
--- a/weldbend/testbed/faults/socket_faults.py
+++ b/weldbend/testbed/faults/socket_faults.py
@@ -38,7 +38,7 @@
     """Decides each call, and writes down what was injected.
 
     Attributes:
-        is_listening: whether the front's port is open; before, only connects, transfers and waits fail.
+        is_listening: whether a client has come; before, only connects, transfers and waits fail.
     """
 
     def __init__(self, faults: CallFaults, record: int) -> None:
@@ -92,12 +92,9 @@
                 injector.check(Call.SOCKET, self.side)
             super().__init__(family, kind, protocol, fileno)
 
-        def listen(self, *backlog: int) -> None:
-            super().listen(*backlog)
-            injector.is_listening = True
-
         def accept(self) -> tuple[socket.socket, Any]:
             injector.check(Call.ACCEPT, "listening")
+            injector.is_listening = True
             return super().accept()
 
         def connect_ex(self, address: Any) -> int:  # noqa: ANN401  # as the socket's own
--- a/weldbend/testbed/faults/socket_trial.py
+++ b/weldbend/testbed/faults/socket_trial.py
@@ -45,7 +45,7 @@
 from weldbend.testbed.emulator.servers import CacheConnection, CacheServer
 from weldbend.testbed.faults.call_faults import ALL_FAULTS, Call, ends_connection, error_name
 from weldbend.testbed.load import client_calls
-from weldbend.testbed.load.generator import Load, LoadPlan
+from weldbend.testbed.load.generator import Load, LoadClient, LoadPlan
 from weldbend.testbed.reactor import ProcessReactor
 
 LAUNCHER = "weldbend.testbed.faults.socket_faults"
@@ -208,6 +208,16 @@
             client.transport.loseConnection()
 
 
+class TrialLoad(Load):
+    """A load that ends as soon as all is answered or lost."""
+
+    def remove_client(self, client: LoadClient) -> None:
+        """A connection has ended: the last requests may have been lost with it."""
+        super().remove_client(client)
+        if self.begun:
+            self._finish_if_answered()
+
+
 class Trial:
     """One seed: its site, its front and its loads, one step after another."""
 
@@ -246,7 +256,7 @@
 
     def _play(self, seconds: float, on_end: Any) -> None:  # noqa: ANN401  # a callback of Load
         plan = LoadPlan(RATE, seconds, 60, ORDERS, 6, self.seed * 10 + len(self.loads))
-        load = Load(self.reactor, plan, [self.address], self.site.settings.sizes, lambda _: on_end())
+        load = TrialLoad(self.reactor, plan, [self.address], self.site.settings.sizes, lambda _: on_end())
         self.loads.append(load)
         load.start()
 
