--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -18,6 +18,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.clients import misbehaviour
 from weldbend.clients.answer_writer import AnswerWriter
+from weldbend.clients.arrival_times import ArrivalTimes
 from weldbend.clients.interfaces import (
     AccessControl,
     BufferAccount,
@@ -68,6 +69,8 @@
 
     Attributes:
         incoming: Bytes read and not yet parsed.
+        arrivals: When they came.
+        unread_since: Since when bytes may lie unread in the socket; None where the last read emptied it.
         writer: The sending direction.
         open_requests: Requests that wait for an answer, by sequence id.
         conduct: What the client did wrong so far.
@@ -94,11 +97,14 @@
     discarded_bytes = 0
     active_at = 0.0
     call_started_at = 0.0
+    call_received_at = 0.0  # when the last byte of the call in hand came, at the earliest
+    unread_since: float | None = None
     read_delay = 0.0  # seconds for which what is read now lay there while other connections were resumed
 
     def __init__(self, owner: ClientOwner) -> None:
         self.owner = owner
         self.incoming = Ring(INCOMING_CAPACITY)
+        self.arrivals = ArrivalTimes()
         self.writer = AnswerWriter(owner)
         self.open_requests: dict[int, ClientRequest] = {}
         self.conduct = ClientConduct()
@@ -148,8 +154,21 @@
         if not self.incoming:
             self.call_started_at = self.active_at
         check_invariant(self.incoming.write(data) == len(data), "a client's ring has capacity for a read")
+        self.arrivals.add(len(data), self._came_at(len(data)))
         self.read_calls()
 
+    def _came_at(self, count: int) -> float:
+        """When the bytes of this read came, at the earliest; a read of READ_SIZE may have left some unread.
+
+        Guards caches and clients against deadlines that count from when a request was read. Harm: one that
+        came late in such a time has a little less of its own.
+        """
+        came = self.owner.came_at(self.active_at) - self.read_delay
+        if self.unread_since is not None:
+            came = min(came, self.unread_since)
+        self.unread_since = came if count >= READ_SIZE else None
+        return came
+
     def read_calls(self) -> None:
         """Handle the calls that are complete, but none of a client that does not read its answers.
 
@@ -162,8 +181,10 @@
             while not self.is_draining and (self.is_finishing or not self.writer.queue):
                 data = next_frame(self.incoming, MAX_FRAME)
                 if data is None:
+                    self.arrivals.forget_incomplete()
                     break
                 self.call_started_at = self.active_at
+                self.call_received_at = self.arrivals.take(len(data) + LENGTH_SIZE)
                 self.scanned_bytes = max(self.scanned_bytes - len(data) - LENGTH_SIZE, 0)
                 self._handle_call(messages.read_call(data))
             if not self.is_draining:
@@ -203,7 +224,7 @@
             case messages.Process(seqid) if seqid in self.cancelled_early:
                 self.cancelled_early.discard(seqid)
             case messages.Process(seqid, fields, body):
-                request = ClientRequest(self, seqid, fields, body, self.read_delay)
+                request = ClientRequest(self, seqid, fields, body, self.read_delay, self.call_received_at)
                 self.open_requests[seqid] = request
                 self.new_requests.add(request)
                 self.owner.handle_request(request)
@@ -233,6 +254,8 @@
         """Stop or resume reading the socket. The end of a client is noticed all the same."""
         if is_paused is not self.is_read_paused and not self.is_lost:
             self.is_read_paused = is_paused
+            if is_paused and self.unread_since is None:
+                self.unread_since = self.owner.now()
             (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
             self.owner.watch_hangup(self, is_paused)
 
--- a/weldbend/clients/request.py
+++ b/weldbend/clients/request.py
@@ -38,6 +38,7 @@
         fields: The text fields of the request.
         body: The payload, passed on to caches as it is.
         read_delay: Seconds for which its bytes lay unread while other connections were resumed.
+        received_at: When its last byte came, at the earliest (seconds of the front's clock).
         is_answered: Whether it was answered or cancelled.
         request_id: The handler's name for it; empty until the handler has accepted it.
     """
@@ -47,6 +48,7 @@
     fields: dict[str, str]
     body: bytes
     read_delay: float = 0.0
+    received_at: float = 0.0
     is_answered: bool = False
     request_id: str = ""
 
--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -72,7 +72,7 @@
 
     def _open(self, client_request: ClientRequest, parsed: ParsedRequest) -> OpenRequest:
         client_request.request_id = self.requests.next_id()
-        deadline = self.context.clock.now() - client_request.read_delay + parsed.timeout
+        deadline = client_request.received_at + parsed.timeout
         idempotency = self.context.site.settings.classes[parsed.class_name].idempotency
         request = OpenRequest(client_request.request_id, parsed, client_request, deadline, idempotency)
         self.requests.add(request)
