--- /dev/null
+++ b/tests/test_binding_rules.py
@@ -0,0 +1,87 @@
+"""The auditor's rules on gone clients, closed connections, deadlines and calls to cold caches.
+
+Each is reached by the runs, and each catches a copy of the front that breaks it.
+"""
+
+from collections import Counter
+
+import pytest
+
+from weldbend.clients.connection import ClientConnection
+from weldbend.front import request_codec
+from weldbend.front.client_gateway import ClientGateway
+from weldbend.front.server import Front
+from weldbend.routing.admission import Admission
+from weldbend.testbed.simulation.run import Run
+from weldbend.testbed.simulation.settings import RunSettings
+from weldbend.testbed.simulation.slow_start_audit import calls_bound
+
+SEEDS = range(1, 7)
+SETTINGS = RunSettings(seconds=6.0, faults=8, orders=0.1, edits=0.15, weight=1.5)
+
+
+def test_a_front_as_it_is_keeps_the_rules_and_the_runs_reach_each_of_them():
+    counts = Counter()
+    for seed in SEEDS:
+        result = Run(seed, SETTINGS).play()
+        assert not result.violations and not result.errors, (seed, result.violations, result.errors)
+        counts.update(result.counts)
+    for reached, least in (
+        ("requests left open by clients", 100),
+        ("attempts for clients just gone", 3),
+        ("connections ended by fronts", 50),
+        ("requests open at a shutdown", 3),
+        ("deadlines told late", 50),
+        ("calls to cold", 20),
+    ):
+        assert counts[reached] >= least, (reached, counts)
+
+
+def test_the_bound_on_calls_is_the_published_one():
+    assert calls_bound(25) == 25 + 3 * 5 + 3
+    assert calls_bound(100) == 100 + 2 * 10 + 2
+
+
+def keeps_on_for_gone_clients(monkeypatch):
+    monkeypatch.setattr(ClientGateway, "cancel_request", lambda self, request: None)
+
+
+def heeds_no_cancellation(monkeypatch):
+    monkeypatch.setattr(ClientConnection, "_cancel", lambda self, seqid: False)
+
+
+def ends_at_once_when_told_to_stop(monkeypatch):
+    monkeypatch.setattr(Front, "terminate", lambda self: self.timers.after(0.01, self._end))
+
+
+def passes_the_first_timeout_on(monkeypatch):
+    attempt_fields = request_codec.attempt_fields
+
+    def altered(request, action, source, timeout):
+        return attempt_fields(request, action, source, request.timeout)
+
+    monkeypatch.setattr(request_codec, "attempt_fields", altered)
+
+
+def ignores_warm_up_budgets(monkeypatch):
+    monkeypatch.setattr(Admission, "is_bearable", lambda self, cache, request: True)
+
+
+@pytest.mark.parametrize(
+    ("sabotage", "rule"),
+    [
+        (keeps_on_for_gone_clients, "nothing for gone clients"),
+        (heeds_no_cancellation, "nothing for gone clients"),
+        (ends_at_once_when_told_to_stop, "no close without an answer"),
+        (passes_the_first_timeout_on, "deadline passed on"),
+        (ignores_warm_up_budgets, "cold calls counted"),
+    ],
+)
+def test_the_auditor_catches(monkeypatch, sabotage, rule):
+    sabotage(monkeypatch)
+    for seed in SEEDS:
+        found = [violation for violation in Run(seed, SETTINGS).play().violations if violation.rule == rule]
+        if found:
+            assert found[0].proof and rule in str(found[0])
+            return
+    raise AssertionError(f"{sabotage.__name__} was not caught within {len(SEEDS)} seeds")
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -26,7 +26,8 @@
     for seed in SEEDS:
         result = Run(seed, SETTINGS).play()
         assert not result.violations and not result.errors, (seed, result.violations, result.errors)
-        assert result.counts["fulfilled"] > 0.9 * result.counts["downloads"] > 200, seed
+        owed = result.counts["downloads"] - result.counts["requests left open by clients"]
+        assert result.counts["fulfilled"] > 0.9 * owed > 200, seed
 
 
 def test_the_same_seed_gives_the_same_log_in_other_processes():
--- a/weldbend/testbed/simulation/audit_records.py
+++ b/weldbend/testbed/simulation/audit_records.py
@@ -25,6 +25,10 @@
     DRAINS = "drains kept"  # nothing goes to a cache that is draining, nor takes it as a source
     PURGES = "purges kept"  # no copy older than a purge is served
     WARMING_UP = "cold not pushed over"  # a cache that warms up gets no more than its budget
+    WARMING_UP_CALLS = "cold calls counted"  # nor more calls than it bears, from all fronts together
+    CLIENT_GONE = "nothing for gone clients"  # no attempt for a client that has closed or cancelled
+    CLOSED_UNANSWERED = "no close without an answer"  # of a connection with a request that was taken
+    DEADLINE = "deadline passed on"  # a cache is told no more time than the client has left
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,6 +54,15 @@
     start: float = 0.5  # until a cache's start has to be in effect
 
 
+@dataclass(frozen=True, slots=True)
+class SentToCold:
+    """An attempt at a cache that warms up, or with it as a source."""
+
+    at: float
+    request_class: str
+    is_notified: bool  # whether its front had had time to know of the start
+
+
 @dataclass(slots=True)
 class CacheStart:
     """A cache that has started, and what was sent to it since."""
@@ -58,7 +71,7 @@
     began: float
     weight: float
     kind: str
-    sent: deque[tuple[float, str]] = field(default_factory=deque)  # (when, request class)
+    sent: deque[SentToCold] = field(default_factory=deque)  # within a window
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,10 +133,18 @@
     work: float  # seconds that one flow takes to send its result
     answers: list[tuple[float, ClientAnswer]] = field(default_factory=list)
     attempts: list[Attempt] = field(default_factory=list)
-    cancelled: float | None = None  # when its client stopped waiting, or its connection ended
+    is_read: bool = False  # whether its front's process has read its last byte
+    left: float | None = None  # when its client cancelled it or closed
+    has_crossed: bool = False  # its front's close of an idle connection: its client sends it again
+    answer_by: float = 0.0  # the deadline, or the end of a standstill of its front, if that is later
     excuse: str = ""  # why it needs no answer
 
+    def is_awaited(self) -> bool:
+        """Whether an answer is owed and has not come."""
+        return not (self.answers or self.excuse or self.has_crossed or self.left is not None)
+
     def is_unanswered(self, slack: float, end: float) -> bool:
-        """Whether its client still waited at the deadline, that deadline is over, and nothing excuses it."""
-        is_awaited = self.cancelled is None or self.cancelled > self.deadline + slack
-        return is_awaited and not self.excuse and self.deadline + slack < end
+        """Whether its client still waited when the answer was due, that is over, and nothing excuses it."""
+        is_left_early = self.left is not None and self.left <= self.answer_by + slack
+        is_owed = not (self.answers or self.excuse or self.has_crossed or is_left_early)
+        return is_owed and self.answer_by + slack < end
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -1,8 +1,8 @@
 """The auditor: checks the rules from what crossed the sockets and what the event bus published only.
 
-It shares no code with the decisions. Checked are the rules of `audit_records.Rule`; the budgets of caches
-that warm up hold over all fronts together, and grow along a straight line from the least fraction to all,
-since the real curve is not published.
+It shares no code with the decisions. Checked are the rules of `audit_records.Rule`, those on caches that
+warm up in `slow_start_audit`. A front that is killed without notice owes no answer to what it had then, and
+one that the system suspends answers late what became due meanwhile; nothing else excuses a request.
 """
 
 from collections import defaultdict
@@ -22,10 +22,15 @@
     Violation,
     WarmUpRule,
 )
-from weldbend.testbed.simulation.observer import ConnectionEvent, ObservedMessage
+from weldbend.testbed.simulation.observer import ConnectionEvent, ObservedMessage, RequestRead
+from weldbend.testbed.simulation.slow_start_audit import SlowStartAudit
 from weldbend.thrift.messages import GiveUp, Process
 
 SLACK = 0.05  # seconds that a time limit is longer on sockets
+GONE_SLACK = 0.1  # seconds after its client's end or cancellation in which an attempt may still begin
+DEADLINE_SLACK = 0.15  # seconds that a cache may be told beyond what the client has left
+# Seconds before a front's close within which a request crosses it: its client sends it again.
+CROSSING = 0.05
 
 __all__ = ["Auditor", "Effect", "Rule", "Rules", "Violation", "WarmUpRule"]
 
@@ -39,14 +44,14 @@
         self.by_call: dict[tuple[int, int], RequestRecord] = {}  # by link and seqid
         # Requests with an attempt in flight on a link.
         self.in_flight: dict[int, set[tuple[str, str]]] = defaultdict(set)
+        self.by_link: dict[int, list[RequestRecord]] = defaultdict(list)
+        self.ended_links: set[int] = set()  # clients' connections that one side has ended
         self.down_fronts: set[str] = set()
-        self.starts: dict[str, CacheStart] = {}
+        self.slow_starts = SlowStartAudit(rules)
         self.draining: dict[str, float] = {}  # uid -> when the event bus published it
         self.purges: list[Purge] = []
         self.violations: list[Violation] = []
-        self.counts: dict[str, int] = defaultdict(int)
-        # Seconds of one flow that the requests of each class take together, and their number.
-        self.work: dict[str, tuple[float, int]] = {}
+        self.counts = self.slow_starts.counts
         # (since, until) for which nothing could reach a front.
         self.unreachable_spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
 
@@ -57,7 +62,8 @@
         for target in event.get("topology", {}).get("targets", ()):
             if target["state"] == "up" and target["boot_ms"]:
                 began = at - (unix - target["boot_ms"] / 1000)
-                self.starts[target["uid"]] = CacheStart(at, began, target["capacity_hint"], target["model"])
+                start = CacheStart(at, began, target["capacity_hint"], target["model"])
+                self.slow_starts.starts[target["uid"]] = start
             if target["state"] == "up":
                 self.draining.pop(target["uid"], None)
             else:
@@ -72,16 +78,21 @@
             if name == front and not request.answers:
                 request.excuse = request.excuse or "its front was killed"
 
+    def on_front_stopping(self, front: str) -> None:
+        """A front is told to stop: it owes an answer to all that it takes until its connections end."""
+        open_requests = [r for (name, _), r in self.requests.items() if name == front and r.is_awaited()]
+        self.counts["requests open at a shutdown"] += len(open_requests)
+
     def on_front_started(self, front: str) -> None:
         """A front is up."""
         self.down_fronts.discard(front)
 
     def on_front_unreachable(self, front: str, since: float, until: float, is_frozen: bool) -> None:
-        """Nothing could be announced to a front for a time; frozen, it could not answer either."""
+        """Nothing could be announced to a front for a time; frozen, it answers late what became due."""
         self.unreachable_spans[front].append((since, until))
         for (name, _), request in self.requests.items() if is_frozen else ():
             if name == front and not request.answers and request.deadline > since:
-                request.excuse = request.excuse or "its front was frozen"
+                request.answer_by = max(request.answer_by, until)
 
     def known_since(self, front: str, announced: float) -> float:
         """When a front could first know what was announced at a moment."""
@@ -99,13 +110,25 @@
                 self._on_request(observed, call)
             case GiveUp(seqid):
                 if request := self.by_call.get((observed.link, seqid)):
-                    request.cancelled = observed.at
+                    self._on_left(observed.at, request)
+            case RequestRead(seqid):
+                if request := self.by_call.get((observed.link, seqid)):
+                    request.is_read = True
             case ClientAnswer() as answer:
                 self._on_client_answer(observed, answer)
             case Command() as command:
                 self._on_command(observed, command)
             case Answer() as answer:
                 self._on_cache_answer(observed, answer)
+            case ConnectionEvent() as event:
+                self._on_connection_event(observed, event)
+
+    def _on_connection_event(self, observed: ObservedMessage, event: ConnectionEvent) -> None:
+        match event:
+            case ConnectionEvent.CLIENT_ENDED:
+                self._on_ended_by_client(observed)
+            case ConnectionEvent.FRONT_ENDED:
+                self._on_ended_by_front(observed)
             case ConnectionEvent.CLOSED:
                 self._on_closed(observed)
 
@@ -126,11 +149,13 @@
             deadline=observed.at + int(fields["wait"]) / 1000,
             work=float(fields["kb"]) / self.rules.flow,
         )
+        request.answer_by = request.deadline
         request.excuse = "its front was down" if observed.front in self.down_fronts else ""
-        total, count = self.work.get(request.request_class, (0.0, 0))
-        self.work[request.request_class] = total + request.work, count + 1
+        request.has_crossed = observed.link in self.ended_links
+        self.slow_starts.on_request(request.request_class, request.work)
         self.requests[observed.front, request.name] = request
         self.by_call[observed.link, call.seqid] = request
+        self.by_link[observed.link].append(request)
         self.counts["downloads"] += 1
 
     def _on_client_answer(self, observed: ObservedMessage, answer: ClientAnswer) -> None:
@@ -148,7 +173,7 @@
                 Rule.ONE_ANSWER, request, at, f"{first.outcome} at {before:.4f}, then {answer.outcome}"
             )
         request.answers.append((at, answer))
-        if at > request.deadline + SLACK and not request.excuse:
+        if at > request.answer_by + SLACK and not request.excuse:
             self._add_violation(
                 Rule.ONE_ANSWER, request, at, f"{answer.outcome} after its deadline {request.deadline:.4f}"
             )
@@ -186,16 +211,18 @@
         elif command.word == "undo":
             self._end_attempts(request, observed, "undone")
         elif command.word == "do":
-            self._on_attempt(observed, request, command.fields.get("from"))
+            self._on_attempt(observed, request, command)
 
-    def _on_attempt(self, observed: ObservedMessage, request: RequestRecord, source: str | None) -> None:
+    def _on_attempt(self, observed: ObservedMessage, request: RequestRecord, command: Command) -> None:
         self.counts["pulls"] += 1
-        attempt = Attempt(observed.at, observed.peer, observed.link, source)
+        attempt = Attempt(observed.at, observed.peer, observed.link, command.fields.get("from"))
+        self._check_client(attempt, request)
+        self._check_deadline(observed.at, request, int(command.fields["budget"]) / 1000)
         self._check_effects(observed.at, request)
         self._check_drains(attempt, request, observed.front)
         for uid in {attempt.cache: None, attempt.source: None}:
-            if uid in self.starts:
-                self._check_warm_up(observed, request, uid, self.starts[uid])
+            if uid in self.slow_starts.starts:
+                self._check_warm_up(observed, request, uid)
         request.attempts.append(attempt)
         self.in_flight[observed.link].add((observed.front, request.name))
 
@@ -236,30 +263,40 @@
                     Rule.DRAINS, request, at, f"{uid} draining since {announced:.4f}", f"attempt as {role}"
                 )
 
-    def _check_warm_up(
-        self, observed: ObservedMessage, request: RequestRecord, uid: str, start: CacheStart
-    ) -> None:
-        at = observed.at
-        rule = self.rules.warm_ups.get(start.kind)
-        if rule is None or at < self.known_since(observed.front, start.announced) + self.rules.start:
-            return
-        fraction = rule.least_fraction + (1 - rule.least_fraction) * (at - start.began) / rule.warm_after
-        start.sent.append((at, request.request_class))
-        while start.sent[0][0] < at - self.rules.window:
-            start.sent.popleft()
-        self.counts["pulls to cold"] += fraction < 1
-        if fraction >= 1:
+    def _check_warm_up(self, observed: ObservedMessage, request: RequestRecord, uid: str) -> None:
+        start = self.slow_starts.starts[uid]
+        known = self.known_since(observed.front, start.announced) + self.rules.start
+        is_notified = observed.at >= known
+        broken = self.slow_starts.on_attempt(observed.at, uid, request.request_class, is_notified)
+        if broken:
+            rule, proof = broken
+            self._add_violation(rule, request, observed.at, f"{uid} began at {start.began:.4f}", proof)
+
+    def _check_client(self, attempt: Attempt, request: RequestRecord) -> None:
+        """Nothing begins for a client that has closed or cancelled."""
+        if request.left is None:
             return
-        mean = {name: total / count for name, (total, count) in self.work.items()}
-        sent = sum(mean[name] for _, name in start.sent)
-        budget = rule.multiple * fraction * start.weight * self.rules.window
-        if sent > budget + mean[request.request_class]:
+        self.counts["attempts for clients just gone"] += 1
+        if attempt.at > request.left + GONE_SLACK:
             self._add_violation(
-                Rule.WARMING_UP,
+                Rule.CLIENT_GONE,
+                request,
+                attempt.at,
+                f"its client left at {request.left:.4f}",
+                f"attempt at {attempt.cache}",
+            )
+
+    def _check_deadline(self, at: float, request: RequestRecord, told: float) -> None:
+        """A cache is told no more time than the client has left."""
+        remaining = request.deadline - at
+        self.counts["deadlines told late"] += at > request.received + DEADLINE_SLACK
+        if told > remaining + DEADLINE_SLACK:
+            self._add_violation(
+                Rule.DEADLINE,
                 request,
                 at,
-                f"{uid} began at {start.began:.4f}",
-                f"{sent:.2f} sent in {self.rules.window} s, {budget:.2f} may be",
+                f"{told:.3f} s told, {remaining:.3f} s left",
+                f"of {request.received:.4f}",
             )
 
     def _on_cache_answer(self, observed: ObservedMessage, answer: Answer) -> None:
@@ -270,18 +307,49 @@
             born = answer.fields.get("born", "")
             attempt.born = float(born) if born.isdigit() else None
 
+    def _on_left(self, at: float, request: RequestRecord) -> None:
+        """A client waits for a request no more."""
+        self.counts["requests left open by clients"] += request.is_awaited()
+        if request.left is None:
+            request.left = at
+
+    def _on_ended_by_client(self, observed: ObservedMessage) -> None:
+        """A client closes or resets its connection: it waits for nothing on it."""
+        if observed.link not in self.ended_links:
+            self.ended_links.add(observed.link)
+            for request in self.by_link[observed.link]:
+                self._on_left(observed.at, request)
+
+    def _on_ended_by_front(self, observed: ObservedMessage) -> None:
+        """A front closes or resets a client's connection, on which nothing that it has taken may be open."""
+        if observed.link in self.ended_links:
+            return
+        self.ended_links.add(observed.link)
+        self.counts["connections ended by fronts"] += 1
+        for request in self.by_link[observed.link]:
+            if request.is_awaited():
+                self._check_close(observed.at, request)
+
+    def _check_close(self, at: float, request: RequestRecord) -> None:
+        if not request.is_read and at <= request.received + CROSSING:
+            request.has_crossed = True
+            self.counts["requests that crossed a close"] += 1
+            return
+        state = "read" if request.is_read else "unread"
+        self._add_violation(
+            Rule.CLOSED_UNANSWERED, request, at, f"sent at {request.received:.4f}, {state}, and closed"
+        )
+        request.excuse = "reported as closed"
+
     def _on_closed(self, observed: ObservedMessage) -> None:
-        """A connection has ended for the front: attempts on it are over, and nobody waits on it."""
+        """A connection has ended for the front: attempts on it are over."""
         for key in sorted(self.in_flight.pop(observed.link, ())):
             self._end_attempts(self.requests[key], observed, "reset")
-        for (link, _), request in self.by_call.items():
-            if link == observed.link and request.cancelled is None:
-                request.cancelled = observed.at
 
     def verdict(self, end: float) -> list[Violation]:
         """All violations, at the end of the run."""
         for request in self.requests.values():
-            if not request.answers and request.is_unanswered(SLACK, end):
+            if request.is_unanswered(SLACK, end):
                 proof = [f"received at {request.received:.4f}", *map(str, request.attempts)]
                 self._add_violation(
                     Rule.ONE_ANSWER, request, request.deadline, "none before its deadline", *proof
--- /dev/null
+++ b/weldbend/testbed/simulation/front_shutdowns.py
@@ -0,0 +1,48 @@
+"""Planned restarts of fronts: SIGTERM, and SIGKILL as early as the platform may send it.
+
+Clients go on sending on open connections until then. Nothing that the front has taken is excused.
+"""
+
+from random import Random
+
+from weldbend.testbed.simulation.machine import Machine
+from weldbend.testbed.simulation.site import RunContext, SimulatedSite
+
+LONGEST_WAIT = 3.0  # seconds: the most of the longest deadline that passes before SIGKILL
+KILL_MARGIN = 0.7  # seconds from there on to SIGKILL
+DOWN_FOR = 0.3  # seconds from SIGKILL to the next start
+FIRST_SHUTDOWN = 1.0  # seconds after the start of the run
+
+
+class FrontShutdowns:
+    """Shuts one front of a run down, and starts it again."""
+
+    def __init__(self, context: RunContext, site: SimulatedSite) -> None:
+        self.context = context
+        self.site = site
+        self.random = Random(f"{context.seed} shutdowns")
+
+    def schedule(self) -> None:
+        """Schedule the shutdown of a run."""
+        at = self.random.uniform(FIRST_SHUTDOWN, max(self.context.settings.seconds - 1.0, FIRST_SHUTDOWN))
+        self.site.events.schedule(at, lambda: self.shut_down(self.random.choice(sorted(self.site.fronts))))
+
+    def shut_down(self, number: int) -> None:
+        """Send a front SIGTERM, and SIGKILL if it still runs when that may come."""
+        machine, front = self.site.fronts[number]
+        if not machine.is_alive:
+            return
+        self.context.log.add(f"front {number} is told to stop")
+        self.context.auditor.on_front_stopping(machine.name)
+        machine.run_guarded(front.terminate)
+        longest = max(kind.deadline_after for kind in front.site.settings.classes.values())
+        kill_after = min(longest, LONGEST_WAIT) + KILL_MARGIN
+        self.site.events.schedule(kill_after, lambda: self._kill(number, machine))
+
+    def _kill(self, number: int, machine: Machine) -> None:
+        if not machine.is_alive and not machine.is_stopped:
+            return  # another fault has killed it, and starts it again
+        if machine.is_alive:
+            self.context.auditor.counts["fronts killed at the end of a shutdown"] += 1
+            machine.kill()
+        self.site.events.schedule(DOWN_FOR, lambda: self.site.start_front(number))
--- /dev/null
+++ b/weldbend/testbed/simulation/leaving_clients.py
@@ -0,0 +1,57 @@
+"""Clients that leave: they cancel requests, close or reset connections, also right after a burst."""
+
+from random import Random
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:  # for annotations only: the workload makes these clients leave
+    from weldbend.testbed.simulation.workload import ClientConnection, Workload
+
+CANCELLED = 0.04  # fraction of the requests that are cancelled if their answer takes long enough
+AT_ONCE = 0.5  # fraction of the cancellations that come within SHORT
+SHORT = 0.02  # seconds
+LONG = 1.5  # seconds
+REQUESTS_PER_CLOSE = 40.0  # requests sent, in the mean, until a client closes one connection
+BURST = 0.3  # fraction of the closes that come right after a burst
+BURST_SIZE = 6  # requests
+RESET = 0.5  # fraction of the closes that reset the connection
+FIRST_CLOSE = 0.6  # seconds after the start
+
+
+class LeavingClients:
+    """Draws which clients leave, from a generator of its own."""
+
+    def __init__(self, workload: "Workload", seed: int) -> None:
+        self.workload = workload
+        self.random = Random(f"{seed} clients that leave")
+
+    def schedule(self) -> None:
+        """Schedule the closes of a whole run."""
+        settings = self.workload.context.settings
+        if not settings.rate:
+            return
+        at = FIRST_CLOSE
+        while (at := at + self.random.expovariate(settings.rate / REQUESTS_PER_CLOSE)) < settings.seconds:
+            self.workload.events.schedule(at, self._leave)
+
+    def draw_cancellation(self) -> float | None:
+        """Seconds after which a request is cancelled; None where it is not."""
+        if self.random.random() >= CANCELLED:
+            return None
+        return self.random.uniform(0.0, SHORT if self.random.random() < AT_ONCE else LONG)
+
+    def _leave(self) -> None:
+        ready = self.workload.ready_connections()
+        if not ready:
+            return
+        connection = self.random.choice(ready)
+        if self.random.random() < BURST:
+            for _ in range(BURST_SIZE):
+                self._send_one(connection)
+        is_reset = self.random.random() < RESET
+        delay = self.random.uniform(0.0, SHORT)
+        self.workload.machine.callLater(delay, connection.leave, is_reset)
+
+    def _send_one(self, connection: "ClientConnection") -> None:
+        rank = self.random.randint(1, self.workload.context.settings.objects)
+        if connection.is_ready():
+            connection.send(self.workload.request_fields("photo", rank))
--- a/weldbend/testbed/simulation/observation.py
+++ b/weldbend/testbed/simulation/observation.py
@@ -1,11 +1,21 @@
 """Taps the connections of a simulated run, and hands what crosses them to the log and the auditor."""
 
+from collections.abc import Callable
+
 from weldbend.testbed.faults.engine import Injector
 from weldbend.testbed.faults.plan import Direction
-from weldbend.testbed.simulation.observer import ConnectionEvent, Message, ObservedMessage, Tap, Traffic
+from weldbend.testbed.simulation.observer import (
+    ConnectionEvent,
+    Message,
+    ObservedMessage,
+    RequestRead,
+    Tap,
+    Traffic,
+)
 from weldbend.testbed.simulation.settings import CLIENT_HOST
 from weldbend.testbed.simulation.site import RunContext, SimulatedSite
 from weldbend.testbed.simulation.transports import Transport
+from weldbend.thrift.messages import Process
 
 
 class Observation:
@@ -46,6 +56,20 @@
         near.tap = Tap(near_traffic, observe)
         far.tap = Tap(far_traffic, observe)
         front_end.on_close = lambda: observe(ConnectionEvent.CLOSED)
+        if near_host == CLIENT_HOST:
+            self._observe_client(near, far, observe)
+
+    @staticmethod
+    def _observe_client(near: Transport, far: Transport, observe: Callable[[Message], None]) -> None:
+        """Observe which side ends a client's connection, and what the front's process has read of it."""
+
+        def on_read(message: Message) -> None:
+            if isinstance(message, Process):
+                observe(RequestRead(message.seqid))
+
+        near.on_end = lambda: observe(ConnectionEvent.CLIENT_ENDED)
+        far.on_end = lambda: observe(ConnectionEvent.FRONT_ENDED)
+        far.read_tap = Tap(Traffic.CLIENT_CALLS, on_read)
 
     def _add(self, observed: ObservedMessage) -> None:
         self.context.log.add(f"{observed.link} {observed.front} {observed.peer} {observed.message!r:.300}")
--- a/weldbend/testbed/simulation/observer.py
+++ b/weldbend/testbed/simulation/observer.py
@@ -35,11 +35,20 @@
     """What is observed of a connection besides messages."""
 
     CLOSED = "closed"
+    CLIENT_ENDED = "ended by the client"  # it sends nothing more, and waits for no answer
+    FRONT_ENDED = "ended by the front"  # it sends nothing more
     UNREADABLE = "unreadable"  # bytes that are no message; nothing is read after them
 
 
+@dataclass(frozen=True, slots=True)
+class RequestRead:
+    """The process of a front has read the last byte of a request."""
+
+    seqid: int
+
+
 ClientCall = Process | GiveUp | Probe | InvalidCall
-Message = ClientCall | ClientAnswer | Command | Answer | ConnectionEvent
+Message = ClientCall | RequestRead | ClientAnswer | Command | Answer | ConnectionEvent
 
 
 class Traffic(Enum):
--- a/weldbend/testbed/simulation/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -8,6 +8,7 @@
 from weldbend.front.server import Front
 from weldbend.testbed.faults.engine import Injector
 from weldbend.testbed.simulation.auditor import Auditor, Violation
+from weldbend.testbed.simulation.front_shutdowns import FrontShutdowns
 from weldbend.testbed.simulation.machine import Machine
 from weldbend.testbed.simulation.network import VirtualNetwork
 from weldbend.testbed.simulation.observation import Observation
@@ -58,6 +59,7 @@
         self.site = SimulatedSite(context, self.create_front)
         self.workload = Workload(context, self.site.sizes)
         self.site_faults = SiteFaults(context, self.site)
+        self.shutdowns = FrontShutdowns(context, self.site)
         self.observation = Observation(context, self.site, self.injector)
 
     def create_front(self, machine: Machine, site: Site) -> Front:
@@ -67,6 +69,7 @@
     def schedule_faults(self) -> None:
         """Schedule all faults of the run."""
         self.site_faults.schedule()
+        self.shutdowns.schedule()
 
     def divergences(self) -> list[str]:
         """On what fronts that share state differ at the end; these share none."""
--- a/weldbend/testbed/simulation/transports.py
+++ b/weldbend/testbed/simulation/transports.py
@@ -55,8 +55,10 @@
         self.last_arrival = 0.0  # when the last piece in transit arrives
         self.delayed: list[bytes | None] = []  # pieces held up on a path that is blocked
         self.tap: Callable[[bytes], None] | None = None  # sees what this end sends
+        self.read_tap: Callable[[bytes], None] | None = None  # sees what the protocol of this end reads
         self.fault_stream: Stream | None = None  # what an injector does to it first
         self.on_close: Callable[[], None] | None = None  # called before the protocol is notified of the end
+        self.on_end: Callable[[], None] | None = None  # called once, when this end begins to end it
         machine.transports[self] = None
 
     connected = property(lambda self: not self.is_closed)
@@ -123,6 +125,7 @@
     def loseWriteConnection(self) -> None:
         """Shut down the writing side after what was written."""
         if not (self.is_write_closed or self.is_closed):
+            self._report_end()
             self.is_write_closed = True
             self._send_piece(None)
 
@@ -136,10 +139,17 @@
     def abortConnection(self) -> None:
         """Close both sides at once, with a reset."""
         if not self.is_closed:
+            self._report_end()
             self.disconnecting = True
             self._reset_peer()
             self.machine.callLater(0, self.close, ConnectionLost)
 
+    def _report_end(self) -> None:
+        """Report, once, that this end sends nothing more."""
+        on_end, self.on_end = self.on_end, None
+        if on_end:
+            on_end()
+
     # Sending.
 
     def _send(self, data: bytes) -> None:
@@ -204,6 +214,7 @@
     def vanish(self) -> None:
         """The process of this end is gone: its protocol is not notified, the other end is reset."""
         if not self.is_closed:
+            self._report_end()
             self._reset_peer()
             self.is_closed = True
 
@@ -239,6 +250,8 @@
                 self._deliver_end()
                 return
             self.unread -= len(piece)
+            if self.read_tap:
+                self.read_tap(piece)
             self.machine.run_guarded(self.protocol.dataReceived, piece)
             self._resume_sender()
 
--- a/weldbend/testbed/simulation/workload.py
+++ b/weldbend/testbed/simulation/workload.py
@@ -1,4 +1,7 @@
-"""The load of a simulated run: clients that send requests at random times, and retry what is rejected."""
+"""The load of a simulated run: clients that send requests at random times, and retry what is rejected.
+
+Some cancel or close before they have their answers, see `leaving_clients`.
+"""
 
 from bisect import bisect
 from typing import Any
@@ -12,6 +15,7 @@
 from weldbend.testbed.emulator import objects
 from weldbend.testbed.emulator.objects import Sizes
 from weldbend.testbed.load import client_calls
+from weldbend.testbed.simulation.leaving_clients import LeavingClients
 from weldbend.testbed.simulation.machine import Machine
 from weldbend.testbed.simulation.settings import (
     CLIENT_HOST,
@@ -57,13 +61,27 @@
         """Whether it may send a further request."""
         return self.is_up and len(self.open) < MAX_OPEN
 
-    def send(self, fields: Fields) -> None:
-        """Send one request."""
+    def send(self, fields: Fields) -> int:
+        """Send one request; returns its sequence id."""
         self.seqid += 1
         self.open[self.seqid] = fields
         self.last_sent = self.workload.events.now
         if self.transport:
             self.transport.write(client_calls.process(self.seqid, fields, BODY))
+        return self.seqid
+
+    def give_up(self, seqid: int) -> None:
+        """Cancel a request, unless it has its answer."""
+        if self.is_up and seqid in self.open:
+            del self.open[seqid]
+            self.transport.write(client_calls.give_up(seqid))
+
+    def leave(self, is_reset: bool) -> None:
+        """Close or reset, with all that is open."""
+        if self.is_up:
+            self.is_up = False
+            self.open.clear()
+            (self.transport.abortConnection if is_reset else self.transport.loseConnection)()
 
     def dataReceived(self, data: bytes) -> None:
         """Read answers."""
@@ -112,6 +130,7 @@
             number: [] for number in range(1, context.settings.fronts + 1)
         }
         self.request_count = 0
+        self.leaving = LeavingClients(self, context.seed)
 
     def connect(self, front: int) -> None:
         """Open one connection to a front."""
@@ -133,6 +152,7 @@
             else:
                 request_class = "photo"
             self._schedule_request(at, request_class, rank)
+        self.leaving.schedule()
 
     def _schedule_request(self, at: float, request_class: str, rank: int) -> None:
         self.events.schedule(at, lambda: self.send(self.request_fields(request_class, rank)))
@@ -157,11 +177,20 @@
         }
         return fields | ({"once": f"{self.request_count:032x}"} if request_class == "order" else {})
 
+    def ready_connections(self) -> list[ClientConnection]:
+        """All connections on which a request may be sent."""
+        return [c for n in sorted(self.connections) for c in self.connections[n] if c.is_ready()]
+
     def send(self, fields: Fields) -> None:
         """Send a request to a front drawn at random; it is dropped where no connection is ready."""
-        ready = [c for n in sorted(self.connections) for c in self.connections[n] if c.is_ready()]
-        if ready:
-            self.context.rng.choice(ready).send(fields)
+        ready = self.ready_connections()
+        if not ready:
+            return
+        connection = self.context.rng.choice(ready)
+        seqid = connection.send(fields)
+        cancel_after = self.leaving.draw_cancellation()
+        if cancel_after is not None:
+            self.machine.callLater(cancel_after, connection.give_up, seqid)
 
     def send_to(self, front: int, fields: Fields) -> None:
         """Send a request to one front."""
