--- a/weldbend/routing/windows.py
+++ b/weldbend/routing/windows.py
@@ -47,12 +47,14 @@
         Sums of one span change buckets at the same moments. What is taken off leaves nothing behind where
         the amounts are exact in binary, as whole numbers and halves are.
         """
+        if other.sums is None:
+            return
         self.total(now)
         other.total(now)
-        if other.sums is not None:
-            own_sums = self.sums or [0.0] * self.buckets
-            self.sums = [own + sign * added for own, added in zip(own_sums, other.sums, strict=True)]
-            self.sum = sum(self.sums)
+        own_sums = self.sums or [0.0] * self.buckets
+        other_sums = other.sums or [0.0] * self.buckets
+        self.sums = [own + sign * added for own, added in zip(own_sums, other_sums, strict=True)]
+        self.sum = sum(self.sums)
 
     def _advance(self, now: float) -> None:
         """Go on to the bucket of `now`, and empty those that were passed over."""
