--- a/weldbend/testbed/emulator/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -13,7 +13,7 @@
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol.answers import InvalidAnswerError
 from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, encode_answer
-from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches
+from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, TimedAnswer
 from weldbend.testbed.emulator.configuration import listing
 from weldbend.testbed.reactor import DelayedCall, Reactor
 
@@ -40,6 +40,7 @@
     def connectionMade(self) -> None:
         """A front has connected."""
         self.transport.setTcpNoDelay(True)
+        self.server.cache.count("connections made")
 
     def dataReceived(self, data: bytes) -> None:
         """Execute the commands that are complete; what is no command closes the connection."""
@@ -74,6 +75,7 @@
         except (KeyError, ValueError):
             self.write(encode_answer(command.name, "BROKE", {}))
             return
+        self.server.on_executed(command.name, answer)
         cache.open += 1
 
         def send() -> None:
@@ -102,7 +104,11 @@
 
 
 class CacheServer(Factory):
-    """Serves one emulated cache; `now` and `unix` are its clocks, in seconds."""
+    """Serves one emulated cache; `now` and `unix` are its clocks, in seconds.
+
+    Attributes:
+        on_executed: called with a request's id and its answer, before that is sent and any fault changes it.
+    """
 
     noisy = False
 
@@ -113,8 +119,10 @@
         cache: EmulatedCache,
         now: Callable[[], float] = time.monotonic,
         unix: Callable[[], float] = time.time,
+        on_executed: Callable[[str, TimedAnswer], None] = lambda name, answer: None,
     ) -> None:
         self.reactor = reactor
+        self.on_executed = on_executed
         self.caches = caches
         self.cache = cache
         self.now = now
@@ -161,7 +169,9 @@
     def send(self, event: Event) -> None:
         """Send one event, if the connection is open."""
         if self.transport:
-            self.transport.write(f"id: {event['offset']}\ndata: {json.dumps(event)}\n\n".encode())
+            data = f"id: {event['offset']}\ndata: {json.dumps(event)}\n\n".encode()
+            self.bus.event_bytes += len(data)
+            self.transport.write(data)
 
     def send_comment(self) -> None:
         """Send a comment, as a heartbeat."""
@@ -180,6 +190,7 @@
 
     def __init__(self, reactor: Reactor, targets: list[Event]) -> None:
         self.reactor = reactor
+        self.event_bytes = 0  # sent to all readers, without comments
         self.readers = dict[EventBusConnection, None]()
         self.events = [listing(1, *targets, whole=True)]
         self._send_heartbeat()
