--- /dev/null
+++ b/tests/test_scale.py
@@ -0,0 +1,95 @@
+"""`weldbend lab scale`: what it plays, what it judges by, and a small comparison with real fronts."""
+
+import json
+import subprocess
+import sys
+from dataclasses import replace
+
+import pytest
+from click.testing import CliRunner
+
+from weldbend.testbed.commands import scale as scale_command
+from weldbend.testbed.scale.bounds import BOUNDS, broken_bounds
+from weldbend.testbed.scale.figures import ScaleFigures, busiest_share, used_share
+from weldbend.testbed.scale.plan import ScalePlan
+
+USUAL = ScaleFigures(
+    caches=100,
+    requests=1000,
+    served=1.0,
+    start_cpu=0.5,
+    cpu=5.0,
+    memory=50_000_000,
+    descriptors=120,
+    connections=300.0,
+    list_bytes=6_000.0,
+    lookups=2500,
+    hits=0.5,
+    origin_bytes=10_000_000,
+    edges_used=1.0,
+    busiest_share=0.2,
+)
+# Of each line, the last figure that holds it with 1,600 caches: by the operators' table.
+LAST_HELD = {
+    "CPU, s": {"cpu": 7.212},  # 1.4 x 5 + 0.02 + 0.12 x 1.6
+    "peak memory, MB": {"memory": 89_400_000},  # 1.5 x 50 + 8 + 4 x 1.6
+    "descriptors": {"descriptors": 280},  # 2 x 120 + 40
+    "connections made": {"connections": 790.0},  # 2.5 x 300 + 40
+    "bytes of lists, KB": {"list_bytes": 876_000.0},  # 2 x 6 + 64 + 500 x 1.6
+    "share served": {"served": 0.85},
+}
+
+
+@pytest.mark.parametrize("name", LAST_HELD)
+def test_a_line_of_the_table_is_held_up_to_its_bound_and_missed_beyond(name):
+    large = replace(USUAL, caches=1600)
+    ((field, value),) = LAST_HELD[name].items()
+    beyond = value * (0.999 if name == "share served" else 1.001) + (field == "descriptors")
+    assert not broken_bounds(USUAL, replace(large, **{field: value}), is_counted_only=False)
+    broken = broken_bounds(USUAL, replace(large, **{field: beyond}), is_counted_only=False)
+    assert [bound.name for bound in broken] == [name] and len(BOUNDS) == len(LAST_HELD)
+    assert bool(broken_bounds(USUAL, replace(large, **{field: beyond}), is_counted_only=True)) is (
+        name not in ("CPU, s", "peak memory, MB")
+    )
+
+
+def test_the_capacity_of_all_caches_together_is_the_same_for_each_division():
+    usual, large = ScalePlan().site_settings(), ScalePlan(division=16).site_settings()
+    assert usual.edges + usual.parents == 100 and large.edges + large.parents == 1600
+    for name in ("edge_capacity", "edge_rate", "cache_rate", "cache_weight", "cache_max_open"):
+        assert getattr(usual, name) == 16 * getattr(large, name)
+    for name in ("sockets", "memory_mb", "open_cap", "origin_rate", "sizes"):
+        assert getattr(usual, name) == getattr(large, name)
+    assert ScalePlan().load_plan() == ScalePlan(division=16).load_plan()
+    assert ScalePlan(division=16).changes_per_second() == 16 * ScalePlan().changes_per_second()
+
+
+def test_evenness_is_told_by_the_edges_used_and_by_the_busiest_tenth():
+    assert (
+        busiest_share([1] * 20) == 0.1 and busiest_share([0] * 19 + [5]) == 1.0 and busiest_share([]) == 0.0
+    )
+    assert used_share([0, 1, 2, 0]) == 0.5
+
+
+@pytest.mark.parametrize("served, status", [(0.9, 0), (0.5, 1)])
+def test_the_exit_status_tells_whether_a_line_was_missed(monkeypatch, served, status):
+    figures = {1: USUAL, 16: replace(USUAL, caches=1600, served=served)}
+    monkeypatch.setattr(scale_command, "play", lambda plan: figures[plan.division])
+    done = CliRunner().invoke(scale_command.scale, [])
+    assert done.exit_code == status and ("missed: share served" in done.output) is bool(status)
+    assert "connections made" in done.output and "790.00" in done.output
+
+
+def test_a_small_site_and_four_times_its_caches_with_real_fronts(tmp_path):
+    """Judged by what is counted alone, so that a slow machine gives the same verdict."""
+    path = tmp_path / "scale.json"
+    size = ("--caches", "12", "--factor", "4", "--rate", "20", "--seconds", "2", "--changes", "50")
+    command = [sys.executable, "-m", "weldbend", "lab", "scale", *size, "--counted", "--json", str(path)]
+    done = subprocess.run(command, capture_output=True, text=True, timeout=120)
+    assert done.returncode == 0, done.stdout + done.stderr
+    report = json.loads(path.read_text())
+    usual, large = report["usual"], report["large"]
+    assert (usual["caches"], large["caches"]) == (12, 48) and usual["requests"] == large["requests"] > 20
+    assert usual["served"] > 0.9 and large["served"] > 0.9
+    assert usual["connections"] > 12 and large["connections"] > usual["connections"]
+    assert large["list_bytes"] > 2 * usual["list_bytes"] > 0 and large["origin_bytes"] > 0
