--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,14 +1,17 @@
 """`weldbend lab scale`: what it plays, what it judges by, and a small comparison with real fronts."""
 
 import json
+import socket
 import subprocess
 import sys
 from dataclasses import replace
 
 import pytest
 from click.testing import CliRunner
+from twisted.internet.testing import MemoryReactorClock
 
 from weldbend.testbed.commands import scale as scale_command
+from weldbend.testbed.emulator.emulated_site import EmulatedSite, SiteSettings
 from weldbend.testbed.scale.bounds import BOUNDS, broken_bounds
 from weldbend.testbed.scale.figures import ScaleFigures, busiest_share, used_share
 from weldbend.testbed.scale.plan import ScalePlan
@@ -24,7 +27,8 @@
     connections=300.0,
     list_bytes=6_000.0,
     lookups=2500,
-    hits=0.5,
+    edge_hits=0.3,
+    parent_hits=0.2,
     origin_bytes=10_000_000,
     edges_used=1.0,
     busiest_share=0.2,
@@ -93,3 +97,16 @@
     assert usual["served"] > 0.9 and large["served"] > 0.9
     assert usual["connections"] > 12 and large["connections"] > usual["connections"]
     assert large["list_bytes"] > 2 * usual["list_bytes"] > 0 and large["origin_bytes"] > 0
+
+
+def test_the_port_of_a_front_stays_its_own_until_the_front_listens():
+    """One that is only looked up may be given to any other connection on this machine meanwhile."""
+    site = EmulatedSite(MemoryReactorClock(), SiteSettings(edges=1, parents=1, fronts=1))
+    _, address = site.configure(1)
+    host, port = address.split(":")
+    with socket.socket() as other, pytest.raises(OSError, match="in use"):
+        other.bind((host, int(port)))
+    with socket.socket() as front:
+        front.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        front.bind((host, int(port)))
+        front.listen()
--- a/weldbend/testbed/emulator/emulated_site.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -1,5 +1,6 @@
 """A complete emulated site in this process: servers on free ports of loopback, fronts as child processes."""
 
+import socket
 import sys
 import tempfile
 from collections.abc import Callable
@@ -7,7 +8,7 @@
 from pathlib import Path
 from typing import Any, BinaryIO
 
-from twisted.internet.protocol import Factory, ProcessProtocol
+from twisted.internet.protocol import ProcessProtocol
 from twisted.python.failure import Failure
 
 from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link
@@ -96,6 +97,7 @@
         self.bus_port: int = reactor.listenTCP(0, self.bus, interface=LOOPBACK).getHost().port
         self.fronts: list[str] = []  # addresses
         self.processes: list[Any] = []
+        self.reserved_ports: list[socket.socket] = []  # of the fronts, while this process lives
 
     def _cache(self, uid: str, kind: str, capacity: int) -> EmulatedCache:
         if kind == "origin":
@@ -116,9 +118,7 @@
 
         `bus_port` is where it reaches the event bus; None for the bus itself.
         """
-        free = self.reactor.listenTCP(0, Factory(), interface=LOOPBACK)
-        listen = f"{LOOPBACK}:{free.getHost().port}"
-        free.stopListening()
+        listen = f"{LOOPBACK}:{self._reserve_port()}"
         limits = LIMITS | {"sockets": self.settings.sockets, "memory_mb": self.settings.memory_mb}
         zones = {"count_by_zone": [0, self.settings.fronts], "one_flow_kb_per_s": 1000.0}
         settings = SETTINGS | {
@@ -139,6 +139,18 @@
         path.write_text(text)
         return path, listen
 
+    def _reserve_port(self) -> int:
+        """A free port for a front: bound here without listening, so that the front alone can listen on it.
+
+        Were it only looked up, any connect on this machine might be given it before the front listens.
+        """
+        reserved = socket.socket()
+        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        reserved.bind((LOOPBACK, 0))
+        self.reserved_ports.append(reserved)
+        port: int = reserved.getsockname()[1]
+        return port
+
     def start(
         self,
         on_ready: Callable[[], None],
--- a/weldbend/testbed/scale/figures.py
+++ b/weldbend/testbed/scale/figures.py
@@ -21,7 +21,8 @@
         connections: Connections that a front made to caches.
         list_bytes: Bytes of events from the bus, for each front.
         lookups: Commands at edges.
-        hits: Share of the requests that an edge or parent answered from a copy.
+        edge_hits: Requests answered from a copy at an edge, as a share of all.
+        parent_hits: Fills of an edge from a copy at a parent, as a share of all requests.
         origin_bytes: Bytes that the origin gave, for all fronts.
         edges_used: Share of the edges that got a command.
         busiest_share: Share of the commands at edges that the busiest tenth of the edges got.
@@ -37,7 +38,8 @@
     connections: float
     list_bytes: float
     lookups: int
-    hits: float
+    edge_hits: float
+    parent_hits: float
     origin_bytes: int
     edges_used: float
     busiest_share: float
--- a/weldbend/testbed/scale/site_run.py
+++ b/weldbend/testbed/scale/site_run.py
@@ -111,7 +111,6 @@
         caches = self.site.caches.caches.values()
         lookups = [cache.counts.get("asked", 0) for cache in caches if cache.kind == "box"]
         requests = len(load.arrivals)
-        hits = counts.get("box hits", 0) + counts.get("box joined", 0) + counts.get("box filled", 0)
         connections = sum(cache.counts.get("connections made", 0) for cache in caches)
         return ScaleFigures(
             caches=self.plan.count(),
@@ -124,7 +123,8 @@
             connections=connections / fronts,
             list_bytes=self.site.bus.event_bytes / fronts,
             lookups=sum(lookups),
-            hits=hits / max(requests, 1),
+            edge_hits=counts.get("box hits", 0) / max(requests, 1),
+            parent_hits=counts.get("box filled", 0) / max(requests, 1),
             origin_bytes=counts.get("origin bytes read", 0),
             edges_used=used_share(lookups),
             busiest_share=busiest_share(lookups),
