--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -3,12 +3,13 @@
 import errno
 import json
 import os
+import signal
 import socket
 import subprocess
 import sys
 
 import pytest
-from fronts import Stage, configuration, probe
+from fronts import Stage, answer_text, configuration, probe
 from twisted.internet import tcp
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.testing import MemoryReactorClock
@@ -350,3 +351,30 @@
         [sys.executable, "-c", LOGGING, "json", "nothing"], capture_output=True, timeout=60, check=True
     ).stderr.splitlines()
     assert len(shown) == 200 and json.loads(shown[7])["message"] == "line 7 " + "x" * 100
+
+
+def test_a_front_whose_log_breaks_serves_on_and_ends_as_told(tmp_path):
+    """What reads its log ends: probes are answered, a reload is survived, and SIGTERM ends it with 0."""
+    with socket.create_server(("127.0.0.1", 0)) as spare:
+        address = spare.getsockname()
+    path = tmp_path / "front.json"
+    path.write_text(configuration(listen=f"127.0.0.1:{address[1]}", bus="127.0.0.1:1"))
+    command = [sys.executable, "-O", "-m", "weldbend", "serve", "--config", str(path)]
+    front = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
+    try:
+        while "serves on" not in (line := front.stderr.readline()):
+            assert line
+        front.stderr.close()
+        with socket.create_connection(address, 20) as client:
+            stream = client.makefile("rb")
+            for number in (1, 2):
+                front.send_signal(signal.SIGHUP)  # logs, as the bus that cannot be reached does
+                client.sendall(probe(number))
+                answer = answer_text(stream.read(int.from_bytes(stream.read(4))))
+                assert answer == f"{number} probe: good True"
+            front.send_signal(signal.SIGTERM)
+            assert stream.read() == b""
+        assert front.wait(20) == 0
+    finally:
+        front.kill()
+        front.wait(20)
--- a/weldbend/testbed/faults/call_faults.py
+++ b/weldbend/testbed/faults/call_faults.py
@@ -48,10 +48,11 @@
 }
 ALL_FAULTS = tuple((call, number) for call, numbers in ERRORS.items() for number in numbers)
 HARMLESS_TRANSFERS = frozenset({SHORT, errno.EAGAIN, errno.ENOBUFS})  # of RECEIVE and SEND
-EPISODES = 8  # of a plan
+EPISODES = 5  # of a plan, drawn at random
+WINDOWS = 5  # equal parts of the time, in each of which the seed's own fault is injected
 SHORTEST, LONGEST = 0.05, 0.8  # seconds of an episode
-MOST_BREAKS = 4  # in one episode that ends connections
-MOST_FAULTS = 60  # in one that does not
+MOST_BREAKS = 3  # in one episode that ends connections
+MOST_FAULTS = 40  # in one that does not
 
 
 def error_name(number: int) -> str:
@@ -87,19 +88,34 @@
 
 
 def draw_plan(seed: int, seconds: float) -> list[Episode]:
-    """The episodes of a seed, spread over so many seconds."""
+    """The episodes of a seed, spread over so many seconds.
+
+    Seeds go through all faults in turn, so as many seeds as there are faults inject each in every part of the
+    time; some others are drawn beside it.
+    """
     rng = random.Random(f"socket calls {seed}")
-    episodes = []
-    for call, number in rng.sample(ALL_FAULTS, EPISODES):
+    window = seconds / WINDOWS
+    moments = [(index * window, (index + 1) * window) for index in range(WINDOWS)]
+    episodes = [draw_episode(rng, seed_fault(seed), *moment) for moment in moments]
+    for fault in rng.sample(ALL_FAULTS, EPISODES):
         since = rng.uniform(0.0, seconds)
-        until = since + rng.uniform(SHORTEST, LONGEST)
-        is_breaking = ends_connection(call, number)
-        chance = rng.uniform(0.02, 0.3) if is_breaking else rng.choice((0.2, 0.5, 1.0))
-        left = rng.randint(1, MOST_BREAKS if is_breaking else MOST_FAULTS)
-        episodes.append(Episode(call, number, since, until, chance, left))
+        episodes.append(draw_episode(rng, fault, since, since + rng.uniform(SHORTEST, LONGEST)))
     return episodes
 
 
+def seed_fault(seed: int) -> tuple[Call, int]:
+    """The fault that a seed injects all the time."""
+    return ALL_FAULTS[seed % len(ALL_FAULTS)]
+
+
+def draw_episode(rng: random.Random, fault: tuple[Call, int], since: float, until: float) -> Episode:
+    """An episode of a fault between two moments: how often, and by what chance."""
+    is_breaking = ends_connection(*fault)
+    chance = rng.uniform(0.02, 0.3) if is_breaking else rng.choice((0.2, 0.5, 1.0))
+    left = rng.randint(1, MOST_BREAKS if is_breaking else MOST_FAULTS)
+    return Episode(*fault, since, until, chance, left)
+
+
 @dataclass
 class CallFaults:
     """A plan at work.
