--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -9,7 +9,7 @@
 import sys
 
 import pytest
-from fronts import Stage, answer_text, configuration, probe
+from fronts import Stage, answer_text, configuration, probe, process
 from twisted.internet import tcp
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.testing import MemoryReactorClock
@@ -111,6 +111,98 @@
     listening.close()
 
 
+def test_a_port_that_cannot_be_watched_again_after_a_pause_rests_once_more():
+    """Found by seed 23 of the trials: one failed epoll_ctl, and the front never accepted again."""
+    listening = Listening([errno.ENFILE])
+    add_reader, failures = listening.reactor.addReader, [errno.ENOMEM, errno.ENOSPC]
+
+    def refuse_twice(reader):
+        if failures:
+            raise OSError(failures.pop(), "injected")
+        add_reader(reader)
+
+    listening.turn(0.002)
+    listening.reactor.addReader = refuse_twice
+    listening.turn(0.15)
+    assert not failures and len(listening.accepted) == 1
+    listening.close()
+
+
+def test_the_clients_port_that_cannot_be_watched_again_rests_once_more():
+    stage = Stage()
+    listener = stage.door.listener
+    listening = Listening([errno.ENFILE], is_guarded=False)
+    listener.port, listener.port.factory = listening.port, listener
+    listener.accept_guard = AcceptGuard(listening.port, stage.reactor.callLater, listener.update_accepting)
+    listening.turn(0.001)
+    add_reader = listening.reactor.addReader
+
+    def refuse_once(reader):
+        listening.reactor.addReader = add_reader
+        raise OSError(errno.ENOMEM, "injected")
+
+    listening.reactor.addReader = refuse_once
+    stage.turn(MIN_PAUSE)
+    assert listener.is_paused and not listening.is_watched()
+    stage.turn(MAX_PAUSE)
+    assert not listener.is_paused and listening.is_watched()
+    listening.close()
+
+
+def test_a_client_that_cannot_be_watched_for_writing_gets_no_second_answer():
+    stage = Stage()
+    client = stage.client()
+    stage.say(client, process(1))
+    stage.connect()
+    write, ended = client.transport.write, []
+
+    def write_and_fail(data):
+        write(data)
+        raise OSError(errno.ENOMEM, "injected")
+
+    client.transport.write, client.transport.abortConnection = write_and_fail, lambda: ended.append(1)
+    stage.answer("e2", 1, "DONE", "-", b"photo")
+    stage.shows("""
+        e2/0 < do 0000000000000001 queue=photo,path=7f3a9c21e0b4d655,blk=0,budget=6000,mode=j 0
+        client 0 < 1 process: 'photo'
+    """)
+    assert ended
+
+
+def test_caches_that_cannot_be_watched_end_alone():
+    """One of two connections fails to be read again, and one to be written to: the other is not concerned."""
+    stage = Stage()
+    client = stage.client()
+    stage.say(client, process(1), process(2, key="a" * 16), process(3, key="5" * 16))
+    stage.connect()
+    assert len(stage.caches) == 2
+    stage.dispatcher.pool.pause_reading(True)
+    broken, sound = stage.caches["e1", 0], stage.caches["e2", 0]
+
+    def refuse(*args):
+        raise OSError(errno.ENOMEM, "injected")
+
+    broken.transport.resumeProducing = refuse
+    stage.dispatcher.pool.pause_reading(False)
+    assert broken.is_aborted and not sound.is_aborted and not sound.is_read_paused
+    sound.transport.write = refuse
+    sound.write(b"ping p1\r\n")
+    assert sound.is_aborted
+
+
+def test_a_client_that_cannot_be_read_again_ends():
+    stage = Stage()
+    client, ended = stage.client(), []
+
+    def refuse():
+        raise OSError(errno.ENOMEM, "injected")
+
+    client.transport.resumeProducing, client.transport.abortConnection = refuse, lambda: ended.append(1)
+    client._pause_reading(True)
+    client._pause_reading(False)
+    assert ended
+
+
 def test_a_front_that_cannot_accept_does_not_close_its_port_over_those_that_wait():
     stage = Stage()
     listener = stage.door.listener
--- a/weldbend/accept_guard.py
+++ b/weldbend/accept_guard.py
@@ -30,20 +30,19 @@
         Raises:
             BlockingIOError: none waits, or none can be accepted for now.
         """
-        number = errno.EAGAIN
         for _ in range(MAX_GONE):
             try:
                 accepted: tuple[Any, Any] = self.listening.accept()
             except OSError as error:
                 if error.errno in NOTHING_WAITS:
                     raise
-                number = error.errno or errno.EIO
-                if number not in GONE_BEFORE_ACCEPT:
+                fault = error
+                if error.errno not in GONE_BEFORE_ACCEPT:
                     break
             else:
                 self.guard.faults = 0
                 return accepted
-        self.guard.accept_failed(number)
+        self.guard.accept_failed(fault)
         raise BlockingIOError(errno.EAGAIN, "accepting is paused")
 
     def __getattr__(self, name: str) -> Any:  # noqa: ANN401  # any member of a socket
@@ -79,9 +78,9 @@
         if hasattr(port, "socket"):
             port.socket = GuardedSocket(port.socket, self)
 
-    def accept_failed(self, number: int) -> None:
+    def accept_failed(self, fault: OSError) -> None:
         """Pause: the fault is this machine's, or of very many connections in a row."""
-        anomalies[f"accepts that failed with {errno.errorcode.get(number, number)}"] += 1
+        anomalies[f"accepts that failed with {errno.errorcode.get(fault.errno or 0, 'no number')}"] += 1
         if not self.is_waiting:
             self.is_waiting = True
             pause = min(MIN_PAUSE * 2**self.faults, MAX_PAUSE)
@@ -94,4 +93,10 @@
         self.on_change()
 
     def _pause_or_resume(self) -> None:
-        (self.port.pauseProducing if self.is_waiting else self.port.resumeProducing)()
+        if self.is_waiting:
+            self.port.pauseProducing()
+            return
+        try:
+            self.port.resumeProducing()
+        except OSError as error:  # the port cannot be watched
+            self.accept_failed(error)
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -166,7 +166,10 @@
 
     def _write_pending(self) -> None:
         while self.outgoing and not self.is_write_paused:
-            self.transport.write(self.outgoing.read(min(len(self.outgoing), READ_SIZE)))
+            try:
+                self.transport.write(self.outgoing.read(min(len(self.outgoing), READ_SIZE)))
+            except OSError:  # it cannot be watched for writing
+                self.abort()
 
     def pauseProducing(self) -> None:
         """Hold commands back; the transport calls it when its buffer is full."""
@@ -221,7 +224,10 @@
         if is_paused is self.is_read_paused or self.is_lost:
             return
         self.is_read_paused = is_paused
-        (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
+        try:
+            (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
+        except OSError:  # it cannot be watched for reading; the others go on
+            self.abort()
         if not is_paused:
             self.answer_started_at = self.timers.now()
             self._read_answers()
--- a/weldbend/clients/answer_writer.py
+++ b/weldbend/clients/answer_writer.py
@@ -41,7 +41,7 @@
     def write(self, answer: bytes) -> None:
         """Send one complete answer, after all those that wait."""
         if not (self.is_paused or self.queue or self.ring) and self.transport is not None:
-            self.transport.write(answer)
+            self._send(self.transport, answer)
             return
         self.queue.append(answer)
         self.account.buffered_changed(len(answer))
@@ -56,7 +56,18 @@
                 break
             data = self.ring.read(min(len(self.ring), WRITE_SIZE))
             self.account.buffered_changed(-len(data))
-            self.transport.write(data)
+            self._send(self.transport, data)
+
+    @staticmethod
+    def _send(transport: ClientTransport, data: bytes) -> None:
+        """Hand bytes on, and end a connection that cannot be watched for writing.
+
+        Guards the client against a second answer in place of one that failed to be sent, and was buffered.
+        """
+        try:
+            transport.write(data)
+        except OSError:
+            transport.abortConnection()
 
     def discard(self) -> None:
         """Give up what waits: the connection has ended."""
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -228,7 +228,10 @@
         """Stop or resume reading the socket. The end of a client is noticed all the same."""
         if is_paused is not self.is_read_paused and not self.is_lost:
             self.is_read_paused = is_paused
-            (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
+            try:
+                (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
+            except OSError:  # it cannot be watched any more
+                self.transport.abortConnection()
             self.owner.watch_hangup(self, is_paused)
 
     def hung_up(self) -> None:
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -291,7 +291,18 @@
         is_paused = is_full or self._is_accept_failing()
         if self.port and is_paused is not self.is_paused:
             self.is_paused = is_paused
-            (self.port.pauseProducing if is_paused else self.port.resumeProducing)()
+            if is_paused:
+                self.port.pauseProducing()
+            else:
+                self._resume_accepting(self.port)
+
+    def _resume_accepting(self, port: ListeningPort) -> None:
+        """Accept again, or pause once more where the port cannot be watched."""
+        try:
+            port.resumeProducing()
+        except OSError as error:
+            assert self.accept_guard
+            self.accept_guard.accept_failed(error)
 
     def _is_accept_failing(self) -> bool:
         return bool(self.accept_guard and self.accept_guard.is_waiting)
