--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -256,7 +256,10 @@
             self.is_read_paused = is_paused
             if is_paused and self.unread_since is None:
                 self.unread_since = self.owner.now()
-            (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
+            try:
+                (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
+            except OSError:  # it cannot be watched any more
+                self.transport.abortConnection()
             self.owner.watch_hangup(self, is_paused)
 
     def hung_up(self) -> None:
