--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -9,6 +9,7 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.event_bus.events import parse_event as bus_event
+from weldbend.event_bus.remote_timestamps import Receipt
 from weldbend.front.configuration import read_site
 from weldbend.front.server import Front as Door
 from weldbend.routing.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt, WatchEndpoints
@@ -276,10 +277,11 @@
             self.door.listener.epoll_set_factory = lambda reactor: self.rim
         self.door.clock.now = lambda: self.reactor.seconds() + 1.0
         self.door.clock.age = lambda stamp: max(self.unix() - stamp, 0.0)
-        self.door.clock.from_unix = lambda stamp: self.door.clock.now() - (self.unix() - stamp)
+        self.door.clock.unix = self.unix
         self.trace, self.clients, self.caches = [], [], {}
         self.door.listener.set_keepalive = lambda: None  # a port in memory has no socket
         self.door.start()
+        self.door.context.timestamps.confirm(self.unix(), self.door.clock.now())
         self.door.open()
         self.door.listener.port.doRead = lambda: None  # nobody waits to be accepted
         self.turn()
@@ -295,6 +297,11 @@
     def unix(self):
         return 1000.0 + self.reactor.seconds()
 
+    def receipt(self):
+        """How events of the bus come: after an hour out of touch, so that each may be old."""
+        now = self.door.clock.now()
+        return Receipt(now, in_touch=now - 3600.0)
+
     def turn(self, seconds=0.0):
         self.reactor.advance(seconds)
         for _ in range(4):
@@ -371,7 +378,7 @@
         self.turn()
 
     def bus(self, raw):
-        self.dispatcher.endpoints.handle(bus_event(raw))
+        self.dispatcher.endpoints.handle(bus_event(raw), self.receipt())
         self.turn()
 
     def shows(self, kept):
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -10,6 +10,7 @@
 
 from weldbend.event_bus.events import parse_event as bus_event
 from weldbend.event_bus.reader import BusReader
+from weldbend.event_bus.remote_timestamps import Receipt
 from weldbend.front import request_codec
 from weldbend.front.clock import Clock
 from weldbend.front.configuration import read_site
@@ -917,7 +918,8 @@
     door.bus.on_connected()
     reactor.advance(0.01)
     assert not reactor.tcpServers
-    door.dispatcher.endpoints.handle(bus_event({"offset": 9, "ban": {"url": KEY, "ts": 1}}))
+    told = bus_event({"offset": 9, "ban": {"url": KEY, "ts": 1}})
+    door.dispatcher.endpoints.handle(told, Receipt(door.clock.now()))
     reactor.advance(0.02)
     assert len(reactor.tcpServers) == 1 and door.gateway.is_serving()
     assert KEY in door.dispatcher.router.admission.purges.moments
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -131,7 +131,9 @@
         monkeypatch,
         EndpointUpdates,
         "update_list",
-        lambda update: lambda self, is_complete, to: update(self, is_complete, to) if is_complete else None,
+        lambda update: lambda self, is_complete, to, receipt: (
+            update(self, is_complete, to, receipt) if is_complete else None
+        ),
     )
 
 
@@ -143,8 +145,8 @@
     from weldbend.event_bus.endpoint_registry import EndpointRegistry
 
     def made(entry):
-        def never(self, target):
-            held = entry(self, target)
+        def never(self, target, receipt):
+            held = entry(self, target, receipt)
             return type(held)(held.id, held.weight, held.zone, held.cell, held.role, held.state, None)
 
         return never
--- a/weldbend/event_bus/endpoint_registry.py
+++ b/weldbend/event_bus/endpoint_registry.py
@@ -1,11 +1,11 @@
-"""Maps endpoint records to the router's endpoints: uids to numbers, Unix times to the front's time."""
+"""Maps endpoint records to the router's endpoints: uids to numbers, stamps of starts to the front's time."""
 
 import math
 import zlib
 from dataclasses import dataclass, field
-from typing import Protocol
 
 from weldbend.event_bus.events import EndpointRecord
+from weldbend.event_bus.remote_timestamps import DatedStart, Receipt, RemoteTimestamps
 from weldbend.routing.events import Endpoint, EndpointState
 from weldbend.routing.settings import Role
 
@@ -16,12 +16,12 @@
 }
 
 
-class Clock(Protocol):
-    """The front's clock."""
+@dataclass(frozen=True, slots=True)
+class KnownStart:
+    """The latest start of a cache, as it was stamped (Unix seconds) and dated."""
 
-    def from_unix(self, timestamp: float) -> float:
-        """Return a Unix time (seconds) in seconds of the front's clock."""
-        ...
+    stamp: float
+    dated: DatedStart
 
 
 @dataclass(slots=True)
@@ -32,18 +32,20 @@
     rendezvous hashing uses the numbers.
 
     Attributes:
-        clock: The front's clock.
+        timestamps: Dates what other machines stamped.
         roles: The role of each kind of endpoint.
         numbers: Number by uid.
         uids: Uid by number.
-        starts: By uid, the latest start: Unix time and the same in the front's time.
+        starts: By uid, the latest start that the bus has told.
+        peer_starts: By uid, the latest start that another front has told: its stamp, and the front's time.
     """
 
-    clock: Clock
+    timestamps: RemoteTimestamps
     roles: dict[str, Role]
     numbers: dict[str, int]
     uids: dict[int, str]
-    starts: dict[str, tuple[float, float]] = field(default_factory=dict)
+    starts: dict[str, KnownStart] = field(default_factory=dict)
+    peer_starts: dict[str, tuple[float, float]] = field(default_factory=dict)
 
     def number(self, uid: str) -> int:
         """Return the number of a uid, which is assigned at the first call."""
@@ -60,12 +62,31 @@
         if (uid := self.uids.pop(number, None)) is not None:
             del self.numbers[uid]
             self.starts.pop(uid, None)
+            self.peer_starts.pop(uid, None)
+
+    def date_start(self, record: EndpointRecord, receipt: Receipt) -> DatedStart | None:
+        """Return when a cache started, the same at each call for the same start; None for long ago.
+
+        Guards against a start that is reported again: dated anew it would look like another, and what is
+        known of that cache would be reset. Harm: none.
+        """
+        if not record.started_at:
+            self.starts.pop(record.uid, None)
+            return None
+        known = self.starts.get(record.uid)
+        if known is None or known.stamp != record.started_at:
+            known = KnownStart(record.started_at, self.timestamps.date_start(record.started_at, receipt))
+            self.starts[record.uid] = known
+        return known.dated
+
+    def forget_date(self, uid: str) -> None:
+        """Have the start of a cache dated anew."""
+        self.starts.pop(uid, None)
 
     def start_time(self, uid: str, started_at: float, latest: float = math.inf) -> float:
-        """Return the time of a start on the front's clock, the same at each call for the same start.
+        """Return the time of a start that another front has told, the same at each call for the same start.
 
-        Protects against clocks that differ slightly at each conversion: a start that is reported again would
-        look like another, and what is known of that cache would be reset.
+        What the bus tells of the same start stands before it.
 
         Args:
             uid: The endpoint.
@@ -73,15 +94,17 @@
             latest: Upper limit of the result (seconds of the front's clock).
         """
         known = self.starts.get(uid)
-        if known and known[0] == started_at:
-            return known[1]
-        moment = min(self.clock.from_unix(started_at), latest)
-        if not known or started_at > known[0]:
-            self.starts[uid] = started_at, moment
+        if known and known.stamp == started_at:
+            return known.dated.latest
+        stamp, moment = self.peer_starts.get(uid, (None, 0.0))
+        if stamp != started_at:
+            moment = min(self.timestamps.convert(started_at), latest)
+            self.peer_starts[uid] = started_at, moment
         return moment
 
-    def endpoint(self, record: EndpointRecord) -> Endpoint:
+    def endpoint(self, record: EndpointRecord, receipt: Receipt) -> Endpoint:
         """Return the router's endpoint for a record."""
+        dated = self.date_start(record, receipt)
         return Endpoint(
             id=self.number(record.uid),
             weight=record.weight,
@@ -89,5 +112,5 @@
             cell=record.cell,
             role=self.roles[record.kind],
             state=ENDPOINT_STATES[record.state],
-            started=self.start_time(record.uid, record.started_at) if record.started_at else None,
+            started=dated.latest if dated else None,
         )
--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -19,7 +19,9 @@
 
 from weldbend.event_bus.errors import InvalidEventError, InvalidStreamError
 from weldbend.event_bus.events import SequencedEvent, read_event
+from weldbend.event_bus.remote_timestamps import Receipt
 from weldbend.event_bus.sse import Parser
+from weldbend.event_bus.stream_progress import StreamProgress
 
 if TYPE_CHECKING:
     from twisted.internet.defer import Deferred
@@ -44,6 +46,10 @@
 class Timers(Protocol):
     """Schedules calls."""
 
+    def now(self) -> float:
+        """Return the monotonic time in seconds."""
+        ...
+
     def after(self, delay: float, call: Callable[[], object]) -> Timer:
         """Schedule a call in `delay` seconds."""
         ...
@@ -147,6 +153,7 @@
         self.is_lost = False
         self.loss_count = 0
         self.receive_count = 0
+        self.progress = StreamProgress()
         self.attempt: StreamAttempt | None = None
         self.silence_timer: Timer | None = None
         self.retry_timer: Timer | None = None
@@ -160,6 +167,7 @@
         """Connect, now or again."""
         self.retry_timer = None
         if not self.is_stopped:
+            self.progress.connecting()
             self.restart_silence_timer()
             self.attempt = StreamAttempt(self)
             if self.attempt.is_finished:  # it failed within its constructor, before it was this attempt
@@ -200,8 +208,13 @@
         self.retry_delay = MIN_RETRY_DELAY
         self.is_lost = False
         self.receive_count += 1
+        self.progress.received(self.timers.now())
         self.restart_silence_timer()
 
+    def receipt(self) -> Receipt:
+        """Return how the event came that is passed on now."""
+        return self.progress.receipt(self.timers.now())
+
     def abort(self, reason: str) -> None:
         """Finish the current attempt, if there is one."""
         if self.attempt:
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -101,6 +101,7 @@
         """Post the end of an attempt; the first that brings the object answers the request."""
         if isinstance(outcome, Answer) and outcome.status in ("DONE", "KEEP") and not request.is_closed:
             self.context.counters.counts["served"] += 1
+            self.endpoints.observe_copy(outcome.fields.get("born", ""))
             request.client_request.answer_served(outcome.body, outcome.status == "KEEP")
             self.close(request)
         number = request.attempts.index(attempt)
--- a/weldbend/front/clock.py
+++ b/weldbend/front/clock.py
@@ -1,11 +1,17 @@
-"""The front's time: a monotonic clock, the Unix clock beside it, and the source of random bytes."""
+"""The front's time: a monotonic clock, the Unix clock beside it, and the source of random bytes.
+
+The Unix clock may be stepped at any moment; only the monotonic clock measures spans of time.
+"""
 
 import os
 import time
 
+READINGS = 5  # attempts to read both clocks at the same moment
+MAX_READING_TIME = 0.001  # seconds between the readings that count as the same moment
+
 
 class Clock:
-    """Monotonic seconds; Unix timestamps are converted with the offset between both clocks at the moment."""
+    """Monotonic seconds, and the Unix time of the moment."""
 
     @staticmethod
     def now() -> float:
@@ -26,6 +32,14 @@
         """Return the seconds since a Unix timestamp, 0 for one in the future."""
         return max(self.unix() - timestamp, 0.0)
 
-    def from_unix(self, timestamp: float) -> float:
-        """Return a Unix timestamp on the monotonic clock."""
-        return self.now() - (self.unix() - timestamp)
+    def unix_ahead(self) -> float:
+        """Return by how many seconds the Unix clock is ahead of the monotonic clock now.
+
+        It is read between two readings of the other, anew where the process was held up between them.
+        """
+        for _ in range(READINGS):
+            before = self.now()
+            unix = self.unix()
+            if self.now() - before <= MAX_READING_TIME:
+                break
+        return unix - before
--- a/weldbend/front/context.py
+++ b/weldbend/front/context.py
@@ -1,9 +1,10 @@
 """What the parts of one front share, and the interface of its fleet."""
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 from typing import Any, Protocol
 
+from weldbend.event_bus.remote_timestamps import RemoteTimestamps
 from weldbend.front.clock import Clock
 from weldbend.front.configuration import Site
 from weldbend.front.counters import FrontCounters
@@ -64,6 +65,7 @@
     Attributes:
         reactor: Twisted's reactor, or the testbed's.
         site: the configuration in force; another one after a reload.
+        timestamps: dates what other machines stamped.
         fleet: None where the installation names no fleet, as on the platform.
     """
 
@@ -72,4 +74,5 @@
     clock: Clock
     timers: Timers
     counters: FrontCounters
+    timestamps: RemoteTimestamps = field(default_factory=RemoteTimestamps)
     fleet: FleetPeers | None = None
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -51,7 +51,7 @@
         site = context.site
         self.context = context
         self.router = Router(site.seed, site.settings)
-        self.names = EndpointRegistry(context.clock, site.roles, {}, {})
+        self.names = EndpointRegistry(context.timestamps, site.roles, {}, {})
         self.requests = RequestTable()
         self.queue = EventQueue(context, self.run_iteration)
         self.pool = CachePool(
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -5,11 +5,15 @@
 from weldbend.caches.pool import CachePool
 from weldbend.event_bus.endpoint_registry import EndpointRegistry
 from weldbend.event_bus.events import EndpointListUpdate, EndpointRecord, Purge, SequencedEvent
+from weldbend.event_bus.remote_timestamps import Receipt
 from weldbend.front.context import FrontContext
 from weldbend.front.event_queue import EventQueue
 from weldbend.invariants import anomalies
 from weldbend.routing.events import Endpoint, EndpointsListed, EndpointState, ListScope, ObjectsPurged
 
+MILLISECONDS = 1000  # in a second
+EARLY_PART = 0.25  # of the window of the overload rule: what may be sent by then fits beside a whole quota
+
 
 class EndpointUpdates:
     """Applies events of the bus.
@@ -28,33 +32,44 @@
         self.pool = pool
         self.listed: set[int] = set()
         self.started: set[int] = set()
+        self._cautiously_dated: dict[str, EndpointRecord] = {}  # starts of the first reading, by uid
+        self._first_dated: float | None = None  # when the first of them came
         self._removed: set[int] = set()  # the router may still name them in this iteration
 
-    def handle(self, sequenced: SequencedEvent) -> None:
+    def handle(self, sequenced: SequencedEvent, receipt: Receipt) -> None:
         """Post an event for the router first, then withdraw the queued attempts that it makes stale.
 
         The other way round the router would see the withdrawal alone, and send the same attempt again.
+
+        Args:
+            sequenced: the event.
+            receipt: how it came.
         """
         try:
             match sequenced.event:
                 case EndpointListUpdate(is_complete, records):
                     known = [record for record in records if record.kind in self.context.site.roles]
                     anomalies["endpoints of unknown kind"] += len(records) - len(known)
-                    self.update_list(is_complete, known)
+                    self.update_list(is_complete, known, receipt)
                 case Purge(key, group, issued):
-                    self.queue.post(ObjectsPurged(key, group, self.context.clock.age(issued)))
+                    self.observe_stamp(issued)
+                    age = receipt.arrived - self.context.timestamps.date_purge(issued, receipt)
+                    self.queue.post(ObjectsPurged(key, group, age))
                     self.pool.cancel_purged(key, group)
         except Exception:  # noqa: BLE001 - an event that cannot be applied must not stop the bus
             self.context.counters.record_error(sequenced)
 
-    def update_list(self, is_complete: bool, records: list[EndpointRecord]) -> None:
+    def update_list(self, is_complete: bool, records: list[EndpointRecord], receipt: Receipt) -> None:
         """Apply an endpoint list, or changes to it.
 
         Args:
             is_complete: whether what it does not name is removed.
             records: its lines.
+            receipt: how it came.
         """
-        endpoints = tuple(self.names.endpoint(record) for record in records)
+        for record in records:
+            self._note_dating(record, receipt)
+        endpoints = tuple(self.names.endpoint(record, receipt) for record in records)
         named = {endpoint.id for endpoint in endpoints}
         present = {endpoint.id for endpoint in endpoints if endpoint.state is not EndpointState.REMOVED}
         removed = self.listed - named if is_complete else named - present
@@ -73,12 +88,60 @@
         if endpoint.state is EndpointState.REMOVED:
             self.pool.remove_endpoint(endpoint.id)
             return
-        started = -math.inf if endpoint.started is None else endpoint.started
+        dated = self.names.starts.get(record.uid)
+        started = dated.dated.earliest if dated else -math.inf
         is_usable = endpoint.state is EndpointState.READY
         self.pool.update_endpoint(endpoint.id, record.host, record.port, started, is_usable)
 
+    # Dates of starts.
+
+    def _note_dating(self, record: EndpointRecord, receipt: Receipt) -> None:
+        previous = self._cautiously_dated.pop(record.uid, None)
+        if previous is not None:
+            is_cautious = previous.started_at == record.started_at
+        else:
+            is_cautious = receipt.is_first_read and not self.context.timestamps.is_confirmed
+        if is_cautious and record.started_at and record.state != "removed":
+            self._cautiously_dated[record.uid] = record
+            self._first_dated = receipt.arrived if self._first_dated is None else self._first_dated
+
+    def observe_copy(self, born: str) -> None:
+        """Compare clocks by the field of an answer that says when its copy was made (Unix milliseconds)."""
+        if not self.context.timestamps.is_confirmed and born.isascii() and born.isdigit():
+            self.observe_stamp(int(born) / MILLISECONDS)
+
+    def observe_stamp(self, stamp: float) -> None:
+        """Compare this front's Unix clock with a Unix time that another machine stamped."""
+        if self.context.timestamps.confirm(stamp, self.context.clock.now()):
+            self._date_again()
+
+    def _date_again(self) -> None:
+        """Date starts again that were dated cautiously at the first reading.
+
+        Dating again forgets what was sent to a cache. So it is done for those that are warm, and for all
+        within the first part of a window, in which a front that has just started sends little of its quota.
+        """
+        now = self.context.clock.now()
+        records = list(self._cautiously_dated.values())
+        self._cautiously_dated.clear()
+        chosen = [record for record in records if self._is_early(now) or self._is_warm(record, now)]
+        for record in chosen:
+            self.names.forget_date(record.uid)
+        if chosen:
+            endpoints = tuple(self.names.endpoint(record, Receipt(now)) for record in chosen)
+            self.queue.post(EndpointsListed(ListScope.CHANGES, endpoints))
+
+    def _is_early(self, now: float) -> bool:
+        window = self.context.site.settings.edge_overload_window
+        return self._first_dated is not None and now - self._first_dated <= window * EARLY_PART
+
+    def _is_warm(self, record: EndpointRecord, now: float) -> bool:
+        warm_up = self.context.site.settings.warm_up(self.names.roles[record.kind])
+        return now - self.context.timestamps.convert(record.started_at) >= warm_up.seconds
+
     def forget_removed(self) -> None:
         """Forget the names of removed caches at the end of an iteration: names are never used again."""
         for cache in self._removed - self.listed:
+            self._cautiously_dated.pop(self.names.uids.get(cache, ""), None)
             self.names.forget(cache)
         self._removed.clear()
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -17,6 +17,7 @@
 from weldbend import early_signals
 from weldbend.event_bus.events import SequencedEvent
 from weldbend.event_bus.reader import BusReader
+from weldbend.event_bus.remote_timestamps import receipts_of_known
 from weldbend.front import reload
 from weldbend.front.client_gateway import ClientGateway
 from weldbend.front.clock import Clock
@@ -124,8 +125,10 @@
         Raises:
             CannotListenError: where the fleet's port is taken.
         """
-        for sequenced in self.site.known_events:
-            self.dispatcher.endpoints.handle(sequenced)
+        self.context.timestamps.set_reading(self.clock.unix_ahead())
+        known = self.site.known_events
+        for sequenced, receipt in zip(known, receipts_of_known(known, self.clock.now()), strict=True):
+            self.dispatcher.endpoints.handle(sequenced, receipt)
         self.dispatcher.run_iteration()
         self.bus.start()
         if self.fleet_adapter:
@@ -172,7 +175,7 @@
 
     def _handle_bus_event(self, sequenced: SequencedEvent) -> None:
         """Apply an event of the bus, then replicate it to the other fronts of a fleet."""
-        self.dispatcher.endpoints.handle(sequenced)
+        self.dispatcher.endpoints.handle(sequenced, self.bus.receipt())
         if self.fleet_adapter:
             self.fleet_adapter.publish_bus_event(sequenced)
 
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -61,6 +61,7 @@
     fault_kinds: tuple[str, ...] = ("restart", "drain", "purge", "reset", "front")
     fleet_faults: int = 3  # among the fronts, besides those of the site
     fleet_fault_kinds: tuple[str, ...] = FLEET_FAULTS
+    clock_steps: int = 0
     calm: float = 12.0
     clock_offset: float = 0.0  # seconds by which Unix clocks may be set apart
     drift: float = 0.0  # fraction by which clocks may run too fast or too slow
@@ -106,7 +107,8 @@
     def create_front(self, machine: Machine, site: Site) -> Front:
         """A front that is not started yet."""
         number = int(machine.name[1:])
-        clock = VirtualClock(self.network, *self.clocks[number])
+        offset, drift = self.clocks[number]
+        clock = VirtualClock(self.network, offset, drift, lambda: self.site.unix_steps[machine.name])
         if self.settings.has_fleet:
             site = replace(site, fleet=self.fleet_settings(number))
         return Front(machine, site, clock=clock)
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -54,7 +54,7 @@
     # What the event bus publishes, and what happens to fronts.
 
     def on_bus_event(self, at: float, unix: float, event: dict[str, Any]) -> None:
-        """An event of the bus, at a moment of the run that is `unix` seconds of the Unix clock."""
+        """An event of the bus, at a moment of the run that is `unix` seconds by the clock of the caches."""
         for target in event.get("topology", {}).get("targets", ()):
             if target["state"] == "up" and target["boot_ms"]:
                 began = at - (unix - target["boot_ms"] / 1000)
--- /dev/null
+++ b/weldbend/testbed/simulation/clock_steps.py
@@ -0,0 +1,57 @@
+"""Steps of Unix clocks in a simulated run: at one front, at all, at the bus or at the caches alone.
+
+They are drawn from numbers of their own, so that a seed's load and other faults are the same with and
+without them. The steady clocks run on.
+"""
+
+import math
+from random import Random
+
+from weldbend.testbed.simulation.settings import BUS_CLOCK, CACHE_CLOCK, front_name
+from weldbend.testbed.simulation.site import RunContext, SimulatedSite
+
+SMALLEST_STEP = 0.2  # seconds
+LARGEST_STEP = 3600.0  # seconds
+FIRST_STEP = 0.4  # seconds after the start
+WRONG_FROM_START = 0.3  # fraction of the runs in which a front's clock is wrong from the start
+
+
+class ClockSteps:
+    """Draws the steps of one run, and makes them in their time."""
+
+    def __init__(self, context: RunContext, site: SimulatedSite) -> None:
+        self.context = context
+        self.site = site
+        self.rng = Random(f"clock steps of {context.seed}")
+
+    def schedule(self) -> None:
+        """Schedule all steps of the run; called before the fronts start."""
+        settings = self.context.settings
+        if not settings.clock_steps:
+            return
+        if self.rng.random() < WRONG_FROM_START:
+            self.step([self._draw_front()], self._draw_size())
+        for _ in range(self.rng.randint(0, settings.clock_steps)):
+            at = self.rng.uniform(FIRST_STEP, settings.seconds - 1.0)
+            self._schedule_step(at, self._draw_clocks(), self._draw_size())
+
+    def _schedule_step(self, at: float, clocks: list[str], size: float) -> None:
+        self.context.network.events.schedule(at, lambda: self.step(clocks, size))
+
+    def _draw_size(self) -> float:
+        """Seconds, as often small as large, ahead as often as back."""
+        size = math.exp(self.rng.uniform(math.log(SMALLEST_STEP), math.log(LARGEST_STEP)))
+        return size * self.rng.choice((-1, 1))
+
+    def _draw_front(self) -> str:
+        return front_name(self.rng.randint(1, self.context.settings.fronts))
+
+    def _draw_clocks(self) -> list[str]:
+        all_fronts = [front_name(number) for number in range(1, self.context.settings.fronts + 1)]
+        return self.rng.choice(([self._draw_front()], all_fronts, [BUS_CLOCK], [CACHE_CLOCK]))
+
+    def step(self, clocks: list[str], size: float) -> None:
+        """Step some Unix clocks by so many seconds."""
+        self.context.log.add(f"Unix clocks of {clocks} are stepped by {size:.3f}")
+        for clock in clocks:
+            self.site.unix_steps[clock] += size
--- a/weldbend/testbed/simulation/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -8,6 +8,7 @@
 from weldbend.front.server import Front
 from weldbend.testbed.faults.engine import Injector
 from weldbend.testbed.simulation.auditor import Auditor, Violation
+from weldbend.testbed.simulation.clock_steps import ClockSteps
 from weldbend.testbed.simulation.machine import Machine
 from weldbend.testbed.simulation.network import VirtualNetwork
 from weldbend.testbed.simulation.observation import Observation
@@ -58,11 +59,17 @@
         self.site = SimulatedSite(context, self.create_front)
         self.workload = Workload(context, self.site.sizes)
         self.site_faults = SiteFaults(context, self.site)
+        self.clock_steps = ClockSteps(context, self.site)
         self.observation = Observation(context, self.site, self.injector)
 
     def create_front(self, machine: Machine, site: Site) -> Front:
         """A front that is not started yet."""
-        return Front(machine, site, clock=VirtualClock(self.network))
+        clock = VirtualClock(self.network, stepped=lambda: self.site.unix_steps[machine.name])
+        return Front(machine, site, clock=clock)
+
+    def step_clocks(self) -> None:
+        """Schedule the steps of Unix clocks; some are wrong when the fronts start."""
+        self.clock_steps.schedule()
 
     def schedule_faults(self) -> None:
         """Schedule all faults of the run."""
@@ -75,6 +82,7 @@
     def play(self) -> Result:
         """Carry out the whole run."""
         self.network.on_connection = self.observation.on_connection
+        self.step_clocks()
         for number in self.workload.connections:
             self.site.start_front(number)
             for _ in range(CONNECTIONS):
--- a/weldbend/testbed/simulation/settings.py
+++ b/weldbend/testbed/simulation/settings.py
@@ -41,6 +41,13 @@
 BUS_PORT = 9092
 BUS_HOST = "10.0.2.1"
 CLIENT_HOST = "10.0.3.1"
+BUS_CLOCK = "bus"  # names the Unix clock that stamps purges
+CACHE_CLOCK = "caches"  # the one of all caches and the origin, which stamps starts and copies
+
+
+def front_name(number: int) -> str:
+    """The name of a front, and of its machine."""
+    return f"n{number}"
 
 
 def front_host(number: int) -> str:
@@ -65,6 +72,7 @@
     objects: int = 120
     edge_capacity: int = 4 << 20  # bytes that an edge keeps
     settling: float = 10.0  # without load at the end, so that every request has its answer
+    clock_steps: int = 3  # of Unix clocks, at most
     connection_faults: int = 2  # kinds on connections between fronts and caches
 
 
--- a/weldbend/testbed/simulation/site.py
+++ b/weldbend/testbed/simulation/site.py
@@ -1,6 +1,7 @@
 """The site of a simulated run: emulated caches, the event bus and fronts, each on a machine of its own."""
 
 import json
+from collections import defaultdict
 from collections.abc import Callable
 from dataclasses import dataclass
 from random import Random
@@ -17,13 +18,16 @@
 from weldbend.testbed.simulation.network import VirtualNetwork
 from weldbend.testbed.simulation.run_log import RunLog
 from weldbend.testbed.simulation.settings import (
+    BUS_CLOCK,
     BUS_HOST,
     BUS_PORT,
+    CACHE_CLOCK,
     CACHE_PORT,
     EDIT_CLASS,
     FRONT_PORT,
     RunSettings,
     front_host,
+    front_name,
 )
 
 EDGE_LINK = (6e6, 0.01)  # bytes a second, and seconds of delay, of an edge's link to its sources
@@ -83,6 +87,8 @@
         self.sizes = Sizes(median=MEDIAN_SIZE)
         self.caches = EmulatedCaches([], self.sizes)
         self.machines: dict[str, Machine] = {}  # of the caches, by uid
+        # Seconds by which the Unix clocks of fronts, bus and caches have been stepped, by name.
+        self.unix_steps = defaultdict[str, float](float)
         self.targets: dict[str, dict[str, Any]] = {}  # the endpoint list, by uid
         self.uid_at: dict[str, str] = {}  # by host
         self.down_caches: set[str] = set()  # those that will be back
@@ -112,7 +118,7 @@
             self.context.auditor.on_copy_given(uid, name, answer.made_ms)
 
         server = CacheServer(
-            machine, self.caches, cache, lambda: self.events.now, self.events.unix, on_executed
+            machine, self.caches, cache, lambda: self.events.now, lambda: self.unix(CACHE_CLOCK), on_executed
         )
         machine.listenTCP(CACHE_PORT, server)
         zone = "z" if kind == "box" else "h"
@@ -136,7 +142,7 @@
 
         def start_again() -> None:
             self.down_caches.discard(uid)
-            self.start_cache(uid, kind, host, self.unix_ms())
+            self.start_cache(uid, kind, host, self.unix_ms(CACHE_CLOCK))
             self.publish_state(uid, "up")
 
         self.events.schedule(0.5, start_again)
@@ -149,7 +155,7 @@
         def replace() -> None:
             self.publish_state(uid, "removed")
             self.machines[uid].kill()
-            self.start_cache(f"{uid}x", "box", host, self.unix_ms())
+            self.start_cache(f"{uid}x", "box", host, self.unix_ms(CACHE_CLOCK))
             self.publish_state(f"{uid}x", "up")
 
         self.events.schedule(2.0, replace)
@@ -171,16 +177,20 @@
 
     # The event bus.
 
-    def unix_ms(self) -> int:
-        """The virtual time in Unix milliseconds, as events state it."""
-        return int(self.events.unix() * 1000)
+    def unix(self, clock: str) -> float:
+        """The Unix time in seconds by one of the clocks."""
+        return self.events.unix() + self.unix_steps[clock]
+
+    def unix_ms(self, clock: str = BUS_CLOCK) -> int:
+        """The Unix time in milliseconds, as events state it."""
+        return int(self.unix(clock) * 1000)
 
     def publish(self, **event: object) -> None:
         """Publish an event on the bus; the auditor receives it at once."""
         self.bus.publish(**event)
         published = self.bus.events[-1]
         self.context.log.add(f"bus {json.dumps(published)}")
-        self.context.auditor.on_bus_event(self.events.now, self.events.unix(), published)
+        self.context.auditor.on_bus_event(self.events.now, self.unix(CACHE_CLOCK), published)
 
     def publish_state(self, uid: str, state: str) -> None:
         """Publish the state of a cache: up, draining or removed."""
@@ -193,7 +203,7 @@
 
     def start_front(self, number: int) -> None:
         """Start a front, configured with the endpoint list and the events of now."""
-        machine = Machine(self.network, f"n{number}", front_host(number))
+        machine = Machine(self.network, front_name(number), front_host(number))
         front = self.create_front(machine, read_site(self._configuration(machine, number)))
         front.listener.epoll_set_factory = NoEpollSet  # type: ignore[assignment]  # the class is the factory
         self.fronts[number] = machine, front
