--- /dev/null
+++ b/tests/test_remote_timestamps.py
@@ -0,0 +1,265 @@
+"""Stamps of other machines on the front's clock: the model, and a process whose Unix clock steps."""
+
+import json
+import math
+import re
+import signal
+import socket
+import subprocess
+import sys
+import time
+
+import pytest
+from fronts import KEY, Stage, configuration, listing, process, target
+
+from weldbend.event_bus.events import parse_event
+from weldbend.event_bus.remote_timestamps import (
+    AGREEMENT,
+    LIVE_DELAY,
+    SHORT_GAP,
+    DatedStart,
+    Receipt,
+    RemoteTimestamps,
+    receipts_of_known,
+)
+from weldbend.event_bus.stream_progress import QUIET, StreamProgress
+from weldbend.testbed.stepped_clock import STEPPED
+
+NOW = 500.0  # monotonic seconds
+UNIX = 1_700_000_000.0  # the true Unix time then
+HOUR = 3600.0
+LONG = 20.0  # seconds after which a test gives up
+
+
+def timestamps(wrong_by=0.0, is_confirmed=False):
+    """What a front has whose Unix clock is ahead by so many seconds."""
+    made = RemoteTimestamps()
+    made.set_reading(UNIX + wrong_by - NOW)
+    made.is_confirmed = is_confirmed
+    return made
+
+
+LIVE = Receipt(NOW, NOW - 0.7, is_replay=False)
+MISSED = Receipt(NOW, NOW - 8.0)
+LONG_MISSED = Receipt(NOW, NOW - SHORT_GAP - 50.0)
+
+
+# What is told live.
+
+
+def test_a_prompt_stamp_is_believed_to_the_millisecond():
+    age = 0.03125  # exact in binary, so that no sum is rounded
+    assert timestamps().date_start(UNIX - age, LIVE) == DatedStart(NOW - age, NOW - age)
+    assert timestamps().date_purge(UNIX - age, LIVE) == NOW - age
+
+
+@pytest.mark.parametrize("wrong_by", [-HOUR, -0.2, 0.2, 7.0, HOUR])
+@pytest.mark.parametrize("is_confirmed", [False, True])
+def test_a_stamp_that_does_not_fit_its_arrival_leaves_a_cold_cache_and_old_copies_purged(
+    wrong_by, is_confirmed
+):
+    """Whether this front's clock was wrong at its start, or the other machine's is by now."""
+    held = timestamps(wrong_by, is_confirmed)
+    assert held.date_purge(UNIX, LIVE) == NOW
+    dated = held.date_start(UNIX, LIVE)
+    assert dated.latest == NOW and dated.earliest <= NOW
+
+
+def test_what_is_told_late_is_not_dated_in_the_future_and_spares_connections_made_since():
+    dated = timestamps(is_confirmed=True).date_start(UNIX - 5.0, LIVE)
+    assert dated == DatedStart(NOW - 5.0, NOW)
+    assert timestamps(is_confirmed=True).date_start(UNIX + 9.0, LIVE) == DatedStart(LIVE.in_touch, NOW)
+
+
+# What was missed.
+
+
+def test_what_was_missed_is_dated_by_its_stamp_once_another_clock_agreed():
+    assert timestamps(is_confirmed=True).date_start(UNIX - 3.0, MISSED).latest == NOW - 3.0
+    assert timestamps().date_start(UNIX - 3.0, MISSED).latest == NOW
+    assert (
+        timestamps(is_confirmed=True).date_start(UNIX - 9.0, MISSED).latest == NOW
+    ), "it was not listed then"
+
+
+def test_a_missed_purge_counts_from_its_arrival_unless_very_much_was_missed():
+    held = timestamps(is_confirmed=True)
+    assert held.date_purge(UNIX - 3.0, MISSED) == NOW
+    assert held.date_purge(UNIX - 30.0, LONG_MISSED) == NOW - 30.0
+    assert held.date_purge(UNIX - HOUR, LONG_MISSED) == NOW, "older than the last event before it"
+    assert timestamps().date_purge(UNIX - 30.0, LONG_MISSED) == NOW
+
+
+# The first reading.
+
+
+def known(*stamped):
+    """Events in the order of the bus: starts and purges, by their ages in seconds."""
+    raw = [
+        {"offset": n, "ban": {"tag": n, "ts": (UNIX - age) * 1000}}
+        if kind == "purge"
+        else listing(n, target(f"e{n}", boot=(UNIX - age) * 1000))
+        for n, (kind, age) in enumerate(stamped, 1)
+    ]
+    return receipts_of_known([parse_event(each) for each in raw], NOW)
+
+
+def test_a_first_reading_believes_the_younger_of_two_ages():
+    first, second, third = known(("start", 100.0), ("purge", 60.0), ("start", 4.0))
+    held = timestamps()
+    assert held.date_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
+    assert held.date_start(UNIX - 4.0, third).latest == NOW, "nothing stamped later: cold"
+    assert held.date_purge(UNIX - 60.0, second) == NOW
+    ahead = timestamps(HOUR)
+    assert ahead.date_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
+    behind = timestamps(-HOUR)
+    assert behind.date_start(UNIX - 100.0, first).latest == NOW
+    stepped_back = known(("start", 10.0), ("start", HOUR))[1]
+    assert held.date_start(UNIX - HOUR, stepped_back).latest == NOW, "its clock ran backwards"
+
+
+def test_a_first_reading_is_believed_once_another_clock_agreed():
+    receipt = known(("start", 100.0))[0]
+    assert timestamps(is_confirmed=True).date_start(UNIX - 100.0, receipt).latest == NOW - 100.0
+
+
+@pytest.mark.parametrize("wrong_by", [-HOUR, -1.0, 1.0, HOUR])
+def test_a_wrong_clock_is_not_confirmed_by_fresh_stamps_nor_one_that_is_ahead_by_old_ones(wrong_by):
+    held = timestamps(wrong_by)
+    assert not held.confirm(UNIX, NOW)
+    if wrong_by > 0:
+        assert not any(held.confirm(UNIX - age, NOW) for age in (0.1, 1.0, HOUR, 2 * HOUR))
+    assert not held.is_confirmed
+
+
+def test_a_right_clock_is_confirmed_once():
+    held = timestamps(AGREEMENT / 2)
+    assert held.confirm(UNIX, NOW) and held.is_confirmed and not held.confirm(UNIX, NOW)
+
+
+# Whether it is told live.
+
+
+def test_a_stream_is_live_once_it_was_quiet_and_until_it_is_lost():
+    progress = StreamProgress()
+    progress.connecting()
+    progress.received(1.0)
+    assert progress.receipt(1.0) == Receipt(1.0, -math.inf)
+    progress.received(1.0 + QUIET / 2)
+    assert progress.receipt(1.1).is_first_read, "still telling what was missed"
+    progress.received(2.0)
+    assert progress.receipt(2.0) == Receipt(2.0, 1.0 + QUIET / 2, is_replay=False)
+    progress.connecting()
+    progress.connecting()
+    progress.received(7.0)
+    assert progress.receipt(7.0) == Receipt(7.0, 2.0), "missed since the last connection"
+    progress.received(8.0)
+    assert progress.receipt(8.0) == Receipt(8.0, 7.0, is_replay=False)
+    progress.received(13.0)
+    assert progress.receipt(13.0).is_replay, "it was held up on its way, or this process stood still"
+
+
+# A whole front in memory.
+
+
+class UnconfirmedStage(Stage):
+    """One that has read its first list, of a cache that started long ago, and knows of no other clock."""
+
+    def __init__(self, age):
+        super().__init__()
+        self.door.context.timestamps.is_confirmed = False
+        boot = (self.unix() - age) * 1000
+        self.dispatcher.endpoints.handle(
+            parse_event(listing(2, target("e9", boot=boot))), Receipt(self.door.clock.now())
+        )
+        self.turn()
+
+    def age(self):
+        cache = self.dispatcher.router.context.caches[self.dispatcher.names.number("e9")]
+        return self.door.clock.now() - cache.started
+
+
+def test_a_cache_of_the_first_list_is_cold_until_a_copy_shows_that_this_clock_is_right():
+    stage = UnconfirmedStage(100.0)
+    assert stage.age() == pytest.approx(0.0)
+    stage.dispatcher.endpoints.observe_copy("x")
+    stage.dispatcher.endpoints.observe_copy(str(int((stage.unix() - HOUR) * 1000)))
+    stage.turn()
+    assert stage.age() == pytest.approx(0.0)
+    stage.dispatcher.endpoints.observe_copy(str(int((stage.unix() - 0.1) * 1000)))
+    stage.turn()
+    assert stage.age() == pytest.approx(100.0)
+
+
+def test_one_that_still_warms_up_is_dated_again_only_before_much_was_sent_to_it():
+    for wait, age in ((0.2, 3.2), (1.0, 1.0)):
+        stage = UnconfirmedStage(3.0)
+        stage.turn(wait)
+        stage.dispatcher.endpoints.observe_copy(str(int(stage.unix() * 1000)))
+        stage.turn()
+        assert stage.age() == pytest.approx(age), wait
+
+
+# A real process.
+
+
+def accepted(server):
+    connection = server.accept()[0]
+    connection.settimeout(LONG)
+    return connection
+
+
+def oldest_allowed(cache):
+    """Serve the next request with a copy that is made now; the age limit that it came with, None for none."""
+    line = cache.readline()
+    name = line.split()[1]
+    assert cache.readline() == b"\r\n"
+    oldest = re.search(rb"oldest=([\d.]+)", line)
+    cache.write(b"%b DONE born=%d,ver=1 2\r\nok\r\n" % (name, int(time.time() * 1000)))
+    cache.flush()
+    return float(oldest[1]) if oldest else None
+
+
+@pytest.mark.parametrize("step", [HOUR, -HOUR])
+def test_a_purge_after_a_step_of_this_process_s_clock_bounds_the_age_of_copies(tmp_path, step):
+    with socket.create_server(("127.0.0.1", 0)) as cache, socket.create_server(("127.0.0.1", 0)) as bus:
+        with socket.create_server(("127.0.0.1", 0)) as spare:
+            address = spare.getsockname()
+        path = tmp_path / "front.json"
+        held = configuration(
+            targets=(target("e1", port=cache.getsockname()[1]) | {"capacity_hint": 1000},),
+            listen=f"127.0.0.1:{address[1]}",
+            bus=f"127.0.0.1:{bus.getsockname()[1]}",
+        )
+        path.write_text(held)
+        command = [sys.executable, "-m", "weldbend.testbed.stepped_clock", str(step)]
+        front = subprocess.Popen(
+            [*command, "serve", "--config", str(path)], stderr=subprocess.PIPE, text=True
+        )
+        try:
+            cache.settimeout(LONG)
+            bus.settimeout(LONG)
+            stream = accepted(bus)
+            stream.recv(4096)
+            stream.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n")
+            assert any("serves on" in line for line in front.stderr)
+            with socket.create_connection(address, LONG) as client:
+                client.sendall(process(1))
+                link = accepted(cache).makefile("rwb")
+                assert oldest_allowed(link) is None
+                front.send_signal(signal.SIGUSR1)
+                assert any(STEPPED in line for line in front.stderr)
+                event = {"offset": 99, "ban": {"url": KEY, "ts": int(time.time() * 1000)}}
+                begun = time.monotonic()
+                stream.sendall(b": here\nid: 99\ndata: %b\n\n" % json.dumps(event).encode())
+                limit = None
+                number = 1
+                while limit is None:  # the event goes over another connection than the requests
+                    number += 1
+                    client.sendall(process(number))
+                    limit = oldest_allowed(link)
+                assert 0 < limit <= (time.monotonic() - begun + LIVE_DELAY) * 1000
+        finally:
+            front.kill()
+            front.wait(LONG)
+            front.stderr.close()
--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -52,7 +52,7 @@
     """When a cache started, in seconds of the monotonic clock: between these two.
 
     Attributes:
-        earliest: connections from before lead to the process that was there until then.
+        earliest: only connections from before surely lead to the process that was there until then.
         latest: it is as warm as a cache that started then.
     """
 
@@ -117,7 +117,7 @@
         if self._is_prompt(converted, receipt):
             return DatedStart(converted, converted)
         if not receipt.in_touch <= converted <= receipt.arrived:
-            return DatedStart(receipt.in_touch, receipt.arrived)
+            return DatedStart(min(converted, receipt.in_touch), receipt.arrived)
         is_believed = receipt.is_replay and self.is_confirmed
         return DatedStart(converted, converted if is_believed else receipt.arrived)
 
--- /dev/null
+++ b/weldbend/testbed/stepped_clock.py
@@ -0,0 +1,37 @@
+"""Runs weldbend's command line with a Unix clock that a signal steps; the system's clock stays as it is.
+
+`python -m weldbend.testbed.stepped_clock SECONDS serve --config FILE`: each SIGUSR1 steps the Unix clock that
+the front reads by so many seconds, and writes a line to standard error.
+"""
+
+import signal
+import sys
+
+from weldbend.cli import main
+from weldbend.front.clock import Clock
+
+STEPPED = "Unix clock stepped by"  # begins the line that tells of a step
+
+
+class StepsOnSignal:
+    """The Unix time of the system, and the steps so far."""
+
+    def __init__(self, step: float) -> None:
+        self.step = step  # seconds
+        self.ahead = 0.0  # seconds
+        self.system_unix = Clock.unix
+        signal.signal(signal.SIGUSR1, self.step_now)
+
+    def unix(self) -> float:
+        """Return the Unix time in seconds."""
+        return self.system_unix() + self.ahead
+
+    def step_now(self, *_: object) -> None:
+        """Step the clock."""
+        self.ahead += self.step
+        print(STEPPED, self.step, file=sys.stderr, flush=True)
+
+
+if __name__ == "__main__":
+    Clock.unix = StepsOnSignal(float(sys.argv.pop(1))).unix  # type: ignore[method-assign]
+    main()
