--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -10,8 +10,18 @@
 
 TIMEOUT_FACTOR = 2.5  # expected durations that an attempt may take before it is suspected
 ANSWERS_DUE = 3.0  # answers that would have come meanwhile, from which on a cache's silence says something
-NO_EVIDENCE = {AttemptResult.CANCELLED, AttemptResult.SUPERSEDED, AttemptResult.MALFORMED}
-NO_RETRY = {AttemptResult.MISS, AttemptResult.MALFORMED, AttemptResult.RESET}  # a further attempt is no retry
+NO_EVIDENCE = {
+    AttemptResult.CANCELLED,
+    AttemptResult.SUPERSEDED,
+    AttemptResult.MALFORMED,
+    AttemptResult.LOCAL_FAULT,
+}
+NO_RETRY = {  # a further attempt is no retry
+    AttemptResult.MISS,
+    AttemptResult.MALFORMED,
+    AttemptResult.RESET,
+    AttemptResult.LOCAL_FAULT,
+}
 
 
 class Request(RequestRecord):
@@ -91,6 +101,8 @@
             self.record_served(attempt, attempt.ended.duration)
         elif attempt.result is AttemptResult.MISS:
             self.record_miss(attempt)
+        elif attempt.result is AttemptResult.LOCAL_FAULT:
+            self.pass_by(attempt.cache)
         elif attempt.result not in NO_EVIDENCE and not attempt.is_suspected:
             self.blame(attempt)
         if attempt.ended.request_closed:
@@ -100,6 +112,12 @@
         else:
             self.forget_if_done()
 
+    def pass_by(self, cache: Cache) -> None:
+        """Prefer another cache for this request: this machine may have a connection or a route there."""
+        self.failed_at.add(cache)
+        if cache is self.missed_at:
+            self.missed_at = None
+
     def record_served(self, attempt: Attempt, duration: float) -> None:
         """Learn duration and size; a late answer must not pass for a large object."""
         context, request_class, work = self.context, self.request_class, self.received.work
