--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -63,17 +63,25 @@
         if outcome is Outcome.CONNECTION_LOST:
             if now > self.lost_at:
                 self.lost_at = now
-                self.failures.add(now)
+                self.record_failure(1.0)
             return
         if outcome is Outcome.SUCCESS:
             self.successes.add(now)
+            if self.probe_counts:
+                self.probe_counts.successes += 1
         else:
-            self.failures.add(now, LATE_WEIGHT if outcome is Outcome.LATE else 1.0)
+            self.record_failure(LATE_WEIGHT if outcome is Outcome.LATE else 1.0)
         self.concurrency.count(outcome)
         if self.role is Role.PARENT:
             self.context.parents.record(outcome)
         self.concurrency.adapt(outcome)
 
+    def record_failure(self, weight: float) -> None:
+        """Count a failed answer, or a late one in part."""
+        self.failures.add(self.context.now, weight)
+        if self.probe_counts:
+            self.probe_counts.failures += weight
+
     def is_warm(self) -> bool:
         """Whether it bears its full load again."""
         return self.slow_start.capacity_fraction() >= 1
@@ -87,10 +95,13 @@
         """Guards against caches that fail, in whole or part, or grow slow, by a draw from the posterior.
 
         Prior and bar are the peers' success: what strikes all alike scatters nothing. Harm: after a short
-        fault a sound cache is passed by for up to HEALTH_WINDOW.
+        fault a sound cache is passed by for up to HEALTH_WINDOW. A probe that others have waited
+        for is sent whatever is remembered.
         """
         if self.admitted_fraction < 1 and self.context.random.random() >= self.admitted_fraction:
             return False
+        if self.must_probe:
+            return True
         failures = self.failures.total(self.context.now) + self.peer_failures
         return failures == 0 or self.draw_success(peer_success) > OUTLIER_BAR * peer_success
 
--- a/weldbend/routing/events.py
+++ b/weldbend/routing/events.py
@@ -285,10 +285,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionUpdate:
-    """What fraction of its work a cache may have from here by the fleet's verdict: 0 none, 1 all."""
+    """What fraction of its work a cache may have from here by the fleet's verdict: 0 none, 1 all.
+
+    Attributes:
+        is_probe: whether the cache is half-open, and this front is the one that sends to it.
+        must_probe: whether it sends whatever failures it remembers, as an earlier probe has brought nothing.
+    """
 
     cache: int
     admitted_fraction: float
+    is_probe: bool = False
+    must_probe: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -102,6 +102,14 @@
         )
 
 
+@dataclass(slots=True)
+class ProbeCounts:
+    """How attempts at a cache ended since this front began to probe it while half-open."""
+
+    successes: float = 0.0
+    failures: float = 0.0
+
+
 class RequestRecord(Actor[RequestMessage]):
     """What is known of one request.
 
@@ -174,6 +182,9 @@
         sharers: fronts among which it is shared.
         peer_successes, peer_failures: how attempts ended at other fronts, as weighted counts.
         admitted_fraction: of its work that it may have, by the fleet's outlier detection.
+        is_probed: whether it is half-open, and this front the one that sends to it.
+        must_probe: whether that is due whatever is remembered.
+        probe_counts: answers since that began, until the cache has all of its work again; else None.
         quota: this front's quota of what may be sent while it warms up.
         sent_work, wanted_work: seconds of work sent, and asked for, within the overload window.
         successes, failures: how attempts ended here, within the health window; a late one counts in part.
@@ -198,6 +209,9 @@
         self.peer_successes = 0.0
         self.peer_failures = 0.0
         self.admitted_fraction = 1.0
+        self.is_probed = False
+        self.must_probe = False
+        self.probe_counts: ProbeCounts | None = None
         self.sent_work = WindowedSum(context.settings.edge_overload_window)
         self.in_flight: dict[Attempt, None] = {}
 
@@ -237,6 +251,12 @@
                 self.quota = event
             case EjectionUpdate():
                 self.admitted_fraction = event.admitted_fraction
+                if event.is_probe and not self.is_probed:
+                    self.probe_counts = ProbeCounts()
+                elif event.admitted_fraction >= 1:
+                    self.probe_counts = None
+                self.is_probed = event.is_probe
+                self.must_probe = event.must_probe
 
     def track(self, attempt: Attempt) -> None:
         """Count an attempt that touches it and was sent, or has ended."""
@@ -244,6 +264,10 @@
             self.breaks.record_break(self.context.now, attempt.result is AttemptResult.UNREACHABLE)
         if attempt.cache is self and attempt.result in ANSWERED:
             self.answers.add(self.context.now)
+            if self.probe_counts:
+                # a miss, and what was filled through it, say that it works again: its copies may be gone
+                is_filled = attempt.result is AttemptResult.SERVED and attempt.limited_by() is not self
+                self.probe_counts.successes += attempt.result is AttemptResult.MISS or is_filled
         is_start = attempt.result is None
         if attempt.limited_by() is not self:
             self.passing_through = max(0, self.passing_through + (1 if is_start else -1))
--- a/weldbend/routing/reports.py
+++ b/weldbend/routing/reports.py
@@ -3,6 +3,7 @@
 import math
 from dataclasses import dataclass
 
+from weldbend.routing.cache_state import Cache
 from weldbend.routing.router import Router
 
 
@@ -24,8 +25,14 @@
 
 
 def health_counts(router: Router, now: float) -> dict[int, tuple[float, float]]:
-    """Successes and failures of late at each cache, by its number."""
-    return {c.id: (c.successes.total(now), c.failures.total(now)) for c in router.caches.values()}
+    """Successes and failures of late at each cache, by its number; those of its probe where there was one."""
+    return {cache.id: _health_count(cache, now) for cache in router.caches.values()}
+
+
+def _health_count(cache: Cache, now: float) -> tuple[float, float]:
+    if probe := cache.probe_counts:
+        return probe.successes, probe.failures
+    return cache.successes.total(now), cache.failures.total(now)
 
 
 def slow_start_demand(router: Router, number: int, now: float) -> SlowStartDemand:
