--- /dev/null
+++ b/tests/test_half_open.py
@@ -0,0 +1,91 @@
+"""A half-open cache: the front that probes it sends in the end, reports, and all fronts follow."""
+
+from fronts import Front
+
+from weldbend.fleet.health_reports import HealthReport
+from weldbend.fleet.outlier_detection import HALF_OPEN_SECONDS, EjectionState, OutlierDetector
+from weldbend.routing.events import EjectionUpdate
+from weldbend.routing.messages import Outcome
+from weldbend.routing.reports import health_counts
+
+FRONTS = "abcd"
+KINDS = {f"e{number}": "EDGE" for number in range(1, 7)}
+
+
+def report(writer, *outcomes):
+    return HealthReport(writer, True, 0.5, outcomes, (50.0 + outcomes[0], outcomes[1]))
+
+
+def tick(detector, now, *reports):
+    zones = dict.fromkeys(FRONTS, "u")
+    return detector.tick(now, {"e1": list(reports)}, KINDS, zones, set(FRONTS) - {detector.name})
+
+
+def half_open(name):
+    """A front's detector with one cache that has just become half-open, and its ejection record."""
+    detector = OutlierDetector(name)
+    tick(detector, 0.0, report("a", 1.0, 8.0), report("b", 1.0, 8.0))
+    tick(detector, 2.0)
+    assert detector.records["e1"].state is EjectionState.HALF_OPEN
+    return detector, detector.records["e1"]
+
+
+def failing_front():
+    """A front that remembers nothing but failures of cache 1."""
+    front = Front()
+    cache = front.router.caches[1]
+    for _ in range(30):
+        cache.handle(Outcome.FAILURE)
+    return front, cache
+
+
+def is_tried(cache):
+    return any(cache.is_trusted(1.0) for _ in range(100))
+
+
+def test_a_probe_that_is_due_is_sent_whatever_is_remembered():
+    front, cache = failing_front()
+    front.at(1.0, EjectionUpdate(1, 0.5, is_probe=True))
+    assert not is_tried(cache), "the first round is passed on, as its front remembers failures"
+    front.at(6.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True))
+    assert is_tried(cache)
+    front.at(11.0, EjectionUpdate(1, 0.0))
+    assert not is_tried(cache)
+
+
+def test_a_probe_is_judged_by_what_came_since_it_began_and_misses_speak_well():
+    front, cache = failing_front()
+    front.at(1.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True), EjectionUpdate(2, 0.0))
+    assert health_counts(front.router, 1.0)[1] == (0.0, 0.0)
+    for name in "abcdefgh":  # half of them go to cache 1
+        front.fill(name, now=front.now + 0.1)
+    good, failed = health_counts(front.router, front.now)[1]
+    assert good >= 3 and failed == 0, "its copies are gone, and it answers"
+    front.at(front.now, EjectionUpdate(1, 1.0))
+    assert health_counts(front.router, front.now)[1][1] == 30.0
+
+
+def test_a_round_that_brings_nothing_binds_the_next_front_to_send():
+    detector, record = half_open("a")
+    assert not record.must_probe
+    tick(detector, 2.0 + HALF_OPEN_SECONDS)
+    assert record.must_probe and record.round == 2
+    tick(detector, 8.0, report("b", 0.0, 0.0))
+    tick(detector, 9.0, report("b", 3.0, 0.0))
+    assert record.state is EjectionState.RECOVERING and not record.must_probe
+
+
+def test_a_front_follows_those_that_have_seen_more_of_the_probe():
+    """Their rounds began earlier: what they send already is no longer news of the prober of this round."""
+    for name in FRONTS:
+        detector, record = half_open(name)
+        for step, writer in enumerate("abcd"):
+            tick(detector, 3.0 + step / 2, report(writer, 2.0, 0.0))
+            tick(detector, 3.1 + step / 2, report(writer, 3.0, 0.0))
+        assert record.state is EjectionState.RECOVERING, name
+
+
+def test_all_fronts_report_on_a_cache_that_comes_back_and_one_probes_it():
+    detectors = [half_open(name)[0] for name in FRONTS]
+    assert all(detector.recovering_caches() == {"e1"} for detector in detectors)
+    assert sum(detector.probed == {"e1"} for detector in detectors) == 1
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -22,14 +22,14 @@
     """Runs the outlier detector of this front and hands its results to the decisions.
 
     Attributes:
-        fractions: of their work that caches may have from here, by number, where that is not all of it.
+        updates: what the decisions were told of caches that may not have all of their work, by number.
         broken_off: when this front's connections to a cache broke, as published; seconds, by uid.
     """
 
     def __init__(self, context: QuotaContext) -> None:
         self.context = context
         self.detector = OutlierDetector(context.name)
-        self.fractions: dict[int, float] = {}
+        self.updates: dict[int, EjectionUpdate] = {}
         self.broken_off: dict[str, float] = {}
 
     def update_ejections(
@@ -40,16 +40,18 @@
         uids = names.uids
         kinds = {uids[n]: f"{c.role.name} {c.zone}" for n, c in caches.items() if n in uids}
         admitted = self.detector.tick(now, reports, kinds, self.context.zones(), alive)
-        fractions = {
-            names.numbers[uid]: fraction
-            for uid, fraction in admitted.items()
-            if fraction < 1 and uid in names.numbers
-        }
-        for number in {*fractions, *self.fractions}:
-            fraction = fractions.get(number, 1.0)
-            if fraction != self.fractions.get(number, 1.0):
-                self.context.loop.post(EjectionUpdate(number, fraction))
-        self.fractions = fractions
+        updates = {}
+        for uid, fraction in admitted.items():
+            number = names.numbers.get(uid)
+            if fraction < 1 and number is not None:
+                is_probe = uid in self.detector.probed
+                must_probe = is_probe and self.detector.records[uid].must_probe
+                updates[number] = EjectionUpdate(number, fraction, is_probe, must_probe)
+        for number in {*updates, *self.updates}:
+            update = updates.get(number, EjectionUpdate(number, 1.0))
+            if update != self.updates.get(number, EjectionUpdate(number, 1.0)):
+                self.context.loop.post(update)
+        self.updates = updates
         for change in self.detector.pop_changes():
             self._log(change)
 
@@ -90,6 +92,10 @@
                 self.broken_off[uid] = at
                 self.context.publish_figure(CACHE_BREAK, uid, round(now - at, 3))
 
+    def _admitted_fraction(self, number: int) -> float:
+        update = self.updates.get(number)
+        return update.admitted_fraction if update else 1.0
+
     def status_rows(self, now: float) -> list[dict[str, object]]:
         """Return what the admin question `verdicts` shows of caches."""
         numbers = self.context.loop.names.numbers
@@ -98,7 +104,7 @@
                 "cache": uid, "stand": record.state.value, "for": round(now - record.since, 1),
                 "ends in": round(record.until - now, 1) if record.until < math.inf else None,
                 "voices": list(record.reporters), "zone": record.zone or None, "relapses": record.relapses,
-                "part": self.fractions.get(numbers.get(uid, -1), 1.0),
+                "part": self._admitted_fraction(numbers.get(uid, -1)),
             }
             for uid, record in sorted(self.detector.records.items())
         ]  # fmt: skip
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -168,5 +168,5 @@
         self.runtime.timers.after(TICK, self.tick)
         now = self.runtime.timers.now()
         self.popularity.tick(now)
-        reports = self.health.tick(now)
+        reports = self.health.tick(now, self.quota_service.ejections.detector.recovering_caches())
         self.quota_service.tick(now, reports)
--- a/weldbend/fleet/health_exchange.py
+++ b/weldbend/fleet/health_exchange.py
@@ -1,6 +1,7 @@
 """Health reports on caches: published from this front's attempts, and aggregated from those of peers."""
 
 from collections import defaultdict
+from collections.abc import Set
 from typing import TYPE_CHECKING
 
 from weldbend.fleet import health_reports
@@ -30,12 +31,17 @@
             int, Outcomes
         ] = {}  # what the decisions go by, by cache; none where there are no failures
 
-    def tick(self, now: float) -> Reports:
-        """Publish and aggregate; returns the reports of all fronts, this one included."""
+    def tick(self, now: float, recovering: Set[str]) -> Reports:
+        """Publish and aggregate; returns the reports of all fronts, this one included.
+
+        Args:
+            now: seconds.
+            recovering: caches on which this front reports also where all its attempts end well.
+        """
         reports = self._peer_reports(now)
-        self._publish(now, reports)
+        self._publish(now, {*reports, *recovering})
         self._post(reports)
-        return self._with_own(now, reports)
+        return self._with_own(now, reports, recovering)
 
     def _peer_reports(self, now: float) -> Reports:
         """What other members report of each cache now."""
@@ -59,14 +65,14 @@
             for uid, by_writer in records.items()
         }
 
-    def _publish(self, now: float, reports: Reports) -> None:
+    def _publish(self, now: float, followed: Set[str]) -> None:
         uids = self.dispatcher.names.uids
         records = {
             uids[number]: record
             for number, record in health_counts(self.dispatcher.router, now).items()
             if number in uids
         }
-        for uid, record in self.reporter.due_reports(now, records, reports):
+        for uid, record in self.reporter.due_reports(now, records, followed):
             self.number += 1
             key = f"{uid}|{self.fleet.name}"
             self.fleet.publish(HEALTH_REPORT, key, self.fleet.store.epoch, self.number, *record)
@@ -86,7 +92,7 @@
                 self.dispatcher.post(PeerHealthReport(number, *record))
         self.posted = failing
 
-    def _with_own(self, now: float, reports: Reports) -> Reports:
+    def _with_own(self, now: float, reports: Reports, recovering: Set[str]) -> Reports:
         """The same with this front's own reports: an ejection goes by those of all."""
         uids = self.dispatcher.names.uids
         records = health_counts(self.dispatcher.router, now)
@@ -97,7 +103,7 @@
         found = dict(reports)
         for number, record in records.items():
             uid = uids.get(number)
-            if uid and (uid in reports or record[1]):
+            if uid and (uid in reports or uid in recovering or record[1]):
                 own = HealthReport(self.fleet.name, True, 0.0, record, total)
                 found[uid] = [*reports.get(uid, ()), own]
         return found
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -58,8 +58,10 @@
         state: its state, entered at `since` and left at `until` at the latest, in seconds.
         relapses: ejections so far.
         round: counts draws of the front that sends while it is half-open.
-        last_report: what that front reported last; None before its first report.
-        gained: by how much its reports have grown since the first, good and failed.
+        must_probe: whether that front sends whatever failures it remembers, as an earlier round brought too
+            little to judge by.
+        last_reports: what each front reported last since the state was entered.
+        gained: by how much reports have grown in this round, good and failed.
         reporters: fronts that accused it when it was ejected.
         zone: in which it is ejected; empty for all.
     """
@@ -69,27 +71,31 @@
     until: float = math.inf
     relapses: int = 0
     round: int = 0
-    last_report: Outcomes | None = None
+    must_probe: bool = False
+    last_reports: dict[str, Outcomes] = field(default_factory=dict)
     gained: Outcomes = (0.0, 0.0)
     reporters: tuple[str, ...] = ()
     zone: str = ""
 
-    def reset_reports(self) -> None:
-        """Forget what the front that is drawn has reported."""
-        self.last_report = None
+    def reset_gains(self) -> None:
+        """Forget what reports have gained."""
         self.gained = (0.0, 0.0)
 
-    def add_report(self, report: HealthReport | None) -> None:
-        """Count what is new in a report of the front that is drawn: its first one says nothing new."""
-        if report is None:
-            return
-        if self.last_report is not None:
-            good, failed = (
-                max(current - before, 0.0)
-                for current, before in zip(report.outcomes, self.last_report, strict=True)
-            )
-            self.gained = self.gained[0] + good, self.gained[1] + failed
-        self.last_report = report.outcomes
+    def add_reports(self, reports: Iterable[HealthReport], prober: str) -> None:
+        """Count what is new in the reports: good answers of all fronts, failed ones of the prober.
+
+        The first report of a front says nothing new. Good ones count whoever had them: fronts that ended the
+        half-open state a moment earlier send already, and the others follow. Guards against fronts that never
+        do since the prober of their round has nothing new to say. Harm: one that lies ends the state early.
+        """
+        good, failed = self.gained
+        for report in reports:
+            before = self.last_reports.get(report.writer, report.outcomes)
+            good += max(report.outcomes[0] - before[0], 0.0)
+            if report.writer == prober:
+                failed += max(report.outcomes[1] - before[1], 0.0)
+            self.last_reports[report.writer] = report.outcomes
+        self.gained = good, failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -171,11 +177,13 @@
     Attributes:
         name: of this front.
         records: by cache, of those that are or were ejected lately.
+        probed: half-open caches to which this front sends, since the last tick.
         changes: of states, until they are taken for the log.
     """
 
     name: str
     records: dict[str, EjectionRecord] = field(default_factory=dict)
+    probed: set[str] = field(default_factory=set)
     changes: list[StateChange] = field(default_factory=list)
 
     def tick(
@@ -211,6 +219,7 @@
                 record = self.records[uid] = EjectionRecord()
             if record:
                 self._update(uid, record, view, found, cache_reports)
+        self.probed = {uid for uid, record in self.records.items() if self._is_probed(uid, record, view)}
         return {uid: self._admitted_fraction(uid, record, view) for uid, record in self.records.items()}
 
     def _may_eject(self, uid: str, kinds: Mapping[str, str]) -> bool:
@@ -252,7 +261,7 @@
         self, uid: str, record: EjectionRecord, view: FleetView, reports: list[HealthReport]
     ) -> None:
         prober = self._prober(uid, record, view)
-        record.add_report(next((report for report in reports if report.writer == prober), None))
+        record.add_reports(reports, prober)
         now, (good, failed) = view.now, record.gained
         if good >= RECOVERED_ANSWERS and good > 2 * failed:
             self._enter(uid, record, EjectionState.RECOVERING, now, now + RAMP_SECONDS)
@@ -260,8 +269,9 @@
             self._eject(uid, record, now, Accusation(True, record.reporters, record.zone))
         elif now >= record.until:  # it has reported too little: another one is drawn
             record.round += 1
+            record.must_probe = True
             record.until = now + HALF_OPEN_SECONDS
-            record.reset_reports()
+            record.reset_gains()
 
     def _eject(self, uid: str, record: EjectionRecord, now: float, found: Accusation) -> None:
         seconds = min(EJECTION_SECONDS * EJECTION_GROWTH**record.relapses, MOST_EJECTION_SECONDS)
@@ -278,23 +288,35 @@
         record.state = state
         record.since = now
         record.until = until
-        record.reset_reports()
+        record.must_probe = False
+        record.last_reports = {}
+        record.reset_gains()
 
     def _prober(self, uid: str, record: EjectionRecord, view: FleetView) -> str:
         """The one front that sends in this round: drawn alike by all that hold the ejection."""
         fit = [one for one in view.fronts if not record.zone or view.zones.get(one, "") == record.zone]
         return max(fit or [self.name], key=lambda name: rank(uid, record.round, name))
 
+    def _is_probed(self, uid: str, record: EjectionRecord, view: FleetView) -> bool:
+        """Whether a cache is half-open, and this front the one that sends."""
+        is_half_open = record.state is EjectionState.HALF_OPEN
+        return is_half_open and self._prober(uid, record, view) == self.name
+
     def _admitted_fraction(self, uid: str, record: EjectionRecord, view: FleetView) -> float:
         match record.state:
             case EjectionState.EJECTED:
                 return 0.0
             case EjectionState.HALF_OPEN:
-                return HALF_OPEN_FRACTION if self._prober(uid, record, view) == self.name else 0.0
+                return HALF_OPEN_FRACTION if uid in self.probed else 0.0
             case EjectionState.RECOVERING:
                 return min(1.0, RAMP_START + (1 - RAMP_START) * (view.now - record.since) / RAMP_SECONDS)
         return 1.0
 
+    def recovering_caches(self) -> set[str]:
+        """Half-open caches and those that come back: each front reports how it fares there, well or not."""
+        states = EjectionState.HALF_OPEN, EjectionState.RECOVERING
+        return {uid for uid, record in self.records.items() if record.state in states}
+
     def pop_changes(self) -> list[StateChange]:
         """Return the changes of states since the last call."""
         changes, self.changes = self.changes, []
