--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -52,6 +52,7 @@
             self._refuse_duplicate(client_request, duplicate.client_request)
             return
         if len(self.requests.by_id) >= site.max_open_requests:
+            self.context.counters.counts["requests over open_cap"] += 1
             client_request.answer_rejected(site.settings.max_retry_after)
             return
         request = self._open(client_request, parsed)
