--- /dev/null
+++ b/tests/test_fleet_operation.py
@@ -0,0 +1,20 @@
+"""What operators and plans meet at a fleet: limits of clients, the admin port, reloads, wrong plans."""
+
+from types import SimpleNamespace
+
+from weldbend.fleet.client_limits import MOST_PUBLISHED, ClientRateLimit
+
+
+def test_of_clients_with_equal_rates_the_same_are_published_in_every_process():
+    published = []
+    context = SimpleNamespace(
+        limits=SimpleNamespace(client_rate=1.0),
+        fleet=SimpleNamespace(settings=SimpleNamespace(peers=())),
+        publish_figure=lambda kind, client, rate: published.append(client),
+    )
+    limit = ClientRateLimit(context)
+    clients = [f"10.0.0.{number}" for number in range(10, 50)]
+    limit.requests.update(clients * 2)
+    limit.requests["10.0.1.1"] = 3
+    limit.tick()
+    assert published == ["10.0.1.1", *clients[: MOST_PUBLISHED - 1]]
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -70,7 +70,8 @@
                 self.rates[client] = rate
         self.requests.clear()
         least = limit / (2 * (len(self.context.fleet.settings.peers) + 1))
-        busiest = sorted(self.rates, key=lambda client: self.rates[client], reverse=True)
+        # by name where rates are equal: a set has another order in each process
+        busiest = sorted(self.rates, key=lambda client: (-self.rates[client], client))
         for client in busiest[:MOST_PUBLISHED]:
             if self.rates[client] >= least:
                 self.context.publish_figure(CLIENT_RATE, client, round(self.rates[client], 1))
