--- a/weldbend/testbed/commands/fleet.py
+++ b/weldbend/testbed/commands/fleet.py
@@ -81,7 +81,10 @@
 @lab.command("fleet-measure")
 @click.argument("what")
 def fleet_measure(what: str) -> None:
-    """Figures of docs/fleet.md, a JSON line each: gain, popularity, detect, real, cost or newcomer."""
+    """Measure a fleet, a JSON line each: gain, popularity, detect, real, cost or newcomer.
+
+    docs/fleet.md has the figures of detect alone.
+    """
     from weldbend.testbed.fleet.benchmarks import BENCHMARKS
     from weldbend.testbed.simulation.seed_search import silence_fronts
 
--- a/weldbend/testbed/fleet/benchmarks.py
+++ b/weldbend/testbed/fleet/benchmarks.py
@@ -1,4 +1,4 @@
-"""The measurements behind docs/fleet.md, by the names that `weldbend lab fleet-measure` knows."""
+"""Measurements of fleets by the names that `weldbend lab fleet-measure` knows; docs/fleet.md has `detect`."""
 
 import os
 import subprocess
--- a/weldbend/testbed/fleet/process_benchmarks.py
+++ b/weldbend/testbed/fleet/process_benchmarks.py
@@ -1,4 +1,4 @@
-"""What a fleet of real processes costs: figures of docs/fleet.md. Not part of CI.
+"""What a fleet of real processes costs, and how soon it knows a death. Not part of CI.
 
     python -m weldbend.testbed.fleet.process_benchmarks NAME ARGUMENTS
 
--- a/weldbend/testbed/fleet/simulated_benchmarks.py
+++ b/weldbend/testbed/fleet/simulated_benchmarks.py
@@ -1,4 +1,4 @@
-"""What a fleet costs and gains, measured on the virtual clock: figures of docs/fleet.md. Not part of CI."""
+"""What a fleet costs and gains, measured on the virtual clock. Not part of CI."""
 
 from collections import Counter
 from dataclasses import replace
