--- a/weldbend/testbed/commands/fleet.py
+++ b/weldbend/testbed/commands/fleet.py
@@ -5,12 +5,16 @@
 
 import json
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 import click
 
 from weldbend.testbed.commands.group import SEED, lab, reactor
 from weldbend.testbed.faults.plan import InvalidPlanError
 
+if TYPE_CHECKING:
+    from weldbend.testbed.fleet.plan import FleetPlan
+
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
@@ -57,25 +61,29 @@
 
 def run_plan(options: FleetOptions, path: str) -> None:
     """Play a plan; exits with 1 where the verdict is not clean."""
-    from weldbend.testbed.fleet import plan_runner
     from weldbend.testbed.fleet.plan import read_plan
 
     try:
-        plan = read_plan(path)
+        is_clean = play(options, read_plan(path))
     except InvalidPlanError as error:
         raise click.ClickException(str(error)) from None
+    if not is_clean:
+        raise SystemExit(1)
+
+
+def play(options: FleetOptions, plan: "FleetPlan") -> bool:
+    """Play a plan; returns whether the verdict is clean, and raises InvalidPlanError."""
+    from weldbend.testbed.fleet import plan_runner
+
     if options.is_simulated:
         from weldbend.testbed.simulation.seed_search import silence_fronts
 
         silence_fronts()
-        is_clean = plan_runner.play_simulated(plan, options.seed)
-    else:
-        run = plan_runner.RealRun(reactor, plan, options.seed)
-        reactor.callWhenRunning(run.start)
-        reactor.run()
-        is_clean = run.is_clean
-    if not is_clean:
-        raise SystemExit(1)
+        return plan_runner.play_simulated(plan, options.seed)
+    run = plan_runner.RealRun(reactor, plan, options.seed)
+    reactor.callWhenRunning(run.start)
+    reactor.run()
+    return run.is_clean
 
 
 @lab.command("fleet-measure")
--- a/weldbend/testbed/fleet/line_commands.py
+++ b/weldbend/testbed/fleet/line_commands.py
@@ -66,7 +66,9 @@
             case _:
                 fronts = site.settings.site.fronts
                 section = {"for": UNTIL_HEALED} | command
-                self.player.begin(parse_event("told", section, fronts, "line:"))
+                event = parse_event("told", section, fronts, "line:")
+                event.check_cache(site.cache_uids(), "line:")
+                self.player.begin(event)
 
     def _write_installations(self, command: dict[str, Any]) -> None:
         for number in self._numbers(command):
--- a/weldbend/testbed/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -15,7 +15,8 @@
 plan is played by real processes and by simulated ones.
 """
 
-from collections.abc import Mapping
+import re
+from collections.abc import Collection, Mapping
 from dataclasses import dataclass, replace
 from enum import StrEnum
 
@@ -71,7 +72,9 @@
     Do.NO_BUS: ("for",),
 }
 WITH_SIDES = (Do.SPLIT, Do.ONE_WAY, Do.FLAP)
-OF_THE_SITE = (Do.DRAIN, Do.UP, Do.PURGE)
+OF_A_CACHE = (Do.DRAIN, Do.UP)
+OF_THE_SITE = (*OF_A_CACHE, Do.PURGE)
+GROUP = re.compile("[0-9]{1,3}")  # the number of a group
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,6 +97,15 @@
         """The fronts of an event that has no sides."""
         return self.sides[0]
 
+    def check_cache(self, uids: Collection[str], location: str) -> None:
+        """Check that the cache that it names, if it does, is among those of a site.
+
+        Raises:
+            InvalidPlanError: It is not.
+        """
+        if self.do in OF_A_CACHE and self.what not in uids:
+            raise InvalidPlanError(location, f"{self.what!r:.20} is none of {', '.join(uids)}", "what")
+
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
@@ -105,6 +117,16 @@
     rate: float = 10.0  # requests a second
     zones: tuple[str, ...] = ()
     events: tuple[FleetEvent, ...] = ()
+    path: str = "plan"
+
+    def check_caches(self, uids: Collection[str]) -> None:
+        """Check that all caches that events name are among those of a site.
+
+        Raises:
+            InvalidPlanError: One is not.
+        """
+        for event in self.events:
+            event.check_cache(uids, f"{self.path}: [{event.name}]")
 
 
 def names(text: str) -> tuple[str, ...]:
@@ -153,7 +175,7 @@
         if name != "fleet"
     )
     last = max((event.at + event.duration for event in events), default=0.0)
-    return replace(plan, seconds=max(plan.seconds, last + plan.calm), events=events)
+    return replace(plan, seconds=max(plan.seconds, last + plan.calm), events=events, path=path)
 
 
 def parse_event(name: str, section: Section, fronts: int, location: str) -> FleetEvent:
@@ -169,6 +191,8 @@
     if do in OF_THE_SITE:
         if who or not values.get("what"):
             raise InvalidPlanError(location, f"{do} is of the site: it has 'what', and no 'who'")
+        if do == Do.PURGE and not GROUP.fullmatch(values["what"]):
+            raise InvalidPlanError(location, f"{values['what']!r:.20} is no group from 0 to 999", "what")
     else:
         values["sides"] = parse_sides(who, fronts, do in WITH_SIDES, location)
     values.setdefault("at", 0.0)
--- a/weldbend/testbed/fleet/plan_runner.py
+++ b/weldbend/testbed/fleet/plan_runner.py
@@ -24,7 +24,11 @@
 
 
 def play_simulated(plan: FleetPlan, seed: int) -> bool:
-    """Play a plan on the virtual clock; returns whether the verdict is clean."""
+    """Play a plan on the virtual clock; returns whether the verdict is clean.
+
+    Raises:
+        InvalidPlanError: The plan names a cache that the site does not have.
+    """
     settings = FleetRunSettings(
         fronts=plan.fronts,
         seconds=plan.seconds,
@@ -35,6 +39,7 @@
         calm=0.0,
     )
     run = FleetRun(seed, settings)
+    plan.check_caches(run.site.targets)
     run.on_event = lambda event: show({"at": round(run.events.now, 3)} | event)
     Player(run).play(plan)
     result = run.play()
@@ -47,11 +52,17 @@
     """A plan played with real processes, and a load on them; stops the reactor at the end."""
 
     def __init__(self, reactor: ProcessReactor, plan: FleetPlan, seed: int) -> None:
+        """Make it; nothing is started before `start`.
+
+        Raises:
+            InvalidPlanError: The plan names a cache that the site does not have.
+        """
         self.reactor = reactor
         self.plan = plan
         self.seed = seed
         settings = FleetSiteSettings(SiteSettings(fronts=plan.fronts), plan.zones)
         self.site = FleetSite(reactor, settings, seed, show)
+        plan.check_caches(self.site.cache_uids())
         self.missing = plan.fronts  # fronts that are not ready yet
         self.is_clean = False
         self.load: Load | None = None
--- a/weldbend/testbed/fleet/processes.py
+++ b/weldbend/testbed/fleet/processes.py
@@ -241,6 +241,10 @@
         self.block(paths)
         self.later(duration, lambda: self.unblock(paths))
 
+    def cache_uids(self) -> list[str]:
+        """All caches of the site."""
+        return [str(target["uid"]) for target in self.site.targets]
+
     def publish_cache_state(self, uid: str, state: str) -> None:
         """Publish that a cache is `draining`, or `up` and has just started."""
         entry = next(target for target in self.site.targets if target["uid"] == uid)
