--- a/tests/test_plan_caches.py
+++ b/tests/test_plan_caches.py
@@ -1,4 +1,4 @@
-"""Plans of fleets that name a cache which the site does not have, or a group that cannot be: one line says so."""
+"""Plans of fleets that name a cache which the site does not have, or a group that cannot be."""
 
 import pytest
 from click.testing import CliRunner
--- a/weldbend/testbed/commands/fleet.py
+++ b/weldbend/testbed/commands/fleet.py
@@ -64,23 +64,23 @@
     from weldbend.testbed.fleet.plan import read_plan
 
     try:
-        is_clean = play(options, read_plan(path))
+        is_clean = play(options, read_plan(path), path)
     except InvalidPlanError as error:
         raise click.ClickException(str(error)) from None
     if not is_clean:
         raise SystemExit(1)
 
 
-def play(options: FleetOptions, plan: "FleetPlan") -> bool:
-    """Play a plan; returns whether the verdict is clean, and raises InvalidPlanError."""
+def play(options: FleetOptions, plan: "FleetPlan", path: str) -> bool:
+    """Play a plan that was read from `path`; returns whether it is clean, and raises InvalidPlanError."""
     from weldbend.testbed.fleet import plan_runner
 
     if options.is_simulated:
         from weldbend.testbed.simulation.seed_search import silence_fronts
 
         silence_fronts()
-        return plan_runner.play_simulated(plan, options.seed)
-    run = plan_runner.RealRun(reactor, plan, options.seed)
+        return plan_runner.play_simulated(plan, options.seed, path)
+    run = plan_runner.RealRun(reactor, plan, options.seed, path)
     reactor.callWhenRunning(run.start)
     reactor.run()
     return run.is_clean
--- a/weldbend/testbed/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -117,16 +117,15 @@
     rate: float = 10.0  # requests a second
     zones: tuple[str, ...] = ()
     events: tuple[FleetEvent, ...] = ()
-    path: str = "plan"
 
-    def check_caches(self, uids: Collection[str]) -> None:
-        """Check that all caches that events name are among those of a site.
+    def check_caches(self, uids: Collection[str], path: str) -> None:
+        """Check that all caches that events name are among those of a site; `path` is the plan's file.
 
         Raises:
             InvalidPlanError: One is not.
         """
         for event in self.events:
-            event.check_cache(uids, f"{self.path}: [{event.name}]")
+            event.check_cache(uids, f"{path}: [{event.name}]")
 
 
 def names(text: str) -> tuple[str, ...]:
@@ -175,7 +174,7 @@
         if name != "fleet"
     )
     last = max((event.at + event.duration for event in events), default=0.0)
-    return replace(plan, seconds=max(plan.seconds, last + plan.calm), events=events, path=path)
+    return replace(plan, seconds=max(plan.seconds, last + plan.calm), events=events)
 
 
 def parse_event(name: str, section: Section, fronts: int, location: str) -> FleetEvent:
--- a/weldbend/testbed/fleet/plan_runner.py
+++ b/weldbend/testbed/fleet/plan_runner.py
@@ -23,8 +23,8 @@
     print(json.dumps(document), flush=True)
 
 
-def play_simulated(plan: FleetPlan, seed: int) -> bool:
-    """Play a plan on the virtual clock; returns whether the verdict is clean.
+def play_simulated(plan: FleetPlan, seed: int, path: str) -> bool:
+    """Play a plan, read from `path`, on the virtual clock; returns whether the verdict is clean.
 
     Raises:
         InvalidPlanError: The plan names a cache that the site does not have.
@@ -39,7 +39,7 @@
         calm=0.0,
     )
     run = FleetRun(seed, settings)
-    plan.check_caches(run.site.targets)
+    plan.check_caches(run.site.targets, path)
     run.on_event = lambda event: show({"at": round(run.events.now, 3)} | event)
     Player(run).play(plan)
     result = run.play()
@@ -51,8 +51,8 @@
 class RealRun:
     """A plan played with real processes, and a load on them; stops the reactor at the end."""
 
-    def __init__(self, reactor: ProcessReactor, plan: FleetPlan, seed: int) -> None:
-        """Make it; nothing is started before `start`.
+    def __init__(self, reactor: ProcessReactor, plan: FleetPlan, seed: int, path: str) -> None:
+        """Make it for a plan that was read from `path`; nothing is started before `start`.
 
         Raises:
             InvalidPlanError: The plan names a cache that the site does not have.
@@ -62,7 +62,7 @@
         self.seed = seed
         settings = FleetSiteSettings(SiteSettings(fronts=plan.fronts), plan.zones)
         self.site = FleetSite(reactor, settings, seed, show)
-        plan.check_caches(self.site.cache_uids())
+        plan.check_caches(self.site.cache_uids(), path)
         self.missing = plan.fronts  # fronts that are not ready yet
         self.is_clean = False
         self.load: Load | None = None
