--- /dev/null
+++ b/tests/test_admin_errors.py
@@ -0,0 +1,51 @@
+"""What the admin port answers to questions that it cannot answer: one line, without class names."""
+
+import builtins
+import json
+
+import pytest
+from twisted.internet.testing import StringTransport
+
+from weldbend.fleet.admin_server import AdminServer
+
+EXCEPTIONS = [
+    name
+    for name, value in vars(builtins).items()
+    if isinstance(value, type) and issubclass(value, BaseException)
+]
+
+
+def answer_to(line):
+    handlers = {"cast": lambda question: [question["client"], int(float(question["seconds"]))]}
+    connection = AdminServer(None, handlers).buildProtocol(None)
+    transport = StringTransport()
+    connection.makeConnection(transport)
+    connection.dataReceived(line.encode() + b"\n")
+    return json.loads(transport.value())
+
+
+@pytest.mark.parametrize(
+    ("line", "says"),
+    [
+        ("what", "a question is one JSON object on one line"),
+        ("[1]", "a question is one JSON object on one line"),
+        ('"ask"', "a question is one JSON object on one line"),
+        ("[" * 4000, "a question is one JSON object on one line"),
+        ("{}", "the question lacks 'ask'"),
+        ('{"ask": ["status"]}', "unknown question"),
+        ('{"ask": "cast"}', "the question lacks 'client'"),
+        ('{"ask": "cast", "client": "10.0.0.1"}', "the question lacks 'seconds'"),
+        ('{"ask": "cast", "client": "10.0.0.1", "seconds": "long"}', "'seconds' is \"long\", not a number"),
+        ('{"ask": "cast", "client": "10.0.0.1", "seconds": null}', "'seconds' is null, not a number"),
+        ('{"ask": "cast", "client": "10.0.0.1", "seconds": NaN}', "'seconds' is NaN, not a number"),
+        ('{"ask": "set", "name": "a", "version": 1e999}', "'version' is Infinity, not a number"),
+        ('{"ask": "set", "name": "a", "version": 1}', "the question lacks 'value'"),
+    ],
+)
+def test_a_question_that_cannot_be_answered_is_told_what_is_wrong_with_it(line, says):
+    wrong = answer_to(line)["wrong"]
+    assert says in wrong and not any(name in wrong for name in EXCEPTIONS)
+
+
+def test_numbers_may_be_written_as_text():
+    assert answer_to('{"ask": "cast", "client": "10.0.0.1", "seconds": "60"}') == {"ok": ["10.0.0.1", 60]}
--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -4,9 +4,10 @@
 changed here is an operators' setting for the whole fleet: `set`, and what other modules add (`questions`).
 """
 
+import contextlib
 import json
 from collections.abc import Callable, Mapping
-from typing import Any, cast
+from typing import Any, NoReturn, cast
 
 from twisted.internet.interfaces import IAddress
 from twisted.internet.protocol import ServerFactory
@@ -14,6 +15,7 @@
 from twisted.python.failure import Failure
 
 from weldbend.fleet import fleet_status
+from weldbend.fleet.errors import FleetError
 from weldbend.fleet.replicated_items import SETTING, Value
 from weldbend.fleet.runtime import ListeningPort, Reactor, StreamTransport
 from weldbend.fleet.service import Fleet
@@ -22,9 +24,71 @@
 MAX_CONNECTIONS = 4  # open at once
 MAX_QUESTION = 4096  # bytes of one line
 MAX_ERROR = 200  # characters of an answer that says what is wrong
+NO_OBJECT = "a question is one JSON object on one line"
 
-Question = dict[str, Any]  # as it came: each answer checks the fields that it uses
-Answer = Callable[[Question], Any]
+MAX_NUMBER = 1e15  # a number in a question is at most so large
+NUMBERS = ("seconds", "version")  # fields that are numbers; all others are taken as text
+
+Answer = Callable[[dict[str, Any]], Any]
+
+
+class InvalidQuestionError(FleetError, ValueError):
+    """A question that cannot be answered; its text is one line for people."""
+
+
+class MissingFieldError(InvalidQuestionError):
+    """A question lacks the field `name`."""
+
+    def __init__(self, name: str) -> None:
+        super().__init__(f"the question lacks {name!r}")
+        self.name = name
+
+
+class InvalidFieldError(InvalidQuestionError):
+    """The field `name` of a question has a value that it cannot have."""
+
+    def __init__(self, name: str, value: object, expected: str) -> None:
+        super().__init__(f"{name!r} is {json.dumps(value):.40}, not {expected}")
+        self.name = name
+
+
+class Question(dict[str, Any]):
+    """A question's fields, as it came; its numbers are checked."""
+
+    def __missing__(self, name: str) -> NoReturn:
+        """Say which field is missing."""
+        raise MissingFieldError(name)
+
+
+def read_question(line: bytes) -> Question:
+    """Read a question.
+
+    Raises:
+        InvalidQuestionError: It is no JSON object, or a number in it is none.
+    """
+    try:
+        fields = json.loads(line)
+    except (ValueError, RecursionError):
+        raise InvalidQuestionError(NO_OBJECT) from None
+    if not isinstance(fields, dict):
+        raise InvalidQuestionError(NO_OBJECT)
+    numbers = {name: read_number(name, fields[name]) for name in NUMBERS if name in fields}
+    return Question(fields | numbers)
+
+
+def read_number(name: str, value: object) -> int | float:
+    """Read a field that is a number, perhaps written as text.
+
+    Raises:
+        InvalidFieldError: It is none, or out of bounds.
+    """
+    if isinstance(value, str):
+        with contextlib.suppress(ValueError):
+            value = float(value)
+    is_number = isinstance(value, int | float) and not isinstance(value, bool)
+    if is_number and 0 <= cast(float, value) <= MAX_NUMBER:
+        return cast(float, value)
+    raise InvalidFieldError(name, value, f"a number from 0 to {MAX_NUMBER:.0e}")
 
 
 class AdminConnection(LineOnlyReceiver):
@@ -49,9 +113,9 @@
     def lineReceived(self, line: bytes) -> None:
         """Answer one question; what cannot be answered is said in one line."""
         try:
-            reply = {"ok": self.server.answer(json.loads(line))}
-        except (ValueError, RecursionError, KeyError, TypeError, AttributeError) as error:
-            reply = {"wrong": f"{type(error).__name__}: {error}"[:MAX_ERROR]}
+            reply = {"ok": self.server.answer(read_question(line))}
+        except ValueError as error:
+            reply = {"wrong": str(error)[:MAX_ERROR]}
         self.sendLine(json.dumps(reply).encode())  # type: ignore[no-untyped-call]  # Twisted gives no types
 
 
@@ -90,27 +154,26 @@
         """Answer a question.
 
         Raises:
-            ValueError: there is no such question, or a field has a wrong value.
-            KeyError: a field is missing.
+            ValueError: there is no such question, or a field is missing or has a wrong value.
         """
-        name = question["ask"]
+        name = str(question["ask"])
         answer = self.answers.get(name)
         if answer is None:
-            problem = f"unknown question {str(name)!r:.40}"
-            raise ValueError(problem)
+            problem = f"unknown question {name!r:.40}"
+            raise InvalidQuestionError(problem)
         return answer(question)
 
-    def _explain(self, question: Question) -> list[dict[str, Any]]:
+    def _explain(self, question: dict[str, Any]) -> list[dict[str, Any]]:
         """All items about one cache."""
         items = fleet_status.items(self.fleet)
         return [item for item in items if item["key"].partition("|")[0] == str(question["cache"])]
 
-    def _set(self, question: Question) -> Value:
+    def _set(self, question: dict[str, Any]) -> Value:
         """Write an operators' setting; its value from now on."""
         name, version, value = str(question["name"]), int(question["version"]), str(question["value"])
         current = self.fleet.store.items.get((SETTING, name))
         if current and version <= float(current.value[0]):
-            problem = f"{name} is at version {current.value[0]} already"
-            raise ValueError(problem)
+            problem = f"{name:.40} is at version {current.value[0]} already"
+            raise InvalidQuestionError(problem)
         self.fleet.publish(SETTING, name, version, value)
         return self.fleet.store.items[SETTING, name].value
