--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -56,7 +56,11 @@
             self.context.counters.counts["invalid requests"] += 1
             self._refuse_duplicate(client_request, duplicate.client_request)
             return
-        if self.is_rejecting or len(self.requests.by_id) >= site.max_open_requests:
+        if self.is_rejecting:
+            client_request.answer_rejected(site.settings.max_retry_after)
+            return
+        if len(self.requests.by_id) >= site.max_open_requests:
+            self.context.counters.counts["requests over open_cap"] += 1
             client_request.answer_rejected(site.settings.max_retry_after)
             return
         request = self._open(client_request, parsed)
