--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -145,6 +145,13 @@
     assert costs[100] <= 3 and costs[3200] <= 2 * 3200 / BUCKETS
 
 
+def test_any_weight_that_a_list_may_tell_is_ranked():
+    """The list admits all that is finite and over 0; sums of the greatest are not finite."""
+    weights = {1: 1.7e308, 2: 1.7e308, 3: 5e-324, 4: 1.0} | {n: 1.7e308 for n in range(10, 1200)}
+    ranking = ranking_of(weights)
+    assert sorted(ranking.ranked("k 0")) == sorted(weights) and math.isfinite(ranking.weight())
+
+
 def test_no_caches_no_choice():
     ranking = ranking_of({5: 1.0})
     ranking.change(5, None)
--- a/weldbend/routing/rendezvous.py
+++ b/weldbend/routing/rendezvous.py
@@ -21,6 +21,7 @@
 NUMBER_RANGE = 2**32
 NUMBER_BYTES = 4
 HALF = b"\x80" * BUCKETS  # as the lowest byte of each number: it is never 0
+MOST_WEIGHT = 1e100  # a cache counts no more, so that sums stay finite
 ROUNDING = 1e-9  # relative slack, far above the error of a logarithm
 
 
@@ -58,7 +59,7 @@
         """Give a cache another weight; None removes it."""
         self.weights.pop(cache, None)
         if weight is not None:
-            self.weights[cache] = weight
+            self.weights[cache] = min(weight, MOST_WEIGHT)
         self.weight = math.fsum(self.weights.values())
 
     def first_time(self, numbers: tuple[int, ...]) -> float:
