--- a/weldbend/testbed/scale/figures.py
+++ b/weldbend/testbed/scale/figures.py
@@ -17,7 +17,7 @@
         start_cpu: CPU seconds of a front until it served.
         cpu: CPU seconds of a front in all.
         memory: Peak resident bytes of a front.
-        descriptors: Most descriptors that a front had open, as sampled.
+        descriptors: Most descriptors that a front had open, as sampled, in the mean of the fronts.
         connections: Connections that a front made to caches.
         list_bytes: Bytes of events from the bus, for each front.
         lookups: Commands at edges.
@@ -34,7 +34,7 @@
     start_cpu: float
     cpu: float
     memory: int
-    descriptors: int
+    descriptors: float
     connections: float
     list_bytes: float
     lookups: int
--- a/weldbend/testbed/scale/site_run.py
+++ b/weldbend/testbed/scale/site_run.py
@@ -119,7 +119,7 @@
             start_cpu=sum(self.start_cpu) / fronts,
             cpu=sum(process_usage.usage(pid).cpu for pid in pids) / fronts,
             memory=sum(process_usage.peak_memory(pid) for pid in pids) // fronts,
-            descriptors=max(self.descriptors),
+            descriptors=sum(self.descriptors) / fronts,
             connections=connections / fronts,
             list_bytes=self.site.bus.event_bytes / fronts,
             lookups=sum(lookups),
