--- a/weldbend/testbed/commands/scale.py
+++ b/weldbend/testbed/commands/scale.py
@@ -85,7 +85,8 @@
     "--counted",
     "is_counted_only",
     is_flag=True,
-    help="judge only what is counted, not CPU seconds and memory: the same verdict on any machine",
+    help="judge only what is counted, calls of functions in place of CPU seconds, and not memory: the same "
+    "verdict on any machine; counting slows fronts down",
 )
 @click.option("--plot", help="draw each figure as a part of its bound, as a PNG there")
 @JSON
@@ -95,7 +96,7 @@
     Plays both sizes one after the other on loopback, and prints a table beside the bounds on growth. The exit
     status is 1 where a bound is missed.
     """
-    plan = ScalePlan(**options)  # type: ignore[arg-type]  # click has checked them
+    plan = ScalePlan(**options, counts_calls=is_counted_only)  # type: ignore[arg-type]  # click has checked them
     usual = play(plan)
     large = play(replace(plan, division=division))
     click.echo(report.table(usual, large, is_counted_only))
--- a/weldbend/testbed/emulator/emulated_site.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -3,7 +3,7 @@
 import socket
 import sys
 import tempfile
-from collections.abc import Callable
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
 from typing import Any, BinaryIO
@@ -157,9 +157,11 @@
         on_end: Callable[[int], None],
         options: tuple[str, ...] = (),
         program: str | None = None,
+        preludes: Sequence[str] = (),
     ) -> None:
         """Start all fronts; `program` is another tree whose weldbend they run, to compare with.
 
+        `preludes` are Python statements, one for each front, that are executed before it loads.
         `on_ready` is called once, when all serve; `on_end` with the exit code of each.
         """
         missing = self.settings.fronts
@@ -175,7 +177,8 @@
             path, listen = self.configure(number)
             self.fronts.append(listen)
             log = (self.folder / f"front-{number}.log").open("wb")
-            command = [sys.executable, "-O", "-c", code, "serve", "--config", str(path), *options]
+            prelude = preludes[number - 1] if preludes else ""
+            command = [sys.executable, "-O", "-c", prelude + code, "serve", "--config", str(path), *options]
             protocol = FrontProcess(on_one_ready, on_end, log)
             process = self.reactor.spawnProcess(
                 protocol, sys.executable, command, env=None, path=program or "."
--- a/weldbend/testbed/scale/bounds.py
+++ b/weldbend/testbed/scale/bounds.py
@@ -1,13 +1,18 @@
-"""How far the needs of a front may grow with the number of caches (the operators' table). No I/O."""
+"""How far the needs of a front may grow with the number of caches (the operators' table). No I/O.
+
+Calls of functions stand for CPU seconds where the verdict must not depend on the machine: by the factor
+alone.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
 from weldbend.testbed.scale.figures import ScaleFigures
 
+CALLS = "calls in a front, thousands"
 MEGABYTE = 1e6  # bytes
 KILOBYTE = 1e3  # bytes
-THOUSAND = 1000  # caches
+THOUSAND = 1000  # caches, or calls
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,6 +51,7 @@
 
 BOUNDS = (
     Bound("CPU, s", lambda f: f.cpu, 1.4, 0.02, 0.12, is_counted=False),
+    Bound(CALLS, lambda f: f.calls / THOUSAND, 1.4),
     Bound("peak memory, MB", lambda f: f.memory / MEGABYTE, 1.5, 8.0, 4.0, is_counted=False),
     Bound("descriptors", lambda f: f.descriptors, 2.0, 40.0),
     Bound("connections made", lambda f: f.connections, 2.5, 40.0),
--- a/weldbend/testbed/scale/figures.py
+++ b/weldbend/testbed/scale/figures.py
@@ -16,6 +16,7 @@
         served: Share of them that was served.
         start_cpu: CPU seconds of a front until it served.
         cpu: CPU seconds of a front in all.
+        calls: Calls of functions in a front while it served; 0 where they were not counted.
         memory: Peak resident bytes of a front.
         descriptors: Most descriptors that a front had open, as sampled, in the mean of the fronts.
         connections: Connections that a front made to caches.
@@ -33,6 +34,7 @@
     served: float
     start_cpu: float
     cpu: float
+    calls: float
     memory: int
     descriptors: float
     connections: float
--- a/weldbend/testbed/scale/plan.py
+++ b/weldbend/testbed/scale/plan.py
@@ -23,6 +23,7 @@
         seconds: Of load.
         changes: Changes of the endpoint list a second, for each hundred caches.
         seed: Draws the load and the changes.
+        counts_calls: Whether the calls in each front are counted, which slows it down some times.
     """
 
     caches: int = 100
@@ -32,6 +33,7 @@
     seconds: float = 25.0
     changes: float = 1.0
     seed: int = 1
+    counts_calls: bool = False
 
     def count(self) -> int:
         """How many edges and parents there are."""
--- a/weldbend/testbed/scale/report.py
+++ b/weldbend/testbed/scale/report.py
@@ -4,7 +4,7 @@
 
 from weldbend.testbed.load import process_usage
 from weldbend.testbed.load.process_usage import Cell
-from weldbend.testbed.scale.bounds import BOUNDS, MEGABYTE
+from weldbend.testbed.scale.bounds import BOUNDS, CALLS, MEGABYTE
 from weldbend.testbed.scale.figures import ScaleFigures
 
 Value = Callable[[ScaleFigures], float]
@@ -27,6 +27,8 @@
     """Each bounded line with its verdict, then what is shown beside them."""
     rows: list[list[Cell]] = []
     for bound in BOUNDS:
+        if bound.name == CALLS and not is_counted_only:
+            continue
         is_judged = bound.is_counted or not is_counted_only
         verdict = "held" if bound.is_held(usual, large) else "missed"
         sign = ">= " if bound.is_least else "<= "
--- a/weldbend/testbed/scale/site_run.py
+++ b/weldbend/testbed/scale/site_run.py
@@ -2,6 +2,8 @@
 
 import os
 from collections.abc import Callable
+from dataclasses import replace
+from pathlib import Path
 from random import Random
 
 from weldbend.testbed.emulator.configuration import listing
@@ -10,6 +12,7 @@
 from weldbend.testbed.load import process_usage
 from weldbend.testbed.load.generator import Load
 from weldbend.testbed.reactor import ProcessReactor
+from weldbend.testbed.scale import call_counter
 from weldbend.testbed.scale.figures import ScaleFigures, busiest_share, used_share
 from weldbend.testbed.scale.plan import ScalePlan
 
@@ -59,9 +62,16 @@
 
     def start(self) -> None:
         """Start the fronts, then the load."""
-        self.site.start(self._on_ready, self._on_front_end, ("--log-form", "json"))
+        preludes = [call_counter.prelude(path) for path in self._call_files()]
+        options = ("--log-form", "json")
+        self.site.start(self._on_ready, self._on_front_end, options, preludes=preludes)
         self._limit_time(MAX_START_TIME, "starting", lambda: self.load is None)
 
+    def _call_files(self) -> list[Path]:
+        """Where each front writes how many calls it made, if they are counted."""
+        numbers = range(1, self.plan.fronts + 1) if self.plan.counts_calls else ()
+        return [self.site.folder / f"front-{number}.calls" for number in numbers]
+
     def _limit_time(self, seconds: float, part: str, is_missing: Callable[[], bool]) -> None:
         def check() -> None:
             if is_missing():
@@ -73,6 +83,9 @@
         plan = self.plan
         self.start_cpu = [process_usage.usage(pid).cpu for pid in self.site.pids()]
         self.descriptors = [0] * plan.fronts
+        if plan.counts_calls:
+            for pid in self.site.pids():
+                os.kill(pid, call_counter.START_SIGNAL)
         self._sample()
         sizes = self.site.settings.sizes
         self.load = Load(self.reactor, plan.load_plan(), self.site.fronts, sizes, self._on_load_end)
@@ -118,6 +131,7 @@
             served=load.tally.counts["fulfilled"] / max(requests, 1),
             start_cpu=sum(self.start_cpu) / fronts,
             cpu=sum(process_usage.usage(pid).cpu for pid in pids) / fronts,
+            calls=0.0,
             memory=sum(process_usage.peak_memory(pid) for pid in pids) // fronts,
             descriptors=sum(self.descriptors) / fronts,
             connections=connections / fronts,
@@ -134,7 +148,8 @@
         if self.figures is None:
             self._end(FrontEndedError(code, str(self.site.folder)))
         elif not self.site.pids():
-            self._end(self.figures)
+            calls = [call_counter.read(path) for path in self._call_files()]
+            self._end(replace(self.figures, calls=sum(calls) / self.plan.fronts))
 
     def _end(self, outcome: ScaleFigures | ScaleRunError) -> None:
         if not self.is_over:
