--- a/weldbend/testbed/scale/figures.py
+++ b/weldbend/testbed/scale/figures.py
@@ -16,8 +16,9 @@
         served: Share of them that was served.
         start_cpu: CPU seconds of a front until it served.
         cpu: CPU seconds of a front in all.
+        calls: Calls of functions in a front while it served; 0 where they were not counted.
         memory: Peak resident bytes of a front.
-        descriptors: Most descriptors that a front had open, as sampled.
+        descriptors: Most descriptors that a front had open, as sampled, in the mean of the fronts.
         connections: Connections that a front made to caches.
         list_bytes: Bytes of events from the bus, for each front.
         lookups: Commands at edges.
@@ -33,8 +34,9 @@
     served: float
     start_cpu: float
     cpu: float
+    calls: float
     memory: int
-    descriptors: int
+    descriptors: float
     connections: float
     list_bytes: float
     lookups: int
