--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -5,10 +5,12 @@
 """
 
 from collections.abc import Callable
+from contextlib import suppress
 from typing import TYPE_CHECKING, Protocol
 
 from loguru import logger
 from twisted.internet.endpoints import TCP4ClientEndpoint
+from twisted.internet.error import NotConnectingError
 from twisted.internet.protocol import Protocol as Connection
 from twisted.internet.protocol import connectionDone
 from twisted.python.failure import Failure
@@ -109,7 +111,9 @@
         if not self.is_finished:
             self.is_finished = True
             if self.pending_request:
-                self.pending_request.cancel()
+                # Twisted loses track of a connect whose socket could not be watched when it came up.
+                with suppress(NotConnectingError):
+                    self.pending_request.cancel()
             elif self.transport:
                 self.transport.loseConnection()  # type: ignore[misc]  # zope: no self
             self.reader.attempt_finished(self, reason)
