--- a/tests/test_local_faults.py
+++ b/tests/test_local_faults.py
@@ -90,6 +90,22 @@
     assert stage.trace[-1] == "client 0 < 1 process: 'photo'" and results() == ["SERVED"]
 
 
+def test_a_connection_that_comes_up_and_cannot_be_watched_is_this_machines_fault():
+    """Twisted makes the protocol, fails to watch the socket, and reports the end of what never opened."""
+    stage = Stage()
+    results = ends(stage)
+    stage.say(stage.client(), process(1))
+    ((_, dial),) = stage.dials()
+    dial.buildProtocol(None).connectionLost(Failure(OSError(errno.ENOMEM, "epoll_ctl")))
+    assert not stage.dials()  # there is a backoff
+    for _ in range(45):
+        stage.turn(0.01)
+    assert results() == ["LOCAL_FAULT"]
+    stage.connect()
+    stage.answer("e1", 1, "DONE", "-", b"photo")
+    assert stage.trace[-1] == "client 0 < 1 process: 'photo'"
+
+
 def test_an_error_that_connecting_raises_does_not_fail_the_request():
     stage = Stage()
     Refusing(stage, [errno.EMFILE], is_raised=True)
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -276,7 +276,13 @@
         self.send_waiting()
 
     def connection_lost(self, connection: CacheConnection) -> None:
-        """Replace one that broke with attempts in flight at once: whether it can be tells what happened."""
+        """Replace one that broke with attempts in flight at once: whether it can be tells what happened.
+
+        One that came up and could not be watched (epoll_ctl) was never opened: that is this machine's fault.
+        """
+        if connection.transport is None:
+            self._connect_later()
+            return
         if connection in self.connections:
             self.connections.remove(connection)
         self._connect(minimum=1 if connection.in_flight and not self.connections else 0)
--- a/weldbend/testbed/faults/call_faults.py
+++ b/weldbend/testbed/faults/call_faults.py
@@ -49,7 +49,8 @@
 ALL_FAULTS = tuple((call, number) for call, numbers in ERRORS.items() for number in numbers)
 HARMLESS_TRANSFERS = frozenset({SHORT, errno.EAGAIN, errno.ENOBUFS})  # of RECEIVE and SEND
 EPISODES = 5  # of a plan, drawn at random
-WINDOWS = 5  # equal parts of the time, in each of which the seed's own fault is injected
+OWN_CHANCE = 0.6  # with which the seed's own fault is injected at least, while it may be
+WINDOWS = 10  # equal parts of the time, in each of which the seed's own fault is injected
 SHORTEST, LONGEST = 0.05, 0.8  # seconds of an episode
 MOST_BREAKS = 3  # in one episode that ends connections
 MOST_FAULTS = 40  # in one that does not
@@ -97,6 +98,8 @@
     window = seconds / WINDOWS
     moments = [(index * window, (index + 1) * window) for index in range(WINDOWS)]
     episodes = [draw_episode(rng, seed_fault(seed), *moment) for moment in moments]
+    for episode in episodes:
+        episode.chance = max(episode.chance, OWN_CHANCE)
     for fault in rng.sample(ALL_FAULTS, EPISODES):
         since = rng.uniform(0.0, seconds)
         episodes.append(draw_episode(rng, fault, since, since + rng.uniform(SHORTEST, LONGEST)))
@@ -111,7 +114,7 @@
 def draw_episode(rng: random.Random, fault: tuple[Call, int], since: float, until: float) -> Episode:
     """An episode of a fault between two moments: how often, and by what chance."""
     is_breaking = ends_connection(*fault)
-    chance = rng.uniform(0.02, 0.3) if is_breaking else rng.choice((0.2, 0.5, 1.0))
+    chance = rng.uniform(0.1, 0.5) if is_breaking else rng.choice((0.2, 0.5, 1.0))
     left = rng.randint(1, MOST_BREAKS if is_breaking else MOST_FAULTS)
     return Episode(*fault, since, until, chance, left)
 
--- a/weldbend/testbed/faults/socket_trial.py
+++ b/weldbend/testbed/faults/socket_trial.py
@@ -55,6 +55,8 @@
 RATE = 90.0  # requests a second
 ORDERS = 0.15  # fraction of requests that are orders
 IDLE_CLIENTS = 12
+NEW_CLIENTS = 3  # that connect while nothing is open, and during the shutdown
+STIR_AFTER = 0.1  # seconds from the beginning of these phases
 DEDUPLICATION_WINDOW = 3.0  # seconds, as the emulated site's settings state it for orders
 OVERLAP = 0.05  # seconds within which the end of an older attempt may reach the emulated cache
 MAX_WAITS = 4000  # waits a second, on the average of a trial: a front that spins makes ten times as many
@@ -230,6 +232,7 @@
         self.log = folder / "front.log"
         self.loads: list[Load] = []
         self.idle_clients = IdleClients()
+        self.late_clients = IdleClients()  # whose connections the front may close, as it ends
         self.moments: dict[str, float] = {}  # when each phase began
         self.exit_code: int | None = None
         self.process: Any = None
@@ -248,12 +251,21 @@
         self.moments[phase] = time.monotonic()
 
     def _ready(self) -> None:
-        host, _, port = self.address.rpartition(":")
-        for _ in range(IDLE_CLIENTS):
-            self.reactor.connectTCP(host, int(port), self.idle_clients, timeout=5)
+        self._connect(self.idle_clients, IDLE_CLIENTS)
         self._begin("load")
         self._play(FIRST_LOAD, self._rest)
 
+    def _connect(self, clients: IdleClients, count: int) -> None:
+        host, _, port = self.address.rpartition(":")
+        for _ in range(count):
+            self.reactor.connectTCP(host, int(port), clients, timeout=5)
+
+    def _stir(self, clients: IdleClients) -> None:
+        """Have the front accept, connect to the bus and read it anew: else it makes few calls now."""
+        self._connect(clients, NEW_CLIENTS)
+        for reader in list(self.site.bus.readers):
+            reader.transport.abortConnection()
+
     def _play(self, seconds: float, on_end: Any) -> None:  # noqa: ANN401  # a callback of Load
         plan = LoadPlan(RATE, seconds, 60, ORDERS, 6, self.seed * 10 + len(self.loads))
         load = TrialLoad(self.reactor, plan, [self.address], self.site.settings.sizes, lambda _: on_end())
@@ -262,6 +274,7 @@
 
     def _rest(self) -> None:
         self._begin("idle")
+        self.reactor.callLater(STIR_AFTER, self._stir, self.idle_clients)
         self.reactor.callLater(QUIET, self._go_on)
 
     def _go_on(self) -> None:
@@ -274,6 +287,7 @@
         self._begin("shutdown")
         if self.process.pid:
             self.process.signalProcess("TERM")
+        self.reactor.callLater(STIR_AFTER, self._stir, self.late_clients)
         self.reactor.callLater(END_TIMEOUT, self._give_up)
 
     def _give_up(self) -> None:
@@ -315,7 +329,8 @@
         at_clients = sum(line["side"] != "connected" for line in breaking)
         watches = sum(line["call"] == Call.WATCH.value for line in injected)
         ended = counts["connections lost"] + self.idle_clients.counts["ended"]
-        probes_lost = self.idle_clients.counts["asked"] - self.idle_clients.counts["answered"]
+        probes = self.idle_clients.counts
+        late_probes = self.late_clients.counts
         errors = self.log.read_text(errors="replace").count("internal error at")
         waits = totals["calls"].get(Call.WAIT.value, 0) / max(totals["seconds"], 1.0)
         rules = {
@@ -326,7 +341,8 @@
             "answers with other bytes": counts["spoilt"] > 0,
             f"{ended} client connections ended, {at_clients} faults at clients": ended > at_clients,
             "requests lost without a lost connection": counts["lost"] > 0 and not at_clients,
-            "probes without an answer": probes_lost > self.idle_clients.counts["ended"],
+            "probes without an answer": probes["asked"] - probes["answered"] > probes["ended"],
+            "late probes without an answer": late_probes["asked"] - late_probes["answered"] > at_clients,
             f"{errors} internal errors, {watches} failed epoll_ctl": errors > watches,
             f"{waits:.0f} waits a second": waits > MAX_WAITS,
             "no load": counts["fulfilled"] == 0,
