--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -259,7 +259,13 @@
     is_unlimited = hard_limit == resource.RLIM_INFINITY
     soft_limit = site.max_descriptors if is_unlimited else min(site.max_descriptors, hard_limit)
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard_limit))
-    from twisted.internet import reactor  # installs the reactor: only a process that serves wants one
+    # Here, since loading them installs a reactor: only a process that serves wants one.
+    from twisted.internet.main import installReactor
+
+    from weldbend.front.patient_reactor import PatientReactor
+
+    installReactor(PatientReactor())  # type: ignore[no-untyped-call]  # Twisted's
+    from twisted.internet import reactor
 
     front = Front(reactor, site, read_again)
     observer: Any = TwistedLogObserver(
--- a/weldbend/testbed/faults/call_faults.py
+++ b/weldbend/testbed/faults/call_faults.py
@@ -63,8 +63,7 @@
 
 def ends_connection(call: Call, number: int) -> bool:
     """Whether the connection that the call is for may end by it."""
-    is_transfer = call in (Call.RECEIVE, Call.SEND)
-    return call is Call.WATCH or (is_transfer and number not in HARMLESS_TRANSFERS)
+    return call in (Call.RECEIVE, Call.SEND) and number not in HARMLESS_TRANSFERS
 
 
 @dataclass
