--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -1,5 +1,7 @@
 """Fleets whose wall clocks are stepped: epochs, moments of others, slots of leases, and virtual fleets."""
 
+import math
+
 import pytest
 from fronts import KEY, Stage, bus_event, listing, target
 
@@ -10,10 +12,16 @@
 from weldbend.fleet.member_table import State
 from weldbend.fleet.membership import Membership
 from weldbend.fleet.message_authentication import AuthenticationError, MessageAuthenticator
+from weldbend.fleet.purges import PurgeExchange
 from weldbend.fleet.replicated_store import ReplicatedStore
 from weldbend.fleet.runtime import Runtime
 from weldbend.fleet.settings import FleetSettings, Peer
 from weldbend.routing.events import ObjectsPurged
+from weldbend.testbed.fleet.clock_steps import ClockStep, draw_steps
+from weldbend.testbed.fleet.fleet_model import FleetModel, ModelSettings
+from weldbend.testbed.fleet.quota_experiment import QuotaExperiment, search
+from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetRunSettings
+from weldbend.testbed.simulation.auditor import Rule
 
 KEYS = {b"aaaa": b"1" * 32}
 HOUR = 3600.0  # seconds
@@ -238,3 +246,97 @@
     joined.offset = HOUR
     joined.stage.turn(1.0)
     assert slots() == pytest.approx(before + 1.0)
+
+
+# Whole fleets from one integer, with clocks that are stepped.
+
+STEPPED = ModelSettings(clock_steps=4)
+
+
+def test_steps_are_of_one_front_of_all_and_opposite_ways():
+    drawn = [step for seed in range(1, 40) for step in draw_steps(seed, 4, 3, 1.0, 9.0)]
+    sizes = [abs(by) for step in drawn for by in step.seconds.values()]
+    assert min(sizes) < 0.5 and max(sizes) > 1800.0
+    assert {len(step.seconds) for step in drawn} == {1, 4}
+    assert {math.copysign(1, by) for step in drawn for by in step.seconds.values()} == {-1.0, 1.0}
+    assert any(step.restarted is None for step in drawn) and any(step.restarted for step in drawn)
+
+
+@pytest.mark.parametrize("seed", range(1, 9))
+def test_stepped_clocks_leave_all_copies_equal_and_the_latest_figures_in_force(seed):
+    run = FleetModel(seed, STEPPED).run()
+    assert run.audit() == [], (seed, run.faults)
+
+
+def test_a_replica_that_keeps_its_first_epoch_is_noticed(monkeypatch):
+    monkeypatch.setattr(ReplicatedStore, "set_epoch", lambda self, epoch: None)
+    assert any(FleetModel(seed, STEPPED).run().audit() for seed in range(1, 9))
+
+
+def test_leases_keep_the_limit_with_stepped_clocks():
+    found = search(range(1, 31), steps=4)
+    assert found["over"] == [] and found["worst of the limit"] > 0.95
+
+
+def wall_clock(self, number):
+    """A front's wall clock, which stands still where it was stepped back."""
+    highest = self.__dict__.setdefault("highest", {})
+    highest[number] = max(highest.get(number, 0.0), self.unix(number))
+    return highest[number]
+
+
+def test_leases_that_go_by_the_wall_clock_are_noticed(monkeypatch):
+    monkeypatch.setattr(QuotaExperiment, "clock", wall_clock)
+    assert search(range(1, 11), steps=4)["over"]
+
+
+SCOPES = {
+    "one ahead": {1: HOUR},
+    "one behind": {1: -HOUR},
+    "one a little ahead": {1: 7.0},
+    "all behind": {0: -HOUR, 1: -7.0, 2: -HOUR, 3: -0.2},
+    "opposite ways": {0: -HOUR, 1: HOUR, 2: -7.0, 3: -0.2},
+}
+
+
+def purged_while_cut_off(seconds):
+    """A fleet of which the second front learns of a purge and a restarted cache by its peers alone."""
+    settings = FleetRunSettings(faults=0, fleet_faults=0, orders=0.1, seconds=12.0, calm=0.0)
+    made = FleetRun(1, settings)
+
+    def publish_purge():
+        made.site.publish(ban={"tag": 1, "ts": made.site.unix_ms()})
+
+    for at, call in (
+        (2.0, lambda: made.block_bus({2}, 8.0)),
+        (2.5, lambda: made.step_clocks(ClockStep(2.5, seconds))),
+        (3.5, publish_purge),
+        (4.0, lambda: made.site.publish_state("e1", "draining")),
+        (5.0, lambda: made.site.restart_cache("e2")),
+    ):
+        made.events.schedule(at, call)
+    return made.play()
+
+
+@pytest.mark.parametrize("scope", sorted(SCOPES))
+def test_what_peers_tell_is_kept_to_by_a_front_whose_clock_was_stepped(scope):
+    result = purged_while_cut_off(SCOPES[scope])
+    assert result.violations == [] and result.errors == [] and result.divergences == []
+
+
+def wall_clock_age(self, change):
+    """As `PurgeExchange.apply`, by the wall clock."""
+    age = self.dispatcher.clock.unix() - change.value[0] / 1000
+    self.dispatcher.post(ObjectsPurged(None, int(change.key.removeprefix("g:")), max(age, 0.0)))
+
+
+def test_a_purge_dated_by_the_wall_clock_is_noticed(monkeypatch):
+    monkeypatch.setattr(PurgeExchange, "apply", wall_clock_age)
+    rules = {violation.rule for violation in purged_while_cut_off(SCOPES["one ahead"]).violations}
+    assert rules == {Rule.PURGES}
+
+
+@pytest.mark.parametrize("seed", range(1, 5))
+def test_whole_fleets_with_stepped_clocks_keep_the_rules(seed):
+    result = FleetRun(seed, FleetRunSettings(seconds=24.0, calm=10.0, clock_steps=3)).play()
+    assert result.violations == [] and result.errors == [] and result.divergences == []
--- a/weldbend/testbed/fleet/auditor.py
+++ b/weldbend/testbed/fleet/auditor.py
@@ -16,6 +16,7 @@
 
 # Seconds for which an item of a kind is kept.
 KEEP = {"purge": 60.0, "drain": 600.0, "start": 120.0, "keyed": 30.0, "evidence": 20.0, "setting": 1e12}
+FIGURES = ("evidence",)  # kinds of which each writer's own latest value counts
 EDGE = 1.5  # seconds before an item's end within which fronts may differ: ages grow on the way
 ENDING = 3.0  # seconds about the end of a change within which its item is not compared
 CONFLICT = "!"  # in place of the group of a keyed item that two groups have claimed
@@ -68,6 +69,7 @@
     key: str
     value: Value
     writer: AuditedNode
+    epoch: int = 0  # of the writer, as its membership had it then; 0 where that is not to be examined
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +105,12 @@
 
 def audit(fleet: AuditedFleet) -> list[str]:
     """What does not hold, a line each."""
-    return [*_membership_errors(fleet), *_item_errors(fleet), *_log_errors(fleet)]
+    return [
+        *_membership_errors(fleet),
+        *_item_errors(fleet),
+        *_figure_errors(fleet),
+        *_log_errors(fleet),
+    ]
 
 
 def _membership_errors(fleet: AuditedFleet) -> list[str]:
@@ -169,6 +176,25 @@
     return errors
 
 
+def _figure_errors(fleet: AuditedFleet) -> list[str]:
+    """Errors of figures of which each writer's latest counts: a later run's must not lose to an earlier's."""
+    latest: dict[ItemName, Published] = {}
+    for change in sorted(fleet.published, key=lambda change: change.at):
+        if change.epoch and change.kind in FIGURES:
+            latest[change.kind, change.key] = change
+    errors = []
+    for (kind, key), change in sorted(latest.items()):
+        is_live = fleet.now < change.at + KEEP[kind] - EDGE
+        if not (is_live and change.writer.is_up and change.epoch == change.writer.members.epoch):
+            continue
+        for node in fleet.running():
+            item = node.copies.items.get((kind, key))
+            if item is None or item.value != change.value:
+                held = item.value if item else None
+                errors.append(f"{kind} {key} at {node.name} is {held}, its writer's latest is {change.value}")
+    return errors
+
+
 def _log_errors(fleet: AuditedFleet) -> list[str]:
     errors = []
     running = fleet.running()
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -11,8 +11,10 @@
 from dataclasses import dataclass, field
 
 from weldbend.fleet.anti_entropy import resume_after_standstill
+from weldbend.fleet.replicated_items import Value
 from weldbend.fleet.settings import FleetSettings
 from weldbend.testbed.fleet.auditor import AuditedFleet, Published, audit
+from weldbend.testbed.fleet.clock_steps import ClockStep, draw_steps
 from weldbend.testbed.fleet.model_network import ModelNetwork, Node, Path
 
 FAULTS = ("split", "one-way", "kill", "freeze", "slow", "lossy", "restart-all", "link-cut")
@@ -22,6 +24,12 @@
 LONGEST_FAULT = 12.0  # seconds
 LAST_CHANGES = 8.0  # seconds before the end without changes
 LOSSY = 0.4  # probability that a datagram to a node on a lossy path is lost
+MILLISECONDS = 1000  # in a second
+STEPPED_START = 10_000_000  # milliseconds of all Unix clocks at the start of a run in which they are stepped
+RESTARTED_AFTER = 0.5  # seconds for which a node is down whose clock was stepped
+FIRST_STEP = 2.0  # seconds after the start
+FIGURE = "all"  # subject of the figure that each node publishes every second, where clocks are stepped
+FIGURE_INTERVAL = 1.0  # seconds
 OLDER_CLOCK = 0.3  # fraction of killed nodes that return with a smaller epoch
 READS_DATAGRAMS_FIRST = 0.5  # fraction of thawed nodes that read their sockets before they notice the freeze
 
@@ -36,6 +44,7 @@
     faults: int = 4
     loss: float = 0.01  # probability that a datagram is lost
     rate: float = 4.0  # changes a second, of all nodes together
+    clock_steps: int = 0  # of Unix clocks, besides all faults
     kinds: tuple[str, ...] = FAULTS
     fleet: FleetSettings = field(default_factory=FleetSettings)
 
@@ -55,6 +64,7 @@
         self.log: list[str] = []
         self.published: list[Published] = []
         self.faults: list[str] = []  # those that were injected
+        self.clock_offsets = dict.fromkeys(self.names, 0.0)  # seconds by which Unix clocks are ahead
 
     @property
     def counts(self) -> Counter[str]:
@@ -76,13 +86,28 @@
         for name, before, state, why in node.members.drain_changes():
             self._add_line(f"{node.name}: {name} {before.name} -> {state.name} ({why})")
 
+    def unix_ms(self, name: str) -> int:
+        """Milliseconds of a node's Unix clock."""
+        ahead = self.clock_offsets[name] * MILLISECONDS + STEPPED_START * bool(self.settings.clock_steps)
+        return int(self.events.now * MILLISECONDS + ahead)
+
     # What happens to nodes.
 
+    def step_clocks(self, step: ClockStep) -> None:
+        """Step the Unix clocks of some nodes, and have one of them die and start again."""
+        for place, seconds in step.seconds.items():
+            self.clock_offsets[self.names[place]] += seconds
+        self._add_line(f"clocks are stepped {dict(step.seconds)}")
+        if step.restarted is not None:
+            name = self.names[step.restarted]
+            self.kill(name)
+            self._start_after(RESTARTED_AFTER, name)
+
     def start(self, name: str, is_older: bool = False) -> None:
         """Start a node that is down; `is_older`: with a smaller epoch than before."""
         if name in self.nodes and self.nodes[name].is_up:
             return  # another fault brought it back already
-        epoch = max(1, int(1000 + self.events.now * 1000))
+        epoch = max(1, int(1000 + self.unix_ms(name)))
         if is_older:
             epoch = max(1, self.nodes[name].epoch - 7)
         node = self.nodes[name] = Node(self.network, name, epoch)
@@ -194,8 +219,24 @@
         }[kind]
         node = self.nodes.get(name)
         if node and node.is_running():
-            self.published.append(Published(self.events.now, kind, key, value, node))
-            node.publish(kind, key, *value)
+            if kind == "keyed" and self.settings.clock_steps:
+                value = (value[0], self.unix_ms(name))
+            self._publish(node, kind, key, value)
+
+    def _publish(self, node: Node, kind: str, key: str, value: Value) -> None:
+        change = Published(self.events.now, kind, key, value, node, node.members.epoch)
+        self.published.append(change)
+        node.publish(kind, key, *value)
+
+    def _publish_figures(self) -> None:
+        """Each node's figure of this second, as fronts publish their demand."""
+        for node in self.nodes.values():
+            if node.is_running():
+                node.figures += 1
+                value = (node.copies.epoch, node.figures, 1.0, 0.0)
+                self._publish(node, "evidence", f"{FIGURE}|{node.name}", value)
+        if self.events.now < self.settings.seconds - LAST_CHANGES:
+            self.events.schedule(FIGURE_INTERVAL, self._publish_figures)
 
     # The run.
 
@@ -203,6 +244,9 @@
         """What does not hold at the end, a line each."""
         return audit(AuditedFleet(self.nodes, self.events.now, self.published))
 
+    def _schedule_step(self, step: ClockStep) -> None:
+        self.events.schedule(step.at - self.events.now, lambda: self.step_clocks(step))
+
     def run(self) -> "FleetModel":
         """Carry out the whole run."""
         settings = self.settings
@@ -213,6 +257,10 @@
         last = max(settings.seconds - settings.calm - LONGEST_FAULT, 3.0)
         for _ in range(settings.faults):
             self.events.schedule(rng.uniform(2.0, last), self.inject_fault)
+        for step in draw_steps(self.seed, settings.fronts, settings.clock_steps, FIRST_STEP, last):
+            self._schedule_step(step)
+        if settings.clock_steps:
+            self._publish_figures()
         changes = int(settings.rate * (settings.seconds - 2 * settings.fleet.summary_interval))
         for _ in range(changes):
             self.events.schedule(rng.uniform(0.0, settings.seconds - LAST_CHANGES), self._publish_any)
--- a/weldbend/testbed/fleet/model_network.py
+++ b/weldbend/testbed/fleet/model_network.py
@@ -53,6 +53,7 @@
         self.frozen_until = -math.inf
         self.deferred: list[Callable[[], None]] = []  # what comes while it is frozen
         self.is_up = True
+        self.figures = 0  # published in this run
 
     def is_frozen(self) -> bool:
         """Whether it runs nothing at the moment."""
@@ -62,6 +63,11 @@
         """Whether it is up and not frozen."""
         return self.is_up and not self.is_frozen()
 
+    def follow_own_epoch(self) -> None:
+        """Have the replica go by the membership's epoch, which others may have raised."""
+        if self.copies.epoch != self.members.epoch:
+            self.copies.set_epoch(self.members.epoch)
+
     def tick(self) -> None:
         """Do what is due, and schedule the next tick."""
         if not self.is_up:
@@ -155,6 +161,7 @@
             return
         for send in node.members.receive(self.events.now, path[0], epoch, body):
             self.send_datagram(node, send)
+        node.follow_own_epoch()
         self.on_step(node)
 
     # Links.
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -1,7 +1,8 @@
 """One limit over many fronts on a virtual network: leases against what else could be done.
 
 The fronts run the product's own ledgers and choices (`LeaseService`, `LeasedRate`); the network delays, loses
-and duplicates messages and partitions, and fronts die, freeze and run with clocks of their own. What was
+and duplicates messages and partitions, and fronts die, freeze and run with clocks of their own, whose wall
+clocks may be stepped. What was
 admitted is counted from outside, by true time, without regard to quotas.
 """
 
@@ -16,7 +17,9 @@
 from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
 from weldbend.fleet.lease_service import LeasedRate, LeaseService
 from weldbend.fleet.messages import Send
+from weldbend.fleet.steady_unix import SteadyUnixTime
 from weldbend.routing.random_source import RandomSource
+from weldbend.testbed.fleet.clock_steps import ClockStep, draw_steps
 from weldbend.testbed.simulation.event_queue import EventQueue
 
 LIMIT = "type:order"
@@ -36,6 +39,8 @@
 MANY_FRONTS = 50  # more than these tick half as often
 GOSSIP_CHANCE = 0.1  # probability that a tick gossips: twice a second
 RESUME_MARGIN = 1e-6  # seconds after the end of a freeze at which what has waited is done
+RESTARTED_AFTER = 0.3  # seconds for which a front is down whose clock was stepped
+FIRST_STEP = 1.0  # seconds after the start
 TOLERANCE = 1e-9  # of rounding, by which a window may be over the limit
 
 
@@ -53,6 +58,7 @@
     drift: float = 0.01  # fraction by which clocks may run too fast or too slow, as stated
     beyond: float = 0.0  # by which they drift more than is stated
     loss: float = 0.02  # probability that a message is lost
+    steps: tuple[ClockStep, ...] = ()  # of the fronts' Unix clocks
     times: LeaseTimes = field(default_factory=lambda: LeaseTimes(1.0, 1.0, 0.01))
 
     def demand_of(self, number: int, at: float) -> float:
@@ -71,6 +77,22 @@
         raise ValueError(self.demand)
 
 
+class WallClock:
+    """A front's wall clock beside true time, as its process reads them at its start."""
+
+    def __init__(self, experiment: "QuotaExperiment", number: int) -> None:
+        self._experiment = experiment
+        self._number = number
+
+    def now(self) -> float:
+        """Seconds of true time."""
+        return self._experiment.events.now
+
+    def unix(self) -> float:
+        """Seconds of the front's Unix clock."""
+        return self._experiment.unix(self._number)
+
+
 class Front:
     """One front under leases."""
 
@@ -88,7 +110,12 @@
         quiet_until = now + settings.times.recovery if is_restarted else now
         source = RandomSource(experiment.rng.randrange(1 << 30))
         self.limits = LeaseService(
-            self.name, epoch, source, quiet_until, lambda limit: None, lambda: experiment.unix(number)
+            self.name,
+            epoch,
+            source,
+            quiet_until,
+            lambda limit: None,
+            SteadyUnixTime(WallClock(experiment, number)),
         )
         self.limits.open(LIMIT, experiment.names, limit, settings.times, self.rate, now)
 
@@ -312,6 +339,15 @@
         self.blocked_paths |= paths
         self.events.schedule(duration, lambda: self.blocked_paths.difference_update(paths))
 
+    def step_clocks(self, step: ClockStep) -> None:
+        """Step the Unix clocks of some fronts, and have one of them die and start again."""
+        for number, seconds in step.seconds.items():
+            self.clock_steps[number] = self.clock_steps.get(number, 0.0) + seconds
+        if step.restarted is not None and self.fronts[step.restarted].is_up:
+            front = self.fronts[step.restarted]
+            front.is_up = False
+            self._schedule(RESTARTED_AFTER, self.start, step.restarted, front.epoch + 1)
+
     def start(self, number: int, epoch: int) -> None:
         """Start a front that is down."""
         if not self.fronts[number].is_up:
@@ -325,6 +361,8 @@
             self._schedule(0.01 * number, self._tick, number)
         for at, kind, duration in self.settings.faults:
             self._schedule(at, self._inject, kind, duration)
+        for step in self.settings.steps:
+            self._schedule(step.at, self.step_clocks, step)
         self.events.run(self.settings.seconds)
         return self
 
@@ -344,8 +382,10 @@
         return count / ((self.settings.seconds - since) * self.settings.most)
 
 
-def draw_settings(seed: int, fronts: int = 4, faults: int = 4, seconds: float = 20.0) -> QuotaSettings:
-    """Settings with faults drawn from a seed."""
+def draw_settings(
+    seed: int, fronts: int = 4, faults: int = 4, seconds: float = 20.0, steps: int = 0
+) -> QuotaSettings:
+    """Settings with faults, and so many steps of Unix clocks, drawn from a seed."""
     rng = random.Random(seed * 7919)
     drawn = tuple(
         (rng.uniform(1.0, seconds - 4.0), rng.choice(FAULTS), rng.uniform(0.2, 5.0)) for _ in range(faults)
@@ -353,15 +393,23 @@
     demand = rng.choice(("even", "skewed", "moving", "wandering"))
     most = rng.choice((1.0, 3.0, 10.0, 60.0, 200.0))
     rate = 1.5 * most + 5
-    return QuotaSettings(fronts=fronts, most=most, rate=rate, demand=demand, faults=drawn, seconds=seconds)
+    return QuotaSettings(
+        fronts=fronts,
+        most=most,
+        rate=rate,
+        demand=demand,
+        faults=drawn,
+        seconds=seconds,
+        steps=draw_steps(seed, fronts, steps, FIRST_STEP, seconds),
+    )
 
 
-def search(seeds: range) -> dict[str, Any]:
+def search(seeds: range, steps: int = 0) -> dict[str, Any]:
     """How near to the limit all windows of many seeds came, and the seeds that passed it."""
     over = []
     worst = 0.0
     for seed in seeds:
-        settings = draw_settings(seed)
+        settings = draw_settings(seed, steps=steps)
         fraction = QuotaExperiment(seed, settings).play().worst() / (settings.most * settings.times.window)
         worst = max(worst, fraction)
         if fraction > 1 + TOLERANCE:
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -2,7 +2,7 @@
 
 What a run of one site has (load, caches that restart, drain and vanish, purges, killed fronts) goes on; on
 top of it come the faults of a fleet: partitions, one-way loss, frozen processes, slow and lossy paths, clocks
-set apart, and event buses cut off for one front or more.
+set apart or stepped, and event buses cut off for one front or more.
 """
 
 import json
@@ -17,6 +17,7 @@
 from weldbend.front.configuration import Site
 from weldbend.front.server import Front
 from weldbend.testbed.fleet.auditor import AuditedFleet, ExaminedNode, audit
+from weldbend.testbed.fleet.clock_steps import ClockStep, draw_steps
 from weldbend.testbed.simulation.machine import Machine
 from weldbend.testbed.simulation.network import Path as NetworkPath
 from weldbend.testbed.simulation.run import Run
@@ -32,6 +33,7 @@
 )
 RECONNECT = 2.5  # seconds after a cut of the event bus until a front has surely read what it missed
 SHUTDOWN = 4.0  # seconds that a graceful shutdown may take
+RESTARTED_AFTER = 0.4  # seconds for which a front is down whose clock was stepped
 FIRST_FAULT = 1.0  # seconds after the start
 ENDING = 3.0  # seconds before the end of an item within which fronts may differ on it
 TRANSIT_TIME = 2.0  # seconds after a change within which fronts may differ on it
@@ -63,6 +65,7 @@
     fleet_fault_kinds: tuple[str, ...] = FLEET_FAULTS
     calm: float = 12.0
     clock_offset: float = 0.0  # seconds by which Unix clocks may be set apart
+    clock_steps: int = 0  # of Unix clocks, besides all other faults
     drift: float = 0.0  # fraction by which clocks may run too fast or too slow
     fleet: FleetSettings = QUICK
     has_fleet: bool = True  # false: the same run without a fleet
@@ -206,6 +209,26 @@
                 for other, since, lasting in planned
             )
             self._schedule_fault(at, kind, duration, is_partitioned)
+        for step in draw_steps(self.seed, settings.fronts, settings.clock_steps, FIRST_FAULT, last):
+            self._schedule_step(step)
+
+    def _schedule_step(self, step: ClockStep) -> None:
+        self.events.schedule(step.at, lambda: self.step_clocks(step))
+
+    def step_clocks(self, step: ClockStep) -> None:
+        """Step the Unix clocks of some fronts; those that start again keep them as they are."""
+        numbers = sorted(self.site.fronts)
+        for place, seconds in step.seconds.items():
+            number = numbers[place]
+            offset, drift = self.clocks[number]
+            self.clocks[number] = offset + seconds, drift
+            clock = self.site.fronts[number][1].clock
+            assert isinstance(clock, VirtualClock)
+            clock.offset += seconds
+        shown = {numbers[place]: round(seconds, 3) for place, seconds in step.seconds.items()}
+        self.log.add(f"clocks are stepped: {shown}")
+        if step.restarted is not None:
+            self.site.kill_front(numbers[step.restarted], RESTARTED_AFTER)
 
     def _schedule_fault(self, at: float, kind: str, duration: float, is_partitioned: bool) -> None:
         self.events.schedule(at, lambda: self.inject(kind, duration, is_partitioned))
