--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -239,6 +239,32 @@
     assert (item.written_at, item.first_written_at) == (99.5, 100.0 - 29.5)
 
 
+@pytest.mark.parametrize("step", [HOUR, -HOUR])
+def test_an_operators_ban_lasts_its_span_here_and_at_a_peer(tmp_path, step):
+    (tmp_path / "a").mkdir()
+    (tmp_path / "b").mkdir()
+    here, peer = Joined(tmp_path / "a"), Joined(tmp_path / "b")
+    bans = [joined.adapter.quota_service.bans for joined in (here, peer)]
+    bans[0].override_until("10.0.9.8", 600.0)
+    for (kind, key), item in list(here.fleet.store.items.items()):
+        if kind == "setting":
+            peer.peer(kind, key, *item.value)
+    here.offset = peer.offset = step
+    for seconds, is_banned in ((1.0, True), (598.0, True), (2.0, False)):
+        for joined in (here, peer):
+            joined.stage.turn(seconds)
+        assert [one.is_banned("10.0.9.8") for one in bans] == [is_banned] * 2
+
+
+def test_a_ban_of_an_earlier_version_ends_at_its_second_and_does_not_move_with_a_step(tmp_path):
+    joined = Joined(tmp_path)
+    joined.peer("setting", "cast/10.0.9.8", 1, f"until {int(joined.stage.unix()) + 600}")
+    joined.offset = HOUR
+    assert joined.adapter.quota_service.is_banned("10.0.9.8")
+    joined.stage.turn(601.0)
+    assert not joined.adapter.quota_service.is_banned("10.0.9.8")
+
+
 def test_time_slots_of_leases_do_not_move_with_a_step(tmp_path):
     joined = Joined(tmp_path)
     slots = joined.fleet.lease_service._unix
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -11,9 +11,11 @@
 
 from loguru import logger
 
+from weldbend.fleet.ban_spans import SPAN_PREFIX, holds, span_text
 from weldbend.fleet.outlier_detection import ClientBan, banned_clients
 from weldbend.fleet.quota_context import QuotaContext
 from weldbend.fleet.replicated_items import CLIENT_BAN, CLIENT_RATE, SETTING
+from weldbend.fleet.steady_unix import SteadyUnixTime
 
 MOST_PUBLISHED = 8  # clients that this front publishes in a second, those that request the most
 SMOOTHING = 0.5  # weight of the last second in a client's mean rate
@@ -86,6 +88,7 @@
     def __init__(self, context: QuotaContext) -> None:
         self.context = context
         self.banned: dict[str, float] = {}
+        self._unix = SteadyUnixTime(context.loop.clock)
 
     def publish(self, client: str) -> None:
         """Publish that this front has banned a client."""
@@ -110,8 +113,9 @@
             client not in self.banned or item.written_at >= self._last_reported(client)
         ):
             return False
-        if verb == BAN_UNTIL and until.isdigit() and self.context.loop.clock.unix() < int(until):
-            return True
+        if verb == BAN_UNTIL and until.isdigit():
+            span = self.context.item(SETTING, SPAN_PREFIX + client)
+            return True if holds(item, int(until), span, self.context.now(), self._unix()) else None
         return None
 
     def _last_reported(self, client: str) -> float:
@@ -149,7 +153,10 @@
 
     def override_until(self, client: str, seconds: float) -> str:
         """Ban a client for so many seconds; raises InvalidClientAddressError where it is no address."""
-        return self.set_override(client, f"{BAN_UNTIL} {int(self.context.loop.clock.unix() + seconds)}")
+        until = int(self.context.loop.clock.unix() + seconds)
+        text = self.set_override(client, f"{BAN_UNTIL} {until}")
+        self.context.publish_setting(SPAN_PREFIX + client, span_text(until, seconds))
+        return text
 
     def reinstate(self, client: str) -> str:
         """Lift the ban on a client; raises InvalidClientAddressError where it is no address."""
