--- a/weldbend/testbed/emulator/cache_model.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -38,6 +38,7 @@
     word: str
     fields: dict[str, str]
     body: bytes = b""
+    made_ms: int | None = None  # when the origin gave out the copy, as `Copy.made_ms`; None without one
 
 
 @dataclass(slots=True)
@@ -45,7 +46,8 @@
     """One cached part of an object."""
 
     size: int
-    born: int  # Unix milliseconds
+    born: int  # Unix milliseconds at which the origin gave it out, by the clock of that moment
+    made_ms: int  # the same in milliseconds of the steady clock, by which its age is measured
     rank: int  # 0 is evicted first
 
 
@@ -89,7 +91,7 @@
         copy = self.copies.get(lookup.place)
         if self.is_filling(lookup.place, lookup.now):
             return None
-        if copy and (lookup.max_age is None or lookup.unix * 1000 - copy.born <= lookup.max_age):
+        if copy and (lookup.max_age is None or lookup.now * 1000 - copy.made_ms <= lookup.max_age):
             self.copies.move_to_end(lookup.place)
             return copy
         return None
@@ -119,7 +121,8 @@
         else:
             self.count("repeats dropped")
         fields = {"ver": "w", "born": str(int(unix * 1000))}
-        return TimedAnswer(now + WRITE_FACTOR * self.service_time, "DONE", fields, b"ok")
+        done = now + WRITE_FACTOR * self.service_time
+        return TimedAnswer(done, "DONE", fields, b"ok", int(now * 1000))
 
     def _forget_writes(self, now: float) -> None:
         while self.executed:
@@ -134,22 +137,30 @@
         if ready > now + self.service_time:
             fields["waited"] = str(int((ready - now) * 1000))
         fields["use"] = f"inflight:{self.open};util:{min(self.open / self.max_open, 1.0):.2f}"
-        return TimedAnswer(max(ready, now + self.service_time), "DONE", fields, body(*place, copy.size))
+        done = max(ready, now + self.service_time)
+        return TimedAnswer(done, "DONE", fields, body(*place, copy.size), copy.made_ms)
 
 
 class EmulatedCaches:
     """All caches of a site, and the links between them.
 
-    An edge is linked to its parents by `edge_rate` bytes a second with `edge_delay` seconds of delay.
+    An edge is linked to its parents by `edge_rate` bytes a second with `edge_delay` seconds of delay, all
+    parents to the origin by `origin_rate` bytes a second; None for four times an edge's rate.
     """
 
     def __init__(
-        self, caches: list[EmulatedCache], sizes: Sizes, edge_rate: float = 12.5e6, edge_delay: float = 0.02
+        self,
+        caches: list[EmulatedCache],
+        sizes: Sizes,
+        edge_rate: float = 12.5e6,
+        edge_delay: float = 0.02,
+        origin_rate: float | None = None,
     ) -> None:
         self.caches = {cache.uid: cache for cache in caches}
+        self.origin = next((cache for cache in caches if cache.kind == "origin"), None)
         self.sizes = sizes
         self.links = {cache.uid: Link(edge_rate, edge_delay) for cache in caches if cache.kind == "box"}
-        self.origin_link = Link(4 * edge_rate, edge_delay / 2)  # from the origin to the parents
+        self.origin_link = Link(origin_rate or 4 * edge_rate, edge_delay / 2)  # from it to the parents
 
     def execute(self, uid: str, fields: dict[str, str], now: float, unix: float) -> TimedAnswer:
         """Execute one command; `now` and `unix` are seconds of the steady and the Unix clock.
@@ -168,8 +179,9 @@
         if cache.kind == "origin":
             cache.count("origin")
             size = self.sizes.of(*place)
+            cache.count("bytes read", size)
             ready = cache.uplink.transfer(now, size)
-            return cache.answer_with(place, Copy(size, int(unix * 1000), 0), ready, "o", now)
+            return cache.answer_with(place, Copy(size, int(unix * 1000), int(now * 1000), 0), ready, "o", now)
         if copy := cache.find(lookup):
             cache.count("hits")
             return cache.answer_with(place, copy, cache.uplink.transfer(now, copy.size), "h", now)
@@ -197,25 +209,24 @@
         complete = now
         detail = "f"
         if found is None:
-            found = Copy(self.sizes.of(*place), int(lookup.unix * 1000), 0)
-            self._origin().count("fills")
+            found = Copy(self.sizes.of(*place), int(lookup.unix * 1000), int(now * 1000), 0)
+            if self.origin:
+                self.origin.count("fills")
+                self.origin.count("bytes read", found.size)
             complete = self.origin_link.transfer(now, found.size)
             detail = "o"
             if source.kind != "origin" and "n" not in modes:
-                source.keep(place, Copy(found.size, found.born, 0))
+                source.keep(place, Copy(found.size, found.born, found.made_ms, 0))
         else:
             source.count("fills")
         source.count("bytes", found.size)
         if cache.uid in self.links:
             complete = self.links[cache.uid].transfer(complete, found.size)
-        copy = Copy(found.size, found.born, int(fields.get("rank", "0")))
+        copy = Copy(found.size, found.born, found.made_ms, int(fields.get("rank", "0")))
         self._keep_filled(cache, place, complete, copy, now)
         cache.count("filled from origin" if detail == "o" else "filled")
         return cache.answer_with(place, copy, cache.uplink.transfer(complete, copy.size), detail, now)
 
-    def _origin(self) -> EmulatedCache:
-        return next(cache for cache in self.caches.values() if cache.kind == "origin")
-
     @staticmethod
     def _keep_filled(cache: EmulatedCache, place: Place, complete: float, copy: Copy, now: float) -> None:
         cache.filling[place] = complete, copy
