--- a/weldbend/fleet/cache_states.py
+++ b/weldbend/fleet/cache_states.py
@@ -6,7 +6,6 @@
 """
 
 from collections import Counter
-from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 from loguru import logger
@@ -16,23 +15,12 @@
 from weldbend.fleet.conservative_merge import STATES, stricter_state
 from weldbend.fleet.quota_service import QuotaService
 from weldbend.fleet.replicated_items import DRAIN, START
-from weldbend.fleet.replicated_store import Item
 from weldbend.fleet.service import Fleet
 from weldbend.routing.events import PeerKnowledge
 
 if TYPE_CHECKING:
     from weldbend.front.dispatcher import Dispatcher
 
-PROMPT = 0.2  # seconds from a start to its first reader, up to which its stamp is believed
-
-
-@dataclass(frozen=True, slots=True)
-class DatedStart:
-    """A start that other fronts speak of: its stamp, and when it was in this front's time (seconds)."""
-
-    stamp: float
-    moment: float
-
 
 class CacheStates:
     """Keeps caches in the strictest state that any front knows.
@@ -54,20 +42,14 @@
         self.quotas = quotas
         self.bus_offset = bus_offset
         self.counts = counts
-        self._listed_starts: dict[str, float] = {}  # by name, stamps of this front's own list
-        self._dated_starts: dict[str, DatedStart] = {}  # by name, those of peers
 
     def publish(self, record: EndpointRecord, offset: int) -> None:
         """Publish what the bus's event of that number says of a cache."""
         if record.state != "up" or (DRAIN, record.uid) in self.fleet.store.items:
             self.fleet.publish(DRAIN, record.uid, offset, STATES.index(record.state))
         if record.started_at:
-            self._listed_starts[record.uid] = record.started_at
             self.fleet.publish(START, record.uid, round(record.started_at * 1000))
         self.apply(record.uid)
-        if record.state == STATES[-1]:  # removed
-            self._listed_starts.pop(record.uid, None)
-            self._dated_starts.pop(record.uid, None)
         if record.started_at:
             self.quotas.cache_restarted(record.uid)
 
@@ -99,25 +81,18 @@
             )
 
     def _started(self, uid: str) -> float | None:
-        """When the cache last started, in this front's time; None where nobody has said so.
+        """When the cache last started, in this front's time, at the latest; None where nobody has said so.
 
-        Guards against a cache that passes for warm by a wall clock that is wrong: a start that this front's
-        list has not named is believed as it is stamped only where that is just before its first writer read
-        of it, and is dated by that reading otherwise, the strict side. Harm: a start that was published late
-        makes the cache warm up for longer.
+        A start that this front's own list has not named yet is dated by when its first writer had read of it,
+        which is later than the start itself: the strict side. The stamp only says which start it is.
         """
         item = self.fleet.store.items.get((START, uid))
         if item is None:
             return None
-        stamp = float(item.value[0]) / 1000
-        if self._listed_starts.get(uid, 0.0) == stamp:
-            return self.dispatcher.names.start_time(uid, stamp)
-        dated = self._dated_starts.get(uid)
-        if dated is None or dated.stamp != stamp:
-            dated = self._dated_starts[uid] = self._date_start(uid, stamp, item)
-        return dated.moment
-
-    def _date_start(self, uid: str, stamp: float, item: Item) -> DatedStart:
-        latest = min(item.first_written_at, self.dispatcher.clock.now())
-        moment = self.dispatcher.names.start_time(uid, stamp, latest)
-        return DatedStart(stamp, moment if latest - moment <= PROMPT else latest)
+        starts, stamp = self.dispatcher.names.starts, float(item.value[0]) / 1000
+        known = starts.get(uid)
+        if known and known[0] >= stamp:
+            return known[1]
+        moment = min(item.first_written_at, self.dispatcher.clock.now())
+        starts[uid] = stamp, moment  # so that the own list's word of the same start is no other one
+        return moment
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -65,7 +65,7 @@
     fleet_fault_kinds: tuple[str, ...] = FLEET_FAULTS
     calm: float = 12.0
     clock_offset: float = 0.0  # seconds by which Unix clocks may be set apart
-    clock_steps: int = 0  # of Unix clocks, besides all other faults
+    fleet_clock_steps: int = 0  # of the fronts' Unix clocks, besides all other faults
     drift: float = 0.0  # fraction by which clocks may run too fast or too slow
     fleet: FleetSettings = QUICK
     has_fleet: bool = True  # false: the same run without a fleet
@@ -209,7 +209,7 @@
                 for other, since, lasting in planned
             )
             self._schedule_fault(at, kind, duration, is_partitioned)
-        for step in draw_steps(self.seed, settings.fronts, settings.clock_steps, FIRST_FAULT, last):
+        for step in draw_steps(self.seed, settings.fronts, settings.fleet_clock_steps, FIRST_FAULT, last):
             self._schedule_step(step)
 
     def _schedule_step(self, step: ClockStep) -> None:
