--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -336,7 +336,7 @@
 
     for at, call in (
         (2.0, lambda: made.block_bus({2}, 12.0)),  # until after the load
-        (2.5, lambda: made.step_clocks(ClockStep(2.5, seconds))),
+        (2.5, lambda: made.apply_clock_step(ClockStep(2.5, seconds))),
         (3.5, publish_purge),
         (4.0, lambda: made.site.publish_state("e1", "draining")),
         (5.0, lambda: made.site.restart_cache("e2")),
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -213,9 +213,9 @@
             self._schedule_step(step)
 
     def _schedule_step(self, step: ClockStep) -> None:
-        self.events.schedule(step.at, lambda: self.step_clocks(step))
+        self.events.schedule(step.at, lambda: self.apply_clock_step(step))
 
-    def step_clocks(self, step: ClockStep) -> None:
+    def apply_clock_step(self, step: ClockStep) -> None:
         """Step the Unix clocks of some fronts; those that start again keep them as they are."""
         numbers = sorted(self.site.fronts)
         for place, seconds in step.seconds.items():
