--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -58,6 +58,13 @@
         self.parents = DemandEstimate()
         self.parent_fraction = 0.0
 
+    def rates_changed(self) -> None:
+        """Take over the rates of an installation file that was read anew; demand that is known stays."""
+        before, self.rates = self.rates, {}
+        for name, limit in self.context.limits.demand_rates:
+            rate = self.rates[name] = before.get(name) or DemandLimit(limit)
+            rate.limit = limit
+
     def tick(self, now: float, alive: list[str]) -> None:
         """Publish this front's demands, and divide anew."""
         self._divide_parents(now, alive)
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -48,6 +48,7 @@
         self._members_checksum = 0
         self._members_published_at = -math.inf
         self.rates: dict[str, LeasedRate] = {}
+        self._opened_rates: dict[str, LeasedRate] = {}  # those of earlier files too: others may hold leases
         self._open_rates()
 
     def _make_leases(self) -> LeaseService:
@@ -67,10 +68,14 @@
     def _open_rates(self) -> None:
         context, times = self.context, self._times(WINDOW)
         for name, rate in context.limits.leased_rates:
-            self.rates[name] = LeasedRate(rate * WINDOW, times)
+            if name in self._opened_rates:
+                self._opened_rates[name].limit = rate * WINDOW
+                continue
+            opened = self._opened_rates[name] = LeasedRate(rate * WINDOW, times)
             self.leases.open(
-                f"type:{name}", context.front_names(), rate * WINDOW, times, self.rates[name], context.now()
+                f"type:{name}", context.front_names(), rate * WINDOW, times, opened, context.now()
             )
+        self.rates = {name: self._opened_rates[name] for name, _ in context.limits.leased_rates}
 
     def _times(self, window: float) -> LeaseTimes:
         limits = self.context.limits
@@ -152,9 +157,8 @@
         Where members are fewer, quotas grow only once all fronts name the same.
         """
         now = self.context.now()
-        for name, rate in self.context.limits.leased_rates:
-            if name in self.rates:
-                self.rates[name].limit = rate * WINDOW
+        self._open_rates()
+        self.demand.rates_changed()
         current = set(self.context.front_names())
         before = {name for limit in self.leases.limits.values() for name in limit.members}
         if current >= before:
