--- /dev/null
+++ b/tests/test_relay_network.py
@@ -0,0 +1,37 @@
+"""Relays between the fronts of a real fleet: what ends on one side ends on the other."""
+
+import subprocess
+import sys
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent
+# Connects to a relay, resets that before the far side is up, and waits for the far side to be closed.
+SCRIPT = """
+import socket, struct
+from twisted.internet import reactor
+from twisted.internet.protocol import Factory, Protocol
+from weldbend.testbed.fleet.relay_network import LinkRelay, RelayNetwork
+
+class Far(Protocol):
+    def connectionLost(self, reason):
+        print("far side closed", flush=True)
+        if reactor.running:
+            reactor.stop()
+
+factory = Factory.forProtocol(Far)
+far = reactor.listenTCP(0, factory, interface="127.0.0.1").getHost().port
+relay = LinkRelay(RelayNetwork(reactor, 1), (1, 2), far)
+near = reactor.listenTCP(0, relay, interface="127.0.0.1").getHost().port
+connection = socket.create_connection(("127.0.0.1", near))
+connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+connection.close()
+reactor.callLater(5, lambda: (print("far side left open", flush=True), reactor.stop()))
+reactor.run()
+"""
+
+
+def test_the_far_side_is_closed_where_the_near_one_is_lost_before_it_is_up():
+    done = subprocess.run(
+        [sys.executable, "-c", SCRIPT], cwd=ROOT, capture_output=True, text=True, timeout=60
+    )
+    assert done.stdout == "far side closed\n", done.stderr
--- a/weldbend/testbed/fleet/relay_network.py
+++ b/weldbend/testbed/fleet/relay_network.py
@@ -127,3 +127,5 @@
         near.other, far.other = far, near
         near.join(far, there)
         far.join(near, back)
+        if near.is_lost and far.transport:  # it went before there was another side to tell
+            far.transport.loseConnection()
