--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -276,7 +276,6 @@
         if parks:
             self.door.listener.epoll_set_factory = lambda reactor: self.rim
         self.door.clock.now = lambda: self.reactor.seconds() + 1.0
-        self.door.clock.age = lambda stamp: max(self.unix() - stamp, 0.0)
         self.door.clock.unix = self.unix
         self.trace, self.clients, self.caches = [], [], {}
         self.door.listener.set_keepalive = lambda: None  # a port in memory has no socket
--- a/weldbend/event_bus/endpoint_registry.py
+++ b/weldbend/event_bus/endpoint_registry.py
@@ -1,6 +1,5 @@
 """Maps endpoint records to the router's endpoints: uids to numbers, stamps of starts to the front's time."""
 
-import math
 import zlib
 from dataclasses import dataclass, field
 
@@ -37,7 +36,7 @@
         numbers: Number by uid.
         uids: Uid by number.
         starts: By uid, the latest start that the bus has told.
-        peer_starts: By uid, the latest start that another front has told: its stamp, and the front's time.
+        peer_starts: By uid, the latest start that another front has told.
     """
 
     timestamps: RemoteTimestamps
@@ -45,7 +44,7 @@
     numbers: dict[str, int]
     uids: dict[int, str]
     starts: dict[str, KnownStart] = field(default_factory=dict)
-    peer_starts: dict[str, tuple[float, float]] = field(default_factory=dict)
+    peer_starts: dict[str, KnownStart] = field(default_factory=dict)
 
     def number(self, uid: str) -> int:
         """Return the number of a uid, which is assigned at the first call."""
@@ -75,32 +74,39 @@
             return None
         known = self.starts.get(record.uid)
         if known is None or known.stamp != record.started_at:
-            known = KnownStart(record.started_at, self.timestamps.date_start(record.started_at, receipt))
+            known = self._date(record, receipt)
             self.starts[record.uid] = known
         return known.dated
 
+    def _date(self, record: EndpointRecord, receipt: Receipt) -> KnownStart:
+        told = self.peer_starts.get(record.uid)
+        if told and told.stamp == record.started_at:
+            return told
+        return KnownStart(record.started_at, self.timestamps.date_start(record.started_at, receipt))
+
     def forget_date(self, uid: str) -> None:
         """Have the start of a cache dated anew."""
         self.starts.pop(uid, None)
 
-    def start_time(self, uid: str, started_at: float, latest: float = math.inf) -> float:
-        """Return the time of a start that another front has told, the same at each call for the same start.
+    def peer_start(self, uid: str, stamp: float, told: float) -> float:
+        """Return when a cache started, in seconds of the front's clock, by what another front has told.
 
-        What the bus tells of the same start stands before it.
+        What the bus told of that start, or of a later one, stands before it; and a start that the bus tells
+        afterwards is the same one, not another.
 
         Args:
             uid: The endpoint.
-            started_at: Unix seconds of its start.
-            latest: Upper limit of the result (seconds of the front's clock).
+            stamp: Unix seconds of its start, which say only which start it is.
+            told: The latest moment at which it can have been, in seconds of the front's clock.
         """
         known = self.starts.get(uid)
-        if known and known.stamp == started_at:
+        if known and known.stamp >= stamp:
             return known.dated.latest
-        stamp, moment = self.peer_starts.get(uid, (None, 0.0))
-        if stamp != started_at:
-            moment = min(self.timestamps.convert(started_at), latest)
-            self.peer_starts[uid] = started_at, moment
-        return moment
+        known = self.peer_starts.get(uid)
+        if known is None or known.stamp < stamp:
+            known = KnownStart(stamp, DatedStart(told, told))
+            self.peer_starts[uid] = known
+        return known.dated.latest
 
     def endpoint(self, record: EndpointRecord, receipt: Receipt) -> Endpoint:
         """Return the router's endpoint for a record."""
--- a/weldbend/fleet/cache_states.py
+++ b/weldbend/fleet/cache_states.py
@@ -89,10 +89,5 @@
         item = self.fleet.store.items.get((START, uid))
         if item is None:
             return None
-        starts, stamp = self.dispatcher.names.starts, float(item.value[0]) / 1000
-        known = starts.get(uid)
-        if known and known[0] >= stamp:
-            return known[1]
-        moment = min(item.first_written_at, self.dispatcher.clock.now())
-        starts[uid] = stamp, moment  # so that the own list's word of the same start is no other one
-        return moment
+        told = min(item.first_written_at, self.dispatcher.clock.now())
+        return self.dispatcher.names.peer_start(uid, float(item.value[0]) / 1000, told)
--- a/weldbend/front/clock.py
+++ b/weldbend/front/clock.py
@@ -28,10 +28,6 @@
         """Return `size` bytes from the system's cryptographic source."""
         return os.urandom(size)
 
-    def age(self, timestamp: float) -> float:
-        """Return the seconds since a Unix timestamp, 0 for one in the future."""
-        return max(self.unix() - timestamp, 0.0)
-
     def unix_ahead(self) -> float:
         """Return by how many seconds the Unix clock is ahead of the monotonic clock now.
 
--- a/weldbend/testbed/stepped_clock.py
+++ b/weldbend/testbed/stepped_clock.py
@@ -4,10 +4,10 @@
 the front reads by so many seconds, and writes a line to standard error.
 """
 
+import runpy
 import signal
 import sys
 
-from weldbend.cli import main
 from weldbend.front.clock import Clock
 
 STEPPED = "Unix clock stepped by"  # begins the line that tells of a step
@@ -34,4 +34,4 @@
 
 if __name__ == "__main__":
     Clock.unix = StepsOnSignal(float(sys.argv.pop(1))).unix  # type: ignore[method-assign]
-    main()
+    runpy.run_module("weldbend", run_name="__main__")
