--- a/tests/test_remote_timestamps.py
+++ b/tests/test_remote_timestamps.py
@@ -22,7 +22,7 @@
     RemoteTimestamps,
     receipts_of_known,
 )
-from weldbend.event_bus.stream_progress import QUIET, StreamProgress
+from weldbend.event_bus.stream_progress import FIRST_BYTES, QUIET, StreamProgress
 from weldbend.testbed.stepped_clock import STEPPED
 
 NOW = 500.0  # monotonic seconds
@@ -120,6 +120,9 @@
 
 def test_a_first_reading_is_believed_once_another_clock_agreed():
     receipt = known(("start", 100.0))[0]
+    assert (
+        timestamps(is_confirmed=True).date_purge(UNIX - 5.0, Receipt(NOW)) == NOW
+    ), "its clock may be stepped"
     assert timestamps(is_confirmed=True).date_start(UNIX - 100.0, receipt).latest == NOW - 100.0
 
 
@@ -143,6 +146,7 @@
 def test_a_stream_is_live_once_it_was_quiet_and_until_it_is_lost():
     progress = StreamProgress()
     progress.connecting()
+    progress.connected(0.9)
     progress.received(1.0)
     assert progress.receipt(1.0) == Receipt(1.0, -math.inf)
     progress.received(1.0 + QUIET / 2)
@@ -159,6 +163,14 @@
     assert progress.receipt(13.0).is_replay, "it was held up on its way, or this process stood still"
 
 
+def test_a_stream_that_begins_long_after_its_answer_had_nothing_to_tell():
+    progress = StreamProgress()
+    progress.connecting()
+    progress.connected(1.0)
+    progress.received(1.0 + FIRST_BYTES)
+    assert progress.receipt(1.6) == Receipt(1.6, 1.0, is_replay=False)
+
+
 # A whole front in memory.
 
 
--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -87,6 +87,7 @@
         if response.code != HTTP_OK:
             self.finish(f"status {response.code}")
         elif not self.is_finished:
+            self.reader.progress.connected(self.reader.timers.now())
             self.reader.on_connected()
         response.deliverBody(self)  # type: ignore[no-untyped-call, call-arg, misc]  # zope: no self
         if self.is_finished and self.transport:
--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -113,6 +113,7 @@
         converted = self.convert(stamp)
         if receipt.is_first_read:
             latest = self._date_first_read(stamp, receipt, receipt.latest_start)
+            latest = min(converted, receipt.arrived) if self.is_confirmed else latest
             return DatedStart(min(converted, latest), latest)
         if self._is_prompt(converted, receipt):
             return DatedStart(converted, converted)
@@ -142,7 +143,5 @@
         One is this front's. The other is that of those who stamp: what they stamped later, in the order of
         the bus, is not in the future yet.
         """
-        if self.is_confirmed:
-            return min(self.convert(stamp), receipt.arrived)
         least_age = max(latest - stamp, 0.0)
         return min(max(self.convert(stamp), receipt.arrived - least_age), receipt.arrived)
