--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -2,13 +2,20 @@
 
 from dataclasses import replace
 
+import pytest
+
 from weldbend.event_bus.remote_timestamps import DatedStart, RemoteTimestamps
 from weldbend.front.endpoint_updates import EndpointUpdates
+from weldbend.testbed.emulator.servers import EventBusServer
+from weldbend.testbed.simulation.machine import Machine
 from weldbend.testbed.simulation.run import Run
-from weldbend.testbed.simulation.settings import RunSettings
+from weldbend.testbed.simulation.settings import BUS_HOST, BUS_PORT, RunSettings
+from weldbend.testbed.simulation.site_faults import PURGED_GROUP
 
 SEEDS = range(1, 9)  # within so many the sabotage is caught by both rules
 SETTINGS = RunSettings(seconds=6.0, faults=8, clock_steps=4)
+QUIET = RunSettings(seconds=9.0, faults=0, connection_faults=0, clock_steps=0, rate=90.0)
+HOUR = 3600.0
 REWRITTEN_BORN = 49  # a seed whose drawn faults rewrite `born` in answers
 
 
@@ -56,3 +63,65 @@
     stepped = Run(3, SETTINGS).play()
     assert any("are stepped by" in line for line in stepped.log)
     assert quiet.counts["downloads"] == stepped.counts["downloads"]
+
+
+# What a front missed: told after a reconnect, a restart of the bus, and a reload that names another bus.
+
+OTHER_PORT = BUS_PORT + 1
+
+
+def missed(run):
+    """A cache starts cold, and all of one group is purged."""
+    run.site.restart_cache("e1")
+    run.site.publish(ban={"tag": PURGED_GROUP, "ts": run.site.unix_ms()})
+
+
+def cut_off(run):
+    run.network.unreachable_hosts.add(BUS_HOST)
+    run.events.schedule(1.5, lambda: run.network.unreachable_hosts.discard(BUS_HOST))
+
+
+def restart_bus(run):
+    previous = run.site.bus
+    previous.reactor.kill()
+
+    def start_again():
+        machine = Machine(run.network, "bus", BUS_HOST)
+        run.site.bus = EventBusServer(machine, [])
+        run.site.bus.events = previous.events
+        machine.listenTCP(BUS_PORT, run.site.bus)
+
+    run.events.schedule(1.0, start_again)
+
+
+def reload_with_another_bus(run):
+    """The old bus tells nothing any more; the front is told of the new one a second later."""
+    run.site.bus.readers.clear()
+
+    def name_it():
+        run.site.bus.reactor.listenTCP(OTHER_PORT, run.site.bus)
+        for _, front in run.site.fronts.values():
+            front.bus.move(f"{BUS_HOST}:{OTHER_PORT}")
+
+    run.events.schedule(1.0, name_it)
+
+
+def broken_rules(out_of_touch, step, seed):
+    run = Run(seed, QUIET)
+    begun, told = 1.6, 4.2  # the last second in which all fronts are told again
+    run.events.schedule(1.5, lambda: run.clock_steps.step(["n1", "n2", "n3"], step))
+    run.events.schedule(begun, lambda: out_of_touch(run))
+    run.events.schedule(begun + 0.2, lambda: missed(run))
+    for name in ("n1", "n2", "n3"):
+        run.auditor.on_front_unreachable(name, begun, told, False)
+    result = run.play()
+    assert not result.errors and result.counts["fulfilled"] > 200
+    return {violation.rule for violation in result.violations}
+
+
+@pytest.mark.parametrize("out_of_touch", [cut_off, restart_bus, reload_with_another_bus])
+def test_what_was_missed_is_dated_by_what_was_seen(out_of_touch, monkeypatch):
+    for step, seed in ((HOUR, 1), (-HOUR, 2)):
+        assert broken_rules(out_of_touch, step, seed) == set(), (step, seed)
+    dates_by_the_unix_clock_of_the_moment(monkeypatch)
+    assert any(broken_rules(out_of_touch, HOUR, seed) for seed in (1, 2))
