--- a/weldbend/testbed/emulator/emulated_site.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -1,10 +1,12 @@
 """A complete emulated site in this process: servers on free ports of loopback, fronts as child processes."""
 
+import random
 import socket
 import sys
 import tempfile
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
+from itertools import chain
 from pathlib import Path
 from typing import Any, BinaryIO
 
@@ -15,9 +17,11 @@
 from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
 from weldbend.testbed.emulator.objects import Sizes
 from weldbend.testbed.emulator.servers import CacheServer, EventBusServer
+from weldbend.testbed.errors import TestbedError
 from weldbend.testbed.reactor import ProcessReactor
 
 LOOPBACK = "127.0.0.1"
+FRONT_PORTS = range(20_000, 32_768)  # below those that Linux gives out by itself
 READY_LINE = b"serves on"  # in the log of a front that serves
 LOG_TAIL = 4096  # bytes of a log in which that is looked for
 CACHE_WEIGHT = 100.0  # flows that a cache's link carries
@@ -48,6 +52,13 @@
     open_cap: int = 400  # requests that a front may have open
 
 
+class NoFreePortError(TestbedError):
+    """No port for a front is free."""
+
+    def __init__(self) -> None:
+        super().__init__(f"no port of {FRONT_PORTS.start} to {FRONT_PORTS.stop - 1} is free")
+
+
 class FrontProcess(ProcessProtocol):
     """One front: `on_ready` is called once it serves, `on_end` with its exit code; `log` gets its log."""
 
@@ -142,14 +153,25 @@
     def _reserve_port(self) -> int:
         """A free port for a front: bound here without listening, so that the front alone can listen on it.
 
-        Were it only looked up, any connect on this machine might be given it before the front listens.
+        Were it only looked up, any connect or other program on this machine might be given it before the
+        front listens. The system gives out none of these by itself.
+
+        Raises:
+            NoFreePortError: All are taken.
         """
-        reserved = socket.socket()
-        reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        reserved.bind((LOOPBACK, 0))
-        self.reserved_ports.append(reserved)
-        port: int = reserved.getsockname()[1]
-        return port
+        first = random.randrange(len(FRONT_PORTS))
+        for port in chain(FRONT_PORTS[first:], FRONT_PORTS[:first]):
+            reserved = socket.socket()
+            try:
+                reserved.bind((LOOPBACK, port))
+            except OSError:
+                reserved.close()
+                continue
+            # Only now, so that nobody else who reserves a port is given the same one.
+            reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+            self.reserved_ports.append(reserved)
+            return port
+        raise NoFreePortError
 
     def start(
         self,
--- a/weldbend/testbed/scale/call_counter.py
+++ b/weldbend/testbed/scale/call_counter.py
@@ -1,35 +1,32 @@
 """Counts the calls of functions in a front: work done, which does not depend on how fast the machine is."""
 
 import atexit
+import cProfile
 import signal
-import sys
 from pathlib import Path
 from types import FrameType
 
 START_SIGNAL = signal.SIGUSR1  # begins the count: what loading takes does not belong to it
-COUNTED_EVENTS = ("call", "c_call")  # of Python's profiler: functions in Python and in C
 
 
 class CallCounter:
-    """Counts calls from its start to the end of the process, and writes their number then."""
+    """Counts calls from its start to the end of the process, and writes their number then.
+
+    The profiler is the one in C: a front that it slowed down much would reject requests for its lag.
+    """
 
     def __init__(self, path: Path) -> None:
         self.path = path
-        self.count = 0
+        self.profile = cProfile.Profile(subcalls=False)
 
     def start(self, signum: int, frame: FrameType | None) -> None:
         """Begin to count; a signal calls it."""
-        sys.setprofile(self.record)
-
-    def record(self, frame: FrameType, event: str, argument: object) -> None:
-        """Count one event of the profiler."""
-        if event in COUNTED_EVENTS:
-            self.count += 1
+        self.profile.enable()
 
     def write(self) -> None:
         """Write the number of calls."""
-        sys.setprofile(None)
-        self.path.write_text(str(self.count))
+        self.profile.disable()
+        self.path.write_text(str(sum(entry.callcount for entry in self.profile.getstats())))
 
 
 def install(path: str) -> None:
