--- a/weldbend/caches/connect_backoff.py
+++ b/weldbend/caches/connect_backoff.py
@@ -7,8 +7,8 @@
 import math
 import random
 
-MIN_DELAY = 0.01  # seconds before the first retry
-MAX_DELAY = 0.1  # seconds; a request waits for a connection a few times as long
+MIN_DELAY = 0.005  # seconds before the first retry
+MAX_DELAY = 0.04  # seconds; a tenth of the time for which a request waits for a connection, or so
 
 
 class ConnectBackoff:
