--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -149,6 +149,19 @@
     listening.close()
 
 
+def test_a_front_that_cannot_accept_does_not_end_over_those_that_wait():
+    """Found by seed 4 of the trials: three clients waited to be accepted, and the front ended."""
+    stage, stopped = Stage(), []
+    stage.reactor.stop = lambda: stopped.append(True)
+    stage.door.listener.stop = lambda: False  # accepting fails at present
+    stage.door.terminate()
+    stage.turn(0.8)
+    assert not stopped
+    stage.door.listener.stop = lambda: True
+    stage.turn(0.05)
+    assert stopped
+
+
 def test_a_client_that_cannot_be_watched_for_writing_gets_no_second_answer():
     stage = Stage()
     client = stage.client()
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -235,7 +235,7 @@
         now, requests = self.clock.now(), self.dispatcher.requests
         has_stopped_accepting = self.listener.stop()
         is_late = now > self.stop_requested + self._abort_after() + FORCED_END
-        if is_late or not (requests or self.listener.connection_count()):
+        if is_late or (has_stopped_accepting and not (requests or self.listener.connection_count())):
             self._end()
             return
         if has_stopped_accepting and not requests and self.listener.is_quiet():
