--- /dev/null
+++ b/tests/test_gone_clients.py
@@ -0,0 +1,80 @@
+"""No attempt begins for a client whose end has come while this front was busy with others."""
+
+from fronts import Stage, process
+
+from weldbend.front.event_queue import ITERATION_LIMIT
+from weldbend.routing.events import RequestReceived
+
+
+def warmed_up_stage():
+    """A front with a connection to its cache."""
+    stage = Stage()
+    client = stage.client()
+    stage.say(client, process(1))
+    stage.connect()
+    stage.answer("e2", 1, "DONE", "-", b"one")
+    return stage, client
+
+
+def sent(stage, number):
+    return [line for line in stage.trace if f"do {number:016x}" in line]
+
+
+def answers(stage, seqid):
+    return [line for line in stage.trace if line.startswith(f"client 0 < {seqid} ")]
+
+
+def test_the_deadline_of_one_request_sends_nothing_for_a_client_whose_end_is_read_next():
+    stage, client = warmed_up_stage()
+    stage.say(client, process(2, wait="1000"))
+    stage.answer("e2", 99, "FIT")  # so that the connection is used on
+    other = stage.client()
+    for _ in range(9):
+        stage.turn(0.11)
+    stage.reactor.rightNow += 0.02
+    other.dataReceived(process(3))
+    stage.reactor.callLater(0, other.transport.loseConnection)  # what the next poll of the sockets brings
+    stage.turn()
+    assert len(answers(stage, 2)) == 1
+    assert not sent(stage, 3) and not stage.dials(), "not even a connection is made for it"
+
+
+def test_an_expired_request_is_answered_where_the_events_before_its_own_take_long(monkeypatch):
+    stage, client = warmed_up_stage()
+    stage.say(client, process(2, wait="1000"))
+    events = stage.dispatcher.router.events
+    dispatch = events.dispatch
+
+    def slow(event):
+        stage.reactor.rightNow += 2 * ITERATION_LIMIT
+        dispatch(event)
+
+    monkeypatch.setattr(events, "dispatch", slow)
+    stage.reactor.rightNow += 1.1
+    client.dataReceived(process(3) + process(4) + process(5))
+    stage.turn()
+    assert len(answers(stage, 2)) == 1
+    assert all(answers(stage, number) or sent(stage, number) for number in (3, 4, 5))
+
+
+def test_a_long_batch_is_parted_so_that_ends_are_read_meanwhile(monkeypatch):
+    stage, _ = warmed_up_stage()
+    clients = [stage.client() for _ in range(8)]
+    events = stage.dispatcher.router.events
+    dispatch = events.dispatch
+    handled = []
+
+    def slow(event):
+        stage.reactor.rightNow += 0.6 * ITERATION_LIMIT
+        if isinstance(event, RequestReceived):
+            handled.append(event.id)
+        if len(handled) == 1:
+            stage.reactor.callLater(0, clients[-1].transport.loseConnection)
+        dispatch(event)
+
+    monkeypatch.setattr(events, "dispatch", slow)
+    for number, client in enumerate(clients, start=11):
+        client.dataReceived(process(number))
+    stage.turn()
+    assert not sent(stage, 18)
+    assert all(len(sent(stage, number)) == 1 for number in range(11, 18)), "the others lose nothing"
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -156,10 +156,16 @@
         """Time out all attempts in flight at the deadline; the router owes the final answer.
 
         Holds also for a request closed before, where the site does not allow the router to cancel attempts.
+        The router decides after the same polls as always: it decides on what else has come as well.
         """
         for attempt in request.attempts:
             self._timeout_attempt(request, attempt)
         if not request.is_closed:
+            self.queue.after_polls(lambda: self.guard(request, self._conclude))
+
+    def _conclude(self, request: OpenRequest) -> None:
+        """Have the router answer an expired request, or abort it."""
+        while not request.is_closed and self.queue.has_events():
             self.queue.run_iteration()
         if not request.is_closed:
             self.abort(request)
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -120,9 +120,9 @@
     # Iterations.
 
     def run_iteration(self) -> None:
-        """Hand over all events that have come, and carry out the router's actions."""
+        """Hand over the events that have come, and carry out the router's actions."""
         batch = self.queue.begin_iteration()
-        while batch:
+        while batch and not self.queue.is_iteration_over():
             try:
                 actions = self.router.handle(self.context.clock.now(), self._without_cancelled(batch))
             except Exception:  # noqa: BLE001 - an error in one request ends that one, not the front
@@ -133,14 +133,16 @@
                     self.perform(action)
                 except Exception:  # noqa: BLE001 - as above
                     self._abort_request_of(action)
+        self.queue.put_back(batch)
         self.endpoints.forget_removed()
         self.requests.remove_finished()
         self.queue.end_iteration()
 
     def _without_cancelled(self, batch: deque[Event]) -> Iterator[Event]:
         """Yield events in order, but no request that was cancelled before the router has seen it."""
-        while batch:
+        while batch and not self.queue.is_iteration_over():
             self._event_in_hand = event = batch.popleft()
+            self.queue.taken_count += 1
             if isinstance(event, RequestReceived):
                 request = self.requests.by_id.get(event.id)
                 if request and request.is_closed:
--- a/weldbend/front/event_queue.py
+++ b/weldbend/front/event_queue.py
@@ -9,6 +9,8 @@
 
 IDLE_GAP = 0.001  # seconds between two iterations that count as idle time: what follows is not late
 MIN_REPORTED_LAG = 0.005  # seconds of event-loop lag from which the router is notified of it
+ITERATION_LIMIT = 0.03  # seconds after which an iteration leaves the rest of its events to the next one
+MIN_EVENTS = 2  # events that an iteration takes in any case: its own lag, and one that was posted
 
 
 class EventQueue:
@@ -16,12 +18,14 @@
 
     Attributes:
         max_iteration: seconds that an iteration took, at most.
+        taken_count: events that the iteration has taken so far.
     """
 
     def __init__(self, context: FrontContext, run_iteration: Callable[[], None]) -> None:
         self.context = context
         self.run_iteration = run_iteration
         self.max_iteration = 0.0
+        self.taken_count = 0
         self._events: list[Event] = []
         self._is_scheduled = False
         self._batch_began = -math.inf  # since when events of the coming batch could have been posted
@@ -37,20 +41,24 @@
         """
         self._events.insert(0 if first else len(self._events), event)
         if not self._is_scheduled:
-            self._is_scheduled = True
             now = self.context.clock.now()
             if now > self._iteration_ended + IDLE_GAP:
                 self._batch_began = now
-            self.context.reactor.callLater(0, self._poll_again)
+            self._schedule()
 
-    def _poll_again(self) -> None:
-        """Let the reactor poll its sockets once more before the iteration.
+    def _schedule(self) -> None:
+        self._is_scheduled = True
+        self.after_polls(self._run_when_allowed)
+
+    def after_polls(self, call: Callable[[], None]) -> None:
+        """Call once the reactor has polled its sockets again, and once more.
 
         Guards caches against attempts for clients that closed or cancelled while this front was busy: a
         request and its cancellation are read one after the other, each in a poll of its own. Harm: one more
         poll for each iteration.
         """
-        self.context.reactor.callLater(0, self._run_when_allowed)
+        reactor = self.context.reactor
+        reactor.callLater(0, lambda: reactor.callLater(0, call))
 
     def _run_when_allowed(self, has_waited: bool = False) -> None:
         """Run the iteration, or wait while the fleet holds decisions.
@@ -73,8 +81,29 @@
         if batch and now > self._batch_began + MIN_REPORTED_LAG:
             batch.appendleft(LoopLagMeasured(now - self._batch_began))
         self._batch_began = self._iteration_began = now
+        self.taken_count = 0
         return batch
 
+    def is_iteration_over(self) -> bool:
+        """Return whether the iteration has taken so long that the sockets are to be polled.
+
+        Guards caches against attempts decided for clients that close or cancel while a long batch is handled.
+        Harm: what is left of the batch waits for two polls.
+        """
+        is_late = self.context.clock.now() > self._iteration_began + ITERATION_LIMIT
+        return is_late and self.taken_count >= MIN_EVENTS
+
+    def has_events(self) -> bool:
+        """Return whether events wait for an iteration."""
+        return bool(self._events)
+
+    def put_back(self, batch: deque[Event]) -> None:
+        """Leave the rest of a batch to the next iteration, before what has been posted since."""
+        if batch:
+            self._events[:0] = batch
+            if not self._is_scheduled:
+                self._schedule()
+
     def end_iteration(self) -> None:
         """Note when the iteration ended, and how long it took."""
         self._iteration_ended = self.context.clock.now()
