--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -85,7 +85,8 @@
     answer_completed_at = 0.0
 
     def __init__(self, owner: ConnectionOwner, timers: Timers) -> None:
-        self.owner, self.timers = owner, timers
+        self.owner = owner
+        self.timers = timers
         self.incoming = Ring(INCOMING_CAPACITY, INCOMING_RETAINED)
         self.outgoing = Ring(OUTGOING_CAPACITY)
         self.parser = AnswerParser(self.incoming)
@@ -115,7 +116,8 @@
     def send(self, attempt: Attempt) -> None:
         """Write out an attempt's command; from now on it is in flight here."""
         command = attempt.command()
-        attempt.connection, attempt.sent_at = self, self.timers.now()
+        attempt.connection = self
+        attempt.sent_at = self.timers.now()
         self.in_flight[attempt.name] = attempt
         self.write(command)
 
@@ -293,7 +295,8 @@
         if not self.is_aborted:
             self._read_remaining()
         self.owner.connection_lost(self)
-        attempts, self.in_flight = list(self.in_flight.values()), {}
+        attempts = list(self.in_flight.values())
+        self.in_flight = {}
         for attempt in attempts:
             attempt.finish(self.loss)
 
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -336,7 +336,8 @@
             self._connect()
             return
         self.resets = 0
-        waiting, self.waiting = self.waiting, deque()
+        waiting = self.waiting
+        self.waiting = deque()
         for waiting_attempt in waiting:
             waiting_attempt.finish(AttemptLoss.UNREACHABLE)
 
--- a/weldbend/caches/stall_detector.py
+++ b/weldbend/caches/stall_detector.py
@@ -42,7 +42,8 @@
     __slots__ = ("is_armed", "stream", "timers")
 
     def __init__(self, stream: AnswerStream, timers: Timers) -> None:
-        self.stream, self.timers = stream, timers
+        self.stream = stream
+        self.timers = timers
         self.is_armed = False
 
     def arm(self) -> None:
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -61,7 +61,8 @@
     if not installation:
         return site
     sections = read_installation_file(installation).sections
-    clients, fleet = sections["clients"], replace(sections["fleet"], limits=sections["limits"])
+    clients = sections["clients"]
+    fleet = replace(sections["fleet"], limits=sections["limits"])
     max_clients = min(clients.max_connections or site.max_clients, site.max_clients)
     site = replace(site, client_settings=clients, max_clients=max_clients)
     if not fleet.listen:
@@ -176,7 +177,8 @@
 def check(config: str | None, installation: str | None) -> None:
     """Read configuration and installation file, and print what a front would make of them."""
     site = load_configuration(config, installation)
-    settings, classes = site.settings, ", ".join(site.settings.classes)
+    settings = site.settings
+    classes = ", ".join(site.settings.classes)
     click.echo(f"front {site.name} on {site.host}:{site.port}, zone {settings.zone}, hub {settings.hub}")
     click.echo(f"request classes {classes}; bus {site.bus_address} after event {site.bus_offset}")
     click.echo(
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -122,7 +122,8 @@
 
     def resume(self, transport: ClientTransport, record: ConnectionRecord) -> None:
         """Go on as the idle connection of which `record` was kept."""
-        self.transport, self.connected = transport, 1
+        self.transport = transport
+        self.connected = 1
         self.call_count, self.conduct.invalid_calls, self.conduct.cancellations, self.active_at = record
         self._attach(transport)
 
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -188,7 +188,8 @@
         """
         now = self.owner.now()
         budget = self.settings.close_batch
-        previous, self.checked_at = self.checked_at, now
+        previous = self.checked_at
+        self.checked_at = now
         if now > previous + STANDSTILL:
             return False
         while self.checks and self.checks[0][0] <= now and budget:
@@ -273,7 +274,8 @@
     def _eviction_candidates(
         self, idle_pool: IdlePool, count: int, new: ClientConnection | None
     ) -> list[Candidate]:
-        now, table = self.owner.now(), idle_pool.table
+        now = self.owner.now()
+        table = idle_pool.table
         candidates: list[Candidate] = [
             (policy.eviction_order(client.call_count, client.active_at, now), -1, client)
             for client in self.clients
--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -172,7 +172,9 @@
 
     def _set(self, question: dict[str, Any]) -> Value:
         """Write an operators' setting; its value from now on."""
-        name, version, value = str(question["name"]), int(question["version"]), str(question["value"])
+        name = str(question["name"])
+        version = int(question["version"])
+        value = str(question["value"])
         current = self.fleet.store.items.get((SETTING, name))
         if current and version <= float(current.value[0]):
             problem = f"{name:.40} is at version {current.value[0]} already"
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -30,7 +30,9 @@
 SERVING_INTERVAL = 0.05  # seconds between two chunks
 DIGEST_MARGIN = 4  # intervals between comparisons for which items have to count still, to be in a checksum
 SETTLING = 2  # intervals after which nobody is waited for any more
-NOT_CAUGHT_UP, BUSY = "not caught up", "busy"  # reasons of a refusal, as they are sent
+# Reasons of a refusal, as they are sent.
+NOT_CAUGHT_UP = "not caught up"
+BUSY = "busy"
 
 
 @dataclass(frozen=True, slots=True)
@@ -355,7 +357,8 @@
             return [PeerMessage(link.peer, m.SnapshotRefusal(BUSY), Priority.SNAPSHOT)]
         link.serving_after = after
         link.has_snapshot_vector = False
-        self.counts["snapshots requested"] += not after
+        if not after:
+            self.counts["snapshots requested"] += 1
         return self._serve_snapshot(link, now)
 
     def _serve_snapshot(self, link: Link, now: float) -> list[PeerMessage]:
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -22,7 +22,9 @@
 NEGLIGIBLE = 0.05  # requests a second below which a client is forgotten
 ADDRESS = re.compile(r"[0-9a-fA-F.:]{2,45}")
 SETTING_PREFIX = "cast/"  # of the names of operators' settings on clients
-REINSTATE, BAN_UNTIL = "pardon", "until"  # verbs of an operator's setting on a client
+# Verbs of an operator's setting on a client.
+REINSTATE = "pardon"
+BAN_UNTIL = "until"
 
 
 class InvalidClientAddressError(ValueError):
@@ -101,7 +103,8 @@
         if override is not None:
             return override
         is_banned = self.context.now() < self.banned.get(client, -math.inf)
-        self.context.counts["connections of banned clients"] += is_banned
+        if is_banned:
+            self.context.counts["connections of banned clients"] += 1
         return is_banned
 
     def _override(self, client: str) -> bool | None:
--- a/weldbend/fleet/conservative_merge.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -53,8 +53,10 @@
             self._second = int(now)
             self._accepted = 0
         self._accepted += 1
-        is_over_rate, is_ahead = self._accepted > MOST_PURGES, purged_at > unix + MOST_AHEAD
-        self.anomalies += is_over_rate or is_ahead
+        is_over_rate = self._accepted > MOST_PURGES
+        is_ahead = purged_at > unix + MOST_AHEAD
+        if is_over_rate or is_ahead:
+            self.anomalies += 1
         if is_over_rate:
             return None
         return min(purged_at, unix) if is_ahead else purged_at
--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -60,7 +60,8 @@
 
     def rates_changed(self) -> None:
         """Take over the rates of an installation file that was read anew; demand that is known stays."""
-        before, self.rates = self.rates, {}
+        before = self.rates
+        self.rates = {}
         for name, limit in self.context.limits.demand_rates:
             rate = self.rates[name] = before.get(name) or DemandLimit(limit)
             rate.limit = limit
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -36,7 +36,8 @@
         self, now: float, reports: Mapping[str, list[HealthReport]], alive: Iterable[str]
     ) -> None:
         """Judge all caches by the health reports of all fronts, by cache."""
-        names, caches = self.context.loop.names, self.context.loop.router.caches
+        names = self.context.loop.names
+        caches = self.context.loop.router.caches
         uids = names.uids
         kinds = {uids[n]: f"{c.role.name} {c.zone}" for n, c in caches.items() if n in uids}
         admitted = self.detector.tick(now, reports, kinds, self.context.zones(), alive)
@@ -56,7 +57,8 @@
             self._log(change)
 
     def _log(self, change: StateChange) -> None:
-        uid, record = change.cache, change.record
+        uid = change.cache
+        record = change.record
         self.context.counts[f"ejection state: {change.after.name.lower()}"] += 1
         logger.bind(
             cache=uid, state=change.after.name, reporters=record.reporters, zone=record.zone
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -120,5 +120,6 @@
         if (counts := weight(report))
     ]
     weighed.sort(reverse=True)
-    failed, good = sum(failed for failed, _ in weighed[1:]), sum(good for _, good in weighed[1:])
+    failed = sum(failed for failed, _ in weighed[1:])
+    good = sum(good for _, good in weighed[1:])
     return (good, failed) if failed >= LEAST_FAILED else NO_OUTCOMES
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -48,7 +48,8 @@
         now: seconds of the steady clock.
         unix: the same moment by the Unix clock.
     """
-    group, first = str(value[0]), int(value[1]) / 1000
+    group = str(value[0])
+    first = int(value[1]) / 1000
     age = unix - first
     is_clock_wrong = abs(age - (now - written_at)) > MOST_CLOCK_ERROR
     sent = written_at if is_clock_wrong else min(written_at, now - age)
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -228,7 +228,8 @@
         if available < self.attempt_parts:
             spare = available if self.has_precedence(request.borrower, slot) else 0
         else:
-            rest, certain = available - request.had + balance.returning, self.certain_parts()
+            rest = available - request.had + balance.returning
+            certain = self.certain_parts()
             if certain <= rest:
                 spare = max(request.had, available - self.reserved_parts())
             else:
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -214,12 +214,15 @@
         if grant.epoch == self.epoch:
             has_more = is_accepted and grant.parts > (before.parts if before else 0)
             limit.policy.note_answer(now, lender, grant.spare, has_more)
-        self.counts["leases acquired"] += is_accepted
+        if is_accepted:
+            self.counts["leases acquired"] += 1
         limit.update_spender(now)
 
     def _grant(self, now: float, limit: SharedLimit, borrower: Borrower, parts: int) -> m.GrantLease:
-        ledger, policy = limit.ledger, limit.policy
-        usage, slot = limit.spender.usage(now), time_slot_at(self._unix(), ledger.times).number
+        ledger = limit.ledger
+        policy = limit.policy
+        usage = limit.spender.usage(now)
+        slot = time_slot_at(self._unix(), ledger.times).number
         policy.observe(now, usage)
         had = ledger.renewable_parts(now, borrower.name, borrower.epoch)
         balance = LenderBalance(ledger.retained(now) + had, usage.used, ledger.returning_parts(now))
@@ -288,7 +291,8 @@
         """Return all limits with their leases, for the admin port."""
         rows: list[dict[str, object]] = []
         for name, limit in sorted(self.limits.items()):
-            ledger, policy = limit.ledger, limit.policy
+            ledger = limit.ledger
+            policy = limit.policy
             rows.append({
                 "limit": name, "own": ledger.own, "kept": ledger.retained(now),
                 "lent": ledger.granted_parts(now), "borrowed": ledger.leased_parts(now),
--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -183,7 +183,8 @@
 
     def drain_changes(self) -> list[StateChange]:
         """Changes of state since the last call."""
-        changes, self.changes = self.changes, []
+        changes = self.changes
+        self.changes = []
         return changes
 
     # Gossip.
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -242,7 +242,8 @@
         found: Accusation,
         reports: list[HealthReport],
     ) -> None:
-        now, is_over = view.now, view.now >= record.until
+        now = view.now
+        is_over = view.now >= record.until
         match record.state:
             case EjectionState.ADMITTED if found.is_outlier:
                 self._eject(uid, record, now, found)
@@ -262,7 +263,8 @@
     ) -> None:
         prober = self._prober(uid, record, view)
         record.add_reports(reports, prober)
-        now, (good, failed) = view.now, record.gained
+        now = view.now
+        (good, failed) = record.gained
         if good >= RECOVERED_ANSWERS and good > 2 * failed:
             self._enter(uid, record, EjectionState.RECOVERING, now, now + RAMP_SECONDS)
         elif failed >= RELAPSED_ANSWERS:
@@ -319,7 +321,8 @@
 
     def pop_changes(self) -> list[StateChange]:
         """Return the changes of states since the last call."""
-        changes, self.changes = self.changes, []
+        changes = self.changes
+        self.changes = []
         return changes
 
 
--- a/weldbend/fleet/popularity.py
+++ b/weldbend/fleet/popularity.py
@@ -82,7 +82,8 @@
         self.began_at = now
         if not self.hashes:
             return None
-        hashes, self.hashes = list(self.hashes), {}
+        hashes = list(self.hashes)
+        self.hashes = {}
         self.number += 1
         return self.number, pack_slot(hashes)
 
--- a/weldbend/fleet/probing.py
+++ b/weldbend/fleet/probing.py
@@ -140,7 +140,8 @@
             ends_at=now + (timeout if requester else own_end),
         )
         self.counts["probes"] += 1
-        target.unanswered_probes += not requester
+        if not requester:
+            target.unanswered_probes += 1
         return Send(target.name, m.Probe(number, self.table.gossip_for(target)))
 
     def notify(self, member: Member, now: float) -> list[Send]:
--- a/weldbend/fleet/purges.py
+++ b/weldbend/fleet/purges.py
@@ -67,7 +67,8 @@
         self.counts["peer purges out of bounds"] = self.limiter.anomalies
         if purged_at is None:
             return
-        key, group = None, 0
+        key = None
+        group = 0
         if change.key.startswith(KEY_PREFIX):
             key = change.key.removeprefix(KEY_PREFIX)
         else:
--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -156,7 +156,8 @@
 
     def peer_figures(self, kind: str, subject: str) -> dict[str, PeerFigure]:
         """What other fronts published on a subject, as far as it still counts, by front."""
-        now, found = self.now(), {}
+        now = self.now()
+        found = {}
         for peer in self.fleet.settings.peers:
             item = self.item(kind, f"{subject}|{peer.name}")
             if item and peer.name != self.name and item.is_live(ITEM_KINDS[kind], now):
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -67,7 +67,8 @@
         return leases
 
     def _open_rates(self) -> None:
-        context, times = self.context, self._times(WINDOW)
+        context = self.context
+        times = self._times(WINDOW)
         for name, rate in context.limits.leased_rates:
             if name in self._opened_rates:
                 self._opened_rates[name].limit = rate * WINDOW
@@ -141,7 +142,8 @@
         context = self.context
         checksum = zlib.crc32(f"{context.front_names()} {context.limits.leased_rates}".encode())
         if checksum != self._members_checksum or now - self._members_published_at >= MEMBERS_INTERVAL:
-            self._members_checksum, self._members_published_at = checksum, now
+            self._members_checksum = checksum
+            self._members_published_at = now
             context.publish_figure(MEMBERS, "", float(checksum))
         if not self.leases.is_newcomer:
             return
--- a/weldbend/fleet/replicated_items.py
+++ b/weldbend/fleet/replicated_items.py
@@ -31,7 +31,8 @@
 
 MOST_INTEGER = 1 << 53  # exact in a float as well
 MOST_FIGURE = 1e12
-ANYWHERE, NOWHERE = "", "!"  # groups in which an idempotency key holds: all caches, and none
+ANYWHERE = ""  # the group in which an idempotency key holds at all caches
+NOWHERE = "!"  # the group in which it holds at none
 GROUP = re.compile(r"|!|z:[\w.:-]{1,48}|c:[0-9]{1,9}", re.ASCII)
 PURGED = re.compile(r"k:[\w.-]{1,64}|g:[0-9]{1,3}", re.ASCII)
 REMOVED = 2  # the last of the states that a `drain` item may have
--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -71,7 +71,8 @@
 
     def at(self, now: float) -> Operation:
         """Return the change with its age at a moment."""
-        op, age = self.operation, max(now - self.written_at, 0.0)
+        op = self.operation
+        age = max(now - self.written_at, 0.0)
         return Operation(op.writer, op.epoch, op.number, op.kind, op.key, op.value, age)
 
 
@@ -211,7 +212,8 @@
         return None
 
     def _merge(self, op: Operation, value: Value, now: float) -> Change | None:
-        rules, written_at = ITEM_KINDS[op.kind], now - op.age
+        rules = ITEM_KINDS[op.kind]
+        written_at = now - op.age
         current = self.items.get((op.kind, op.key))
         if now >= written_at + rules.lifetime:
             if current and rules.keeps_first:
@@ -315,7 +317,8 @@
         keys = sorted(f"{kind} {key}" for kind, key in self.items)
         rest = [key for key in keys if key > after]
         while True:
-            names, rest = rest[:most], rest[most:]
+            names = rest[:most]
+            rest = rest[most:]
             operations = []
             for name in names:
                 kind, _, key = name.partition(" ")
@@ -340,7 +343,8 @@
         """Merge items of a snapshot, which are not numbered; return those that became stricter."""
         changes = []
         for op in ops:
-            rules, value = ITEM_KINDS.get(op.kind), tuple(op.value)
+            rules = ITEM_KINDS.get(op.kind)
+            value = tuple(op.value)
             if rules is None or not rules.is_valid(op.key, value, op.writer):
                 self.counts["invalid changes"] += 1
             elif change := self._merge(op, value, now):
--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -42,7 +42,9 @@
         budget = demand.fleet_budget * self.coverage
         if not 0 < budget < math.inf:
             return Usage(0.0, 0.0)
-        sent, wanted, attempt = demand.sent, demand.wanted, demand.attempt_work
+        sent = demand.sent
+        wanted = demand.wanted
+        attempt = demand.attempt_work
         return Usage(sent / budget * PARTS, wanted / budget * PARTS, attempt / budget * PARTS)
 
     def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
@@ -77,7 +79,8 @@
 
     def owners(self, limit: str) -> list[str]:
         """Return the fronts that own a limit: of an edge cache those of this front's zone, else all."""
-        context, budget = self.context, self.budgets.get(limit)
+        context = self.context
+        budget = self.budgets.get(limit)
         cache = context.loop.router.caches.get(budget.cache) if budget else None
         if cache is None or cache.role is not Role.EDGE:
             return context.front_names()
--- a/weldbend/fleet/topology.py
+++ b/weldbend/fleet/topology.py
@@ -15,7 +15,8 @@
     ring = sorted({*fronts, name}, key=lambda one: blake2b(one.encode(), digest_size=8).digest())
     if len(ring) <= MESH:
         return [one for one in ring if one != name]
-    place, step = ring.index(name), 1
+    place = ring.index(name)
+    step = 1
     found: dict[str, None] = {}  # in this order
     while step <= len(ring) // 2:
         for other in (ring[(place + step) % len(ring)], ring[place - step]):
--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -87,7 +87,8 @@
         return request
 
     def _event(self, request: OpenRequest) -> RequestReceived:
-        parsed, fleet = request.parsed, self.context.fleet
+        parsed = request.parsed
+        fleet = self.context.fleet
         client = request.client_request.client
         key = parsed.idempotency_key
         return RequestReceived(
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -68,7 +68,8 @@
 
     def _command(self, request: OpenRequest, action: SendAttempt, source: str | None) -> bytes:
         """Return the command's bytes at the moment in which the first of them leaves."""
-        parsed, fleet = request.parsed, self.context.fleet
+        parsed = request.parsed
+        fleet = self.context.fleet
         remaining = request.deadline - self.context.clock.now()
         timeout = min(action.timeout, remaining) if action.timeout else remaining
         if fleet and parsed.idempotency_key:
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -103,7 +103,8 @@
         """Count bytes that wait for slow readers: beyond the bound, caches are read no further."""
         self.unsent_bytes += change
         self.max_unsent_bytes = max(self.max_unsent_bytes, self.unsent_bytes)
-        pool, bound = self.dispatcher.pool, self.context.site.max_unsent_bytes
+        pool = self.dispatcher.pool
+        bound = self.context.site.max_unsent_bytes
         if self.unsent_bytes > bound and not pool.is_read_paused:
             pool.pause_reading(True)
         elif self.unsent_bytes < bound // 2 and pool.is_read_paused:
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -137,8 +137,10 @@
 
 
 def _site(raw: Mapping[str, Any]) -> Site:
-    raw_settings, limits = raw["settings"], raw["limits"]
-    caps, settings = raw_settings["caps"], read_site_settings(raw_settings)
+    raw_settings = raw["settings"]
+    limits = raw["limits"]
+    caps = raw_settings["caps"]
+    settings = read_site_settings(raw_settings)
     host, _, port = raw["listen"].rpartition(":")
     descriptors = int(limits["sockets"])
     # Client connections get what caches and the process leave, and half in any case.
--- a/weldbend/front/counters_log.py
+++ b/weldbend/front/counters_log.py
@@ -52,7 +52,8 @@
         self.context.counters.reset_error_limit()
 
     def _process_fields(self) -> dict[str, Any]:
-        usage, counts = resource.getrusage(resource.RUSAGE_SELF), self.context.counters.counts
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        counts = self.context.counters.counts
         cpu_ms = (usage.ru_utime + usage.ru_stime) * MILLISECONDS
         return {
             "counts": dict(counts),
@@ -62,7 +63,8 @@
         }
 
     def _connection_fields(self) -> dict[str, Any]:
-        listener, idle_pool = self.gateway.listener, self.gateway.listener.idle_pool
+        listener = self.gateway.listener
+        idle_pool = self.gateway.listener.idle_pool
         cache_connections = sum(1 for _ in self.dispatcher.pool.all_connections())
         self._max_cache_connections = max(self._max_cache_connections, cache_connections)
         return {
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -106,7 +106,8 @@
 
     def apply_site(self, site: Site) -> None:
         """Use another configuration from now on."""
-        previous, self.context.site = self.context.site.settings, site
+        previous = self.context.site.settings
+        self.context.site = site
         self.pool.limits = site.cache_limits
         if site.settings != previous:
             self.post(SettingsChanged(site.settings))
--- a/weldbend/front/event_queue.py
+++ b/weldbend/front/event_queue.py
@@ -77,7 +77,8 @@
         """Return the batch, with the measured lag of the event loop before it where that is large."""
         self._is_scheduled = False
         now = self.context.clock.now()
-        batch, self._events = deque(self._events), []
+        batch = deque(self._events)
+        self._events = []
         if batch and now > self._batch_began + MIN_REPORTED_LAG:
             batch.appendleft(LoopLagMeasured(now - self._batch_began))
         self._batch_began = self._iteration_began = now
--- a/weldbend/front/open_requests.py
+++ b/weldbend/front/open_requests.py
@@ -87,7 +87,8 @@
 
     def remove_finished(self) -> None:
         """Remove the finished requests, once the router has handled all events of theirs."""
-        finished, self._finished = self._finished, []
+        finished = self._finished
+        self._finished = []
         for request in finished:
             if not request.has_attempt_in_flight():
                 self.by_id.pop(request.id, None)
--- a/weldbend/front/patient_reactor.py
+++ b/weldbend/front/patient_reactor.py
@@ -59,8 +59,10 @@
         unwatched.add(selectable)
 
     def _add_again(self) -> None:
-        readers, self.unwatched_readers = self.unwatched_readers, set()
-        writers, self.unwatched_writers = self.unwatched_writers, set()
+        readers = self.unwatched_readers
+        self.unwatched_readers = set()
+        writers = self.unwatched_writers
+        self.unwatched_writers = set()
         for reader in readers:
             self.addReader(reader)
         for writer in writers:
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -111,7 +111,8 @@
         InvalidRequestError: for fields that no request can have.
     """
     client_id, class_name, key = (_text(fields, name) for name in ("id", "class", "key"))
-    idempotency_key, known_version = fields.get("once"), fields.get("got")
+    idempotency_key = fields.get("once")
+    known_version = fields.get("got")
     if class_name not in classes:
         raise InvalidRequestError(RequestFlaw.UNKNOWN_CLASS)
     if classes[class_name].idempotency is Idempotency.DEDUPLICATED and not idempotency_key:
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -247,7 +247,8 @@
         nothing. Harm: none known; a client that still connects is refused, as it will be a moment later.
         """
         assert self.stop_requested is not None
-        now, requests = self.clock.now(), self.dispatcher.requests
+        now = self.clock.now()
+        requests = self.dispatcher.requests
         has_stopped_accepting = self.listener.stop()
         is_late = now > self.stop_requested + self._abort_after() + FORCED_END
         if is_late or (has_stopped_accepting and not (requests or self.listener.connection_count())):
--- a/weldbend/front/timers.py
+++ b/weldbend/front/timers.py
@@ -109,7 +109,8 @@
         try:
             while self.heap and self.heap[0][0] <= now:
                 timer = heapq.heappop(self.heap)[2]
-                callback, timer.callback = timer.callback, None
+                callback = timer.callback
+                timer.callback = None
                 if callback:
                     callback()
                 else:
--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -13,16 +13,19 @@
 from weldbend.routing.warm_load import WarmLoad
 from weldbend.routing.windows import DecayingAverage, WindowedSum
 
-RETRY_BUDGET, RETRY_ALLOWANCE = 0.15, 2  # retries for each request within RETRY_WINDOW, and so many more
+RETRY_BUDGET = 0.15  # retries for each request within RETRY_WINDOW
+RETRY_ALLOWANCE = 2  # and so many more
 RETRY_WINDOW = 10.0  # seconds
 RETRY_AFTER = 0.5  # seconds after which a rejected client may come back
 LAG_LIMIT = 0.03  # seconds by which events may come late
-LAG_MEMORY, LAG_SMOOTHING = 0.5, 0.3  # seconds in which that is forgotten; weight of the newest measurement
+LAG_MEMORY = 0.5  # seconds in which that is forgotten
+LAG_SMOOTHING = 0.3  # weight of the newest measurement
 QUEUED_LIMIT = 0.35  # part of a latency objective for which a request may have lain unread
 OVER_LIMIT_LOAD = 3.0  # what being over a fleet's limit counts as, one being where rejecting begins
 MAX_ERRORS = 3  # caches that may answer one request with an error before it fails
 WARM_LOAD_WINDOW = 10.0  # seconds over which is measured what warm caches bear
-PURGE_MARGIN, LEAST_AGE = 0.001, 2e-6  # seconds; an age of 0 would mean any
+PURGE_MARGIN = 0.001  # seconds by which a copy has to be younger than a purge
+LEAST_AGE = 2e-6  # seconds; an age of 0 would mean any
 
 
 class Admission(Actor[AdmissionMessage]):
@@ -65,7 +68,8 @@
         A part is rejected at once, least priority weight first; so is one that lay unread for too long.
         Harm: a standstill of the machine costs some requests.
         """
-        context, request_class = self.context, self.context.settings.classes[received.class_name]
+        context = self.context
+        request_class = self.context.settings.classes[received.class_name]
         self.requests.add(context.now)
         highest = max(other.priority_weight for other in context.settings.classes.values())
         queued = received.queued_for / (QUEUED_LIMIT * request_class.latency_objective)
@@ -80,7 +84,8 @@
 
     def refusal(self, attempt: Attempt) -> Blocked | None:
         """Why an attempt may not be sent; None where it may."""
-        request, statistics = attempt.request, self.context.statistics
+        request = attempt.request
+        statistics = self.context.statistics
         if self.is_exhausted(request) or not self.is_safe(attempt):
             return Blocked(None)
         if not self.is_deduplicated(attempt):
@@ -116,8 +121,10 @@
 
     def is_safe(self, attempt: Attempt) -> bool:
         """No effect twice, and never two attempts in flight where a site forbids it."""
-        request, settings = attempt.request, self.context.settings
-        executions, request_class = request.possible_executions(), request.request_class
+        request = attempt.request
+        settings = self.context.settings
+        executions = request.possible_executions()
+        request_class = request.request_class
         if not settings.allows_hedging and request.in_flight():
             return False
         if not executions or request_class.idempotency is Idempotency.IDEMPOTENT:
@@ -127,7 +134,8 @@
 
     def is_deduplicated(self, attempt: Attempt) -> bool:
         """Whether its cache recognises the key of what may have run; where it does not, another may."""
-        request_class, executions = attempt.request.request_class, attempt.request.possible_executions()
+        request_class = attempt.request.request_class
+        executions = attempt.request.possible_executions()
         if request_class.idempotency is not Idempotency.DEDUPLICATED:
             return True
         return all(is_same_group(request_class.deduplication_scope, e, attempt) for e in executions)
@@ -139,7 +147,9 @@
 
     def send(self, attempt: Attempt) -> None:
         """Hand an attempt over, counted with all that it touches; it joins no fill that may be its own."""
-        request, now, work = attempt.request, self.context.now, self.context.mean_work(attempt.request)
+        request = attempt.request
+        now = self.context.now
+        work = self.context.mean_work(attempt.request)
         attempt.number = len(request.attempts)
         attempt.sent = now
         self.retries.add(now, request.needs_retry())
@@ -153,14 +163,16 @@
 
     def max_age(self, attempt: Attempt) -> float:
         """Oldest copy that will do: never one older than a purge that this front knows of."""
-        received, fresh_for = attempt.request.received, attempt.request.request_class.fresh_for
+        received = attempt.request.received
+        fresh_for = attempt.request.request_class.fresh_for
         purged = self.purges.latest((received.key, received.group))
         age = 0.0 if purged is None else max(self.context.now - purged - PURGE_MARGIN, LEAST_AGE)
         return min(age, fresh_for or age)
 
     def record_purge(self, purge: events.ObjectsPurged) -> None:
         """Remember a purge for as long as an older copy may be met."""
-        now, keep = self.context.now, self.context.settings.purge_lifetime()
+        now = self.context.now
+        keep = self.context.settings.purge_lifetime()
         self.purges.record(purge.key or purge.group, now - purge.age, now, keep)
 
     def end(self, ended: events.AttemptEnded) -> None:
@@ -173,13 +185,15 @@
 
     def answer(self, request: Request) -> None:
         """The final answer: rejected with Retry-After where a repeat does no harm, else failed."""
-        executions, request_class = request.possible_executions(), request.request_class
+        executions = request.possible_executions()
+        request_class = request.request_class
         is_deduplicated = request_class.idempotency is Idempotency.DEDUPLICATED
         if executions and is_deduplicated and request_class.deduplication_scope is DeduplicationScope.ALL:
             is_harmless = self.context.now < executions[0].sent + request_class.deduplication_window
         else:
             is_harmless = not executions or request_class.idempotency is Idempotency.IDEMPOTENT
-        name, retry_after = request.received.id, min(self.context.settings.max_retry_after, RETRY_AFTER)
+        name = request.received.id
+        retry_after = min(self.context.settings.max_retry_after, RETRY_AFTER)
         answer = actions.RejectRequest(name, retry_after) if is_harmless else actions.FailRequest(name)
         self.context.actions.append(answer)
         self.context.post(request, events.RequestCancelled(name))
--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -14,7 +14,8 @@
 HEALTH_WINDOW = 10.0  # seconds of answers that a cache is judged by
 LATE_WEIGHT = 0.5  # what a late answer counts against a cache, a failed one counting one; exact in binary
 OUTLIER_BAR = 0.8  # a suspected cache must draw this part of its peers' success
-LEAST_PRIOR, MOST_PRIOR = 0.1, 0.95  # within which the peers' success serves as prior
+LEAST_PRIOR = 0.1  # the least success of peers that serves as prior
+MOST_PRIOR = 0.95  # the greatest one
 
 
 class Cache(CacheRecord):
@@ -104,7 +105,8 @@
 
     def failure_rate(self) -> float:
         """Failed answers among all, as this front saw them."""
-        successes, failures = self.successes.total(self.context.now), self.failures.total(self.context.now)
+        successes = self.successes.total(self.context.now)
+        failures = self.failures.total(self.context.now)
         return (failures + 0.1) / (successes + failures + 1)
 
     def is_trusted(self, peer_success: float) -> bool:
@@ -123,7 +125,8 @@
 
     def draw_success(self, peer_success: float = 0.5) -> float:
         """A draw from the posterior of its success rate (Thompson sampling, with a beta prior)."""
-        now, prior = self.context.now, 2 * min(max(peer_success, LEAST_PRIOR), MOST_PRIOR)
+        now = self.context.now
+        prior = 2 * min(max(peer_success, LEAST_PRIOR), MOST_PRIOR)
         successes = self.peer_successes + self.successes.total(now)
         failures = self.peer_failures + self.failures.total(now)
         return self.context.random.betavariate(prior + successes, 2 - prior + failures)
@@ -131,7 +134,8 @@
 
 def slow_side(attempt: Attempt) -> Cache:
     """Whom a late answer speaks against: a fetch through a parent that is slow says nothing of the origin."""
-    parent, origin = attempt.source, attempt.origin
+    parent = attempt.source
+    origin = attempt.origin
     if origin and parent and parent.failure_rate() > max(OVERLOAD_LATE_FRACTION, origin.failure_rate()):
         return parent
     return attempt.limited_by()
--- a/weldbend/routing/concurrency.py
+++ b/weldbend/routing/concurrency.py
@@ -51,7 +51,8 @@
 
     def adapt(self, outcome: Outcome) -> None:
         """Additive increase, by one for all fronts of the zone, where it is used; multiplicative decrease."""
-        now, context = self.cache.context.now, self.cache.context
+        now = self.cache.context.now
+        context = self.cache.context
         if outcome is Outcome.SUCCESS:
             is_used = 2 * len(self.cache.in_flight) + 1 >= self.limit
             self.limit += is_used / max(self.limit, 1) / context.settings.zone_fronts
@@ -85,7 +86,8 @@
 
     def record(self, outcome: Outcome) -> None:
         """Increase after a success, decrease after an answer that was late or none."""
-        now, parents = self.context.now, self.context.ready[Role.PARENT]
+        now = self.context.now
+        parents = self.context.ready[Role.PARENT]
         if outcome is Outcome.SUCCESS:
             limit = self.limit()
             if 2 * self.context.parents_in_flight + 1 >= limit:
@@ -96,7 +98,8 @@
 
     def decrease_if_overloaded(self, parents: RoleGroup, now: float) -> None:
         """Decrease the limit where all parents but the worst one are late together."""
-        late, timely = parents.late.total(now), parents.timely.total(now)
+        late = parents.late.total(now)
+        timely = parents.timely.total(now)
         if worst := parents.most_late():
             late -= worst.late.total(now)
             timely -= worst.timely.total(now)
--- a/weldbend/routing/placement.py
+++ b/weldbend/routing/placement.py
@@ -10,7 +10,9 @@
 from weldbend.routing.requests import Request
 from weldbend.routing.settings import Role
 
-ALPHA, BETA, GAMMA = 1, 1, 1  # the paper's weights of V_k, V_hop and V_hitk
+ALPHA = 1  # the paper's weight of V_k
+BETA = 1  # of V_hop
+GAMMA = 1  # of V_hitk
 HOP_VALUE = {Role.EDGE: 2, Role.PARENT: 1}  # V_hop
 HIGHEST_LEVEL = 5  # the paper's highest prefilter level
 EDGE_LEVEL = 2  # prefilter level from which the edge may keep a copy
@@ -42,7 +44,8 @@
         if request.request_class.origin_only and self.context.settings.allows_bypass:
             origin = self.pick(request, self.context.ready[Role.ORIGIN], 0.0)
             return Attempt(request, origin) if origin else None
-        edges, missed_at = self.context.ready[Role.EDGE], request.missed_at
+        edges = self.context.ready[Role.EDGE]
+        missed_at = request.missed_at
         if missed_at is not None and missed_at in edges and missed_at not in request.ruled_out:
             return self.plan_fill(request, missed_at)
         edge = self.pick(request, edges, edges.success_rate())
@@ -55,7 +58,8 @@
 
     def plan_at_parent(self, request: Request) -> Attempt | None:
         """No edge is left: a parent is asked for what it holds, before the origin has to."""
-        origins, parent = self.context.ready[Role.ORIGIN], None
+        origins = self.context.ready[Role.ORIGIN]
+        parent = None
         if self.context.settings.allows_bypass and origins:
             parent = self.pick(request, self.context.ready[Role.PARENT], 0.0)
         if parent is None:
@@ -71,7 +75,8 @@
         source = self.pick_source(request)
         if source is None:
             return None
-        attempt, origins = Attempt(request, edge, source), self.context.ready[Role.ORIGIN]
+        attempt = Attempt(request, edge, source)
+        origins = self.context.ready[Role.ORIGIN]
         is_parent = source.role is Role.PARENT and not request.request_class.origin_only
         if is_parent and origins and edge.is_warm():
             attempt.origin = origins.first() if request.lacking_parent else None
@@ -94,9 +99,11 @@
 
     def choose_tiers(self, request: Request, tiers: set[Role]) -> set[Role]:
         """Of the tiers that the prefilter admits, the one of best value and that of the lowest cache rate."""
-        popularity, levels = request.popularity, {Role.EDGE: EDGE_LEVEL, Role.PARENT: 0}
+        popularity = request.popularity
+        levels = {Role.EDGE: EDGE_LEVEL, Role.PARENT: 0}
         admitted = [tier for tier in HOP_VALUE if tier in tiers and popularity.level >= levels[tier]]
-        value, rate = {}, {}
+        value = {}
+        rate = {}
         for tier in admitted:
             value[tier] = ALPHA * popularity.free_fraction + BETA * HOP_VALUE[tier] + GAMMA * popularity.level
             rate[tier] = self.rates.rate(tier, self.context.now)
@@ -104,8 +111,10 @@
 
     def pick_source(self, request: Request) -> Cache | None:
         """The hub's parent by hash, then any by hash; the origin where no parent does as well."""
-        parents, origins = self.context.ready[Role.PARENT], self.context.ready[Role.ORIGIN]
-        lacking, near = request.lacking_parent, self.context.hub_parents
+        parents = self.context.ready[Role.PARENT]
+        origins = self.context.ready[Role.ORIGIN]
+        lacking = request.lacking_parent
+        near = self.context.hub_parents
         if lacking and self.context.now - lacking.concurrency.decreased_at < LACK_WINDOW:
             near = parents
         if picked := self.pick_trusted(request, near or parents, 1.0):
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -239,7 +239,8 @@
 
     def change_settings(self) -> None:
         """Go by the settings as they are: what was sent counts in the new window as if it were sent now."""
-        now, window = self.context.now, self.context.settings.edge_overload_window
+        now = self.context.now
+        window = self.context.settings.edge_overload_window
         self.sharers = self.context.settings.sharers(self.role)
         self.wanted_work = WindowedSum(window)
         sent = self.sent_work.total(now)
--- a/weldbend/routing/reports.py
+++ b/weldbend/routing/reports.py
@@ -37,7 +37,8 @@
 
 def slow_start_demand(router: Router, number: int, now: float) -> SlowStartDemand:
     """What is put to a cache that warms up, and what it bears."""
-    cache, statistics = router.caches[number], router.context.statistics
+    cache = router.caches[number]
+    statistics = router.context.statistics
     works = [statistics.mean_work(other) for other in statistics.classes if not other.origin_only]
     return SlowStartDemand(
         fleet_budget=math.inf if cache.is_warm() else cache.slow_start.budget() * cache.weight,
--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -69,7 +69,9 @@
 
     def set_timeout(self, attempt: Attempt) -> None:
         """Have an attempt suspected that takes much longer than expected, and longer than the objective."""
-        role, now, work = attempt.limited_by().role, self.context.now, self.received.work
+        role = attempt.limited_by().role
+        now = self.context.now
+        work = self.received.work
         expected = self.context.statistics.expected_duration(self.request_class, role, now, work)
         delay = max(TIMEOUT_FACTOR * expected, self.request_class.latency_objective)
         self.context.start_timer(delay, attempt.timeout_token(), self.received.id, attempt.number)
@@ -80,7 +82,8 @@
         Most slow attempts are large objects, so a sound cache whose connection lives gets a second timeout.
         Silence speaks only where answers were due. Harm: what a silent cache holds first is late.
         """
-        context, attempt = self.context, suspicion.attempt
+        context = self.context
+        attempt = suspicion.attempt
         is_due = attempt.cache.answer_rate() * (context.now - attempt.sent) >= ANSWERS_DUE
         is_repeated = attempt.is_suspected
         attempt.is_silent = suspicion.is_silent and (is_repeated or is_due)
@@ -120,7 +123,9 @@
 
     def record_served(self, attempt: Attempt, duration: float) -> None:
         """Learn duration and size; a late answer must not pass for a large object."""
-        context, request_class, work = self.context, self.request_class, self.received.work
+        context = self.context
+        request_class = self.request_class
+        work = self.received.work
         stretch = request_class.objective_stretch * (work or context.mean_work(self))
         is_late = duration > request_class.latency_objective + stretch
         limited_by = attempt.limited_by()
@@ -140,7 +145,8 @@
         A bare error speaks against a cache once another serves the same request. Guards against requests that
         no cache can use. Harm: one that fails all it is asked is left out a little later.
         """
-        hint, is_reset = attempt.ended and attempt.ended.fill_hint, attempt.result is AttemptResult.RESET
+        hint = attempt.ended and attempt.ended.fill_hint
+        is_reset = attempt.result is AttemptResult.RESET
         at_edge = attempt.is_silent or attempt.result in events.BROKEN or hint is FillHint.NO_PLACE
         guilty = attempt.cache if at_edge else slow_side(attempt)
         if attempt.result is AttemptResult.ERROR and hint is FillHint.NONE:
--- a/weldbend/routing/slow_start.py
+++ b/weldbend/routing/slow_start.py
@@ -27,11 +27,13 @@
         Guards against restarts that the list does not tell yet, as one that broke its connections and cannot
         be reached again at once. Harm: one cut off gets little until it would be warm.
         """
-        now, warm_up = self.context.now, self.context.settings.warm_up(self.cache.role)
+        now = self.context.now
+        warm_up = self.context.settings.warm_up(self.cache.role)
         started = self.possible_start()
         if started == -math.inf or self.cache.role is Role.ORIGIN:
             return 1.0
-        first, age = warm_up.start_capacity, max(now - started, 0.0)
+        first = warm_up.start_capacity
+        age = max(now - started, 0.0)
         return min(1.0, first + (1 - first) * age / warm_up.seconds)
 
     def possible_start(self) -> float:
@@ -41,7 +43,8 @@
 
     def next_change(self) -> float:
         """The next moment at which it may become warm, or cold, without an event; infinite for never."""
-        now, breaks = self.context.now, self.cache.breaks
+        now = self.context.now
+        breaks = self.cache.breaks
         settles = breaks.settles_at() if now < breaks.settles_at() else math.inf
         if self.capacity_fraction() >= 1:
             return settles
@@ -54,7 +57,8 @@
         """
         if self.capacity_fraction() >= 1:
             return True
-        now, window = self.context.now, self.context.settings.edge_overload_window
+        now = self.context.now
+        window = self.context.settings.edge_overload_window
         budget = self.budget() * self.link_quota(warm_load)
         self.cache.wanted_work.add(now, work)
         if budget >= work or self.cache.quota.is_leased:
@@ -70,7 +74,8 @@
 
     def link_quota(self, warm_load: float) -> float:
         """This front's quota of its link in flows: as leased or listed, else what warm caches bore lately."""
-        cache, settings = self.cache, self.context.settings
+        cache = self.cache
+        settings = self.context.settings
         if not settings.weighted:
             return max(warm_load, UNSEEN_WEIGHT / cache.sharers)
         if cache.quota.is_leased:
@@ -88,5 +93,5 @@
         over = credit % work
         is_due = credit >= work and over <= TURN_OPEN * budget
         if credit > 0:
-            self.credit.amount = over + work * is_due
+            self.credit.amount = over + work if is_due else over
         return is_due
--- a/weldbend/routing/warm_load.py
+++ b/weldbend/routing/warm_load.py
@@ -23,7 +23,8 @@
     def record_served(self, attempt: Attempt) -> None:
         """Count what an attempt brought at each cache that it touched, if most of its role are warm."""
         for cache in attempt.caches():
-            peers, now = self.context.ready[cache.role], self.context.now
+            peers = self.context.ready[cache.role]
+            now = self.context.now
             if 2 * peers.cold.count(now) < len(peers) and cache.is_warm():
                 served = self.served[cache.role]
                 served.add(now, self.context.mean_work(attempt.request))
--- a/weldbend/simhost/errors.py
+++ b/weldbend/simhost/errors.py
@@ -50,7 +50,8 @@
     """A value that is not the number that it must be."""
 
     def __init__(self, text: str, is_integer: bool = False) -> None:
-        super().__init__(f"not a {'whole ' * is_integer}number: {text!r}")
+        kind = "whole number" if is_integer else "number"
+        super().__init__(f"not a {kind}: {text!r}")
         self.is_integer = is_integer
         self.text = text
 
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -25,7 +25,8 @@
 
     def answer(self, now: float) -> list[str]:
         """Hand the events to the router; return the lines of its actions, or one that reports an error."""
-        events, self.events = self.events, []
+        events = self.events
+        self.events = []
         try:
             return [wire.action_text(action) for action in self.router.handle(now, events)]
         except Exception as error:  # noqa: BLE001 - the simulator is told of any error
--- a/weldbend/site_settings.py
+++ b/weldbend/site_settings.py
@@ -30,7 +30,8 @@
     Raises:
         KeyError: for a key that is missing.
     """
-    family, kinds = raw["family_info"], raw["kinds"]
+    family = raw["family_info"]
+    kinds = raw["kinds"]
     roles = dict.fromkeys(kinds, Role.EDGE)
     if family["shield_kind"] >= 0:  # a site without parents has -1
         roles[kinds[family["shield_kind"]]] = Role.PARENT
@@ -60,8 +61,12 @@
     Raises:
         KeyError: for a key that is missing.
     """
-    family, caps, rules = raw["family_info"], raw["caps"], raw["obligations"]
-    zones, hubs, fronts = raw["zones"], family["hub_by_zone"], family["count_by_zone"]
+    family = raw["family_info"]
+    caps = raw["caps"]
+    rules = raw["obligations"]
+    zones = raw["zones"]
+    hubs = family["hub_by_zone"]
+    fronts = family["count_by_zone"]
     zone = zones.index(raw["az"])
     lanes = enumerate(raw["lanes"])
     return SiteSettings(
--- a/weldbend/testbed/faults/call_faults.py
+++ b/weldbend/testbed/faults/call_faults.py
@@ -51,7 +51,8 @@
 EPISODES = 5  # of a plan, drawn at random
 OWN_CHANCE = 0.6  # with which the seed's own fault is injected at least, while it may be
 WINDOWS = 10  # equal parts of the time, in each of which the seed's own fault is injected
-SHORTEST, LONGEST = 0.05, 0.8  # seconds of an episode
+SHORTEST = 0.05  # seconds of an episode at least
+LONGEST = 0.8  # and at most
 MOST_BREAKS = 3  # in one episode that ends connections
 MOST_FAULTS = 40  # in one that does not
 
--- a/weldbend/testbed/faults/engine.py
+++ b/weldbend/testbed/faults/engine.py
@@ -164,7 +164,8 @@
             self.swapped = fate.raw
             return
         self._emit(now + fate.delay, fate.raw * fate.copies, actions)
-        swapped, self.swapped = self.swapped, b""
+        swapped = self.swapped
+        self.swapped = b""
         self._emit(now, swapped, actions)
 
     def _apply(self, fault: Fault, message: Message, fate: MessageFate) -> None:
--- a/weldbend/testbed/faults/proxy.py
+++ b/weldbend/testbed/faults/proxy.py
@@ -65,7 +65,8 @@
         """The other side is up: what came so far goes there."""
         self.other = other
         self.stream = stream
-        early, self.early = self.early, []
+        early = self.early
+        self.early = []
         for data in early:
             self.dataReceived(data)
         if self.is_read_closed:
@@ -225,7 +226,8 @@
         now = time.monotonic()
         there = self.injector.stream(number, Direction.THERE, now)
         back = self.injector.stream(number, Direction.BACK, now)
-        near.other, far.other = far, near
+        near.other = far
+        far.other = near
         near.join(far, there)
         far.join(near, back)
         if near.is_lost and far.transport:
--- a/weldbend/testbed/faults/socket_trial.py
+++ b/weldbend/testbed/faults/socket_trial.py
@@ -49,7 +49,10 @@
 from weldbend.testbed.reactor import ProcessReactor
 
 LAUNCHER = "weldbend.testbed.faults.socket_faults"
-FIRST_LOAD, QUIET, SECOND_LOAD = 1.5, 1.2, 1.0  # seconds
+# Seconds of each part of a trial.
+FIRST_LOAD = 1.5
+QUIET = 1.2
+SECOND_LOAD = 1.0
 STOP_AFTER = 0.6  # seconds of the second load until SIGTERM; the front accepts for 0.7 s from then on
 FAULTY_SECONDS = 5.5  # over which faults are spread: start, loads and shutdown
 RATE = 90.0  # requests a second
@@ -185,7 +188,8 @@
         """Count the end of the connection, where it was neither this client's nor for its idleness."""
         self.clients.connected.remove(self)
         is_idle = time.monotonic() > self.asked_at + IDLE_TIMEOUT
-        self.clients.counts["ended"] += not (self.clients.is_over or is_idle)
+        if not (self.clients.is_over or is_idle):
+            self.clients.counts["ended"] += 1
 
 
 class IdleClients(ClientFactory):
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -131,7 +131,8 @@
     def _thaw(self, node: Node) -> None:
         if node.is_frozen() or not node.is_up:
             return
-        deferred, node.deferred = node.deferred, []
+        deferred = node.deferred
+        node.deferred = []
         if self.rng.random() < READS_DATAGRAMS_FIRST:
             now = self.events.now
             for send in resume_after_standstill(node.members, node.exchange, now) or node.members.advance(
--- a/weldbend/testbed/fleet/relay_network.py
+++ b/weldbend/testbed/fleet/relay_network.py
@@ -102,7 +102,8 @@
 
     def release(self) -> None:
         """Send what has waited."""
-        waiting, self.waiting = list(self.waiting), deque()
+        waiting = list(self.waiting)
+        self.waiting = deque()
         if waiting and self.side and self.side.other:
             self.side.other.schedule(waiting)
 
@@ -124,7 +125,8 @@
         for stream, side in ((there, near), (back, far)):
             stream.side = side
             self.network.link_streams[stream.path].append(stream)
-        near.other, far.other = far, near
+        near.other = far
+        far.other = near
         near.join(far, there)
         far.join(near, back)
         if near.is_lost and far.transport:  # it went before there was another side to tell
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -80,7 +80,8 @@
 
     def __init__(self, seed: int, settings: FleetRunSettings | None = None) -> None:
         super().__init__(seed, settings or FleetRunSettings())
-        offset, drift = self.settings.clock_offset, self.settings.drift
+        offset = self.settings.clock_offset
+        drift = self.settings.drift
         self.clocks = {  # (offset, drift) of each front
             number: (self.rng.uniform(-offset, offset), self.rng.uniform(-drift, drift))
             for number in self.workload.connections
--- a/weldbend/testbed/scale/bounds.py
+++ b/weldbend/testbed/scale/bounds.py
@@ -45,7 +45,8 @@
 
     def is_held(self, usual: ScaleFigures, large: ScaleFigures) -> bool:
         """Whether the large size keeps to it."""
-        limit, value = self.limit(usual, large), self.value(large)
+        limit = self.limit(usual, large)
+        value = self.value(large)
         return value >= limit if self.is_least else value <= limit
 
 
--- a/weldbend/testbed/scale/site_run.py
+++ b/weldbend/testbed/scale/site_run.py
@@ -119,7 +119,8 @@
         self.site.stop()
 
     def _measure(self, load: Load) -> ScaleFigures:
-        fronts, counts = self.plan.fronts, self.site.counts()
+        fronts = self.plan.fronts
+        counts = self.site.counts()
         pids = self.site.pids()
         caches = self.site.caches.caches.values()
         lookups = [cache.counts.get("asked", 0) for cache in caches if cache.kind == "box"]
--- a/weldbend/testbed/simulation/event_queue.py
+++ b/weldbend/testbed/simulation/event_queue.py
@@ -51,7 +51,8 @@
         """Make every call that is due up to a moment, and advance the clock to it."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, delayed = heapq.heappop(self._heap)
-            call, delayed.call = delayed.call, None
+            call = delayed.call
+            delayed.call = None
             if call:
                 call()
         self.now = until
--- a/weldbend/testbed/simulation/machine.py
+++ b/weldbend/testbed/simulation/machine.py
@@ -101,7 +101,8 @@
         """The request has reached the host that is dialled, if the network lets it."""
         network = self.network
         here = self.machine.host
-        there, port = self.connector.destination.host, self.connector.destination.port
+        there = self.connector.destination.host
+        port = self.connector.destination.port
         is_reachable = not {here, there} & network.unreachable_hosts
         if not (is_reachable and network.is_open(here, there) and network.is_open(there, here)):
             self.machine.callLater(self.timeout, self._fail, TwistedTimeoutError)
@@ -124,7 +125,8 @@
             return
         near = Transport(self.machine, self.connector.destination.host)
         far = Transport(listening.machine, self.machine.host)
-        near.peer, far.peer = far, near
+        near.peer = far
+        far.peer = near
         self.network.on_connection(near, far)
         self.connector.transport = near
         if listening.machine.is_frozen:  # its system accepts; the process notices when it goes on
@@ -255,7 +257,8 @@
     def thaw(self) -> None:
         """Run what became due meanwhile, in its order, and then read what the sockets hold."""
         self.is_frozen = False
-        deferred, self.deferred = self.deferred, []
+        deferred = self.deferred
+        self.deferred = []
         for call in deferred:
             call()
         for transport in list(self.transports):
--- a/weldbend/testbed/simulation/observation.py
+++ b/weldbend/testbed/simulation/observation.py
@@ -35,15 +35,20 @@
         self.link_count += 1
         link = self.link_count
         front_names = {machine.host: machine.name for machine, _ in self.site.fronts.values()}
-        near_host, far_host = near.machine.host, far.machine.host
+        near_host = near.machine.host
+        far_host = far.machine.host
         if near_host == CLIENT_HOST:
-            front, peer = front_names[far_host], "clients"
+            front = front_names[far_host]
+            peer = "clients"
             front_end = far
-            near_traffic, far_traffic = Traffic.CLIENT_CALLS, Traffic.CLIENT_ANSWERS
+            near_traffic = Traffic.CLIENT_CALLS
+            far_traffic = Traffic.CLIENT_ANSWERS
         elif near_host in front_names and far_host in self.site.uid_at:
-            front, peer = front_names[near_host], self.site.uid_at[far_host]
+            front = front_names[near_host]
+            peer = self.site.uid_at[far_host]
             front_end = near
-            near_traffic, far_traffic = Traffic.CACHE_COMMANDS, Traffic.CACHE_ANSWERS
+            near_traffic = Traffic.CACHE_COMMANDS
+            far_traffic = Traffic.CACHE_ANSWERS
             now = self.context.network.events.now
             far.fault_stream = self.injector.stream(link, Direction.BACK, now)
         else:
--- a/weldbend/testbed/simulation/seed_search.py
+++ b/weldbend/testbed/simulation/seed_search.py
@@ -61,7 +61,8 @@
 
 def totals(reports: list[SeedReport]) -> dict[str, Any]:
     """What a search came to, over all its seeds, as it is printed."""
-    counts, injected = Counter[str](), Counter[str]()
+    counts = Counter[str]()
+    injected = Counter[str]()
     for report in reports:
         counts.update(report.counts)
         injected.update({name.partition(" ")[2]: count for name, count in report.injected.items()})
--- a/weldbend/testbed/simulation/transports.py
+++ b/weldbend/testbed/simulation/transports.py
@@ -146,7 +146,8 @@
 
     def _report_end(self) -> None:
         """Report, once, that this end sends nothing more."""
-        on_end, self.on_end = self.on_end, None
+        on_end = self.on_end
+        self.on_end = None
         if on_end:
             on_end()
 
@@ -236,7 +237,8 @@
     def deliver_delayed(self) -> None:
         """Let in what a blocked path held up, where it is open again."""
         if self.delayed and self.network.is_open(self.peer_host, self.machine.host):
-            delayed, self.delayed = self.delayed, []
+            delayed = self.delayed
+            self.delayed = []
             for piece in delayed:
                 self.arrive(piece)
 
--- a/weldbend/thrift/binary.py
+++ b/weldbend/thrift/binary.py
@@ -20,9 +20,25 @@
 
 VERSION = 0x80010000  # of the strict protocol, in the upper three bytes; the lowest is the message type
 VERSION_MASK = 0xFFFFFF00
-CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4  # message types
-STOP, BOOL, BYTE, DOUBLE, I16, I32, I64 = 0, 2, 3, 4, 6, 8, 10  # types of values
-STRING, STRUCT, MAP, SET, LIST = 11, 12, 13, 14, 15
+# Message types.
+CALL = 1
+REPLY = 2
+EXCEPTION = 3
+ONEWAY = 4
+
+# Types of values.
+STOP = 0
+BOOL = 2
+BYTE = 3
+DOUBLE = 4
+I16 = 6
+I32 = 8
+I64 = 10
+STRING = 11
+STRUCT = 12
+MAP = 13
+SET = 14
+LIST = 15
 WIDTHS = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # bytes that a value occupies
 MIN_WIDTHS = {STRING: 4, STRUCT: 1, MAP: 6, SET: 5, LIST: 5}  # the fewest bytes that a value occupies
 MAX_DEPTH = 16  # levels of nested values
@@ -142,7 +158,8 @@
             for inner, _ in self.fields():
                 self.skip(inner, depth + 1)
         elif kind == MAP:
-            key, value = self.byte(), self.byte()
+            key = self.byte()
+            value = self.byte()
             for _ in range(self.count(key, value)):
                 self.skip(key, depth + 1)
                 self.skip(value, depth + 1)
--- a/weldbend/thrift/errors.py
+++ b/weldbend/thrift/errors.py
@@ -25,7 +25,8 @@
 
     def __init__(self, wanted: int, available: int) -> None:
         super().__init__(f"{wanted} bytes wanted, {available} left")
-        self.wanted, self.available = wanted, available
+        self.wanted = wanted
+        self.available = available
 
 
 class InvalidTextError(InvalidMessageError):
@@ -87,4 +88,5 @@
 
     def __init__(self, method: str, argument: str) -> None:
         super().__init__(f"{method} without {argument}")
-        self.method, self.argument = method, argument
+        self.method = method
+        self.argument = argument
--- a/weldbend/thrift/messages.py
+++ b/weldbend/thrift/messages.py
@@ -85,7 +85,8 @@
 def read_arguments(reader: Reader, head: Head) -> Process | GiveUp | Probe:
     """Read the rest of a call whose head was read; raises `InvalidMessageError`."""
     fields: dict[str, str] | None = None
-    body, given_up = b"", None
+    body = b""
+    given_up = None
     for kind, number in reader.fields():
         match head.name, kind, number:
             case "process", binary.MAP, 1:
