--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -1,6 +1,6 @@
 """No attempt begins for a client whose end has come while this front was busy with others."""
 
-from fronts import Stage, process
+from fronts import Stage, bus_event, give_up, listing, process, target
 
 from weldbend.front.event_queue import ITERATION_LIMIT
 from weldbend.routing.events import RequestReceived
@@ -78,3 +78,49 @@
     stage.turn()
     assert not sent(stage, 18)
     assert all(len(sent(stage, number)) == 1 for number in range(11, 18)), "the others lose nothing"
+
+
+def test_what_the_rest_of_a_long_batch_names_is_known_until_it_is_handled(monkeypatch):
+    stage, _ = warmed_up_stage()
+    clients = [stage.client() for _ in range(8)]
+    events = stage.dispatcher.router.events
+    dispatch = events.dispatch
+    handled = []
+
+    def slow(event):
+        stage.reactor.rightNow += 0.6 * ITERATION_LIMIT
+        handled.append(event)
+        if len(handled) == 1:
+            for number, client in enumerate(clients[4:], start=15):
+                stage.reactor.callLater(0, client.dataReceived, give_up(number))
+        dispatch(event)
+
+    monkeypatch.setattr(events, "dispatch", slow)
+    for number, client in enumerate(clients, start=11):
+        client.dataReceived(process(number))
+    stage.turn()
+    assert stage.door.context.counters.counts["internal errors"] == 0
+    assert not any(sent(stage, number) for number in range(15, 19))
+    assert len(stage.dispatcher.requests.by_id) == 4, "nothing is kept of those that are over"
+
+
+def test_a_removed_cache_is_known_until_the_router_has_handled_its_removal(monkeypatch):
+    stage, client = warmed_up_stage()
+    events = stage.dispatcher.router.events
+    dispatch = events.dispatch
+    handled = []
+
+    def slow(event):
+        stage.reactor.rightNow += 0.6 * ITERATION_LIMIT
+        handled.append(event)
+        if len(handled) == 1:
+            removal = bus_event(
+                listing(9, target("e1", state="removed"), target("e2", port=2, state="removed"))
+            )
+            stage.dispatcher.endpoints.handle(removal, stage.receipt())
+        dispatch(event)
+
+    monkeypatch.setattr(events, "dispatch", slow)
+    client.dataReceived(b"".join(process(number) for number in range(2, 9)))
+    stage.turn()
+    assert stage.door.context.counters.counts["internal errors"] == 0
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -134,11 +134,20 @@
                     self.perform(action)
                 except Exception:  # noqa: BLE001 - as above
                     self._abort_request_of(action)
+        self._forget_unnamed(batch)
         self.queue.put_back(batch)
-        self.endpoints.forget_removed()
-        self.requests.remove_finished()
         self.queue.end_iteration()
 
+    def _forget_unnamed(self, rest: deque[Event]) -> None:
+        """Forget finished requests and removed caches, but for what events still name that are left.
+
+        Guards the router's actions on these events: they may concern all that the events name. Harm: names of
+        removed caches are kept until an iteration has handled its whole batch.
+        """
+        self.requests.remove_finished({getattr(event, "id", "") for event in rest})
+        if not rest:
+            self.endpoints.forget_removed()
+
     def _without_cancelled(self, batch: deque[Event]) -> Iterator[Event]:
         """Yield events in order, but no request that was cancelled before the router has seen it."""
         while batch and not self.queue.is_iteration_over():
--- a/weldbend/front/open_requests.py
+++ b/weldbend/front/open_requests.py
@@ -85,10 +85,16 @@
                 timer.cancel()
             self._finished.append(request)
 
-    def remove_finished(self) -> None:
-        """Remove the finished requests, once the router has handled all events of theirs."""
+    def remove_finished(self, still_named: set[str]) -> None:
+        """Remove the finished requests, once the router has handled all events of theirs.
+
+        Args:
+            still_named: ids in events that the router has not handled yet.
+        """
         finished = self._finished
         self._finished = []
         for request in finished:
-            if not request.has_attempt_in_flight():
+            if request.id in still_named:
+                self._finished.append(request)
+            elif not request.has_attempt_in_flight():
                 self.by_id.pop(request.id, None)
