--- a/weldbend/front/event_queue.py
+++ b/weldbend/front/event_queue.py
@@ -27,8 +27,10 @@
         self.max_iteration = 0.0
         self.taken_count = 0
         self._events: list[Event] = []
+        self._waiting_since: list[float] = []  # for each event, the earliest moment at which it can have come
+        self._batch_since: list[float] = []  # the same of the batch that is handled
         self._is_scheduled = False
-        self._batch_began = -math.inf  # since when events of the coming batch could have been posted
+        self._batch_began = -math.inf  # since when what is posted now can have lain unread
         self._iteration_began = -math.inf
         self._iteration_ended = -math.inf
 
@@ -39,12 +41,17 @@
             event: the event.
             first: whether it goes before all that is queued, so that it holds for those events as well.
         """
-        self._events.insert(0 if first else len(self._events), event)
         if not self._is_scheduled:
             now = self.context.clock.now()
             if now > self._iteration_ended + IDLE_GAP:
                 self._batch_began = now
             self._schedule()
+        if first and self._events:
+            self._events.insert(0, event)
+            self._waiting_since.insert(0, self._waiting_since[0])
+        else:
+            self._events.append(event)
+            self._waiting_since.append(self._batch_began)
 
     def _schedule(self) -> None:
         self._is_scheduled = True
@@ -74,13 +81,18 @@
         self.run_iteration()
 
     def begin_iteration(self) -> deque[Event]:
-        """Return the batch, with the measured lag of the event loop before it where that is large."""
+        """Return the batch, with the measured lag of the event loop before it where that is large.
+
+        The lag is how long the oldest event of the batch may have waited, in earlier iterations too.
+        """
         self._is_scheduled = False
         now = self.context.clock.now()
         batch = deque(self._events)
         self._events = []
-        if batch and now > self._batch_began + MIN_REPORTED_LAG:
-            batch.appendleft(LoopLagMeasured(now - self._batch_began))
+        self._batch_since = self._waiting_since
+        self._waiting_since = []
+        if batch and now > self._batch_since[0] + MIN_REPORTED_LAG:
+            batch.appendleft(LoopLagMeasured(now - self._batch_since[0]))
         self._batch_began = self._iteration_began = now
         self.taken_count = 0
         return batch
@@ -102,6 +114,7 @@
         """Leave the rest of a batch to the next iteration, before what has been posted since."""
         if batch:
             self._events[:0] = batch
+            self._waiting_since[:0] = self._batch_since[-len(batch) :]
             if not self._is_scheduled:
                 self._schedule()
 
