--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -220,6 +220,7 @@
     assert all(counts["ejection state: admitted"] >= 1 for counts in stands)
     back, never_ejected = (attempts(made, "e1", 26.0, 30.0) for made in (with_, without))
     assert back >= never_ejected > 0, (back, never_ejected)
+    assert back > 0.5 * attempts(with_, "e1", 0.0, 4.0)
 
 
 def test_a_front_that_reaches_half_of_the_caches_ejects_none_of_them():
