--- a/tests/test_decision_work.py
+++ b/tests/test_decision_work.py
@@ -207,7 +207,7 @@
             cache.handle(details[1])
         case "break" if cache:
             cache.breaks.record_break(site.now, details[1])
-            cache.look_whether_warm()
+            cache.update_warmth()
         case "open":
             site.handle(ConnectionOpened(details[0]))
         case "zone":
@@ -240,7 +240,7 @@
         most_late = group.most_late()
         most = max((limit.late.total(now) for limit in limits), default=0.0)
         assert (most_late.late.total(now) if most_late else 0.0) == most
-        assert group.cold.count(now) == sum(not cache.is_warm() for cache in ready)
+        assert group.warming.count(now) == sum(not cache.is_warm() for cache in ready)
     parents = [cache for cache in context.ready[Role.PARENT] if cache.zone == context.settings.hub]
     assert set(context.hub_parents) == set(parents)
     assert all(cache.state is not EndpointState.REMOVED for cache in site.router.caches.values())
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -13,7 +13,7 @@
 from weldbend.testbed.commands import scale as scale_command
 from weldbend.testbed.emulator.emulated_site import EmulatedSite, SiteSettings
 from weldbend.testbed.scale.bounds import BOUNDS, broken_bounds
-from weldbend.testbed.scale.figures import ScaleFigures, busiest_share, used_share
+from weldbend.testbed.scale.figures import ScaleFigures, busiest_fraction, used_fraction
 from weldbend.testbed.scale.plan import ScalePlan
 
 USUAL = ScaleFigures(
@@ -32,7 +32,7 @@
     parent_hits=0.2,
     origin_bytes=10_000_000,
     edges_used=1.0,
-    busiest_share=0.2,
+    busiest_fraction=0.2,
 )
 # Of each line, the last figure that holds it with 1,600 caches: by the operators' table.
 LAST_HELD = {
@@ -72,9 +72,11 @@
 
 def test_evenness_is_told_by_the_edges_used_and_by_the_busiest_tenth():
     assert (
-        busiest_share([1] * 20) == 0.1 and busiest_share([0] * 19 + [5]) == 1.0 and busiest_share([]) == 0.0
+        busiest_fraction([1] * 20) == 0.1
+        and busiest_fraction([0] * 19 + [5]) == 1.0
+        and busiest_fraction([]) == 0.0
     )
-    assert used_share([0, 1, 2, 0]) == 0.5
+    assert used_fraction([0, 1, 2, 0]) == 0.5
 
 
 @pytest.mark.parametrize("served, status", [(0.9, 0), (0.5, 1)])
--- a/weldbend/accept_guard.py
+++ b/weldbend/accept_guard.py
@@ -10,11 +10,13 @@
 from typing import Any
 
 from weldbend.invariants import anomalies
-from weldbend.socket_errors import GONE_BEFORE_ACCEPT, NOTHING_WAITS
+from weldbend.socket_errors import ENDED_BEFORE_ACCEPT, NOTHING_WAITS
 
 MIN_PAUSE = 0.01  # seconds; doubled with each fault in a row
 MAX_PAUSE = 0.1  # seconds: what waits has deadlines of some tenths of a second
-MAX_GONE = 16  # connections in a row that may have ended before they were accepted, until there is a pause
+MAX_ABORTED_ACCEPTS = (
+    16  # connections in a row that may have ended before they were accepted, until there is a pause
+)
 
 
 class GuardedSocket:
@@ -30,14 +32,14 @@
         Raises:
             BlockingIOError: none waits, or none can be accepted for now.
         """
-        for _ in range(MAX_GONE):
+        for _ in range(MAX_ABORTED_ACCEPTS):
             try:
                 accepted: tuple[Any, Any] = self.listening.accept()
             except OSError as error:
                 if error.errno in NOTHING_WAITS:
                     raise
                 fault = error
-                if error.errno not in GONE_BEFORE_ACCEPT:
+                if error.errno not in ENDED_BEFORE_ACCEPT:
                     break
             else:
                 self.guard.faults = 0
--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -45,7 +45,7 @@
         connection: What it went out on; None while no byte of it has gone out.
         queued_at: When it began to wait for a connection.
         sent_at: When its first byte went out.
-        is_held_up: Whether a fault of this machine kept its connection from coming up while it waited.
+        is_locally_blocked: Whether a fault of this machine held up its connection while it waited.
         is_over: Whether its end was reported, or it was cancelled.
     """
 
@@ -60,7 +60,7 @@
     connection: AttemptCarrier | None = None
     queued_at: float = 0.0
     sent_at: float = 0.0
-    is_held_up: bool = False
+    is_locally_blocked: bool = False
     is_over: bool = False
 
     def finish(self, outcome: Answer | AttemptLoss) -> None:
--- a/weldbend/caches/connection_limiter.py
+++ b/weldbend/caches/connection_limiter.py
@@ -15,7 +15,7 @@
 class LimitedEndpoint(Protocol):
     """The connections to one cache, as far as the bound concerns them."""
 
-    def connect_in_turn(self) -> None:
+    def connect_when_admitted(self) -> None:
         """Begin one connection, if one is still wanted: there is room now."""
 
 
@@ -59,7 +59,7 @@
         self.idle: dict[CacheConnection, None] = {}
         self.queue: dict[LimitedEndpoint, None] = {}
         self._making_way: set[CacheConnection] = set()  # closed for others, and not gone yet
-        self._held_until: dict[CacheConnection, float] = {}  # until when a late answer may still come
+        self._reserved_until: dict[CacheConnection, float] = {}  # until when a late answer may still come
         self._is_scheduled = False
 
     # What there is.
@@ -68,7 +68,7 @@
         """How many connections hold a descriptor: those that are up, being closed, or being made."""
         return len(self.open) + self.connecting
 
-    def has_room(self) -> bool:
+    def is_below_limit(self) -> bool:
         """Whether one more may be made."""
         return self.count() < self.pool.limits.max_connections
 
@@ -89,7 +89,7 @@
         """Forget a connection that has ended."""
         self.open.pop(connection, None)
         self.idle.pop(connection, None)
-        self._held_until.pop(connection, None)
+        self._reserved_until.pop(connection, None)
         self._making_way.discard(connection)
         self._schedule()
 
@@ -107,18 +107,18 @@
         """
         self.use(connection)
         delay = self.pool.limits.connect_timeout
-        self._held_until[connection] = self.pool.timers.now() + delay
+        self._reserved_until[connection] = self.pool.timers.now() + delay
         self.pool.timers.after(delay, lambda: self._end_hold(connection))
 
     def _end_hold(self, connection: CacheConnection) -> None:
-        held_until = self._held_until.get(connection)
-        if held_until is not None and self.pool.timers.now() >= held_until:
-            del self._held_until[connection]
+        reserved_until = self._reserved_until.get(connection)
+        if reserved_until is not None and self.pool.timers.now() >= reserved_until:
+            del self._reserved_until[connection]
             self.note_idle(connection)
 
     def note_idle(self, connection: CacheConnection) -> None:
         """A connection makes way from now on, if nothing is under way on it."""
-        if connection not in self.idle and connection not in self._held_until and is_idle(connection):
+        if connection not in self.idle and connection not in self._reserved_until and is_idle(connection):
             self.idle[connection] = None
             self._schedule()
 
@@ -126,7 +126,7 @@
 
     def admit(self, endpoint: LimitedEndpoint) -> bool:
         """Whether a cache may connect now; else it has its turn as soon as there is room."""
-        if self.has_room() and not self.queue:
+        if self.is_below_limit() and not self.queue:
             return True
         self.queue.setdefault(endpoint)
         self._schedule()
@@ -146,10 +146,10 @@
         """Give room to those who wait, in turn, and have idle connections make way for the others."""
         self._is_scheduled = False
         for endpoint in list(self.queue):
-            if not self.has_room():
+            if not self.is_below_limit():
                 break
             self.withdraw(endpoint)
-            endpoint.connect_in_turn()
+            endpoint.connect_when_admitted()
         missing = len(self.queue) - len(self._making_way)
         while missing > 0 and self.idle:
             connection = next(iter(self.idle))
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -119,7 +119,7 @@
         self.resets = 0  # connects in a row that were accepted and reset
         self.backoff = ConnectBackoff(f"{host}:{port}")
         self.is_send_scheduled = False
-        self.had_turn_at = -math.inf  # when it last had its turn to connect, after a wait for room
+        self.admitted_at = -math.inf  # when it last had its turn to connect, after a wait for room
 
     @property
     def max_streams(self) -> int:
@@ -221,11 +221,11 @@
         nothing of the cache, and is decided anew. Harm: one more decision.
         """
         if attempt in self.waiting:
-            had_no_room = self in self.pool.limiter.queue or self.had_turn_at > attempt.queued_at
+            had_no_capacity = self in self.pool.limiter.queue or self.admitted_at > attempt.queued_at
             self.waiting.remove(attempt)
-            if had_no_room:
+            if had_no_capacity:
                 attempt.finish(AttemptLoss.SUPERSEDED)
-            elif attempt.is_held_up:
+            elif attempt.is_locally_blocked:
                 attempt.finish(AttemptLoss.LOCAL_FAULT)
             else:
                 attempt.finish(AttemptLoss.UNREACHABLE)
@@ -262,12 +262,12 @@
         At the bound on connections to all caches, they are made in turn.
         """
         limiter = self.pool.limiter
-        while self._needs_connection(minimum):
-            if not (limiter.has_room() if minimum else limiter.admit(self)):
+        while self._lacks_connection(minimum):
+            if not (limiter.is_below_limit() if minimum else limiter.admit(self)):
                 break
             self._begin_connect()
 
-    def _needs_connection(self, minimum: int = 0) -> bool:
+    def _lacks_connection(self, minimum: int = 0) -> bool:
         """Whether those that are being made carry less than what waits, or than the `minimum`."""
         expected_streams = len(self.connecting) * self.max_streams
         may_connect = not (self.is_closed or self.backoff.is_waiting)
@@ -291,7 +291,7 @@
         a connection.
         """
         for attempt in self.waiting:
-            attempt.is_held_up = True
+            attempt.is_locally_blocked = True
         delay = self.backoff.record_fault(self.pool.timers.now())
         if delay is not None:
             self.pool.timers.after(delay, self._connect_again)
@@ -302,10 +302,10 @@
         is_recent = self.pool.timers.now() < self.backoff.began_at + self.pool.limits.connect_timeout
         self._connect(minimum=1 if is_recent and not self.connections else 0)
 
-    def connect_in_turn(self) -> None:
+    def connect_when_admitted(self) -> None:
         """Begin one connection, if one is still wanted; where that is not enough, wait for the next turn."""
-        self.had_turn_at = self.pool.timers.now()
-        if self._needs_connection():
+        self.admitted_at = self.pool.timers.now()
+        if self._lacks_connection():
             self._begin_connect()
             self._connect()
 
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -46,8 +46,8 @@
             number = names.numbers.get(uid)
             if fraction < 1 and number is not None:
                 is_probe = uid in self.detector.probed
-                must_probe = is_probe and self.detector.records[uid].must_probe
-                updates[number] = EjectionUpdate(number, fraction, is_probe, must_probe)
+                is_bound_to_probe = is_probe and self.detector.records[uid].is_bound_to_probe
+                updates[number] = EjectionUpdate(number, fraction, is_probe, is_bound_to_probe)
         for number in {*updates, *self.updates}:
             update = updates.get(number, EjectionUpdate(number, 1.0))
             if update != self.updates.get(number, EjectionUpdate(number, 1.0)):
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -58,8 +58,8 @@
         state: its state, entered at `since` and left at `until` at the latest, in seconds.
         relapses: ejections so far.
         round: counts draws of the front that sends while it is half-open.
-        must_probe: whether that front sends whatever failures it remembers, as an earlier round brought too
-            little to judge by.
+        is_bound_to_probe: whether that front sends whatever failures it remembers, as an earlier round
+            brought too little to judge by.
         last_reports: what each front reported last since the state was entered.
         gained: by how much reports have grown in this round, good and failed.
         reporters: fronts that accused it when it was ejected.
@@ -71,7 +71,7 @@
     until: float = math.inf
     relapses: int = 0
     round: int = 0
-    must_probe: bool = False
+    is_bound_to_probe: bool = False
     last_reports: dict[str, Outcomes] = field(default_factory=dict)
     gained: Outcomes = (0.0, 0.0)
     reporters: tuple[str, ...] = ()
@@ -271,7 +271,7 @@
             self._eject(uid, record, now, Accusation(True, record.reporters, record.zone))
         elif now >= record.until:  # it has reported too little: another one is drawn
             record.round += 1
-            record.must_probe = True
+            record.is_bound_to_probe = True
             record.until = now + HALF_OPEN_SECONDS
             record.reset_gains()
 
@@ -290,7 +290,7 @@
         record.state = state
         record.since = now
         record.until = until
-        record.must_probe = False
+        record.is_bound_to_probe = False
         record.last_reports = {}
         record.reset_gains()
 
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -86,18 +86,18 @@
         return bool(is_guarded_retry) or not self.endpoints.started.isdisjoint((action.cache, action.source))
 
     def _timeout_attempt(self, request: OpenRequest, attempt: Attempt) -> None:
-        if self.is_held_up(attempt):
-            self.give_up_held_up(request, attempt)
+        if self.is_locally_blocked(attempt):
+            self.end_locally_blocked(request, attempt)
         elif not attempt.is_over:
             self.pool.cancel(attempt)
             self.end(request, attempt, AttemptResult.TIMED_OUT)
 
     @staticmethod
-    def is_held_up(attempt: Attempt) -> bool:
+    def is_locally_blocked(attempt: Attempt) -> bool:
         """Whether an attempt has not gone out, and a fault of this machine is among the reasons."""
-        return attempt.is_waiting() and attempt.is_held_up
+        return attempt.is_waiting() and attempt.is_locally_blocked
 
-    def give_up_held_up(self, request: OpenRequest, attempt: Attempt) -> None:
+    def end_locally_blocked(self, request: OpenRequest, attempt: Attempt) -> None:
         """End an attempt that is held up: that it is late says nothing about its cache."""
         self.pool.cancel(attempt)
         self.end(request, attempt, AttemptResult.LOCAL_FAULT)
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -201,8 +201,8 @@
         is_silent = False
         if request:
             attempt = request.attempts[action.attempt]
-            if self.attempts.is_held_up(attempt):
-                self.attempts.guard(request, self.attempts.give_up_held_up, attempt)
+            if self.attempts.is_locally_blocked(attempt):
+                self.attempts.guard(request, self.attempts.end_locally_blocked, attempt)
                 return
             is_silent = bool(attempt.connection and attempt.connection.received_at <= attempt.sent_at)
         self.queue.post(TimerFired(action.token, is_silent))
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -12,7 +12,9 @@
 from weldbend.routing.events import Endpoint, EndpointsListed, EndpointState, ListScope, ObjectsPurged
 
 MILLISECONDS = 1000  # in a second
-EARLY_PART = 0.25  # of the window of the overload rule: what may be sent by then fits beside a whole quota
+EARLY_FRACTION = (
+    0.25  # of the window of the overload rule: what may be sent by then fits beside a whole quota
+)
 
 
 class EndpointUpdates:
@@ -133,7 +135,7 @@
 
     def _is_early(self, now: float) -> bool:
         window = self.context.site.settings.edge_overload_window
-        return self._first_dated is not None and now - self._first_dated <= window * EARLY_PART
+        return self._first_dated is not None and now - self._first_dated <= window * EARLY_FRACTION
 
     def _is_warm(self, record: EndpointRecord, now: float) -> bool:
         warm_up = self.context.site.settings.warm_up(self.names.roles[record.kind])
--- a/weldbend/front/patient_reactor.py
+++ b/weldbend/front/patient_reactor.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-NO_ROOM = (errno.ENOMEM, errno.ENOSPC)  # errors of epoll_ctl that pass
+NO_CAPACITY = (errno.ENOMEM, errno.ENOSPC)  # errors of epoll_ctl that pass
 RETRY_AFTER = 0.02  # seconds
 
 Selectable = Any  # Twisted's interfaces have no types here
@@ -52,7 +52,7 @@
         super().removeWriter(writer)  # type: ignore[no-untyped-call]  # Twisted's
 
     def _add_later(self, unwatched: set[Selectable], selectable: Selectable, error: OSError) -> None:
-        if error.errno not in NO_ROOM:
+        if error.errno not in NO_CAPACITY:
             raise error
         if not (self.unwatched_readers or self.unwatched_writers):
             self.callLater(RETRY_AFTER, self._add_again)
--- a/weldbend/routing/cache_group.py
+++ b/weldbend/routing/cache_group.py
@@ -4,8 +4,8 @@
 from itertools import islice
 from typing import TYPE_CHECKING
 
-from weldbend.routing.cold_caches import ColdCaches
 from weldbend.routing.rendezvous import Ranking
+from weldbend.routing.warming_caches import WarmingCaches
 from weldbend.routing.windows import WindowedSum
 
 if TYPE_CHECKING:
@@ -77,7 +77,7 @@
     Attributes:
         successes, failures: how attempts ended, within the health window.
         timely, late: answers in time, and those late or none, within the overload window.
-        cold: those of its caches that warm up.
+        warming: those of its caches that warm up.
         late_limits: those that may have counted a late one within the overload window.
     """
 
@@ -88,7 +88,7 @@
         self.failures = WindowedSum(health_window)
         self.timely = WindowedSum(overload_window)
         self.late = WindowedSum(overload_window)
-        self.cold = ColdCaches()
+        self.warming = WarmingCaches()
         self.late_limits: dict[ConcurrencyLimit, None] = {}
 
     def put(self, cache: "Cache", weight: float) -> None:
@@ -112,7 +112,7 @@
         cache.concurrency.timely.join(self.timely, now)
         cache.concurrency.late.join(self.late, now)
         self.late_limits[cache.concurrency] = None
-        self.cold.look_at(cache, now)
+        self.warming.update_cache(cache, now)
 
     def leave_sums(self, cache: "Cache") -> None:
         """Count a cache no longer, nor what it has counted."""
@@ -123,7 +123,7 @@
         cache.concurrency.timely.leave(now)
         cache.concurrency.late.leave(now)
         self.late_limits.pop(cache.concurrency, None)
-        self.cold.forget(cache)
+        self.warming.forget(cache)
 
     def record_late(self, limit: "ConcurrencyLimit") -> None:
         """Remember that the limit of one of its caches has counted a late answer."""
--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -50,16 +50,16 @@
                 self.apply_peer_knowledge(message)
             case events.SettingsChanged():
                 self.change_settings()
-                self.look_whether_warm()
+                self.update_warmth()
             case Attempt():
                 self.track(message)
                 if message.result in events.BROKEN:
-                    self.look_whether_warm()
+                    self.update_warmth()
             case Outcome():
                 self.record_outcome(message)
             case _:
                 self.update(message)
-                self.look_whether_warm()
+                self.update_warmth()
 
     def apply_peer_knowledge(self, known: events.PeerKnowledge) -> None:
         """Stricter at once, and never less strict."""
@@ -88,10 +88,10 @@
             self.context.parents.record(outcome)
         self.concurrency.adapt(outcome)
 
-    def look_whether_warm(self) -> None:
+    def update_warmth(self) -> None:
         """Have its group know whether it is warm, after an event that may have changed that."""
         if self.group is not None:
-            self.group.cold.look_at(self, self.context.now)
+            self.group.warming.update_cache(self, self.context.now)
 
     def record_failure(self, weight: float) -> None:
         """Count a failed answer, or a late one in part."""
@@ -118,7 +118,7 @@
         """
         if self.admitted_fraction < 1 and self.context.random.random() >= self.admitted_fraction:
             return False
-        if self.must_probe:
+        if self.is_bound_to_probe:
             return True
         failures = self.failures.total(self.context.now) + self.peer_failures
         return failures == 0 or self.draw_success(peer_success) > OUTLIER_BAR * peer_success
--- a/weldbend/routing/events.py
+++ b/weldbend/routing/events.py
@@ -297,13 +297,14 @@
 
     Attributes:
         is_probe: whether the cache is half-open, and this front is the one that sends to it.
-        must_probe: whether it sends whatever failures it remembers, as an earlier probe has brought nothing.
+        is_bound_to_probe: whether it sends whatever failures it remembers, as an earlier probe has brought
+            nothing.
     """
 
     cache: int
     admitted_fraction: float
     is_probe: bool = False
-    must_probe: bool = False
+    is_bound_to_probe: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -189,7 +189,7 @@
         peer_successes, peer_failures: how attempts ended at other fronts, as weighted counts.
         admitted_fraction: of its work that it may have, by the fleet's outlier detection.
         is_probed: whether it is half-open, and this front the one that sends to it.
-        must_probe: whether that is due whatever is remembered.
+        is_bound_to_probe: whether that is due whatever is remembered.
         probe_counts: answers since that began, until the cache has all of its work again; else None.
         quota: this front's quota of what may be sent while it warms up.
         sent_work, wanted_work: seconds of work sent, and asked for, within the overload window.
@@ -216,7 +216,7 @@
         self.peer_failures = 0.0
         self.admitted_fraction = 1.0
         self.is_probed = False
-        self.must_probe = False
+        self.is_bound_to_probe = False
         self.probe_counts: ProbeCounts | None = None
         self.sent_work = WindowedSum(context.settings.edge_overload_window)
         self.in_flight: dict[Attempt, None] = {}
@@ -264,7 +264,7 @@
                 elif event.admitted_fraction >= 1:
                     self.probe_counts = None
                 self.is_probed = event.is_probe
-                self.must_probe = event.must_probe
+                self.is_bound_to_probe = event.is_bound_to_probe
 
     def track(self, attempt: Attempt) -> None:
         """Count an attempt that touches it and was sent, or has ended."""
--- a/weldbend/routing/warm_load.py
+++ b/weldbend/routing/warm_load.py
@@ -25,7 +25,7 @@
         for cache in attempt.caches():
             peers = self.context.ready[cache.role]
             now = self.context.now
-            if 2 * peers.cold.count(now) < len(peers) and cache.is_warm():
+            if 2 * peers.warming.count(now) < len(peers) and cache.is_warm():
                 served = self.served[cache.role]
                 served.add(now, self.context.mean_work(attempt.request))
                 self.flows[cache.role] = served.total(now) / self.window / len(peers)
--- a/weldbend/routing/cold_caches.py
+++ b/weldbend/routing/warming_caches.py
@@ -11,27 +11,27 @@
 LEAST_WAIT = 0.01  # seconds until a cache is looked at again that is not yet warm when it should be
 
 
-class ColdCaches:
+class WarmingCaches:
     """Caches that warm up; each is looked at after an event, and when it may have changed without one.
 
     Attributes:
-        cold: those that were not warm when they were looked at last.
+        warming: those that were not warm when they were seen last.
         due: when each is to be looked at again.
         waiting: the same as a heap; an entry that `due` does not confirm is an old one.
     """
 
     def __init__(self) -> None:
-        self.cold: set[Cache] = set()
+        self.warming: set[Cache] = set()
         self.due: dict[Cache, float] = {}
         self.waiting: list[tuple[float, int, Cache]] = []
         self.numbers = count()
 
-    def look_at(self, cache: "Cache", now: float) -> None:
+    def update_cache(self, cache: "Cache", now: float) -> None:
         """See whether a cache is warm, and when that may change by itself."""
         if cache.is_warm():
-            self.cold.discard(cache)
+            self.warming.discard(cache)
         else:
-            self.cold.add(cache)
+            self.warming.add(cache)
         self.due.pop(cache, None)
         change = cache.slow_start.next_change()
         if change < math.inf:
@@ -40,13 +40,13 @@
 
     def forget(self, cache: "Cache") -> None:
         """Count a cache no longer."""
-        self.cold.discard(cache)
+        self.warming.discard(cache)
         self.due.pop(cache, None)
 
     def count(self, now: float) -> int:
-        """How many are cold now."""
+        """How many warm up now."""
         while self.waiting and self.waiting[0][0] <= now:
             due, _, cache = heappop(self.waiting)
             if self.due.get(cache) == due:
-                self.look_at(cache, now)
-        return len(self.cold)
+                self.update_cache(cache, now)
+        return len(self.warming)
--- a/weldbend/socket_errors.py
+++ b/weldbend/socket_errors.py
@@ -37,7 +37,7 @@
 )
 """Errors of socket, connect and epoll_ctl that say nothing about the peer."""
 
-GONE_BEFORE_ACCEPT = frozenset(
+ENDED_BEFORE_ACCEPT = frozenset(
     {
         errno.ECONNABORTED,
         errno.EPROTO,
--- a/weldbend/testbed/faults/socket_faults.py
+++ b/weldbend/testbed/faults/socket_faults.py
@@ -26,7 +26,7 @@
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer
 
-SHORT_PART = 3  # a short transfer moves one part in so many
+SHORT_FRACTION = 3  # a short transfer moves one part in so many
 SHORT_READ = 64  # bytes that a short read brings at most
 REAL_SOCKET = socket.socket
 REAL_EPOLL = select.epoll
@@ -67,7 +67,7 @@
         number = self.draw(call, side)
         if number:
             raise OSError(number, os.strerror(number))
-        part = min(size, SHORT_READ) if call is Call.RECEIVE else size // SHORT_PART
+        part = min(size, SHORT_READ) if call is Call.RECEIVE else size // SHORT_FRACTION
         return max(part, 1) if number == SHORT and size else size
 
     def write(self, line: dict[str, Any]) -> None:
--- a/weldbend/testbed/faults/socket_trial.py
+++ b/weldbend/testbed/faults/socket_trial.py
@@ -166,7 +166,7 @@
     def __init__(self, clients: "IdleClients") -> None:
         self.clients = clients
         self.ring = Ring(1 << 16)
-        self.asked_at = 0.0
+        self.requested_at = 0.0
 
     def connectionMade(self) -> None:
         """Ask for the first time."""
@@ -176,7 +176,7 @@
     def ask(self, seqid: int) -> None:
         """Ask for a health check."""
         if self.transport:
-            self.asked_at = time.monotonic()
+            self.requested_at = time.monotonic()
             self.clients.counts["asked"] += 1
             self.transport.write(client_calls.probe(seqid))
 
@@ -187,7 +187,7 @@
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Count the end of the connection, where it was neither this client's nor for its idleness."""
         self.clients.connected.remove(self)
-        is_idle = time.monotonic() > self.asked_at + IDLE_TIMEOUT
+        is_idle = time.monotonic() > self.requested_at + IDLE_TIMEOUT
         if not (self.clients.is_over or is_idle):
             self.clients.counts["ended"] += 1
 
@@ -206,7 +206,7 @@
         """A connection is up."""
         return IdleClient(self)
 
-    def ask_again(self) -> None:
+    def send_again(self) -> None:
         """Have all ask for the second time."""
         for client in list(self.connected):
             client.ask(2)
@@ -287,7 +287,7 @@
 
     def _go_on(self) -> None:
         self._begin("load again")
-        self.idle_clients.ask_again()
+        self.idle_clients.send_again()
         self._play(SECOND_LOAD, self.idle_clients.close)
         self.reactor.callLater(STOP_AFTER, self._stop)
 
--- a/weldbend/testbed/scale/bounds.py
+++ b/weldbend/testbed/scale/bounds.py
@@ -43,7 +43,7 @@
             self.factor * self.value(usual) + self.extra + self.extra_per_thousand * large.caches / THOUSAND
         )
 
-    def is_held(self, usual: ScaleFigures, large: ScaleFigures) -> bool:
+    def is_within(self, usual: ScaleFigures, large: ScaleFigures) -> bool:
         """Whether the large size keeps to it."""
         limit = self.limit(usual, large)
         value = self.value(large)
@@ -64,4 +64,4 @@
 def broken_bounds(usual: ScaleFigures, large: ScaleFigures, is_counted_only: bool) -> list[Bound]:
     """The lines that are missed; where asked for, only of those that are counted."""
     judged = [bound for bound in BOUNDS if bound.is_counted or not is_counted_only]
-    return [bound for bound in judged if not bound.is_held(usual, large)]
+    return [bound for bound in judged if not bound.is_within(usual, large)]
--- a/weldbend/testbed/scale/figures.py
+++ b/weldbend/testbed/scale/figures.py
@@ -26,7 +26,7 @@
         parent_hits: Fills of an edge from a copy at a parent, as a share of all requests.
         origin_bytes: Bytes that the origin gave, for all fronts.
         edges_used: Share of the edges that got a command.
-        busiest_share: Share of the commands at edges that the busiest tenth of the edges got.
+        busiest_fraction: Share of the commands at edges that the busiest tenth of the edges got.
     """
 
     caches: int
@@ -44,15 +44,15 @@
     parent_hits: float
     origin_bytes: int
     edges_used: float
-    busiest_share: float
+    busiest_fraction: float
 
 
-def busiest_share(commands: Sequence[int]) -> float:
+def busiest_fraction(commands: Sequence[int]) -> float:
     """The share of all commands that the busiest tenth of the edges got; 0 where there were none."""
     busiest = max(1, round(BUSIEST_FRACTION * len(commands)))
     return sum(sorted(commands, reverse=True)[:busiest]) / max(sum(commands), 1)
 
 
-def used_share(commands: Sequence[int]) -> float:
+def used_fraction(commands: Sequence[int]) -> float:
     """The share of the edges that got a command."""
     return sum(1 for count in commands if count) / max(len(commands), 1)
--- a/weldbend/testbed/scale/report.py
+++ b/weldbend/testbed/scale/report.py
@@ -18,7 +18,7 @@
     ("fills from copies at parents, share", lambda f: f.parent_hits),
     ("bytes from the origin, MB", lambda f: f.origin_bytes / MEGABYTE),
     ("edges used, share", lambda f: f.edges_used),
-    ("commands at the busiest tenth of edges, share", lambda f: f.busiest_share),
+    ("commands at the busiest tenth of edges, share", lambda f: f.busiest_fraction),
 )
 HEAD = ("for each front", "usual", "large", "bound", "verdict")
 
@@ -30,7 +30,7 @@
         if bound.name == CALLS and not is_counted_only:
             continue
         is_judged = bound.is_counted or not is_counted_only
-        verdict = "held" if bound.is_held(usual, large) else "missed"
+        verdict = "held" if bound.is_within(usual, large) else "missed"
         sign = ">= " if bound.is_least else "<= "
         limit = f"{sign}{bound.limit(usual, large):.2f}"
         rows.append([bound.name, *_pair(bound.value, usual, large), limit, verdict if is_judged else "-"])
@@ -55,7 +55,7 @@
     shown = [bound for bound in BOUNDS if bound.name != CALLS or usual.calls]
     names = [bound.name for bound in shown]
     parts = [bound.value(large) / (bound.limit(usual, large) or 1) for bound in shown]
-    colours = ["tab:blue" if bound.is_held(usual, large) else "tab:red" for bound in shown]
+    colours = ["tab:blue" if bound.is_within(usual, large) else "tab:red" for bound in shown]
     axes.barh(names, parts, color=colours)
     axes.axvline(1.0, color="black", linewidth=1)
     axes.set(xlabel="part of the bound", title=f"{usual.caches} caches and {large.caches}")
--- a/weldbend/testbed/scale/site_run.py
+++ b/weldbend/testbed/scale/site_run.py
@@ -13,7 +13,7 @@
 from weldbend.testbed.load.generator import Load
 from weldbend.testbed.reactor import ProcessReactor
 from weldbend.testbed.scale import call_counter
-from weldbend.testbed.scale.figures import ScaleFigures, busiest_share, used_share
+from weldbend.testbed.scale.figures import ScaleFigures, busiest_fraction, used_fraction
 from weldbend.testbed.scale.plan import ScalePlan
 
 SAMPLE_PERIOD = 0.1  # seconds
@@ -141,8 +141,8 @@
             edge_hits=counts.get("box hits", 0) / max(requests, 1),
             parent_hits=counts.get("box filled", 0) / max(requests, 1),
             origin_bytes=counts.get("origin bytes read", 0),
-            edges_used=used_share(lookups),
-            busiest_share=busiest_share(lookups),
+            edges_used=used_fraction(lookups),
+            busiest_fraction=busiest_fraction(lookups),
         )
 
     def _on_front_end(self, code: int) -> None:
--- a/weldbend/testbed/simulation/audit_records.py
+++ b/weldbend/testbed/simulation/audit_records.py
@@ -26,7 +26,7 @@
     PURGES = "purges kept"  # no copy older than a purge is served
     WARMING_UP = "cold not pushed over"  # a cache that warms up gets no more than its budget
     WARMING_UP_CALLS = "cold calls counted"  # nor more calls than it bears, from all fronts together
-    CLIENT_GONE = "nothing for gone clients"  # no attempt for a client that has closed or cancelled
+    CLIENT_CLOSED = "nothing for gone clients"  # no attempt for a client that has closed or cancelled
     CLOSED_UNANSWERED = "no close without an answer"  # of a connection with a request that was taken
     DEADLINE = "deadline passed on"  # a cache is told no more time than the client has left
 
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SentToCold:
+class SentInSlowStart:
     """An attempt at a cache that warms up, or with it as a source."""
 
     at: float
@@ -71,7 +71,7 @@
     began: float
     weight: float
     kind: str
-    sent: deque[SentToCold] = field(default_factory=deque)  # within a window
+    sent: deque[SentInSlowStart] = field(default_factory=deque)  # within a window
 
 
 @dataclass(frozen=True, slots=True)
@@ -145,6 +145,6 @@
 
     def is_unanswered(self, slack: float, end: float) -> bool:
         """Whether its client still waited when the answer was due, that is over, and nothing excuses it."""
-        is_left_early = self.left is not None and self.left <= self.answer_by + slack
-        is_owed = not (self.answers or self.excuse or self.has_crossed or is_left_early)
+        is_cancelled_early = self.left is not None and self.left <= self.answer_by + slack
+        is_owed = not (self.answers or self.excuse or self.has_crossed or is_cancelled_early)
         return is_owed and self.answer_by + slack < end
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -27,7 +27,7 @@
 from weldbend.thrift.messages import GiveUp, Process
 
 SLACK = 0.05  # seconds that a time limit is longer on sockets
-GONE_SLACK = 0.1  # seconds after its client's end or cancellation in which an attempt may still begin
+CLOSED_SLACK = 0.1  # seconds after its client's end or cancellation in which an attempt may still begin
 DEADLINE_SLACK = 0.15  # seconds that a cache may be told beyond what the client has left
 # Seconds before a front's close within which a request crosses it: its client sends it again.
 CROSSING = 0.05
@@ -119,7 +119,7 @@
                 self._on_request(observed, call)
             case GiveUp(seqid):
                 if request := self.by_call.get((observed.link, seqid)):
-                    self._on_left(observed.at, request)
+                    self._on_cancelled(observed.at, request)
             case RequestRead(seqid):
                 if request := self.by_call.get((observed.link, seqid)):
                     request.is_read = True
@@ -286,9 +286,9 @@
         if request.left is None:
             return
         self.counts["attempts for clients just gone"] += 1
-        if attempt.at > request.left + GONE_SLACK:
+        if attempt.at > request.left + CLOSED_SLACK:
             self._add_violation(
-                Rule.CLIENT_GONE,
+                Rule.CLIENT_CLOSED,
                 request,
                 attempt.at,
                 f"its client left at {request.left:.4f}",
@@ -315,7 +315,7 @@
         for attempt in self._end_attempts(request, observed, answer.status):
             attempt.made_ms = self.copies_given.get((observed.peer, answer.name))
 
-    def _on_left(self, at: float, request: RequestRecord) -> None:
+    def _on_cancelled(self, at: float, request: RequestRecord) -> None:
         """A client waits for a request no more."""
         self.counts["requests left open by clients"] += request.is_awaited()
         if request.left is None:
@@ -326,7 +326,7 @@
         if observed.link not in self.ended_links:
             self.ended_links.add(observed.link)
             for request in self.by_link[observed.link]:
-                self._on_left(observed.at, request)
+                self._on_cancelled(observed.at, request)
 
     def _on_ended_by_front(self, observed: ObservedMessage) -> None:
         """A front closes or resets a client's connection, on which nothing that it has taken may be open."""
--- a/weldbend/testbed/simulation/slow_start_audit.py
+++ b/weldbend/testbed/simulation/slow_start_audit.py
@@ -8,7 +8,7 @@
 import math
 from collections import defaultdict
 
-from weldbend.testbed.simulation.audit_records import CacheStart, Rule, Rules, SentToCold
+from weldbend.testbed.simulation.audit_records import CacheStart, Rule, Rules, SentInSlowStart
 
 FEW_CALLS = 30.0  # below so many calls in a window the bound is wider in proportion
 NOTIFIED_FRACTION = 2 / 3  # of the calls at a fall: above it the fronts could have known
@@ -51,14 +51,14 @@
         rule = self.rules.warm_ups.get(start.kind) if start else None
         if start is None or rule is None:
             return None
-        self._note(start, SentToCold(at, request_class, is_notified))
+        self._note(start, SentInSlowStart(at, request_class, is_notified))
         fraction = rule.least_fraction + (1 - rule.least_fraction) * (at - start.began) / rule.warm_after
         if fraction >= 1:
             return None
         budget = rule.multiple * fraction * start.weight * self.rules.window
         return self._check_calls(start, budget) or (self._check_work(start, budget) if is_notified else None)
 
-    def _note(self, start: CacheStart, sent: SentToCold) -> None:
+    def _note(self, start: CacheStart, sent: SentInSlowStart) -> None:
         start.sent.append(sent)
         while start.sent[0].at < sent.at - self.rules.window:
             start.sent.popleft()
