--- /dev/null
+++ b/tests/test_external_names.py
@@ -0,0 +1,63 @@
+"""Guards against a renaming that reaches names which leave the process.
+
+`data/external_names.txt` lists fields, keys, commands and counters that other programs, stored data and
+operators depend on. Each has to be in the code: as a string or part of one, or as the name of a function or
+field that is written out under its own name.
+"""
+
+import ast
+from collections.abc import Iterator
+from pathlib import Path
+
+ROOT = Path(__file__).parent.parent
+NAMES_FILE = Path(__file__).parent / "data" / "external_names.txt"
+IDENTIFIER_FIELDS = ("id", "attr", "arg", "name")
+
+
+def external_names() -> list[str]:
+    lines = NAMES_FILE.read_text("utf-8").splitlines()
+    return [line for line in lines if line and not line.startswith("#")]
+
+
+def documentation(tree: ast.AST) -> set[int]:
+    """Identities of the nodes of strings that stand alone, which are docstrings."""
+    statements = [node for node in ast.walk(tree) if isinstance(node, ast.Expr)]
+    return {id(statement.value) for statement in statements if isinstance(statement.value, ast.Constant)}
+
+
+def code_words(tree: ast.AST) -> Iterator[str]:
+    """Yield each identifier and each string of a module, but for its docstrings."""
+    skipped = documentation(tree)
+    for node in ast.walk(tree):
+        if isinstance(node, ast.Constant) and id(node) not in skipped:
+            if isinstance(node.value, str):
+                yield node.value
+            elif isinstance(node.value, bytes):
+                yield node.value.decode("latin-1")
+        for field in IDENTIFIER_FIELDS:
+            identifier = getattr(node, field, None)
+            if isinstance(identifier, str):
+                yield identifier
+
+
+def missing_names(names: list[str], words: set[str]) -> list[str]:
+    """The names that are no word of the code and no part of one that holds more than an identifier.
+
+    Click makes a command's name from that of its function, with dashes.
+    """
+    texts = "\n".join(word for word in words if not word.isidentifier())
+    return [n for n in names if n not in words and n not in texts and n.replace("-", "_") not in words]
+
+
+def test_every_external_name_is_in_the_code() -> None:
+    words: set[str] = set()
+    for path in sorted((ROOT / "weldbend").rglob("*.py")):
+        words.update(code_words(ast.parse(path.read_text("utf-8"))))
+    names = external_names()
+    assert len(names) > 500
+    assert missing_names(names, words) == []
+
+
+def test_a_renamed_field_is_missing() -> None:
+    words = set(code_words(ast.parse('"""sight"""\nreply = {"reach": 1, "state": 2}')))
+    assert missing_names(["sight", "state"], words) == ["sight"]
