--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -103,7 +103,7 @@
             case SendAttempt():
                 self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
                 fill = "look" if action.source in (None, action.cache) else f"fill from {action.source}"
-                fill += " if held" * action.only_cached
+                fill += " if held" * action.only_if_cached
                 age = f" age {action.max_age:.3f}" if action.max_age else ""
                 leave = " leave-no-copy" if action.leave_no_copy else ""
                 return f"{action.id}: {action.cache} {fill} rank {action.rank}{leave}{age}"
--- a/tests/test_binding_rules.py
+++ b/tests/test_binding_rules.py
@@ -64,7 +64,7 @@
 
 
 def ignores_warm_up_budgets(monkeypatch):
-    monkeypatch.setattr(Admission, "is_bearable", lambda self, cache, request: True)
+    monkeypatch.setattr(Admission, "has_slow_start_budget", lambda self, cache, request: True)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_decision_work.py
+++ b/tests/test_decision_work.py
@@ -23,7 +23,7 @@
     SettingsChanged,
 )
 from weldbend.routing.messages import Outcome
-from weldbend.routing.placement import MOST_CHOICES
+from weldbend.routing.placement import MAX_CHOICES
 from weldbend.routing.router import Router
 from weldbend.routing.settings import Role
 
@@ -156,7 +156,7 @@
 
 def test_a_request_tries_the_first_caches_by_rank_and_no_more():
     """All are over their limits but the one that is ranked last of those that it may try, then the next."""
-    for place, is_found in ((0, True), (MOST_CHOICES - 1, True), (MOST_CHOICES, False)):
+    for place, is_found in ((0, True), (MAX_CHOICES - 1, True), (MAX_CHOICES, False)):
         site = Site(400)
         edges = list(site.router.context.ready[Role.EDGE].ranked("k1 0"))
         site.limit_all(0.0)
@@ -207,7 +207,7 @@
             cache.handle(details[1])
         case "break" if cache:
             cache.breaks.record_break(site.now, details[1])
-            cache.update_warmth()
+            cache.update_warming()
         case "open":
             site.handle(ConnectionOpened(details[0]))
         case "zone":
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -303,7 +303,7 @@
     parents = tuple(entry(30 + n, Role.PARENT, "h") for n in range(8))
     front = Front((CACHES[0], *parents, CACHES[-1]), fronts=200, hub_fronts=200, zone_fronts=2)
     front.router.context.random.seed_number = 3
-    before = front.router.context.parents.limit()
+    before = front.router.context.parent_limit.limit()
     for n in range(12):
         front.ask(f"d{n}", f"p{n}", now=1 + n / 5)
         front.end(f"d{n}", AttemptResult.MISS)
@@ -311,7 +311,7 @@
             front.end(f"d{n}", AttemptResult.SERVED, took=9.0)
     limits = {cache.concurrency.limit for cache in front.router.caches.values() if cache.role is Role.PARENT}
     assert len(limits) == 1, "no parent had a crowd of its own"
-    assert front.router.context.parents.limit() < 0.4 * before
+    assert front.router.context.parent_limit.limit() < 0.4 * before
 
 
 def test_when_no_edge_is_left_a_parent_is_asked_for_what_it_holds_before_the_origin_has_to():
@@ -643,18 +643,18 @@
 
 def test_one_parent_that_is_late_cuts_its_own_limit_and_not_that_of_all():
     front = many_parents()
-    before = front.router.context.parents.limit()
+    before = front.router.context.parent_limit.limit()
     late = front.router.caches[30]
     for n in range(12):
         front.router.context.now = 1 + n / 10
         late.handle(Outcome.LATE)
     assert late.concurrency.decreased_at > 0
-    assert front.router.context.parents.limit() == before
+    assert front.router.context.parent_limit.limit() == before
 
 
 def test_the_limit_of_all_parents_grows_back_by_answers_in_time():
     front = many_parents()
-    tier = front.router.context.parents
+    tier = front.router.context.parent_limit
     tier.fraction = 0.2
     for n in range(40):
         front.router.context.now = 1 + n
@@ -707,7 +707,7 @@
     )
     front.at(3.5, SettingsChanged(settings))
     cache = front.router.caches[1]
-    assert cache.sent_work.total(3.5) == 4.0 and cache.sharers == 3
+    assert cache.sent_work.total(3.5) == 4.0 and cache.sharing_fronts == 3
     for n in range(8):
         front.ask(f"new{n}", f"new{n}", now=3.5, type="clip")
     sent = [name for name in front.attempts if "new" in name]
@@ -716,7 +716,7 @@
     front.ask("late", "k", now=6.7, type="clip")
     assert "late" in front.attempts and set(front.router.context.settings.classes) == {"clip"}
     front.at(7.0, SettingsChanged(SITE))
-    assert {name for name, _ in front.router.context.statistics.pace} == {
+    assert {name for name, _ in front.router.context.statistics.answer_sums} == {
         "photo",
         "clip",
     }, "one of each is still open"
@@ -724,7 +724,7 @@
         front.end(name, AttemptResult.SERVED, now=7.1)
     front.at(7.2, SettingsChanged(settings))
     assert (
-        {name for name, _ in front.router.context.statistics.pace}
+        {name for name, _ in front.router.context.statistics.answer_sums}
         == {"clip"}
         == set(front.router.context.statistics.work)
     )
--- a/tests/test_half_open.py
+++ b/tests/test_half_open.py
@@ -47,7 +47,7 @@
     front, cache = failing_front()
     front.at(1.0, EjectionUpdate(1, 0.5, is_probe=True))
     assert not is_tried(cache), "the first round is passed on, as its front remembers failures"
-    front.at(6.0, EjectionUpdate(1, 0.5, is_probe=True, is_bound_to_probe=True))
+    front.at(6.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True))
     assert is_tried(cache)
     front.at(11.0, EjectionUpdate(1, 0.0))
     assert not is_tried(cache)
@@ -55,7 +55,7 @@
 
 def test_a_probe_is_judged_by_what_came_since_it_began_and_misses_speak_well():
     front, cache = failing_front()
-    front.at(1.0, EjectionUpdate(1, 0.5, is_probe=True, is_bound_to_probe=True), EjectionUpdate(2, 0.0))
+    front.at(1.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True), EjectionUpdate(2, 0.0))
     assert health_counts(front.router, 1.0)[1] == (0.0, 0.0)
     for name in "abcdefgh":  # half of them go to cache 1
         front.fill(name, now=front.now + 0.1)
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -77,7 +77,7 @@
         while attempts := [action for action in actions if isinstance(action, SendAttempt)]:
             self.sent += [now] * any(self.cold.id in (attempt.cache, attempt.source) for attempt in attempts)
             number = len(router.requests[name].attempts) - 1
-            missed = attempts[-1].only_cached or attempts[-1].source == attempts[-1].cache
+            missed = attempts[-1].only_if_cached or attempts[-1].source == attempts[-1].cache
             result = AttemptResult.MISS if missed else AttemptResult.SERVED
             end = AttemptEnded(name, number, result, WORK, not missed, FillHint.NONE, 0.0, None)
             actions = router.handle(now, [end])
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -922,7 +922,7 @@
     door.dispatcher.endpoints.handle(told, Receipt(door.clock.now()))
     reactor.advance(0.02)
     assert len(reactor.tcpServers) == 1 and door.gateway.is_serving()
-    assert KEY in door.dispatcher.router.admission.purges.moments
+    assert KEY in door.dispatcher.router.admission.purges.purge_times
 
 
 def test_a_start_without_its_bus_waits_for_a_bounded_time_only():
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -139,7 +139,7 @@
 
 
 def ignores_warm_up_budgets(monkeypatch):
-    monkeypatch.setattr(Admission, "is_bearable", lambda self, cache, request: True)
+    monkeypatch.setattr(Admission, "has_slow_start_budget", lambda self, cache, request: True)
 
 
 def ignores_cache_starts(monkeypatch):
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -179,7 +179,9 @@
         timeout: seconds that the attempt may take.
     """
     flags = zip(
-        "jhnr", (action.join_fill, action.only_cached, action.leave_no_copy, action.revalidate), strict=True
+        "jhnr",
+        (action.join_fill, action.only_if_cached, action.leave_no_copy, action.revalidate),
+        strict=True,
     )
     mode = "+".join(letter for letter, is_set in flags if is_set)
     fields = {
--- a/weldbend/routing/actions.py
+++ b/weldbend/routing/actions.py
@@ -19,7 +19,7 @@
         max_age: age in seconds of the oldest copy that will do; 0 for any.
         timeout: seconds after which the attempt is given up; 0 for the request's deadline.
         join_fill: whether it may join a fill that is under way.
-        only_cached: whether the source answers from its copies alone.
+        only_if_cached: whether the source answers from its copies alone.
         leave_no_copy: whether the source keeps none of what it fetches.
         revalidate: whether an ageing copy is renewed after it was served.
     """
@@ -31,7 +31,7 @@
     max_age: float
     timeout: float
     join_fill: bool
-    only_cached: bool
+    only_if_cached: bool
     leave_no_copy: bool
     revalidate: bool
 
--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -7,7 +7,7 @@
 from weldbend.routing.events import AttemptResult, EndpointState
 from weldbend.routing.messages import AdmissionMessage, Blocked, Suspicion
 from weldbend.routing.purge_table import PurgeTable
-from weldbend.routing.records import Attempt, is_same_group
+from weldbend.routing.records import Attempt, shares_idempotency_keys
 from weldbend.routing.requests import Request
 from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 from weldbend.routing.warm_load import WarmLoad
@@ -25,7 +25,7 @@
 MAX_ERRORS = 3  # caches that may answer one request with an error before it fails
 WARM_LOAD_WINDOW = 10.0  # seconds over which is measured what warm caches bear
 PURGE_MARGIN = 0.001  # seconds by which a copy has to be younger than a purge
-LEAST_AGE = 2e-6  # seconds; an age of 0 would mean any
+MIN_COPY_AGE = 2e-6  # seconds; an age of 0 would mean any
 
 
 class Admission(Actor[AdmissionMessage]):
@@ -47,7 +47,7 @@
             case events.LoopLagMeasured(lag):
                 self.lag.add(self.context.now, lag)
             case Attempt():
-                if blocked := self.refusal(message):
+                if blocked := self.find_block(message):
                     self.context.post(message.request, blocked)
                 else:
                     self.send(message)
@@ -82,7 +82,7 @@
             request = Request(context, received, request_class)
             context.post(context.requests.setdefault(received.id, request), received)
 
-    def refusal(self, attempt: Attempt) -> Blocked | None:
+    def find_block(self, attempt: Attempt) -> Blocked | None:
         """Why an attempt may not be sent; None where it may."""
         request = attempt.request
         statistics = self.context.statistics
@@ -93,14 +93,18 @@
         is_densest = statistics.is_densest(request.request_class)
         is_limited = not request.request_class.origin_only
         at_parent = is_limited and attempt.limited_by().role is Role.PARENT
-        if at_parent and not self.context.parents.has_capacity(is_densest):
+        if at_parent and not self.context.parent_limit.has_capacity(is_densest):
             return Blocked(None)
         for cache in attempt.caches():
-            is_primary = cache is request.missed_at or all(
+            is_primary = cache is request.missed_cache or all(
                 c.role is not cache.role for c in request.ruled_out
             )
             is_free = not is_limited or cache.concurrency.has_capacity(is_densest, is_primary)
-            if not is_free or cache.state is not EndpointState.READY or not self.is_bearable(cache, request):
+            if (
+                not is_free
+                or cache.state is not EndpointState.READY
+                or not self.has_slow_start_budget(cache, request)
+            ):
                 return Blocked(cache)
         return None
 
@@ -113,11 +117,11 @@
         now = self.context.now
         errors = sum(attempt.result is AttemptResult.ERROR for attempt in request.attempts)
         budget = RETRY_BUDGET * self.requests.total(now) + RETRY_ALLOWANCE
-        is_spent = request.needs_retry() and self.retries.total(now) >= budget
-        is_over = request.is_closed or now >= request.received.deadline
+        is_budget_spent = request.needs_retry() and self.retries.total(now) >= budget
+        is_expired = request.is_closed or now >= request.received.deadline
         counted = sum(attempt.result is not AttemptResult.LOCAL_FAULT for attempt in request.attempts)
-        is_last = counted >= self.context.settings.max_attempts
-        return errors >= MAX_ERRORS or is_spent or is_over or is_last
+        is_attempt_limit_reached = counted >= self.context.settings.max_attempts
+        return errors >= MAX_ERRORS or is_budget_spent or is_expired or is_attempt_limit_reached
 
     def is_safe(self, attempt: Attempt) -> bool:
         """No effect twice, and never two attempts in flight where a site forbids it."""
@@ -138,9 +142,9 @@
         executions = attempt.request.possible_executions()
         if request_class.idempotency is not Idempotency.DEDUPLICATED:
             return True
-        return all(is_same_group(request_class.deduplication_scope, e, attempt) for e in executions)
+        return all(shares_idempotency_keys(request_class.deduplication_scope, e, attempt) for e in executions)
 
-    def is_bearable(self, cache: Cache, request: Request) -> bool:
+    def has_slow_start_budget(self, cache: Cache, request: Request) -> bool:
         """Whether a cache that may be warming up bears the request."""
         warm_load = self.warm_load.flows.get(cache.role, 0.0)
         return cache.slow_start.admits(self.context.mean_work(request), warm_load)
@@ -159,14 +163,14 @@
         joins = self.context.settings.joins_fills and not any(other.is_fill() for other in request.attempts)
         self.context.actions.append(attempt.action(self.max_age(attempt), joins))
         request.attempts.append(attempt)
-        self.context.post_to_touched(attempt)
+        self.context.post_to_participants(attempt)
 
     def max_age(self, attempt: Attempt) -> float:
         """Oldest copy that will do: never one older than a purge that this front knows of."""
         received = attempt.request.received
         fresh_for = attempt.request.request_class.fresh_for
         purged = self.purges.latest((received.key, received.group))
-        age = 0.0 if purged is None else max(self.context.now - purged - PURGE_MARGIN, LEAST_AGE)
+        age = 0.0 if purged is None else max(self.context.now - purged - PURGE_MARGIN, MIN_COPY_AGE)
         return min(age, fresh_for or age)
 
     def record_purge(self, purge: events.ObjectsPurged) -> None:
@@ -179,7 +183,7 @@
         """An attempt has ended; what it brought is measured where the sizes of links are not told."""
         if request := self.context.requests.get(ended.id):
             attempt = request.end_attempt(ended)
-            self.context.post_to_touched(attempt)
+            self.context.post_to_participants(attempt)
             if ended.result is AttemptResult.SERVED and not self.context.settings.weighted:
                 self.warm_load.record_served(attempt)
 
--- a/weldbend/routing/cache_group.py
+++ b/weldbend/routing/cache_group.py
@@ -13,7 +13,7 @@
     from weldbend.routing.concurrency import ConcurrencyLimit
     from weldbend.routing.context import Context
 
-GROWTH = 4  # times as many choices as before are found where those do not do
+SEARCH_GROWTH_FACTOR = 4  # times as many choices as before are found where those do not do
 
 
 class CacheGroup:
@@ -151,10 +151,10 @@
         most: how many choices there are at most.
     """
 
-    def __init__(self, group: CacheGroup, object_name: str, most: int) -> None:
+    def __init__(self, group: CacheGroup, object_name: str, max_choices: int) -> None:
         self.group = group
         self.object_name = object_name
-        self.most = most
+        self.max_choices = max_choices
         self.found: list[Cache] = []
         self.version = group.version
 
@@ -162,14 +162,14 @@
         if self.version != self.group.version:
             self.version = self.group.version
             self.found = []
-        place = 0
-        while place < min(self.most, len(self.group)):
-            if place == len(self.found):
+        position = 0
+        while position < min(self.max_choices, len(self.group)):
+            if position == len(self.found):
                 self.find_more()
-            yield self.found[place]
-            place += 1
+            yield self.found[position]
+            position += 1
 
     def find_more(self) -> None:
         """Find the first one, or some more than before: a search that goes on starts anew each time."""
-        wanted = min(GROWTH * len(self.found) or 1, self.most)
+        wanted = min(SEARCH_GROWTH_FACTOR * len(self.found) or 1, self.max_choices)
         self.found = list(islice(self.group.ranked(self.object_name), wanted))
--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -13,9 +13,9 @@
 
 HEALTH_WINDOW = 10.0  # seconds of answers that a cache is judged by
 LATE_WEIGHT = 0.5  # what a late answer counts against a cache, a failed one counting one; exact in binary
-OUTLIER_BAR = 0.8  # a suspected cache must draw this part of its peers' success
-LEAST_PRIOR = 0.1  # the least success of peers that serves as prior
-MOST_PRIOR = 0.95  # the greatest one
+OUTLIER_THRESHOLD = 0.8  # a suspected cache must draw this part of its peers' success
+MIN_PRIOR = 0.1  # the least success of peers that serves as prior
+MAX_PRIOR = 0.95  # the greatest one
 
 
 class Cache(CacheRecord):
@@ -50,16 +50,16 @@
                 self.apply_peer_knowledge(message)
             case events.SettingsChanged():
                 self.change_settings()
-                self.update_warmth()
+                self.update_warming()
             case Attempt():
                 self.track(message)
                 if message.result in events.BROKEN:
-                    self.update_warmth()
+                    self.update_warming()
             case Outcome():
                 self.record_outcome(message)
             case _:
                 self.update(message)
-                self.update_warmth()
+                self.update_warming()
 
     def apply_peer_knowledge(self, known: events.PeerKnowledge) -> None:
         """Stricter at once, and never less strict."""
@@ -85,10 +85,10 @@
             self.record_failure(LATE_WEIGHT if outcome is Outcome.LATE else 1.0)
         self.concurrency.count(outcome)
         if self.role is Role.PARENT:
-            self.context.parents.record(outcome)
+            self.context.parent_limit.record(outcome)
         self.concurrency.adapt(outcome)
 
-    def update_warmth(self) -> None:
+    def update_warming(self) -> None:
         """Have its group know whether it is warm, after an event that may have changed that."""
         if self.group is not None:
             self.group.warming.update_cache(self, self.context.now)
@@ -118,21 +118,21 @@
         """
         if self.admitted_fraction < 1 and self.context.random.random() >= self.admitted_fraction:
             return False
-        if self.is_bound_to_probe:
+        if self.must_probe:
             return True
         failures = self.failures.total(self.context.now) + self.peer_failures
-        return failures == 0 or self.draw_success(peer_success) > OUTLIER_BAR * peer_success
+        return failures == 0 or self.draw_success(peer_success) > OUTLIER_THRESHOLD * peer_success
 
     def draw_success(self, peer_success: float = 0.5) -> float:
         """A draw from the posterior of its success rate (Thompson sampling, with a beta prior)."""
         now = self.context.now
-        prior = 2 * min(max(peer_success, LEAST_PRIOR), MOST_PRIOR)
+        prior = 2 * min(max(peer_success, MIN_PRIOR), MAX_PRIOR)
         successes = self.peer_successes + self.successes.total(now)
         failures = self.peer_failures + self.failures.total(now)
         return self.context.random.betavariate(prior + successes, 2 - prior + failures)
 
 
-def slow_side(attempt: Attempt) -> Cache:
+def responsible_cache(attempt: Attempt) -> Cache:
     """Whom a late answer speaks against: a fetch through a parent that is slow says nothing of the origin."""
     parent = attempt.source
     origin = attempt.origin
--- a/weldbend/routing/class_statistics.py
+++ b/weldbend/routing/class_statistics.py
@@ -16,12 +16,12 @@
         least: least duration and least work in seconds that anything is expected to have.
     """
 
-    def __init__(self, classes: Iterable[RequestClass], window: float, prior: int, least: float) -> None:
+    def __init__(self, classes: Iterable[RequestClass], window: float, prior: int, minimum: float) -> None:
         self.window = window
         self.prior = prior
-        self.least = least
+        self.minimum = minimum
         self.classes = tuple(classes)
-        self.pace: dict[tuple[str, Role], tuple[WindowedSum, WindowedSum]] = {}
+        self.answer_sums: dict[tuple[str, Role], tuple[WindowedSum, WindowedSum]] = {}
         self.work: dict[str, tuple[float, int]] = {}
         self.keep_classes({request_class.name for request_class in self.classes})
 
@@ -32,8 +32,9 @@
 
     def keep_classes(self, names: set[str]) -> None:
         """Have figures of the classes named, and of no others."""
-        self.pace = {
-            (name, role): self.pace.get((name, role)) or (WindowedSum(self.window), WindowedSum(self.window))
+        self.answer_sums = {
+            (name, role): self.answer_sums.get((name, role))
+            or (WindowedSum(self.window), WindowedSum(self.window))
             for name in names
             for role in Role
         }
@@ -43,7 +44,7 @@
         self, request_class: RequestClass, role: Role, now: float, duration: float, work: float
     ) -> None:
         """Count an answer that took `duration` seconds; `work` is its size, 0 where that is not told."""
-        durations, sizes = self.pace[request_class.name, role]
+        durations, sizes = self.answer_sums[request_class.name, role]
         durations.add(now, duration)
         sizes.add(now, work or 1.0)
 
@@ -67,7 +68,7 @@
 
     def expected_duration(self, request_class: RequestClass, role: Role, now: float, work: float) -> float:
         """Seconds that an answer of this size (0: not told) from a cache of this role is expected to take."""
-        durations, sizes = (window.total(now) for window in self.pace[request_class.name, role])
-        size = max(work, self.least) if work else 1.0
+        durations, sizes = (window.total(now) for window in self.answer_sums[request_class.name, role])
+        size = max(work, self.minimum) if work else 1.0
         expected = size * (durations + request_class.latency_objective) / (sizes + size)
-        return max(expected, self.least)
+        return max(expected, self.minimum)
--- a/weldbend/routing/concurrency.py
+++ b/weldbend/routing/concurrency.py
@@ -11,7 +11,7 @@
 
 DECREASE_FACTOR = 0.6  # what a decrease leaves of a limit
 DECREASE_INTERVAL = 0.1  # seconds between two decreases
-LEAST_FLEET_LIMIT = 1.0  # bound of a limit on what is in flight, for all fronts together
+MIN_FLEET_LIMIT = 1.0  # bound of a limit on what is in flight, for all fronts together
 INITIAL_SPREAD = 2.0  # first limit: this front's quota of the cache's link, and so many roots of it
 INITIAL_LIMIT = 12.0  # first limit where the sizes of links are not told
 SPILLOVER_FRACTION = 0.5  # of a limit, open to what the hash meant for another cache
@@ -29,8 +29,10 @@
 
     def __init__(self, cache: CacheRecord) -> None:
         self.cache = cache
-        is_told = cache.context.settings.weighted and cache.role is not Role.ORIGIN
-        self.limit = initial_limit(cache.weight / cache.sharers) if is_told else INITIAL_LIMIT
+        is_link_size_known = cache.context.settings.weighted and cache.role is not Role.ORIGIN
+        self.limit = (
+            initial_limit(cache.weight / cache.sharing_fronts) if is_link_size_known else INITIAL_LIMIT
+        )
         self.timely = PooledSum(OVERLOAD_WINDOW)
         self.late = PooledSum(OVERLOAD_WINDOW)
         self.decreased_at = -math.inf
@@ -40,7 +42,7 @@
         limit = self.limit * (DENSEST_HEADROOM if is_densest else 1.0)
         limit *= 1.0 if is_primary else SPILLOVER_FRACTION
         free = limit - len(self.cache.in_flight) - PASS_THROUGH_WEIGHT * self.cache.passing_through
-        chance = free + (1 - free) / self.cache.sharers
+        chance = free + (1 - free) / self.cache.sharing_fronts
         return free >= 1 or (free > 0 and self.cache.context.random.random() < chance)
 
     def count(self, outcome: Outcome) -> None:
@@ -63,7 +65,7 @@
         """Decrease the limit where more than a few answers came late."""
         if is_overloaded(self.late.total(now), self.timely.total(now)):
             self.decreased_at = now
-            self.limit = max(LEAST_FLEET_LIMIT / self.cache.sharers, self.limit * DECREASE_FACTOR)
+            self.limit = max(MIN_FLEET_LIMIT / self.cache.sharing_fronts, self.limit * DECREASE_FACTOR)
 
 
 class ParentConcurrencyLimit:
@@ -109,8 +111,8 @@
 
     def has_capacity(self, is_densest: bool) -> bool:
         """Whether one more may go, below one by chance; always where the sizes of links are not told."""
-        most = max(self.limit(), LEAST_FLEET_LIMIT * self.context.parent_fraction)
-        free = most * (DENSEST_HEADROOM if is_densest else 1.0) - self.context.parents_in_flight
+        limit = max(self.limit(), MIN_FLEET_LIMIT * self.context.parent_fraction)
+        free = limit * (DENSEST_HEADROOM if is_densest else 1.0) - self.context.parents_in_flight
         is_free = not self.context.settings.weighted or free >= 1
         return is_free or (free > 0 and self.context.random.random() < free)
 
--- a/weldbend/routing/connection_breaks.py
+++ b/weldbend/routing/connection_breaks.py
@@ -28,10 +28,10 @@
         if now < self.broken_at + self.reconnect_window:
             self.broken_at = self.unreachable_at
 
-    def settles_at(self) -> float:
+    def grace_ends_at(self) -> float:
         """The moment from which on a break may have been a restart."""
         return self.broken_at + self.grace
 
     def possible_restart(self, now: float) -> float:
         """The last moment at which the cache may have started unnoticed; minus infinity for never."""
-        return self.unreachable_at if now < self.settles_at() else self.broken_at
+        return self.unreachable_at if now < self.grace_ends_at() else self.broken_at
--- a/weldbend/routing/context.py
+++ b/weldbend/routing/context.py
@@ -36,14 +36,14 @@
         requests: the open ones, and those with attempts in flight, by id.
         parent_fraction: this front's fraction of what all fronts have in flight at the parents.
         parents_in_flight: attempts of this front in flight at all parents.
-        parents: the limit on what is in flight there.
+        parent_limit: the limit on what is in flight there.
         prefilter, placement, admission: the parts that requests go through.
     """
 
     prefilter: "Actor[Request]"
     placement: Actor[Any]
     admission: Actor[Any]
-    parents: "ParentConcurrencyLimit"
+    parent_limit: "ParentConcurrencyLimit"
     ready: dict[Role, RoleGroup]
 
     def __init__(self, seed: int, settings: SiteSettings, statistics: ClassStatistics) -> None:
@@ -85,8 +85,8 @@
         for cache in self.changed:
             if cache.state is EndpointState.REMOVED:
                 self.caches.pop(cache.id, None)
-            is_near = cache.role is not Role.EDGE or cache.zone == self.settings.zone
-            is_ready = cache.state is EndpointState.READY and is_near
+            serves_this_zone = cache.role is not Role.EDGE or cache.zone == self.settings.zone
+            is_ready = cache.state is EndpointState.READY and serves_this_zone
             is_at_hub = cache.role is Role.PARENT and cache.zone == self.settings.hub
             self.put_or_remove(cache, self.ready[cache.role], is_ready)
             self.put_or_remove(cache, self.hub_parents, is_ready and is_at_hub)
@@ -103,7 +103,7 @@
         """Have `TimerFired(token)` come after `delay` seconds."""
         self.actions.append(SetTimer(delay, token, request, attempt))
 
-    def post_to_touched(self, attempt: "Attempt") -> None:
+    def post_to_participants(self, attempt: "Attempt") -> None:
         """Tell the start or end of an attempt to all that it touches, the request last."""
         for cache in attempt.caches():
             self.post(cache, attempt)
--- a/weldbend/routing/endpoint_table.py
+++ b/weldbend/routing/endpoint_table.py
@@ -27,12 +27,12 @@
                 context.caches[endpoint.id] = self.make_cache(endpoint)
             context.post(context.caches[endpoint.id], endpoint)
         if event.scope is not ListScope.CHANGES:
-            self.remove_unnamed({endpoint.id for endpoint in event.endpoints})
+            self.remove_unlisted({endpoint.id for endpoint in event.endpoints})
         context.post(context.placement, event)
 
-    def remove_unnamed(self, named: set[int]) -> None:
+    def remove_unlisted(self, listed: set[int]) -> None:
         """What a complete list does not name is removed."""
         for cache in self.context.caches.values():
-            if cache.id not in named:
+            if cache.id not in listed:
                 cache.state = EndpointState.REMOVED
                 self.context.changed[cache] = None
--- a/weldbend/routing/events.py
+++ b/weldbend/routing/events.py
@@ -79,10 +79,10 @@
     FILLED = auto()
     FROM_ORIGIN = auto()
     JOINED = auto()
-    OLD = auto()
+    STALE = auto()
     SOURCE_REFUSED = auto()
     SOURCE_BROKE = auto()
-    SOURCE_LACKS = auto()
+    SOURCE_MISSED = auto()
     NO_PLACE = auto()
     ORIGIN_FAILED = auto()
 
@@ -297,14 +297,14 @@
 
     Attributes:
         is_probe: whether the cache is half-open, and this front is the one that sends to it.
-        is_bound_to_probe: whether it sends whatever failures it remembers, as an earlier probe has brought
+        must_probe: whether it sends whatever failures it remembers, as an earlier probe has brought
             nothing.
     """
 
     cache: int
     admitted_fraction: float
     is_probe: bool = False
-    is_bound_to_probe: bool = False
+    must_probe: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldbend/routing/object_counts.py
+++ b/weldbend/routing/object_counts.py
@@ -10,9 +10,9 @@
         self.size = size
         self.counts: OrderedDict[str, int] = OrderedDict()
 
-    def count(self, name: str, step: int, most: int) -> int:
+    def count(self, name: str, step: int, highest: int) -> int:
         """Add `step` to an object's count, which stays within 1 and `most`, and return it."""
-        count = min(max(self.counts.pop(name, 0) + step, 1), most)
+        count = min(max(self.counts.pop(name, 0) + step, 1), highest)
         self.counts[name] = count
         if len(self.counts) > self.size:
             self.counts.popitem(last=False)
--- a/weldbend/routing/placement.py
+++ b/weldbend/routing/placement.py
@@ -19,8 +19,9 @@
 COPY_RANK = 2  # the rank of such a copy
 TABLE_SIZE = 8192  # objects that the prefilter remembers
 RATE_WINDOW = 10.0  # seconds over which cache rates are measured
-MOST_CHOICES = 32  # caches of a group, the first by hash, that one request may try or draw for
-LACK_WINDOW = 10.0  # seconds after a decrease for which a parent that lacks an object is not preferred
+MAX_CHOICES = 32  # caches of a group, the first by hash, that one request may try or draw for
+# seconds after a decrease for which a parent that lacks an object is not preferred
+OVERLOADED_PARENT_WINDOW = 10.0
 
 
 class Placement(Actor[PlacementMessage]):
@@ -45,9 +46,9 @@
             origin = self.pick(request, self.context.ready[Role.ORIGIN], 0.0)
             return Attempt(request, origin) if origin else None
         edges = self.context.ready[Role.EDGE]
-        missed_at = request.missed_at
-        if missed_at is not None and missed_at in edges and missed_at not in request.ruled_out:
-            return self.plan_fill(request, missed_at)
+        missed_cache = request.missed_cache
+        if missed_cache is not None and missed_cache in edges and missed_cache not in request.ruled_out:
+            return self.plan_fill(request, missed_cache)
         edge = self.pick(request, edges, edges.success_rate())
         if edge is None:
             return self.plan_at_parent(request)
@@ -64,8 +65,8 @@
             parent = self.pick(request, self.context.ready[Role.PARENT], 0.0)
         if parent is None:
             return None
-        lacks = request.lacking_parent or not parent.is_warm() or request.request_class.origin_only
-        return Attempt(request, parent, origins.first() if lacks else None)
+        must_fetch = request.missed_parent or not parent.is_warm() or request.request_class.origin_only
+        return Attempt(request, parent, origins.first() if must_fetch else None)
 
     def plan_fill(self, request: Request, edge: Cache) -> Attempt | None:
         """A parent first gives what it holds: wanted before, if at another front, the edge may keep that.
@@ -79,19 +80,19 @@
         origins = self.context.ready[Role.ORIGIN]
         is_parent = source.role is Role.PARENT and not request.request_class.origin_only
         if is_parent and origins and edge.is_warm():
-            attempt.origin = origins.first() if request.lacking_parent else None
-            attempt.only_cached = not request.lacking_parent and source.is_warm()
+            attempt.origin = origins.first() if request.missed_parent else None
+            attempt.only_if_cached = not request.missed_parent and source.is_warm()
         self.decide_copies(attempt)
         return attempt
 
     def decide_copies(self, attempt: Attempt) -> None:
         """The two tests: best value and lowest cache rate keep the copy, the others leave none."""
         request = attempt.request
-        if attempt.only_cached:  # the edge alone may keep what a parent holds already
+        if attempt.only_if_cached:  # the edge alone may keep what a parent holds already
             attempt.rank = min(COPY_RANK, request.popularity.level)
             return
-        keeps = not request.request_class.origin_only
-        tiers = {cache.role for cache in attempt.caches() if cache.role in HOP_VALUE and keeps}
+        is_cacheable = not request.request_class.origin_only
+        tiers = {cache.role for cache in attempt.caches() if cache.role in HOP_VALUE and is_cacheable}
         chosen = self.choose_tiers(request, tiers)
         self.rates.record(tiers, chosen, self.context.now)
         attempt.rank = COPY_RANK if Role.EDGE in chosen else 0
@@ -113,39 +114,42 @@
         """The hub's parent by hash, then any by hash; the origin where no parent does as well."""
         parents = self.context.ready[Role.PARENT]
         origins = self.context.ready[Role.ORIGIN]
-        lacking = request.lacking_parent
-        near = self.context.hub_parents
-        if lacking and self.context.now - lacking.concurrency.decreased_at < LACK_WINDOW:
-            near = parents
-        if picked := self.pick_trusted(request, near or parents, 1.0):
+        missed_parent = request.missed_parent
+        preferred = self.context.hub_parents
+        if (
+            missed_parent
+            and self.context.now - missed_parent.concurrency.decreased_at < OVERLOADED_PARENT_WINDOW
+        ):
+            preferred = parents
+        if picked := self.pick_trusted(request, preferred or parents, 1.0):
             return picked
         candidates = [*self.choices(request, parents), *self.choices(request, origins)]
         success = 1 - min((cache.failure_rate() for cache in candidates), default=0.0)
         picked = self.pick_trusted(request, parents, success)
         if picked or any(cache in parents for cache in request.ruled_out):
             return picked or self.pick_trusted(request, origins, success)
-        sound = (cache for cache in candidates if cache not in request.failed_at)
-        return max(sound, key=Cache.draw_success, default=None)
+        not_failed = (cache for cache in candidates if cache not in request.failed_caches)
+        return max(not_failed, key=Cache.draw_success, default=None)
 
     def pick(self, request: Request, caches: CacheGroup, peer_success: float) -> Cache | None:
         """The first by hash that is trusted, else the best draw of those not ruled out."""
         if picked := self.pick_trusted(request, caches, peer_success):
             return picked
         ranked = [cache for cache in self.choices(request, caches) if cache not in request.ruled_out]
-        sound = [cache for cache in ranked if cache not in request.failed_at]
-        return max(sound or ranked, key=Cache.draw_success, default=None)
+        not_failed = [cache for cache in ranked if cache not in request.failed_caches]
+        return max(not_failed or ranked, key=Cache.draw_success, default=None)
 
     def pick_trusted(self, request: Request, caches: CacheGroup, peer_success: float) -> Cache | None:
         """The first by hash that is trusted, not ruled out, and has not failed the request."""
-        excluded = request.ruled_out | request.failed_at
-        left = (cache for cache in self.choices(request, caches) if cache not in excluded)
-        return next((cache for cache in left if cache.is_trusted(peer_success)), None)
+        excluded = request.ruled_out | request.failed_caches
+        remaining = (cache for cache in self.choices(request, caches) if cache not in excluded)
+        return next((cache for cache in remaining if cache.is_trusted(peer_success)), None)
 
     def choices(self, request: Request, caches: CacheGroup) -> Choices:
         """The first caches by hash: no request tries more, however many there are.
 
         Guards against requests whose work grows with the number of caches, where none is trusted or all are
-        over their limits. Harm: one whose first `MOST_CHOICES` are all of no use is rejected, or gets a bad
+        over their limits. Harm: one whose first `MAX_CHOICES` are all of no use is rejected, or gets a bad
         cache, though a later one would do.
         """
-        return request.choices_in(caches, MOST_CHOICES)
+        return request.choices_in(caches, MAX_CHOICES)
--- a/weldbend/routing/random_source.py
+++ b/weldbend/routing/random_source.py
@@ -4,7 +4,7 @@
 import zlib
 
 RANGE = 2**32
-WORD = RANGE - 1
+WORD_MASK = RANGE - 1
 
 
 class RandomSource(random.Random):
@@ -27,6 +27,6 @@
         """The next number, in [0, 1)."""
         self.count += 1
         drawn = zlib.crc32(b"%d:%d" % (self.seed_number, self.count))
-        drawn = (drawn ^ drawn >> 16) * 0x7FEB352D & WORD
-        drawn = (drawn ^ drawn >> 15) * 0x846CA68B & WORD
+        drawn = (drawn ^ drawn >> 16) * 0x7FEB352D & WORD_MASK
+        drawn = (drawn ^ drawn >> 15) * 0x846CA68B & WORD_MASK
         return (drawn ^ drawn >> 16) / RANGE
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -43,7 +43,7 @@
         source: where a miss is filled from; None where it only looks whether the cache has the object.
         rank: with which the cache keeps a copy; 0 for not at all.
         leave_no_copy: whether the source keeps none of what it fetches.
-        only_cached: whether the source answers from its copies alone.
+        only_if_cached: whether the source answers from its copies alone.
         origin: the origin, where the source is known to fetch from there.
         number: its place among the request's attempts, from 0.
         sent: when it was handed over.
@@ -58,7 +58,7 @@
     source: "Cache | None" = None
     rank: int = 0
     leave_no_copy: bool = False
-    only_cached: bool = False
+    only_if_cached: bool = False
     origin: "Cache | None" = None
     number: int = 0
     sent: float = 0.0
@@ -73,8 +73,8 @@
 
     def caches(self) -> "list[Cache]":
         """All caches that it touches, those that do the work first."""
-        touched = [self.cache] if self.source in (None, self.cache) else [self.source, self.cache]
-        return touched if self.origin is None or self.origin in touched else [self.origin, *touched]
+        caches = [self.cache] if self.source in (None, self.cache) else [self.source, self.cache]
+        return caches if self.origin is None or self.origin in caches else [self.origin, *caches]
 
     def timeout_token(self) -> str:
         """Token of the timer after which it is suspected."""
@@ -82,7 +82,7 @@
 
     def is_fill(self) -> bool:
         """Whether its cache may be filling a copy from elsewhere."""
-        return self.source is not None and not self.only_cached
+        return self.source is not None and not self.only_if_cached
 
     def action(self, max_age: float, join_fill: bool) -> SendAttempt:
         """The attempt as an action."""
@@ -97,7 +97,7 @@
             max_age=max_age,
             timeout=0.0,
             join_fill=join_fill,
-            only_cached=self.only_cached,
+            only_if_cached=self.only_if_cached,
             leave_no_copy=self.leave_no_copy,
             revalidate=False,
         )
@@ -120,11 +120,11 @@
         object_name: names what a copy is of; prefilter and hash go by it.
         executions: attempts of other fronts that may have been executed.
         attempts: this front's, in the order in which they were sent.
-        failed_at: caches that failed it.
+        failed_caches: caches that failed it.
         ruled_out: caches that may not be used for it.
         choices: the caches that come first for its object, by the group that they are chosen from.
-        missed_at: the edge that was looked at and lacks the object.
-        lacking_parent: the parent that was found to lack it.
+        missed_cache: the edge that was looked at and lacks the object.
+        missed_parent: the parent that was found to lack it.
         error_suspects: caches that answered with an error, and may be at fault for it.
         popularity: what the prefilter says of its object.
         is_closed: whether it has its final answer or was cancelled.
@@ -137,11 +137,11 @@
         self.object_name = f"{received.key} {received.part}"
         self.executions = list(received.possible_executions)
         self.attempts: list[Attempt] = []
-        self.failed_at: set[Cache] = set()
+        self.failed_caches: set[Cache] = set()
         self.ruled_out: set[Cache] = set()
         self.choices: dict[CacheGroup, Choices] = {}
-        self.missed_at: Cache | None = None
-        self.lacking_parent: Cache | None = None
+        self.missed_cache: Cache | None = None
+        self.missed_parent: Cache | None = None
         self.error_suspects: list[Cache] = []
         self.popularity = Popularity(0, 0.0)
         self.is_closed = False
@@ -164,17 +164,17 @@
 
     def record_miss(self, attempt: Attempt) -> None:
         """Remember who was found to lack the object: the cache, and the parent that was asked for it."""
-        self.missed_at = attempt.cache
-        parent = attempt.cache if attempt.cache.role is Role.PARENT else self.lacking_parent
-        self.lacking_parent = attempt.source or parent
+        self.missed_cache = attempt.cache
+        parent = attempt.cache if attempt.cache.role is Role.PARENT else self.missed_parent
+        self.missed_parent = attempt.source or parent
 
-    def choices_in(self, group: CacheGroup, most: int) -> Choices:
+    def choices_in(self, group: CacheGroup, max_choices: int) -> Choices:
         """The caches of a group that come first for its object, at most so many."""
         if group not in self.choices:
-            self.choices[group] = Choices(group, self.object_name, most)
+            self.choices[group] = Choices(group, self.object_name, max_choices)
         return self.choices[group]
 
-    def forget_if_done(self) -> None:
+    def discard_if_finished(self) -> None:
         """Let go of the request, unless an attempt is in flight."""
         if not self.in_flight():
             self.context.requests.pop(self.received.id, None)
@@ -189,7 +189,7 @@
         peer_successes, peer_failures: how attempts ended at other fronts, as weighted counts.
         admitted_fraction: of its work that it may have, by the fleet's outlier detection.
         is_probed: whether it is half-open, and this front the one that sends to it.
-        is_bound_to_probe: whether that is due whatever is remembered.
+        must_probe: whether that is due whatever is remembered.
         probe_counts: answers since that began, until the cache has all of its work again; else None.
         quota: this front's quota of what may be sent while it warms up.
         sent_work, wanted_work: seconds of work sent, and asked for, within the overload window.
@@ -211,12 +211,12 @@
         self.state = endpoint.state
         self.weight = endpoint.weight
         self.started = endpoint.started
-        self.sharers = self.context.settings.sharers(self.role)
+        self.sharing_fronts = self.context.settings.sharing_fronts(self.role)
         self.peer_successes = 0.0
         self.peer_failures = 0.0
         self.admitted_fraction = 1.0
         self.is_probed = False
-        self.is_bound_to_probe = False
+        self.must_probe = False
         self.probe_counts: ProbeCounts | None = None
         self.sent_work = WindowedSum(context.settings.edge_overload_window)
         self.in_flight: dict[Attempt, None] = {}
@@ -227,7 +227,7 @@
         self.count_in_flight(-len(self.in_flight))
         self.breaks = breaks
         self.health_window = health_window
-        self.sharers = self.context.settings.sharers(self.role)
+        self.sharing_fronts = self.context.settings.sharing_fronts(self.role)
         self.quota = SlowStartQuota(self.id)
         self.wanted_work = WindowedSum(self.context.settings.edge_overload_window)
         self.successes = PooledSum(health_window)
@@ -241,7 +241,7 @@
         """Go by the settings as they are: what was sent counts in the new window as if it were sent now."""
         now = self.context.now
         window = self.context.settings.edge_overload_window
-        self.sharers = self.context.settings.sharers(self.role)
+        self.sharing_fronts = self.context.settings.sharing_fronts(self.role)
         self.wanted_work = WindowedSum(window)
         sent = self.sent_work.total(now)
         self.sent_work = WindowedSum(window)
@@ -264,7 +264,7 @@
                 elif event.admitted_fraction >= 1:
                     self.probe_counts = None
                 self.is_probed = event.is_probe
-                self.is_bound_to_probe = event.is_bound_to_probe
+                self.must_probe = event.must_probe
 
     def track(self, attempt: Attempt) -> None:
         """Count an attempt that touches it and was sent, or has ended."""
@@ -296,7 +296,7 @@
             self.context.parents_in_flight += change
 
 
-def is_same_group(
+def shares_idempotency_keys(
     scope: DeduplicationScope, execution: Attempt | PossibleExecution, attempt: Attempt
 ) -> bool:
     """Whether the caches of both share their memory of idempotency keys."""
--- a/weldbend/routing/rendezvous.py
+++ b/weldbend/routing/rendezvous.py
@@ -20,8 +20,8 @@
 NUMBERS = Struct(f"<{BUCKETS}I")
 NUMBER_RANGE = 2**32
 NUMBER_BYTES = 4
-HALF = b"\x80" * BUCKETS  # as the lowest byte of each number: it is never 0
-MOST_WEIGHT = 1e100  # a cache counts no more, so that sums stay finite
+LOWEST_BYTES = b"\x80" * BUCKETS  # as the lowest byte of each number: it is never 0
+MAX_WEIGHT = 1e100  # a cache counts no more, so that sums stay finite
 ROUNDING = 1e-9  # relative slack, far above the error of a logarithm
 
 
@@ -37,7 +37,7 @@
 def bucket_numbers(object_name: str) -> tuple[int, ...]:
     """What an object draws for each bucket, from (0, `NUMBER_RANGE`)."""
     digest = bytearray(shake_128(object_name.encode()).digest(NUMBER_BYTES * BUCKETS))
-    digest[::NUMBER_BYTES] = HALF
+    digest[::NUMBER_BYTES] = LOWEST_BYTES
     return NUMBERS.unpack(digest)
 
 
@@ -59,10 +59,10 @@
         """Give a cache another weight; None removes it."""
         self.weights.pop(cache, None)
         if weight is not None:
-            self.weights[cache] = min(weight, MOST_WEIGHT)
+            self.weights[cache] = min(weight, MAX_WEIGHT)
         self.weight = math.fsum(self.weights.values())
 
-    def first_time(self, numbers: tuple[int, ...]) -> float:
+    def first_arrival(self, numbers: tuple[int, ...]) -> float:
         """When its first cache arrives."""
         return -math.log(numbers[self.number] / NUMBER_RANGE) / self.weight
 
@@ -73,10 +73,10 @@
         times = {cache: arrival_time(object_name, cache, weight) for cache, weight in self.weights.items()}
         return sorted(times, key=lambda cache: (times[cache], cache), reverse=True)
 
-    def wait(self, object_name: str, left: list[int]) -> float:
+    def interarrival_time(self, object_name: str, remaining: list[int]) -> float:
         """Seconds from one arrival to the next one, where these caches are left."""
-        weight = math.fsum(self.weights[cache] for cache in left)
-        return arrival_time(f"{object_name} bucket {self.number}", len(left), weight)
+        weight = math.fsum(self.weights[cache] for cache in remaining)
+        return arrival_time(f"{object_name} bucket {self.number}", len(remaining), weight)
 
 
 class Ranking:
@@ -124,12 +124,12 @@
         """The bucket whose first cache arrives first; it is among those with a number near the highest."""
         highest = max(compress(numbers, self.occupied)) / NUMBER_RANGE
         least = highest ** self.weight_ratio() * NUMBER_RANGE * (1 - ROUNDING)
-        near = [bucket for bucket in self.buckets.values() if numbers[bucket.number] >= least]
-        return min(near, key=lambda bucket: (bucket.first_time(numbers), bucket.number))
+        candidates = [bucket for bucket in self.buckets.values() if numbers[bucket.number] >= least]
+        return min(candidates, key=lambda bucket: (bucket.first_arrival(numbers), bucket.number))
 
     def in_order(self, object_name: str, numbers: tuple[int, ...]) -> Iterator[int]:
         """All caches in the order of their arrival, with waits drawn for those that share a bucket."""
-        arrivals = [(bucket.first_time(numbers), bucket.number) for bucket in self.buckets.values()]
+        arrivals = [(bucket.first_arrival(numbers), bucket.number) for bucket in self.buckets.values()]
         heapify(arrivals)
         orders: dict[int, list[int]] = {}
         while arrivals:
@@ -137,9 +137,9 @@
             bucket = self.buckets[number]
             if number not in orders:
                 orders[number] = bucket.ranked(object_name)
-            left = orders[number]
-            yield left.pop()
-            if left:
-                heapreplace(arrivals, (time + bucket.wait(object_name, left), number))
+            remaining = orders[number]
+            yield remaining.pop()
+            if remaining:
+                heapreplace(arrivals, (time + bucket.interarrival_time(object_name, remaining), number))
             else:
                 heappop(arrivals)
--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -2,21 +2,22 @@
 
 from weldbend.routing import events
 from weldbend.routing.actions import CancelAttempt
-from weldbend.routing.cache_state import Cache, slow_side
+from weldbend.routing.cache_state import Cache, responsible_cache
 from weldbend.routing.events import AttemptResult, FillHint
 from weldbend.routing.messages import Blocked, Outcome, Popularity, RequestMessage, Suspicion
 from weldbend.routing.records import Attempt, RequestRecord
 from weldbend.routing.settings import Idempotency
 
 TIMEOUT_FACTOR = 2.5  # expected durations that an attempt may take before it is suspected
-ANSWERS_DUE = 3.0  # answers that would have come meanwhile, from which on a cache's silence says something
-NO_EVIDENCE = {
+# answers that would have come meanwhile, from which on a cache's silence says something
+MIN_EXPECTED_ANSWERS = 3.0
+INCONCLUSIVE_RESULTS = {
     AttemptResult.CANCELLED,
     AttemptResult.SUPERSEDED,
     AttemptResult.MALFORMED,
     AttemptResult.LOCAL_FAULT,
 }
-NO_RETRY = {  # a further attempt is no retry
+RETRY_EXEMPT_RESULTS = {  # a further attempt is no retry
     AttemptResult.MISS,
     AttemptResult.MALFORMED,
     AttemptResult.RESET,
@@ -29,7 +30,7 @@
 
     def needs_retry(self) -> bool:
         """Whether another attempt would repeat one, rather than fill what a lookup found missing."""
-        return any(a.result not in NO_RETRY and not a.is_silent for a in self.attempts)
+        return any(a.result not in RETRY_EXEMPT_RESULTS and not a.is_silent for a in self.attempts)
 
     def handle(self, message: RequestMessage) -> None:
         """Go on by what has come: ends count to the last, all else only until the final answer."""
@@ -45,8 +46,10 @@
         """Go on, where the final answer is still to come."""
         match message:
             case events.RequestReceived():
-                left = max(self.received.deadline - self.context.now - 2 * self.context.settings.tick, 0.0)
-                self.context.start_timer(left, f"end:{self.received.id}", self.received.id)
+                remaining = max(
+                    self.received.deadline - self.context.now - 2 * self.context.settings.tick, 0.0
+                )
+                self.context.start_timer(remaining, f"end:{self.received.id}", self.received.id)
                 self.context.post(self.context.prefilter, self)
             case Popularity():
                 self.popularity = message
@@ -84,13 +87,15 @@
         """
         context = self.context
         attempt = suspicion.attempt
-        is_due = attempt.cache.answer_rate() * (context.now - attempt.sent) >= ANSWERS_DUE
+        is_answer_expected = (
+            attempt.cache.answer_rate() * (context.now - attempt.sent) >= MIN_EXPECTED_ANSWERS
+        )
         is_repeated = attempt.is_suspected
-        attempt.is_silent = suspicion.is_silent and (is_repeated or is_due)
+        attempt.is_silent = suspicion.is_silent and (is_repeated or is_answer_expected)
         attempt.is_suspected = True
-        is_sound = not is_repeated and self.blame(attempt).is_trusted(1.0)
+        is_healthy = not is_repeated and self.attribute_failure(attempt).is_trusted(1.0)
         hedges = context.settings.allows_hedging
-        if not (is_repeated or attempt.is_silent) and (is_sound or not hedges):
+        if not (is_repeated or attempt.is_silent) and (is_healthy or not hedges):
             self.set_timeout(attempt)
         elif hedges and self.request_class.idempotency is not Idempotency.NON_IDEMPOTENT:
             context.post(context.placement, self)
@@ -105,21 +110,21 @@
         elif attempt.result is AttemptResult.MISS:
             self.record_miss(attempt)
         elif attempt.result is AttemptResult.LOCAL_FAULT:
-            self.pass_by(attempt.cache)
-        elif attempt.result not in NO_EVIDENCE and not attempt.is_suspected:
-            self.blame(attempt)
+            self.avoid_cache(attempt.cache)
+        elif attempt.result not in INCONCLUSIVE_RESULTS and not attempt.is_suspected:
+            self.attribute_failure(attempt)
         if attempt.ended.request_closed:
             self.close()
         elif not self.is_closed and all(other.is_suspected for other in self.in_flight()):
             self.context.post(self.context.placement, self)
         else:
-            self.forget_if_done()
+            self.discard_if_finished()
 
-    def pass_by(self, cache: Cache) -> None:
+    def avoid_cache(self, cache: Cache) -> None:
         """Prefer another cache for this request: this machine may have a connection or a route there."""
-        self.failed_at.add(cache)
-        if cache is self.missed_at:
-            self.missed_at = None
+        self.failed_caches.add(cache)
+        if cache is self.missed_cache:
+            self.missed_cache = None
 
     def record_served(self, attempt: Attempt, duration: float) -> None:
         """Learn duration and size; a late answer must not pass for a large object."""
@@ -137,9 +142,9 @@
         if not is_late:
             context.post(limited_by, Outcome.SUCCESS)
         elif not attempt.is_suspected:
-            context.post(slow_side(attempt), Outcome.LATE)
+            context.post(responsible_cache(attempt), Outcome.LATE)
 
-    def blame(self, attempt: Attempt) -> Cache:
+    def attribute_failure(self, attempt: Attempt) -> Cache:
         """A lookup speaks for its edge, a fill for its source: the edge had answered the lookup before.
 
         A bare error speaks against a cache once another serves the same request. Guards against requests that
@@ -148,17 +153,17 @@
         hint = attempt.ended and attempt.ended.fill_hint
         is_reset = attempt.result is AttemptResult.RESET
         at_edge = attempt.is_silent or attempt.result in events.BROKEN or hint is FillHint.NO_PLACE
-        guilty = attempt.cache if at_edge else slow_side(attempt)
+        blamed = attempt.cache if at_edge else responsible_cache(attempt)
         if attempt.result is AttemptResult.ERROR and hint is FillHint.NONE:
-            self.error_suspects.append(guilty)
+            self.error_suspects.append(blamed)
         else:
             is_lost = attempt.is_silent or is_reset
-            self.context.post(guilty, Outcome.CONNECTION_LOST if is_lost else Outcome.FAILURE)
+            self.context.post(blamed, Outcome.CONNECTION_LOST if is_lost else Outcome.FAILURE)
         if not is_reset:
-            self.failed_at |= {guilty, guilty if at_edge else attempt.source or guilty}
-        if guilty is self.missed_at:
-            self.missed_at = None
-        return guilty
+            self.failed_caches |= {blamed, blamed if at_edge else attempt.source or blamed}
+        if blamed is self.missed_cache:
+            self.missed_cache = None
+        return blamed
 
     def close(self) -> None:
         """It has its final answer, or needs none: cancel what is in flight, where the site allows that."""
@@ -166,4 +171,4 @@
             for attempt in self.in_flight():
                 self.context.actions.append(CancelAttempt(self.received.id, attempt.number))
         self.is_closed = True
-        self.forget_if_done()
+        self.discard_if_finished()
--- a/weldbend/routing/router.py
+++ b/weldbend/routing/router.py
@@ -23,7 +23,7 @@
 
 STATISTICS_WINDOW = 10.0  # seconds that durations of answers are remembered for
 WORK_PRIOR = 4  # answers that a class's latency objective counts for in its mean work
-LEAST_EXPECTED = 0.1  # least seconds that an answer is expected to take
+MIN_EXPECTED_DURATION = 0.1  # least seconds that an answer is expected to take
 LIST_RETRIES = 20  # times that a list is asked for within the time in which it has to be had
 WATCH_TOKEN = "watch"
 
@@ -33,10 +33,10 @@
 
     def __init__(self, seed: int, settings: SiteSettings) -> None:
         classes = settings.classes.values()
-        statistics = ClassStatistics(classes, STATISTICS_WINDOW, WORK_PRIOR, LEAST_EXPECTED)
+        statistics = ClassStatistics(classes, STATISTICS_WINDOW, WORK_PRIOR, MIN_EXPECTED_DURATION)
         self.context = context = Context(seed, settings, statistics)
         context.ready = {role: RoleGroup(context, HEALTH_WINDOW, OVERLOAD_WINDOW) for role in Role}
-        context.parents = ParentConcurrencyLimit(context)
+        context.parent_limit = ParentConcurrencyLimit(context)
         self.prefilter = context.prefilter = Prefilter(context, TABLE_SIZE, HIGHEST_LEVEL)
         self.placement = context.placement = Placement(context)
         self.admission = context.admission = Admission(context)
--- a/weldbend/routing/settings.py
+++ b/weldbend/routing/settings.py
@@ -142,7 +142,7 @@
             return WarmUp(self.parent_start_capacity, self.parent_warmup, self.parent_overload_factor)
         return WarmUp(self.edge_start_capacity, self.edge_warmup, self.edge_overload_factor)
 
-    def sharers(self, role: Role) -> int:
+    def sharing_fronts(self, role: Role) -> int:
         """Fronts among which a cache of this role is shared."""
         return {Role.EDGE: self.zone_fronts, Role.PARENT: self.hub_fronts}.get(role, self.fronts)
 
--- a/weldbend/routing/slow_start.py
+++ b/weldbend/routing/slow_start.py
@@ -7,10 +7,11 @@
 from weldbend.routing.turn_credit import TurnCredit
 
 BUDGET_FRACTION = 0.75  # of a warming cache's budget that is used
-TURN_OPEN = 0.5  # part of the budget's window for which a front's turn at a warming cache stays open
+# part of the budget's window for which a front's turn at a warming cache stays open
+TURN_VALID_FRACTION = 0.5
 RECONNECT_GRACE = 0.2  # seconds in which a broken connection is no restart yet
 RECONNECT_WINDOW = 0.5  # seconds within which a new connection says that there was none
-UNSEEN_WEIGHT = 0.5  # flows that a cache is held to bear before any was seen to bear more
+MIN_LINK_FLOWS = 0.5  # flows that a cache is held to bear before any was seen to bear more
 
 
 class SlowStart:
@@ -38,17 +39,17 @@
 
     def possible_start(self) -> float:
         """The last moment at which it may have started; minus infinity for long ago."""
-        told = -math.inf if self.cache.started is None else self.cache.started
-        return max(told, self.cache.breaks.possible_restart(self.context.now))
+        listed_start = -math.inf if self.cache.started is None else self.cache.started
+        return max(listed_start, self.cache.breaks.possible_restart(self.context.now))
 
     def next_change(self) -> float:
         """The next moment at which it may become warm, or cold, without an event; infinite for never."""
         now = self.context.now
         breaks = self.cache.breaks
-        settles = breaks.settles_at() if now < breaks.settles_at() else math.inf
+        grace_end = breaks.grace_ends_at() if now < breaks.grace_ends_at() else math.inf
         if self.capacity_fraction() >= 1:
-            return settles
-        return min(settles, self.possible_start() + self.context.settings.warm_up(self.cache.role).seconds)
+            return grace_end
+        return min(grace_end, self.possible_start() + self.context.settings.warm_up(self.cache.role).seconds)
 
     def admits(self, work: float, warm_load: float) -> bool:
         """Whether this much work may go: within this front's quota of what it can bear.
@@ -77,10 +78,10 @@
         cache = self.cache
         settings = self.context.settings
         if not settings.weighted:
-            return max(warm_load, UNSEEN_WEIGHT / cache.sharers)
+            return max(warm_load, MIN_LINK_FLOWS / cache.sharing_fronts)
         if cache.quota.is_leased:
             return cache.weight * cache.quota.fraction(self.context.now)
-        return cache.weight / (cache.sharers if cache.role is Role.EDGE else settings.fronts)
+        return cache.weight / (cache.sharing_fronts if cache.role is Role.EDGE else settings.fronts)
 
     def takes_turn(self, budget: float, work: float, window: float) -> bool:
         """Whether it is this front's turn, where its budget is less than one attempt a window.
@@ -90,8 +91,8 @@
         """
         first = 0.0 if self.credit.amount is not None else work * self.context.random.random()
         credit = self.credit.grow(self.context.now, budget / window, first)
-        over = credit % work
-        is_due = credit >= work and over <= TURN_OPEN * budget
+        excess = credit % work
+        has_turn = credit >= work and excess <= TURN_VALID_FRACTION * budget
         if credit > 0:
-            self.credit.amount = over + work if is_due else over
-        return is_due
+            self.credit.amount = excess + work if has_turn else excess
+        return has_turn
--- a/weldbend/routing/warm_load.py
+++ b/weldbend/routing/warm_load.py
@@ -23,9 +23,9 @@
     def record_served(self, attempt: Attempt) -> None:
         """Count what an attempt brought at each cache that it touched, if most of its role are warm."""
         for cache in attempt.caches():
-            peers = self.context.ready[cache.role]
+            role_group = self.context.ready[cache.role]
             now = self.context.now
-            if 2 * peers.warming.count(now) < len(peers) and cache.is_warm():
+            if 2 * role_group.warming.count(now) < len(role_group) and cache.is_warm():
                 served = self.served[cache.role]
                 served.add(now, self.context.mean_work(attempt.request))
-                self.flows[cache.role] = served.total(now) / self.window / len(peers)
+                self.flows[cache.role] = served.total(now) / self.window / len(role_group)
--- a/weldbend/routing/warming_caches.py
+++ b/weldbend/routing/warming_caches.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from weldbend.routing.cache_state import Cache
 
-LEAST_WAIT = 0.01  # seconds until a cache is looked at again that is not yet warm when it should be
+MIN_RECHECK_DELAY = 0.01  # seconds until a cache is looked at again that is not yet warm when it should be
 
 
 class WarmingCaches:
@@ -35,7 +35,7 @@
         self.due.pop(cache, None)
         change = cache.slow_start.next_change()
         if change < math.inf:
-            self.due[cache] = max(change, now + LEAST_WAIT)
+            self.due[cache] = max(change, now + MIN_RECHECK_DELAY)
             heappush(self.waiting, (self.due[cache], next(self.numbers), cache))
 
     def forget(self, cache: "Cache") -> None:
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -267,7 +267,7 @@
     timeout = micros(action.timeout)
     if action.source is None:
         return f"place {action.id} {action.cache} {timeout}"
-    mode = action.join_fill + 2 * action.only_cached + 4 * action.leave_no_copy + 8 * action.revalidate
+    mode = action.join_fill + 2 * action.only_if_cached + 4 * action.leave_no_copy + 8 * action.revalidate
     age = micros(action.max_age)
     return f"obtain {action.id} {action.source} {action.rank} {age} {timeout} {action.cache} {mode}"
 
--- a/weldbend/site_settings.py
+++ b/weldbend/site_settings.py
@@ -21,7 +21,7 @@
 }
 
 
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6  # in a second
 
 
 def cache_roles(raw: Mapping[str, Any]) -> dict[str, Role]:
@@ -39,19 +39,19 @@
     return roles
 
 
-def _request_class(lane: Mapping[str, Any], family: Mapping[str, Any], place: int) -> RequestClass:
+def _request_class(class_settings: Mapping[str, Any], family: Mapping[str, Any], index: int) -> RequestClass:
     """Return the request class at a place of the settings' list."""
     return RequestClass(
-        name=lane["name"],
-        idempotency=IDEMPOTENCIES[lane["idempotency"]],
-        deduplication_scope=DEDUPLICATION_SCOPES[lane["key_scope"]],
-        deduplication_window=lane["window_us"] / MICROSECONDS,
-        deadline_after=lane["deadline_us"] / MICROSECONDS,
-        latency_objective=lane["goal_time_us"] / MICROSECONDS,
-        objective_stretch=lane.get("aim_stretch", 0.0),
-        priority_weight=lane["points"],
-        fresh_for=family["lifetime_by_class_us"][place] / MICROSECONDS,
-        origin_only=family["pass_on"][place],
+        name=class_settings["name"],
+        idempotency=IDEMPOTENCIES[class_settings["idempotency"]],
+        deduplication_scope=DEDUPLICATION_SCOPES[class_settings["key_scope"]],
+        deduplication_window=class_settings["window_us"] / MICROSECONDS_PER_SECOND,
+        deadline_after=class_settings["deadline_us"] / MICROSECONDS_PER_SECOND,
+        latency_objective=class_settings["goal_time_us"] / MICROSECONDS_PER_SECOND,
+        objective_stretch=class_settings.get("aim_stretch", 0.0),
+        priority_weight=class_settings["points"],
+        fresh_for=family["lifetime_by_class_us"][index] / MICROSECONDS_PER_SECOND,
+        origin_only=family["pass_on"][index],
     )
 
 
@@ -68,31 +68,34 @@
     hubs = family["hub_by_zone"]
     fronts = family["count_by_zone"]
     zone = zones.index(raw["az"])
-    lanes = enumerate(raw["lanes"])
+    class_list = enumerate(raw["lanes"])
     return SiteSettings(
         zone=raw["az"],
         hub=zones[hubs[zone]],
         fronts=raw["siblings"],
         zone_fronts=fronts[zone],
         hub_fronts=sum(count for count, hub in zip(fronts, hubs, strict=True) if hub == hubs[zone]),
-        classes={lane["name"]: _request_class(lane, family, place) for place, lane in lanes},
-        tick=raw["tick_us"] / MICROSECONDS,
-        list_refresh=rules["ask_within_us"] / MICROSECONDS,
+        classes={
+            class_settings["name"]: _request_class(class_settings, family, index)
+            for index, class_settings in class_list
+        },
+        tick=raw["tick_us"] / MICROSECONDS_PER_SECOND,
+        list_refresh=rules["ask_within_us"] / MICROSECONDS_PER_SECOND,
         subscribes=raw["registry_mode"] == "subscribe",
         weighted=raw["weights"] != "none",
         allows_hedging=caps["second_copies"],
         allows_cancel=caps["cancelling"],
         max_attempts=caps["send_cap"],
-        max_retry_after=caps["max_retry_after_us"] / MICROSECONDS if caps["retry_after"] else 0.0,
+        max_retry_after=caps["max_retry_after_us"] / MICROSECONDS_PER_SECOND if caps["retry_after"] else 0.0,
         allows_bypass=family["bypass_allowed"],
         joins_fills=family["shares_fills"],
         edge_start_capacity=rules["cold_from"],
-        edge_warmup=rules["cold_us"] / MICROSECONDS,
+        edge_warmup=rules["cold_us"] / MICROSECONDS_PER_SECOND,
         edge_overload_factor=rules["fall_multiple"],
-        edge_overload_window=rules["overload_for_us"] / MICROSECONDS,
+        edge_overload_window=rules["overload_for_us"] / MICROSECONDS_PER_SECOND,
         parent_start_capacity=family["parent_starts_at"],
-        parent_warmup=family["parent_warms_in_us"] / MICROSECONDS,
+        parent_warmup=family["parent_warms_in_us"] / MICROSECONDS_PER_SECOND,
         parent_overload_factor=family["parent_breaks_at"],
-        purge_grace=family["purge_slack_us"] / MICROSECONDS,
-        purge_complete_after=family["gone_everywhere_us"] / MICROSECONDS,
+        purge_grace=family["purge_slack_us"] / MICROSECONDS_PER_SECOND,
+        purge_complete_after=family["gone_everywhere_us"] / MICROSECONDS_PER_SECOND,
     )
