--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -299,7 +299,7 @@
     def receipt(self):
         """How events of the bus come: after an hour out of touch, so that each may be old."""
         now = self.door.clock.now()
-        return Receipt(now, in_touch=now - 3600.0)
+        return Receipt(now, caught_up_at=now - 3600.0)
 
     def turn(self, seconds=0.0):
         self.reactor.advance(seconds)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from weldbend.event_bus.remote_timestamps import DatedStart, RemoteTimestamps
+from weldbend.event_bus.remote_timestamps import RemoteTimestamps, StartInterval
 from weldbend.front.endpoint_updates import EndpointUpdates
 from weldbend.testbed.emulator.servers import EventBusServer
 from weldbend.testbed.simulation.machine import Machine
@@ -39,18 +39,18 @@
     handle = EndpointUpdates.handle
 
     def handle_by_unix_clock(self, sequenced, receipt):
-        self.context.timestamps.set_reading(self.context.clock.unix_ahead())
+        self.context.timestamps.set_unix_offset(self.context.clock.unix_offset())
         handle(self, sequenced, receipt)
 
-    def date_start(self, stamp, receipt):
-        return DatedStart(self.convert(stamp), self.convert(stamp))
+    def estimate_start(self, stamp, receipt):
+        return StartInterval(self.to_monotonic(stamp), self.to_monotonic(stamp))
 
-    def date_purge(self, stamp, receipt):
-        return min(self.convert(stamp), receipt.arrived)
+    def estimate_purge_time(self, stamp, receipt):
+        return min(self.to_monotonic(stamp), receipt.arrived)
 
     monkeypatch.setattr(EndpointUpdates, "handle", handle_by_unix_clock)
-    monkeypatch.setattr(RemoteTimestamps, "date_start", date_start)
-    monkeypatch.setattr(RemoteTimestamps, "date_purge", date_purge)
+    monkeypatch.setattr(RemoteTimestamps, "estimate_start", estimate_start)
+    monkeypatch.setattr(RemoteTimestamps, "estimate_purge_time", estimate_purge_time)
 
 
 def test_a_front_that_dates_by_the_unix_clock_of_the_moment_is_caught_by_both_rules(monkeypatch):
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -432,7 +432,7 @@
     text = (
         configuration(max_streams=3).replace('"photo"', '"clip"').replace('"deduplicated"', '"at_most_once"')
     )
-    stage.door.read_again = lambda: read_site(text)
+    stage.door.read_new_site = lambda: read_site(text)
     stage.door.reload()
     stage.turn()
     stage.say(
@@ -461,7 +461,7 @@
             raise FileNotFoundError("gone")
         return read_site(again)
 
-    stage.door.read_again = read
+    stage.door.read_new_site = read
     stage.door.reload()
     stage.say(stage.client(), process(1))
     stage.connect()
@@ -538,7 +538,7 @@
             client.dataReceived(give_up(n))  # of some that are answered as well
         else:
             client.transport.loseConnection()
-    stage.door.read_again = lambda: read_site(configuration(bus="127.0.0.1:9093", max_streams=4))
+    stage.door.read_new_site = lambda: read_site(configuration(bus="127.0.0.1:9093", max_streams=4))
     stage.door.reload()
     stage.door.terminate()
     stage.trace.clear()
--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -193,7 +193,7 @@
     joined.peer("start", "e1", stamp, age=0.25)
     started = joined.now() - 0.25
     told = registry.peer_starts["e1"]
-    assert (told.stamp, told.dated.latest) == (stamp / 1000, pytest.approx(started))
+    assert (told.stamp, told.interval.latest) == (stamp / 1000, pytest.approx(started))
     joined.offset = -step
     joined.stage.turn(2.0)
     joined.peer("start", "e1", stamp)  # another peer has read of it now
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -291,7 +291,7 @@
 
 def test_a_reload_with_thousands_of_idle_connections_moves_the_bus_and_keeps_them():
     stage = parked(2000)
-    stage.door.read_again = lambda: replace(stage.door.site, bus_address="127.0.0.1:9999")
+    stage.door.read_new_site = lambda: replace(stage.door.site, bus_address="127.0.0.1:9999")
     stage.door.reload()
     stage.turn()
     assert stage.door.bus.address == "127.0.0.1:9999" and stage.door.listener.idle_count() == 2000
--- a/tests/test_patient_reactor.py
+++ b/tests/test_patient_reactor.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from weldbend.front.patient_reactor import RETRY_AFTER, PatientReactor
+from weldbend.front.patient_reactor import RETRY_AFTER, RetryingEPollReactor
 
 
 class Selectable:
@@ -43,7 +43,7 @@
 
 @pytest.fixture
 def watched():
-    reactor = PatientReactor()
+    reactor = RetryingEPollReactor()
     near, far = socket.socketpair()
     near.setblocking(False)
     yield reactor, Selectable(near), far
--- a/tests/test_remote_timestamps.py
+++ b/tests/test_remote_timestamps.py
@@ -14,15 +14,15 @@
 
 from weldbend.event_bus.events import parse_event
 from weldbend.event_bus.remote_timestamps import (
-    AGREEMENT,
-    LIVE_DELAY,
-    SHORT_GAP,
-    DatedStart,
+    MAX_CLOCK_DIFFERENCE,
+    MAX_LIVE_DELAY,
+    SHORT_OUTAGE,
     Receipt,
     RemoteTimestamps,
-    receipts_of_known,
+    StartInterval,
+    receipts_of_known_events,
 )
-from weldbend.event_bus.stream_progress import FIRST_BYTES, QUIET, StreamProgress
+from weldbend.event_bus.stream_progress import CATCH_UP_GAP, FIRST_BYTE_TIMEOUT, StreamProgress
 from weldbend.testbed.stepped_clock import STEPPED
 
 NOW = 500.0  # monotonic seconds
@@ -34,14 +34,14 @@
 def timestamps(wrong_by=0.0, is_confirmed=False):
     """What a front has whose Unix clock is ahead by so many seconds."""
     made = RemoteTimestamps()
-    made.set_reading(UNIX + wrong_by - NOW)
+    made.set_unix_offset(UNIX + wrong_by - NOW)
     made.is_confirmed = is_confirmed
     return made
 
 
 LIVE = Receipt(NOW, NOW - 0.7, is_replay=False)
 MISSED = Receipt(NOW, NOW - 8.0)
-LONG_MISSED = Receipt(NOW, NOW - SHORT_GAP - 50.0)
+LONG_MISSED = Receipt(NOW, NOW - SHORT_OUTAGE - 50.0)
 
 
 # What is told live.
@@ -49,8 +49,8 @@
 
 def test_a_prompt_stamp_is_believed_to_the_millisecond():
     age = 0.03125  # exact in binary, so that no sum is rounded
-    assert timestamps().date_start(UNIX - age, LIVE) == DatedStart(NOW - age, NOW - age)
-    assert timestamps().date_purge(UNIX - age, LIVE) == NOW - age
+    assert timestamps().estimate_start(UNIX - age, LIVE) == StartInterval(NOW - age, NOW - age)
+    assert timestamps().estimate_purge_time(UNIX - age, LIVE) == NOW - age
 
 
 @pytest.mark.parametrize("wrong_by", [-HOUR, -0.2, 0.2, 7.0, HOUR])
@@ -60,34 +60,36 @@
 ):
     """Whether this front's clock was wrong at its start, or the other machine's is by now."""
     held = timestamps(wrong_by, is_confirmed)
-    assert held.date_purge(UNIX, LIVE) == NOW
-    dated = held.date_start(UNIX, LIVE)
+    assert held.estimate_purge_time(UNIX, LIVE) == NOW
+    dated = held.estimate_start(UNIX, LIVE)
     assert dated.latest == NOW and dated.earliest <= NOW
 
 
 def test_what_is_told_late_is_not_dated_in_the_future_and_spares_connections_made_since():
-    dated = timestamps(is_confirmed=True).date_start(UNIX - 5.0, LIVE)
-    assert dated == DatedStart(NOW - 5.0, NOW)
-    assert timestamps(is_confirmed=True).date_start(UNIX + 9.0, LIVE) == DatedStart(LIVE.in_touch, NOW)
+    dated = timestamps(is_confirmed=True).estimate_start(UNIX - 5.0, LIVE)
+    assert dated == StartInterval(NOW - 5.0, NOW)
+    assert timestamps(is_confirmed=True).estimate_start(UNIX + 9.0, LIVE) == StartInterval(
+        LIVE.caught_up_at, NOW
+    )
 
 
 # What was missed.
 
 
 def test_what_was_missed_is_dated_by_its_stamp_once_another_clock_agreed():
-    assert timestamps(is_confirmed=True).date_start(UNIX - 3.0, MISSED).latest == NOW - 3.0
-    assert timestamps().date_start(UNIX - 3.0, MISSED).latest == NOW
+    assert timestamps(is_confirmed=True).estimate_start(UNIX - 3.0, MISSED).latest == NOW - 3.0
+    assert timestamps().estimate_start(UNIX - 3.0, MISSED).latest == NOW
     assert (
-        timestamps(is_confirmed=True).date_start(UNIX - 9.0, MISSED).latest == NOW
+        timestamps(is_confirmed=True).estimate_start(UNIX - 9.0, MISSED).latest == NOW
     ), "it was not listed then"
 
 
 def test_a_missed_purge_counts_from_its_arrival_unless_very_much_was_missed():
     held = timestamps(is_confirmed=True)
-    assert held.date_purge(UNIX - 3.0, MISSED) == NOW
-    assert held.date_purge(UNIX - 30.0, LONG_MISSED) == NOW - 30.0
-    assert held.date_purge(UNIX - HOUR, LONG_MISSED) == NOW, "older than the last event before it"
-    assert timestamps().date_purge(UNIX - 30.0, LONG_MISSED) == NOW
+    assert held.estimate_purge_time(UNIX - 3.0, MISSED) == NOW
+    assert held.estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW - 30.0
+    assert held.estimate_purge_time(UNIX - HOUR, LONG_MISSED) == NOW, "older than the last event before it"
+    assert timestamps().estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW
 
 
 # The first reading.
@@ -101,29 +103,29 @@
         else listing(n, target(f"e{n}", boot=(UNIX - age) * 1000))
         for n, (kind, age) in enumerate(stamped, 1)
     ]
-    return receipts_of_known([parse_event(each) for each in raw], NOW)
+    return receipts_of_known_events([parse_event(each) for each in raw], NOW)
 
 
 def test_a_first_reading_believes_the_younger_of_two_ages():
     first, second, third = known(("start", 100.0), ("purge", 60.0), ("start", 4.0))
     held = timestamps()
-    assert held.date_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
-    assert held.date_start(UNIX - 4.0, third).latest == NOW, "nothing stamped later: cold"
-    assert held.date_purge(UNIX - 60.0, second) == NOW
+    assert held.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
+    assert held.estimate_start(UNIX - 4.0, third).latest == NOW, "nothing stamped later: cold"
+    assert held.estimate_purge_time(UNIX - 60.0, second) == NOW
     ahead = timestamps(HOUR)
-    assert ahead.date_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
+    assert ahead.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
     behind = timestamps(-HOUR)
-    assert behind.date_start(UNIX - 100.0, first).latest == NOW
+    assert behind.estimate_start(UNIX - 100.0, first).latest == NOW
     stepped_back = known(("start", 10.0), ("start", HOUR))[1]
-    assert held.date_start(UNIX - HOUR, stepped_back).latest == NOW, "its clock ran backwards"
+    assert held.estimate_start(UNIX - HOUR, stepped_back).latest == NOW, "its clock ran backwards"
 
 
 def test_a_first_reading_is_believed_once_another_clock_agreed():
     receipt = known(("start", 100.0))[0]
     assert (
-        timestamps(is_confirmed=True).date_purge(UNIX - 5.0, Receipt(NOW)) == NOW
+        timestamps(is_confirmed=True).estimate_purge_time(UNIX - 5.0, Receipt(NOW)) == NOW
     ), "its clock may be stepped"
-    assert timestamps(is_confirmed=True).date_start(UNIX - 100.0, receipt).latest == NOW - 100.0
+    assert timestamps(is_confirmed=True).estimate_start(UNIX - 100.0, receipt).latest == NOW - 100.0
 
 
 @pytest.mark.parametrize("wrong_by", [-HOUR, -1.0, 1.0, HOUR])
@@ -136,7 +138,7 @@
 
 
 def test_a_right_clock_is_confirmed_once():
-    held = timestamps(AGREEMENT / 2)
+    held = timestamps(MAX_CLOCK_DIFFERENCE / 2)
     assert held.confirm(UNIX, NOW) and held.is_confirmed and not held.confirm(UNIX, NOW)
 
 
@@ -149,10 +151,10 @@
     progress.connected(0.9)
     progress.received(1.0)
     assert progress.receipt(1.0) == Receipt(1.0, -math.inf)
-    progress.received(1.0 + QUIET / 2)
+    progress.received(1.0 + CATCH_UP_GAP / 2)
     assert progress.receipt(1.1).is_first_read, "still telling what was missed"
     progress.received(2.0)
-    assert progress.receipt(2.0) == Receipt(2.0, 1.0 + QUIET / 2, is_replay=False)
+    assert progress.receipt(2.0) == Receipt(2.0, 1.0 + CATCH_UP_GAP / 2, is_replay=False)
     progress.connecting()
     progress.connecting()
     progress.received(7.0)
@@ -167,7 +169,7 @@
     progress = StreamProgress()
     progress.connecting()
     progress.connected(1.0)
-    progress.received(1.0 + FIRST_BYTES)
+    progress.received(1.0 + FIRST_BYTE_TIMEOUT)
     assert progress.receipt(1.6) == Receipt(1.6, 1.0, is_replay=False)
 
 
@@ -270,7 +272,7 @@
                     number += 1
                     client.sendall(process(number))
                     limit = oldest_allowed(link)
-                assert 0 < limit <= (time.monotonic() - begun + LIVE_DELAY) * 1000
+                assert 0 < limit <= (time.monotonic() - begun + MAX_LIVE_DELAY) * 1000
         finally:
             front.kill()
             front.wait(LONG)
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -841,17 +841,17 @@
     old.dataReceived(HEAD + told(listing(2, target("e7", port=7))))
     reading = stage.door.bus.attempt
     for port in (9093, 9094, 9094):
-        stage.door.read_again = lambda port=port: read_site(configuration(bus=f"127.0.0.1:{port}"))
+        stage.door.read_new_site = lambda port=port: read_site(configuration(bus=f"127.0.0.1:{port}"))
         stage.door.reload()
     reading.dataReceived(told(listing(3, target("e8", port=8))))
     new, asked = bus(stage, 9094)
     seen.append(asked)
     stage.door.terminate()
     for wrong in ("{", configuration(bus="nowhere"), configuration().replace('"lanes"', '"lanez"')):
-        stage.door.read_again = lambda wrong=wrong: read_site(wrong)
+        stage.door.read_new_site = lambda wrong=wrong: read_site(wrong)
         stage.door.reload()
     new.dataReceived(HEAD + told(listing(3, target("e9", port=9))))
-    stage.door.read_again = lambda: read_site(configuration(bus="127.0.0.1:9095"))
+    stage.door.read_new_site = lambda: read_site(configuration(bus="127.0.0.1:9095"))
     stage.door.reload()
     seen.append(bus(stage, 9095)[1])
     stage.turn(1.0)
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -7,7 +7,7 @@
 
 from weldbend.clients.arrival_times import MAX_MARKS, ArrivalTimes
 from weldbend.clients.connection import READ_SIZE
-from weldbend.front.standstill import StandstillDetector
+from weldbend.front.standstill import ProcessPauseDetector
 from weldbend.thrift import messages
 
 SLACK = 0.15  # seconds that a cache may be told beyond what the client has left
@@ -87,7 +87,7 @@
     stage, client = running_stage()
     stage.reactor.rightNow += 1.5
     if timers_first:
-        stage.door.gateway._upkeep()
+        stage.door.gateway._run_maintenance()
     client.dataReceived(process(2))
     stage.turn()
     assert 4.35 <= told(stage, 2) <= 4.5 + SLACK
@@ -97,12 +97,12 @@
 
 
 def test_a_standstill_is_noticed_between_two_beats():
-    detector = StandstillDetector(10.0)
-    assert not detector.beat(10.11) and detector.came_at(10.2) == 10.2
-    assert detector.came_at(10.5) == 10.11, "read before the timers"
-    assert detector.beat(10.6) and detector.came_at(10.6) == 10.11
-    detector.has_caught_up()
-    assert detector.came_at(10.6) == 10.6
+    detector = ProcessPauseDetector(10.0)
+    assert not detector.record_heartbeat(10.11) and detector.earliest_arrival(10.2) == 10.2
+    assert detector.earliest_arrival(10.5) == 10.11, "read before the timers"
+    assert detector.record_heartbeat(10.6) and detector.earliest_arrival(10.6) == 10.11
+    detector.mark_caught_up()
+    assert detector.earliest_arrival(10.6) == 10.6
 
 
 def test_arrival_times_keep_a_bounded_number_of_reads_and_err_to_the_earlier():
--- a/weldbend/event_bus/endpoint_registry.py
+++ b/weldbend/event_bus/endpoint_registry.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from weldbend.event_bus.events import EndpointRecord
-from weldbend.event_bus.remote_timestamps import DatedStart, Receipt, RemoteTimestamps
+from weldbend.event_bus.remote_timestamps import Receipt, RemoteTimestamps, StartInterval
 from weldbend.routing.events import Endpoint, EndpointState
 from weldbend.routing.settings import Role
 
@@ -20,7 +20,7 @@
     """The latest start of a cache, as it was stamped (Unix seconds) and dated."""
 
     stamp: float
-    dated: DatedStart
+    interval: StartInterval
 
 
 @dataclass(slots=True)
@@ -56,14 +56,14 @@
             self.uids[number] = uid
         return self.numbers[uid]
 
-    def forget(self, number: int) -> None:
+    def remove(self, number: int) -> None:
         """Remove an endpoint; unknown numbers are ignored."""
         if (uid := self.uids.pop(number, None)) is not None:
             del self.numbers[uid]
             self.starts.pop(uid, None)
             self.peer_starts.pop(uid, None)
 
-    def date_start(self, record: EndpointRecord, receipt: Receipt) -> DatedStart | None:
+    def estimate_start(self, record: EndpointRecord, receipt: Receipt) -> StartInterval | None:
         """Return when a cache started, the same at each call for the same start; None for long ago.
 
         Guards against a start that is reported again: dated anew it would look like another, and what is
@@ -74,21 +74,21 @@
             return None
         known = self.starts.get(record.uid)
         if known is None or known.stamp != record.started_at:
-            known = self._date(record, receipt)
+            known = self._estimate(record, receipt)
             self.starts[record.uid] = known
-        return known.dated
+        return known.interval
 
-    def _date(self, record: EndpointRecord, receipt: Receipt) -> KnownStart:
-        told = self.peer_starts.get(record.uid)
-        if told and told.stamp == record.started_at:
-            return told
-        return KnownStart(record.started_at, self.timestamps.date_start(record.started_at, receipt))
+    def _estimate(self, record: EndpointRecord, receipt: Receipt) -> KnownStart:
+        peer_known = self.peer_starts.get(record.uid)
+        if peer_known and peer_known.stamp == record.started_at:
+            return peer_known
+        return KnownStart(record.started_at, self.timestamps.estimate_start(record.started_at, receipt))
 
-    def forget_date(self, uid: str) -> None:
+    def discard_start(self, uid: str) -> None:
         """Have the start of a cache dated anew."""
         self.starts.pop(uid, None)
 
-    def peer_start(self, uid: str, stamp: float, told: float) -> float:
+    def peer_start(self, uid: str, stamp: float, reported_start: float) -> float:
         """Return when a cache started, in seconds of the front's clock, by what another front has told.
 
         What the bus told of that start, or of a later one, stands before it; and a start that the bus tells
@@ -97,20 +97,20 @@
         Args:
             uid: The endpoint.
             stamp: Unix seconds of its start, which say only which start it is.
-            told: The latest moment at which it can have been, in seconds of the front's clock.
+            reported_start: The latest moment at which it can have been, in seconds of the front's clock.
         """
         known = self.starts.get(uid)
         if known and known.stamp >= stamp:
-            return known.dated.latest
+            return known.interval.latest
         known = self.peer_starts.get(uid)
         if known is None or known.stamp < stamp:
-            known = KnownStart(stamp, DatedStart(told, told))
+            known = KnownStart(stamp, StartInterval(reported_start, reported_start))
             self.peer_starts[uid] = known
-        return known.dated.latest
+        return known.interval.latest
 
     def endpoint(self, record: EndpointRecord, receipt: Receipt) -> Endpoint:
         """Return the router's endpoint for a record."""
-        dated = self.date_start(record, receipt)
+        interval = self.estimate_start(record, receipt)
         return Endpoint(
             id=self.number(record.uid),
             weight=record.weight,
@@ -118,5 +118,5 @@
             cell=record.cell,
             role=self.roles[record.kind],
             state=ENDPOINT_STATES[record.state],
-            started=dated.latest if dated else None,
+            started=interval.latest if interval else None,
         )
--- a/weldbend/event_bus/events.py
+++ b/weldbend/event_bus/events.py
@@ -14,7 +14,7 @@
 
 RECORD_STATES = ("up", "draining", "removed")
 UID = re.compile(r"[\w.:/-]{1,64}", re.ASCII)  # it is sent as a word of the cache protocol's lines
-END_OF_TIME = 1e15  # milliseconds of Unix time, above any that a purge may name
+MAX_PURGE_TIME_MS = 1e15  # milliseconds of Unix time, above any that a purge may name
 MAX_PORT = 65535
 
 # What reading a field of the wrong type or with an impossible value raises.
@@ -119,7 +119,7 @@
     key = raw.get("url")
     if key is not None and not isinstance(key, str):
         raise InvalidEventError(raw, "invalid url")
-    if not 0 <= raw["ts"] < END_OF_TIME:
+    if not 0 <= raw["ts"] < MAX_PURGE_TIME_MS:
         raise InvalidEventError(raw, "invalid ts")
     group = int(raw.get("tag", 0)) if key else int(raw["tag"])
     return Purge(key, group, raw["ts"] / 1000)
--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -16,9 +16,9 @@
 
 from weldbend.event_bus.events import EndpointListUpdate, Purge, SequencedEvent
 
-AGREEMENT = 0.5  # seconds by which this front's Unix clock and a fresh stamp of another may differ
-LIVE_DELAY = 0.05  # seconds that an event takes from its stamp to a front that follows the bus, at most
-SHORT_GAP = 10.0  # seconds out of touch up to which purges that were missed are dated at their arrival
+MAX_CLOCK_DIFFERENCE = 0.5  # seconds by which this front's Unix clock and a fresh stamp of another may differ
+MAX_LIVE_DELAY = 0.05  # seconds that an event takes from its stamp to a front that follows the bus, at most
+SHORT_OUTAGE = 10.0  # seconds out of touch up to which purges that were missed are dated at their arrival
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
 
     Attributes:
         arrived: when it came, in seconds of the monotonic clock.
-        in_touch: the last moment before at which this front had been told all that was published; minus
+        caught_up_at: the last moment before at which this front had been told all that was published; minus
             infinity in its first reading of the bus.
         is_replay: whether the bus tells what was missed, and not what is new.
         latest_start: the latest start that this event or one after it stamps (Unix seconds), of events that
@@ -36,7 +36,7 @@
     """
 
     arrived: float
-    in_touch: float = -math.inf
+    caught_up_at: float = -math.inf
     is_replay: bool = True
     latest_start: float = -math.inf
     latest_purge: float = -math.inf
@@ -44,11 +44,11 @@
     @property
     def is_first_read(self) -> bool:
         """Return whether it may have been published at any time in the past."""
-        return self.in_touch == -math.inf
+        return self.caught_up_at == -math.inf
 
 
 @dataclass(frozen=True, slots=True)
-class DatedStart:
+class StartInterval:
     """When a cache started, in seconds of the monotonic clock: between these two.
 
     Attributes:
@@ -60,7 +60,7 @@
     latest: float
 
 
-def receipts_of_known(events: Sequence[SequencedEvent], now: float) -> list[Receipt]:
+def receipts_of_known_events(events: Sequence[SequencedEvent], now: float) -> list[Receipt]:
     """Return the receipts of events that were read together from the configuration, in their order."""
     receipts: list[Receipt] = []
     latest_start = -math.inf
@@ -85,15 +85,15 @@
 
     def __init__(self) -> None:
         self.is_confirmed = False
-        self._unix_ahead = 0.0  # seconds by which the Unix clock was ahead of the monotonic one
+        self._unix_offset = 0.0  # seconds by which the Unix clock was ahead of the monotonic one
 
-    def set_reading(self, unix_ahead: float) -> None:
+    def set_unix_offset(self, unix_offset: float) -> None:
         """Take the one reading of the Unix clock: by how many seconds it is ahead of the monotonic one."""
-        self._unix_ahead = unix_ahead
+        self._unix_offset = unix_offset
 
-    def convert(self, stamp: float) -> float:
+    def to_monotonic(self, stamp: float) -> float:
         """Return a Unix time in seconds of the monotonic clock, by the reading alone."""
-        return stamp - self._unix_ahead
+        return stamp - self._unix_offset
 
     def confirm(self, stamp: float, now: float) -> bool:
         """Compare the reading with a stamp that another machine made lately, or longer ago.
@@ -103,45 +103,45 @@
         Returns:
             Whether the reading is confirmed by it, and was not before.
         """
-        if self.is_confirmed or abs(now - self.convert(stamp)) > AGREEMENT:
+        if self.is_confirmed or abs(now - self.to_monotonic(stamp)) > MAX_CLOCK_DIFFERENCE:
             return False
         self.is_confirmed = True
         return True
 
-    def date_start(self, stamp: float, receipt: Receipt) -> DatedStart:
+    def estimate_start(self, stamp: float, receipt: Receipt) -> StartInterval:
         """Return when a cache started whose start is stamped so."""
-        converted = self.convert(stamp)
+        converted = self.to_monotonic(stamp)
         if receipt.is_first_read:
-            latest = self._date_first_read(stamp, receipt, receipt.latest_start)
+            latest = self._estimate_first_read(stamp, receipt, receipt.latest_start)
             latest = min(converted, receipt.arrived) if self.is_confirmed else latest
-            return DatedStart(min(converted, latest), latest)
-        if self._is_prompt(converted, receipt):
-            return DatedStart(converted, converted)
-        if not receipt.in_touch <= converted <= receipt.arrived:
-            return DatedStart(min(converted, receipt.in_touch), receipt.arrived)
+            return StartInterval(min(converted, latest), latest)
+        if self._is_recent_on_arrival(converted, receipt):
+            return StartInterval(converted, converted)
+        if not receipt.caught_up_at <= converted <= receipt.arrived:
+            return StartInterval(min(converted, receipt.caught_up_at), receipt.arrived)
         is_believed = receipt.is_replay and self.is_confirmed
-        return DatedStart(converted, converted if is_believed else receipt.arrived)
+        return StartInterval(converted, converted if is_believed else receipt.arrived)
 
-    def date_purge(self, stamp: float, receipt: Receipt) -> float:
+    def estimate_purge_time(self, stamp: float, receipt: Receipt) -> float:
         """Return the moment before which copies are purged, by a purge that is stamped so."""
-        converted = self.convert(stamp)
-        if self._is_prompt(converted, receipt):
+        converted = self.to_monotonic(stamp)
+        if self._is_recent_on_arrival(converted, receipt):
             return converted
         if receipt.is_first_read:
-            return self._date_first_read(stamp, receipt, receipt.latest_purge)
-        is_seen = receipt.in_touch <= converted <= receipt.arrived
-        is_long = receipt.arrived - receipt.in_touch > SHORT_GAP
+            return self._estimate_first_read(stamp, receipt, receipt.latest_purge)
+        is_seen = receipt.caught_up_at <= converted <= receipt.arrived
+        is_long = receipt.arrived - receipt.caught_up_at > SHORT_OUTAGE
         return converted if is_seen and is_long and self.is_confirmed else receipt.arrived
 
     @staticmethod
-    def _is_prompt(converted: float, receipt: Receipt) -> bool:
-        return receipt.arrived - LIVE_DELAY <= converted <= receipt.arrived
+    def _is_recent_on_arrival(converted: float, receipt: Receipt) -> bool:
+        return receipt.arrived - MAX_LIVE_DELAY <= converted <= receipt.arrived
 
-    def _date_first_read(self, stamp: float, receipt: Receipt, latest: float) -> float:
+    def _estimate_first_read(self, stamp: float, receipt: Receipt, latest: float) -> float:
         """Return a moment no earlier than two clocks say that know nothing of each other.
 
         One is this front's. The other is that of those who stamp: what they stamped later, in the order of
         the bus, is not in the future yet.
         """
-        least_age = max(latest - stamp, 0.0)
-        return min(max(self.convert(stamp), receipt.arrived - least_age), receipt.arrived)
+        min_age = max(latest - stamp, 0.0)
+        return min(max(self.to_monotonic(stamp), receipt.arrived - min_age), receipt.arrived)
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -118,7 +118,7 @@
             request.client_request.answer_served(outcome.body, outcome.status == "KEEP")
             self.close(request)
         number = request.attempts.index(attempt)
-        if isinstance(outcome, Answer) and outcome.status not in request_codec.RESULTS:
+        if isinstance(outcome, Answer) and outcome.status not in request_codec.ANSWER_RESULTS:
             anomalies["attempts answered as health checks"] += 1
             outcome = AttemptResult.ERROR
         duration = self.context.clock.now() - request.attempt_times[number]
@@ -175,9 +175,9 @@
         for attempt in request.attempts:
             self._timeout_attempt(request, attempt)
         if not request.is_closed:
-            self.queue.after_polls(lambda: self.guard(request, self._conclude))
+            self.queue.after_polls(lambda: self.guard(request, self._decide_or_abort))
 
-    def _conclude(self, request: OpenRequest) -> None:
+    def _decide_or_abort(self, request: OpenRequest) -> None:
         """Have the router answer an expired request, or abort it."""
         while not request.is_closed and self.queue.has_events():
             self.queue.run_iteration()
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -7,11 +7,11 @@
 from weldbend.clients.request import ClientRequest
 from weldbend.front.context import FrontContext
 from weldbend.front.dispatcher import Dispatcher
-from weldbend.front.standstill import BEAT_INTERVAL, StandstillDetector
+from weldbend.front.standstill import HEARTBEAT_INTERVAL, ProcessPauseDetector
 
-UPKEEP_INTERVAL = BEAT_INTERVAL  # seconds between two rounds of upkeep of client connections
+MAINTENANCE_INTERVAL = HEARTBEAT_INTERVAL  # seconds between two rounds of upkeep of client connections
 CATCH_UP_POLLS = 4  # polls of the sockets after a standstill until what came meanwhile is read
-UPKEEP_CONTINUATION = 0.002  # seconds until a round goes on that was not finished
+CONTINUATION_DELAY = 0.002  # seconds until a round goes on that was not finished
 
 
 class ClientGateway:
@@ -28,33 +28,35 @@
         self.dispatcher = dispatcher
         self.is_serving = is_serving
         self.listener = Listener(self, context.site.max_clients, context.site.client_settings)
-        self.standstill = StandstillDetector(context.clock.now())
+        self.pause_detector = ProcessPauseDetector(context.clock.now())
         self.unsent_bytes = 0
         self.max_unsent_bytes = 0
         self.max_connections = 0
 
-    def start_upkeep(self) -> None:
+    def start_maintenance(self) -> None:
         """Look after idle and silent connections from now on."""
-        self.standstill.last_beat = self.now()
-        self.context.timers.after(UPKEEP_INTERVAL, self._upkeep)
+        self.pause_detector.last_heartbeat = self.now()
+        self.context.timers.after(MAINTENANCE_INTERVAL, self._run_maintenance)
 
-    def _upkeep(self) -> None:
+    def _run_maintenance(self) -> None:
         """Do a bounded piece of upkeep: what is left goes on shortly, after what else is due."""
-        if self.standstill.beat(self.now()):
+        if self.pause_detector.record_heartbeat(self.now()):
             self._catch_up(CATCH_UP_POLLS)
         is_unfinished = self.listener.check_connections()
-        self.context.timers.after(UPKEEP_CONTINUATION if is_unfinished else UPKEEP_INTERVAL, self._upkeep)
+        self.context.timers.after(
+            CONTINUATION_DELAY if is_unfinished else MAINTENANCE_INTERVAL, self._run_maintenance
+        )
 
     def _catch_up(self, polls: int) -> None:
         """Let the reactor poll its sockets so many times, and count what is read then as of now again."""
         if polls:
             self.context.reactor.callLater(0, self._catch_up, polls - 1)
         else:
-            self.standstill.has_caught_up()
+            self.pause_detector.mark_caught_up()
 
     def came_at(self, moment: float) -> float:
         """Return the earliest moment at which bytes that are read at `moment`, the present, can have come."""
-        return self.standstill.came_at(moment)
+        return self.pause_detector.earliest_arrival(moment)
 
     def handle_request(self, request: ClientRequest) -> None:
         """Handle a request that has come whole."""
--- a/weldbend/front/clock.py
+++ b/weldbend/front/clock.py
@@ -6,8 +6,8 @@
 import os
 import time
 
-READINGS = 5  # attempts to read both clocks at the same moment
-MAX_READING_TIME = 0.001  # seconds between the readings that count as the same moment
+MAX_READING_ATTEMPTS = 5  # attempts to read both clocks at the same moment
+MAX_READING_DURATION = 0.001  # seconds between the readings that count as the same moment
 
 
 class Clock:
@@ -28,14 +28,14 @@
         """Return `size` bytes from the system's cryptographic source."""
         return os.urandom(size)
 
-    def unix_ahead(self) -> float:
+    def unix_offset(self) -> float:
         """Return by how many seconds the Unix clock is ahead of the monotonic clock now.
 
         It is read between two readings of the other, anew where the process was held up between them.
         """
-        for _ in range(READINGS):
+        for _ in range(MAX_READING_ATTEMPTS):
             before = self.now()
             unix = self.unix()
-            if self.now() - before <= MAX_READING_TIME:
+            if self.now() - before <= MAX_READING_DURATION:
                 break
         return unix - before
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -21,7 +21,7 @@
 MAX_PORT = 65_535
 MICROSECONDS = 1e6  # in a second
 
-PLATFORM_SETTINGS = ConnectionSettings()  # what holds where there is no installation file
+DEFAULT_CONNECTION_SETTINGS = ConnectionSettings()  # what holds where there is no installation file
 
 
 class ConfigurationError(Exception):
@@ -94,7 +94,7 @@
     max_descriptors: int
     max_clients: int
     max_unsent_bytes: int
-    client_settings: ConnectionSettings = PLATFORM_SETTINGS
+    client_settings: ConnectionSettings = DEFAULT_CONNECTION_SETTINGS
     fleet: Any = None
 
 
@@ -105,7 +105,7 @@
         ConfigurationError: where something is missing or cannot be used.
     """
     try:
-        return _site(json.loads(text))
+        return _parse_site(json.loads(text))
     except KeyError as missing:
         raise MissingSettingError(missing) from None
     except (ValueError, TypeError, AttributeError, IndexError, RecursionError, InvalidEventError) as error:
@@ -136,7 +136,7 @@
     )
 
 
-def _site(raw: Mapping[str, Any]) -> Site:
+def _parse_site(raw: Mapping[str, Any]) -> Site:
     raw_settings = raw["settings"]
     limits = raw["limits"]
     caps = raw_settings["caps"]
--- a/weldbend/front/counters_log.py
+++ b/weldbend/front/counters_log.py
@@ -12,7 +12,7 @@
 from weldbend.front.dispatcher import Dispatcher
 
 MILLISECONDS = 1e3  # in a second
-LINE = (
+LINE_FORMAT = (
     "counters {counts}; cpu {cpu_ms} ms, {cpu_ms_per_request} per request; "
     "memory {max_memory_mb} MB at most; "
     "client connections {client_connections} ({max_client_connections} at most), "
@@ -48,7 +48,7 @@
             "anomalies": dict(+invariants.anomalies),
             "violations": dict(invariants.violations),
         }
-        logger.bind(**fields).info(LINE.format(**fields))
+        logger.bind(**fields).info(LINE_FORMAT.format(**fields))
         self.context.counters.reset_error_limit()
 
     def _process_fields(self) -> dict[str, Any]:
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -58,14 +58,14 @@
             context.reactor,
             context.timers,
             site.cache_limits,
-            self._handle_stray_answer,
+            self._handle_unmatched_answer,
             self._connection_opened,
         )
         self.health_checks = HealthChecker(context, self.queue, self.pool)
         self.endpoints = EndpointUpdates(context, self.queue, self.names, self.pool)
         self.attempts = AttemptManager(context, self.queue, self.requests, self.endpoints, self.pool)
         self.admission = Admission(context, self.queue, self.requests, self.attempts)
-        self._event_in_hand: Event | None = None  # what the router is handling
+        self._current_event: Event | None = None  # what the router is handling
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
             SendAttempt: self.attempts.send,
             CancelAttempt: self._cancel_attempt,
@@ -112,7 +112,7 @@
         if site.settings != previous:
             self.post(SettingsChanged(site.settings))
 
-    def _handle_stray_answer(self, cache: int, answer: Answer) -> bool:
+    def _handle_unmatched_answer(self, cache: int, answer: Answer) -> bool:
         return self.health_checks.handle_answer(cache, answer)
 
     def _connection_opened(self, cache: int) -> None:
@@ -123,22 +123,22 @@
     def run_iteration(self) -> None:
         """Hand over the events that have come, and carry out the router's actions."""
         batch = self.queue.begin_iteration()
-        while batch and not self.queue.is_iteration_over():
+        while batch and not self.queue.is_time_limit_exceeded():
             try:
-                actions = self.router.handle(self.context.clock.now(), self._without_cancelled(batch))
+                actions = self.router.handle(self.context.clock.now(), self._skip_cancelled(batch))
             except Exception:  # noqa: BLE001 - an error in one request ends that one, not the front
                 actions = self.router.actions
-                self._abort_request_of(self._event_in_hand)
+                self._abort_request_of(self._current_event)
             for action in actions:
                 try:
                     self.perform(action)
                 except Exception:  # noqa: BLE001 - as above
                     self._abort_request_of(action)
-        self._forget_unnamed(batch)
+        self._remove_unreferenced(batch)
         self.queue.put_back(batch)
         self.queue.end_iteration()
 
-    def _forget_unnamed(self, rest: deque[Event]) -> None:
+    def _remove_unreferenced(self, rest: deque[Event]) -> None:
         """Forget finished requests and removed caches, but for what events still name that are left.
 
         Guards the router's actions on these events: they may concern all that the events name. Harm: names of
@@ -146,12 +146,12 @@
         """
         self.requests.remove_finished({getattr(event, "id", "") for event in rest})
         if not rest:
-            self.endpoints.forget_removed()
+            self.endpoints.remove_unlisted()
 
-    def _without_cancelled(self, batch: deque[Event]) -> Iterator[Event]:
+    def _skip_cancelled(self, batch: deque[Event]) -> Iterator[Event]:
         """Yield events in order, but no request that was cancelled before the router has seen it."""
-        while batch and not self.queue.is_iteration_over():
-            self._event_in_hand = event = batch.popleft()
+        while batch and not self.queue.is_time_limit_exceeded():
+            self._current_event = event = batch.popleft()
             self.queue.taken_count += 1
             if isinstance(event, RequestReceived):
                 request = self.requests.by_id.get(event.id)
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -34,8 +34,8 @@
         self.pool = pool
         self.listed: set[int] = set()
         self.started: set[int] = set()
-        self._cautiously_dated: dict[str, EndpointRecord] = {}  # starts of the first reading, by uid
-        self._first_dated: float | None = None  # when the first of them came
+        self._unconfirmed_starts: dict[str, EndpointRecord] = {}  # starts of the first reading, by uid
+        self._first_unconfirmed: float | None = None  # when the first of them came
         self._removed: set[int] = set()  # the router may still name them in this iteration
 
     def handle(self, sequenced: SequencedEvent, receipt: Receipt) -> None:
@@ -55,7 +55,7 @@
                     self.update_list(is_complete, known, receipt)
                 case Purge(key, group, issued):
                     self.observe_stamp(issued)
-                    age = receipt.arrived - self.context.timestamps.date_purge(issued, receipt)
+                    age = receipt.arrived - self.context.timestamps.estimate_purge_time(issued, receipt)
                     self.queue.post(ObjectsPurged(key, group, age))
                     self.pool.cancel_purged(key, group)
         except Exception:  # noqa: BLE001 - an event that cannot be applied must not stop the bus
@@ -70,7 +70,7 @@
             receipt: how it came.
         """
         for record in records:
-            self._note_dating(record, receipt)
+            self._track_unconfirmed_start(record, receipt)
         endpoints = tuple(self.names.endpoint(record, receipt) for record in records)
         named = {endpoint.id for endpoint in endpoints}
         present = {endpoint.id for endpoint in endpoints if endpoint.state is not EndpointState.REMOVED}
@@ -90,22 +90,24 @@
         if endpoint.state is EndpointState.REMOVED:
             self.pool.remove_endpoint(endpoint.id)
             return
-        dated = self.names.starts.get(record.uid)
-        started = dated.dated.earliest if dated else -math.inf
+        known = self.names.starts.get(record.uid)
+        started = known.interval.earliest if known else -math.inf
         is_usable = endpoint.state is EndpointState.READY
         self.pool.update_endpoint(endpoint.id, record.host, record.port, started, is_usable)
 
     # Dates of starts.
 
-    def _note_dating(self, record: EndpointRecord, receipt: Receipt) -> None:
-        previous = self._cautiously_dated.pop(record.uid, None)
+    def _track_unconfirmed_start(self, record: EndpointRecord, receipt: Receipt) -> None:
+        previous = self._unconfirmed_starts.pop(record.uid, None)
         if previous is not None:
             is_cautious = previous.started_at == record.started_at
         else:
             is_cautious = receipt.is_first_read and not self.context.timestamps.is_confirmed
         if is_cautious and record.started_at and record.state != "removed":
-            self._cautiously_dated[record.uid] = record
-            self._first_dated = receipt.arrived if self._first_dated is None else self._first_dated
+            self._unconfirmed_starts[record.uid] = record
+            self._first_unconfirmed = (
+                receipt.arrived if self._first_unconfirmed is None else self._first_unconfirmed
+            )
 
     def observe_copy(self, born: str) -> None:
         """Compare clocks by the field of an answer that says when its copy was made (Unix milliseconds)."""
@@ -115,35 +117,37 @@
     def observe_stamp(self, stamp: float) -> None:
         """Compare this front's Unix clock with a Unix time that another machine stamped."""
         if self.context.timestamps.confirm(stamp, self.context.clock.now()):
-            self._date_again()
+            self._estimate_starts_again()
 
-    def _date_again(self) -> None:
+    def _estimate_starts_again(self) -> None:
         """Date starts again that were dated cautiously at the first reading.
 
         Dating again forgets what was sent to a cache. So it is done for those that are warm, and for all
         within the first part of a window, in which a front that has just started sends little of its quota.
         """
         now = self.context.clock.now()
-        records = list(self._cautiously_dated.values())
-        self._cautiously_dated.clear()
+        records = list(self._unconfirmed_starts.values())
+        self._unconfirmed_starts.clear()
         chosen = [record for record in records if self._is_early(now) or self._is_warm(record, now)]
         for record in chosen:
-            self.names.forget_date(record.uid)
+            self.names.discard_start(record.uid)
         if chosen:
             endpoints = tuple(self.names.endpoint(record, Receipt(now)) for record in chosen)
             self.queue.post(EndpointsListed(ListScope.CHANGES, endpoints))
 
     def _is_early(self, now: float) -> bool:
         window = self.context.site.settings.edge_overload_window
-        return self._first_dated is not None and now - self._first_dated <= window * EARLY_FRACTION
+        return (
+            self._first_unconfirmed is not None and now - self._first_unconfirmed <= window * EARLY_FRACTION
+        )
 
     def _is_warm(self, record: EndpointRecord, now: float) -> bool:
         warm_up = self.context.site.settings.warm_up(self.names.roles[record.kind])
-        return now - self.context.timestamps.convert(record.started_at) >= warm_up.seconds
+        return now - self.context.timestamps.to_monotonic(record.started_at) >= warm_up.seconds
 
-    def forget_removed(self) -> None:
+    def remove_unlisted(self) -> None:
         """Forget the names of removed caches at the end of an iteration: names are never used again."""
         for cache in self._removed - self.listed:
-            self._cautiously_dated.pop(self.names.uids.get(cache, ""), None)
-            self.names.forget(cache)
+            self._unconfirmed_starts.pop(self.names.uids.get(cache, ""), None)
+            self.names.remove(cache)
         self._removed.clear()
--- a/weldbend/front/event_queue.py
+++ b/weldbend/front/event_queue.py
@@ -10,7 +10,7 @@
 IDLE_GAP = 0.001  # seconds between two iterations that count as idle time: what follows is not late
 MIN_REPORTED_LAG = 0.005  # seconds of event-loop lag from which the router is notified of it
 ITERATION_LIMIT = 0.03  # seconds after which an iteration leaves the rest of its events to the next one
-MIN_EVENTS = 2  # events that an iteration takes in any case: its own lag, and one that was posted
+MIN_EVENTS_PER_ITERATION = 2  # always taken: the lag event of the iteration and one posted event
 
 
 class EventQueue:
@@ -28,9 +28,9 @@
         self.taken_count = 0
         self._events: list[Event] = []
         self._waiting_since: list[float] = []  # for each event, the earliest moment at which it can have come
-        self._batch_since: list[float] = []  # the same of the batch that is handled
+        self._batch_waiting_since: list[float] = []  # the same of the batch that is handled
         self._is_scheduled = False
-        self._batch_began = -math.inf  # since when what is posted now can have lain unread
+        self._unread_since = -math.inf  # since when what is posted now can have lain unread
         self._iteration_began = -math.inf
         self._iteration_ended = -math.inf
 
@@ -44,14 +44,14 @@
         if not self._is_scheduled:
             now = self.context.clock.now()
             if now > self._iteration_ended + IDLE_GAP:
-                self._batch_began = now
+                self._unread_since = now
             self._schedule()
         if first and self._events:
             self._events.insert(0, event)
             self._waiting_since.insert(0, self._waiting_since[0])
         else:
             self._events.append(event)
-            self._waiting_since.append(self._batch_began)
+            self._waiting_since.append(self._unread_since)
 
     def _schedule(self) -> None:
         self._is_scheduled = True
@@ -89,22 +89,22 @@
         now = self.context.clock.now()
         batch = deque(self._events)
         self._events = []
-        self._batch_since = self._waiting_since
+        self._batch_waiting_since = self._waiting_since
         self._waiting_since = []
-        if batch and now > self._batch_since[0] + MIN_REPORTED_LAG:
-            batch.appendleft(LoopLagMeasured(now - self._batch_since[0]))
-        self._batch_began = self._iteration_began = now
+        if batch and now > self._batch_waiting_since[0] + MIN_REPORTED_LAG:
+            batch.appendleft(LoopLagMeasured(now - self._batch_waiting_since[0]))
+        self._unread_since = self._iteration_began = now
         self.taken_count = 0
         return batch
 
-    def is_iteration_over(self) -> bool:
+    def is_time_limit_exceeded(self) -> bool:
         """Return whether the iteration has taken so long that the sockets are to be polled.
 
         Guards caches against attempts decided for clients that close or cancel while a long batch is handled.
         Harm: what is left of the batch waits for two polls.
         """
         is_late = self.context.clock.now() > self._iteration_began + ITERATION_LIMIT
-        return is_late and self.taken_count >= MIN_EVENTS
+        return is_late and self.taken_count >= MIN_EVENTS_PER_ITERATION
 
     def has_events(self) -> bool:
         """Return whether events wait for an iteration."""
@@ -114,7 +114,7 @@
         """Leave the rest of a batch to the next iteration, before what has been posted since."""
         if batch:
             self._events[:0] = batch
-            self._waiting_since[:0] = self._batch_since[-len(batch) :]
+            self._waiting_since[:0] = self._batch_waiting_since[-len(batch) :]
             if not self._is_scheduled:
                 self._schedule()
 
--- a/weldbend/front/open_requests.py
+++ b/weldbend/front/open_requests.py
@@ -85,16 +85,16 @@
                 timer.cancel()
             self._finished.append(request)
 
-    def remove_finished(self, still_named: set[str]) -> None:
+    def remove_finished(self, still_referenced: set[str]) -> None:
         """Remove the finished requests, once the router has handled all events of theirs.
 
         Args:
-            still_named: ids in events that the router has not handled yet.
+            still_referenced: ids in events that the router has not handled yet.
         """
         finished = self._finished
         self._finished = []
         for request in finished:
-            if request.id in still_named:
+            if request.id in still_referenced:
                 self._finished.append(request)
             elif not request.has_attempt_in_flight():
                 self.by_id.pop(request.id, None)
--- a/weldbend/front/patient_reactor.py
+++ b/weldbend/front/patient_reactor.py
@@ -10,13 +10,13 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-NO_CAPACITY = (errno.ENOMEM, errno.ENOSPC)  # errors of epoll_ctl that pass
+TRANSIENT_ERRORS = (errno.ENOMEM, errno.ENOSPC)  # errors of epoll_ctl that pass
 RETRY_AFTER = 0.02  # seconds
 
 Selectable = Any  # Twisted's interfaces have no types here
 
 
-class PatientReactor(EPollReactor):
+class RetryingEPollReactor(EPollReactor):
     """Goes on trying to watch what it could not, until that works or is no longer wanted.
 
     Guards connections, timers and the port against errors of epoll_ctl. Harm: bytes wait meanwhile.
@@ -32,14 +32,14 @@
         try:
             super().addReader(reader)  # type: ignore[no-untyped-call]  # Twisted's
         except OSError as error:
-            self._add_later(self.unwatched_readers, reader, error)
+            self._retry_later(self.unwatched_readers, reader, error)
 
     def addWriter(self, writer: Selectable) -> None:
         """Watch a descriptor for room, now or as soon as that is possible."""
         try:
             super().addWriter(writer)  # type: ignore[no-untyped-call]  # Twisted's
         except OSError as error:
-            self._add_later(self.unwatched_writers, writer, error)
+            self._retry_later(self.unwatched_writers, writer, error)
 
     def removeReader(self, reader: Selectable) -> None:
         """Watch a descriptor for bytes no longer."""
@@ -51,14 +51,14 @@
         self.unwatched_writers.discard(writer)
         super().removeWriter(writer)  # type: ignore[no-untyped-call]  # Twisted's
 
-    def _add_later(self, unwatched: set[Selectable], selectable: Selectable, error: OSError) -> None:
-        if error.errno not in NO_CAPACITY:
+    def _retry_later(self, unwatched: set[Selectable], selectable: Selectable, error: OSError) -> None:
+        if error.errno not in TRANSIENT_ERRORS:
             raise error
         if not (self.unwatched_readers or self.unwatched_writers):
-            self.callLater(RETRY_AFTER, self._add_again)
+            self.callLater(RETRY_AFTER, self._retry_pending)
         unwatched.add(selectable)
 
-    def _add_again(self) -> None:
+    def _retry_pending(self) -> None:
         readers = self.unwatched_readers
         self.unwatched_readers = set()
         writers = self.unwatched_writers
--- a/weldbend/front/reload.py
+++ b/weldbend/front/reload.py
@@ -4,7 +4,7 @@
 
 from weldbend.front.configuration import Site
 
-RESTART_ONLY = (
+RESTART_ONLY_FIELDS = (
     "name",
     "host",
     "port",
@@ -14,7 +14,7 @@
     "client_settings",
     "fleet",
 )
-ORIGIN = (
+UNCOMPARED_FIELDS = (
     "bus_address",
     "known_events",
     "bus_offset",
@@ -24,15 +24,15 @@
 
 def pending_restart(current: Site, new: Site, has_fleet: bool) -> list[str]:
     """Return the fields that differ and that only a restart changes; in a fleet that is nearly all."""
-    names = [field.name for field in fields(Site) if field.name not in ORIGIN]
+    names = [field.name for field in fields(Site) if field.name not in UNCOMPARED_FIELDS]
     changed = [name for name in names if getattr(new, name) != getattr(current, name)]
-    return [name for name in changed if name in RESTART_ONLY or (has_fleet and name != "fleet")]
+    return [name for name in changed if name in RESTART_ONLY_FIELDS or (has_fleet and name != "fleet")]
 
 
-def merged(current: Site, new: Site) -> Site:
+def merge_sites(current: Site, new: Site) -> Site:
     """Return the new configuration with what a running process keeps."""
     cache_limits = replace(new.cache_limits, max_connections=current.cache_limits.max_connections)
     retained = {
-        name: getattr(current, name) for name in (*RESTART_ONLY, "known_events", "bus_offset", "seed")
+        name: getattr(current, name) for name in (*RESTART_ONLY_FIELDS, "known_events", "bus_offset", "seed")
     }
     return replace(new, cache_limits=cache_limits, **retained)
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -15,7 +15,7 @@
 from weldbend.routing.events import AttemptEnded, AttemptResult, FillHint
 from weldbend.routing.settings import Idempotency, RequestClass
 
-RESULTS = {
+ANSWER_RESULTS = {
     "DONE": AttemptResult.SERVED,
     "KEEP": AttemptResult.SERVED,
     "LACK": AttemptResult.MISS,
@@ -24,7 +24,7 @@
     "PAST": AttemptResult.SUPERSEDED,
 }
 HEALTH_RESULTS = {"FIT": AttemptResult.SERVED, "UNFIT": AttemptResult.ERROR}
-LOSSES = {
+LOSS_RESULTS = {
     AttemptLoss.UNREACHABLE: AttemptResult.UNREACHABLE,
     AttemptLoss.RESET: AttemptResult.RESET,
     AttemptLoss.MALFORMED: AttemptResult.MALFORMED,
@@ -43,7 +43,7 @@
 TIMEOUT_TOLERANCE = 0.05  # seconds by which a client may round its timeout up
 
 
-class RequestFlaw(Enum):
+class InvalidRequestReason(Enum):
     """What is wrong with a request; the client is sent these texts, so they are part of the wire."""
 
     UNKNOWN_CLASS = "unknown content type"
@@ -59,13 +59,13 @@
     """Fields that no request can have.
 
     Attributes:
-        flaw: what is wrong.
+        reason: what is wrong.
         field: name of the missing field, "" otherwise.
     """
 
-    def __init__(self, flaw: RequestFlaw, field: str = "") -> None:
-        super().__init__(f"{flaw.value} {field!r}" if field else flaw.value)
-        self.flaw = flaw
+    def __init__(self, reason: InvalidRequestReason, field: str = "") -> None:
+        super().__init__(f"{reason.value} {field!r}" if field else reason.value)
+        self.reason = reason
         self.field = field
 
 
@@ -114,13 +114,13 @@
     idempotency_key = fields.get("once")
     known_version = fields.get("got")
     if class_name not in classes:
-        raise InvalidRequestError(RequestFlaw.UNKNOWN_CLASS)
+        raise InvalidRequestError(InvalidRequestReason.UNKNOWN_CLASS)
     if classes[class_name].idempotency is Idempotency.DEDUPLICATED and not idempotency_key:
-        raise InvalidRequestError(RequestFlaw.MISSING_FIELD, "once")
+        raise InvalidRequestError(InvalidRequestReason.MISSING_FIELD, "once")
     if not HEX16.fullmatch(client_id) or not HEX16.fullmatch(key):
-        raise InvalidRequestError(RequestFlaw.MALFORMED_ID)
+        raise InvalidRequestError(InvalidRequestReason.MALFORMED_ID)
     if not all(text is None or HEX.fullmatch(text) for text in (idempotency_key, known_version)):
-        raise InvalidRequestError(RequestFlaw.MALFORMED_TOKEN)
+        raise InvalidRequestError(InvalidRequestReason.MALFORMED_TOKEN)
     request = ParsedRequest(
         client_id=client_id,
         class_name=class_name,
@@ -146,14 +146,14 @@
         and request.part <= MAX_PART
     )
     if not is_within_bounds:
-        raise InvalidRequestError(RequestFlaw.NUMBER_BEYOND_BOUNDS)
+        raise InvalidRequestError(InvalidRequestReason.NUMBER_BEYOND_BOUNDS)
     if len(request.body) > MAX_BODY:
-        raise InvalidRequestError(RequestFlaw.BODY_TOO_LARGE)
+        raise InvalidRequestError(InvalidRequestReason.BODY_TOO_LARGE)
 
 
 def _text(fields: Mapping[str, str], name: str) -> str:
     if name not in fields:
-        raise InvalidRequestError(RequestFlaw.MISSING_FIELD, name)
+        raise InvalidRequestError(InvalidRequestReason.MISSING_FIELD, name)
     return fields[name]
 
 
@@ -161,7 +161,7 @@
     """Return a numeric field's text; without a default it must be there."""
     value = _text(fields, name) if default is None else fields.get(name, default)
     if not form.fullmatch(value):
-        raise InvalidRequestError(RequestFlaw.MALFORMED_NUMBER)
+        raise InvalidRequestError(InvalidRequestReason.MALFORMED_NUMBER)
     return value
 
 
@@ -226,12 +226,12 @@
         return AttemptEnded(
             id=request_id,
             attempt=attempt,
-            result=RESULTS[outcome.status],
+            result=ANSWER_RESULTS[outcome.status],
             duration=duration,
             request_closed=request_closed,
             fill_hint=FILL_HINTS.get(fields.get("detail", ""), FillHint.NONE),
             waited=_finite(fields.get("waited", "0")) / 1000,
             load=parse_load(fields.get("use")),
         )
-    result = LOSSES[outcome] if isinstance(outcome, AttemptLoss) else outcome
+    result = LOSS_RESULTS[outcome] if isinstance(outcome, AttemptLoss) else outcome
     return AttemptEnded(request_id, attempt, result, duration, request_closed, FillHint.NONE, 0.0, None)
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -17,7 +17,7 @@
 from weldbend import early_signals
 from weldbend.event_bus.events import SequencedEvent
 from weldbend.event_bus.reader import BusReader
-from weldbend.event_bus.remote_timestamps import receipts_of_known
+from weldbend.event_bus.remote_timestamps import receipts_of_known_events
 from weldbend.front import reload
 from weldbend.front.client_gateway import ClientGateway
 from weldbend.front.clock import Clock
@@ -33,10 +33,10 @@
     from weldbend.fleet.front_adapter import FleetAdapter
 
 # All in seconds.
-MIN_SHUTDOWN = 0.7  # from SIGTERM to the end at least: clients still come
+MIN_SHUTDOWN_TIME = 0.7  # from SIGTERM to the end at least: clients still come
 MAX_DEADLINE = 3.0  # the part of the longest deadline that a shutdown waits for: SIGKILL comes soon after
 ABORT_DELAY = 0.4  # after that deadline what is still open is aborted, and what still comes is rejected
-FORCED_END = 0.2  # after that the front ends in any case
+FORCED_EXIT_DELAY = 0.2  # after that the front ends in any case
 SHUTDOWN_POLL = 0.02  # between two checks whether all is answered
 SHUTDOWN_POLL_IDLE = 0.002  # the same while idle connections are closed, a batch each time
 MAX_BUS_WAIT = 0.3  # that a start waits for the bus
@@ -48,7 +48,7 @@
     """One front.
 
     Attributes:
-        read_again: reads the configuration anew for a reload; None where there is nothing to read.
+        read_new_site: reads the configuration anew for a reload; None where there is nothing to read.
         fleet_adapter: None where the installation names no fleet.
         is_open: whether the port is open.
         stop_requested: when SIGTERM came; None before.
@@ -59,11 +59,11 @@
         self,
         reactor: Reactor,
         site: Site,
-        read_again: Callable[[], Site] | None = None,
+        read_new_site: Callable[[], Site] | None = None,
         clock: Clock | None = None,
     ) -> None:
         self.reactor = reactor
-        self.read_again = read_again
+        self.read_new_site = read_new_site
         self.clock = clock or Clock()
         self.timers = Timers(reactor, self.clock)
         self.context = FrontContext(reactor, site, self.clock, self.timers, FrontCounters())
@@ -77,7 +77,7 @@
             site.bus_address,
             site.bus_offset,
             self._handle_bus_event,
-            self._bus_answered,
+            self._bus_connected,
         )
         if self.fleet_adapter:
             self.fleet_adapter.hold.bus_message_count = lambda: self.bus.receive_count
@@ -119,7 +119,7 @@
             if early_signals.hangups:  # the configuration may have been read before it was written anew
                 self.reload()
         except CannotListenError as error:  # of the fleet's port
-            self._stop_unable_to_listen(error.interface, error.port, error)
+            self._stop_after_listen_error(error.interface, error.port, error)
 
     def start(self) -> None:
         """Apply the known events and connect to bus and fleet; the port opens shortly after.
@@ -127,9 +127,9 @@
         Raises:
             CannotListenError: where the fleet's port is taken.
         """
-        self.context.timestamps.set_reading(self.clock.unix_ahead())
+        self.context.timestamps.set_unix_offset(self.clock.unix_offset())
         known = self.site.known_events
-        for sequenced, receipt in zip(known, receipts_of_known(known, self.clock.now()), strict=True):
+        for sequenced, receipt in zip(known, receipts_of_known_events(known, self.clock.now()), strict=True):
             self.dispatcher.endpoints.handle(sequenced, receipt)
         self.dispatcher.run_iteration()
         self.bus.start()
@@ -139,7 +139,7 @@
         gc.enable()
         self.timers.after(MAX_BUS_WAIT, self._open_or_stop)
 
-    def _bus_answered(self) -> None:
+    def _bus_connected(self) -> None:
         """Open the port soon: events since the configuration was written come right behind the answer."""
         if not self._has_tried_to_open:
             self.timers.after(BUS_CATCH_UP, self._open_or_stop)
@@ -148,9 +148,9 @@
         try:
             self.open()
         except CannotListenError as error:
-            self._stop_unable_to_listen(self.site.host, self.site.port, error)
+            self._stop_after_listen_error(self.site.host, self.site.port, error)
 
-    def _stop_unable_to_listen(self, host: str, port: int, error: CannotListenError) -> None:
+    def _stop_after_listen_error(self, host: str, port: int, error: CannotListenError) -> None:
         logger.error("cannot listen on {}:{}: {}", host, port, error.socketError)
         self.reactor.stop()
 
@@ -170,7 +170,7 @@
         self.listener.listen(self.context.reactor, self.site.host, self.site.port)
         self.is_open = True
         self.timers.after(COUNTERS_INTERVAL, self._log_counters)
-        self.gateway.start_upkeep()
+        self.gateway.start_maintenance()
         logger.info("front {} serves on {}:{}", self.site.name, self.site.host, self.site.port)
 
     # While it runs.
@@ -193,10 +193,10 @@
         accepted. Guards against a file that is half written, malformed or gone: that is logged, and the old
         configuration stays. What `reload` names waits for a restart, and in a fleet all but the bus does.
         """
-        if self.read_again is None:
+        if self.read_new_site is None:
             return
         try:
-            site = self.read_again()
+            site = self.read_new_site()
         except (ConfigurationError, OSError, UnicodeDecodeError) as error:
             logger.error("new configuration rejected, the old one stays: {}", error)
             return
@@ -211,7 +211,7 @@
         )
         self.bus.move(site.bus_address)
         if not has_fleet:
-            self.dispatcher.apply_site(reload.merged(self.site, site))
+            self.dispatcher.apply_site(reload.merge_sites(self.site, site))
 
     # Stop.
 
@@ -220,10 +220,10 @@
         if self.stop_requested is None:
             self.stop_requested = self.clock.now()
             logger.info("shutdown requested; {} requests open", len(self.dispatcher.requests))
-            self.timers.after(min(MIN_SHUTDOWN, self._abort_after()), self._end_if_done)
-            self.timers.after(self._abort_after(), self._abort_all)
+            self.timers.after(min(MIN_SHUTDOWN_TIME, self._seconds_until_abort()), self._end_if_done)
+            self.timers.after(self._seconds_until_abort(), self._abort_all)
 
-    def _abort_after(self) -> float:
+    def _seconds_until_abort(self) -> float:
         """Return the seconds from SIGTERM to the moment in which what is still open is aborted."""
         classes = self.site.settings.classes.values()
         longest = max(request_class.deadline_after for request_class in classes)
@@ -250,7 +250,7 @@
         now = self.clock.now()
         requests = self.dispatcher.requests
         has_stopped_accepting = self.listener.stop()
-        is_late = now > self.stop_requested + self._abort_after() + FORCED_END
+        is_late = now > self.stop_requested + self._seconds_until_abort() + FORCED_EXIT_DELAY
         if is_late or (has_stopped_accepting and not (requests or self.listener.connection_count())):
             self._end()
             return
@@ -269,7 +269,7 @@
         self.reactor.stop()
 
 
-def serve(site: Site, read_again: Callable[[], Site]) -> bool:
+def serve(site: Site, read_new_site: Callable[[], Site]) -> bool:
     """Run one front in this process until it is told to end; return False if it could not start."""
     hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     is_unlimited = hard_limit == resource.RLIM_INFINITY
@@ -278,12 +278,12 @@
     # Here, since loading them installs a reactor: only a process that serves wants one.
     from twisted.internet.main import installReactor
 
-    from weldbend.front.patient_reactor import PatientReactor
+    from weldbend.front.patient_reactor import RetryingEPollReactor
 
-    installReactor(PatientReactor())  # type: ignore[no-untyped-call]  # Twisted's
+    installReactor(RetryingEPollReactor())  # type: ignore[no-untyped-call]  # Twisted's
     from twisted.internet import reactor
 
-    front = Front(reactor, site, read_again)
+    front = Front(reactor, site, read_new_site)
     observer: Any = TwistedLogObserver(
         front.context.counters
     )  # zope declares the interface, not a base class
--- a/weldbend/front/standstill.py
+++ b/weldbend/front/standstill.py
@@ -5,35 +5,35 @@
 """
 
 TOLERANCE = 0.02  # seconds by which a beat may come late
-BEAT_INTERVAL = 0.1  # seconds between two beats at most
+HEARTBEAT_INTERVAL = 0.1  # seconds between two beats at most
 
 
-class StandstillDetector:
-    """Receives a beat every BEAT_INTERVAL; moments are seconds of the front's clock.
+class ProcessPauseDetector:
+    """Receives a beat every HEARTBEAT_INTERVAL; moments are seconds of the front's clock.
 
     Attributes:
-        last_beat: when it beat last.
-        began: since when the process stood still, as long as what came meanwhile is still being read.
+        last_heartbeat: when it beat last.
+        paused_at: since when the process stood still, as long as what came meanwhile is still being read.
     """
 
     def __init__(self, now: float) -> None:
-        self.last_beat = now
-        self.began: float | None = None
+        self.last_heartbeat = now
+        self.paused_at: float | None = None
 
-    def beat(self, now: float) -> bool:
+    def record_heartbeat(self, now: float) -> bool:
         """Note a sign of life; return whether the process stood still before it."""
-        has_stood_still = now > self.last_beat + BEAT_INTERVAL + TOLERANCE
-        if has_stood_still:
-            self.began = self.last_beat
-        self.last_beat = now
-        return has_stood_still
+        was_paused = now > self.last_heartbeat + HEARTBEAT_INTERVAL + TOLERANCE
+        if was_paused:
+            self.paused_at = self.last_heartbeat
+        self.last_heartbeat = now
+        return was_paused
 
-    def has_caught_up(self) -> None:
+    def mark_caught_up(self) -> None:
         """Note that all that came during the last standstill was read."""
-        self.began = None
+        self.paused_at = None
 
-    def came_at(self, now: float) -> float:
+    def earliest_arrival(self, now: float) -> float:
         """Return the earliest moment at which bytes that are read now can have come."""
-        if now > self.last_beat + BEAT_INTERVAL + TOLERANCE:
-            return self.last_beat
-        return now if self.began is None else self.began
+        if now > self.last_heartbeat + HEARTBEAT_INTERVAL + TOLERANCE:
+            return self.last_heartbeat
+        return now if self.paused_at is None else self.paused_at
