--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -24,7 +24,7 @@
     max_streams=2,
     idle_timeout=15.0,
     connect_timeout=CONNECT_TIMEOUT,
-    loop_iteration=0.004,
+    max_iteration_time=0.004,
     max_connections=2,
     max_answer_time=6.0,
 )
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -86,7 +86,7 @@
     assert not listening.accepted and 4 <= calls <= 8, calls  # without a pause it would be 250
     listening.failing.errors.clear()
     listening.turn(MAX_PAUSE + 0.01)
-    assert len(listening.accepted) == 1 and listening.is_watched() and listening.guard.faults == 0
+    assert len(listening.accepted) == 1 and listening.is_watched() and listening.guard.consecutive_faults == 0
     assert not [event for event in logged if event.get("isError")]
     listening.close()
 
--- a/tests/test_local_faults.py
+++ b/tests/test_local_faults.py
@@ -188,7 +188,7 @@
         for step in range(8):
             drawn.append(backoff.record_fault(step * 0.1))
             assert backoff.record_fault(step * 0.1) is None
-            backoff.is_waiting = False
+            backoff.is_retry_scheduled = False
         delays.append(drawn)
     for step, delay in enumerate(delays[0]):
         longest = min(MIN_DELAY * 2**step, MAX_DELAY)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -11,7 +11,7 @@
 from twisted.internet.task import Clock
 
 from weldbend.socket_errors import (
-    ENDED_BEFORE_ACCEPT,
+    ABORTED_CONNECTION_ERRORS,
     FaultSide,
     connect_fault_side,
     error_number,
@@ -62,7 +62,13 @@
             expected = FaultSide.PEER if number in peers else FaultSide.THIS_MACHINE
             assert connect_fault_side(number) is expected, errno.errorcode[number]
     assert connect_fault_side(error_number(TimeoutError())) is FaultSide.PEER
-    assert not ENDED_BEFORE_ACCEPT & {errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EBADF}
+    assert not ABORTED_CONNECTION_ERRORS & {
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EBADF,
+    }
     assert not ends_connection(Call.SEND, errno.ENOBUFS) and ends_connection(Call.SEND, errno.EPIPE)
 
 
--- a/weldbend/accept_guard.py
+++ b/weldbend/accept_guard.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from weldbend.invariants import anomalies
-from weldbend.socket_errors import ENDED_BEFORE_ACCEPT, NOTHING_WAITS
+from weldbend.socket_errors import ABORTED_CONNECTION_ERRORS, WOULD_BLOCK_ERRORS
 
 MIN_PAUSE = 0.01  # seconds; doubled with each fault in a row
 MAX_PAUSE = 0.1  # seconds: what waits has deadlines of some tenths of a second
@@ -36,13 +36,13 @@
             try:
                 accepted: tuple[Any, Any] = self.listening.accept()
             except OSError as error:
-                if error.errno in NOTHING_WAITS:
+                if error.errno in WOULD_BLOCK_ERRORS:
                     raise
                 fault = error
-                if error.errno not in ENDED_BEFORE_ACCEPT:
+                if error.errno not in ABORTED_CONNECTION_ERRORS:
                     break
             else:
-                self.guard.faults = 0
+                self.guard.consecutive_faults = 0
                 return accepted
         self.guard.accept_failed(fault)
         raise BlockingIOError(errno.EAGAIN, "accepting is paused")
@@ -55,8 +55,8 @@
     """Pauses a Twisted port while connections cannot be accepted.
 
     Attributes:
-        is_waiting: whether accepting is paused for a fault.
-        faults: rounds in a row that ended by a fault.
+        is_paused: whether accepting is paused for a fault.
+        consecutive_faults: rounds in a row that ended by a fault.
     """
 
     def __init__(
@@ -70,32 +70,32 @@
         Args:
             port: the port.
             after: runs a call after so many seconds.
-            on_change: called when `is_waiting` has changed; by default the port is paused and resumed.
+            on_change: called when `is_paused` has changed; by default the port is paused and resumed.
         """
         self.port = port
         self.after = after
         self.on_change = on_change or self._pause_or_resume
-        self.is_waiting = False
-        self.faults = 0
+        self.is_paused = False
+        self.consecutive_faults = 0
         if hasattr(port, "socket"):
             port.socket = GuardedSocket(port.socket, self)
 
     def accept_failed(self, fault: OSError) -> None:
         """Pause: the fault is this machine's, or of very many connections in a row."""
         anomalies[f"accepts that failed with {errno.errorcode.get(fault.errno or 0, 'no number')}"] += 1
-        if not self.is_waiting:
-            self.is_waiting = True
-            pause = min(MIN_PAUSE * 2**self.faults, MAX_PAUSE)
-            self.faults += 1
+        if not self.is_paused:
+            self.is_paused = True
+            pause = min(MIN_PAUSE * 2**self.consecutive_faults, MAX_PAUSE)
+            self.consecutive_faults += 1
             self.after(pause, self._resume)
             self.on_change()
 
     def _resume(self) -> None:
-        self.is_waiting = False
+        self.is_paused = False
         self.on_change()
 
     def _pause_or_resume(self) -> None:
-        if self.is_waiting:
+        if self.is_paused:
             self.port.pauseProducing()
             return
         try:
--- a/weldbend/buffers/ring.py
+++ b/weldbend/buffers/ring.py
@@ -6,7 +6,7 @@
 from weldbend.invariants import check_invariant
 
 INITIAL_SIZE = 480  # bytes that a ring begins with: a short call, and within Python's own small allocator
-RETAINED = 4096  # bytes
+MAX_RETAINED_SIZE = 4096  # bytes
 
 
 class Ring:
@@ -14,17 +14,17 @@
 
     Attributes:
         capacity: How many bytes it may hold.
-        retained: The most memory (bytes) that it keeps when it is empty.
+        max_retained_size: The most memory (bytes) that it keeps when it is empty.
         data: The memory; bytes wrap round its end.
         head: Where in `data` the first byte is.
         size: How many bytes it holds.
     """
 
-    __slots__ = ("capacity", "data", "head", "retained", "size")
+    __slots__ = ("capacity", "data", "head", "max_retained_size", "size")
 
-    def __init__(self, capacity: int, retained: int = RETAINED) -> None:
+    def __init__(self, capacity: int, max_retained_size: int = MAX_RETAINED_SIZE) -> None:
         self.capacity = capacity
-        self.retained = retained
+        self.max_retained_size = max_retained_size
         self.head = 0
         self.size = 0
         self.data = bytearray()
@@ -82,7 +82,7 @@
         self.size -= count
         if not self.size:
             self.head = 0
-            if len(self.data) > self.retained:
+            if len(self.data) > self.max_retained_size:
                 self.data = bytearray()
 
     def read(self, count: int) -> bytes:
--- a/weldbend/cache_protocol/answers.py
+++ b/weldbend/cache_protocol/answers.py
@@ -8,7 +8,7 @@
 LONGEST_BODY = 240_000  # bytes
 MAX_LENGTH_DIGITS = 6  # of LONGEST_BODY
 LINE_END = b"\r\n"
-EXCERPT = 80  # bytes or characters of what is wrong that an error quotes
+EXCERPT_LENGTH = 80  # bytes or characters of what is wrong that an error quotes
 STATUSES = frozenset(("DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST", "FIT", "UNFIT"))
 
 
@@ -22,7 +22,7 @@
 
     def __init__(self, section: str, raw: str | bytes) -> None:
         self.section = section
-        self.excerpt = raw[:EXCERPT]
+        self.excerpt = raw[:EXCERPT_LENGTH]
         super().__init__(f"{section} {self.excerpt!r}")
 
 
@@ -56,16 +56,16 @@
 
     Attributes:
         ring: The bytes that came.
-        scanned: Bytes at the ring's start that hold no complete line end.
+        scanned_bytes: Bytes at the ring's start that hold no complete line end.
         line: Name, status and fields of the answer whose body is due next; None where its line is due.
         length: Bytes of that body.
     """
 
-    __slots__ = ("length", "line", "ring", "scanned")
+    __slots__ = ("length", "line", "ring", "scanned_bytes")
 
     def __init__(self, ring: Ring) -> None:
         self.ring = ring
-        self.scanned = 0
+        self.scanned_bytes = 0
         self.length = 0
         self.line: tuple[str, str, str] | None = None
 
@@ -89,15 +89,15 @@
 
     def _read_line(self) -> bool:
         """Read the line that begins an answer; false where it is not complete."""
-        end = self.ring.find(LINE_END, max(self.scanned - 1, 0), LONGEST_LINE)
+        end = self.ring.find(LINE_END, max(self.scanned_bytes - 1, 0), LONGEST_LINE)
         if end < 0:
             if len(self.ring) >= LONGEST_LINE:
-                raise InvalidAnswerError("line", self.ring.peek(EXCERPT))
-            self.scanned = len(self.ring)
+                raise InvalidAnswerError("line", self.ring.peek(EXCERPT_LENGTH))
+            self.scanned_bytes = len(self.ring)
             return False
         raw = self.ring.read(end)
         self.ring.skip(len(LINE_END))
-        self.scanned = 0
+        self.scanned_bytes = 0
         try:
             name, status, fields, length = raw.decode("ascii").split(" ")
         except ValueError:
--- a/weldbend/cache_protocol/commands.py
+++ b/weldbend/cache_protocol/commands.py
@@ -3,14 +3,14 @@
 from collections.abc import Mapping
 
 
-def fields_text(fields: Mapping[str, str]) -> str:
+def format_fields(fields: Mapping[str, str]) -> str:
     """Fields as `name=value` pairs with commas between, or `-` where there are none."""
     return ",".join(f"{name}={value}" for name, value in fields.items()) or "-"
 
 
 def do(name: str, fields: Mapping[str, str], body: bytes) -> bytes:
     """Start an attempt; answers carry its name."""
-    return b"do %b %b %d\r\n%b\r\n" % (name.encode(), fields_text(fields).encode(), len(body), body)
+    return b"do %b %b %d\r\n%b\r\n" % (name.encode(), format_fields(fields).encode(), len(body), body)
 
 
 def undo(name: str) -> bytes:
--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -18,7 +18,7 @@
     LOCAL_FAULT = auto()  # this machine could make no connection meanwhile; no byte went out
 
 
-class AttemptCarrier(Protocol):
+class AttemptConnection(Protocol):
     """The connection that an attempt is in flight on, as far as others need to know it."""
 
     received_at: float  # when bytes last came over it
@@ -57,7 +57,7 @@
     command: Callable[[], bytes]
     on_ended: Callable[["Attempt", Answer | AttemptLoss], None]
     is_short_lived: bool = False
-    connection: AttemptCarrier | None = None
+    connection: AttemptConnection | None = None
     queued_at: float = 0.0
     sent_at: float = 0.0
     is_locally_blocked: bool = False
--- a/weldbend/caches/connect_backoff.py
+++ b/weldbend/caches/connect_backoff.py
@@ -15,27 +15,27 @@
     """The faults of this machine that came in a row, and the retry that is due.
 
     Attributes:
-        is_waiting: whether a retry is due later, and no connect is to be begun before.
-        began_at: when the first fault in a row came (seconds of the front's clock).
+        is_retry_scheduled: whether a retry is due later, and no connect is to be begun before.
+        first_fault_at: when the first fault in a row came (seconds of the front's clock).
     """
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.is_waiting = False
-        self.began_at = -math.inf
-        self.faults = 0
+        self.is_retry_scheduled = False
+        self.first_fault_at = -math.inf
+        self.consecutive_faults = 0
 
     def record_fault(self, now: float) -> float | None:
         """Count a fault; the seconds until the retry that it needs, None where one is due already."""
-        if not self.faults:
-            self.began_at = now
-        if self.is_waiting:
+        if not self.consecutive_faults:
+            self.first_fault_at = now
+        if self.is_retry_scheduled:
             return None
-        self.is_waiting = True
-        longest: float = min(MIN_DELAY * 2**self.faults, MAX_DELAY)
-        self.faults += 1
-        return longest * (1 + random.Random(f"{self.address} {now}").random()) / 2
+        self.is_retry_scheduled = True
+        max_delay: float = min(MIN_DELAY * 2**self.consecutive_faults, MAX_DELAY)
+        self.consecutive_faults += 1
+        return max_delay * (1 + random.Random(f"{self.address} {now}").random()) / 2
 
     def clear(self) -> None:
         """Begin anew: this machine could make a connection, or learned of the other end that it cannot."""
-        self.faults = 0
+        self.consecutive_faults = 0
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -105,9 +105,9 @@
 
     def can_send(self, name: str) -> bool:
         """Whether an attempt's first byte would go out at once, and its answer could be matched to it."""
-        is_free = not (self.is_write_paused or self.outgoing or self.is_draining or self.is_lost)
+        is_available = not (self.is_write_paused or self.outgoing or self.is_draining or self.is_lost)
         return (
-            is_free
+            is_available
             and len(self.in_flight) < self.owner.max_streams
             and name not in self.in_flight
             and name not in self.cancelled_names
--- a/weldbend/caches/connection_limiter.py
+++ b/weldbend/caches/connection_limiter.py
@@ -58,7 +58,7 @@
         self.connecting = 0
         self.idle: dict[CacheConnection, None] = {}
         self.queue: dict[LimitedEndpoint, None] = {}
-        self._making_way: set[CacheConnection] = set()  # closed for others, and not gone yet
+        self._evicting: set[CacheConnection] = set()  # closed for others, and not gone yet
         self._reserved_until: dict[CacheConnection, float] = {}  # until when a late answer may still come
         self._is_scheduled = False
 
@@ -79,7 +79,7 @@
     def connect_ended(self) -> None:
         """A connection is no longer being made: it has come up or failed."""
         self.connecting -= 1
-        self._schedule()
+        self._schedule_processing()
 
     def opened(self, connection: CacheConnection) -> None:
         """Count a connection that has come up."""
@@ -90,37 +90,37 @@
         self.open.pop(connection, None)
         self.idle.pop(connection, None)
         self._reserved_until.pop(connection, None)
-        self._making_way.discard(connection)
-        self._schedule()
+        self._evicting.discard(connection)
+        self._schedule_processing()
 
     # Which may make way.
 
-    def use(self, connection: CacheConnection) -> None:
+    def mark_in_use(self, connection: CacheConnection) -> None:
         """Something is sent on a connection: it does not make way."""
         self.idle.pop(connection, None)
 
-    def hold(self, connection: CacheConnection) -> None:
+    def reserve(self, connection: CacheConnection) -> None:
         """Keep a connection for a connect timeout: an answer to nothing in flight may come on it.
 
         Guards cancellations and health checks that are on their way from a close that crosses their answer,
         which resets the connection. Harm: a connect waits a little where nothing else is idle.
         """
-        self.use(connection)
+        self.mark_in_use(connection)
         delay = self.pool.limits.connect_timeout
         self._reserved_until[connection] = self.pool.timers.now() + delay
-        self.pool.timers.after(delay, lambda: self._end_hold(connection))
+        self.pool.timers.after(delay, lambda: self._end_reservation(connection))
 
-    def _end_hold(self, connection: CacheConnection) -> None:
+    def _end_reservation(self, connection: CacheConnection) -> None:
         reserved_until = self._reserved_until.get(connection)
         if reserved_until is not None and self.pool.timers.now() >= reserved_until:
             del self._reserved_until[connection]
-            self.note_idle(connection)
+            self.mark_idle(connection)
 
-    def note_idle(self, connection: CacheConnection) -> None:
+    def mark_idle(self, connection: CacheConnection) -> None:
         """A connection makes way from now on, if nothing is under way on it."""
         if connection not in self.idle and connection not in self._reserved_until and is_idle(connection):
             self.idle[connection] = None
-            self._schedule()
+            self._schedule_processing()
 
     # Who waits.
 
@@ -129,20 +129,20 @@
         if self.is_below_limit() and not self.queue:
             return True
         self.queue.setdefault(endpoint)
-        self._schedule()
+        self._schedule_processing()
         return False
 
     def withdraw(self, endpoint: LimitedEndpoint) -> None:
         """A cache no longer waits for room."""
         self.queue.pop(endpoint, None)
 
-    def _schedule(self) -> None:
+    def _schedule_processing(self) -> None:
         """Serve those who wait soon, after what is under way in this moment."""
         if self.queue and not self._is_scheduled:
             self._is_scheduled = True
-            self.pool.reactor.callLater(0, self._serve)
+            self.pool.reactor.callLater(0, self._process_queue)
 
-    def _serve(self) -> None:
+    def _process_queue(self) -> None:
         """Give room to those who wait, in turn, and have idle connections make way for the others."""
         self._is_scheduled = False
         for endpoint in list(self.queue):
@@ -150,11 +150,11 @@
                 break
             self.withdraw(endpoint)
             endpoint.connect_when_admitted()
-        missing = len(self.queue) - len(self._making_way)
+        missing = len(self.queue) - len(self._evicting)
         while missing > 0 and self.idle:
             connection = next(iter(self.idle))
             del self.idle[connection]
             if is_idle(connection):
-                self._making_way.add(connection)
+                self._evicting.add(connection)
                 connection.drain()
                 missing -= 1
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -17,7 +17,7 @@
 from twisted.python.failure import Failure
 
 from weldbend.cache_protocol.answers import Answer
-from weldbend.caches.attempt import Attempt, AttemptCarrier, AttemptLoss
+from weldbend.caches.attempt import Attempt, AttemptConnection, AttemptLoss
 from weldbend.caches.connect_backoff import ConnectBackoff
 from weldbend.caches.connection import CacheConnection
 from weldbend.caches.connection_limiter import ConnectionLimiter
@@ -62,10 +62,10 @@
     def limiter(self) -> ConnectionLimiter:
         """The bound on connections to all caches."""
 
-    def attempts_wait(self, endpoint: "EndpointConnections") -> None:
+    def add_waiting_endpoint(self, endpoint: "EndpointConnections") -> None:
         """Attempts wait for a connection to a cache."""
 
-    def no_attempt_waits(self, endpoint: "EndpointConnections") -> None:
+    def remove_waiting_endpoint(self, endpoint: "EndpointConnections") -> None:
         """No attempt waits for a connection to a cache any more."""
 
 
@@ -116,7 +116,7 @@
         self.connecting: dict[ConnectAttempt, Connector] = {}
         self.waiting: deque[Attempt] = deque()
         self.is_closed = False
-        self.resets = 0  # connects in a row that were accepted and reset
+        self.consecutive_resets = 0  # connects in a row that were accepted and reset
         self.backoff = ConnectBackoff(f"{host}:{port}")
         self.is_send_scheduled = False
         self.admitted_at = -math.inf  # when it last had its turn to connect, after a wait for room
@@ -138,17 +138,17 @@
         if not self._send_now(attempt):
             attempt.queued_at = self.pool.timers.now()
             self.waiting.append(attempt)
-            self.pool.attempts_wait(self)
+            self.pool.add_waiting_endpoint(self)
             self.pool.timers.after(self.pool.limits.connect_timeout, lambda: self._wait_expired(attempt))
             self._connect()
 
     def _send_now(self, attempt: Attempt) -> bool:
         """Send an attempt on the connection with the fewest in flight; false where none can carry it."""
-        usable = [c for c in self.connections if c.can_send(attempt.name) and not self._is_stale(c)]
+        usable = [c for c in self.connections if c.can_send(attempt.name) and not self._drain_if_stale(c)]
         if not usable or self.is_closed:
             return False
         connection = min(usable, key=lambda c: len(c.in_flight))
-        self.pool.limiter.use(connection)
+        self.pool.limiter.mark_in_use(connection)
         connection.send(attempt)
         return True
 
@@ -156,18 +156,18 @@
         """Send a health check on a connection that is up; false where there is none."""
         usable = [c for c in self.connections if c.can_send(tag)]
         if usable:
-            self.pool.limiter.hold(usable[0])
+            self.pool.limiter.reserve(usable[0])
             usable[0].write(command)
         return bool(usable)
 
-    def cancel(self, attempt: Attempt, carrier: AttemptCarrier) -> None:
+    def cancel(self, attempt: Attempt, attempt_connection: AttemptConnection) -> None:
         """Cancel an attempt that is in flight on a connection; its answer may still come there."""
         for connection in self.connections:
-            if connection is carrier:
-                self.pool.limiter.hold(connection)
-        carrier.cancel(attempt)
+            if connection is attempt_connection:
+                self.pool.limiter.reserve(connection)
+        attempt_connection.cancel(attempt)
 
-    def _is_stale(self, connection: CacheConnection) -> bool:
+    def _drain_if_stale(self, connection: CacheConnection) -> bool:
         """Drain one that its cache is about to close for idleness: a command could cross the close."""
         limits = self.pool.limits
         stale_at = connection.used_at + limits.idle_timeout - limits.connect_timeout
@@ -186,7 +186,7 @@
             self.is_send_scheduled = True
             self.pool.reactor.callLater(0, self._send_waiting_now)
         if not self.waiting:
-            self._note_idle()
+            self._mark_connections_idle()
 
     def _send_waiting_now(self) -> None:
         """Send the waiting attempts, in their order.
@@ -199,7 +199,7 @@
         now = self.pool.timers.now()
         while self.waiting:
             attempt = self.waiting[0]
-            if attempt.is_short_lived and now > attempt.queued_at + self.pool.limits.loop_iteration:
+            if attempt.is_short_lived and now > attempt.queued_at + self.pool.limits.max_iteration_time:
                 self.waiting.popleft()
                 attempt.finish(AttemptLoss.SUPERSEDED)
             elif self._send_now(attempt):
@@ -207,12 +207,12 @@
             else:
                 break
         self._waiting_changed()
-        self._note_idle()
+        self._mark_connections_idle()
 
-    def _note_idle(self) -> None:
+    def _mark_connections_idle(self) -> None:
         """What nothing is under way on may make way for connections to other caches."""
         for connection in self.connections:
-            self.pool.limiter.note_idle(connection)
+            self.pool.limiter.mark_idle(connection)
 
     def _wait_expired(self, attempt: Attempt) -> None:
         """End an attempt that has waited for as long as a connection may take to come up.
@@ -239,7 +239,7 @@
 
     def _waiting_changed(self) -> None:
         if not self.waiting:
-            self.pool.no_attempt_waits(self)
+            self.pool.remove_waiting_endpoint(self)
 
     def cancel_waiting(self, is_superseded: Callable[[Attempt], bool]) -> None:
         """Cancel waiting attempts that are superseded."""
@@ -262,15 +262,15 @@
         At the bound on connections to all caches, they are made in turn.
         """
         limiter = self.pool.limiter
-        while self._lacks_connection(minimum):
+        while self._needs_connection(minimum):
             if not (limiter.is_below_limit() if minimum else limiter.admit(self)):
                 break
             self._begin_connect()
 
-    def _lacks_connection(self, minimum: int = 0) -> bool:
+    def _needs_connection(self, minimum: int = 0) -> bool:
         """Whether those that are being made carry less than what waits, or than the `minimum`."""
         expected_streams = len(self.connecting) * self.max_streams
-        may_connect = not (self.is_closed or self.backoff.is_waiting)
+        may_connect = not (self.is_closed or self.backoff.is_retry_scheduled)
         return may_connect and expected_streams < max(len(self.waiting), minimum)
 
     def _begin_connect(self) -> None:
@@ -298,14 +298,14 @@
 
     def _connect_again(self) -> None:
         """Connect for those that wait, and for a while without any: it tells what broke a connection."""
-        self.backoff.is_waiting = False
-        is_recent = self.pool.timers.now() < self.backoff.began_at + self.pool.limits.connect_timeout
+        self.backoff.is_retry_scheduled = False
+        is_recent = self.pool.timers.now() < self.backoff.first_fault_at + self.pool.limits.connect_timeout
         self._connect(minimum=1 if is_recent and not self.connections else 0)
 
     def connect_when_admitted(self) -> None:
         """Begin one connection, if one is still wanted; where that is not enough, wait for the next turn."""
         self.admitted_at = self.pool.timers.now()
-        if self._lacks_connection():
+        if self._needs_connection():
             self._begin_connect()
             self._connect()
 
@@ -331,11 +331,11 @@
             self._connect_later()
             return
         self.backoff.clear()
-        self.resets = self.resets + 1 if error in RESET_ERRORS else MAX_RESETS
-        if self.resets < MAX_RESETS:
+        self.consecutive_resets = self.consecutive_resets + 1 if error in RESET_ERRORS else MAX_RESETS
+        if self.consecutive_resets < MAX_RESETS:
             self._connect()
             return
-        self.resets = 0
+        self.consecutive_resets = 0
         waiting = self.waiting
         self.waiting = deque()
         for waiting_attempt in waiting:
@@ -347,7 +347,7 @@
         if self.is_closed:
             connection.close()
             return
-        self.resets = 0
+        self.consecutive_resets = 0
         self.backoff.clear()
         self.connections.append(connection)
         self.pool.on_connected(self.cache)
--- a/weldbend/caches/limits.py
+++ b/weldbend/caches/limits.py
@@ -11,7 +11,7 @@
         max_streams: Attempts that may be in flight on one connection.
         idle_timeout: After this time without a command caches close a connection.
         connect_timeout: In which a connection must come up.
-        loop_iteration: For which one iteration of the event loop may last.
+        max_iteration_time: For which one iteration of the event loop may last.
         max_connections: Connections to all caches, those under way too.
         max_answer_time: The longest deadline: nobody waits for an answer beyond it.
     """
@@ -19,6 +19,6 @@
     max_streams: int
     idle_timeout: float
     connect_timeout: float
-    loop_iteration: float
+    max_iteration_time: float
     max_connections: int
     max_answer_time: float
--- a/weldbend/caches/pool.py
+++ b/weldbend/caches/pool.py
@@ -84,11 +84,11 @@
         for endpoint in list(self.waiting_endpoints):
             endpoint.cancel_waiting(is_superseded)
 
-    def attempts_wait(self, endpoint: EndpointConnections) -> None:
+    def add_waiting_endpoint(self, endpoint: EndpointConnections) -> None:
         """Note a cache for which attempts wait for a connection."""
         self.waiting_endpoints[endpoint] = None
 
-    def no_attempt_waits(self, endpoint: EndpointConnections) -> None:
+    def remove_waiting_endpoint(self, endpoint: EndpointConnections) -> None:
         """Forget a cache for which no attempt waits any more."""
         self.waiting_endpoints.pop(endpoint, None)
         self.limiter.withdraw(endpoint)
--- a/weldbend/caches/stall_detector.py
+++ b/weldbend/caches/stall_detector.py
@@ -8,7 +8,7 @@
 RECHECK_DELAY = 0.02  # seconds after which a stall is checked once more
 
 # Names of the anomaly counters, as they appear in the log.
-ENDLESS = "cache answers over the time limit"
+OVER_TIME_LIMIT = "cache answers over the time limit"
 STALLED = "stalled cache answers"
 
 
@@ -70,7 +70,7 @@
         if not stream.is_answer_incomplete():
             return False
         if self.timers.now() > stream.answer_started_at + stream.max_answer_time():
-            stream.abort_malformed(ENDLESS)
+            stream.abort_malformed(OVER_TIME_LIMIT)
             return False
         if self.timers.now() < stream.received_at + STALL_TIMEOUT:
             self.arm()
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -26,7 +26,7 @@
     RequestHandler,
     Scheduler,
 )
-from weldbend.clients.misbehaviour import ClientConduct
+from weldbend.clients.misbehaviour import ViolationCounts
 from weldbend.clients.request import ClientRequest
 from weldbend.idle_connections.connection_table import ConnectionRecord
 from weldbend.idle_connections.policy import ConnectionState
@@ -36,9 +36,9 @@
 from weldbend.thrift.framing import LENGTH_SIZE, next_frame, peek_small_frame
 
 READ_SIZE = 1 << 16  # bytes: the most that one read of a socket brings
-MAX_FRAME = 48_000 + (1 << 14)  # bytes: the longest body, and the fields that come with it
-INCOMING_CAPACITY = MAX_FRAME + LENGTH_SIZE + 2 * READ_SIZE  # bytes
-MAX_CANCELLATION = 64  # bytes that hold any giveUp call, and no process call
+MAX_FRAME_SIZE = 48_000 + (1 << 14)  # bytes: the longest body, and the fields that come with it
+INCOMING_CAPACITY = MAX_FRAME_SIZE + LENGTH_SIZE + 2 * READ_SIZE  # bytes
+MAX_CANCELLATION_SIZE = 64  # bytes that hold any giveUp call, and no process call
 DISCARD_TIME = 0.25  # seconds for which a client may go on sending after this front's close
 MAX_DISCARDED = 1 << 20  # bytes that a client may still send after this front's close
 
@@ -73,7 +73,7 @@
         unread_since: Since when bytes may lie unread in the socket; None where the last read emptied it.
         writer: The sending direction.
         open_requests: Requests that wait for an answer, by sequence id.
-        conduct: What the client did wrong so far.
+        violations: What the client did wrong so far.
         call_count: Calls of any kind read so far.
         active_at: When it last was not idle (seconds of the front's clock, as all moments here).
         call_started_at: Since when an incomplete call has been arriving.
@@ -107,7 +107,7 @@
         self.arrivals = ArrivalTimes()
         self.writer = AnswerWriter(owner)
         self.open_requests: dict[int, ClientRequest] = {}
-        self.conduct = ClientConduct()
+        self.violations = ViolationCounts()
         self.cancelled_early: set[int] = set()  # sequence ids cancelled before their calls were handled
         self.new_requests: set[ClientRequest] = set()  # requests of the read that is under way
 
@@ -124,7 +124,12 @@
         """Go on as the idle connection of which `record` was kept."""
         self.transport = transport
         self.connected = 1
-        self.call_count, self.conduct.invalid_calls, self.conduct.cancellations, self.active_at = record
+        (
+            self.call_count,
+            self.violations.invalid_calls,
+            self.violations.cancellations,
+            self.active_at,
+        ) = record
         self._attach(transport)
 
     def _attach(self, transport: ClientTransport) -> None:
@@ -155,20 +160,20 @@
         if not self.incoming:
             self.call_started_at = self.active_at
         check_invariant(self.incoming.write(data) == len(data), "a client's ring has capacity for a read")
-        self.arrivals.add(len(data), self._came_at(len(data)))
+        self.arrivals.add(len(data), self._earliest_arrival(len(data)))
         self.read_calls()
 
-    def _came_at(self, count: int) -> float:
+    def _earliest_arrival(self, count: int) -> float:
         """When the bytes of this read came, at the earliest; a read of READ_SIZE may have left some unread.
 
         Guards caches and clients against deadlines that count from when a request was read. Harm: one that
         came late in such a time has a little less of its own.
         """
-        came = self.owner.came_at(self.active_at) - self.read_delay
+        arrived_at = self.owner.earliest_arrival(self.active_at) - self.read_delay
         if self.unread_since is not None:
-            came = min(came, self.unread_since)
-        self.unread_since = came if count >= READ_SIZE else None
-        return came
+            arrived_at = min(arrived_at, self.unread_since)
+        self.unread_since = arrived_at if count >= READ_SIZE else None
+        return arrived_at
 
     def read_calls(self) -> None:
         """Handle the calls that are complete, but none of a client that does not read its answers.
@@ -180,7 +185,7 @@
         self.is_reading = True
         try:
             while not self.is_draining and (self.is_finishing or not self.writer.queue):
-                data = next_frame(self.incoming, MAX_FRAME)
+                data = next_frame(self.incoming, MAX_FRAME_SIZE)
                 if data is None:
                     self.arrivals.forget_incomplete()
                     break
@@ -195,7 +200,7 @@
         finally:
             self.is_reading = False
             if not self.new_requests.isdisjoint(self.open_requests.values()):  # some were not cancelled
-                self.conduct.cancellations = 0
+                self.violations.cancellations = 0
             self.new_requests.clear()
         if self.is_draining:
             self.incoming.skip(len(self.incoming))
@@ -207,7 +212,7 @@
         Guards caches against attempts for a request that its client has cancelled meanwhile. Harm: none
         known; what lies unread beyond the ring is found only when it is read.
         """
-        while found := peek_small_frame(self.incoming, self.scanned_bytes, MAX_CANCELLATION):
+        while found := peek_small_frame(self.incoming, self.scanned_bytes, MAX_CANCELLATION_SIZE):
             end, data = found
             if data is not None:
                 call = messages.read_call(data)
@@ -247,7 +252,7 @@
             return False
         request.is_answered = True
         self.owner.cancel_request(request)
-        if self.conduct.count_cancellation(request in self.new_requests):
+        if self.violations.count_cancellation(request in self.new_requests):
             self.ban(misbehaviour.TOO_MANY_CANCELLATIONS)
         return True
 
@@ -263,7 +268,7 @@
                 self.transport.abortConnection()
             self.owner.watch_hangup(self, is_paused)
 
-    def hung_up(self) -> None:
+    def handle_hangup(self) -> None:
         """Abort: the client has ended its side while nothing was read, and what lies unread is of no use."""
         if not self.is_lost:
             self.transport.abortConnection()
@@ -272,7 +277,7 @@
 
     def count_invalid_call(self) -> None:
         """Count a call that was answered as invalid, and ban a client with too many."""
-        if self.conduct.count_invalid_call():
+        if self.violations.count_invalid_call():
             self.ban(misbehaviour.TOO_MANY_INVALID_CALLS)
 
     def ban(self, reason: str) -> None:
@@ -350,7 +355,10 @@
     def record(self) -> ConnectionRecord:
         """What has to be kept of it while it is idle."""
         return ConnectionRecord(
-            self.call_count, self.conduct.invalid_calls, self.conduct.cancellations, self.active_at
+            self.call_count,
+            self.violations.invalid_calls,
+            self.violations.cancellations,
+            self.active_at,
         )
 
     def release(self) -> None:
--- a/weldbend/clients/interfaces.py
+++ b/weldbend/clients/interfaces.py
@@ -42,7 +42,7 @@
     def now(self) -> float:
         """The present moment in seconds of the front's monotonic clock."""
 
-    def came_at(self, moment: float) -> float:
+    def earliest_arrival(self, moment: float) -> float:
         """The earliest moment at which bytes that are read at `moment`, the present, can have come."""
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -27,8 +27,8 @@
 BACKLOG = 1024  # connections that the kernel may queue for this port
 DEAD_PEER_TIMEOUT = 60  # seconds without a sign of a client's machine, or of its reading, until it is ended
 CHECK_INTERVAL = 0.125  # seconds between two checks of a live connection
-STANDSTILL = 1.0  # seconds between two rounds of checks from which on this process stood still meanwhile
-CLOSED_FOR = {  # anomaly counters, as they appear in the log
+MIN_STANDSTILL = 1.0  # seconds between two rounds of checks from which on this process stood still meanwhile
+CLOSE_COUNTERS = {  # anomaly counters, as they appear in the log
     ConnectionAction.CLOSE_SILENT: "idle clients without a call",
     ConnectionAction.CLOSE_INCOMPLETE: "clients with an incomplete call",
 }
@@ -88,7 +88,7 @@
         self.port: ListeningPort | None = None
         self.accept_guard: AcceptGuard | None = None
         self.is_paused = False
-        self.hangups: HangupWatcher | None = None
+        self.hangup_watcher: HangupWatcher | None = None
         self.checked_at = 0.0
 
     def connection_count(self) -> int:
@@ -107,7 +107,7 @@
         self.idle_pool = IdlePool(
             reactor, epoll_set, self.settings, self.owner.now, self.resume, self.update_accepting
         )
-        self.hangups = HangupWatcher(reactor)
+        self.hangup_watcher = HangupWatcher(reactor)
         try:
             self.port = reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
         except OSError as error:  # listen(2) or epoll_ctl: Twisted turns only the errors before into its own
@@ -167,10 +167,10 @@
 
     def watch_hangup(self, client: ClientConnection, is_unread: bool) -> None:
         """Watch for a client's end while it is not read, or no longer where `is_unread` is false."""
-        if self.hangups and is_unread:
-            self.hangups.watch(client.transport, client.hung_up)
-        elif self.hangups:
-            self.hangups.unwatch(client.hung_up)
+        if self.hangup_watcher and is_unread:
+            self.hangup_watcher.watch(client.transport, client.handle_hangup)
+        elif self.hangup_watcher:
+            self.hangup_watcher.unwatch(client.handle_hangup)
 
     def client_disconnected(self, client: ClientConnection) -> None:
         """Forget one that has ended."""
@@ -190,7 +190,7 @@
         budget = self.settings.close_batch
         previous = self.checked_at
         self.checked_at = now
-        if now > previous + STANDSTILL:
+        if now > previous + MIN_STANDSTILL:
             return False
         while self.checks and self.checks[0][0] <= now and budget:
             client = self.checks.popleft()[1]
@@ -199,10 +199,10 @@
                 if client in self.clients:
                     self.checks.append((now + CHECK_INTERVAL, client))
         if self.idle_pool and budget:
-            due, mute = self.idle_pool.close_expired(budget)
-            budget -= due
-            if mute:
-                anomalies[CLOSED_FOR[ConnectionAction.CLOSE_SILENT]] += mute
+            due_count, silent_count = self.idle_pool.close_expired(budget)
+            budget -= due_count
+            if silent_count:
+                anomalies[CLOSE_COUNTERS[ConnectionAction.CLOSE_SILENT]] += silent_count
         self.evict_idle()
         return not budget
 
@@ -217,7 +217,7 @@
             case ConnectionAction.CLOSE_IDLE:
                 client.close()
             case ConnectionAction.CLOSE_SILENT | ConnectionAction.CLOSE_INCOMPLETE:
-                anomalies[CLOSED_FOR[decision]] += 1
+                anomalies[CLOSE_COUNTERS[decision]] += 1
                 client.close()
         return decision is not ConnectionAction.KEEP
 
@@ -307,7 +307,7 @@
             self.accept_guard.accept_failed(error)
 
     def _is_accept_failing(self) -> bool:
-        return bool(self.accept_guard and self.accept_guard.is_waiting)
+        return bool(self.accept_guard and self.accept_guard.is_paused)
 
     # The end.
 
--- a/weldbend/clients/misbehaviour.py
+++ b/weldbend/clients/misbehaviour.py
@@ -12,7 +12,7 @@
 TOO_MANY_INVALID_CALLS = "clients with too many invalid calls"
 
 
-class ClientConduct:
+class ViolationCounts:
     """Counts what one client did wrong so far; it survives the time for which its connection is idle.
 
     Attributes:
--- a/weldbend/clients/request.py
+++ b/weldbend/clients/request.py
@@ -6,7 +6,7 @@
 from weldbend.invariants import check_invariant
 from weldbend.thrift import messages
 
-MILLISECONDS = 1000  # in a second; Retry-After travels in whole milliseconds
+MILLISECONDS_PER_SECOND = 1000  # in a second; Retry-After travels in whole milliseconds
 
 
 class RequestSource(Protocol):
@@ -64,7 +64,7 @@
 
     def answer_rejected(self, retry_after: float) -> None:
         """Reject it for overload; a `retry_after` (seconds) above zero tells the client when to retry."""
-        fields = {"after": str(int(retry_after * MILLISECONDS))} if retry_after > 0 else {}
+        fields = {"after": str(int(retry_after * MILLISECONDS_PER_SECOND))} if retry_after > 0 else {}
         self._answer(messages.overloaded(self.seqid, fields))
 
     def answer_failed(self) -> None:
@@ -73,8 +73,8 @@
 
     def answer_invalid(self, reason: str) -> None:
         """Answer that it cannot be processed as it is, and count it against its client."""
-        wrong = messages.InvalidCall("process", self.seqid, messages.PROTOCOL_ERROR, reason)
-        self._answer(messages.application_exception(wrong))
+        invalid_call = messages.InvalidCall("process", self.seqid, messages.PROTOCOL_ERROR, reason)
+        self._answer(messages.application_exception(invalid_call))
         self.client.count_invalid_call()
 
     def _answer(self, answer: bytes) -> None:
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -52,7 +52,7 @@
         else:
             self.standstill.has_caught_up()
 
-    def came_at(self, moment: float) -> float:
+    def earliest_arrival(self, moment: float) -> float:
         """Return the earliest moment at which bytes that are read at `moment`, the present, can have come."""
         return self.standstill.came_at(moment)
 
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -130,7 +130,7 @@
         max_streams=int(caps["max_streams"]),
         idle_timeout=caps["conn_idle_us"] / MICROSECONDS,
         connect_timeout=caps["dial_timeout_us"] / MICROSECONDS,
-        loop_iteration=MAX_ITERATION,
+        max_iteration_time=MAX_ITERATION,
         max_connections=descriptors,
         max_answer_time=max(request_class.deadline_after for request_class in settings.classes.values()),
     )
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -17,7 +17,7 @@
 from zope.interface import implementer
 
 from weldbend.invariants import anomalies
-from weldbend.socket_errors import NOTHING_WAITS
+from weldbend.socket_errors import WOULD_BLOCK_ERRORS
 
 if TYPE_CHECKING:
     from twisted.internet.protocol import Protocol as ConnectionProtocol
@@ -25,7 +25,7 @@
 FIRST_READ_BYTES = 1 << 14  # read when a connection wakes; the rest arrives through its transport
 READABLE_ONCE = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLONESHOT
 HANGUP_ONCE = select.EPOLLRDHUP | select.EPOLLONESHOT
-NOTHING_TO_READ = (*NOTHING_WAITS, errno.EINTR)
+NOTHING_TO_READ = (*WOULD_BLOCK_ERRORS, errno.EINTR)
 
 
 UNWATCHED = "clients whose end cannot be watched"  # name of the anomaly counter, as it appears in the log
--- a/weldbend/socket_errors.py
+++ b/weldbend/socket_errors.py
@@ -18,7 +18,7 @@
     """The other end, or the path to it: it refused, reset, or could not be reached in time."""
 
 
-THIS_MACHINE = frozenset(
+LOCAL_ERRORS = frozenset(
     {
         errno.EMFILE,  # no descriptor left to this process
         errno.ENFILE,  # no open file left to the system
@@ -37,7 +37,7 @@
 )
 """Errors of socket, connect and epoll_ctl that say nothing about the peer."""
 
-ENDED_BEFORE_ACCEPT = frozenset(
+ABORTED_CONNECTION_ERRORS = frozenset(
     {
         errno.ECONNABORTED,
         errno.EPROTO,
@@ -56,7 +56,7 @@
 )
 """Errors of accept that concern one waiting connection: accept(2) asks to take them for its end."""
 
-NOTHING_WAITS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
+WOULD_BLOCK_ERRORS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
 """Errors of a call that does not block, and has nothing to do now."""
 
 
@@ -71,4 +71,4 @@
 
 def connect_fault_side(number: int | None) -> FaultSide:
     """Whom a failed connect speaks against; without an error number (a timeout) it is the peer."""
-    return FaultSide.THIS_MACHINE if number in THIS_MACHINE else FaultSide.PEER
+    return FaultSide.THIS_MACHINE if number in LOCAL_ERRORS else FaultSide.PEER
--- a/weldbend/testbed/emulator/cache_commands.py
+++ b/weldbend/testbed/emulator/cache_commands.py
@@ -6,7 +6,7 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol.answers import LONGEST_LINE, read_fields
-from weldbend.cache_protocol.commands import fields_text
+from weldbend.cache_protocol.commands import format_fields
 from weldbend.testbed.errors import TestbedError
 
 LONGEST_BODY = 48_000  # bytes of a command's body
@@ -89,5 +89,5 @@
 
 def encode_answer(name: str, word: str, fields: Mapping[str, str], body: bytes = b"") -> bytes:
     """The bytes of an answer; `name` is the id of the request that it answers."""
-    line = f"{name} {word} {fields_text(fields)} {len(body)}\r\n".encode()
+    line = f"{name} {word} {format_fields(fields)} {len(body)}\r\n".encode()
     return b"".join((line, body, BREAK))
--- a/weldbend/testbed/faults/messages.py
+++ b/weldbend/testbed/faults/messages.py
@@ -11,7 +11,7 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.cache_protocol.answers import LONGEST_LINE
-from weldbend.cache_protocol.commands import fields_text
+from weldbend.cache_protocol.commands import format_fields
 from weldbend.testbed.errors import TestbedError
 from weldbend.thrift import binary
 from weldbend.thrift.binary import Reader
@@ -255,7 +255,7 @@
             fields.pop(name, None)
         else:
             fields[name] = to
-        tokens[2] = fields_text(fields)
+        tokens[2] = format_fields(fields)
     return " ".join(tokens).encode("latin-1") + BREAK + rest
 
 
