--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -54,7 +54,7 @@
         else:
             self.pause_detector.mark_caught_up()
 
-    def came_at(self, moment: float) -> float:
+    def earliest_arrival(self, moment: float) -> float:
         """Return the earliest moment at which bytes that are read at `moment`, the present, can have come."""
         return self.pause_detector.earliest_arrival(moment)
 
