--- a/tests/test_failing_calls_fleet.py
+++ b/tests/test_failing_calls_fleet.py
@@ -12,7 +12,7 @@
 from weldbend.fleet import admin_server, peer_connections
 from weldbend.fleet import messages as m
 from weldbend.fleet.admin_server import AdminServer
-from weldbend.fleet.datagram_port import REOPEN_AFTER, DatagramPort
+from weldbend.fleet.datagram_port import REOPEN_DELAY, DatagramPort
 from weldbend.fleet.peer_connections import MAX_BACKOFF, PeerConnections
 from weldbend.fleet.runtime import Runtime
 from weldbend.fleet.settings import Peer
@@ -111,7 +111,7 @@
         datagrams.send(datagrams.itself, MESSAGE)
         assert datagrams.counts["datagrams that could not go"] == opened_anew
         datagrams.address = ("127.0.0.1", address)
-        runtime.reactor.advance(REOPEN_AFTER)
+        runtime.reactor.advance(REOPEN_DELAY)
         datagrams.send(datagrams.itself, MESSAGE)
         datagrams.port.doRead()
         assert datagrams.port is not before and datagrams.received == [MESSAGE] * opened_anew
@@ -120,7 +120,7 @@
 def test_a_port_that_is_closed_on_purpose_stays_closed(datagrams, runtime):
     before = datagrams.port
     datagrams.close()
-    runtime.reactor.advance(2 * REOPEN_AFTER)
+    runtime.reactor.advance(2 * REOPEN_DELAY)
     assert datagrams.port is before and not before.connected
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import AntiEntropy, resume_after_standstill
+from weldbend.fleet.anti_entropy import AntiEntropy, resume_after_pause
 from weldbend.fleet.conservative_merge import FAR_OFFSET, MOST_PURGES, PeerPurges, stricter_state
 from weldbend.fleet.front_adapter import FleetAdapter
 from weldbend.fleet.member_table import Rank, State
@@ -116,7 +116,7 @@
 @settings(max_examples=200, derandomize=True)
 @given(st.binary(max_size=300))
 def test_bytes_that_are_no_message_are_rejected(data):
-    for read in (m.read_datagram, m.read_linked):
+    for read in (m.read_datagram, m.read_connection_message):
         try:
             read(data)
         except m.InvalidPeerMessageError:
@@ -125,15 +125,15 @@
 
 def test_lengths_are_bounded_before_decoding():
     with pytest.raises(m.InvalidPeerMessageError, match="too long"):
-        m.read_linked(bytes(3 << 20))
+        m.read_connection_message(bytes(3 << 20))
     update = m.MemberUpdate("x", 1, 0, 0, "y")
     with pytest.raises(m.InvalidPeerMessageError):
         m.read_datagram(m.encode(m.Probe(1, [update] * 30)))
     op = m.Operation("w", 1, 1, "purge", "k:1", [1], 0.0)
     with pytest.raises(m.InvalidPeerMessageError):
-        m.read_linked(m.encode(m.Delta([op] * 10_000)))
+        m.read_connection_message(m.encode(m.Delta([op] * 10_000)))
     with pytest.raises(m.InvalidPeerMessageError):
-        m.read_linked(msgspec.msgpack.encode([99, "a message of a newer version"]))
+        m.read_connection_message(msgspec.msgpack.encode([99, "a message of a newer version"]))
 
 
 # Membership.
@@ -444,8 +444,8 @@
         late.peer_connected(name, 0.0)
     asked = []
     for name, donor in donors.items():
-        donor.handle(0.1, "a", late.comparison(name, 0.1).body)
-        asked += late.handle(0.1, name, donor.comparison("a", 0.1).body)
+        donor.handle(0.1, "a", late.next_summary(name, 0.1).body)
+        asked += late.handle(0.1, name, donor.next_summary("a", 0.1).body)
     wanted = [say for say in asked if isinstance(say.body, m.SnapshotRequest)]
     assert len(wanted) == 1
     first = wanted[0].to
@@ -480,8 +480,8 @@
     asked = []
     for name, donor in donors.items():
         late.peer_connected(name, 0.0)
-        donor.handle(0.1, "a", late.comparison(name, 0.1).body)
-        asked += late.handle(0.1, name, donor.comparison("a", 0.1).body)
+        donor.handle(0.1, "a", late.next_summary(name, 0.1).body)
+        asked += late.handle(0.1, name, donor.next_summary("a", 0.1).body)
     (want,) = [say for say in asked if isinstance(say.body, m.SnapshotRequest)]
     return donors, late, want
 
@@ -551,15 +551,15 @@
     fronts["b"].set_caught_up(0.0)
     for one, other in ("ab", "ba"):
         fronts[one].peer_connected(other, 0.0)
-    fronts["b"].handle(0.1, "a", fronts["a"].comparison("b", 0.1).body)
-    old = fronts["b"].comparison("a", 0.1).body
+    fronts["b"].handle(0.1, "a", fronts["a"].next_summary("b", 0.1).body)
+    old = fronts["b"].next_summary("a", 0.1).body
     fronts["a"].handle(0.2, "b", old)
     assert fronts["a"].is_caught_up
     fronts["a"].set_lagging(60.0)
     fronts["a"].handle(60.1, "b", old)
     assert not fronts["a"].is_caught_up
-    fronts["b"].handle(60.2, "a", fronts["a"].comparison("b", 60.1).body)
-    fronts["a"].handle(60.3, "b", fronts["b"].comparison("a", 60.2).body)
+    fronts["b"].handle(60.2, "a", fronts["a"].next_summary("b", 60.1).body)
+    fronts["a"].handle(60.3, "b", fronts["b"].next_summary("a", 60.2).body)
     assert fronts["a"].is_caught_up
 
 
@@ -568,8 +568,8 @@
     exchange = AntiEntropy(ReplicatedStore("a", 1), FleetSettings(), 1, lambda _: None, 0.0)
     exchange.set_caught_up(0.0)
     members.advance(0.1)
-    assert resume_after_standstill(members, exchange, 0.2) == [] and exchange.is_caught_up
-    resume_after_standstill(members, exchange, 60.0)
+    assert resume_after_pause(members, exchange, 0.2) == [] and exchange.is_caught_up
+    resume_after_pause(members, exchange, 60.0)
     assert not exchange.is_caught_up and members.counts["stood still"] == 1
     assert not members.was_paused(60.0)
 
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -7,7 +7,7 @@
 from weldbend.fleet.cache_states import CacheStates
 from weldbend.fleet.member_table import State
 from weldbend.fleet.outbox import Priority
-from weldbend.fleet.peer_connections import PeerConnection, framed
+from weldbend.fleet.peer_connections import PeerConnection, add_length_prefix
 from weldbend.fleet.purges import PurgeExchange
 from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetRunSettings
 from weldbend.testbed.simulation.auditor import Auditor
@@ -171,7 +171,9 @@
         fleet = shared(made, number).fleet
         assert fleet.membership.members["n4"].state is State.ALIVE, "it answers probes"
         assert ("purge", "g:1") in fleet.store.items
-        assert all(end.outbox.size <= fleet.settings.outbox_capacity for end in fleet.connections.ends)
+        assert all(
+            end.outbox.size <= fleet.settings.outbox_capacity for end in fleet.connections.all_connections
+        )
 
 
 def test_one_of_a_newer_version_is_left_alone_and_no_harm_to_the_others(monkeypatch):
@@ -181,7 +183,8 @@
         if self.manager.authenticator.name == "n4":
             body = m.encode(m.Hello(2, 3, self.nonce, ""))
             self.outbox.put(
-                framed(self.manager.authenticator.authenticate(self.peer, body, True)), Priority.CRITICAL
+                add_length_prefix(self.manager.authenticator.authenticate(self.peer, body, True)),
+                Priority.CRITICAL,
             )
             self.flush()
         else:
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -175,7 +175,7 @@
 @pytest.mark.parametrize("case", cases("fleet_messages.json"))
 def test_a_recorded_message_between_fronts_is_read_and_written_as_it_was(case):
     data = bytes.fromhex(case["hex"])
-    read = messages.read_linked if case["as"] in ON_LINKS else messages.read_datagram
+    read = messages.read_connection_message if case["as"] in ON_LINKS else messages.read_datagram
     held = read(data)
     assert type(held) is BETWEEN_FRONTS[case["as"]]
     assert plain(held) == case["values"]
@@ -201,7 +201,7 @@
 
 @pytest.mark.parametrize("case", cases("items.json"))
 def test_a_recorded_item_is_taken_and_passed_on_as_it_was(case):
-    (op,) = messages.read_linked(bytes.fromhex(case["hex"])).operations
+    (op,) = messages.read_connection_message(bytes.fromhex(case["hex"])).operations
     assert plain(op) == case["values"]
     copies = ReplicatedStore("n9", 5)
     assert plain(copies.apply(op, 100.0)) == case["change"]
@@ -238,7 +238,7 @@
         if not case["header"][5]:  # not of a link; one of them is meant for another, and dropped
             fleet.datagrams.datagramReceived(bytes.fromhex(case["hex"]), ("127.0.0.2", 7400))
     for case in recorded("items.json"):
-        for op in messages.read_linked(bytes.fromhex(case["hex"])).operations:
+        for op in messages.read_connection_message(bytes.fromhex(case["hex"])).operations:
             fleet.store.apply(op, 100.0)
     return AdminServer(fleet, {})
 
--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -1,7 +1,8 @@
 """Answers operators' questions about the fleet: one JSON object a line over a loopback port.
 
-A question is `{"ask": "status"}` and so on; an answer is `{"ok": ...}` or `{"wrong": "one line"}`. What is
-changed here is an operators' setting for the whole fleet: `set`, and what other modules add (`questions`).
+A request is `{"ask": "status"}` and so on; an answer is `{"ok": ...}` or `{"wrong": "one line"}`. What is
+changed here is an operators' setting for the whole fleet: `set`, and what other modules add
+(`extra_handlers`).
 """
 
 import contextlib
@@ -23,21 +24,21 @@
 from weldbend.fleet.settings import split_address
 
 MAX_CONNECTIONS = 4  # open at once
-MAX_QUESTION = 4096  # bytes of one line
-MAX_ERROR = 200  # characters of an answer that says what is wrong
-NO_OBJECT = "a question is one JSON object on one line"
+MAX_REQUEST_SIZE = 4096  # bytes of one line
+MAX_ERROR_LENGTH = 200  # characters of an answer that says what is wrong
+NOT_AN_OBJECT = "a question is one JSON object on one line"
 
 MAX_NUMBER = 1e15  # a number in a question is at most so large
-NUMBERS = ("seconds", "version")  # fields that are numbers; all others are taken as text
+NUMBER_FIELDS = ("seconds", "version")  # fields that are numbers; all others are taken as text
 
-Answer = Callable[[dict[str, Any]], Any]
+AdminHandler = Callable[[dict[str, Any]], Any]
 
 
-class InvalidQuestionError(FleetError, ValueError):
+class InvalidAdminRequestError(FleetError, ValueError):
     """A question that cannot be answered; its text is one line for people."""
 
 
-class MissingFieldError(InvalidQuestionError):
+class MissingFieldError(InvalidAdminRequestError):
     """A question lacks the field `name`."""
 
     def __init__(self, name: str) -> None:
@@ -45,7 +46,7 @@
         self.name = name
 
 
-class InvalidFieldError(InvalidQuestionError):
+class InvalidFieldError(InvalidAdminRequestError):
     """The field `name` of a question has a value that it cannot have."""
 
     def __init__(self, name: str, value: object, expected: str) -> None:
@@ -53,7 +54,7 @@
         self.name = name
 
 
-class Question(dict[str, Any]):
+class AdminRequest(dict[str, Any]):
     """A question's fields, as it came; its numbers are checked."""
 
     def __missing__(self, name: str) -> NoReturn:
@@ -61,20 +62,20 @@
         raise MissingFieldError(name)
 
 
-def read_question(line: bytes) -> Question:
+def read_request(line: bytes) -> AdminRequest:
     """Read a question.
 
     Raises:
-        InvalidQuestionError: It is no JSON object, or a number in it is none.
+        InvalidAdminRequestError: It is no JSON object, or a number in it is none.
     """
     try:
         fields = json.loads(line)
     except (ValueError, RecursionError):
-        raise InvalidQuestionError(NO_OBJECT) from None
+        raise InvalidAdminRequestError(NOT_AN_OBJECT) from None
     if not isinstance(fields, dict):
-        raise InvalidQuestionError(NO_OBJECT)
-    numbers = {name: read_number(name, fields[name]) for name in NUMBERS if name in fields}
-    return Question(fields | numbers)
+        raise InvalidAdminRequestError(NOT_AN_OBJECT)
+    numbers = {name: read_number(name, fields[name]) for name in NUMBER_FIELDS if name in fields}
+    return AdminRequest(fields | numbers)
 
 
 def read_number(name: str, value: object) -> int | float:
@@ -96,7 +97,7 @@
     """One operator's connection."""
 
     delimiter = b"\n"
-    MAX_LENGTH = MAX_QUESTION
+    MAX_LENGTH = MAX_REQUEST_SIZE
 
     def __init__(self, server: "AdminServer") -> None:
         self.server = server
@@ -114,25 +115,25 @@
     def lineReceived(self, line: bytes) -> None:
         """Answer one question; what cannot be answered is said in one line."""
         try:
-            reply = {"ok": self.server.answer(read_question(line))}
+            reply = {"ok": self.server.answer(read_request(line))}
         except ValueError as error:
-            reply = {"wrong": str(error)[:MAX_ERROR]}
+            reply = {"wrong": str(error)[:MAX_ERROR_LENGTH]}
         self.sendLine(json.dumps(reply).encode())  # type: ignore[no-untyped-call]  # Twisted gives no types
 
 
 class AdminServer(ServerFactory):
-    """The admin port of one front; `questions` are answered by other modules, by their names."""
+    """The admin port of one front; `extra_handlers` are answered by other modules, by their names."""
 
     noisy = False
 
-    def __init__(self, fleet: Fleet, questions: Mapping[str, Answer]) -> None:
+    def __init__(self, fleet: Fleet, extra_handlers: Mapping[str, AdminHandler]) -> None:
         self.fleet = fleet
-        self.answers: dict[str, Answer] = {
-            "status": lambda question: fleet_status.status(fleet),
-            "state": lambda question: fleet_status.items(fleet),
+        self.handlers: dict[str, AdminHandler] = {
+            "status": lambda request: fleet_status.status(fleet),
+            "state": lambda request: fleet_status.items(fleet),
             "explain": self._explain,
             "set": self._set,
-            **questions,
+            **extra_handlers,
         }
         self.connections = 0
         self.port: ListeningPort | None = None
@@ -152,32 +153,32 @@
         """An operator connects."""
         return AdminConnection(self)
 
-    def answer(self, question: Question) -> Any:  # noqa: ANN401 - what JSON can hold
+    def answer(self, request: AdminRequest) -> Any:  # noqa: ANN401 - what JSON can hold
         """Answer a question.
 
         Raises:
             ValueError: there is no such question, or a field is missing or has a wrong value.
         """
-        name = str(question["ask"])
-        answer = self.answers.get(name)
-        if answer is None:
+        name = str(request["ask"])
+        handler = self.handlers.get(name)
+        if handler is None:
             problem = f"unknown question {name!r:.40}"
-            raise InvalidQuestionError(problem)
-        return answer(question)
+            raise InvalidAdminRequestError(problem)
+        return handler(request)
 
-    def _explain(self, question: dict[str, Any]) -> list[dict[str, Any]]:
+    def _explain(self, request: dict[str, Any]) -> list[dict[str, Any]]:
         """All items about one cache."""
         items = fleet_status.items(self.fleet)
-        return [item for item in items if item["key"].partition("|")[0] == str(question["cache"])]
+        return [item for item in items if item["key"].partition("|")[0] == str(request["cache"])]
 
-    def _set(self, question: dict[str, Any]) -> Value:
+    def _set(self, request: dict[str, Any]) -> Value:
         """Write an operators' setting; its value from now on."""
-        name = str(question["name"])
-        version = int(question["version"])
-        value = str(question["value"])
+        name = str(request["name"])
+        version = int(request["version"])
+        value = str(request["value"])
         current = self.fleet.store.items.get((SETTING, name))
         if current and version <= float(current.value[0]):
             problem = f"{name:.40} is at version {current.value[0]} already"
-            raise InvalidQuestionError(problem)
+            raise InvalidAdminRequestError(problem)
         self.fleet.publish(SETTING, name, version, value)
         return self.fleet.store.items[SETTING, name].value
--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -17,19 +17,19 @@
 from weldbend.fleet.messages import Send
 from weldbend.fleet.outbox import Priority
 from weldbend.fleet.replicated_items import ITEM_KINDS
-from weldbend.fleet.replicated_store import Change, ReplicatedStore, VersionVector, run_of
+from weldbend.fleet.replicated_store import Change, ReplicatedStore, VersionVector, run_name
 from weldbend.fleet.settings import FleetSettings
 from weldbend.routing.random_source import RandomSource
 
-BATCH = 256  # changes or items in one message
+BATCH_SIZE = 256  # changes or items in one message
 DONOR_TIMEOUT = 2.0  # seconds without a chunk after which another donor is chosen
 SILENT_DONOR_BACKOFF = 8.0  # seconds for which a donor that timed out is not chosen again
 PROTOCOL_VERSIONS = (1, 1)  # of connections between fronts: the least and the most spoken here
-MISMATCHES = 3  # comparisons in a row with equal vectors and other checksums, after which replicas are merged
-MOST_SNAPSHOTS = 2  # served at a time
-SERVING_INTERVAL = 0.05  # seconds between two chunks
-DIGEST_MARGIN = 4  # intervals between comparisons for which items have to count still, to be in a checksum
-SETTLING = 2  # intervals after which nobody is waited for any more
+MAX_DIGEST_MISMATCHES = 3  # summaries in a row with equal vectors and other checksums before a merge
+MAX_CONCURRENT_SNAPSHOTS = 2  # served at a time
+CHUNK_INTERVAL = 0.05  # seconds between two chunks
+DIGEST_MARGIN_INTERVALS = 4  # summary intervals for which an item must stay live to be in the checksum
+SETTLING_INTERVALS = 2  # intervals after which nobody is waited for any more
 # Reasons of a refusal, as they are sent.
 NOT_CAUGHT_UP = "not caught up"
 BUSY = "busy"
@@ -40,7 +40,7 @@
     """One message to send to a connected peer."""
 
     to: str
-    body: m.Linked
+    body: m.ConnectionMessage
     priority: Priority
 
 
@@ -54,7 +54,7 @@
         tokens_at: when `tokens` were counted.
         vector: what it holds.
         is_caught_up: whether it says that it has caught up.
-        compared_at: when its last comparison came.
+        summary_received_at: when its last comparison came.
         serving_after: the place behind which its snapshot goes on; None where it gets none.
         has_snapshot_vector: whether the vector at the start of that snapshot was sent.
         mismatches: comparisons in a row with an equal vector and another checksum.
@@ -69,7 +69,7 @@
     tokens_at: float = 0.0
     vector: VersionVector = field(default_factory=dict)
     is_caught_up: bool = False
-    compared_at: float = -math.inf
+    summary_received_at: float = -math.inf
     serving_after: str | None = None
     has_snapshot_vector: bool = False
     mismatches: int = 0
@@ -87,9 +87,9 @@
         self.tokens -= size
         return True
 
-    def has_run_up_to(self, op: m.Operation) -> None:
+    def record_operation(self, op: m.Operation) -> None:
         """Note that the other end has a change, and those before it."""
-        run = run_of(op.writer, op.epoch)
+        run = run_name(op.writer, op.epoch)
         self.vector[run] = max(self.vector.get(run, 0), op.number)
 
 
@@ -134,20 +134,20 @@
         store: ReplicatedStore,
         settings: FleetSettings,
         seed: int,
-        changed: Callable[[Change], None],
+        on_change: Callable[[Change], None],
         now: float,
     ) -> None:
-        """Make it without connections; `changed` is called with every item that becomes stricter."""
+        """Make it without connections; `on_change` is called with every item that becomes stricter."""
         self.store = store
         self.settings = settings
         self.links: dict[str, Link] = {}
         self.is_caught_up = False
         self.transfer: SnapshotTransfer | None = None
         self.counts: Counter[str] = Counter()
-        self._changed = changed
+        self._on_change = on_change
         self._random = RandomSource(seed)
         self._lagging_since = now
-        self._next_comparison = now
+        self._next_summary_at = now
         self._refused_until: dict[str, float] = {}  # by donor
 
     # Connections.
@@ -155,7 +155,7 @@
     def peer_connected(self, peer: str, now: float) -> list[PeerMessage]:
         """A connection to a peer is up: send a comparison first."""
         self.links[peer] = Link(peer, tokens=float(self.settings.peer_rate), tokens_at=now)
-        return [self.comparison(peer, now)]
+        return [self.next_summary(peer, now)]
 
     def peer_disconnected(self, peer: str, now: float) -> list[PeerMessage]:
         """A connection to a peer is down."""
@@ -170,9 +170,9 @@
         self.is_caught_up = False
         self._lagging_since = now
         self.transfer = None
-        self._next_comparison = now
+        self._next_summary_at = now
         for link in self.links.values():
-            link.compared_at = -math.inf
+            link.summary_received_at = -math.inf
             link.first_valid = link.last_sent + 1
 
     def set_caught_up(self, now: float) -> None:
@@ -181,7 +181,7 @@
         self.transfer = None
         self.counts["caught up"] += 1
 
-    def comparison(self, peer: str, now: float) -> PeerMessage:
+    def next_summary(self, peer: str, now: float) -> PeerMessage:
         """Return the next comparison to send to a peer."""
         link = self.links[peer]
         link.last_sent += 1
@@ -191,7 +191,7 @@
         return PeerMessage(peer, body, Priority.COMPARISON)
 
     def _digest(self, now: float) -> int:
-        return self.store.digest(now, DIGEST_MARGIN * self.settings.summary_interval)
+        return self.store.digest(now, DIGEST_MARGIN_INTERVALS * self.settings.summary_interval)
 
     # This front's own changes.
 
@@ -215,24 +215,24 @@
 
     # Messages.
 
-    def handle(self, now: float, peer: str, body: m.Linked) -> list[PeerMessage]:
+    def handle(self, now: float, peer: str, body: m.ConnectionMessage) -> list[PeerMessage]:
         """Handle a message of a connected peer."""
         link = self.links.get(peer)
         if link is None:
             return []
-        found: list[PeerMessage] = []
+        outgoing: list[PeerMessage] = []
         match body:
             case m.Summary():
-                found = self._handle_comparison(link, body, now)
+                outgoing = self._handle_summary(link, body, now)
             case m.Delta(ops):
-                found = self._handle_delta(link, ops, now)
+                outgoing = self._handle_delta(link, ops, now)
             case m.SnapshotRequest(after):
-                found = self._handle_snapshot_request(link, after, now)
+                outgoing = self._handle_snapshot_request(link, after, now)
             case m.SnapshotChunk():
-                found = self._handle_chunk(link, body, now)
+                outgoing = self._handle_chunk(link, body, now)
             case m.SnapshotRefusal(reason):
-                found = self._handle_refusal(link, reason, now)
-        return found
+                outgoing = self._handle_refusal(link, reason, now)
+        return outgoing
 
     def _handle_delta(self, link: Link, ops: list[m.Operation], now: float) -> list[PeerMessage]:
         new = []
@@ -240,48 +240,48 @@
             if op.writer == self.store.name and op.epoch == self.store.epoch:
                 self.counts["own changes returned"] += 1
                 continue
-            link.has_run_up_to(op)
+            link.record_operation(op)
             before = self._progress(op)
             if change := self.store.apply(op, now):
-                self._changed(change)
+                self._on_change(change)
             if self._progress(op) != before:
                 new.append(op)
         return self._broadcast(new, link.peer)
 
     def _progress(self, op: m.Operation) -> tuple[int, int]:
         """How far the log of a change's run has come, and how many changes after a gap it has."""
-        log = self.store.logs.get(run_of(op.writer, op.epoch))
+        log = self.store.logs.get(run_name(op.writer, op.epoch))
         return (log.number, len(log.early)) if log else (0, 0)
 
-    def _handle_comparison(self, link: Link, summary: m.Summary, now: float) -> list[PeerMessage]:
-        is_first = link.compared_at == -math.inf
+    def _handle_summary(self, link: Link, summary: m.Summary, now: float) -> list[PeerMessage]:
+        is_first = link.summary_received_at == -math.inf
         link.last_received = summary.number
         if summary.last_received < link.first_valid:  # it may have waited here while this process stood still
-            return [self.comparison(link.peer, now)] if is_first and self._may_reply(link, now) else []
+            return [self.next_summary(link.peer, now)] if is_first and self._may_reply(link, now) else []
         link.vector = dict(summary.vector)
         link.is_caught_up = summary.is_caught_up
-        link.compared_at = now
-        missing = self.store.changes_after(link.vector, now, BATCH)
-        found = self._send_changes(link, missing, now) if missing else []  # None: it requests a snapshot
+        link.summary_received_at = now
+        missing = self.store.changes_after(link.vector, now, BATCH_SIZE)
+        outgoing = self._send_changes(link, missing, now) if missing else []  # None: it requests a snapshot
         if self.store.is_behind(link.vector):
-            return found + self._catch_up(link, is_first, now)
+            return outgoing + self._catch_up(link, is_first, now)
         self._compare_digests(link, summary, missing, now)
-        if link.mismatches >= MISMATCHES and summary.is_caught_up and not self.transfer:
+        if link.mismatches >= MAX_DIGEST_MISMATCHES and summary.is_caught_up and not self.transfer:
             link.mismatches = 0
             self.counts["replicas that differed"] += 1
-            return found + self._request_snapshot(now, "", link.peer)
+            return outgoing + self._request_snapshot(now, "", link.peer)
         if not self.is_caught_up and (summary.is_caught_up or self._all_peers_equal(now)):
             self.set_caught_up(now)
-        return found
+        return outgoing
 
     def _catch_up(self, link: Link, is_first: bool, now: float) -> list[PeerMessage]:
         """Get what the other end has and this front lacks."""
-        found = []
+        outgoing = []
         if (is_first or not link.is_caught_up or self.transfer) and self._may_reply(link, now):
-            found.append(self.comparison(link.peer, now))  # it sends what is missing, if it still can
+            outgoing.append(self.next_summary(link.peer, now))  # it sends what is missing, if it still can
         if not self.transfer and link.is_caught_up and self._requires_snapshot(link):
-            found += self._request_snapshot(now, "", link.peer)
-        return found
+            outgoing += self._request_snapshot(now, "", link.peer)
+        return outgoing
 
     def _compare_digests(
         self, link: Link, summary: m.Summary, missing: list[m.Operation] | None, now: float
@@ -302,8 +302,8 @@
         gap = sum(max(n - self.store.last_number(run), 0) for run, n in link.vector.items())
         return not self.is_caught_up or gap > self.settings.retained_operations // 2
 
-    def _has_settled(self, now: float) -> bool:
-        return now - self._lagging_since > SETTLING * self.settings.summary_interval
+    def _is_past_settling_time(self, now: float) -> bool:
+        return now - self._lagging_since > SETTLING_INTERVALS * self.settings.summary_interval
 
     def _all_peers_equal(self, now: float) -> bool:
         """Whether what all connected ones hold is all there is, as when all were started at once.
@@ -314,9 +314,9 @@
         recent = [
             link
             for link in self.links.values()
-            if now - link.compared_at < SETTLING * self.settings.summary_interval
+            if now - link.summary_received_at < SETTLING_INTERVALS * self.settings.summary_interval
         ]
-        return self._has_settled(now) and all(
+        return self._is_past_settling_time(now) and all(
             not link.is_caught_up and not self.store.is_behind(link.vector) for link in recent
         )
 
@@ -326,7 +326,7 @@
         if not link.consume(len(m.encode(body)), self.settings.peer_rate, now):
             return []
         for op in ops:
-            link.has_run_up_to(op)
+            link.record_operation(op)
         return [PeerMessage(link.peer, body, Priority.CHANGE)]
 
     # Snapshots.
@@ -353,7 +353,7 @@
         if not self.is_caught_up:
             return [PeerMessage(link.peer, m.SnapshotRefusal(NOT_CAUGHT_UP), Priority.SNAPSHOT)]
         served = sum(one.serving_after is not None for one in self.links.values())
-        if served >= MOST_SNAPSHOTS and link.serving_after is None:
+        if served >= MAX_CONCURRENT_SNAPSHOTS and link.serving_after is None:
             return [PeerMessage(link.peer, m.SnapshotRefusal(BUSY), Priority.SNAPSHOT)]
         link.serving_after = after
         link.has_snapshot_vector = False
@@ -365,7 +365,7 @@
         """The next chunk for a peer that requested one, if its rate allows it now."""
         if link.serving_after is None:
             return []
-        chunk = next(self.store.snapshot_chunks(link.serving_after, now, BATCH))
+        chunk = next(self.store.snapshot_chunks(link.serving_after, now, BATCH_SIZE))
         # what is changed meanwhile comes as changes: the snapshot amounts to what was held when it began
         vector = {} if link.has_snapshot_vector else self.store.vector()
         body = m.SnapshotChunk(chunk.operations, chunk.after, chunk.is_last, vector)
@@ -381,7 +381,7 @@
             self.counts["snapshot chunks not requested"] += 1
             return []
         for change in self.store.load_snapshot(body.operations, now):
-            self._changed(change)
+            self._on_change(change)
         transfer.after = body.after
         transfer.received_at = now
         if body.vector:
@@ -392,7 +392,7 @@
         self.transfer = None
         if not self.is_caught_up:
             self.set_caught_up(now)
-        return [self.comparison(link.peer, now)]
+        return [self.next_summary(link.peer, now)]
 
     def _handle_refusal(self, link: Link, reason: str, now: float) -> list[PeerMessage]:
         self._refused_until[link.peer] = now + DONOR_TIMEOUT
@@ -407,31 +407,31 @@
     def next_due(self, now: float) -> float:
         """Return when `tick` is to be called next, in seconds."""
         if any(link.serving_after is not None for link in self.links.values()):
-            return now + SERVING_INTERVAL
+            return now + CHUNK_INTERVAL
         timeout = self.transfer.received_at + DONOR_TIMEOUT if self.transfer else math.inf
-        return min(self._next_comparison, timeout)
+        return min(self._next_summary_at, timeout)
 
     def tick(self, now: float) -> list[PeerMessage]:
         """Return chunks, requests and comparisons that are due."""
-        found: list[PeerMessage] = []
+        outgoing: list[PeerMessage] = []
         for link in self.links.values():
-            found += self._serve_snapshot(link, now)
+            outgoing += self._serve_snapshot(link, now)
         if self.transfer and now - self.transfer.received_at >= DONOR_TIMEOUT:
             self.counts["snapshot donors timed out"] += 1
             self._refused_until[self.transfer.donor] = now + SILENT_DONOR_BACKOFF
-            found += self._request_snapshot(now, self.transfer.after)
-        if now >= self._next_comparison:
-            self._next_comparison = now + self.settings.summary_interval * (
+            outgoing += self._request_snapshot(now, self.transfer.after)
+        if now >= self._next_summary_at:
+            self._next_summary_at = now + self.settings.summary_interval * (
                 0.75 + 0.5 * self._random.random()
             )
             self.store.discard_expired(now)
-            found += [self.comparison(peer, now) for peer in self.links]
-            if not self.is_caught_up and not self.links and self._has_settled(now):
+            outgoing += [self.next_summary(peer, now) for peer in self.links]
+            if not self.is_caught_up and not self.links and self._is_past_settling_time(now):
                 self.set_caught_up(now)  # alone: what it holds is all there is, and its view says so
-        return found
+        return outgoing
 
 
-def resume_after_standstill(members: Membership, exchange: AntiEntropy, now: float) -> list[Send]:
+def resume_after_pause(members: Membership, exchange: AntiEntropy, now: float) -> list[Send]:
     """Find out first whether this process stood still, before anything that comes is acted on.
 
     Guards against acting on what was known before, and on what waited in the sockets meanwhile. Harm: one
--- a/weldbend/fleet/cli.py
+++ b/weldbend/fleet/cli.py
@@ -12,9 +12,9 @@
 from weldbend.fleet.settings import split_address
 from weldbend.fleet.view_comparison import differences
 
-STATES = {"ALIVE": "alive", "SUSPECT": "suspected", "DEAD": "dead", "LEFT": "left"}
+STATE_LABELS = {"ALIVE": "alive", "SUSPECT": "suspected", "DEAD": "dead", "LEFT": "left"}
 TIMEOUT = 3.0  # seconds for connecting, and for each read
-MAX_ANSWER = 1 << 24  # bytes
+MAX_ANSWER_SIZE = 1 << 24  # bytes
 
 
 def ask(control: str, **question: Any) -> Any:  # noqa: ANN401 - what JSON can hold
@@ -30,7 +30,7 @@
         ):
             lines.write(json.dumps(question).encode() + b"\n")
             lines.flush()
-            answer = json.loads(lines.readline(MAX_ANSWER))
+            answer = json.loads(lines.readline(MAX_ANSWER_SIZE))
     except (OSError, ValueError) as error:
         problem = f"no answer from {control}: {error}"
         raise click.ClickException(problem) from None
@@ -79,7 +79,7 @@
     last_message = "never heard" if member["heard"] is None else f"heard {member['heard']:.1f} s ago"
     link = "linked" if member["linked"] else "no link"
     reporters = f", suspected by {', '.join(member['voices'])}" if member["voices"] else ""
-    return f"{member['name']:<20} {STATES[member['state']]:<10} {last_message}, {link}{reporters}"
+    return f"{member['name']:<20} {STATE_LABELS[member['state']]:<10} {last_message}, {link}{reporters}"
 
 
 @fleet.command()
@@ -98,7 +98,9 @@
     names = sorted({name for view in views.values() for name in view})
     click.echo(f"{'sees':<20} " + " ".join(f"{name:<10.10}" for name in names))
     for name, view in sorted(views.items()):
-        row = " ".join(f"{STATES.get(view.get(other, ''), view.get(other, '-')):<10}" for other in names)
+        row = " ".join(
+            f"{STATE_LABELS.get(view.get(other, ''), view.get(other, '-')):<10}" for other in names
+        )
         click.echo(f"{name:<20} {row}")
 
 
--- a/weldbend/fleet/datagram_port.py
+++ b/weldbend/fleet/datagram_port.py
@@ -12,9 +12,9 @@
 from weldbend.fleet.runtime import DatagramTransport, ListeningPort, Runtime
 from weldbend.fleet.settings import Peer
 
-MAX_DATAGRAMS = 2000  # received in a second; more are dropped unread
+MAX_DATAGRAMS_PER_SECOND = 2000  # received in a second; more are dropped unread
 MAX_PACKET_SIZE = 65_535  # bytes that one read accepts: a longer datagram than allowed shows as such
-REOPEN_AFTER = 0.2  # seconds after which a port that an error closed is opened again
+REOPEN_DELAY = 0.2  # seconds after which a port that an error closed is opened again
 
 Handler = Callable[[float, Header, m.Datagram], None]
 """Is called with the moment, the header and the message."""
@@ -34,7 +34,7 @@
         self.counts = counts
         self.port: ListeningPort | None = None
         self.is_closed = False
-        self.second = 0  # that is being counted
+        self.counted_second = 0  # that is being counted
         self.received_in_second = 0
 
     def listen(self, host: str, port: int) -> None:
@@ -55,7 +55,7 @@
         """
         if not self.is_closed:
             self.counts["datagram ports that an error closed"] += 1
-            self.runtime.timers.after(REOPEN_AFTER, self._reopen)
+            self.runtime.timers.after(REOPEN_DELAY, self._reopen)
 
     def _reopen(self) -> None:
         if self.is_closed:
@@ -63,7 +63,7 @@
         try:
             self.listen(*self.address)
         except (CannotListenError, OSError):
-            self.runtime.timers.after(REOPEN_AFTER, self._reopen)
+            self.runtime.timers.after(REOPEN_DELAY, self._reopen)
 
     def send(self, peer: Peer, body: m.Datagram) -> None:
         """Send a message, if the port is open; it may be lost like any datagram."""
@@ -86,11 +86,11 @@
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
         """Check a datagram; its sender is known by its header, not by its address."""
         now = self.runtime.timers.now()
-        if int(now) != self.second:
-            self.second = int(now)
+        if int(now) != self.counted_second:
+            self.counted_second = int(now)
             self.received_in_second = 0
         self.received_in_second += 1
-        if self.received_in_second > MAX_DATAGRAMS or len(datagram) > m.DATAGRAM:
+        if self.received_in_second > MAX_DATAGRAMS_PER_SECOND or len(datagram) > m.MAX_DATAGRAM_SIZE:
             self.counts["datagrams dropped unread"] += 1
             return
         try:
--- a/weldbend/fleet/execution_exchange.py
+++ b/weldbend/fleet/execution_exchange.py
@@ -4,7 +4,7 @@
 from typing import TYPE_CHECKING
 
 from weldbend.fleet import idempotency
-from weldbend.fleet.replicated_items import FIRST_ATTEMPT, ITEM_KINDS, NOWHERE
+from weldbend.fleet.replicated_items import FIRST_ATTEMPT, ITEM_KINDS, NO_CACHE
 from weldbend.fleet.replicated_store import Change, Item
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.steady_unix import SteadyUnixTime
@@ -55,7 +55,7 @@
         has_scope = request_class.deduplication_scope is not DeduplicationScope.ALL
         if is_retry and has_scope and self._may_lack_attempts(now):
             self.counts["retries treated as possibly executed"] += 1
-            return (PossibleExecution(NOWHERE, -1, now),)
+            return (PossibleExecution(NO_CACHE, -1, now),)
         return ()
 
     def _possible_execution(self, item: Item, now: float) -> PossibleExecution:
--- a/weldbend/fleet/fleet_status.py
+++ b/weldbend/fleet/fleet_status.py
@@ -6,7 +6,7 @@
 from weldbend.fleet.membership_view import MemberView
 from weldbend.fleet.service import Fleet
 
-NEVER = 1e9  # seconds: an age beyond it stands for what never happened
+MAX_AGE = 1e9  # seconds: an age beyond it stands for what never happened
 DIGEST_MARGIN = 1.0  # seconds: items that expire sooner are left out of the digest that fronts compare
 
 
@@ -49,7 +49,7 @@
 
 
 def _age(seconds: float) -> float | None:
-    return round(seconds, 3) if seconds < NEVER else None
+    return round(seconds, 3) if seconds < MAX_AGE else None
 
 
 def items(fleet: Fleet) -> list[dict[str, Any]]:
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -32,9 +32,7 @@
 if TYPE_CHECKING:
     from weldbend.front.dispatcher import Dispatcher
 
-TICK = (
-    1.0  # seconds between two publications of health reports and popularity, and of what peers have of them
-)
+TICK_INTERVAL = 1.0  # seconds between two exchanges of health reports, popularity and quotas
 
 
 class FleetAdapter:
@@ -66,8 +64,8 @@
         epoch = int(dispatcher.clock.unix() * 1000)
         self.fleet = Fleet(runtime, name, settings, self.apply_change, epoch)
         dispatcher.join_fleet(self)
-        chance = RandomSource(int.from_bytes(runtime.random_bytes(4), "big"))
-        self.quota_service = QuotaService(dispatcher, self.fleet, chance)
+        random_source = RandomSource(int.from_bytes(runtime.random_bytes(4), "big"))
+        self.quota_service = QuotaService(dispatcher, self.fleet, random_source)
         self.cache_states = CacheStates(dispatcher, self.fleet, self.quota_service, bus_offset, self.counts)
         self.purges = PurgeExchange(dispatcher, self.fleet, self.counts)
         self.executions = ExecutionExchange(dispatcher, self.fleet, self.counts)
@@ -85,7 +83,7 @@
             self.admin_server.listen(self.runtime.reactor)
         for sequenced in known:
             self.publish_bus_event(sequenced)
-        self.runtime.timers.after(TICK, self.tick)
+        self.runtime.timers.after(TICK_INTERVAL, self.tick)
 
     def stop(self) -> None:
         """Leave the fleet."""
@@ -165,7 +163,7 @@
         """Exchange what is no event: popularity, health reports and quotas."""
         if self.fleet.is_stopped:
             return
-        self.runtime.timers.after(TICK, self.tick)
+        self.runtime.timers.after(TICK_INTERVAL, self.tick)
         now = self.runtime.timers.now()
         self.popularity.tick(now)
         reports = self.health.tick(now, self.quota_service.ejections.detector.recovering_caches())
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from weldbend.fleet.member_table import Member, State
-from weldbend.fleet.replicated_items import ANYWHERE, NOWHERE, Value
+from weldbend.fleet.replicated_items import ALL_CACHES, NO_CACHE, Value
 from weldbend.routing.events import PossibleExecution
 from weldbend.routing.settings import DeduplicationScope
 
@@ -32,7 +32,7 @@
         DeduplicationScope.ZONE: f"{ZONE_PREFIX}{zone}",
         DeduplicationScope.CELL: f"{CELL_PREFIX}{cell}",
     }
-    return groups.get(scope, ANYWHERE)
+    return groups.get(scope, ALL_CACHES)
 
 
 def possible_execution(value: Value, written_at: float, now: float, unix: float) -> PossibleExecution:
@@ -53,8 +53,8 @@
     age = unix - first
     is_clock_wrong = abs(age - (now - written_at)) > MOST_CLOCK_ERROR
     sent = written_at if is_clock_wrong else min(written_at, now - age)
-    if group == NOWHERE:
-        return PossibleExecution(NOWHERE, -1, sent)
+    if group == NO_CACHE:
+        return PossibleExecution(NO_CACHE, -1, sent)
     if group.startswith(ZONE_PREFIX):
         return PossibleExecution(group.removeprefix(ZONE_PREFIX), -1, sent)
     return PossibleExecution("", int(group.removeprefix(CELL_PREFIX) or -1), sent)
--- a/weldbend/fleet/local_health.py
+++ b/weldbend/fleet/local_health.py
@@ -5,12 +5,12 @@
 
 from dataclasses import dataclass
 
-WORST = 8  # bound of the multiplier
+MAX_MULTIPLIER = 8  # bound of the multiplier
 
 
 @dataclass(slots=True)
 class LocalHealth:
-    """`multiplier` is 0 for a healthy front, up to `WORST`."""
+    """`multiplier` is 0 for a healthy front, up to `MAX_MULTIPLIER`."""
 
     multiplier: int = 0
 
@@ -20,12 +20,12 @@
 
     def worsen(self, by: int = 1) -> None:
         """Something shows that this front itself is slow or cut off."""
-        self.multiplier = min(WORST, self.multiplier + by)
+        self.multiplier = min(MAX_MULTIPLIER, self.multiplier + by)
 
     def reset_after_pause(self) -> None:
         """This process was paused: it starts from the middle."""
-        self.multiplier = WORST // 2
+        self.multiplier = MAX_MULTIPLIER // 2
 
-    def stretched(self, seconds: float) -> float:
+    def scaled(self, seconds: float) -> float:
         """An interval or timeout as this front must count it now."""
         return seconds * (1 + self.multiplier)
--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -58,7 +58,7 @@
         heard_at: when a message from the member itself last came.
         suspected_by: names of the fronts that suspect it.
         suspicion_deadline: when the suspicion becomes a death, infinite where there is none.
-        notified_at: when it was last probed, out of schedule, because it passes for suspect or dead.
+        refutation_probed_at: when it was last probed, out of schedule, because it passes for suspect or dead.
         unanswered_probes: of this front's own since it last answered one itself.
     """
 
@@ -70,7 +70,7 @@
     received_at: float = -math.inf
     suspected_by: set[str] = field(default_factory=set)
     suspicion_deadline: float = math.inf
-    notified_at: float = -math.inf
+    refutation_probed_at: float = -math.inf
     unanswered_probes: int = 0
 
     def rank(self) -> Rank:
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -23,9 +23,9 @@
 from weldbend.fleet.settings import FleetSettings
 
 MAX_INCARNATION_LEAP = 1 << 16  # by which gossip may raise an incarnation
-UNANSWERED_PROBES = 2  # after which what a member's probe says of this front's epoch is taken
-CONTESTED_RAISES = 3  # so many forced new epochs in the time below: another process runs under this name
-CONTESTED_WINDOW = 30.0  # seconds
+MIN_UNANSWERED_PROBES = 2  # after which what a member's probe says of this front's epoch is taken
+CONTESTED_EPOCH_RAISES = 3  # epoch raises within the window that show another process with this name
+EPOCH_RAISE_WINDOW = 30.0  # seconds
 
 
 class Membership:
@@ -130,7 +130,7 @@
 
     def was_paused(self, now: float) -> bool:
         """Whether this process was paused since its last `advance`, which is overdue then."""
-        return now - self.last_advance > self.settings.pause_threshold + self.health.stretched(
+        return now - self.last_advance > self.settings.pause_threshold + self.health.scaled(
             self.settings.probe_interval
         )
 
@@ -178,18 +178,20 @@
                 self.apply_updates(updates, now)
                 answers = [Send(member.name, m.Ack(number, self.table.gossip_for(member)))]
                 if member.state >= State.SUSPECT:
-                    answers += self.prober.notify(member, now)  # it is alive after all, or half of it
+                    answers += self.prober.probe_for_refutation(
+                        member, now
+                    )  # it is alive after all, or half of it
                 return answers
             case m.Ack(number, updates):
                 self.prober.learn_from_helper(member, number, updates, now)
                 self.apply_updates(updates, now)
-                return self.prober.acknowledged(member, number, now)
+                return self.prober.ack_received(member, number, now)
             case m.IndirectProbe(number, name, updates):
                 self.apply_updates(updates, now)
                 probed = self.members.get(name)
                 return [self.prober.probe(probed, now, member.name, number)] if probed else []
             case m.Nack(number):
-                self.prober.nacked(number)
+                self.prober.nack_received(number)
             case m.StaleEpoch(later_epoch):
                 self.raise_epoch(later_epoch, now)
             case m.Leaving(updates):
@@ -204,7 +206,7 @@
         remembers: what it sends is dropped there before anybody could say that it is out of date. Harm: one
         that lies has this front go on under a later epoch, as with `StaleEpoch`.
         """
-        if prober.unanswered_probes < UNANSWERED_PROBES or self.local.is_leaving:
+        if prober.unanswered_probes < MIN_UNANSWERED_PROBES or self.local.is_leaving:
             return
         for update in updates:
             if update.name == self.name and update.epoch > self.epoch:
@@ -222,12 +224,12 @@
         if not local.epoch <= later_epoch <= local.epoch + MAX_EPOCH_LEAD:
             self.counts["leaps of an epoch"] += 1
             return
-        recent = [at for at in local.epoch_raises if now - at < CONTESTED_WINDOW]
+        recent = [at for at in local.epoch_raises if now - at < EPOCH_RAISE_WINDOW]
         local.epoch_raises = [*recent, now]
         local.epoch = later_epoch + 1
         local.incarnation = 0
         self.counts["own epoch raised"] += 1
-        if len(local.epoch_raises) >= CONTESTED_RAISES:
+        if len(local.epoch_raises) >= CONTESTED_EPOCH_RAISES:
             local.is_contested = True
             self.table.changes.append(
                 StateChange(self.name, State.ALIVE, State.LEFT, "another process runs under this name")
--- a/weldbend/fleet/message_authentication.py
+++ b/weldbend/fleet/message_authentication.py
@@ -22,13 +22,13 @@
 import msgspec
 
 from weldbend.fleet.errors import FleetError
-from weldbend.fleet.messages import FRAME, Count, Name
+from weldbend.fleet.messages import MAX_FRAME_SIZE, Count, Name
 
 VERSION = 1
 KEY_ID_SIZE = 4  # bytes
 MAC_SIZE = 16  # bytes
 PREFIX_SIZE = 1 + KEY_ID_SIZE + MAC_SIZE + 2  # bytes before the header
-LONGEST = FRAME + 512  # bytes of an authenticated message at most
+MAX_MESSAGE_SIZE = MAX_FRAME_SIZE + 512  # bytes of an authenticated message at most
 REPLAY_WINDOW = 1024  # numbers below the highest one received that may still come, for datagrams out of order
 MAX_KEYS = 8  # in one file
 MAX_EPOCHS = 4  # of one sender whose numbers are remembered
@@ -224,7 +224,7 @@
         """The part of a message that its MAC proves."""
         if len(data) < PREFIX_SIZE:
             raise AuthenticationError(DropCause.TOO_SHORT)
-        if len(data) > LONGEST:
+        if len(data) > MAX_MESSAGE_SIZE:
             raise AuthenticationError(DropCause.TOO_LONG)
         if data[0] != VERSION:
             raise AuthenticationError(DropCause.OTHER_VERSION)
--- a/weldbend/fleet/messages.py
+++ b/weldbend/fleet/messages.py
@@ -12,17 +12,17 @@
 from msgspec import Meta
 
 from weldbend.fleet.errors import FleetError
-from weldbend.fleet.settings import LONGEST_NAME
+from weldbend.fleet.settings import MAX_NAME_LENGTH
 
-DATAGRAM = 1400  # bytes of an authenticated datagram at most
-FRAME = 1 << 17  # bytes of an authenticated message on a connection at most
+MAX_DATAGRAM_SIZE = 1400  # bytes of an authenticated datagram at most
+MAX_FRAME_SIZE = 1 << 17  # bytes of an authenticated message on a connection at most
 MAX_UPDATES = 24  # member updates in one datagram
 MAX_OPERATIONS = 1024  # in one frame
 MAX_COUNT = (1 << 53) - 1  # the largest integer that every JSON reader holds exactly
-ERROR_LENGTH = 80  # characters of a decoder's message that are passed on
+MAX_DECODE_ERROR_LENGTH = 80  # characters of a decoder's message that are passed on
 
-Name = Annotated[str, Meta(min_length=1, max_length=LONGEST_NAME)]
-Text = Annotated[str, Meta(max_length=LONGEST_NAME)]
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
+Text = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
 Count = Annotated[int, Meta(ge=0, le=MAX_COUNT)]
 Seconds = Annotated[float, Meta(ge=0.0, le=1e9)]
 
@@ -158,7 +158,7 @@
 
 
 Operations = Annotated[list[Operation], Meta(max_length=MAX_OPERATIONS)]
-Run = Annotated[str, Meta(min_length=3, max_length=LONGEST_NAME + 20)]  # name/epoch of a writer
+Run = Annotated[str, Meta(min_length=3, max_length=MAX_NAME_LENGTH + 20)]  # name/epoch of a writer
 Vector = Annotated[dict[Run, Count], Meta(max_length=1024)]
 
 
@@ -210,8 +210,8 @@
 
 LeaseMessage = AcquireLease | GrantLease | ReleaseLease
 Datagram = Probe | Ack | IndirectProbe | Nack | StaleEpoch | Leaving | LeaseMessage
-Linked = Hello | Summary | Delta | SnapshotRequest | SnapshotChunk | SnapshotRefusal
-Message = Datagram | Linked
+ConnectionMessage = Hello | Summary | Delta | SnapshotRequest | SnapshotChunk | SnapshotRefusal
+Message = Datagram | ConnectionMessage
 
 
 @dataclass(frozen=True, slots=True)
@@ -224,7 +224,7 @@
 
 _encoder = msgspec.msgpack.Encoder()
 _datagram_decoder: msgspec.msgpack.Decoder[Datagram] = msgspec.msgpack.Decoder(Datagram)
-_linked_decoder: msgspec.msgpack.Decoder[Linked] = msgspec.msgpack.Decoder(Linked)
+_connection_decoder: msgspec.msgpack.Decoder[ConnectionMessage] = msgspec.msgpack.Decoder(ConnectionMessage)
 
 
 def encode(body: Message) -> bytes:
@@ -238,24 +238,24 @@
     Raises:
         InvalidPeerMessageError: it is too long or no such message.
     """
-    if len(data) > DATAGRAM:
+    if len(data) > MAX_DATAGRAM_SIZE:
         raise MessageTooLongError("datagram")
     return _decode(_datagram_decoder, data)
 
 
-def read_linked(data: bytes) -> Linked:
+def read_connection_message(data: bytes) -> ConnectionMessage:
     """Decode one message of a connection.
 
     Raises:
         InvalidPeerMessageError: it is too long or no such message.
     """
-    if len(data) > FRAME:
+    if len(data) > MAX_FRAME_SIZE:
         raise MessageTooLongError("link")
-    return _decode(_linked_decoder, data)
+    return _decode(_connection_decoder, data)
 
 
 def _decode(decoder: msgspec.msgpack.Decoder[Decoded], data: bytes) -> Decoded:
     try:
         return decoder.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError, OverflowError) as error:
-        raise InvalidPeerMessageError(str(error)[:ERROR_LENGTH]) from None
+        raise InvalidPeerMessageError(str(error)[:MAX_DECODE_ERROR_LENGTH]) from None
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -22,20 +22,20 @@
 from weldbend.buffers.ring import Ring
 from weldbend.fleet import messages as m
 from weldbend.fleet.anti_entropy import PROTOCOL_VERSIONS, PeerMessage
-from weldbend.fleet.message_authentication import LONGEST, AuthenticationError, MessageAuthenticator
+from weldbend.fleet.message_authentication import MAX_MESSAGE_SIZE, AuthenticationError, MessageAuthenticator
 from weldbend.fleet.outbox import Outbox, Priority
 from weldbend.fleet.runtime import ListeningPort, Runtime, StreamTransport
 from weldbend.fleet.settings import FleetSettings, Peer
 
 HELLO_TIMEOUT = 2.0  # seconds for the first message
-SILENT_SUMMARIES = 4.0  # intervals between summaries without a byte, after which a connection is dropped
+MAX_SILENT_SUMMARY_INTERVALS = 4.0  # summary intervals without a byte before a connection is dropped
 MIN_BACKOFF = 0.2  # seconds between attempts to connect to a peer, doubled with each failure
 MAX_BACKOFF = 3.0  # seconds
 CONNECT_TIMEOUT = 1.0  # seconds
 MAX_UNIDENTIFIED = 16  # accepted connections that have not sent their hello
 LENGTH_SIZE = 4  # bytes of a frame's length
 NONCE_SIZE = 16  # bytes of each end's part of the session
-RECEIVE_BUFFER = 2 * LONGEST + (1 << 17)  # bytes
+RECEIVE_BUFFER_SIZE = 2 * MAX_MESSAGE_SIZE + (1 << 17)  # bytes
 
 
 class ConnectionHandler(Protocol):
@@ -47,7 +47,7 @@
     def connection_down(self, peer: str) -> None:
         """No more messages can be sent to that peer."""
 
-    def message_received(self, peer: str, epoch: int, body: m.Linked) -> None:
+    def message_received(self, peer: str, epoch: int, body: m.ConnectionMessage) -> None:
         """An authenticated message of that peer."""
 
 
@@ -59,7 +59,7 @@
         self.manager = manager
         self.peer = peer
         self.is_initiator = bool(peer)
-        self.buffer = Ring(RECEIVE_BUFFER)
+        self.buffer = Ring(RECEIVE_BUFFER_SIZE)
         self.outbox = Outbox(manager.settings.outbox_capacity)
         self.nonce = manager.runtime.random_bytes(NONCE_SIZE)
         self.session = b""
@@ -88,7 +88,8 @@
         """Send this end's part of the session."""
         body = m.encode(m.Hello(*PROTOCOL_VERSIONS, self.nonce, self.manager.settings.zone))
         self.outbox.put(
-            framed(self.manager.authenticator.authenticate(self.peer, body, True)), Priority.CRITICAL
+            add_length_prefix(self.manager.authenticator.authenticate(self.peer, body, True)),
+            Priority.CRITICAL,
         )
         self.flush()
 
@@ -97,7 +98,7 @@
         if not self.session and not self.is_lost:
             self.drop("no hello")
 
-    def _handle_hello(self, sender: str, epoch: int, body: m.Linked) -> None:
+    def _handle_hello(self, sender: str, epoch: int, body: m.ConnectionMessage) -> None:
         if not isinstance(body, m.Hello) or (self.is_initiator and sender != self.peer):
             self.drop("no hello")
             return
@@ -113,18 +114,18 @@
             self.peer = sender
             self.send_hello()
             self.session = body.nonce + self.nonce
-        self.manager.established(self, epoch)
+        self.manager.connection_established(self, epoch)
 
     # Sending.
 
     def send(self, message: PeerMessage) -> None:
         """Queue a message; where the outbox is full, what weighs least is dropped."""
         body = m.encode(message.body)
-        if len(body) > m.FRAME:
+        if len(body) > m.MAX_FRAME_SIZE:
             self.manager.counts["too long to say"] += 1
             return
         data = self.manager.authenticator.authenticate(self.peer, body, True, self.session)
-        self.outbox.put(framed(data), message.priority)
+        self.outbox.put(add_length_prefix(data), message.priority)
         self.flush()
 
     def flush(self) -> None:
@@ -163,7 +164,7 @@
                 if len(self.buffer) < LENGTH_SIZE:
                     return
                 self.frame_length = int.from_bytes(self.buffer.read(LENGTH_SIZE), "big")
-                if not 0 < self.frame_length <= LONGEST:
+                if not 0 < self.frame_length <= MAX_MESSAGE_SIZE:
                     self.drop("a length out of bounds")
                     return
             if len(self.buffer) < self.frame_length:
@@ -175,7 +176,7 @@
     def _handle_frame(self, data: bytes) -> None:
         try:
             message = self.manager.authenticator.verify(data, True, self.session)
-            body = m.read_linked(message.body)
+            body = m.read_connection_message(message.body)
         except AuthenticationError as error:
             self.drop(f"seal: {error.cause}")
             return
@@ -205,10 +206,10 @@
     def connectionLost(self, reason: Failure | None = None) -> None:
         """The connection has ended."""
         self.is_lost = True
-        self.manager.closed(self)
+        self.manager.connection_closed(self)
 
 
-def framed(data: bytes) -> bytes:
+def add_length_prefix(data: bytes) -> bytes:
     """An authenticated message behind its length."""
     return len(data).to_bytes(LENGTH_SIZE, "big") + data
 
@@ -224,7 +225,7 @@
 
     def buildProtocol(self, addr: IAddress | None) -> PeerConnection:
         """The connection is open."""
-        return self.manager.open_end(self.peer)
+        return self.manager.create_connection(self.peer)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401 - zope has no types
         """The connection could not be opened."""
@@ -241,10 +242,10 @@
 
     def buildProtocol(self, addr: IAddress | None) -> PeerConnection | None:
         """Accept it, unless too many have not identified themselves yet."""
-        if sum(not end.session for end in self.manager.ends) >= MAX_UNIDENTIFIED:
+        if sum(not connection.session for connection in self.manager.all_connections) >= MAX_UNIDENTIFIED:
             self.manager.counts["strangers turned away"] += 1
             return None
-        return self.manager.open_end()
+        return self.manager.create_connection()
 
 
 class PeerConnections:
@@ -253,7 +254,7 @@
     Attributes:
         members: the other members by name, with their addresses.
         neighbours: names of those that this front is to be connected to.
-        ends: all open connections, also those that are not identified yet, in the order of their opening.
+        all_connections: all open connections, including unidentified ones, in the order of their opening.
         established_by_peer: the one connection to each peer over which messages go.
         connecting: peers to which a connection is being opened.
         backoffs: seconds waited before the last attempt to connect to a peer.
@@ -273,7 +274,7 @@
         self.handler = handler
         self.members: dict[str, Peer] = {}
         self.neighbours: set[str] = set()
-        self.ends: dict[PeerConnection, None] = {}
+        self.all_connections: dict[PeerConnection, None] = {}
         self.established_by_peer: dict[str, PeerConnection] = {}
         self.connecting: set[str] = set()
         self.backoffs: dict[str, float] = {}
@@ -290,8 +291,12 @@
         """Replace the members and neighbours; connections to others end."""
         self.members = {peer.name: peer for peer in members}
         self.neighbours = set(neighbours) & set(self.members)
-        for end in [end for end in self.ends if end.peer and end.peer not in self.neighbours]:
-            end.drop("no longer a neighbour")
+        for connection in [
+            connection
+            for connection in self.all_connections
+            if connection.peer and connection.peer not in self.neighbours
+        ]:
+            connection.drop("no longer a neighbour")
         for peer in sorted(self.neighbours):
             self.connect(peer)
 
@@ -316,49 +321,49 @@
         self.backoffs[peer] = backoff
         self.runtime.timers.after(backoff, lambda: self.connect(peer))
 
-    def open_end(self, peer: str = "") -> PeerConnection:
+    def create_connection(self, peer: str = "") -> PeerConnection:
         """A new connection; `peer` is known where this end opened it."""
-        end = PeerConnection(self, peer)
-        self.ends[end] = None
-        return end
+        connection = PeerConnection(self, peer)
+        self.all_connections[connection] = None
+        return connection
 
-    def established(self, end: PeerConnection, epoch: int) -> None:
+    def connection_established(self, connection: PeerConnection, epoch: int) -> None:
         """Both ends have sent their hello. A newer connection of the same pair replaces the older one."""
-        self.connecting.discard(end.peer)
-        self.backoffs.pop(end.peer, None)
-        if older := self.established_by_peer.get(end.peer):
+        self.connecting.discard(connection.peer)
+        self.backoffs.pop(connection.peer, None)
+        if older := self.established_by_peer.get(connection.peer):
             older.drop("another link came up")
-            self.closed(older)
-        self.established_by_peer[end.peer] = end
-        self.handler.connection_up(end.peer, epoch)
+            self.connection_closed(older)
+        self.established_by_peer[connection.peer] = connection
+        self.handler.connection_up(connection.peer, epoch)
 
-    def closed(self, end: PeerConnection) -> None:
+    def connection_closed(self, connection: PeerConnection) -> None:
         """A connection has ended; it may be reported more than once."""
-        if end not in self.ends:
+        if connection not in self.all_connections:
             return
-        del self.ends[end]
-        if self.established_by_peer.get(end.peer) is end:
-            del self.established_by_peer[end.peer]
-            self.handler.connection_down(end.peer)
-        if end.is_initiator and end.peer not in self.established_by_peer:
-            self.connect_failed(end.peer)
+        del self.all_connections[connection]
+        if self.established_by_peer.get(connection.peer) is connection:
+            del self.established_by_peer[connection.peer]
+            self.handler.connection_down(connection.peer)
+        if connection.is_initiator and connection.peer not in self.established_by_peer:
+            self.connect_failed(connection.peer)
 
     def send(self, message: PeerMessage) -> None:
         """Send a message to a peer; dropped where there is no connection."""
-        if end := self.established_by_peer.get(message.to):
-            end.send(message)
+        if connection := self.established_by_peer.get(message.to):
+            connection.send(message)
 
     def drop_silent(self) -> None:
         """Drop silent connections: each end sends a summary every few seconds, so the path is lost."""
         now = self.runtime.timers.now()
-        for end in list(self.established_by_peer.values()):
-            if now - end.received_at > SILENT_SUMMARIES * self.settings.summary_interval:
-                end.drop("silent")
+        for connection in list(self.established_by_peer.values()):
+            if now - connection.received_at > MAX_SILENT_SUMMARY_INTERVALS * self.settings.summary_interval:
+                connection.drop("silent")
 
     def stop(self) -> None:
         """Close the port and all connections."""
         self.is_stopped = True
         if self.port:
             self.port.stopListening()
-        for end in list(self.ends):
-            end.drop("stopped")
+        for connection in list(self.all_connections):
+            connection.drop("stopped")
--- a/weldbend/fleet/probing.py
+++ b/weldbend/fleet/probing.py
@@ -16,8 +16,8 @@
 from weldbend.fleet.settings import FleetSettings
 from weldbend.routing.random_source import RandomSource
 
-UNHEARD_EVERY = 3  # one probe in so many goes to a member never heard of
-LEFT_PROBABILITY = 0.25  # with which a member that left is probed in its place in the round
+UNKNOWN_MEMBER_PROBE_PERIOD = 3  # one probe in so many goes to a member never heard of
+LEFT_MEMBER_PROBE_PROBABILITY = 0.25  # with which a member that left is probed in its place in the round
 MAX_EPOCH_LEAD = 1 << 40  # milliseconds by which another's word may lead the epoch known here
 
 
@@ -57,7 +57,7 @@
         self.counts = counts
         self.random = RandomSource(seed)
         self.round: list[Member] = []
-        self.draws = 0
+        self.targets_drawn = 0
         self.pending: dict[int, PendingProbe] = {}
         self.next_at = now + self.random.random() * self.settings.probe_interval  # not all fronts in step
 
@@ -97,7 +97,7 @@
         """The probe of this interval, if it is due."""
         if now < self.next_at:
             return []
-        self.next_at = now + self.health.stretched(self.settings.probe_interval)
+        self.next_at = now + self.health.scaled(self.settings.probe_interval)
         target = self._next_target()
         return [self.probe(target, now)] if target else []
 
@@ -109,15 +109,17 @@
         there is more news than datagrams carry, so that the last ones would be found a whole round later.
         Harm: a death is noticed later by half while some that are named were never started.
         """
-        self.draws += 1
+        self.targets_drawn += 1
         members = self.table.members
-        if self.draws % UNHEARD_EVERY == 0 and (unheard := [o for o in members.values() if not o.epoch]):
-            return unheard[int(self.random.random() * len(unheard))]
+        if self.targets_drawn % UNKNOWN_MEMBER_PROBE_PERIOD == 0 and (
+            unknown := [o for o in members.values() if not o.epoch]
+        ):
+            return unknown[int(self.random.random() * len(unknown))]
         if not self.round:
             self.round = sorted(members.values(), key=lambda _: self.random.random())
         while self.round:
             member = self.round.pop()
-            if member.state is not State.LEFT or self.random.random() < LEFT_PROBABILITY:
+            if member.state is not State.LEFT or self.random.random() < LEFT_MEMBER_PROBE_PROBABILITY:
                 return member
         return None
 
@@ -129,8 +131,8 @@
     def probe(self, target: Member, now: float, requester: str = "", requester_number: int = 0) -> Send:
         """Probe a member now, on another's behalf where `requester` is given."""
         number = int(self.random.random() * (1 << 32)) << 20 | len(self.pending)
-        timeout = self.health.stretched(self.settings.probe_timeout)
-        own_end = max(self.health.stretched(self.settings.probe_interval), 2 * timeout)
+        timeout = self.health.scaled(self.settings.probe_timeout)
+        own_end = max(self.health.scaled(self.settings.probe_interval), 2 * timeout)
         self.pending[number] = PendingProbe(
             number,
             target,
@@ -144,14 +146,14 @@
             target.unanswered_probes += 1
         return Send(target.name, m.Probe(number, self.table.gossip_for(target)))
 
-    def notify(self, member: Member, now: float) -> list[Send]:
+    def probe_for_refutation(self, member: Member, now: float) -> list[Send]:
         """Probe a member that answers though it passes for dead: it refutes, and all learn of it.
 
         Guards, by once an interval, against two that answer each other without end where it does not refute.
         """
-        if now - member.notified_at < self.settings.probe_interval:
+        if now - member.refutation_probed_at < self.settings.probe_interval:
             return []
-        member.notified_at = now
+        member.refutation_probed_at = now
         return [self.probe(member, now)]
 
     def _probe_indirectly(self, probe: PendingProbe) -> list[Send]:
@@ -185,7 +187,7 @@
 
     # Answers.
 
-    def acknowledged(self, member: Member, number: int, now: float) -> list[Send]:
+    def ack_received(self, member: Member, number: int, now: float) -> list[Send]:
         """An answer came from `member`; what to send on account of it."""
         probe = self.pending.get(number)
         if probe is None or probe.is_answered:
@@ -204,9 +206,9 @@
             gossip = self.table.gossip_for(requester) if requester else []
             updates = [self.table.as_update(member), *gossip]
             return [Send(probe.requester, m.Ack(probe.requester_number, updates))]
-        return self.notify(member, now) if member.state is State.DEAD else []
+        return self.probe_for_refutation(member, now) if member.state is State.DEAD else []
 
-    def nacked(self, number: int) -> None:
+    def nack_received(self, number: int) -> None:
         """A helper says that it has probed the target and received nothing so far."""
         probe = self.pending.get(number)
         if probe and probe.expected_nacks:
--- a/weldbend/fleet/replicated_items.py
+++ b/weldbend/fleet/replicated_items.py
@@ -29,12 +29,12 @@
 BUS_POSITION = "bus"
 SETTING = "setting"
 
-MOST_INTEGER = 1 << 53  # exact in a float as well
-MOST_FIGURE = 1e12
-ANYWHERE = ""  # the group in which an idempotency key holds at all caches
-NOWHERE = "!"  # the group in which it holds at none
-GROUP = re.compile(r"|!|z:[\w.:-]{1,48}|c:[0-9]{1,9}", re.ASCII)
-PURGED = re.compile(r"k:[\w.-]{1,64}|g:[0-9]{1,3}", re.ASCII)
+MAX_INTEGER = 1 << 53  # exact in a float as well
+MAX_NUMBER = 1e12
+ALL_CACHES = ""  # the group in which an idempotency key holds at all caches
+NO_CACHE = "!"  # the group in which it holds at none
+GROUP_PATTERN = re.compile(r"|!|z:[\w.:-]{1,48}|c:[0-9]{1,9}", re.ASCII)
+PURGE_KEY_PATTERN = re.compile(r"k:[\w.-]{1,64}|g:[0-9]{1,3}", re.ASCII)
 REMOVED = 2  # the last of the states that a `drain` item may have
 
 
@@ -59,19 +59,19 @@
     keeps_first: bool = False
 
 
-def is_integer(value: object, least: int = 0, most: int = MOST_INTEGER) -> bool:
+def is_integer(value: object, minimum: int = 0, maximum: int = MAX_INTEGER) -> bool:
     """Whether a value is an integer within bounds."""
-    return isinstance(value, int) and not isinstance(value, bool) and least <= value <= most
+    return isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
 
 
-def is_figure(value: object) -> bool:
-    """Whether a value is a number from 0 to `MOST_FIGURE`."""
-    return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MOST_FIGURE
+def is_number(value: object) -> bool:
+    """Whether a value is a number from 0 to `MAX_NUMBER`."""
+    return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MAX_NUMBER
 
 
 def is_group(value: object) -> bool:
     """Whether a value names a group of caches."""
-    return isinstance(value, str) and GROUP.fullmatch(value) is not None
+    return isinstance(value, str) and GROUP_PATTERN.fullmatch(value) is not None
 
 
 def is_text(value: object) -> bool:
@@ -94,12 +94,12 @@
     return key.rpartition("|")[2]
 
 
-def earliest(one: Value, other: Value) -> Value:
+def merge_first_attempts(one: Value, other: Value) -> Value:
     """Merge two first attempts of a request: in one group since the first, or in no group at all."""
-    return one[0] if one[0] == other[0] else NOWHERE, min(one[1], other[1])
+    return one[0] if one[0] == other[0] else NO_CACHE, min(one[1], other[1])
 
 
-def written_by_all(
+def shared_kind(
     merge: Callable[[Value, Value], Value],
     lifetime: float,
     *fields: FieldCheck,
@@ -115,7 +115,7 @@
     return ItemKind(is_valid, merge, lifetime, is_critical, keeps_first=keeps_first)
 
 
-def per_writer(lifetime: float, is_critical: bool, *fields: FieldCheck) -> ItemKind:
+def per_writer_kind(lifetime: float, is_critical: bool, *fields: FieldCheck) -> ItemKind:
     """Return a kind of which each writer's own latest value counts, with a check for each field."""
 
     def is_valid(key: str, value: Value, writer: str) -> bool:
@@ -129,33 +129,33 @@
     return len(value) == len(checks) and all(check(item) for check, item in zip(checks, value, strict=True))
 
 
-VERSION = (is_integer, is_integer)  # epoch of the writer, and its number of the value
+VERSION_FIELDS = (is_integer, is_integer)  # epoch of the writer, and its number of the value
 
 ITEM_KINDS: dict[str, ItemKind] = {
     # object `k:KEY` or group `g:N` -> Unix ms of the purge. The latest purge is the strictest.
-    PURGE: written_by_all(max, 60.0, is_integer, keys=PURGED),
+    PURGE: shared_kind(max, 60.0, is_integer, keys=PURGE_KEY_PATTERN),
     # cache -> (revision of the list, 0 up, 1 draining, 2 removed). The newer list holds, else the strictest.
-    DRAIN: written_by_all(max, 600.0, is_integer, is_list_state),
+    DRAIN: shared_kind(max, 600.0, is_integer, is_list_state),
     # cache -> Unix ms of its start. The latest start is the coldest cache.
-    START: written_by_all(max, 120.0, is_integer),
+    START: shared_kind(max, 120.0, is_integer),
     # idempotency key -> (group that may have executed it, Unix ms of the first attempt); of two groups: none
-    FIRST_ATTEMPT: written_by_all(earliest, 30.0, is_group, is_integer, keeps_first=True),
+    FIRST_ATTEMPT: shared_kind(merge_first_attempts, 30.0, is_group, is_integer, keeps_first=True),
     # cache|writer -> (epoch, number, good, failed): how one front's attempts there ended
-    HEALTH_REPORT: per_writer(20.0, True, *VERSION, is_figure, is_figure),
+    HEALTH_REPORT: per_writer_kind(20.0, True, *VERSION_FIELDS, is_number, is_number),
     # slot|writer -> (epoch, number, packed names) of objects that one front was requested in some seconds
-    POPULARITY: per_writer(256.0, False, *VERSION, is_text),
+    POPULARITY: per_writer_kind(256.0, False, *VERSION_FIELDS, is_text),
     # `parents` or request class|writer -> (epoch, number, amount): one front's demand, a second
-    DEMAND: per_writer(20.0, False, *VERSION, is_figure),
+    DEMAND: per_writer_kind(20.0, False, *VERSION_FIELDS, is_number),
     # client|writer -> (epoch, number, requests a second) of one that requests much of one front
-    CLIENT_RATE: per_writer(20.0, False, *VERSION, is_figure),
+    CLIENT_RATE: per_writer_kind(20.0, False, *VERSION_FIELDS, is_number),
     # client|writer -> (epoch, number, seconds since): one front has banned it
-    CLIENT_BAN: per_writer(900.0, True, *VERSION, is_figure),
+    CLIENT_BAN: per_writer_kind(900.0, True, *VERSION_FIELDS, is_number),
     # cache|writer -> (epoch, number, seconds since): its connections broke and it could not be reached again
-    CACHE_BREAK: per_writer(60.0, True, *VERSION, is_figure),
+    CACHE_BREAK: per_writer_kind(60.0, True, *VERSION_FIELDS, is_number),
     # |writer -> (epoch, number, checksum): the members that one front's file names
-    MEMBERS: per_writer(60.0, True, *VERSION, is_figure),
+    MEMBERS: per_writer_kind(60.0, True, *VERSION_FIELDS, is_number),
     # writer -> number of the last event that it read from the bus
-    BUS_POSITION: per_writer(600.0, False, is_integer),
+    BUS_POSITION: per_writer_kind(600.0, False, is_integer),
     # operators' settings for the fleet, by name -> (version, value)
-    SETTING: written_by_all(max, math.inf, is_integer, is_anything, is_critical=False),
+    SETTING: shared_kind(max, math.inf, is_integer, is_anything, is_critical=False),
 }
--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -21,9 +21,9 @@
 from weldbend.fleet.messages import Operation
 from weldbend.fleet.replicated_items import ITEM_KINDS, ItemKind, Value, writer_of
 
-MOST_ITEMS = 65_536
-MOST_EARLY = 4096  # changes of one run that came before those they follow
-MOST_RUNS = 1024
+MAX_ITEMS = 65_536
+MAX_EARLY_OPERATIONS = 4096  # changes of one run that came before those they follow
+MAX_RUNS = 1024
 REWRITE_AFTER = 1.0  # seconds after which an unchanged item is written again, so that it lasts
 RUN_LIFETIME = 900.0  # seconds for which a run's numbers are remembered after its last change
 
@@ -31,7 +31,7 @@
 ItemName = tuple[str, str]  # kind and key
 
 
-def run_of(writer: str, epoch: int) -> str:
+def run_name(writer: str, epoch: int) -> str:
     """Return the name of one run of a writer, as version vectors have it."""
     return f"{writer}/{epoch}"
 
@@ -51,7 +51,7 @@
     written_at: float
     first_written_at: float
 
-    def date_first(self, kind: ItemKind, value: Value, merged: Value, written_at: float) -> None:
+    def update_first_write(self, kind: ItemKind, value: Value, merged: Value, written_at: float) -> None:
         """Note a write of `value`, which together with the present one makes `merged`."""
         if kind.keeps_first or value == merged == self.value:
             self.first_written_at = min(self.first_written_at, written_at)
@@ -92,26 +92,26 @@
     early: dict[int, LoggedOperation] = field(default_factory=dict)
     changed_at: float = -math.inf
 
-    def append(self, operation: LoggedOperation, most: int) -> None:
-        """Add the next change; `most` are kept."""
+    def append(self, operation: LoggedOperation, max_count: int) -> None:
+        """Add the next change; `max_count` are kept."""
         self.number = operation.operation.number
         self.operations.append(operation)
-        if len(self.operations) > most:
+        if len(self.operations) > max_count:
             self.operations.popleft()
 
-    def append_early(self, most: int) -> None:
+    def append_early(self, max_count: int) -> None:
         """Add those that came early, as far as there is no gap any more."""
         while following := self.early.pop(self.number + 1, None):
-            self.append(following, most)
+            self.append(following, max_count)
 
-    def advance(self, number: int, now: float, most: int) -> None:
+    def advance(self, number: int, now: float, max_count: int) -> None:
         """Count all changes up to a number as held: a snapshot amounts to them."""
         self.number = number
         self.changed_at = now
         self.operations.clear()
         for early in [early for early in self.early if early <= number]:
             del self.early[early]
-        self.append_early(most)
+        self.append_early(max_count)
 
 
 @dataclass(frozen=True, slots=True)
@@ -150,19 +150,19 @@
         counts: counters.
     """
 
-    def __init__(self, name: str, epoch: int, most_operations: int = 4096) -> None:
-        """Make an empty replica; `most_operations` changes of each run are kept."""
+    def __init__(self, name: str, epoch: int, max_operations: int = 4096) -> None:
+        """Make an empty replica; `max_operations` changes of each run are kept."""
         self.name = name
         self.epoch = epoch
         self.items: dict[ItemName, Item] = {}
         self.logs: dict[str, OperationLog] = {}
         self.counts: Counter[str] = Counter()
-        self._most_operations = most_operations
+        self._max_operations = max_operations
 
     @property
     def run(self) -> str:
         """The name of this front's own run."""
-        return run_of(self.name, self.epoch)
+        return run_name(self.name, self.epoch)
 
     def set_epoch(self, epoch: int) -> None:
         """Write under another epoch from now on: this run's epoch was raised.
@@ -217,7 +217,7 @@
         current = self.items.get((op.kind, op.key))
         if now >= written_at + rules.lifetime:
             if current and rules.keeps_first:
-                current.date_first(rules, value, current.value, written_at)
+                current.update_first_write(rules, value, current.value, written_at)
             return None
         if current is None or not current.is_live(rules, now):
             if current is None and not self._has_capacity(rules, now):
@@ -227,7 +227,7 @@
             return Change(op.kind, op.key, value, op.age, op.writer)
         merged = rules.merge(current.value, value)
         is_stricter = merged != current.value
-        current.date_first(rules, value, merged, written_at)
+        current.update_first_write(rules, value, merged, written_at)
         current.written_at = max(current.written_at, written_at)  # any write keeps the strictest value
         current.value = merged
         age = now - current.written_at
@@ -235,15 +235,15 @@
 
     def _has_capacity(self, rules: ItemKind, now: float) -> bool:
         """Whether one more item may be kept; items on which no rule rests leave half for those."""
-        most = MOST_ITEMS if rules.is_critical else MOST_ITEMS // 2
-        return len(self.items) < most or self.discard_expired(now) > 0
+        max_count = MAX_ITEMS if rules.is_critical else MAX_ITEMS // 2
+        return len(self.items) < max_count or self.discard_expired(now) > 0
 
     def log_operation(self, op: Operation, now: float) -> bool:
         """Keep a change for fronts that lack it; False for one that was here before."""
-        run = run_of(op.writer, op.epoch)
+        run = run_name(op.writer, op.epoch)
         log = self.logs.get(run)
         if log is None:
-            if len(self.logs) >= MOST_RUNS:
+            if len(self.logs) >= MAX_RUNS:
                 self.counts["runs over the bound"] += 1
                 return True
             log = self.logs[run] = OperationLog()
@@ -252,11 +252,11 @@
         log.changed_at = now
         logged = LoggedOperation(op, now - op.age)
         if op.number > log.number + 1:
-            if len(log.early) < MOST_EARLY:
+            if len(log.early) < MAX_EARLY_OPERATIONS:
                 log.early[op.number] = logged
             return True
-        log.append(logged, self._most_operations)
-        log.append_early(self._most_operations)
+        log.append(logged, self._max_operations)
+        log.append_early(self._max_operations)
         return True
 
     # Comparison.
@@ -274,7 +274,7 @@
         log = self.logs.get(run)
         return log.number if log else 0
 
-    def changes_after(self, vector: VersionVector, now: float, most: int) -> list[Operation] | None:
+    def changes_after(self, vector: VersionVector, now: float, max_count: int) -> list[Operation] | None:
         """Return changes that the holder of that vector lacks, oldest of each run first.
 
         Returns:
@@ -282,15 +282,15 @@
         """
         found: list[Operation] = []
         for run, log in self.logs.items():
-            had = vector.get(run, 0)
-            if had >= log.number:
+            known_number = vector.get(run, 0)
+            if known_number >= log.number:
                 continue
-            if not log.operations or log.operations[0].operation.number > had + 1:
+            if not log.operations or log.operations[0].operation.number > known_number + 1:
                 return None
             for logged in log.operations:
-                if logged.operation.number > had:
+                if logged.operation.number > known_number:
                     found.append(logged.at(now))
-                if len(found) >= most:
+                if len(found) >= max_count:
                     return found
         return found
 
@@ -312,13 +312,13 @@
 
     # Snapshots.
 
-    def snapshot_chunks(self, after: str, now: float, most: int) -> Iterator[SnapshotChunk]:
+    def snapshot_chunks(self, after: str, now: float, max_count: int) -> Iterator[SnapshotChunk]:
         """Yield the items behind a place in the order of their keys, so many at a time."""
         keys = sorted(f"{kind} {key}" for kind, key in self.items)
         rest = [key for key in keys if key > after]
         while True:
-            names = rest[:most]
-            rest = rest[most:]
+            names = rest[:max_count]
+            rest = rest[max_count:]
             operations = []
             for name in names:
                 kind, _, key = name.partition(" ")
@@ -354,11 +354,11 @@
     def advance_to(self, vector: VersionVector, now: float) -> None:
         """Count what a snapshot amounts to, which was loaded completely, as no longer missing."""
         for run, number in vector.items():
-            if run not in self.logs and len(self.logs) >= MOST_RUNS:
+            if run not in self.logs and len(self.logs) >= MAX_RUNS:
                 continue
             log = self.logs.setdefault(run, OperationLog())
             if number > log.number:
-                log.advance(number, now, self._most_operations)
+                log.advance(number, now, self._max_operations)
 
     # Expiry.
 
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -12,7 +12,7 @@
 from loguru import logger
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_standstill
+from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_pause
 from weldbend.fleet.datagram_port import DatagramPort
 from weldbend.fleet.errors import FleetError
 from weldbend.fleet.lease_service import LeaseService
@@ -32,7 +32,7 @@
 from weldbend.fleet.settings import FleetSettings, split_address
 from weldbend.fleet.topology import neighbours
 
-TICK = 0.05  # seconds between two ticks at most, so that a pause of the process shows
+TICK_INTERVAL = 0.05  # seconds between two ticks at most, so that a pause of the process shows
 REPORT_INTERVAL = 10.0  # seconds between two lines of counters
 FIXED_SETTINGS = ("listen", "fleet", "zone")  # only a restart changes them
 
@@ -186,12 +186,12 @@
         """Do all that is due."""
         if self.is_stopped:
             return
-        self.timers.after(TICK, self.tick)  # first: a fault in one part must not end the others
+        self.timers.after(TICK_INTERVAL, self.tick)  # first: a fault in one part must not end the others
         now = self.timers.now()
         self.detect_pause(now)
         self._send_datagrams(self.membership.advance(now))
         self._log_changes(now)
-        self._follow_own_epoch()
+        self._propagate_own_epoch()
         self._send_messages(self.anti_entropy.tick(now))
         if self.lease_service:
             self._send_datagrams(self.lease_service.tick(now, self.live_members()))
@@ -203,7 +203,7 @@
             seconds = now - self.membership.last_advance
             logger.warning("fleet: this process was paused for {:.1f} s; catching up", seconds)
             self.resumed_at = now
-            self._send_datagrams(resume_after_standstill(self.membership, self.anti_entropy, now))
+            self._send_datagrams(resume_after_pause(self.membership, self.anti_entropy, now))
 
     def _log_changes(self, now: float) -> None:
         for name, before, after, reason in self.membership.drain_changes():
@@ -217,7 +217,7 @@
             )
             self.logged_reachability = reachability
 
-    def _follow_own_epoch(self) -> None:
+    def _propagate_own_epoch(self) -> None:
         """Have all that goes by this front's epoch go by the membership's, which others may have raised."""
         epoch = self.membership.epoch
         if epoch == self.authenticator.epoch:
@@ -268,7 +268,7 @@
             return
         self._send_datagrams(self.membership.receive(now, header.sender, header.epoch, body))
         self._log_changes(now)
-        self._follow_own_epoch()
+        self._propagate_own_epoch()
 
     def _lease_message_received(self, now: float, header: Header, body: m.LeaseMessage) -> None:
         """About a strict limit: only of a member, in the epoch that is known of it."""
@@ -294,7 +294,7 @@
         self.connection_lost_at[peer] = self.timers.now()
         self._send_messages(self.anti_entropy.peer_disconnected(peer, self.timers.now()))
 
-    def message_received(self, peer: str, epoch: int, body: m.Linked) -> None:
+    def message_received(self, peer: str, epoch: int, body: m.ConnectionMessage) -> None:
         """An authenticated message has come over a connection."""
         now = self.timers.now()
         self.detect_pause(now)
--- a/weldbend/fleet/settings.py
+++ b/weldbend/fleet/settings.py
@@ -3,8 +3,8 @@
 import math
 from dataclasses import dataclass, field
 
-LONGEST_NAME = 48  # bytes of a front's, a fleet's or a zone's name
-MOST_PEERS = 256  # named in one installation file
+MAX_NAME_LENGTH = 48  # bytes of a front's, a fleet's or a zone's name
+MAX_PEERS = 256  # named in one installation file
 
 
 def split_address(address: str) -> tuple[str, int]:
--- a/weldbend/fleet/standstill_hold.py
+++ b/weldbend/fleet/standstill_hold.py
@@ -5,15 +5,15 @@
 
 from weldbend.fleet.service import Fleet
 
-HOLD = 0.3  # seconds for which decisions wait for the bus or for peers, at most
-SETTLE = 0.02  # seconds for which they wait for what comes right behind the first message of either
+MAX_HOLD = 0.3  # seconds for which decisions wait for the bus or for peers, at most
+SETTLE_TIME = 0.02  # seconds for which they wait for what comes right behind the first message of either
 
 
 class StandstillHold:
     """Guards against sending to caches that were drained, or serving what was purged, during a pause.
 
-    Should also cover a machine frozen for minutes. Harm: the first requests after it are late by `HOLD` at
-    most.
+    Should also cover a machine frozen for minutes. Harm: the first requests after it are late by `MAX_HOLD`
+    at most.
 
     Attributes:
         bus_message_count: gives how many messages this front's own bus connection has received.
@@ -34,5 +34,5 @@
             self._messages_before = self.bus_message_count()
             self._fresh_at = math.inf
         if self.fleet.anti_entropy.is_caught_up or self.bus_message_count() > self._messages_before:
-            self._fresh_at = min(self._fresh_at, now + SETTLE)
-        return now < min(self._resumed_at + HOLD, self._fresh_at)
+            self._fresh_at = min(self._fresh_at, now + SETTLE_TIME)
+        return now < min(self._resumed_at + MAX_HOLD, self._fresh_at)
--- a/weldbend/fleet/steady_unix.py
+++ b/weldbend/fleet/steady_unix.py
@@ -26,8 +26,8 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._ahead = clock.unix() - clock.now()  # seconds that Unix time is ahead
+        self._unix_offset = clock.unix() - clock.now()  # seconds that Unix time is ahead
 
     def __call__(self) -> float:
         """Return the Unix time now, in seconds."""
-        return self._clock.now() + self._ahead
+        return self._clock.now() + self._unix_offset
--- a/weldbend/installation/values.py
+++ b/weldbend/installation/values.py
@@ -179,8 +179,8 @@
             raise SharedAddressError(peer.host, peer.port)
         addresses.add((peer.host, peer.port))
         peers[peer.name] = peer
-    if len(peers) > fleet.MOST_PEERS:
-        raise TooManyPeersError(len(peers), fleet.MOST_PEERS)
+    if len(peers) > fleet.MAX_PEERS:
+        raise TooManyPeersError(len(peers), fleet.MAX_PEERS)
     return tuple(peers.values())
 
 
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from weldbend.fleet.anti_entropy import resume_after_standstill
+from weldbend.fleet.anti_entropy import resume_after_pause
 from weldbend.fleet.replicated_items import Value
 from weldbend.fleet.settings import FleetSettings
 from weldbend.testbed.fleet.auditor import AuditedFleet, Published, audit
@@ -135,9 +135,7 @@
         node.deferred = []
         if self.rng.random() < READS_DATAGRAMS_FIRST:
             now = self.events.now
-            for send in resume_after_standstill(node.members, node.exchange, now) or node.members.advance(
-                now
-            ):
+            for send in resume_after_pause(node.members, node.exchange, now) or node.members.advance(now):
                 self.network.send_datagram(node, send)
         for call in deferred:
             call()
--- a/weldbend/testbed/fleet/model_network.py
+++ b/weldbend/testbed/fleet/model_network.py
@@ -12,7 +12,7 @@
 from typing import TYPE_CHECKING
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_standstill
+from weldbend.fleet.anti_entropy import AntiEntropy, PeerMessage, resume_after_pause
 from weldbend.fleet.membership import Membership
 from weldbend.fleet.messages import Send
 from weldbend.fleet.replicated_store import Change, ReplicatedStore
@@ -79,7 +79,7 @@
         if not self.is_frozen():
             now = self.events.now
             for send in [
-                *resume_after_standstill(self.members, self.exchange, now),
+                *resume_after_pause(self.members, self.exchange, now),
                 *self.members.advance(now),
             ]:
                 self.network.send_datagram(self, send)
@@ -222,10 +222,10 @@
         delay = self._latency() + self.extra_delay.get(path, 0.0)
         at = max(self.events.now + delay, self.last_arrival.get(path, 0.0))
         self.last_arrival[path] = at
-        body = m.read_linked(data)
+        body = m.read_connection_message(data)
         self.events.schedule(at - self.events.now, lambda: self._arrive_linked(pair, since, path, body))
 
-    def _arrive_linked(self, pair: Pair, since: float, path: Path, body: m.Linked) -> None:
+    def _arrive_linked(self, pair: Pair, since: float, path: Path, body: m.ConnectionMessage) -> None:
         node = self.nodes.get(path[1])
         if self.links.get(pair) != since or not self.is_open(*path) or node is None or not node.is_up:
             return
