--- a/weldbend/accept_guard.py
+++ b/weldbend/accept_guard.py
@@ -1,8 +1,9 @@
-"""Accepting connections while the system fails to: a pause in place of a loop, and no connection dropped.
+"""A guard for listening ports that pauses accepting while accept(2) fails, without dropping connections.
 
-Twisted ends a round of accepts on such an error and is called again at once, since the connection still
-waits: it would do little else until the fault is over. Where no descriptor is left it accepts and closes all
-that wait. Here they stay in the kernel's queue, and accepting goes on after a short pause.
+When accept(2) fails, Twisted ends its round of accepts. The pending connection keeps the listening socket
+readable, so the reactor calls Twisted again at once, and the process spins until the fault is over. When no
+descriptor is left, Twisted accepts all pending connections and closes them. With this guard, pending
+connections stay in the kernel's queue, and accepting resumes after a short pause.
 """
 
 import errno
@@ -12,25 +13,28 @@
 from weldbend.invariants import anomalies
 from weldbend.socket_errors import ABORTED_CONNECTION_ERRORS, WOULD_BLOCK_ERRORS
 
-MIN_PAUSE = 0.01  # seconds; doubled with each fault in a row
-MAX_PAUSE = 0.1  # seconds: what waits has deadlines of some tenths of a second
+MIN_PAUSE = 0.01  # seconds; doubled with each consecutive fault
+MAX_PAUSE = 0.1  # seconds; pending clients have deadlines of some tenths of a second
 MAX_ABORTED_ACCEPTS = (
-    16  # connections in a row that may have ended before they were accepted, until there is a pause
+    16  # consecutive connections that may end before they are accepted; then accepting is paused
 )
 
 
 class GuardedSocket:
-    """A listening socket whose `accept` fails only for want of connections; all else is the socket's own."""
+    """A wrapper of a listening socket whose `accept` raises only `BlockingIOError`.
+
+    All other members are those of the wrapped socket.
+    """
 
     def __init__(self, listening: Any, guard: "AcceptGuard") -> None:  # noqa: ANN401  # a socket, or a stand-in
         self.listening = listening
         self.guard = guard
 
     def accept(self) -> tuple[Any, Any]:
-        """Accept the next connection that is still there.
+        """Accept the next connection, skipping those that have ended in the queue.
 
         Raises:
-            BlockingIOError: none waits, or none can be accepted for now.
+            BlockingIOError: no connection is pending, or none can be accepted at present.
         """
         for _ in range(MAX_ABORTED_ACCEPTS):
             try:
@@ -55,8 +59,8 @@
     """Pauses a Twisted port while connections cannot be accepted.
 
     Attributes:
-        is_paused: whether accepting is paused for a fault.
-        consecutive_faults: rounds in a row that ended by a fault.
+        is_paused: whether accepting is paused because of a fault.
+        consecutive_faults: number of faults since a connection was last accepted.
     """
 
     def __init__(
@@ -65,12 +69,13 @@
         after: Callable[[float, Callable[[], None]], object],
         on_change: Callable[[], object] | None = None,
     ) -> None:
-        """Guard a port from now on; one in memory has no socket, and needs no guard.
+        """Replace the port's socket by a guarded one; an in-memory port has no socket and needs no guard.
 
         Args:
             port: the port.
-            after: runs a call after so many seconds.
-            on_change: called when `is_paused` has changed; by default the port is paused and resumed.
+            after: function that runs a call after a delay in seconds.
+            on_change: function called when `is_paused` has changed; by default, the guard itself pauses or
+                resumes the port.
         """
         self.port = port
         self.after = after
@@ -81,7 +86,7 @@
             port.socket = GuardedSocket(port.socket, self)
 
     def accept_failed(self, fault: OSError) -> None:
-        """Pause: the fault is this machine's, or of very many connections in a row."""
+        """Pause accepting after a local fault, or after too many connections that ended in the queue."""
         anomalies[f"accepts that failed with {errno.errorcode.get(fault.errno or 0, 'no number')}"] += 1
         if not self.is_paused:
             self.is_paused = True
@@ -100,5 +105,5 @@
             return
         try:
             self.port.resumeProducing()
-        except OSError as error:  # the port cannot be watched
+        except OSError as error:  # the port's descriptor cannot be registered with the poller
             self.accept_failed(error)
--- a/weldbend/buffers/__init__.py
+++ b/weldbend/buffers/__init__.py
@@ -1,1 +1,1 @@
-"""The ring that holds a connection's bytes, one for each direction."""
+"""Ring buffers for the bytes of a connection, one for each direction."""
--- a/weldbend/buffers/ring.py
+++ b/weldbend/buffers/ring.py
@@ -1,23 +1,24 @@
-"""A bounded ring of bytes: no memory before its first byte, growth towards its bound, and back when empty.
+"""A bounded ring buffer that allocates its memory on demand.
 
-What it may retain of that memory is for the busiest connections, which would ask for it again at once.
+It allocates nothing before its first byte, grows up to its capacity, and frees its memory when it is empty.
+Memory up to a threshold is kept, since busy connections would allocate it again at once.
 """
 
 from weldbend.invariants import check_invariant
 
-INITIAL_SIZE = 480  # bytes that a ring begins with: a short call, and within Python's own small allocator
+INITIAL_SIZE = 480  # bytes; fits a short call and stays within the small-object allocator
 MAX_RETAINED_SIZE = 4096  # bytes
 
 
 class Ring:
-    """Bytes that are written at one end and read at the other.
+    """A bounded first-in, first-out buffer of bytes.
 
     Attributes:
-        capacity: How many bytes it may hold.
-        max_retained_size: The most memory (bytes) that it keeps when it is empty.
-        data: The memory; bytes wrap round its end.
-        head: Where in `data` the first byte is.
-        size: How many bytes it holds.
+        capacity: Maximum number of bytes in the ring.
+        max_retained_size: Largest allocation (bytes) that an empty ring keeps.
+        data: Allocated memory; the content wraps around at its end.
+        head: Index in `data` of the first byte.
+        size: Number of bytes in the ring.
     """
 
     __slots__ = ("capacity", "data", "head", "max_retained_size", "size")
@@ -33,11 +34,11 @@
         return self.size
 
     def free(self) -> int:
-        """How many bytes may still be written."""
+        """Return the number of bytes that may still be written."""
         return self.capacity - self.size
 
     def write(self, data: bytes | memoryview) -> int:
-        """Write as much as fits; returns how many bytes that was."""
+        """Write as many bytes as fit, and return their number."""
         count = min(len(data), self.free())
         if not count:
             return 0
@@ -53,7 +54,7 @@
         return count
 
     def _grow(self, need: int) -> None:
-        """Have memory for `need` bytes, in powers of two of the initial size."""
+        """Grow the memory to at least `need` bytes by doubling the initial size, up to the capacity."""
         memory = len(self.data) or min(INITIAL_SIZE, self.capacity)
         while memory < need:
             memory *= 2
@@ -63,7 +64,7 @@
         self.head = 0
 
     def peek(self, count: int, start: int = 0) -> bytes:
-        """`count` bytes from `start`, left where they are."""
+        """Return `count` bytes from offset `start` without removing them."""
         check_invariant(start + count <= self.size, "a ring is read only as far as it is filled")
         if not count:
             return b""
@@ -74,7 +75,7 @@
             return b"".join((data[begin:], data[: begin + count - len(data)]))
 
     def skip(self, count: int) -> None:
-        """Drop the first `count` bytes."""
+        """Remove the first `count` bytes."""
         check_invariant(count <= self.size, "a ring is emptied only as far as it is filled")
         if not count:
             return
@@ -86,13 +87,19 @@
                 self.data = bytearray()
 
     def read(self, count: int) -> bytes:
-        """The first `count` bytes, which leave the ring."""
+        """Remove and return the first `count` bytes."""
         data = self.peek(count)
         self.skip(count)
         return data
 
     def find(self, pattern: bytes, start: int, limit: int) -> int:
-        """Where `pattern` begins, searched from `start` in the first `limit` bytes; -1 where it is not."""
+        """Return the offset of `pattern` within the first `limit` bytes, or -1 if it is not found.
+
+        Args:
+            pattern: Bytes to search for.
+            start: Offset at which the search begins.
+            limit: Offset at which the search ends.
+        """
         end = min(self.size, limit)
         if end <= start:
             return -1
--- a/weldbend/cache_protocol/__init__.py
+++ b/weldbend/cache_protocol/__init__.py
@@ -1,1 +1,1 @@
-"""The line protocol of caches: commands written, answers read; no I/O."""
+"""The line protocol of caches: encoding of commands and parsing of answers, without I/O."""
--- a/weldbend/cache_protocol/answers.py
+++ b/weldbend/cache_protocol/answers.py
@@ -1,4 +1,4 @@
-"""Answers of caches, read from a ring when they are complete."""
+"""Incremental parser for the answers of caches."""
 
 from dataclasses import dataclass
 
@@ -6,18 +6,18 @@
 
 LONGEST_LINE = 2048  # bytes
 LONGEST_BODY = 240_000  # bytes
-MAX_LENGTH_DIGITS = 6  # of LONGEST_BODY
+MAX_LENGTH_DIGITS = 6  # digits of LONGEST_BODY
 LINE_END = b"\r\n"
-EXCERPT_LENGTH = 80  # bytes or characters of what is wrong that an error quotes
+EXCERPT_LENGTH = 80  # bytes or characters of the invalid input that an error quotes
 STATUSES = frozenset(("DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST", "FIT", "UNFIT"))
 
 
 class InvalidAnswerError(Exception):
-    """Bytes that are no answer.
+    """An answer that violates the protocol.
 
     Attributes:
-        section: What is wrong: the line, its fields, or the end of the body.
-        excerpt: Its beginning.
+        section: Invalid section of the answer: its line, its fields, or the end of its body.
+        excerpt: Beginning of that section.
     """
 
     def __init__(self, section: str, raw: str | bytes) -> None:
@@ -31,10 +31,10 @@
     """One answer of a cache.
 
     Attributes:
-        name: The name of the attempt or health check that it answers.
-        status: How that went: one of STATUSES.
-        fields: Further texts.
-        body: The object; empty where there is none.
+        name: Name of the attempt or health check that it answers.
+        status: Outcome, one of STATUSES.
+        fields: Additional fields by name.
+        body: The object; empty if the answer has none.
     """
 
     name: str
@@ -44,7 +44,11 @@
 
 
 def read_fields(text: str) -> dict[str, str]:
-    """Read `name=value` pairs with commas between, or a lone `-` for none; raises `InvalidAnswerError`."""
+    """Parse comma-separated `name=value` pairs; a single `-` means that there are none.
+
+    Raises:
+        InvalidAnswerError: A pair has no name or no `=`.
+    """
     pairs = () if text == "-" else [pair.partition("=") for pair in text.split(",")]
     if any(not equals or not name for name, equals, _ in pairs):
         raise InvalidAnswerError("fields", text)
@@ -52,13 +56,13 @@
 
 
 class AnswerParser:
-    """Reads answers from a ring; a line is searched once, however its bytes arrive.
+    """Reads answers from a ring; each byte of a line is searched once, however the line is split on arrival.
 
     Attributes:
-        ring: The bytes that came.
-        scanned_bytes: Bytes at the ring's start that hold no complete line end.
-        line: Name, status and fields of the answer whose body is due next; None where its line is due.
-        length: Bytes of that body.
+        ring: Bytes received and not yet parsed.
+        scanned_bytes: Number of bytes at the ring's start that are known to contain no complete line end.
+        line: Name, status and fields of the answer whose body is parsed next; None if a line is parsed next.
+        length: Length of that body in bytes.
     """
 
     __slots__ = ("length", "line", "ring", "scanned_bytes")
@@ -70,10 +74,10 @@
         self.line: tuple[str, str, str] | None = None
 
     def next(self) -> Answer | None:
-        """The next complete answer, if there is one.
+        """Remove and return the next answer, or return None if no complete answer has arrived.
 
         Raises:
-            InvalidAnswerError: What came can be no answer; nothing that follows can be trusted.
+            InvalidAnswerError: The bytes violate the protocol; no byte that follows can be trusted.
         """
         if self.line is None and not self._read_line():
             return None
@@ -88,7 +92,7 @@
         return Answer(name, status, read_fields(fields), body)
 
     def _read_line(self) -> bool:
-        """Read the line that begins an answer; false where it is not complete."""
+        """Parse the line that begins an answer; return False if it is not complete yet."""
         end = self.ring.find(LINE_END, max(self.scanned_bytes - 1, 0), LONGEST_LINE)
         if end < 0:
             if len(self.ring) >= LONGEST_LINE:
--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request: a command to a cache, and how it ended."""
+"""One attempt at a request: a command sent to a cache, and its outcome."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -9,44 +9,46 @@
 
 
 class AttemptLoss(Enum):
-    """How an attempt ended without an answer. What that proves is for the router to decide."""
+    """Reasons for which an attempt ended without an answer. The router decides what they prove."""
 
-    UNREACHABLE = auto()  # no connection came up in time
-    RESET = auto()  # the connection ended after the first byte had gone out
-    MALFORMED = auto()  # the connection brought what is no answer, and was ended
-    SUPERSEDED = auto()  # cancelled before any byte went out
-    LOCAL_FAULT = auto()  # this machine could make no connection meanwhile; no byte went out
+    UNREACHABLE = auto()  # no connection was established in time
+    RESET = auto()  # the connection ended after the first byte had been sent
+    MALFORMED = auto()  # the connection was aborted because the cache violated the protocol
+    SUPERSEDED = auto()  # cancelled before any byte was sent
+    LOCAL_FAULT = auto()  # this machine could not establish a connection in time; no byte was sent
 
 
 class AttemptConnection(Protocol):
-    """The connection that an attempt is in flight on, as far as others need to know it."""
+    """The interface of the connection on which an attempt is in flight."""
 
-    received_at: float  # when bytes last came over it
+    received_at: float  # when bytes were last received
 
     def cancel(self, attempt: "Attempt") -> None:
-        """Give up an attempt that is in flight on it."""
+        """Cancel an attempt that is in flight on this connection."""
 
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One command to a cache. Its end is reported once: by an answer or by how it was lost.
+    """One command to a cache. Its outcome, an answer or the reason of its loss, is reported once.
 
     Moments are seconds of the front's clock.
 
     Attributes:
-        name: The request's name on the wire; answers are matched by it.
-        cache: The cache that it goes to.
-        source: The cache that the first one may fill from; None where it may not, or from itself.
-        key: The object that it asks for.
-        group: The group of objects that a purge may name.
-        command: Writes the command out, just before its first byte goes.
-        on_ended: Called with its end, once at most.
-        is_short_lived: Whether what allows it may soon be over: it waits no longer than one iteration.
-        connection: What it went out on; None while no byte of it has gone out.
-        queued_at: When it began to wait for a connection.
-        sent_at: When its first byte went out.
-        is_locally_blocked: Whether a fault of this machine held up its connection while it waited.
-        is_over: Whether its end was reported, or it was cancelled.
+        name: Name of the request on the wire, by which answers are matched.
+        cache: Number of the cache to which the attempt is sent.
+        source: Number of the cache from which a miss is filled; equal to `cache` if no miss may be filled,
+            and None if `cache` is the origin.
+        key: Key of the requested object.
+        group: Number of the object's group, which a purge may name.
+        command: Function that encodes the command, called just before its first byte is sent.
+        on_ended: Function called with the outcome, at most once.
+        is_short_lived: Whether the permission to send it may soon expire, so that it waits for a connection
+            no longer than one iteration of the event loop.
+        connection: Connection on which it was sent; None while no byte of it has been sent.
+        queued_at: Moment at which it began to wait for a connection.
+        sent_at: Moment at which its first byte was sent.
+        is_locally_blocked: Whether a local fault delayed its connection while it waited.
+        is_over: Whether its outcome was reported or it was cancelled.
     """
 
     name: str
@@ -64,11 +66,11 @@
     is_over: bool = False
 
     def finish(self, outcome: Answer | AttemptLoss) -> None:
-        """Report its end, unless that was done or it was cancelled."""
+        """Report the outcome, unless one was reported before or the attempt was cancelled."""
         if not self.is_over:
             self.is_over = True
             self.on_ended(self, outcome)
 
     def is_waiting(self) -> bool:
-        """Whether no byte of it has gone out, and one may still."""
+        """Return whether it still waits to be sent."""
         return not self.is_over and self.connection is None
--- a/weldbend/caches/connect_backoff.py
+++ b/weldbend/caches/connect_backoff.py
@@ -1,22 +1,23 @@
-"""How long connects to one cache wait while this machine cannot make any. Pure: time is handed in.
+"""Backoff between connects to one cache while local faults prevent them. The caller passes the time in.
 
-The waits double up to a bound, and each is drawn from its upper half. The draw depends on the address and the
-moment alone, so a virtual run repeats exactly, and fronts that share a machine do not retry in step.
+The delays double up to a bound, and each is drawn at random from the upper half of its range. The draw
+depends only on the address and the time, so a simulated run is reproducible, and fronts that share a machine
+do not retry in lockstep.
 """
 
 import math
 import random
 
 MIN_DELAY = 0.005  # seconds before the first retry
-MAX_DELAY = 0.04  # seconds; a tenth of the time for which a request waits for a connection, or so
+MAX_DELAY = 0.04  # seconds; about a tenth of the time for which a request waits for a connection
 
 
 class ConnectBackoff:
-    """The faults of this machine that came in a row, and the retry that is due.
+    """Count of consecutive local faults, and the state of the scheduled retry.
 
     Attributes:
-        is_retry_scheduled: whether a retry is due later, and no connect is to be begun before.
-        first_fault_at: when the first fault in a row came (seconds of the front's clock).
+        is_retry_scheduled: whether a retry is scheduled, before which no connect may be started.
+        first_fault_at: time of the first of the consecutive faults (seconds of the front's clock).
     """
 
     def __init__(self, address: str) -> None:
@@ -26,7 +27,7 @@
         self.consecutive_faults = 0
 
     def record_fault(self, now: float) -> float | None:
-        """Count a fault; the seconds until the retry that it needs, None where one is due already."""
+        """Count a fault, and return the delay of the retry to schedule; None if one is already scheduled."""
         if not self.consecutive_faults:
             self.first_fault_at = now
         if self.is_retry_scheduled:
@@ -37,5 +38,5 @@
         return max_delay * (1 + random.Random(f"{self.address} {now}").random()) / 2
 
     def clear(self) -> None:
-        """Begin anew: this machine could make a connection, or learned of the other end that it cannot."""
+        """Reset the backoff: a connect succeeded, or failed because of the peer."""
         self.consecutive_faults = 0
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -16,35 +16,35 @@
 from weldbend.caches.stall_detector import StallDetector
 from weldbend.invariants import anomalies, check_invariant
 
-READ_SIZE = 1 << 16  # bytes: the most that one read of a socket brings, and one write hands on
+READ_SIZE = 1 << 16  # bytes; the most that one read of a socket returns, and that one write passes on
 INCOMING_CAPACITY = answers.LONGEST_BODY + answers.LONGEST_LINE + 2 * READ_SIZE  # bytes
-INCOMING_RETAINED = 1 << 17  # bytes that an empty ring keeps: answers come one after another
-OUTGOING_CAPACITY = 1 << 17  # bytes; holds the longest command, and what comes behind it
+INCOMING_RETAINED = 1 << 17  # bytes that an empty ring keeps allocated, as the next answer follows soon
+OUTGOING_CAPACITY = 1 << 17  # bytes; holds the longest command and the commands queued behind it
 MAX_CANCELLED_NAMES = 1024  # names of cancelled attempts that a connection remembers
-CLOSE_TIMEOUT = 1.0  # seconds in which what was written to a connection that is closed has to leave it
+CLOSE_TIMEOUT = 1.0  # seconds within which a closed connection must send its remaining bytes
 FINAL_STATUSES = ("DONE", "KEEP")  # answers after which a request has no further attempt
 MALFORMED = "malformed answers from caches"  # name of the anomaly counter, as it appears in the log
 
 
 class ConnectionOwner(Protocol):
-    """Keeps the connections to one cache."""
+    """The interface of the object that manages the connections to one cache."""
 
     @property
     def max_streams(self) -> int:
-        """How many attempts may be in flight on one connection."""
+        """Maximum number of attempts in flight on one connection."""
 
     @property
     def max_answer_time(self) -> float:
-        """Seconds for which anyone waits for an answer."""
+        """Longest time in seconds for which a request waits for its answer."""
 
     def connection_opened(self, connection: "CacheConnection") -> None:
-        """Use a connection that has come up."""
+        """Add a connection that was established."""
 
     def connection_lost(self, connection: "CacheConnection") -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
 
     def send_waiting(self) -> None:
-        """Send what waits: a connection may have capacity now."""
+        """Send waiting attempts, since a connection may have capacity now."""
 
     def handle_unmatched(self, answer: Answer) -> None:
         """Handle an answer that belongs to no attempt of its connection."""
@@ -56,21 +56,21 @@
 
     Attributes:
         in_flight: Attempts that wait for an answer, by name.
-        cancelled_names: Names whose answer may still come; kept in the order in which they were added.
-        outgoing: Bytes that the transport does not accept at present.
+        cancelled_names: Names of attempts to which an answer may still arrive, oldest entry first.
+        outgoing: Bytes held back while the transport accepts none.
         incoming: Bytes read and not yet parsed.
-        is_draining: Whether it accepts no further attempts; it closes once those in flight have ended.
-        is_aborted: Whether this front has ended it; the transport has yet to report that.
+        is_draining: Whether it accepts no further attempts, and closes once those in flight have ended.
+        is_aborted: Whether this front has aborted it and the transport has not yet reported its end.
         is_lost: Whether it has ended.
-        loss: What is reported of the attempts in flight when it ends.
-        opened_at: When it came up.
-        used_at: When a command went out or an answer was handled last.
-        received_at: When bytes last came.
-        answer_started_at: When the answer that is under way began to come.
-        answer_completed_at: When the last answer was complete.
+        loss: Reason reported for the attempts in flight when it ends.
+        opened_at: Moment at which it was established.
+        used_at: Moment at which a command was last sent or an answer last handled.
+        received_at: Moment at which bytes were last received.
+        answer_started_at: Moment at which the first byte of the current answer was received.
+        answer_completed_at: Moment at which the last answer was complete.
     """
 
-    # Twisted declares an ITransport, which lacks most of what a TCP transport offers.
+    # Twisted declares an ITransport, which lacks most members of a TCP transport.
     transport: Any = None
     is_write_paused = False
     is_read_paused = False
@@ -95,7 +95,7 @@
         self.cancelled_names: dict[str, None] = {}
 
     def connectionMade(self) -> None:
-        """Register with the owner; Twisted calls it when the connection has come up."""
+        """Register with the owner; Twisted calls this when the connection is established."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.opened_at = self.used_at = self.received_at = self.timers.now()
@@ -104,7 +104,7 @@
     # Sending.
 
     def can_send(self, name: str) -> bool:
-        """Whether an attempt's first byte would go out at once, and its answer could be matched to it."""
+        """Return whether an attempt would be sent at once, and its answer could be matched to it."""
         is_available = not (self.is_write_paused or self.outgoing or self.is_draining or self.is_lost)
         return (
             is_available
@@ -114,7 +114,7 @@
         )
 
     def send(self, attempt: Attempt) -> None:
-        """Write out an attempt's command; from now on it is in flight here."""
+        """Send an attempt's command, and add the attempt to those in flight."""
         command = attempt.command()
         attempt.connection = self
         attempt.sent_at = self.timers.now()
@@ -122,10 +122,10 @@
         self.write(command)
 
     def cancel(self, attempt: Attempt) -> None:
-        """Give up an attempt that is in flight here, and send the cache its cancellation.
+        """Cancel an attempt that is in flight here, and send the cancellation to the cache.
 
-        A connection on which nothing was received since it went out carries no more, nor does one that has
-        been busy since with an answer which does not end.
+        The connection is drained if it has received nothing since the attempt was sent, or if no answer has
+        been completed since then and one is partly received.
         """
         if self.in_flight.pop(attempt.name, None) is not attempt or self.is_lost:
             return
@@ -139,29 +139,30 @@
         self._capacity_freed()
 
     def _reserve_name(self, name: str) -> None:
-        """Accept no further attempt under a name whose answer may still come, or come a second time.
+        """Reject further attempts with this name, to which an answer may still arrive, perhaps a second one.
 
-        Guards against unintended duplicate attempts: a doubled answer would be matched to the next
-        attempt of the same request, and another would go out while that one is in flight. Harm: such attempts
-        need a second connection.
+        This guards against unintended duplicate attempts: a late or repeated answer would be matched to the
+        next attempt of the same request, so that another one would be sent while that one is still in flight.
+        Side effect: the next attempt of the request needs another connection.
         """
         self.cancelled_names[name] = None
         if len(self.cancelled_names) > MAX_CANCELLED_NAMES:
             del self.cancelled_names[next(iter(self.cancelled_names))]
 
     def write(self, command: bytes) -> None:
-        """Send a command, after what waits."""
+        """Send a command after all pending bytes."""
         self.used_at = self.timers.now()
         has_capacity = self.outgoing.write(command) == len(command)
         check_invariant(has_capacity, "a cache's ring has capacity for a command")
         self._write_pending()
 
     def _flush(self) -> None:
-        """Have what was written leave now, not when the reactor comes to it.
+        """Write the transport's buffer to the socket now instead of in the reactor's next iteration.
 
-        Guards against unintended duplicate attempts: the attempt that replaces another goes over another
-        connection, the reactor writes to both in any order, and the process may be held up between them.
-        Harm: none known.
+        This guards against unintended duplicate attempts. The attempt that replaces a cancelled one is sent
+        on another connection. The reactor writes to both connections in any order, and the process may be
+        delayed between the two writes, so that the new attempt could be sent before the cancellation. No side
+        effect is known.
         """
         if not (self.is_lost or self.is_aborted or self.transport.disconnecting):
             self.transport.doWrite()
@@ -170,27 +171,27 @@
         while self.outgoing and not self.is_write_paused:
             try:
                 self.transport.write(self.outgoing.read(min(len(self.outgoing), READ_SIZE)))
-            except OSError:  # it cannot be watched for writing
+            except OSError:  # the descriptor cannot be registered for writing
                 self.abort()
 
     def pauseProducing(self) -> None:
-        """Hold commands back; the transport calls it when its buffer is full."""
+        """Hold back commands; the transport calls this when its buffer is full."""
         self.is_write_paused = True
 
     def resumeProducing(self) -> None:
-        """Go on with what waits; the transport calls it when its buffer has drained."""
+        """Resume sending; the transport calls this when its buffer has drained."""
         self.is_write_paused = False
         self._write_pending()
         self.owner.send_waiting()
 
     def stopProducing(self) -> None:
-        """Write nothing more; the transport calls it when it has ended."""
+        """Stop sending; the transport calls this when it has ended."""
         self.is_write_paused = True
 
     # Receiving.
 
     def dataReceived(self, data: bytes) -> None:
-        """Read what one read of the socket brought; Twisted calls it."""
+        """Buffer and parse received bytes; Twisted calls this after each read of the socket."""
         self.received_at = self.timers.now()
         if not self.incoming:
             self.answer_started_at = self.received_at
@@ -202,7 +203,7 @@
         try:
             while not self.is_read_paused and (answer := self.parser.next()):
                 self._handle_answer(answer)
-        except InvalidAnswerError:  # nothing that follows can be trusted
+        except InvalidAnswerError:  # no byte that follows can be trusted
             self.abort_malformed(MALFORMED)
         if self.is_answer_incomplete():
             self.stall_detector.arm()
@@ -222,30 +223,30 @@
         self._capacity_freed()
 
     def pause_reading(self, is_paused: bool) -> None:
-        """Stop or resume reading, for as long as what was read has nowhere to go."""
+        """Stop or resume reading; it is paused while too many answers are buffered for clients."""
         if is_paused is self.is_read_paused or self.is_lost:
             return
         self.is_read_paused = is_paused
         try:
             (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
-        except OSError:  # it cannot be watched for reading; the others go on
+        except OSError:  # the descriptor cannot be registered for reading; other connections are unaffected
             self.abort()
         if not is_paused:
             self.answer_started_at = self.timers.now()
             self._read_answers()
 
     def is_answer_incomplete(self) -> bool:
-        """Whether a part of an answer is here, and the rest can still come."""
+        """Return whether an answer was received in part, and its rest can still arrive."""
         return bool(self.incoming) and not (self.is_lost or self.is_aborted or self.is_read_paused)
 
     def max_answer_time(self) -> float:
-        """Seconds for which anyone waits for an answer."""
+        """Return the longest time in seconds for which a request waits for its answer."""
         return self.owner.max_answer_time
 
     # Ending.
 
     def _capacity_freed(self) -> None:
-        """Close if that was the last attempt, or let the next one go."""
+        """Close a draining connection after its last attempt, or send the next waiting attempt."""
         if self.is_draining and not self.in_flight:
             self.close()
         else:
@@ -258,7 +259,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close once what was written has left, or soon: a cache that hangs might never read it."""
+        """Close once all written bytes are sent, or after a timeout, as a hung cache may never read them."""
         if not (self.is_lost or self.is_aborted):
             self.transport.unregisterProducer()
             self.transport.loseConnection()
@@ -269,13 +270,13 @@
             self.transport.abortConnection()
 
     def abort(self, loss: AttemptLoss = AttemptLoss.RESET) -> None:
-        """End it at once; what is in flight on it has ended when the socket is closed, not before.
+        """Abort the connection; the loss of attempts in flight is reported only once the socket is closed.
 
-        Guards against unintended duplicate attempts: an attempt reported as ended may go out again before
-        this one is closed.
+        This guards against unintended duplicate attempts: an attempt that is reported as lost may be sent
+        again before this connection is closed.
 
         Args:
-            loss: What is reported of the attempts in flight.
+            loss: Reason to report for the attempts in flight.
         """
         if not (self.is_lost or self.is_aborted):
             self.loss = loss
@@ -283,12 +284,12 @@
             self.transport.abortConnection()
 
     def abort_malformed(self, reason: str) -> None:
-        """End it for what the cache sent; `reason` names the anomaly counter."""
+        """Abort the connection for a fault of the cache's answers; `reason` names the anomaly counter."""
         anomalies[reason] += 1
         self.abort(AttemptLoss.MALFORMED)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Finish what is in flight; Twisted calls it when the connection has ended, for whatever reason."""
+        """Finish the attempts in flight; Twisted calls this when the connection has ended for any reason."""
         if self.is_lost:
             return
         self.is_lost = True
@@ -301,10 +302,11 @@
             attempt.finish(self.loss)
 
     def _read_remaining(self) -> None:
-        """Handle answers that were complete before the end, and lay unread as nothing had capacity for them.
+        """Handle answers that had arrived before the end, but were not parsed because reading was paused.
 
-        Guards attempts that were executed from passing for lost, and requests from failing over an answer
-        that is here. Harm: answers beyond what slow readers may hold, one ring of them.
+        This guards against reporting executed attempts as lost, and against failing requests whose answer is
+        already here. Side effect: the limit on answers buffered for slow clients may be exceeded by the
+        content of one ring.
         """
         self.is_read_paused = False
         try:
--- a/weldbend/caches/connection_limiter.py
+++ b/weldbend/caches/connection_limiter.py
@@ -1,8 +1,8 @@
-"""The bound on connections to all caches: how many there are, which make way, and who waits for room.
+"""The limit on the number of connections to all caches, with eviction of idle ones and a queue.
 
-At the bound, the connection that has been idle for the longest time is closed for a cache that has none to
-carry its attempts. Where none is idle, caches wait in turn until one is. Each step takes constant time,
-however many caches are listed.
+At the limit, the connection that has been idle for the longest time is closed in favour of a cache that needs
+a connection for its attempts. If none is idle, caches wait in a first-in, first-out queue until one is. Each
+step takes constant time, independent of the number of listed caches.
 """
 
 from typing import Protocol
@@ -13,10 +13,10 @@
 
 
 class LimitedEndpoint(Protocol):
-    """The connections to one cache, as far as the bound concerns them."""
+    """The interface of a cache's connections that the limiter uses."""
 
     def connect_when_admitted(self) -> None:
-        """Begin one connection, if one is still wanted: there is room now."""
+        """Start one connect if it is still needed; the limit permits it now."""
 
 
 class LimiterOwner(Protocol):
@@ -24,32 +24,32 @@
 
     @property
     def reactor(self) -> Reactor:
-        """What calls later."""
+        """Reactor that schedules calls."""
 
     @property
     def timers(self) -> Timers:
-        """The front's time and timers."""
+        """Clock and timers of the front."""
 
     @property
     def limits(self) -> CacheLimits:
-        """What the site allows at present."""
+        """Limits in force at present."""
 
 
 def is_idle(connection: CacheConnection) -> bool:
-    """Whether nothing is under way on a connection that is up, in either direction."""
+    """Return whether an established connection has no attempt in flight and no buffered byte."""
     is_ending = connection.is_draining or connection.is_aborted or connection.is_lost
     has_bytes = connection.outgoing or connection.incoming or connection.is_write_paused
     return not (is_ending or has_bytes or connection.in_flight)
 
 
 class ConnectionLimiter:
-    """Counts connections and decides which of them make way.
+    """Counts connections, and decides which of them are evicted.
 
     Attributes:
-        open: Connections that are up or being closed, the oldest first.
-        connecting: How many are being made.
-        idle: Those that may make way, idle for the longest time first.
-        queue: Caches that wait for room, the longest first.
+        open: Connections that are established or being closed, the oldest first.
+        connecting: Number of pending connects.
+        idle: Connections that may be evicted, the longest idle first.
+        queue: Caches that wait for permission to connect, the longest waiting first.
     """
 
     def __init__(self, pool: LimiterOwner) -> None:
@@ -58,52 +58,53 @@
         self.connecting = 0
         self.idle: dict[CacheConnection, None] = {}
         self.queue: dict[LimitedEndpoint, None] = {}
-        self._evicting: set[CacheConnection] = set()  # closed for others, and not gone yet
-        self._reserved_until: dict[CacheConnection, float] = {}  # until when a late answer may still come
+        self._evicting: set[CacheConnection] = set()  # evicted, and not closed yet
+        self._reserved_until: dict[CacheConnection, float] = {}  # time until which a late answer may arrive
         self._is_scheduled = False
 
-    # What there is.
+    # Counting.
 
     def count(self) -> int:
-        """How many connections hold a descriptor: those that are up, being closed, or being made."""
+        """Return the number of connections that hold a descriptor: established, closing or connecting."""
         return len(self.open) + self.connecting
 
     def is_below_limit(self) -> bool:
-        """Whether one more may be made."""
+        """Return whether one more connection may be made."""
         return self.count() < self.pool.limits.max_connections
 
     def connect_begun(self) -> None:
-        """Count a connection that is being made."""
+        """Count a connect that was started."""
         self.connecting += 1
 
     def connect_ended(self) -> None:
-        """A connection is no longer being made: it has come up or failed."""
+        """Discount a connect that has succeeded or failed."""
         self.connecting -= 1
         self._schedule_processing()
 
     def opened(self, connection: CacheConnection) -> None:
-        """Count a connection that has come up."""
+        """Add a connection that was established."""
         self.open[connection] = None
 
     def closed(self, connection: CacheConnection) -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
         self.open.pop(connection, None)
         self.idle.pop(connection, None)
         self._reserved_until.pop(connection, None)
         self._evicting.discard(connection)
         self._schedule_processing()
 
-    # Which may make way.
+    # Eviction.
 
     def mark_in_use(self, connection: CacheConnection) -> None:
-        """Something is sent on a connection: it does not make way."""
+        """Exclude a connection from eviction, since something is sent on it."""
         self.idle.pop(connection, None)
 
     def reserve(self, connection: CacheConnection) -> None:
-        """Keep a connection for a connect timeout: an answer to nothing in flight may come on it.
+        """Exclude a connection from eviction for one connect timeout after a cancellation or a health check.
 
-        Guards cancellations and health checks that are on their way from a close that crosses their answer,
-        which resets the connection. Harm: a connect waits a little where nothing else is idle.
+        The answers to these belong to no attempt in flight. Closing the connection just before such an answer
+        arrives would reset it, and could lose the cancellation or the health check. Side effect: if no other
+        connection is idle, a connect waits a little longer.
         """
         self.mark_in_use(connection)
         delay = self.pool.limits.connect_timeout
@@ -117,15 +118,15 @@
             self.mark_idle(connection)
 
     def mark_idle(self, connection: CacheConnection) -> None:
-        """A connection makes way from now on, if nothing is under way on it."""
+        """Make a connection available for eviction if it is idle and not reserved."""
         if connection not in self.idle and connection not in self._reserved_until and is_idle(connection):
             self.idle[connection] = None
             self._schedule_processing()
 
-    # Who waits.
+    # The queue.
 
     def admit(self, endpoint: LimitedEndpoint) -> bool:
-        """Whether a cache may connect now; else it has its turn as soon as there is room."""
+        """Return whether a cache may connect now; if not, add it to the queue."""
         if self.is_below_limit() and not self.queue:
             return True
         self.queue.setdefault(endpoint)
@@ -133,17 +134,17 @@
         return False
 
     def withdraw(self, endpoint: LimitedEndpoint) -> None:
-        """A cache no longer waits for room."""
+        """Remove a cache from the queue."""
         self.queue.pop(endpoint, None)
 
     def _schedule_processing(self) -> None:
-        """Serve those who wait soon, after what is under way in this moment."""
+        """Schedule processing of the queue after the current call has returned to the reactor."""
         if self.queue and not self._is_scheduled:
             self._is_scheduled = True
             self.pool.reactor.callLater(0, self._process_queue)
 
     def _process_queue(self) -> None:
-        """Give room to those who wait, in turn, and have idle connections make way for the others."""
+        """Admit queued caches in order up to the limit, and evict idle connections for the others."""
         self._is_scheduled = False
         for endpoint in list(self.queue):
             if not self.is_below_limit():
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -1,8 +1,8 @@
-"""All connections to one cache, those under way too, and the attempts that wait for one.
+"""All connections to one cache, including pending connects, and the attempts that wait for a connection.
 
-An attempt goes out at once on a connection with a free stream, or waits for one, at most for the time in
-which a connection must come up. While it waits it may become superseded: it is cancelled when the endpoint
-list or a purge concerns its cache, its source or its object, and the router decides anew.
+An attempt is sent at once on a connection with a free stream. Otherwise it waits for one, no longer than the
+connect timeout. A waiting attempt is cancelled as superseded when a change of the endpoint list or a purge
+concerns its cache, its source or its object; the router then decides again.
 """
 
 import errno
@@ -27,50 +27,50 @@
 from weldbend.socket_errors import FaultSide, connect_fault_side, error_number
 
 RESET_ERRORS = (errno.ECONNRESET, errno.ECONNABORTED, errno.EPIPE)
-MAX_RESETS = 5  # connects in a row that may be accepted and reset
+MAX_RESETS = 5  # consecutive connects accepted and then reset, after which the cache counts as unreachable
 UNMATCHED = "unmatched cache answers"  # name of the anomaly counter, as it appears in the log
 
 
 class EndpointOwner(Protocol):
-    """The pool that the connections of one cache belong to."""
+    """The interface of the pool to which the connections of one cache belong."""
 
     @property
     def reactor(self) -> Reactor:
-        """What connects, and calls later."""
+        """Reactor that makes connections and schedules calls."""
 
     @property
     def timers(self) -> Timers:
-        """The front's time and timers."""
+        """Clock and timers of the front."""
 
     @property
     def limits(self) -> CacheLimits:
-        """What the site allows at present."""
+        """Limits in force at present."""
 
     @property
     def is_read_paused(self) -> bool:
-        """Whether no connection is read at present."""
+        """Whether reading is paused on all connections."""
 
     @property
     def on_connected(self) -> Callable[[int], None]:
-        """Called with each cache to which a connection has come up."""
+        """Function called with the cache's number when a connection to it is established."""
 
     @property
     def on_health_answer(self) -> Callable[[int, Answer], bool]:
-        """Called with each answer that belongs to no attempt; returns whether it is one to a health check."""
+        """Function called with each answer that matches no attempt; returns if it answers a health check."""
 
     @property
     def limiter(self) -> ConnectionLimiter:
-        """The bound on connections to all caches."""
+        """Limit on the number of connections to all caches."""
 
     def add_waiting_endpoint(self, endpoint: "EndpointConnections") -> None:
-        """Attempts wait for a connection to a cache."""
+        """Add a cache for which attempts wait for a connection."""
 
     def remove_waiting_endpoint(self, endpoint: "EndpointConnections") -> None:
-        """No attempt waits for a connection to a cache any more."""
+        """Remove a cache for which no attempt waits any more."""
 
 
 class ConnectAttempt(ClientFactory):
-    """One connection that is being made."""
+    """A pending connect to a cache."""
 
     noisy = False
 
@@ -78,18 +78,19 @@
         self.endpoint = endpoint
 
     def buildProtocol(self, addr: IAddress | None) -> CacheConnection:
-        """The object for the connection that has come up."""
+        """Return the protocol object for the established connection; Twisted calls this."""
         return self.endpoint.connect_succeeded(self)
 
     def clientConnectionFailed(self, connector: Connector, reason: Failure) -> None:
-        """Report that none came up; Twisted calls it."""
+        """Report that the connect failed; Twisted calls this."""
         self.endpoint.connect_failed(self, connect_error_number(reason.value))
 
 
 def connect_error_number(error: object) -> int | None:
-    """The error number of a connect that failed; None where there was none, as for a timeout.
+    """Return the error number of a failed connect; None if there was none, as for a timeout.
 
-    Twisted takes EAGAIN for a connect under way; the socket, which is not, then shows its end at once.
+    Twisted treats EAGAIN from connect(2) as a pending connect. As the socket is not connecting, its end is
+    then reported at once, as `ConnectionDone`.
     """
     cause = error.args[0] if isinstance(error, Exception) and error.args else None
     if isinstance(cause, Failure) and isinstance(cause.value, ConnectionDone):
@@ -98,13 +99,13 @@
 
 
 class EndpointConnections:
-    """All that goes to one cache.
+    """All connections and waiting attempts of one cache.
 
     Attributes:
-        connections: Those that are up, the oldest first.
-        connecting: Those that are being made.
-        waiting: Attempts that wait for a connection, in their order.
-        is_closed: Whether the cache has left the list, or this address.
+        connections: Established connections, the oldest first.
+        connecting: Pending connects.
+        waiting: Attempts that wait for a connection, the oldest first.
+        is_closed: Whether the cache has left the endpoint list or moved to another address.
     """
 
     def __init__(self, pool: EndpointOwner, cache: int, host: str, port: int) -> None:
@@ -116,25 +117,25 @@
         self.connecting: dict[ConnectAttempt, Connector] = {}
         self.waiting: deque[Attempt] = deque()
         self.is_closed = False
-        self.consecutive_resets = 0  # connects in a row that were accepted and reset
+        self.consecutive_resets = 0  # consecutive connects that were accepted and then reset
         self.backoff = ConnectBackoff(f"{host}:{port}")
         self.is_send_scheduled = False
-        self.admitted_at = -math.inf  # when it last had its turn to connect, after a wait for room
+        self.admitted_at = -math.inf  # when the limiter last admitted it from its queue
 
     @property
     def max_streams(self) -> int:
-        """How many attempts may be in flight on one connection."""
+        """Maximum number of attempts in flight on one connection."""
         return self.pool.limits.max_streams
 
     @property
     def max_answer_time(self) -> float:
-        """Seconds for which anyone waits for an answer."""
+        """Longest time in seconds for which a request waits for its answer."""
         return self.pool.limits.max_answer_time
 
     # Sending.
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt, or have it wait for a connection."""
+        """Send an attempt, or queue it until a connection is available."""
         if not self._send_now(attempt):
             attempt.queued_at = self.pool.timers.now()
             self.waiting.append(attempt)
@@ -143,7 +144,7 @@
             self._connect()
 
     def _send_now(self, attempt: Attempt) -> bool:
-        """Send an attempt on the connection with the fewest in flight; false where none can carry it."""
+        """Send an attempt on the least loaded usable connection; return False if there is none."""
         usable = [c for c in self.connections if c.can_send(attempt.name) and not self._drain_if_stale(c)]
         if not usable or self.is_closed:
             return False
@@ -153,7 +154,7 @@
         return True
 
     def send_health_check(self, tag: str, command: bytes) -> bool:
-        """Send a health check on a connection that is up; false where there is none."""
+        """Send a health check on an established connection; return False if none is usable."""
         usable = [c for c in self.connections if c.can_send(tag)]
         if usable:
             self.pool.limiter.reserve(usable[0])
@@ -161,14 +162,17 @@
         return bool(usable)
 
     def cancel(self, attempt: Attempt, attempt_connection: AttemptConnection) -> None:
-        """Cancel an attempt that is in flight on a connection; its answer may still come there."""
+        """Cancel an attempt that is in flight on a connection, where its answer may still arrive."""
         for connection in self.connections:
             if connection is attempt_connection:
                 self.pool.limiter.reserve(connection)
         attempt_connection.cancel(attempt)
 
     def _drain_if_stale(self, connection: CacheConnection) -> bool:
-        """Drain one that its cache is about to close for idleness: a command could cross the close."""
+        """Drain a connection that its cache is about to close as idle, and return whether it was drained.
+
+        A command sent on it could arrive after the cache has closed the connection.
+        """
         limits = self.pool.limits
         stale_at = connection.used_at + limits.idle_timeout - limits.connect_timeout
         is_stale = not connection.in_flight and self.pool.timers.now() > stale_at
@@ -177,10 +181,10 @@
         return is_stale
 
     def send_waiting(self) -> None:
-        """Send the waiting attempts soon, but read first what else has come in this moment.
+        """Send the waiting attempts in the next iteration, after all sockets of the current poll were read.
 
-        Guards caches against attempts for clients whose end is read right after their connection came up.
-        Harm: none known: it is a matter of the poll of sockets that is under way.
+        This guards caches against attempts for clients whose disconnect is read in the same poll as the
+        establishment of the connection. No side effect is known: the delay ends with the current poll.
         """
         if self.waiting and not self.is_send_scheduled:
             self.is_send_scheduled = True
@@ -189,11 +193,11 @@
             self._mark_connections_idle()
 
     def _send_waiting_now(self) -> None:
-        """Send the waiting attempts, in their order.
+        """Send the waiting attempts in order, and cancel short-lived ones that have waited too long.
 
-        Guards against retries of a request that must not be executed twice, allowed for a time that may be
-        over, and against a burst on a cache that warms up of all that was decided while connecting took long.
-        Harm: one more decision for each.
+        This guards against late retries of a request that must not be executed twice, which are permitted for
+        a limited time only. It also guards against a burst of attempts, routed during a slow connect, on a
+        cache in slow start. Side effect: the router decides once more for each cancelled attempt.
         """
         self.is_send_scheduled = False
         now = self.pool.timers.now()
@@ -210,15 +214,16 @@
         self._mark_connections_idle()
 
     def _mark_connections_idle(self) -> None:
-        """What nothing is under way on may make way for connections to other caches."""
+        """Make idle connections available for eviction in favour of other caches."""
         for connection in self.connections:
             self.pool.limiter.mark_idle(connection)
 
     def _wait_expired(self, attempt: Attempt) -> None:
-        """End an attempt that has waited for as long as a connection may take to come up.
+        """End an attempt that has waited for the whole connect timeout.
 
-        Guards a cache from being taken for unreachable where there was no room to connect to it: that says
-        nothing of the cache, and is decided anew. Harm: one more decision.
+        If the limit on connections delayed the connect, the attempt ends as superseded and the router decides
+        again. This guards against treating the cache as unreachable without evidence. Side effect: one
+        additional routing decision.
         """
         if attempt in self.waiting:
             had_no_capacity = self in self.pool.limiter.queue or self.admitted_at > attempt.queued_at
@@ -232,7 +237,7 @@
         self._waiting_changed()
 
     def withdraw(self, attempt: Attempt) -> None:
-        """Have an attempt wait no longer; its end is not reported."""
+        """Remove an attempt from the queue without reporting an outcome."""
         if attempt in self.waiting:
             self.waiting.remove(attempt)
             self._waiting_changed()
@@ -242,7 +247,7 @@
             self.pool.remove_waiting_endpoint(self)
 
     def cancel_waiting(self, is_superseded: Callable[[Attempt], bool]) -> None:
-        """Cancel waiting attempts that are superseded."""
+        """Cancel the waiting attempts for which `is_superseded` returns true."""
         cancelled = [attempt for attempt in self.waiting if is_superseded(attempt)]
         self.waiting = deque(attempt for attempt in self.waiting if attempt not in cancelled)
         self._waiting_changed()
@@ -250,16 +255,17 @@
             attempt.finish(AttemptLoss.SUPERSEDED)
 
     def handle_unmatched(self, answer: Answer) -> None:
-        """Pass on an answer that belongs to no attempt: it should be one to a health check."""
+        """Pass on an answer that matches no attempt, and count it if it answers no health check either."""
         if not self.pool.on_health_answer(self.cache, answer):
             anomalies[UNMATCHED] += 1
 
     # Connecting.
 
     def _connect(self, minimum: int = 0) -> None:
-        """Have as many connections under way as the waiting attempts need, or a `minimum` of them.
+        """Start as many connects as the waiting attempts need, or enough for `minimum` attempts.
 
-        At the bound on connections to all caches, they are made in turn.
+        At the limit on connections to all caches, the connects wait in the limiter's queue. A connect for the
+        `minimum` alone does not queue.
         """
         limiter = self.pool.limiter
         while self._needs_connection(minimum):
@@ -268,7 +274,7 @@
             self._begin_connect()
 
     def _needs_connection(self, minimum: int = 0) -> bool:
-        """Whether those that are being made carry less than what waits, or than the `minimum`."""
+        """Return whether pending connects provide too few streams for the waiting attempts or `minimum`."""
         expected_streams = len(self.connecting) * self.max_streams
         may_connect = not (self.is_closed or self.backoff.is_retry_scheduled)
         return may_connect and expected_streams < max(len(self.waiting), minimum)
@@ -279,16 +285,15 @@
         timeout = self.pool.limits.connect_timeout
         try:
             self.connecting[attempt] = self.pool.reactor.connectTCP(self.host, self.port, attempt, timeout)
-        except OSError:  # nothing has left this machine
+        except OSError:  # nothing was sent to the cache
             self.pool.limiter.connect_ended()
             self._connect_later()
 
     def _connect_later(self) -> None:
-        """Have the attempts go on waiting, and connect again after a backoff.
+        """Schedule a connect after a backoff, while the attempts go on waiting.
 
-        Guards against taking a cache for one that is down, or may have restarted, for a fault of this
-        machine. Harm: an attempt waits for as long as a connect may take, where another cache might have had
-        a connection.
+        This guards against treating a cache as down or possibly restarted because of a local fault. Side
+        effect: an attempt may wait for the whole connect timeout even if another cache has a connection.
         """
         for attempt in self.waiting:
             attempt.is_locally_blocked = True
@@ -297,13 +302,17 @@
             self.pool.timers.after(delay, self._connect_again)
 
     def _connect_again(self) -> None:
-        """Connect for those that wait, and for a while without any: it tells what broke a connection."""
+        """Connect for waiting attempts after a backoff.
+
+        If the first fault is recent and no connection is established, connect even without waiting attempts:
+        the outcome shows whether a broken connection was caused by the cache.
+        """
         self.backoff.is_retry_scheduled = False
         is_recent = self.pool.timers.now() < self.backoff.first_fault_at + self.pool.limits.connect_timeout
         self._connect(minimum=1 if is_recent and not self.connections else 0)
 
     def connect_when_admitted(self) -> None:
-        """Begin one connection, if one is still wanted; where that is not enough, wait for the next turn."""
+        """Start one connect if it is still needed; if more are needed, queue again."""
         self.admitted_at = self.pool.timers.now()
         if self._needs_connection():
             self._begin_connect()
@@ -314,17 +323,17 @@
             self.pool.limiter.connect_ended()
 
     def connect_succeeded(self, attempt: ConnectAttempt) -> CacheConnection:
-        """The object for a connection that has come up."""
+        """Return the protocol object for an established connection."""
         self._connect_ended(attempt)
         return CacheConnection(self, self.pool.timers)
 
     def connect_failed(self, attempt: ConnectAttempt, error: int | None) -> None:
-        """End all waiting attempts: where one connect is refused or times out, others would be too.
+        """End all waiting attempts, since further connects would be refused or time out as well.
 
-        A fault of this machine ends none: it is tried again while they wait.
-        One that was accepted and reset shows that its cache is up, so it is tried again, a bounded number of
-        times. Guards against treating that cache as one that is down. Harm: some connects more to one that
-        always does so.
+        After a local fault, the attempts go on waiting and the connect is retried. A connect that was
+        accepted and then reset shows that the cache is running, so it is retried as well, until MAX_RESETS
+        connects in a row were reset. This guards against treating a running cache as down. Side effect:
+        additional connects to a cache that resets each one.
         """
         self._connect_ended(attempt)
         if connect_fault_side(error) is FaultSide.THIS_MACHINE:
@@ -342,7 +351,7 @@
             waiting_attempt.finish(AttemptLoss.UNREACHABLE)
 
     def connection_opened(self, connection: CacheConnection) -> None:
-        """Use a connection that has come up, unless its cache has left meanwhile."""
+        """Use an established connection, or close it if the cache has left in the meantime."""
         self.pool.limiter.opened(connection)
         if self.is_closed:
             connection.close()
@@ -355,9 +364,10 @@
         self.send_waiting()
 
     def connection_lost(self, connection: CacheConnection) -> None:
-        """Replace one that broke with attempts in flight at once: whether it can be tells what happened.
+        """Remove an ended connection, and reconnect at once if it was the last and had attempts in flight.
 
-        One that came up and could not be watched (epoll_ctl) was never opened: that is this machine's fault.
+        Whether the reconnect succeeds shows what broke the connection. A connection without a transport was
+        established but could not be registered with epoll_ctl, which is a local fault.
         """
         self.pool.limiter.closed(connection)
         if connection.transport is None:
@@ -370,21 +380,21 @@
     # Ending.
 
     def abort_older(self, started_at: float) -> None:
-        """Abort connections from before the cache's start.
+        """Abort connections that were established before the cache last started.
 
-        They lead nowhere, though a machine that vanished never closed them.
+        They lead to a process that no longer exists; a machine that crashed never closed them.
 
         Args:
-            started_at: When the cache started (seconds of the front's clock).
+            started_at: Time at which the cache started (seconds of the front's clock).
         """
         for connection in [c for c in self.connections if c.opened_at < started_at]:
             connection.abort()
 
     def close(self, is_moved: bool) -> None:
-        """Send nothing more here: the cache has left the list, or this address.
+        """Send nothing more, since the cache has left the endpoint list or moved to another address.
 
         Args:
-            is_moved: Whether it is now at another address, so that what is in flight here ends at once.
+            is_moved: Whether it has moved, so that the connections are aborted instead of drained.
         """
         self.is_closed = True
         for connector in list(self.connecting.values()):
--- a/weldbend/caches/interfaces.py
+++ b/weldbend/caches/interfaces.py
@@ -1,4 +1,4 @@
-"""What connections to caches need of the timers and the reactor around them."""
+"""Interfaces of the timers and the reactor that connections to caches use."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,34 +7,34 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Cancel the call; nothing happens where it was made or cancelled before."""
+        """Cancel the call; this has no effect if it was made or cancelled before."""
 
 
 class Timers(Protocol):
     """The front's time and timers."""
 
     def now(self) -> float:
-        """The present moment in seconds of the front's monotonic clock."""
+        """Return the current time in seconds of the front's monotonic clock."""
 
     def after(self, delay: float, call: Callable[[], object]) -> Timer:
         """Run `call` once, after `delay` seconds."""
 
 
 class Connector(Protocol):
-    """A connect attempt under way, or the connection that it became."""
+    """A pending connect, or the connection that it established."""
 
     def disconnect(self) -> object:
-        """Give up connecting, or end the connection."""
+        """Abandon the connect, or close the connection."""
 
 
 class Reactor(Protocol):
-    """What is used of the reactor here."""
+    """The part of Twisted's reactor that connections to caches use."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float) -> Connector:
-        """Begin to connect; the factory learns the outcome within `timeout` seconds."""
+        """Start to connect; the factory is notified of the outcome within `timeout` seconds."""
 
     def callLater(self, delay: float, call: Callable[[], object]) -> object:
         """Run `call` once, after `delay` seconds."""
--- a/weldbend/caches/limits.py
+++ b/weldbend/caches/limits.py
@@ -1,19 +1,19 @@
-"""What the site and the machine allow for connections to caches."""
+"""Limits on connections to caches, set by the site's settings and by the machine."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class CacheLimits:
-    """What the site and the machine allow; times in seconds.
+    """Limits on connections to caches; times are in seconds.
 
     Attributes:
-        max_streams: Attempts that may be in flight on one connection.
-        idle_timeout: After this time without a command caches close a connection.
-        connect_timeout: In which a connection must come up.
-        max_iteration_time: For which one iteration of the event loop may last.
-        max_connections: Connections to all caches, those under way too.
-        max_answer_time: The longest deadline: nobody waits for an answer beyond it.
+        max_streams: Maximum number of attempts in flight on one connection.
+        idle_timeout: Time without a command after which caches close a connection.
+        connect_timeout: Time within which a connection must be established.
+        max_iteration_time: Longest permitted duration of one iteration of the event loop.
+        max_connections: Maximum number of connections to all caches, including pending connects.
+        max_answer_time: Longest deadline of a request, beyond which no answer is awaited.
     """
 
     max_streams: int
--- a/weldbend/caches/pool.py
+++ b/weldbend/caches/pool.py
@@ -1,4 +1,4 @@
-"""The connections to all listed caches, and the attempts and health checks that go over them."""
+"""The pool of connections to all listed caches, which sends attempts and health checks."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
@@ -18,16 +18,16 @@
     """The connections to each listed cache.
 
     Attributes:
-        reactor: What connects, and calls later.
-        timers: The front's time and timers.
-        limits: What the site allows; may be replaced at any time.
-        on_health_answer: Called with the cache and the answer for each that belongs to no attempt; returns
-            whether it is one to a health check.
-        on_connected: Called with each cache to which a connection has come up.
-        endpoints: The connections of each cache, by its number.
-        waiting_endpoints: The caches for which attempts wait for a connection.
-        limiter: The bound on connections to all caches.
-        is_read_paused: Whether no connection is read, since what is read has nowhere to go.
+        reactor: Reactor that makes connections and schedules calls.
+        timers: Clock and timers of the front.
+        limits: Limits of the site and the machine; may be replaced at any time.
+        on_health_answer: Function called with the cache's number and each answer that belongs to no attempt;
+            returns whether it answers a health check.
+        on_connected: Function called with the cache's number when a connection to it is established.
+        endpoints: Connections to each cache, by the cache's number.
+        waiting_endpoints: Caches for which attempts wait for a connection.
+        limiter: Limit on the number of connections to all caches.
+        is_read_paused: Whether reading is paused on all connections, as too many answers are buffered.
     """
 
     reactor: Reactor
@@ -43,17 +43,17 @@
     def __post_init__(self) -> None:
         self.limiter = ConnectionLimiter(self)
 
-    # Changes of the endpoint list, and purges.
+    # Changes of the endpoint list, and purges of objects.
 
     def update_endpoint(self, cache: int, host: str, port: int, started_at: float, is_usable: bool) -> None:
-        """Apply the endpoint list's present entry for a cache.
+        """Apply the endpoint list's current entry for a cache.
 
         Args:
-            cache: Its number.
-            host: Its address.
-            port: Its port.
-            started_at: Since when it runs (seconds of the front's clock; minus infinity where unknown).
-            is_usable: Whether attempts may go there; else those that wait are cancelled.
+            cache: Number of the cache.
+            host: Address of the cache.
+            port: Port of the cache.
+            started_at: Start time of the cache (seconds of the front's clock; minus infinity if unknown).
+            is_usable: Whether attempts may be sent to the cache; if not, those that wait are cancelled.
         """
         endpoint = self.endpoints.get(cache)
         if endpoint and (endpoint.host, endpoint.port) != (host, port):
@@ -67,17 +67,22 @@
             self.cancel_concerning({cache})
 
     def remove_endpoint(self, cache: int) -> None:
-        """Send nothing more to a cache that has left the list; what is in flight there may end."""
+        """Send nothing more to a cache that has left the list; attempts in flight there may finish."""
         self.cancel_concerning({cache})
         if cache in self.endpoints:
             self.endpoints.pop(cache).close(is_moved=False)
 
     def cancel_concerning(self, caches: set[int]) -> None:
-        """Cancel attempts that wait and go to one of these caches, or let another fill from it."""
+        """Cancel waiting attempts that are addressed to one of these caches or may fill from it."""
         self._cancel_waiting(lambda attempt: attempt.cache in caches or attempt.source in caches)
 
     def cancel_purged(self, key: str | None, group: int) -> None:
-        """Cancel attempts that wait for a purged object: by its key, or without one by its group."""
+        """Cancel waiting attempts for purged objects.
+
+        Args:
+            key: Key of the purged object; empty or None if a group was purged.
+            group: Number of the purged group; used only without a key.
+        """
         self._cancel_waiting(lambda attempt: attempt.key == key if key else attempt.group == group)
 
     def _cancel_waiting(self, is_superseded: Callable[[Attempt], bool]) -> None:
@@ -85,26 +90,30 @@
             endpoint.cancel_waiting(is_superseded)
 
     def add_waiting_endpoint(self, endpoint: EndpointConnections) -> None:
-        """Note a cache for which attempts wait for a connection."""
+        """Add a cache for which attempts wait for a connection."""
         self.waiting_endpoints[endpoint] = None
 
     def remove_waiting_endpoint(self, endpoint: EndpointConnections) -> None:
-        """Forget a cache for which no attempt waits any more."""
+        """Remove a cache for which no attempt waits any more."""
         self.waiting_endpoints.pop(endpoint, None)
         self.limiter.withdraw(endpoint)
 
     # Attempts and health checks.
 
     def send(self, attempt: Attempt) -> None:
-        """Send an attempt to its cache, or have it wait for a connection."""
+        """Send an attempt to its cache, or queue it until a connection is available."""
         endpoint = self.endpoints.get(attempt.cache)
         if endpoint:
             endpoint.send(attempt)
-        else:  # its cache left the list in this very iteration
+        else:  # the cache left the list during this iteration of the event loop
             attempt.finish(AttemptLoss.SUPERSEDED)
 
     def cancel(self, attempt: Attempt) -> bool:
-        """Give an attempt up; its end is not reported. Whether any byte of it had gone out."""
+        """Cancel an attempt without reporting an outcome.
+
+        Returns:
+            Whether it was already over or any byte of it had been sent.
+        """
         if attempt.is_over:
             return True
         attempt.is_over = True
@@ -118,12 +127,15 @@
         return attempt.connection is not None
 
     def send_health_check(self, cache: int, tag: str, wants_load: bool) -> bool:
-        """Send a health check over a connection that is up; false where there is none.
+        """Send a health check over an established connection.
 
         Args:
-            cache: The cache's number.
-            tag: The name that the answer will carry.
+            cache: Number of the cache.
+            tag: Name that the answer will carry.
             wants_load: Whether to ask for a load report as well.
+
+        Returns:
+            Whether it was sent; False if no connection to the cache is available.
         """
         endpoint = self.endpoints.get(cache)
         command = (commands.top if wants_load else commands.ping)(tag)
@@ -132,15 +144,15 @@
     # All connections.
 
     def all_connections(self) -> Iterable[CacheConnection]:
-        """Each connection that is up, those to caches that have left the list too."""
+        """Return all established connections, including those to caches that have left the list."""
         return self.limiter.open
 
     def connection_count(self) -> int:
-        """How many connections there are, those that are being made too."""
+        """Return the number of connections, including pending connects."""
         return self.limiter.count()
 
     def pause_reading(self, is_paused: bool) -> None:
-        """Stop or resume reading all: what is read must have somewhere to go."""
+        """Stop or resume reading on all connections; it is paused while too many answers are buffered."""
         if is_paused is not self.is_read_paused:
             self.is_read_paused = is_paused
             for connection in list(self.all_connections()):
--- a/weldbend/caches/stall_detector.py
+++ b/weldbend/caches/stall_detector.py
@@ -1,11 +1,11 @@
-"""Finds connections on which an answer has begun and does not go on, or does not end."""
+"""Detection of connections on which a partly received answer stalls or takes too long."""
 
 from typing import Protocol
 
 from weldbend.caches.interfaces import Timers
 
-STALL_TIMEOUT = 0.2  # seconds in which the next byte of an answer that has begun must come
-RECHECK_DELAY = 0.02  # seconds after which a stall is checked once more
+STALL_TIMEOUT = 0.2  # seconds within which the next byte of a partly received answer must arrive
+RECHECK_DELAY = 0.02  # seconds after which a suspected stall is checked again
 
 # Names of the anomaly counters, as they appear in the log.
 OVER_TIME_LIMIT = "cache answers over the time limit"
@@ -13,30 +13,30 @@
 
 
 class AnswerStream(Protocol):
-    """The incoming direction of a connection to a cache; moments in seconds of the front's clock."""
+    """The receiving direction of a connection to a cache; times are seconds of the front's clock."""
 
-    received_at: float  # when bytes last came
-    answer_started_at: float  # when the answer that is under way began to come
+    received_at: float  # when bytes were last received
+    answer_started_at: float  # when the first byte of the current answer was received
 
     def is_answer_incomplete(self) -> bool:
-        """Whether a part of an answer is here, and the rest can still come."""
+        """Return whether an answer was received in part, and its rest can still arrive."""
 
     def max_answer_time(self) -> float:
-        """Seconds for which anyone waits for an answer."""
+        """Return the longest time in seconds for which a request waits for its answer."""
 
     def abort_malformed(self, reason: str) -> None:
-        """End the connection; `reason` names the anomaly counter."""
+        """Abort the connection; `reason` names the anomaly counter."""
 
 
 class StallDetector:
-    """Ends a connection whose answer stops in the middle.
+    """Aborts a connection whose current answer stalls or takes too long.
 
-    Guards all that is in flight there against what never comes. Answers are written in one piece, so one that
-    has begun is as good as here; it ends before anyone's deadline. Harm: one whose bytes do come on after a
-    longer standstill is requested again.
+    This guards the attempts in flight on the connection against waiting until their deadlines for bytes that
+    never arrive. Caches write an answer in one piece, so the rest of a partly received one should follow at
+    once. Side effect: an answer that would have continued after a longer pause is requested again.
 
     Attributes:
-        is_armed: Whether a check is due.
+        is_armed: Whether a check is scheduled.
     """
 
     __slots__ = ("is_armed", "stream", "timers")
@@ -47,7 +47,7 @@
         self.is_armed = False
 
     def arm(self) -> None:
-        """Check in a moment, unless a check is due."""
+        """Schedule a check, unless one is already scheduled."""
         if not self.is_armed:
             self.is_armed = True
             self.timers.after(STALL_TIMEOUT, self._check)
@@ -55,7 +55,7 @@
     def _check(self) -> None:
         if not self._is_stalled():
             return
-        # When this front itself was held up, what came meanwhile is still to be read: it is checked twice.
+        # If this process was delayed, bytes that have arrived may be unread; the second check sees them.
         self.is_armed = True
         self.timers.after(RECHECK_DELAY, self._check_again)
 
@@ -64,7 +64,10 @@
             self.stream.abort_malformed(STALLED)
 
     def _is_stalled(self) -> bool:
-        """Whether nothing came for too long; arms the next check where something did."""
+        """Return whether no byte has arrived within the timeout; schedule the next check if one has.
+
+        An answer that exceeds the longest deadline ends the connection here and does not count as stalled.
+        """
         stream = self.stream
         self.is_armed = False
         if not stream.is_answer_incomplete():
--- a/weldbend/clients/__init__.py
+++ b/weldbend/clients/__init__.py
@@ -1,1 +1,1 @@
-"""Connections of clients, and the requests that arrive on them."""
+"""Connections of clients, and the requests received on them."""
--- a/weldbend/clients/answer_writer.py
+++ b/weldbend/clients/answer_writer.py
@@ -1,24 +1,25 @@
-"""Writes answers to one client, with back-pressure: complete answers wait while the client reads none."""
+"""Writer of answers to one client, with back-pressure: answers are queued while the client reads none."""
 
 from weldbend.buffers.ring import Ring
 from weldbend.clients.interfaces import BufferAccount, ClientTransport
 
 OUTGOING_CAPACITY = 1 << 18  # bytes; holds the longest answer
-WRITE_SIZE = 1 << 16  # bytes handed to the transport at once
+WRITE_SIZE = 1 << 16  # bytes passed to the transport at once
 
 
 class AnswerWriter:
     """The sending direction of a client connection.
 
-    An answer goes to the transport at once where nothing waits before it. Otherwise it waits: in a bounded
-    ring, and beyond that in a queue of complete answers; while any is queued there, the connection reads no
-    further calls.
+    An answer is passed to the transport at once if none is pending before it. Otherwise it is buffered in a
+    bounded ring, and beyond the ring's capacity in a queue of complete answers. While this queue is not
+    empty, the connection reads no further calls.
 
     Attributes:
-        ring: Bytes that are next for the transport.
-        queue: Complete answers that the ring has no capacity for, a few tens at most.
+        account: Receiver of each change in the number of pending bytes.
+        ring: Bytes to pass to the transport next.
+        queue: Complete answers for which the ring has no capacity, a few tens at most.
         is_paused: Whether the transport accepts no bytes at present.
-        transport: Where answers go; None before the connection is made and once it has become idle.
+        transport: Transport of the connection; None before it is made and once it has become idle.
     """
 
     __slots__ = ("account", "is_paused", "queue", "ring", "transport")
@@ -31,15 +32,15 @@
         self.is_paused = False
 
     def has_pending(self) -> bool:
-        """Whether any answer, or a part of one, waits for the transport."""
+        """Return whether any byte of an answer waits for the transport."""
         return bool(self.ring or self.queue)
 
     def pending_bytes(self) -> int:
-        """How many bytes wait for the transport."""
+        """Return the number of bytes that wait for the transport."""
         return len(self.ring) + sum(map(len, self.queue))
 
     def write(self, answer: bytes) -> None:
-        """Send one complete answer, after all those that wait."""
+        """Send one complete answer after all pending ones."""
         if not (self.is_paused or self.queue or self.ring) and self.transport is not None:
             self._send(self.transport, answer)
             return
@@ -48,7 +49,7 @@
         self.write_pending()
 
     def write_pending(self) -> None:
-        """Move complete answers into the ring, and the ring's bytes on while the transport accepts them."""
+        """Move queued answers into the ring, and send the ring's bytes while the transport accepts them."""
         while True:
             while self.queue and len(self.queue[0]) <= self.ring.free():
                 self.ring.write(self.queue.pop(0))
@@ -60,9 +61,10 @@
 
     @staticmethod
     def _send(transport: ClientTransport, data: bytes) -> None:
-        """Hand bytes on, and end a connection that cannot be watched for writing.
+        """Pass bytes to the transport, and abort a connection that cannot be registered for writing.
 
-        Guards the client against a second answer in place of one that failed to be sent, and was buffered.
+        The transport has buffered the bytes when the registration fails. Aborting guards the client against
+        receiving this answer and also a second one that would be sent in its place.
         """
         try:
             transport.write(data)
@@ -70,6 +72,6 @@
             transport.abortConnection()
 
     def discard(self) -> None:
-        """Give up what waits: the connection has ended."""
+        """Discard pending answers, since the connection has ended."""
         self.account.buffered_changed(-self.pending_bytes())
         self.queue.clear()
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -1,10 +1,10 @@
-"""A client's connection: reads calls, hands requests to the front, and closes in an orderly way.
+"""A client's connection, which reads calls, passes requests to the front, and closes in an orderly way.
 
-Nothing more is done for a client that has ended its side. The connection never closes by itself while
-a request is open, unless its client breaks the rules of the protocol: then all that is open fails, and the
-client is banned at once. A close by this front ends the sending direction first, and what still arrives is
-discarded for a moment: closing over unread bytes would reset the connection, and an answer that the system
-still holds would be lost with it.
+When a client has ended its side, its requests are cancelled. The front does not close a connection while a
+request is open, unless the client violates the protocol: then all open requests fail, and the client is
+banned at once. When this front closes a connection, it ends the sending direction first and discards for a
+short time what still arrives. Closing a socket with unread bytes would reset the connection and lose any
+answer that the system has not yet delivered.
 """
 
 from typing import Any, Protocol
@@ -35,29 +35,29 @@
 from weldbend.thrift.errors import ThriftError
 from weldbend.thrift.framing import LENGTH_SIZE, next_frame, peek_small_frame
 
-READ_SIZE = 1 << 16  # bytes: the most that one read of a socket brings
-MAX_FRAME_SIZE = 48_000 + (1 << 14)  # bytes: the longest body, and the fields that come with it
+READ_SIZE = 1 << 16  # bytes; the most that one read of a socket returns
+MAX_FRAME_SIZE = 48_000 + (1 << 14)  # bytes; the longest body and the fields of its call
 INCOMING_CAPACITY = MAX_FRAME_SIZE + LENGTH_SIZE + 2 * READ_SIZE  # bytes
-MAX_CANCELLATION_SIZE = 64  # bytes that hold any giveUp call, and no process call
+MAX_CANCELLATION_SIZE = 64  # bytes; large enough for any giveUp call, too small for any process call
 DISCARD_TIME = 0.25  # seconds for which a client may go on sending after this front's close
 MAX_DISCARDED = 1 << 20  # bytes that a client may still send after this front's close
 
 
 class ConnectionRegistry(Protocol):
-    """Keeps track of live client connections."""
+    """The registry of live client connections."""
 
     def client_connected(self, client: "ClientConnection") -> None:
         """Register a connection that was accepted."""
 
     def client_disconnected(self, client: "ClientConnection") -> None:
-        """Forget a connection that has ended."""
+        """Remove a connection that has ended."""
 
     def watch_hangup(self, client: "ClientConnection", is_unread: bool) -> None:
-        """Watch for the end of a client that is not read at present, or stop watching."""
+        """Start or stop watching for the disconnect of a client while its socket is not read."""
 
 
 class ClientOwner(RequestHandler, ConnectionRegistry, BufferAccount, AccessControl, Scheduler, Protocol):
-    """All that a client connection asks of its front."""
+    """The interface of the front that a client connection uses."""
 
     def log_fault(self, where: str) -> None:
         """Count the exception that is being handled, and log it with its traceback."""
@@ -65,26 +65,26 @@
 
 @implementer(IPushProducer)
 class ClientConnection(TwistedProtocol):
-    """One live connection of a client.
+    """One live connection of a client. All times are seconds of the front's clock.
 
     Attributes:
         incoming: Bytes read and not yet parsed.
-        arrivals: When they came.
-        unread_since: Since when bytes may lie unread in the socket; None where the last read emptied it.
-        writer: The sending direction.
+        arrivals: Arrival times of these bytes.
+        unread_since: Time since which bytes may be unread in the socket; None if the last read emptied it.
+        writer: Sending direction of the connection.
         open_requests: Requests that wait for an answer, by sequence id.
-        violations: What the client did wrong so far.
-        call_count: Calls of any kind read so far.
-        active_at: When it last was not idle (seconds of the front's clock, as all moments here).
-        call_started_at: Since when an incomplete call has been arriving.
-        is_draining: Whether no further calls are read; it closes once the open ones are answered.
-        is_finishing: Whether this front ends it, and handles the calls that it has read all the same.
+        violations: Counts of the client's violations.
+        call_count: Number of calls of any kind read so far.
+        active_at: Time at which the connection was last not idle.
+        call_started_at: Time since which an incomplete call has been arriving.
+        is_draining: Whether no further calls are read, and the connection closes once all are answered.
+        is_finishing: Whether this front ends the connection, but still handles the calls already read.
         is_closing: Whether this front has closed its side and discards what still arrives.
-        is_lost: Whether it has ended, or has become an idle connection without an object.
+        is_lost: Whether the connection has ended, or has become idle and no longer uses this object.
         is_read_paused: Whether the socket is not read at present.
     """
 
-    # Twisted declares an ITransport, which lacks most of what a TCP transport offers (see ClientTransport).
+    # Twisted declares an ITransport, which lacks most members of a TCP transport (see ClientTransport).
     transport: Any = None
     is_draining = False
     is_finishing = False
@@ -97,9 +97,9 @@
     discarded_bytes = 0
     active_at = 0.0
     call_started_at = 0.0
-    call_received_at = 0.0  # when the last byte of the call in hand came, at the earliest
+    call_received_at = 0.0  # earliest possible arrival time of the last byte of the current call
     unread_since: float | None = None
-    read_delay = 0.0  # seconds for which what is read now lay there while other connections were resumed
+    read_delay = 0.0  # seconds for which the bytes being read waited while other connections were resumed
 
     def __init__(self, owner: ClientOwner) -> None:
         self.owner = owner
@@ -109,19 +109,19 @@
         self.open_requests: dict[int, ClientRequest] = {}
         self.violations = ViolationCounts()
         self.cancelled_early: set[int] = set()  # sequence ids cancelled before their calls were handled
-        self.new_requests: set[ClientRequest] = set()  # requests of the read that is under way
+        self.new_requests: set[ClientRequest] = set()  # requests of the read that is being handled
 
     # Becoming live.
 
     def connectionMade(self) -> None:
-        """Register with the owner; Twisted calls it when the connection was accepted."""
+        """Register with the owner; Twisted calls this when the connection was accepted."""
         self.transport.setTcpNoDelay(True)
         self._attach(self.transport)
         self.active_at = self.owner.now()
         self.owner.client_connected(self)
 
     def resume(self, transport: ClientTransport, record: ConnectionRecord) -> None:
-        """Go on as the idle connection of which `record` was kept."""
+        """Take over an idle connection, with the counts and times kept in `record`."""
         self.transport = transport
         self.connected = 1
         (
@@ -137,11 +137,11 @@
         transport.registerProducer(self, True)
 
     def receive_delayed(self, data: bytes, delay: float) -> None:
-        """Read what an idle connection woke with, `delay` seconds after that was noticed."""
+        """Handle the bytes that made an idle connection live, `delay` seconds after they were noticed."""
         self.read_delay = delay
         try:
             self.dataReceived(data)
-        except Exception:  # noqa: BLE001  # ends this connection only, as the reactor would; it is logged
+        except Exception:  # noqa: BLE001  # logged; ends only this connection, as the reactor would do
             self.owner.log_fault("a resumed connection")
             self.transport.abortConnection()
         finally:
@@ -150,7 +150,7 @@
     # Reading calls.
 
     def dataReceived(self, data: bytes) -> None:
-        """Read what one read of the socket brought; Twisted calls it."""
+        """Buffer received bytes and handle complete calls; Twisted calls this after each read."""
         if self.is_closing:
             self.discarded_bytes += len(data)
             if self.discarded_bytes > MAX_DISCARDED:
@@ -164,10 +164,15 @@
         self.read_calls()
 
     def _earliest_arrival(self, count: int) -> float:
-        """When the bytes of this read came, at the earliest; a read of READ_SIZE may have left some unread.
+        """Return the earliest possible arrival time of the bytes of this read.
 
-        Guards caches and clients against deadlines that count from when a request was read. Harm: one that
-        came late in such a time has a little less of its own.
+        A read of READ_SIZE bytes may leave further bytes in the socket that arrived at the same time, so the
+        next read counts from that time as well. This guards caches and clients against deadlines that are
+        counted from a delayed read. Side effect: a request that arrived later in that interval has slightly
+        less time than its full deadline.
+
+        Args:
+            count: Number of bytes read.
         """
         arrived_at = self.owner.earliest_arrival(self.active_at) - self.read_delay
         if self.unread_since is not None:
@@ -176,11 +181,12 @@
         return arrived_at
 
     def read_calls(self) -> None:
-        """Handle the calls that are complete, but none of a client that does not read its answers.
+        """Handle all complete calls, unless the client does not read its answers.
 
-        At the end of this connection those are handled as well: a request that was read is answered.
+        While this front ends the connection, they are handled in any case, so that each request that was read
+        is answered.
         """
-        if self.is_reading:  # a call answered at once lets the next one in: in this loop, not inside it
+        if self.is_reading:  # a call answered at once leads here again; the loop below reads the next call
             return
         self.is_reading = True
         try:
@@ -199,7 +205,7 @@
             self.ban(misbehaviour.PROTOCOL_VIOLATION)
         finally:
             self.is_reading = False
-            if not self.new_requests.isdisjoint(self.open_requests.values()):  # some were not cancelled
+            if not self.new_requests.isdisjoint(self.open_requests.values()):  # some are not cancelled
                 self.violations.cancellations = 0
             self.new_requests.clear()
         if self.is_draining:
@@ -207,10 +213,10 @@
         self._pause_reading(self.incoming.free() < READ_SIZE)
 
     def _scan_for_cancellations(self) -> None:
-        """Handle cancellations among calls that wait to be read, since their client reads no answers.
+        """Handle cancellations among buffered calls that are held back because the client reads no answers.
 
-        Guards caches against attempts for a request that its client has cancelled meanwhile. Harm: none
-        known; what lies unread beyond the ring is found only when it is read.
+        This guards caches against attempts for requests that the client has already cancelled. No side effect
+        is known. A cancellation that does not fit into the ring is found only when it is read.
         """
         while found := peek_small_frame(self.incoming, self.scanned_bytes, MAX_CANCELLATION_SIZE):
             end, data = found
@@ -246,7 +252,7 @@
                 self.count_invalid_call()
 
     def _cancel(self, seqid: int) -> bool:
-        """Cancel the request with this sequence id; false where none is open."""
+        """Cancel the open request with this sequence id; return False if there is none."""
         request = self.open_requests.pop(seqid, None)
         if request is None:
             return False
@@ -257,19 +263,19 @@
         return True
 
     def _pause_reading(self, is_paused: bool) -> None:
-        """Stop or resume reading the socket. The end of a client is noticed all the same."""
+        """Stop or resume reading the socket; a disconnect of the client is still noticed."""
         if is_paused is not self.is_read_paused and not self.is_lost:
             self.is_read_paused = is_paused
             if is_paused and self.unread_since is None:
                 self.unread_since = self.owner.now()
             try:
                 (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
-            except OSError:  # it cannot be watched any more
+            except OSError:  # the descriptor cannot be registered for reading
                 self.transport.abortConnection()
             self.owner.watch_hangup(self, is_paused)
 
     def handle_hangup(self) -> None:
-        """Abort: the client has ended its side while nothing was read, and what lies unread is of no use."""
+        """Abort after a disconnect of a client whose socket is not read; its unread bytes are useless."""
         if not self.is_lost:
             self.transport.abortConnection()
 
@@ -281,10 +287,10 @@
             self.ban(misbehaviour.TOO_MANY_INVALID_CALLS)
 
     def ban(self, reason: str) -> None:
-        """End it with all that is open on it: what such a client asked for must not be served.
+        """Ban the client and close the connection; all open requests fail, as they must not be served.
 
         Args:
-            reason: The anomaly counter that it is counted under.
+            reason: Name of the anomaly counter for this ban.
         """
         if self.is_draining or self.is_lost:
             return
@@ -298,13 +304,13 @@
         self._close_if_done()
 
     def host(self) -> str:
-        """The address that it comes from; empty where the transport knows none."""
+        """Return the client's address; empty if the transport has none."""
         return str(getattr(self.transport.getPeer(), "host", ""))
 
     # Writing answers.
 
     def finish_request(self, request: ClientRequest, answer: bytes) -> None:
-        """Send the answer to a request, unless it was cancelled meanwhile."""
+        """Send the answer to a request, unless the request was cancelled."""
         self.active_at = self.owner.now()
         if self.open_requests.pop(request.seqid, None) is not request or self.is_lost:
             return
@@ -312,26 +318,26 @@
         self._continue()
 
     def send_answer(self, answer: bytes) -> None:
-        """Send one complete answer, after those that wait."""
+        """Send one complete answer after all pending ones."""
         if not self.is_lost:
             self.writer.write(answer)
 
     def pauseProducing(self) -> None:
-        """Hold answers back; the transport calls it when its buffer is full."""
+        """Hold back answers; the transport calls this when its buffer is full."""
         self.writer.is_paused = True
 
     def resumeProducing(self) -> None:
-        """Go on with the answers that wait; the transport calls it when its buffer has drained."""
+        """Resume sending answers; the transport calls this when its buffer has drained."""
         self.writer.is_paused = False
         self.writer.write_pending()
         self._continue()
 
     def stopProducing(self) -> None:
-        """Write nothing more; the transport calls it when it has ended."""
+        """Stop sending; the transport calls this when it has ended."""
         self.writer.is_paused = True
 
     def _continue(self) -> None:
-        """Read what waited for an answer to leave, and close if that was the last."""
+        """Handle calls that were held back until an answer was sent; close if none is open any more."""
         if self.incoming and not (self.is_draining or self.is_lost):
             self.read_calls()
         self._close_if_done()
@@ -339,11 +345,11 @@
     # Idleness.
 
     def is_idle(self) -> bool:
-        """Whether no request is open, no byte of a call is here and no byte of an answer waits."""
+        """Return whether no request is open, no byte of a call is buffered and no answer is pending."""
         return not (self.open_requests or self.incoming or self.writer.has_pending())
 
     def can_become_idle(self) -> bool:
-        """Whether its state is no more than its `record`, so that no object is needed for it."""
+        """Return whether `record` describes its full state, so that it can be kept without this object."""
         return self.is_idle() and not (
             self.is_draining
             or self.is_lost
@@ -353,7 +359,7 @@
         )
 
     def record(self) -> ConnectionRecord:
-        """What has to be kept of it while it is idle."""
+        """Return the counts and times that are kept while the connection is idle."""
         return ConnectionRecord(
             self.call_count,
             self.violations.invalid_calls,
@@ -362,12 +368,12 @@
         )
 
     def release(self) -> None:
-        """Let go of the transport: its descriptor lives on as an idle connection, this object does not."""
+        """Detach from the transport, whose descriptor is kept as an idle connection without this object."""
         self.is_lost = True
         self.transport = self.writer.transport = None
 
     def observe(self, now: float) -> ConnectionState:
-        """What a check at the moment `now` (seconds) has to know of it."""
+        """Return the state needed for a check at time `now` (seconds), and record activity if it is busy."""
         is_busy = bool(
             self.open_requests or self.writer.has_pending() or self.is_lost or self.transport.disconnecting
         )
@@ -380,7 +386,7 @@
     # Closing.
 
     def finish_and_close(self) -> None:
-        """Handle what has been read, read no further calls, and close once the open ones are answered."""
+        """Handle the calls that were read, read no further ones, and close once all are answered."""
         self.is_finishing = True
         self.read_calls()
         self.is_draining = True
@@ -391,10 +397,10 @@
             self.close()
 
     def close(self) -> None:
-        """Close the sending direction, and discard what the client still sends until it closes as well.
+        """Close the sending direction, and discard what the client sends until it closes its side.
 
-        Guards answers just written against a reset. Harm: a descriptor is held for DISCARD_TIME at most after
-        the last answer has left, by a client that does not close.
+        This guards recently written answers against loss by a reset. Side effect: a client that does not
+        close its side occupies a descriptor for up to DISCARD_TIME after the last answer was sent.
         """
         if not (self.is_closing or self.is_lost):
             self.is_draining = self.is_closing = True
@@ -409,7 +415,7 @@
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Cancel all that is open; Twisted calls it when the connection has ended, for whatever reason."""
+        """Cancel all open requests; Twisted calls this when the connection has ended for any reason."""
         self.is_lost = True
         self.owner.watch_hangup(self, False)
         self.writer.discard()
--- a/weldbend/clients/interfaces.py
+++ b/weldbend/clients/interfaces.py
@@ -1,4 +1,4 @@
-"""What client connections need of the front that owns them, and of the transports below them."""
+"""Interfaces that client connections use: those of the front that owns them and of their transports."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -7,72 +7,72 @@
 
 
 class RequestHandler(Protocol):
-    """Handles the requests that clients send."""
+    """The handler of client requests."""
 
     def handle_request(self, request: ClientRequest) -> None:
-        """Start work on a request; exactly one answer method of it is called later, or none if cancelled."""
+        """Start to process a request; unless it is cancelled, exactly one of its answer methods is called."""
 
     def cancel_request(self, request: ClientRequest) -> None:
-        """Stop work on a request: its client waits for no answer any more."""
+        """Stop processing a request whose client no longer waits for an answer."""
 
     def is_serving(self) -> bool:
-        """Whether new requests are welcome; the answer to a client's health check."""
+        """Return whether new requests are accepted, as reported to a client's health check."""
 
 
 class BufferAccount(Protocol):
-    """Adds up the answers that wait for slow readers."""
+    """The account of bytes that are buffered for slow clients."""
 
     def buffered_changed(self, change: int) -> None:
-        """Account for a change, in bytes, of what is buffered for clients."""
+        """Record a change in the number of bytes that are buffered for clients."""
 
 
 class AccessControl(Protocol):
-    """Decides which addresses may connect."""
+    """The decision which addresses may connect."""
 
     def is_admitted(self, host: str) -> bool:
-        """Whether a client at this address may connect."""
+        """Return whether a client at this address may connect."""
 
     def report_ban(self, host: str) -> None:
         """Record that a client at this address was banned for misbehaviour."""
 
 
 class Scheduler(Protocol):
-    """The front's time and timers."""
+    """The front's clock and timers."""
 
     def now(self) -> float:
-        """The present moment in seconds of the front's monotonic clock."""
+        """Return the current time in seconds of the front's monotonic clock."""
 
     def earliest_arrival(self, moment: float) -> float:
-        """The earliest moment at which bytes that are read at `moment`, the present, can have come."""
+        """Return the earliest time at which bytes that are read now, at `moment`, can have arrived."""
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
         """Run `call` once, after `delay` seconds."""
 
 
 class Address(Protocol):
-    """The part of a peer's address that is used here; addresses of other families may lack it."""
+    """The part of a peer's address that is used; addresses of some families lack it."""
 
     host: str
 
 
 class ClientTransport(Protocol):
-    """What is used of a Twisted TCP server transport; see `twisted.internet.tcp.Server`."""
+    """The part of a Twisted TCP server transport that is used; see `twisted.internet.tcp.Server`."""
 
     @property
     def disconnecting(self) -> int:
-        """Not 0 once `loseConnection` was called."""
+        """Non-zero value once `loseConnection` was called."""
 
     def write(self, data: bytes) -> None:
-        """Send bytes, buffering what the socket does not accept."""
+        """Send bytes, and buffer those that the socket does not accept."""
 
     def getPeer(self) -> Address:
-        """The client's address."""
+        """Return the client's address."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:
-        """Switch Nagle's algorithm off or on."""
+        """Set TCP_NODELAY; if enabled, Nagle's algorithm is off."""
 
     def registerProducer(self, producer: object, streaming: bool) -> None:
-        """Have the transport pause and resume this producer as its buffer fills and drains."""
+        """Register a producer that is paused and resumed as the transport's buffer fills and drains."""
 
     def unregisterProducer(self) -> None:
         """Stop pausing and resuming the producer."""
@@ -81,13 +81,13 @@
         """Stop reading."""
 
     def resumeProducing(self) -> None:
-        """Go on reading."""
+        """Resume reading."""
 
     def loseConnection(self) -> None:
-        """Close when all that was written has left."""
+        """Close the connection once all written bytes have been sent."""
 
     def loseWriteConnection(self) -> None:
-        """Close the sending direction when all that was written has left."""
+        """Close the sending direction once all written bytes have been sent."""
 
     def abortConnection(self) -> None:
-        """Close at once, dropping what is buffered."""
+        """Close the connection at once and discard buffered bytes."""
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -1,7 +1,7 @@
-"""The clients' listening port: accepts connections, checks live ones, and makes capacity at the bound.
+"""The clients' listening port: accepts connections, checks live ones, and evicts idle ones at the limit.
 
-Decisions are made in `weldbend.idle_connections.policy` and carried out here. A live connection is
-checked eight times a second; an idle one, which has no object, when it is due or brings something.
+Decisions are made in `weldbend.idle_connections.policy` and carried out here. A live connection is checked
+eight times a second. An idle one, which has no object, is checked when its timeout expires or bytes arrive.
 """
 
 import heapq
@@ -25,19 +25,20 @@
 from weldbend.invariants import anomalies
 
 BACKLOG = 1024  # connections that the kernel may queue for this port
-DEAD_PEER_TIMEOUT = 60  # seconds without a sign of a client's machine, or of its reading, until it is ended
+DEAD_PEER_TIMEOUT = 60  # seconds until a client that does not respond, or does not read, is disconnected
 CHECK_INTERVAL = 0.125  # seconds between two checks of a live connection
-MIN_STANDSTILL = 1.0  # seconds between two rounds of checks from which on this process stood still meanwhile
-CLOSE_COUNTERS = {  # anomaly counters, as they appear in the log
+MIN_STANDSTILL = 1.0  # seconds between two rounds of checks above which the process was stalled
+CLOSE_COUNTERS = {  # names of the anomaly counters, as they appear in the log
     ConnectionAction.CLOSE_SILENT: "idle clients without a call",
     ConnectionAction.CLOSE_INCOMPLETE: "clients with an incomplete call",
 }
-# Sorts idle connections by who is evicted first; then its descriptor, or -1 and its live connection.
+# Sort key of an idle connection, with the first to be evicted first; then its descriptor and None, or -1 and
+# its connection object.
 Candidate = tuple[tuple[bool, int, float], int, ClientConnection | None]
 
 
 class ListeningPort(Protocol):
-    """What is used of a Twisted TCP port; see `twisted.internet.tcp.Port`."""
+    """The part of a Twisted TCP port that is used; see `twisted.internet.tcp.Port`."""
 
     numberAccepts: int
     socket: socket.socket
@@ -46,33 +47,37 @@
         """Accept up to `numberAccepts` connections."""
 
     def pauseProducing(self) -> None:
-        """Accept no connections."""
+        """Stop accepting connections."""
 
     def resumeProducing(self) -> None:
-        """Accept again."""
+        """Resume accepting connections."""
 
     def stopListening(self) -> object:
         """Close the port."""
 
 
 class ListeningReactor(Reactor, Protocol):
-    """What is used of the reactor here, and by what watches idle connections."""
+    """The part of the reactor that the listener and the pool of idle connections use."""
 
     def listenTCP(self, port: int, factory: Factory, backlog: int, interface: str) -> ListeningPort:
-        """Listen on an address; raises `twisted.internet.error.CannotListenError`."""
+        """Listen on an address.
+
+        Raises:
+            CannotListenError: The address cannot be bound.
+        """
 
 
 class Listener(Factory):
-    """Keeps the clients' connections, at most so many; those beyond wait in the kernel's queue.
+    """Manages the clients' connections up to a limit, above which new ones wait in the kernel's queue.
 
     Attributes:
-        max_connections: How many connections there may be, live and idle.
-        clients: The live connections, in the order in which they came.
-        checks: When each live connection is checked next, the earliest first.
-        idle_pool: The idle connections; None before the port is open.
-        port: The listening port; None before it is open and once it is closed.
-        accept_guard: What pauses the port while the system cannot accept; None before it is open.
-        is_paused: Whether no connection is accepted, since the bound is reached or the system cannot.
+        max_connections: Maximum number of connections, live and idle.
+        clients: Live connections, in the order in which they became live.
+        checks: Time of the next check of each live connection, the earliest first.
+        idle_pool: Pool of idle connections; None before the port is open.
+        port: Listening port; None before it is open and once it is closed.
+        accept_guard: Guard that pauses the port while accept(2) fails; None before the port is open.
+        is_paused: Whether accepting is paused, because the limit is reached or accept(2) fails.
     """
 
     noisy = False
@@ -92,17 +97,21 @@
         self.checked_at = 0.0
 
     def connection_count(self) -> int:
-        """How many clients are connected, live and idle."""
+        """Return the number of connections, live and idle."""
         return len(self.clients) + self.idle_count()
 
     def idle_count(self) -> int:
-        """How many connections are idle, without an object of their own."""
+        """Return the number of idle connections, which have no object of their own."""
         return self.idle_pool.count() if self.idle_pool else 0
 
     # The port.
 
     def listen(self, reactor: ListeningReactor, host: str, port: int) -> None:
-        """Open the port; raises `twisted.internet.error.CannotListenError`."""
+        """Open the port.
+
+        Raises:
+            CannotListenError: The port cannot be opened.
+        """
         epoll_set = self.epoll_set_factory(reactor)
         self.idle_pool = IdlePool(
             reactor, epoll_set, self.settings, self.owner.now, self.resume, self.update_accepting
@@ -110,20 +119,24 @@
         self.hangup_watcher = HangupWatcher(reactor)
         try:
             self.port = reactor.listenTCP(port, self, backlog=BACKLOG, interface=host)
-        except OSError as error:  # listen(2) or epoll_ctl: Twisted turns only the errors before into its own
+        except OSError as error:  # Twisted does not convert the errors of listen(2) and epoll_ctl
             raise CannotListenError(host, port, error) from error  # type: ignore[no-untyped-call]  # no hints
         self.accept_guard = AcceptGuard(self.port, self.owner.call_later, self.update_accepting)
         self.set_keepalive()
 
     def stop(self) -> bool:
-        """Accept those in the kernel's queue and then no more; whether the port is closed by now.
+        """Accept connections from the kernel's queue, and close the port once the queue is empty.
+
+        Closing the port resets connections that the kernel has established and this front has not accepted.
+        Accepting them first guards requests that were already sent on them. No side effect is known, since no
+        client can connect once the port is closed.
 
-        Guards requests that came on a connection which the system has accepted and this front has not:
-        closing the port resets it. Harm: none known; none can connect after that.
+        Returns:
+            Whether the port is closed.
         """
         if self.port and not self.is_paused:
             count = self.connection_count()
-            # Twisted lowers it when a round accepts none.
+            # Twisted lowers numberAccepts after a round that accepted no connection.
             self.port.numberAccepts = self.settings.accept_batch
             self.port.doRead()
             if self.connection_count() == count and not self._is_accept_failing():
@@ -132,10 +145,11 @@
         return not self.port
 
     def set_keepalive(self) -> None:
-        """Have the system end connections of machines that vanished; what is accepted inherits it.
+        """Enable TCP keepalive and user timeout on the port, whose accepted connections inherit them.
 
-        Guards descriptors and the memory of answers that will never be read. Harm: a client that reads
-        nothing for a minute is disconnected, long after its requests are over.
+        The system then ends connections of machines that have vanished. This guards descriptors, and the
+        memory of answers that will never be read. Side effect: a client that reads nothing for a minute is
+        disconnected, long after its requests have ended.
         """
         if self.port is None:
             return
@@ -146,15 +160,16 @@
         listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, DEAD_PEER_TIMEOUT * 1000)
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection | None:
-        """The object for an accepted connection; None closes it, as its address is banned."""
+        """Return the protocol object for an accepted connection, or None if its address is banned."""
         return ClientConnection(self.owner) if self.owner.is_admitted(getattr(addr, "host", "")) else None
 
     # Live connections.
 
     def client_connected(self, client: ClientConnection) -> None:
-        """Register one that was accepted, and make capacity for it.
+        """Register an accepted connection, and evict an idle one if the limit is exceeded.
 
-        Guards timers against rushes: the reactor would accept ever more in one iteration of its loop.
+        The number of accepts in one iteration of the event loop is reset here. This guards timers against
+        delays by bursts of connections, since Twisted would accept more and more of them in one iteration.
         """
         if self.port:
             self.port.numberAccepts = self.settings.accept_batch
@@ -166,25 +181,26 @@
         self.checks.append((self.owner.now() + CHECK_INTERVAL, client))
 
     def watch_hangup(self, client: ClientConnection, is_unread: bool) -> None:
-        """Watch for a client's end while it is not read, or no longer where `is_unread` is false."""
+        """Start watching for a client's disconnect if its socket is not read, or stop watching if it is."""
         if self.hangup_watcher and is_unread:
             self.hangup_watcher.watch(client.transport, client.handle_hangup)
         elif self.hangup_watcher:
             self.hangup_watcher.unwatch(client.handle_hangup)
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Forget one that has ended."""
+        """Remove a connection that has ended."""
         self.clients.pop(client, None)
         self.update_accepting()
 
     def check_connections(self) -> bool:
-        """Check what is due, and close or idle what has to go.
+        """Check the connections that are due, and close them or move them to the idle pool as decided.
 
-        Guards against closing for idleness, after a standstill, those whose calls lie unread: timers come
-        before sockets are read. Harm: one round of checks less after it.
+        After a standstill of the process, the round is skipped, because timers run before sockets are read.
+        This guards against closing connections as idle whose calls are still unread. Side effect: one round
+        of checks is omitted.
 
         Returns:
-            Whether some are due that this round had no budget for.
+            Whether the budget of this round was used up, so that more connections may be due.
         """
         now = self.owner.now()
         budget = self.settings.close_batch
@@ -207,7 +223,7 @@
         return not budget
 
     def _check(self, client: ClientConnection, now: float) -> bool:
-        """Check one; whether anything was done about it."""
+        """Check a connection, and return whether any action was taken."""
         if client.is_closing:
             return False
         decision = policy.decide(self.settings, client.observe(now), now, len(self.clients))
@@ -224,7 +240,7 @@
     # Idle connections.
 
     def _make_idle(self, client: ClientConnection) -> bool:
-        """Keep a connection's descriptor and counters only; false where it must stay as it is for now."""
+        """Move a connection to the idle pool; return False if it must stay live for now."""
         can_leave = self.idle_pool and client.can_become_idle()
         if not (can_leave and self.idle_pool and self.idle_pool.add(client.transport, client.record())):
             return False
@@ -233,31 +249,31 @@
         return True
 
     def resume(self, fd: int, record: ConnectionRecord, data: bytes) -> None:
-        """Make an idle connection that has brought bytes a live one again.
+        """Make an idle connection live again, since bytes have arrived on it.
 
-        A fault in it ends this connection, not the others that are idle.
+        An exception ends only this connection, not the other idle ones.
         """
         assert self.idle_pool
         client = ClientConnection(self.owner)
         try:
             transport: ClientTransport = self.idle_pool.descriptors.attach(fd, client)
-        except OSError:  # the system cannot watch it: it was closed
+        except OSError:  # the descriptor could not be registered, and the connection was closed
             anomalies[FAILED] += 1
             self.update_accepting()
             return
         try:
             self._add(client)
             client.resume(transport, record)
-        except Exception:  # noqa: BLE001  # ends this connection only; it is logged
+        except Exception:  # noqa: BLE001  # logged; ends only this connection
             self.owner.log_fault("a resumed connection")
             transport.abortConnection()
             return
         client.receive_delayed(data, self.owner.now() - record.last_active)
 
-    # The bound.
+    # The limit on connections.
 
     def evict_idle(self, new: ClientConnection | None = None) -> None:
-        """Close idle connections at the bound, in the order of `policy.eviction_order`; `new` is spared."""
+        """Close idle connections at the limit, in the order of `policy.eviction_order`, but never `new`."""
         is_full = self.connection_count() >= self.max_connections
         closing = sum(client.is_closing for client in self.clients) if is_full else 0
         excess = policy.eviction_count(self.connection_count() - closing, self.max_connections)
@@ -288,7 +304,7 @@
         return candidates
 
     def update_accepting(self) -> None:
-        """Accept no connections while the bound is reached or the system cannot, and all else."""
+        """Pause accepting while the limit is reached or accept(2) fails, and resume it otherwise."""
         is_full = policy.is_accept_paused(self.connection_count(), self.max_connections)
         is_paused = is_full or self._is_accept_failing()
         if self.port and is_paused is not self.is_paused:
@@ -299,7 +315,7 @@
                 self._resume_accepting(self.port)
 
     def _resume_accepting(self, port: ListeningPort) -> None:
-        """Accept again, or pause once more where the port cannot be watched."""
+        """Resume accepting, or pause again if the port's descriptor cannot be registered."""
         try:
             port.resumeProducing()
         except OSError as error:
@@ -309,17 +325,17 @@
     def _is_accept_failing(self) -> bool:
         return bool(self.accept_guard and self.accept_guard.is_paused)
 
-    # The end.
+    # Shutdown.
 
     def is_quiet(self) -> bool:
-        """Whether nothing can be on its way on any connection."""
+        """Return whether no byte can be in transit on any connection."""
         now = self.owner.now()
         if self.idle_pool and not self.idle_pool.has_nothing_to_read():
             return False
         return all(c.is_closing or policy.is_quiescent(c.is_idle(), c.active_at, now) for c in self.clients)
 
     def close_batch(self) -> None:
-        """Close all live connections as soon as they are done, and a batch of the idle ones."""
+        """Close each live connection once its requests are answered, and a batch of the idle ones."""
         for client in list(self.clients):
             client.finish_and_close()
         if self.idle_pool:
--- a/weldbend/clients/misbehaviour.py
+++ b/weldbend/clients/misbehaviour.py
@@ -1,8 +1,8 @@
-"""What a client may do wrong before it is banned, and the counters of those bans."""
+"""Limits on client misbehaviour beyond which a client is banned, and the counters of those bans."""
 
-MAX_OPEN_REQUESTS = 32  # of one connection: the protocol's bound
+MAX_OPEN_REQUESTS = 32  # open requests on one connection; a limit of the protocol
 MAX_INVALID_CALLS = 4  # calls answered as invalid, over the life of a connection
-MAX_IMMEDIATE_CANCELLATIONS = 64  # in a row: calls cancelled in the very read that brought them
+MAX_IMMEDIATE_CANCELLATIONS = 64  # consecutive calls cancelled in the same read that delivered them
 
 # Names of the anomaly counters, as they appear in the log.
 PROTOCOL_VIOLATION = "client protocol violations"
@@ -13,11 +13,11 @@
 
 
 class ViolationCounts:
-    """Counts what one client did wrong so far; it survives the time for which its connection is idle.
+    """Counts of one client's violations; they are kept while its connection is idle.
 
     Attributes:
-        invalid_calls: Calls that were answered as invalid.
-        cancellations: Calls in a row that were cancelled in the read that brought them.
+        invalid_calls: Number of calls answered as invalid.
+        cancellations: Number of consecutive calls cancelled in the same read that delivered them.
     """
 
     __slots__ = ("cancellations", "invalid_calls")
@@ -27,23 +27,23 @@
         self.cancellations = 0
 
     def count_invalid_call(self) -> bool:
-        """Count one more invalid call; true where the client has to be banned for it.
+        """Count an invalid call, and return whether the client must be banned.
 
-        Guards against clients that send the same unusable call again as soon as it is answered. Harm: one
-        with an invalid call now and then connects anew.
+        This guards against clients that repeat the same invalid call as soon as it is answered. Side effect:
+        a client that sends an occasional invalid call has to reconnect.
         """
         self.invalid_calls += 1
         return self.invalid_calls >= MAX_INVALID_CALLS
 
     def count_cancellation(self, is_immediate: bool) -> bool:
-        """Count one more cancellation; true where the client has to be banned for it.
+        """Count a cancellation, and return whether the client must be banned.
 
-        Guards against clients that cancel calls by the hundred as they send them. One that soon stops waiting
-        is none of them: when this front is late, calls are read together with their cancellations. Harm: none
-        known; what is open then is little.
+        This guards against clients that cancel hundreds of calls as they send them. Clients with short
+        timeouts must not be banned: when this front is delayed, it reads their calls together with the
+        cancellations. No side effect is known, since few requests are open in that case.
 
         Args:
-            is_immediate: Whether the call came in the same read as its cancellation.
+            is_immediate: Whether the call was received in the same read as its cancellation.
         """
         self.cancellations = self.cancellations + 1 if is_immediate else 0
         return self.cancellations >= MAX_IMMEDIATE_CANCELLATIONS
--- a/weldbend/clients/request.py
+++ b/weldbend/clients/request.py
@@ -1,4 +1,4 @@
-"""One request of a client, and the one answer that it gets."""
+"""One request of a client and its single answer."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -6,41 +6,41 @@
 from weldbend.invariants import check_invariant
 from weldbend.thrift import messages
 
-MILLISECONDS_PER_SECOND = 1000  # in a second; Retry-After travels in whole milliseconds
+MILLISECONDS_PER_SECOND = 1000  # the delay before a retry is sent in whole milliseconds
 
 
 class RequestSource(Protocol):
-    """The connection that a request came on, as far as others need to know it."""
+    """The interface of the connection on which a request was received."""
 
     def finish_request(self, request: "ClientRequest", answer: bytes) -> None:
-        """Send the answer to a request, unless it was cancelled meanwhile."""
+        """Send the answer to a request, unless the request was cancelled."""
 
     def count_invalid_call(self) -> None:
         """Count a call that was answered as invalid."""
 
     def ban(self, reason: str) -> None:
-        """End the connection for what its client did; `reason` names the anomaly counter."""
+        """Ban the client and end the connection; `reason` names the anomaly counter."""
 
     def host(self) -> str:
-        """The address that the client comes from."""
+        """Return the client's address."""
 
 
 @dataclass(eq=False, slots=True)
 class ClientRequest:
     """One request as its client sent it.
 
-    Exactly one of the `answer_*` methods is called for it, unless it is cancelled. A request is open from its
-    last byte until its answer is handed to the connection, or until it is cancelled.
+    Exactly one of the `answer_*` methods is called for each request, unless it is cancelled. A request is
+    open from its last byte until its answer is passed to the connection, or until it is cancelled.
 
     Attributes:
-        client: The connection that it came on and that its answer goes to.
-        seqid: The sequence id of the Thrift call, unique among the open requests of a connection.
-        fields: The text fields of the request.
-        body: The payload, passed on to caches as it is.
-        read_delay: Seconds for which its bytes lay unread while other connections were resumed.
-        received_at: When its last byte came, at the earliest (seconds of the front's clock).
+        client: Connection on which it was received and on which it is answered.
+        seqid: Sequence id of the Thrift call, unique among the open requests of a connection.
+        fields: Text fields of the request.
+        body: Payload, which is passed on to caches unchanged.
+        read_delay: Seconds for which its bytes remained unread while other connections were resumed.
+        received_at: Earliest possible arrival time of its last byte (seconds of the front's clock).
         is_answered: Whether it was answered or cancelled.
-        request_id: The handler's name for it; empty until the handler has accepted it.
+        request_id: Identifier assigned by the handler; empty until the handler has accepted the request.
     """
 
     client: RequestSource
@@ -53,26 +53,30 @@
     request_id: str = ""
 
     def answer_served(self, body: bytes, is_not_modified: bool) -> None:
-        """Answer with the object, or with the statement that the client's copy is current.
+        """Answer with the object, or report that the client's copy is current.
 
         Args:
-            body: The object; empty where it was not modified.
-            is_not_modified: Whether the client's own copy is still current.
+            body: The object; empty if it was not modified.
+            is_not_modified: Whether the client's copy is still current.
         """
         fields = {"ok304": "1"} if is_not_modified else {}
         self._answer(messages.answer("process", self.seqid, body, fields, True))
 
     def answer_rejected(self, retry_after: float) -> None:
-        """Reject it for overload; a `retry_after` (seconds) above zero tells the client when to retry."""
+        """Reject the request because of overload.
+
+        Args:
+            retry_after: Seconds after which the client should retry; 0 or less to send no such hint.
+        """
         fields = {"after": str(int(retry_after * MILLISECONDS_PER_SECOND))} if retry_after > 0 else {}
         self._answer(messages.overloaded(self.seqid, fields))
 
     def answer_failed(self) -> None:
-        """Answer that it failed, with no hint whether to retry."""
+        """Answer that the request failed, without a hint whether to retry."""
         self._answer(messages.internal(self.seqid))
 
     def answer_invalid(self, reason: str) -> None:
-        """Answer that it cannot be processed as it is, and count it against its client."""
+        """Answer that the request is invalid, and count this as a violation of its client."""
         invalid_call = messages.InvalidCall("process", self.seqid, messages.PROTOCOL_ERROR, reason)
         self._answer(messages.application_exception(invalid_call))
         self.client.count_invalid_call()
