--- a/weldbend/accept_guard.py
+++ b/weldbend/accept_guard.py
@@ -21,7 +21,7 @@
 
 
 class GuardedSocket:
-    """A wrapper of a listening socket whose `accept` raises only `BlockingIOError`.
+    """A wrapper of a listening socket whose `accept` raises no `OSError` but `BlockingIOError`.
 
     All other members are those of the wrapped socket.
     """
@@ -60,7 +60,7 @@
 
     Attributes:
         is_paused: whether accepting is paused because of a fault.
-        consecutive_faults: number of faults since a connection was last accepted.
+        consecutive_faults: number of rounds of accepts in a row that ended with a fault.
     """
 
     def __init__(
--- a/weldbend/cache_protocol/answers.py
+++ b/weldbend/cache_protocol/answers.py
@@ -23,7 +23,7 @@
     def __init__(self, section: str, raw: str | bytes) -> None:
         self.section = section
         self.excerpt = raw[:EXCERPT_LENGTH]
-        super().__init__(f"{section} {self.excerpt!r}")
+        super().__init__(f"invalid {section} of a cache's answer: {self.excerpt!r}")
 
 
 @dataclass(frozen=True, slots=True)
--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -72,5 +72,5 @@
             self.on_ended(self, outcome)
 
     def is_waiting(self) -> bool:
-        """Return whether it still waits to be sent."""
+        """Return whether it is not over and no byte of it has been sent."""
         return not self.is_over and self.connection is None
--- a/weldbend/caches/connection_limiter.py
+++ b/weldbend/caches/connection_limiter.py
@@ -77,7 +77,7 @@
         self.connecting += 1
 
     def connect_ended(self) -> None:
-        """Discount a connect that has succeeded or failed."""
+        """Remove a connect that has succeeded or failed from the count."""
         self.connecting -= 1
         self._schedule_processing()
 
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -56,7 +56,7 @@
 
     @property
     def on_health_answer(self) -> Callable[[int, Answer], bool]:
-        """Function called with each answer that matches no attempt; returns if it answers a health check."""
+        """Callback for answers that match no attempt; returns whether the answer is one to a health check."""
 
     @property
     def limiter(self) -> ConnectionLimiter:
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -168,8 +168,8 @@
 
         A read of READ_SIZE bytes may leave further bytes in the socket that arrived at the same time, so the
         next read counts from that time as well. This guards caches and clients against deadlines that are
-        counted from a delayed read. Side effect: a request that arrived later in that interval has slightly
-        less time than its full deadline.
+        counted from a delayed read. Side effect: a request that in fact arrived later has slightly less time
+        than its full deadline.
 
         Args:
             count: Number of bytes read.
@@ -216,7 +216,7 @@
         """Handle cancellations among buffered calls that are held back because the client reads no answers.
 
         This guards caches against attempts for requests that the client has already cancelled. No side effect
-        is known. A cancellation that does not fit into the ring is found only when it is read.
+        is known. Cancellations for which the ring has no space are found only when they are read.
         """
         while found := peek_small_frame(self.incoming, self.scanned_bytes, MAX_CANCELLATION_SIZE):
             end, data = found
@@ -229,7 +229,7 @@
     def _handle_call(self, call: messages.Call) -> None:
         self.call_count += 1
         match call:
-            case messages.Process(seqid) if seqid in self.open_requests:  # must never get a second answer
+            case messages.Process(seqid) if seqid in self.open_requests:  # an open id gets only one answer
                 self.ban(misbehaviour.REUSED_SEQUENCE_ID)
             case messages.Process() if len(self.open_requests) >= misbehaviour.MAX_OPEN_REQUESTS:
                 self.ban(misbehaviour.TOO_MANY_OPEN)
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -27,12 +27,12 @@
 BACKLOG = 1024  # connections that the kernel may queue for this port
 DEAD_PEER_TIMEOUT = 60  # seconds until a client that does not respond, or does not read, is disconnected
 CHECK_INTERVAL = 0.125  # seconds between two checks of a live connection
-MIN_STANDSTILL = 1.0  # seconds between two rounds of checks above which the process was stalled
+MIN_STANDSTILL = 1.0  # seconds; after a longer gap between rounds of checks, the process counts as stalled
 CLOSE_COUNTERS = {  # names of the anomaly counters, as they appear in the log
     ConnectionAction.CLOSE_SILENT: "idle clients without a call",
     ConnectionAction.CLOSE_INCOMPLETE: "clients with an incomplete call",
 }
-# Sort key of an idle connection, with the first to be evicted first; then its descriptor and None, or -1 and
+# A candidate for eviction: its sort key, then its descriptor and None if it is idle in the pool, else -1 and
 # its connection object.
 Candidate = tuple[tuple[bool, int, float], int, ClientConnection | None]
 
@@ -166,7 +166,7 @@
     # Live connections.
 
     def client_connected(self, client: ClientConnection) -> None:
-        """Register an accepted connection, and evict an idle one if the limit is exceeded.
+        """Register an accepted connection, and evict idle ones if the limit is reached.
 
         The number of accepts in one iteration of the event loop is reset here. This guards timers against
         delays by bursts of connections, since Twisted would accept more and more of them in one iteration.
