--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -14,7 +14,12 @@
 
 from weldbend.fleet import messages as m
 from weldbend.fleet.anti_entropy import AntiEntropy, resume_after_standstill
-from weldbend.fleet.conservative_merge import FAR_OFFSET, MOST_PURGES, PeerPurges, stricter_state
+from weldbend.fleet.conservative_merge import (
+    MAX_PURGES_PER_SECOND,
+    UNREACHABLE_OFFSET,
+    PeerPurgeLimiter,
+    stricter_state,
+)
 from weldbend.fleet.front_adapter import FleetAdapter
 from weldbend.fleet.member_table import Rank, State
 from weldbend.fleet.membership import MAX_INCARNATION_LEAP, Membership
@@ -735,7 +740,7 @@
     assert told.phase("e1") == "READY", "its own bus has read as far"
     told.peer("drain", "e1", 9, 1)
     assert told.phase("e1") == "DRAINING"
-    told.peer("drain", "e2", FAR_OFFSET, 2)
+    told.peer("drain", "e2", UNREACHABLE_OFFSET, 2)
     assert told.phase("e2") == "READY", "no bus reaches that number"
 
 
@@ -768,14 +773,14 @@
 def test_what_is_heeded_of_peers_is_stricter_or_nothing():
     assert stricter_state(None, 5) is None
     assert stricter_state((6, 0), 5) is None, "up loosens nothing"
-    assert [stricter_state((n, 2), 5) for n in (4, 5, 6, FAR_OFFSET)] == [None, None, "removed", None]
+    assert [stricter_state((n, 2), 5) for n in (4, 5, 6, UNREACHABLE_OFFSET)] == [None, None, "removed", None]
 
 
 def test_purges_of_peers_are_bounded_in_number_and_moment():
-    purges = PeerPurges()
+    purges = PeerPurgeLimiter()
     assert purges.effective_from(90.0, 1.0, 100.0) == 90.0
     assert purges.effective_from(500.0, 1.0, 100.0) == 100.0, "a moment in the future is cut to now"
-    taken = [purges.effective_from(90.0, 2.0, 100.0) for _ in range(MOST_PURGES + 50)]
+    taken = [purges.effective_from(90.0, 2.0, 100.0) for _ in range(MAX_PURGES_PER_SECOND + 50)]
     assert taken.count(None) == 50
     assert purges.effective_from(90.0, 3.0, 100.0) == 90.0
     assert purges.anomalies == 51
--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -215,7 +215,7 @@
     item = joined.fleet.store.items["keyed", "once"]
     found = scope._possible_execution(item, joined.now())
     assert found.sent <= first
-    assert found.sent >= first - 2 * idempotency.MOST_CLOCK_ERROR
+    assert found.sent >= first - 2 * idempotency.MAX_CLOCK_ERROR
 
 
 def test_a_snapshot_dates_a_first_attempt_as_its_donor_does():
--- a/tests/test_fleet_operation.py
+++ b/tests/test_fleet_operation.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from weldbend.fleet.client_limits import MOST_PUBLISHED, ClientRateLimit
+from weldbend.fleet.client_limits import MAX_PUBLISHED_CLIENTS, ClientRateLimit
 
 
 def test_of_clients_with_equal_rates_the_same_are_published_in_every_process():
@@ -17,4 +17,4 @@
     limit.requests.update(clients * 2)
     limit.requests["10.0.1.1"] = 3
     limit.tick()
-    assert published == ["10.0.1.1", *clients[: MOST_PUBLISHED - 1]]
+    assert published == ["10.0.1.1", *clients[: MAX_PUBLISHED_CLIENTS - 1]]
--- a/tests/test_half_open.py
+++ b/tests/test_half_open.py
@@ -67,12 +67,12 @@
 
 def test_a_round_that_brings_nothing_binds_the_next_front_to_send():
     detector, record = half_open("a")
-    assert not record.is_bound_to_probe
+    assert not record.must_probe
     tick(detector, 2.0 + HALF_OPEN_SECONDS)
-    assert record.is_bound_to_probe and record.round == 2
+    assert record.must_probe and record.round == 2
     tick(detector, 8.0, report("b", 0.0, 0.0))
     tick(detector, 9.0, report("b", 3.0, 0.0))
-    assert record.state is EjectionState.RECOVERING and not record.is_bound_to_probe
+    assert record.state is EjectionState.RECOVERING and not record.must_probe
 
 
 def test_a_front_follows_those_that_have_seen_more_of_the_probe():
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from weldbend.fleet import health_reports, idempotency, popularity
-from weldbend.fleet.health_reports import HealthReport, HealthReporter, combined, weight
+from weldbend.fleet.health_reports import HealthReport, HealthReporter, combine, weight
 from weldbend.fleet.member_table import Member, State
 from weldbend.fleet.popularity import PopularityCounts, PopularitySlots
 from weldbend.routing.events import (
@@ -101,26 +101,26 @@
 
 
 def reports(*records, whole=(100.0, 0.0), **held):
-    return [HealthReport(f"w{n}", held.get("is_near", True), held.get("age", 0.0), record, whole)
+    return [HealthReport(f"w{n}", held.get("is_same_zone", True), held.get("age", 0.0), record, whole)
             for n, record in enumerate(records)]  # fmt: skip
 
 
 def test_no_front_alone_makes_another_suspect_a_cache():
-    assert combined(reports((0.0, 1e9))) == (0.0, 0.0)
-    assert combined(reports((0.0, 1e9), (5.0, 0.0), (5.0, 0.0))) == (0.0, 0.0)
-    assert combined(reports((0.0, 4.0), (0.0, 4.0)))[1] > 3
+    assert combine(reports((0.0, 1e9))) == (0.0, 0.0)
+    assert combine(reports((0.0, 1e9), (5.0, 0.0), (5.0, 0.0))) == (0.0, 0.0)
+    assert combine(reports((0.0, 4.0), (0.0, 4.0)))[1] > 3
 
 
 def test_a_report_counts_less_the_older_the_further_and_the_worse_its_writer_fares():
     (plain,), (old,), (far,) = (
         reports((0.0, 4.0)),
         reports((0.0, 4.0), age=5.0),
-        reports((0.0, 4.0), is_near=False),
+        reports((0.0, 4.0), is_same_zone=False),
     )
     assert weight(old) == pytest.approx(weight(plain) / 2) and weight(far) == weight(plain) / 2
     (own_line,) = reports((0.0, 4.0), whole=(2.0, 40.0))
     assert weight(own_line) < 0.02 * weight(plain)
-    assert weight(reports((0.0, 4.0), age=health_reports.SPAN + 1)[0]) == 0
+    assert weight(reports((0.0, 4.0), age=health_reports.REPORT_SPAN + 1)[0]) == 0
 
 
 @settings(max_examples=200, derandomize=True)
@@ -132,8 +132,8 @@
     found = [
         HealthReport(f"w{n}", near, age, (good, bad), whole) for n, (good, bad, age, near) in enumerate(told)
     ]
-    good, bad = combined(found)
-    assert math.isfinite(good) and good + bad <= health_reports.MOST_ANSWERS * max(len(found) - 1, 0) + 1e-6
+    good, bad = combine(found)
+    assert math.isfinite(good) and good + bad <= health_reports.MAX_ANSWERS * max(len(found) - 1, 0) + 1e-6
 
 
 def test_a_front_reports_what_fails_and_when_it_has_recovered():
@@ -194,7 +194,7 @@
 
 def test_slots_and_their_counts_are_bounded(monkeypatch):
     slots = PopularitySlots(began_at=0.0)
-    for name in range(popularity.MOST_HASHES + 10):
+    for name in range(popularity.MAX_SLOT_HASHES + 10):
         slots.add(name)
     assert slots.omitted == 10
     _, text = slots.tick(5.0)
@@ -202,15 +202,15 @@
     counts = PopularityCounts()
     for bad in (
         "not base85 \x01",
-        popularity.pack_slot(list(range(popularity.MOST_HASHES + 1))),
+        popularity.pack_slot(list(range(popularity.MAX_SLOT_HASHES + 1))),
         text + "00",
     ):
         counts.replace("1|n2", bad, 9.0)
     assert counts.rejected == 3 and counts.size == 0
-    monkeypatch.setattr(popularity, "MOST_COUNTED", popularity.MOST_HASHES)
+    monkeypatch.setattr(popularity, "MAX_COUNTED_HASHES", popularity.MAX_SLOT_HASHES)
     counts.replace("1|n2", text, 9.0)
     counts.replace("2|n2", text, 9.0)
-    assert counts.size == popularity.MOST_HASHES and counts.rejected == 4
+    assert counts.size == popularity.MAX_SLOT_HASHES and counts.rejected == 4
 
 
 def test_a_request_that_another_front_had_before_counts_as_the_second_one():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -9,7 +9,15 @@
 
 from weldbend.fleet import lease_policy
 from weldbend.fleet.demand_share import FLOOR, DemandEstimate, PeerFigure, demand_fraction
-from weldbend.fleet.lease_ledger import PARTS, Borrower, Grant, LeaseLedger, LeaseTimes, Loan, owned_parts
+from weldbend.fleet.lease_ledger import (
+    PARTS_PER_LIMIT,
+    Grant,
+    Lease,
+    LeaseLedger,
+    LeaseRequestId,
+    LeaseTimes,
+    owned_parts,
+)
 from weldbend.fleet.lease_policy import (
     LeasePolicy,
     LeaseRequest,
@@ -49,7 +57,7 @@
 def test_parts_are_owned_once_and_as_evenly_as_they_are_worth_anything(names, limit, attempts):
     shares = owned_parts(limit, names, attempts)
     held = [parts for parts in shares.values() if parts]
-    assert sum(held) == PARTS and max(held) - min(held) <= 1
+    assert sum(held) == PARTS_PER_LIMIT and max(held) - min(held) <= 1
     assert len(held) == min(len(names), max(int(attempts), 1))
     assert shares == owned_parts(limit, sorted(names, reverse=True), attempts)
 
@@ -57,7 +65,7 @@
 def test_what_is_granted_is_out_until_the_term_and_a_window_are_surely_over():
     lender, borrower = ledger_of(), ledger_of(0)
     number = borrower.request(10.0, "a", 30)
-    grant = lender.grant(10.4, Borrower("b", 1, number), 30, used=0)
+    grant = lender.grant(10.4, LeaseRequestId("b", 1, number), 30, used=0)
     assert grant.parts == 30 and lender.retained(10.4) == 70
     assert borrower.accept_grant(10.9, "a", grant) and borrower.available(10.9) == 30
     assert (
@@ -68,27 +76,29 @@
 
 def test_nothing_is_granted_that_the_own_last_window_needs():
     lender = ledger_of()
-    assert lender.grant(0.0, Borrower("b", 1, 1), 100, used=60.5).parts == 39
-    assert lender.grant(0.0, Borrower("c", 1, 1), 100, used=60.5).parts == 0
+    assert lender.grant(0.0, LeaseRequestId("b", 1, 1), 100, used=60.5).parts == 39
+    assert lender.grant(0.0, LeaseRequestId("c", 1, 1), 100, used=60.5).parts == 0
 
 
 def test_the_same_request_is_granted_once_however_often_it_comes():
     lender = ledger_of()
-    first = lender.grant(0.0, Borrower("b", 1, 1), 30, 0)
-    assert lender.grant(0.5, Borrower("b", 1, 1), 30, 0) == replace(first, spare=0)
+    first = lender.grant(0.0, LeaseRequestId("b", 1, 1), 30, 0)
+    assert lender.grant(0.5, LeaseRequestId("b", 1, 1), 30, 0) == replace(first, spare=0)
     assert lender.retained(0.5) == 70
-    lender.grant(1.0, Borrower("b", 1, 2), 40, 0)
+    lender.grant(1.0, LeaseRequestId("b", 1, 2), 40, 0)
     assert lender.retained(1.0) == 60, "a later request takes the place of the one before"
-    assert lender.grant(1.1, Borrower("b", 1, 1), 30, 0).parts == 0, "and one that comes late is refused"
+    assert (
+        lender.grant(1.1, LeaseRequestId("b", 1, 1), 30, 0).parts == 0
+    ), "and one that comes late is refused"
 
 
 def test_what_a_borrower_gets_less_stays_out_as_long_as_it_was():
     lender = ledger_of()
-    lender.grant(0.0, Borrower("b", 1, 1), 40, 0)
-    lender.grant(1.0, Borrower("b", 1, 2), 10, 0)
+    lender.grant(0.0, LeaseRequestId("b", 1, 1), 40, 0)
+    lender.grant(1.0, LeaseRequestId("b", 1, 2), 10, 0)
     assert lender.retained(3.01) == 60 and lender.retained(3.03) == 90 and lender.retained(4.03) == 100
-    lender.grant(4.1, Borrower("b", 1, 3), 20, 0)
-    lender.grant(4.2, Borrower("b", 1, 4), 20, 0)
+    lender.grant(4.1, LeaseRequestId("b", 1, 3), 20, 0)
+    lender.grant(4.2, LeaseRequestId("b", 1, 4), 20, 0)
     assert lender.retained(4.2) == 80, "what it has already is no more than that"
 
 
@@ -113,7 +123,7 @@
 def test_a_start_that_knows_nothing_holds_nothing_of_its_own_for_a_term_and_a_window():
     held = ledger_of(recovering_until=TIMES.recovery)
     assert held.retained(0.0) == held.retained(TIMES.recovery - 0.01) == 0
-    assert held.grant(1.0, Borrower("b", 1, 1), 10, 0).parts == 0
+    assert held.grant(1.0, LeaseRequestId("b", 1, 1), 10, 0).parts == 0
     assert held.retained(TIMES.recovery) == 100
     assert TIMES.recovery >= TIMES.term + TIMES.window
 
@@ -121,13 +131,13 @@
 def test_a_released_lease_counts_for_a_window_yet():
     lender, borrower = ledger_of(), ledger_of(0)
     number = borrower.request(0.0, "a", 30)
-    borrower.accept_grant(0.1, "a", lender.grant(0.05, Borrower("b", 1, number), 30, 0))
+    borrower.accept_grant(0.1, "a", lender.grant(0.05, LeaseRequestId("b", 1, number), 30, 0))
     assert borrower.release(0.2, "a") == number and borrower.available(0.2) == 0
-    lender.accept_release(0.3, Borrower("b", 1, number), unspent=False)
+    lender.accept_release(0.3, LeaseRequestId("b", 1, number), unspent=False)
     assert lender.retained(1.31) == 70 and lender.retained(1.33) == 100
     assert borrower.release(0.2, "a") == 0
-    lender.grant(2.0, Borrower("b", 1, 2), 30, 0)
-    lender.accept_release(2.1, Borrower("b", 1, 2), unspent=True)
+    lender.grant(2.0, LeaseRequestId("b", 1, 2), 30, 0)
+    lender.accept_release(2.1, LeaseRequestId("b", 1, 2), unspent=True)
     assert lender.retained(2.1) == 100, "of which nothing was spent"
 
 
@@ -169,7 +179,7 @@
 class CountsFromTheAnswer(LeaseLedger):
     def accept_grant(self, now, lender, grant):
         if grant.epoch == self.epoch and grant.parts:
-            self.leased[lender] = Loan(grant.parts, now + self.times.borrower_term, grant.number)
+            self.leased[lender] = Lease(grant.parts, now + self.times.borrower_term, grant.number)
         return bool(grant.parts)
 
 
@@ -205,7 +215,7 @@
     def grant(self, now, borrower, parts, used):
         grant = super().grant(now, borrower, parts, used)
         if grant.parts:
-            self.granted[borrower] = Loan(grant.parts, now + self.times.term)
+            self.granted[borrower] = Lease(grant.parts, now + self.times.term)
         return grant
 
 
@@ -214,7 +224,7 @@
         request = self.pending.get(lender)
         came = super().accept_grant(now, lender, grant)
         if came:
-            self.leased[lender] = Loan(grant.parts, request.sent_at + self.times.term, grant.number)
+            self.leased[lender] = Lease(grant.parts, request.sent_at + self.times.term, grant.number)
         return came
 
 
@@ -271,11 +281,13 @@
 
 def test_false_claims_get_no_more_than_lies_idle_and_no_longer_than_a_term():
     owner, ledger = policy_with_demand(8), LeaseLedger(100, TIMES, 1)
-    got = ledger.grant(0.0, Borrower("liar", 1, 1), grantable(owner, "liar", PARTS, 100, 0.0, 1), 0.0).parts
+    got = ledger.grant(
+        0.0, LeaseRequestId("liar", 1, 1), grantable(owner, "liar", PARTS_PER_LIMIT, 100, 0.0, 1), 0.0
+    ).parts
     assert got <= 40 and ledger.retained(0.0) >= 60
     for look in range(20):  # now it needs all of it itself
         owner.observe(0.1 + look / 10, Usage(0.0, 130.0, 10.0))
-    assert grantable(owner, "liar", PARTS, 100, 0.0, 1, had=got) == 0, "nothing is renewed"
+    assert grantable(owner, "liar", PARTS_PER_LIMIT, 100, 0.0, 1, had=got) == 0, "nothing is renewed"
     assert ledger.retained(TIMES.recovery) == 100
 
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -10,7 +10,7 @@
     ClientBan,
     EjectionState,
     OutlierDetector,
-    accusation,
+    assess_outlier,
     banned_clients,
     unlisted_starts,
 )
@@ -28,7 +28,7 @@
 
 
 def judged(own="u", **records):
-    return accusation(reports(**records), ZONES, own)
+    return assess_outlier(reports(**records), ZONES, own)
 
 
 def test_one_front_alone_brings_no_ejection_about():
@@ -47,12 +47,12 @@
 
 def test_a_report_of_one_whose_own_network_is_faulty_does_not_count():
     said = [*reports(whole=(2.0, 40.0), a=FAILING, b=FAILING), *reports(c=WELL)]
-    assert not accusation(said, ZONES, "u").is_outlier
+    assert not assess_outlier(said, ZONES, "u").is_outlier
 
 
 def test_what_fails_for_one_zone_is_ejected_in_that_zone():
     records = {"a": FAILING, "b": FAILING, "c": WELL, "d": WELL}
-    assert judged("u", **records) == outlier_detection.Accusation(True, ("a", "b"), "u")
+    assert judged("u", **records) == outlier_detection.OutlierAssessment(True, ("a", "b"), "u")
     assert not judged("l", **records).is_outlier
     assert judged("u", a=FAILING, b=FAILING, c=FAILING, d=FAILING).zone == ""
 
@@ -107,7 +107,7 @@
             tick(detector, now := now + 0.5, e1=reports(**{prober_of("e1", case.round): (1.0, bad)}))
         assert case.state is EjectionState.EJECTED
         terms.append(case.until - now)
-    assert terms[:3] == [2.0, 3.0, 4.5] and terms[-1] == outlier_detection.MOST_EJECTION_SECONDS
+    assert terms[:3] == [2.0, 3.0, 4.5] and terms[-1] == outlier_detection.MAX_EJECTION_SECONDS
 
 
 def test_where_the_prober_reports_nothing_another_one_is_drawn():
--- a/weldbend/fleet/ban_spans.py
+++ b/weldbend/fleet/ban_spans.py
@@ -10,12 +10,12 @@
 SPAN_PREFIX = "cast-for/"  # of the names of these settings
 
 
-def span_text(until: int, seconds: float) -> str:
+def format_span(until: int, seconds: float) -> str:
     """Return the value of the setting for a ban until a Unix second that lasts so many seconds."""
     return f"{until} {seconds:g}"
 
 
-def read_span(setting: Item | None, until: int) -> float | None:
+def parse_span(setting: Item | None, until: int) -> float | None:
     """Return the span, in seconds, of the ban until a Unix second; None where the setting is of none such."""
     if setting is None or not isinstance(setting.value[1], str):
         return None
@@ -26,7 +26,7 @@
         return None
 
 
-def holds(ban: Item, until: int, setting: Item | None, now: float, unix: float) -> bool:
+def is_ban_active(ban: Item, until: int, setting: Item | None, now: float, unix: float) -> bool:
     """Whether a ban still holds.
 
     Args:
@@ -36,5 +36,5 @@
         now: seconds of the monotonic clock.
         unix: the same moment as Unix time, for bans without a span.
     """
-    span = read_span(setting, until)
+    span = parse_span(setting, until)
     return unix < until if span is None else now < ban.first_written_at + span
--- a/weldbend/fleet/cache_states.py
+++ b/weldbend/fleet/cache_states.py
@@ -12,7 +12,7 @@
 
 from weldbend.event_bus.endpoint_registry import ENDPOINT_STATES
 from weldbend.event_bus.events import EndpointRecord
-from weldbend.fleet.conservative_merge import STATES, stricter_state
+from weldbend.fleet.conservative_merge import LIST_STATES, stricter_state
 from weldbend.fleet.quota_service import QuotaService
 from weldbend.fleet.replicated_items import DRAIN, START
 from weldbend.fleet.service import Fleet
@@ -46,7 +46,7 @@
     def publish(self, record: EndpointRecord, offset: int) -> None:
         """Publish what the bus's event of that number says of a cache."""
         if record.state != "up" or (DRAIN, record.uid) in self.fleet.store.items:
-            self.fleet.publish(DRAIN, record.uid, offset, STATES.index(record.state))
+            self.fleet.publish(DRAIN, record.uid, offset, LIST_STATES.index(record.state))
         if record.started_at:
             self.fleet.publish(START, record.uid, round(record.started_at * 1000))
         self.apply(record.uid)
@@ -89,5 +89,5 @@
         item = self.fleet.store.items.get((START, uid))
         if item is None:
             return None
-        told = min(item.first_written_at, self.dispatcher.clock.now())
-        return self.dispatcher.names.peer_start(uid, float(item.value[0]) / 1000, told)
+        first_reported_at = min(item.first_written_at, self.dispatcher.clock.now())
+        return self.dispatcher.names.peer_start(uid, float(item.value[0]) / 1000, first_reported_at)
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -11,16 +11,16 @@
 
 from loguru import logger
 
-from weldbend.fleet.ban_spans import SPAN_PREFIX, holds, span_text
+from weldbend.fleet.ban_spans import SPAN_PREFIX, format_span, is_ban_active
 from weldbend.fleet.outlier_detection import ClientBan, banned_clients
 from weldbend.fleet.quota_context import QuotaContext
 from weldbend.fleet.replicated_items import CLIENT_BAN, CLIENT_RATE, SETTING
 from weldbend.fleet.steady_unix import SteadyUnixTime
 
-MOST_PUBLISHED = 8  # clients that this front publishes in a second, those that request the most
+MAX_PUBLISHED_CLIENTS = 8  # clients that this front publishes in a second, those that request the most
 SMOOTHING = 0.5  # weight of the last second in a client's mean rate
-NEGLIGIBLE = 0.05  # requests a second below which a client is forgotten
-ADDRESS = re.compile(r"[0-9a-fA-F.:]{2,45}")
+NEGLIGIBLE_RATE = 0.05  # requests a second below which a client is forgotten
+CLIENT_ADDRESS = re.compile(r"[0-9a-fA-F.:]{2,45}")
 SETTING_PREFIX = "cast/"  # of the names of operators' settings on clients
 # Verbs of an operator's setting on a client.
 REINSTATE = "pardon"
@@ -57,9 +57,9 @@
     def _is_excess(self, client: str) -> bool:
         """By chance, as much as one client requests of all fronts beyond its limit."""
         limit = self.context.limits.client_rate
-        elsewhere = sum(rate for _, rate in self.context.peer_figures(CLIENT_RATE, client).values())
-        total = self.rates.get(client, 0.0) + elsewhere
-        return total > limit and self.context.random.random() >= limit / total
+        rate_elsewhere = sum(rate for _, rate in self.context.peer_figures(CLIENT_RATE, client).values())
+        total_rate = self.rates.get(client, 0.0) + rate_elsewhere
+        return total_rate > limit and self.context.random.random() >= limit / total_rate
 
     def tick(self) -> None:
         """Update the mean rates and publish the highest ones."""
@@ -68,16 +68,16 @@
             return
         for client in set(self.requests) | set(self.rates):
             rate = (1 - SMOOTHING) * self.rates.get(client, 0.0) + SMOOTHING * self.requests[client]
-            if rate < NEGLIGIBLE:
+            if rate < NEGLIGIBLE_RATE:
                 self.rates.pop(client, None)
             else:
                 self.rates[client] = rate
         self.requests.clear()
-        least = limit / (2 * (len(self.context.fleet.settings.peers) + 1))
+        min_published_rate = limit / (2 * (len(self.context.fleet.settings.peers) + 1))
         # by name where rates are equal: a set has another order in each process
         busiest = sorted(self.rates, key=lambda client: (-self.rates[client], client))
-        for client in busiest[:MOST_PUBLISHED]:
-            if self.rates[client] >= least:
+        for client in busiest[:MAX_PUBLISHED_CLIENTS]:
+            if self.rates[client] >= min_published_rate:
                 self.context.publish_figure(CLIENT_RATE, client, round(self.rates[client], 1))
 
 
@@ -119,7 +119,7 @@
             return False
         if verb == BAN_UNTIL and until.isdigit():
             span = self.context.item(SETTING, SPAN_PREFIX + client)
-            return True if holds(item, int(until), span, self.context.now(), self._unix()) else None
+            return True if is_ban_active(item, int(until), span, self.context.now(), self._unix()) else None
         return None
 
     def _last_reported(self, client: str) -> float:
@@ -150,7 +150,7 @@
         Raises:
             InvalidClientAddressError: where `client` is no address.
         """
-        if not ADDRESS.fullmatch(client):
+        if not CLIENT_ADDRESS.fullmatch(client):
             raise InvalidClientAddressError(client)
         self.context.publish_setting(SETTING_PREFIX + client, text)
         return text
@@ -159,7 +159,7 @@
         """Ban a client for so many seconds; raises InvalidClientAddressError where it is no address."""
         until = int(self.context.loop.clock.unix() + seconds)
         text = self.set_override(client, f"{BAN_UNTIL} {until}")
-        self.context.publish_setting(SPAN_PREFIX + client, span_text(until, seconds))
+        self.context.publish_setting(SPAN_PREFIX + client, format_span(until, seconds))
         return text
 
     def reinstate(self, client: str) -> str:
--- a/weldbend/fleet/conservative_merge.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -5,10 +5,10 @@
 
 from weldbend.fleet.replicated_items import Value
 
-STATES = ("up", "draining", "removed")  # of a cache, as the bus words them; later ones are stricter
-MOST_PURGES = 200  # a second that peers may bring; beyond it the decisions would keep too many
-FAR_OFFSET = 1 << 40  # a list's number that no bus reaches
-MOST_AHEAD = 2.0  # seconds by which a purge may lie ahead of this front's clock, else it is cut to now
+LIST_STATES = ("up", "draining", "removed")  # of a cache, as the bus words them; later ones are stricter
+MAX_PURGES_PER_SECOND = 200  # a second that peers may bring; beyond it the decisions would keep too many
+UNREACHABLE_OFFSET = 1 << 40  # a list's number that no bus reaches
+MAX_CLOCK_AHEAD = 2.0  # seconds by which a purge may lie ahead of this front's clock, else it is cut to now
 
 
 def stricter_state(drain: Value | None, last_read: int) -> str | None:
@@ -21,16 +21,16 @@
         drain: value of the replicated item: revision of the list, and state; None where there is none.
         last_read: number of the last event of this front's own bus.
     """
-    if drain is None or not drain[1] or not last_read < int(drain[0]) < FAR_OFFSET:
+    if drain is None or not drain[1] or not last_read < int(drain[0]) < UNREACHABLE_OFFSET:
         return None
-    return STATES[int(drain[1])]
+    return LIST_STATES[int(drain[1])]
 
 
-class PeerPurges:
+class PeerPurgeLimiter:
     """Which purges of peers are taken over, and from which moment.
 
     Guards against a front whose bus is cut off: the object must not be served older than its purge. Harm: a
-    peer that lies has what it names fetched anew, at most `MOST_PURGES` a second.
+    peer that lies has what it names fetched anew, at most `MAX_PURGES_PER_SECOND` a second.
 
     Attributes:
         anomalies: purges that were not taken over as they came.
@@ -39,7 +39,7 @@
     def __init__(self) -> None:
         self.anomalies = 0
         self._second = 0
-        self._accepted = 0  # in that second
+        self._received = 0  # in that second
 
     def effective_from(self, purged_at: float, now: float, unix: float) -> float | None:
         """Return the Unix second from which a purge counts; None where too many came.
@@ -51,10 +51,10 @@
         """
         if int(now) != self._second:
             self._second = int(now)
-            self._accepted = 0
-        self._accepted += 1
-        is_over_rate = self._accepted > MOST_PURGES
-        is_ahead = purged_at > unix + MOST_AHEAD
+            self._received = 0
+        self._received += 1
+        is_over_rate = self._received > MAX_PURGES_PER_SECOND
+        is_ahead = purged_at > unix + MAX_CLOCK_AHEAD
         if is_over_rate or is_ahead:
             self.anomalies += 1
         if is_over_rate:
--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -13,8 +13,8 @@
 from weldbend.routing.events import ParentQuota
 
 WINDOW = 1.0  # seconds in which an operator's rate holds
-PARENTS = "parents"  # the subject under which demand at the parents is published
-LEAST_CHANGE = 0.02  # of this front's fraction at the parents, below which the decisions keep the old one
+PARENTS_SUBJECT = "parents"  # the subject under which demand at the parents is published
+MIN_CHANGE = 0.02  # of this front's fraction at the parents, below which the decisions keep the old one
 
 
 @dataclass(slots=True)
@@ -60,10 +60,10 @@
 
     def rates_changed(self) -> None:
         """Take over the rates of an installation file that was read anew; demand that is known stays."""
-        before = self.rates
+        previous = self.rates
         self.rates = {}
         for name, limit in self.context.limits.demand_rates:
-            rate = self.rates[name] = before.get(name) or DemandLimit(limit)
+            rate = self.rates[name] = previous.get(name) or DemandLimit(limit)
             rate.limit = limit
 
     def tick(self, now: float, alive: list[str]) -> None:
@@ -82,8 +82,8 @@
         if not context.limits.parent_quotas:
             return
         coverage = min(1.0, len(context.front_names()) / context.settings.fronts)
-        fraction = round(self._divide(PARENTS, self.parents, now, alive) * coverage, 4)
-        if abs(fraction - self.parent_fraction) > LEAST_CHANGE * self.parent_fraction:
+        fraction = round(self._divide(PARENTS_SUBJECT, self.parents, now, alive) * coverage, 4)
+        if abs(fraction - self.parent_fraction) > MIN_CHANGE * self.parent_fraction:
             self.parent_fraction = fraction
             context.loop.post(ParentQuota(fraction))
 
@@ -98,8 +98,8 @@
         ]  # fmt: skip
         if self.context.limits.parent_quotas:
             rows.append({
-                "limit": PARENTS, "kind": "soft", "part": self.parent_fraction,
-                "need": round(self.parents.mean, 2), "others": self._peers_shown(PARENTS),
+                "limit": PARENTS_SUBJECT, "kind": "soft", "part": self.parent_fraction,
+                "need": round(self.parents.mean, 2), "others": self._peers_shown(PARENTS_SUBJECT),
             })  # fmt: skip
         return rows
 
--- a/weldbend/fleet/demand_share.py
+++ b/weldbend/fleet/demand_share.py
@@ -66,15 +66,15 @@
     started.
     """
     others = [front for front in alive if front != name]
-    known = {
+    known_demands = {
         front: peer_demands[front].figure
         for front in others
         if front in peer_demands and peer_demands[front].age <= MAX_AGE
     }
-    total = own_demand + sum(known.values())
+    total = own_demand + sum(known_demands.values())
     members = len(others) + 1
-    unknown = len(others) - len(known)
+    unknown_count = len(others) - len(known_demands)
     if not total:
         return 1 / members
-    fraction = own_demand / (total + unknown * total / (1 + len(known)))
+    fraction = own_demand / (total + unknown_count * total / (1 + len(known_demands)))
     return min(1.0, max(fraction, FLOOR / members))
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -23,14 +23,14 @@
 
     Attributes:
         updates: what the decisions were told of caches that may not have all of their work, by number.
-        broken_off: when this front's connections to a cache broke, as published; seconds, by uid.
+        broken_at: when this front's connections to a cache broke, as published; seconds, by uid.
     """
 
     def __init__(self, context: QuotaContext) -> None:
         self.context = context
         self.detector = OutlierDetector(context.name)
         self.updates: dict[int, EjectionUpdate] = {}
-        self.broken_off: dict[str, float] = {}
+        self.broken_at: dict[str, float] = {}
 
     def update_ejections(
         self, now: float, reports: Mapping[str, list[HealthReport]], alive: Iterable[str]
@@ -46,8 +46,8 @@
             number = names.numbers.get(uid)
             if fraction < 1 and number is not None:
                 is_probe = uid in self.detector.probed
-                is_bound_to_probe = is_probe and self.detector.records[uid].is_bound_to_probe
-                updates[number] = EjectionUpdate(number, fraction, is_probe, is_bound_to_probe)
+                must_probe = is_probe and self.detector.records[uid].must_probe
+                updates[number] = EjectionUpdate(number, fraction, is_probe, must_probe)
         for number in {*updates, *self.updates}:
             update = updates.get(number, EjectionUpdate(number, 1.0))
             if update != self.updates.get(number, EjectionUpdate(number, 1.0)):
@@ -71,7 +71,7 @@
     def find_unlisted_starts(self, now: float) -> None:
         """Publish caches that broke off, and take what two fronts have seen for a start."""
         self._publish_breaks(now)
-        breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_off.items()]
+        breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_at.items()]
         breaks += [
             CacheBreak(uid, writer, item.written_at - float(item.value[2]))
             for uid, writer, item in self.context.live_figures(CACHE_BREAK, now)
@@ -83,15 +83,15 @@
                 self.context.counts["unlisted starts"] += 1
                 self.context.loop.post(PeerKnowledge(cache.id, None, at))
         numbers = self.context.loop.names.numbers
-        self.broken_off = {uid: at for uid, at in self.broken_off.items() if uid in numbers}
+        self.broken_at = {uid: at for uid, at in self.broken_at.items() if uid in numbers}
 
     def _publish_breaks(self, now: float) -> None:
         caches = self.context.loop.router.caches
         for uid, number in self.context.loop.names.numbers.items():
             cache = caches.get(number)
             at = cache.breaks.unreachable_at if cache else -math.inf
-            if at > self.broken_off.get(uid, -math.inf) and now - at < START_WINDOW:
-                self.broken_off[uid] = at
+            if at > self.broken_at.get(uid, -math.inf) and now - at < START_WINDOW:
+                self.broken_at[uid] = at
                 self.context.publish_figure(CACHE_BREAK, uid, round(now - at, 3))
 
     def _admitted_fraction(self, number: int) -> float:
--- a/weldbend/fleet/execution_exchange.py
+++ b/weldbend/fleet/execution_exchange.py
@@ -53,7 +53,7 @@
             self.counts["requests possibly executed elsewhere"] += 1
             return (self._possible_execution(item, now),)
         has_scope = request_class.deduplication_scope is not DeduplicationScope.ALL
-        if is_retry and has_scope and self._may_lack_attempts(now):
+        if is_retry and has_scope and self._may_have_missed_attempts(now):
             self.counts["retries treated as possibly executed"] += 1
             return (PossibleExecution(NOWHERE, -1, now),)
         return ()
@@ -61,7 +61,7 @@
     def _possible_execution(self, item: Item, now: float) -> PossibleExecution:
         return idempotency.possible_execution(item.value, item.first_written_at, now, self.unix())
 
-    def _may_lack_attempts(self, now: float) -> bool:
+    def _may_have_missed_attempts(self, now: float) -> bool:
         members = self.fleet.membership.members.values()
         return self.unknown_attempts.may_exist(
             self.fleet.anti_entropy.is_caught_up, self.fleet.connection_lost_at, members, now
--- a/weldbend/fleet/health_exchange.py
+++ b/weldbend/fleet/health_exchange.py
@@ -47,32 +47,32 @@
         """What other members report of each cache now."""
         records: dict[str, dict[str, tuple[float, Outcomes]]] = defaultdict(dict)
         for (kind, key), item in self.fleet.store.items.items():
-            if kind == HEALTH_REPORT and now - item.written_at < health_reports.SPAN:
+            if kind == HEALTH_REPORT and now - item.written_at < health_reports.REPORT_SPAN:
                 uid, _, writer = key.rpartition("|")
                 records[uid][writer] = now - item.written_at, (float(item.value[2]), float(item.value[3]))
         settings = self.fleet.settings
-        is_near = {
+        is_same_zone = {
             peer.name: peer.zone == settings.zone for peer in settings.peers if peer.name != self.fleet.name
         }
-        of_all_caches = records.pop(health_reports.ALL_CACHES, {})
-        totals = {writer: total for writer, (_, total) in of_all_caches.items()}
+        totals_with_age = records.pop(health_reports.ALL_CACHES, {})
+        totals = {writer: total for writer, (_, total) in totals_with_age.items()}
         return {
             uid: [
-                HealthReport(writer, is_near[writer], age, record, totals.get(writer, record))
+                HealthReport(writer, is_same_zone[writer], age, record, totals.get(writer, record))
                 for writer, (age, record) in sorted(by_writer.items())
-                if writer in is_near
+                if writer in is_same_zone
             ]
             for uid, by_writer in records.items()
         }
 
-    def _publish(self, now: float, followed: Set[str]) -> None:
+    def _publish(self, now: float, watched: Set[str]) -> None:
         uids = self.dispatcher.names.uids
         records = {
             uids[number]: record
             for number, record in health_counts(self.dispatcher.router, now).items()
             if number in uids
         }
-        for uid, record in self.reporter.due_reports(now, records, followed):
+        for uid, record in self.reporter.due_reports(now, records, watched):
             self.number += 1
             key = f"{uid}|{self.fleet.name}"
             self.fleet.publish(HEALTH_REPORT, key, self.fleet.store.epoch, self.number, *record)
@@ -81,7 +81,7 @@
         """Tell the decisions what peers' reports on each cache amount to, where that has changed."""
         numbers = self.dispatcher.names.numbers
         aggregated = {
-            numbers[uid]: health_reports.combined(by_front)
+            numbers[uid]: health_reports.combine(by_front)
             for uid, by_front in reports.items()
             if uid in numbers
         }
@@ -100,10 +100,10 @@
             sum(successes for successes, _ in records.values()),
             sum(failures for _, failures in records.values()),
         )
-        found = dict(reports)
+        combined_reports = dict(reports)
         for number, record in records.items():
             uid = uids.get(number)
             if uid and (uid in reports or uid in recovering or record[1]):
                 own = HealthReport(self.fleet.name, True, 0.0, record, total)
-                found[uid] = [*reports.get(uid, ()), own]
-        return found
+                combined_reports[uid] = [*reports.get(uid, ()), own]
+        return combined_reports
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -4,22 +4,22 @@
 fares with all caches together. Who reads a report weighs it by its age, by where its writer stands, and by
 how well the writer fares with all other caches: one whose own network is faulty has failures everywhere. The
 heaviest accuser is left out, so no front alone, wrong or lying, makes another suspect a cache; and no writer
-counts for more than `MOST_ANSWERS` answers, however many it claims.
+counts for more than `MAX_ANSWERS` answers, however many it claims.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-SPAN = 10.0  # seconds that a report covers; an older one counts for nothing
+REPORT_SPAN = 10.0  # seconds that a report covers; an older one counts for nothing
 REPEAT_INTERVAL = 3.0  # seconds after which the same is published again
-ACCUSED_INTERVAL = 0.9  # the same, for caches that others accuse
-MOST_ANSWERS = 4.0  # that one writer's report counts for at most
+WATCHED_INTERVAL = 0.9  # the same, for caches that others accuse
+MAX_ANSWERS = 4.0  # that one writer's report counts for at most
 OTHER_ZONE_WEIGHT = 0.5  # of the report of a front in another zone: its network path is another
-LEAST_FAILED = 0.5  # failed answers below which nothing is suspected
-MOST_REPORTS = 32  # published at once; the worst first
+MIN_FAILED = 0.5  # failed answers below which nothing is suspected
+MAX_REPORTS = 32  # published at once; the worst first
 ALL_CACHES = "*"  # stands for all caches together
-LEAST_CHANGE = 1.0  # in failed answers, that is published at once
-LEAST_CHANGE_FRACTION = 0.2  # the same, of the failed answers published before
+MIN_CHANGE = 1.0  # in failed answers, that is published at once
+MIN_CHANGE_FRACTION = 0.2  # the same, of the failed answers published before
 
 Outcomes = tuple[float, float]  # answers: good ones and failed ones
 NO_OUTCOMES: Outcomes = (0.0, 0.0)
@@ -36,21 +36,21 @@
     published: dict[str, tuple[float, Outcomes]] = field(default_factory=dict)
 
     def due_reports(
-        self, now: float, outcomes: Mapping[str, Outcomes], accused: Iterable[str] = ()
+        self, now: float, outcomes: Mapping[str, Outcomes], watched: Iterable[str] = ()
     ) -> list[tuple[str, Outcomes]]:
         """Return what to publish now, of caches and of all together (`ALL_CACHES`).
 
-        That is nothing while all attempts end well, unless others accuse a cache (`accused`): of these also
+        That is nothing while all attempts end well, unless others accuse a cache (`watched`): of these also
         a front that fares well reports.
         """
         rounded = {uid: (round(good, 1), round(failed, 1)) for uid, (good, failed) in outcomes.items()}
-        accused = set(accused)
-        reports = self._due_caches(now, rounded, accused)
+        watched = set(watched)
+        reports = self._due_caches(now, rounded, watched)
         total = (
             round(sum(good for good, _ in rounded.values()), 1),
             round(sum(failed for _, failed in rounded.values()), 1),
         )
-        has_reason = reports or accused or any(failed for _, failed in rounded.values())
+        has_reason = reports or watched or any(failed for _, failed in rounded.values())
         if has_reason and self._is_due(ALL_CACHES, total, now, REPEAT_INTERVAL):
             reports.append((ALL_CACHES, total))
         self.published |= {uid: (now, published) for uid, published in reports}
@@ -59,23 +59,23 @@
         return reports
 
     def _due_caches(
-        self, now: float, outcomes: Mapping[str, Outcomes], accused: set[str]
+        self, now: float, outcomes: Mapping[str, Outcomes], watched: set[str]
     ) -> list[tuple[str, Outcomes]]:
-        followed = {uid for uid, (_, (_, failed)) in self.published.items() if failed}
-        followed |= {uid for uid in accused if sum(outcomes.get(uid, NO_OUTCOMES))}
+        candidates = {uid for uid, (_, (_, failed)) in self.published.items() if failed}
+        candidates |= {uid for uid in watched if sum(outcomes.get(uid, NO_OUTCOMES))}
         due = [
             uid
             for uid, (_, failed) in outcomes.items()
-            if (failed or uid in followed)
-            and self._is_due(uid, outcomes[uid], now, ACCUSED_INTERVAL if uid in accused else REPEAT_INTERVAL)
+            if (failed or uid in candidates)
+            and self._is_due(uid, outcomes[uid], now, WATCHED_INTERVAL if uid in watched else REPEAT_INTERVAL)
         ]
         due.sort(key=lambda uid: outcomes[uid][1], reverse=True)
-        return [(uid, outcomes[uid]) for uid in due[:MOST_REPORTS]]
+        return [(uid, outcomes[uid]) for uid in due[:MAX_REPORTS]]
 
     def _is_due(self, uid: str, outcomes: Outcomes, now: float, interval: float) -> bool:
-        published_at, (_, before) = self.published.get(uid, (-SPAN, NO_OUTCOMES))
+        published_at, (_, before) = self.published.get(uid, (-REPORT_SPAN, NO_OUTCOMES))
         failed = outcomes[1]
-        has_changed = abs(failed - before) >= max(LEAST_CHANGE, LEAST_CHANGE_FRACTION * before)
+        has_changed = abs(failed - before) >= max(MIN_CHANGE, MIN_CHANGE_FRACTION * before)
         return has_changed or (failed > 0) != (before > 0) or now - published_at >= interval
 
 
@@ -85,41 +85,43 @@
 
     Attributes:
         writer: the front.
-        is_near: whether it stands in the reader's zone.
+        is_same_zone: whether it stands in the reader's zone.
         age: seconds since it was published.
         outcomes: of its attempts at the cache.
         total: of its attempts at all caches together.
     """
 
     writer: str
-    is_near: bool
+    is_same_zone: bool
     age: float
     outcomes: Outcomes
     total: Outcomes
 
 
-def credit(report: HealthReport) -> float:
+def reliability(report: HealthReport) -> float:
     """Return how well its writer fares with all other caches, from 0 to 1."""
-    good, failed = (max(total - here, 0.0) for total, here in zip(report.total, report.outcomes, strict=True))
+    good, failed = (
+        max(total - at_cache, 0.0) for total, at_cache in zip(report.total, report.outcomes, strict=True)
+    )
     return ((good + 1) / (good + failed + 1)) ** 2
 
 
 def weight(report: HealthReport) -> float:
     """Return how far a report counts, from 0 to 1."""
-    freshness = max(1 - report.age / SPAN, 0.0)
+    freshness = max(1 - report.age / REPORT_SPAN, 0.0)
     answers = sum(report.outcomes)
-    distance = 1.0 if report.is_near else OTHER_ZONE_WEIGHT
-    return credit(report) * freshness * distance * min(1.0, MOST_ANSWERS / answers if answers else 1.0)
+    distance = 1.0 if report.is_same_zone else OTHER_ZONE_WEIGHT
+    return reliability(report) * freshness * distance * min(1.0, MAX_ANSWERS / answers if answers else 1.0)
 
 
-def combined(reports: Iterable[HealthReport]) -> Outcomes:
+def combine(reports: Iterable[HealthReport]) -> Outcomes:
     """Return the answers that all reports on one cache amount to, the heaviest accuser left out."""
-    weighed = [
-        (counts * report.outcomes[1], counts * report.outcomes[0])
+    weighted = [
+        (report_weight * report.outcomes[1], report_weight * report.outcomes[0])
         for report in reports
-        if (counts := weight(report))
+        if (report_weight := weight(report))
     ]
-    weighed.sort(reverse=True)
-    failed = sum(failed for failed, _ in weighed[1:])
-    good = sum(good for _, good in weighed[1:])
-    return (good, failed) if failed >= LEAST_FAILED else NO_OUTCOMES
+    weighted.sort(reverse=True)
+    failed = sum(failed for failed, _ in weighted[1:])
+    good = sum(good for _, good in weighted[1:])
+    return (good, failed) if failed >= MIN_FAILED else NO_OUTCOMES
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -21,7 +21,7 @@
 from weldbend.routing.events import PossibleExecution
 from weldbend.routing.settings import DeduplicationScope
 
-MOST_CLOCK_ERROR = 10.0  # seconds by which another's clock may be wrong before its moment is ignored
+MAX_CLOCK_ERROR = 10.0  # seconds by which another's clock may be wrong before its moment is ignored
 ZONE_PREFIX = "z:"
 CELL_PREFIX = "c:"
 
@@ -39,7 +39,7 @@
     """Return what an item `keyed` binds.
 
     The first attempt is dated by its writer's Unix clock, and at most by when the item was first written: no
-    clock makes the window longer. One that is wrong by less than `MOST_CLOCK_ERROR` may make it shorter by as
+    clock makes the window longer. One that is wrong by less than `MAX_CLOCK_ERROR` may make it shorter by as
     much, which is the strict side.
 
     Args:
@@ -51,7 +51,7 @@
     group = str(value[0])
     first = int(value[1]) / 1000
     age = unix - first
-    is_clock_wrong = abs(age - (now - written_at)) > MOST_CLOCK_ERROR
+    is_clock_wrong = abs(age - (now - written_at)) > MAX_CLOCK_ERROR
     sent = written_at if is_clock_wrong else min(written_at, now - age)
     if group == NOWHERE:
         return PossibleExecution(NOWHERE, -1, sent)
@@ -83,10 +83,10 @@
             members: other fronts as this one sees them.
             now: seconds.
         """
-        if not is_caught_up or any(now - at < self.window for at in lost.values()):
+        if not is_caught_up or any(now - lost_at < self.window for lost_at in lost.values()):
             return True
         return any(
-            one.state is State.SUSPECT or (one.state is State.DEAD and now - one.since < self.window)
-            for one in members
-            if one.epoch and one.received_at > -math.inf
+            member.state is State.SUSPECT or (member.state is State.DEAD and now - member.since < self.window)
+            for member in members
+            if member.epoch and member.received_at > -math.inf
         )
--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -21,8 +21,8 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-PARTS = 1200  # of each limit
-MOST_LOANS = 512  # granted leases of one limit at a time
+PARTS_PER_LIMIT = 1200  # of each limit
+MAX_GRANTED_LEASES = 512  # granted leases of one limit at a time
 
 
 def owned_parts(limit: str, names: Iterable[str], attempts: float) -> dict[str, int]:
@@ -37,7 +37,7 @@
     """
     order = sorted(set(names), key=lambda name: blake2b(f"{limit} {name}".encode(), digest_size=8).digest())
     owners = min(len(order), max(int(attempts), 1))
-    least, remainder = divmod(PARTS, owners) if owners else (0, 0)
+    least, remainder = divmod(PARTS_PER_LIMIT, owners) if owners else (0, 0)
     return {name: (least + (place < remainder)) * (place < owners) for place, name in enumerate(order)}
 
 
@@ -77,7 +77,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Borrower:
+class LeaseRequestId:
     """One request of one run of a front.
 
     Attributes:
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Loan:
+class Lease:
     """A lease, at its lender or at its borrower.
 
     Attributes:
@@ -134,7 +134,7 @@
     spare: int = 0
 
 
-class LoanRow(NamedTuple):
+class LeaseRow(NamedTuple):
     """A lease as the admin port shows it: `way` is "out" or "in", `end` in seconds."""
 
     way: str
@@ -173,8 +173,8 @@
         self.epoch = epoch
         self.recovering_until = recovering_until
         self.last_number = 0
-        self.granted: dict[Borrower, Loan] = {}
-        self.leased: dict[str, Loan] = {}
+        self.granted: dict[LeaseRequestId, Lease] = {}
+        self.leased: dict[str, Lease] = {}
         self.pending: dict[str, PendingRequest] = {}
 
     # Balance.
@@ -187,78 +187,84 @@
 
     def granted_parts(self, now: float) -> int:
         """Parts that are out."""
-        return sum(loan.parts for loan in self.granted.values() if loan.end > now)
+        return sum(lease.parts for lease in self.granted.values() if lease.end > now)
 
     def leased_parts(self, now: float) -> int:
         """Parts that are leased from others."""
-        return sum(loan.parts for loan in self.leased.values() if loan.end > now)
+        return sum(lease.parts for lease in self.leased.values() if lease.end > now)
 
     def available(self, now: float) -> int:
         """Parts that may be spent in the window up to now."""
         return self.retained(now) + self.leased_parts(now)
 
-    def first_end(self, now: float) -> float:
+    def earliest_lease_end(self, now: float) -> float:
         """When the first lease from others ends; infinity where there is none."""
-        return min((loan.end for loan in self.leased.values() if loan.end > now), default=float("inf"))
+        return min((lease.end for lease in self.leased.values() if lease.end > now), default=float("inf"))
 
     # As a lender.
 
     def renewable_parts(self, now: float, name: str, epoch: int) -> int:
         """Parts that are out to one run of a front, and go on being out if it requests them again."""
-        loans = (loan for one, loan in self.granted.items() if (one.name, one.epoch) == (name, epoch))
-        return sum(loan.parts for loan in loans if loan.end > now and not loan.is_ending)
+        leases = (
+            lease
+            for request_id, lease in self.granted.items()
+            if (request_id.name, request_id.epoch) == (name, epoch)
+        )
+        return sum(lease.parts for lease in leases if lease.end > now and not lease.is_ending)
 
     def returning_parts(self, now: float) -> int:
         """Parts that are out and come back by themselves."""
-        return sum(loan.parts for loan in self.granted.values() if loan.end > now and loan.is_ending)
+        return sum(lease.parts for lease in self.granted.values() if lease.end > now and lease.is_ending)
 
-    def grant(self, now: float, borrower: Borrower, parts: int, used: float) -> Grant:
+    def grant(self, now: float, request_id: LeaseRequestId, parts: int, used: float) -> Grant:
         """Grant up to so many parts, in place of all that this borrower has.
 
         The same request gets the same answer. What the borrower had beyond the new grant stays out until it
         would have ended: the answer may never arrive.
         """
         self.discard_ended(now)
-        if borrower in self.granted:
-            return Grant(borrower.epoch, borrower.number, self.granted[borrower].parts)
-        run = (borrower.name, borrower.epoch)
-        before = {one: loan for one, loan in self.granted.items() if (one.name, one.epoch) == run}
-        if any(one.number > borrower.number for one in before):
-            return Grant(borrower.epoch, borrower.number, 0)  # late: a later request was granted
-        had = sum(loan.parts for loan in before.values())
+        if request_id in self.granted:
+            return Grant(request_id.epoch, request_id.number, self.granted[request_id].parts)
+        run = (request_id.name, request_id.epoch)
+        earlier_leases = {
+            earlier: lease for earlier, lease in self.granted.items() if (earlier.name, earlier.epoch) == run
+        }
+        if any(earlier.number > request_id.number for earlier in earlier_leases):
+            return Grant(request_id.epoch, request_id.number, 0)  # late: a later request was granted
+        already_granted = sum(lease.parts for lease in earlier_leases.values())
         retained = self.retained(now)
-        granted = max(min(parts, had + int(retained - used)), 0)
-        if not granted or (not before and len(self.granted) >= MOST_LOANS):
-            return Grant(borrower.epoch, borrower.number, 0, max(int(retained - used), 0))
-        self._replace(before, granted)
-        self.granted[borrower] = Loan(granted, now + self.times.term + self.times.safe_window)
-        return Grant(borrower.epoch, borrower.number, granted, max(int(self.retained(now) - used), 0))
-
-    def _replace(self, before: dict[Borrower, Loan], granted: int) -> None:
+        granted = max(min(parts, already_granted + int(retained - used)), 0)
+        if not granted or (not earlier_leases and len(self.granted) >= MAX_GRANTED_LEASES):
+            return Grant(request_id.epoch, request_id.number, 0, max(int(retained - used), 0))
+        self._replace(earlier_leases, granted)
+        self.granted[request_id] = Lease(granted, now + self.times.term + self.times.safe_window)
+        return Grant(request_id.epoch, request_id.number, granted, max(int(self.retained(now) - used), 0))
+
+    def _replace(self, earlier_leases: dict[LeaseRequestId, Lease], granted: int) -> None:
         """Keep out what a borrower may spend of its earlier leases beyond the new grant."""
-        for one in before:
-            del self.granted[one]
-        later = 0  # parts of those that end later
-        for one, loan in sorted(before.items(), key=lambda entry: entry[1].end, reverse=True):
-            rest = max(later + loan.parts - granted, 0) - max(later - granted, 0)
-            later += loan.parts
-            if rest:
-                self.granted[one] = Loan(rest, loan.end, is_ending=True)
-
-    def accept_release(self, now: float, borrower: Borrower, unspent: bool) -> None:
+        for request_id in earlier_leases:
+            del self.granted[request_id]
+        later_parts = 0  # parts of those that end later
+        for request_id, lease in sorted(earlier_leases.items(), key=lambda entry: entry[1].end, reverse=True):
+            remaining_parts = max(later_parts + lease.parts - granted, 0) - max(later_parts - granted, 0)
+            later_parts += lease.parts
+            if remaining_parts:
+                self.granted[request_id] = Lease(remaining_parts, lease.end, is_ending=True)
+
+    def accept_release(self, now: float, request_id: LeaseRequestId, unspent: bool) -> None:
         """A borrower spends no more of a lease: what it has spent counts for a window yet.
 
         Args:
             now: seconds.
-            borrower: with the number of its request.
+            request_id: the request that brought the lease.
             unspent: whether it had spent nothing at all in the window before, so that nothing is waited for.
         """
-        loan = self.granted.get(borrower)
-        if loan and unspent:
-            del self.granted[borrower]
-        elif loan:
-            end = min(loan.end, now + self.times.safe_window)
-            self.granted[borrower] = Loan(loan.parts, end, is_ending=True)
+        lease = self.granted.get(request_id)
+        if lease and unspent:
+            del self.granted[request_id]
+        elif lease:
+            end = min(lease.end, now + self.times.safe_window)
+            self.granted[request_id] = Lease(lease.parts, end, is_ending=True)
 
     # As a borrower.
 
@@ -277,22 +283,22 @@
         end = request.sent_at + self.times.borrower_term
         if not 0 < grant.parts <= request.parts or end <= now:
             return False
-        self.leased[lender] = Loan(grant.parts, end, grant.number)
+        self.leased[lender] = Lease(grant.parts, end, grant.number)
         return True
 
     def release(self, now: float, lender: str) -> int:
         """Spend no more of a lease; return its number, for its lender, or 0 where there was none."""
         self.pending.pop(lender, None)
-        loan = self.leased.pop(lender, None)
-        return loan.number if loan and loan.end > now else 0
+        lease = self.leased.pop(lender, None)
+        return lease.number if lease and lease.end > now else 0
 
     # Time.
 
     def discard_ended(self, now: float) -> None:
         """Drop what has ended: no balance changes by it."""
-        for borrower in [one for one, loan in self.granted.items() if loan.end <= now]:
-            del self.granted[borrower]
-        for lender in [lender for lender, loan in self.leased.items() if loan.end <= now]:
+        for request_id in [one for one, lease in self.granted.items() if lease.end <= now]:
+            del self.granted[request_id]
+        for lender in [lender for lender, lease in self.leased.items() if lease.end <= now]:
             del self.leased[lender]
         term = self.times.borrower_term
         for lender in [lender for lender, one in self.pending.items() if one.sent_at + term <= now]:
@@ -302,9 +308,9 @@
         """Own so many parts from now on; what is granted stays out, and may exceed it."""
         self.own = own
 
-    def loan_rows(self) -> Iterator[LoanRow]:
+    def lease_rows(self) -> Iterator[LeaseRow]:
         """Yield all leases, for the admin port."""
-        for borrower, loan in self.granted.items():
-            yield LoanRow("out", borrower.name, loan.parts, loan.end)
-        for lender, loan in self.leased.items():
-            yield LoanRow("in", lender, loan.parts, loan.end)
+        for request_id, lease in self.granted.items():
+            yield LeaseRow("out", request_id.name, lease.parts, lease.end)
+        for lender, lease in self.leased.items():
+            yield LeaseRow("in", lender, lease.parts, lease.end)
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -9,20 +9,20 @@
 from collections.abc import Iterable, Iterator, Mapping
 from dataclasses import dataclass, field
 
-from weldbend.fleet.lease_ledger import PARTS, LeaseLedger, LeaseTimes, PendingRequest
+from weldbend.fleet.lease_ledger import PARTS_PER_LIMIT, LeaseLedger, LeaseTimes, PendingRequest
 from weldbend.fleet.rendezvous import rank
 from weldbend.routing.random_source import RandomSource
 
-LENDERS = 4  # to which requests go at a time
-MOST_LENDERS = 64  # the same, where parts of one attempt are still to be gathered
+MAX_LENDERS = 4  # to which requests go at a time
+MAX_LENDERS_WHEN_GATHERING = 64  # the same, where parts of one attempt are still to be gathered
 ANSWER_TIMEOUT = 0.45  # seconds for which an answer is waited for
 GATHERING_TIMEOUT = 1.2  # seconds after which what has been gathered, less than an attempt, is released
-STEP = 0.02  # seconds by which each waits for the front before it to send its requests
-MARGIN = 1.2  # factor on a demand of many attempts: it grows while answers are on their way
-MANY_ATTEMPTS = 4.0
+GATHERING_STAGGER = 0.02  # seconds by which each waits for the front before it to send its requests
+DEMAND_MARGIN = 1.2  # factor on a demand of many attempts: it grows while answers are on their way
+MARGIN_MIN_ATTEMPTS = 4.0
 RESERVED_PERIODS = 5.0  # terms and windows for which one attempt is reserved after a demand
-LOOKBACK = 2.0  # terms and windows for which an own demand keeps parts from being granted
-ROUNDING = 1e-9  # parts that are lost to floating point
+PEAK_PERIODS = 2.0  # terms and windows for which an own demand keeps parts from being granted
+ROUNDING_TOLERANCE = 1e-9  # parts that are lost to floating point
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,12 +32,12 @@
     Attributes:
         used: spent in the last window.
         wanted: what a window would take as things go.
-        attempt: parts that one attempt takes.
+        attempt_cost: parts that one attempt takes.
     """
 
     used: float
     wanted: float
-    attempt: float = 1.0
+    attempt_cost: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -67,12 +67,12 @@
     Attributes:
         borrower: the front's name.
         parts: requested in all.
-        had: parts that it has on lease already.
+        already_leased: parts that it has on lease already.
     """
 
     borrower: str
     parts: int
-    had: int = 0
+    already_leased: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,13 +120,13 @@
         times: of the limit.
         owners: how many parts each member owns.
         random: for the order of lenders, and for backoff.
-        attempt: parts that one attempt takes, exactly.
+        attempt_cost: parts that one attempt takes, exactly.
         demand: attempts of a window that this front could use.
         demand_until: until when `demand` holds, where less is demanded since; seconds.
-        latest: demand by the last sample.
-        mean: demand as a mean of samples, the latest ones counting most.
+        latest_demand: demand by the last sample.
+        mean_demand: demand as a mean of samples, the latest ones counting most.
         sampled_at: when the last sample was taken.
-        demanded_at: when the last sample was that found a demand.
+        last_demand_at: when the last sample was that found a demand.
         peaks: demands of late with their moments, each above those after it.
         slot: the latest in which parts too few for an attempt were requested.
         best_rank: the highest in that slot.
@@ -141,13 +141,13 @@
     times: LeaseTimes
     owners: Mapping[str, int]
     random: RandomSource
-    attempt: float = 1.0
+    attempt_cost: float = 1.0
     demand: float = 0.0
     demand_until: float = -math.inf
-    latest: float = 0.0
-    mean: float = 0.0
+    latest_demand: float = 0.0
+    mean_demand: float = 0.0
     sampled_at: float = -math.inf
-    demanded_at: float = -math.inf
+    last_demand_at: float = -math.inf
     peaks: deque[tuple[float, float]] = field(default_factory=deque)
     slot: int = -1
     best_rank: int = -1
@@ -166,15 +166,17 @@
 
         What was released early would be requested again.
         """
-        self.attempt = usage.attempt
-        self.latest = attempts = max(usage.used, usage.wanted) / usage.attempt
-        self.mean += (1 - math.exp((self.sampled_at - now) / self.period)) * (attempts - self.mean)
+        self.attempt_cost = usage.attempt_cost
+        self.latest_demand = attempts = max(usage.used, usage.wanted) / usage.attempt_cost
+        self.mean_demand += (1 - math.exp((self.sampled_at - now) / self.period)) * (
+            attempts - self.mean_demand
+        )
         self.sampled_at = now
         self._add_peak(now, attempts)
         if attempts >= self.demand or now >= self.demand_until:
             self.demand = attempts
             self.demand_until = now + self.times.term
-            if self.attempt_parts > self.owners.get(self.name, 0):  # gathering one takes a slot
+            if self.whole_attempt_parts > self.owners.get(self.name, 0):  # gathering one takes a slot
                 self.demand_until = now + 2 * self.times.term + self.times.window
 
     def _add_peak(self, now: float, attempts: float) -> None:
@@ -182,22 +184,27 @@
             self.peaks.pop()
         if attempts:
             self.peaks.append((now, attempts))
-            self.demanded_at = now
-        while self.peaks and self.peaks[0][0] <= now - LOOKBACK * self.period:
+            self.last_demand_at = now
+        while self.peaks and self.peaks[0][0] <= now - PEAK_PERIODS * self.period:
             self.peaks.popleft()
 
     def parts_of(self, attempts: float) -> int:
         """Parts that so many attempts take; a part of an attempt is worth nothing."""
-        return min(math.ceil(math.ceil(attempts - ROUNDING) * self.attempt - ROUNDING), PARTS)
+        return min(
+            math.ceil(math.ceil(attempts - ROUNDING_TOLERANCE) * self.attempt_cost - ROUNDING_TOLERANCE),
+            PARTS_PER_LIMIT,
+        )
 
     @property
-    def attempt_parts(self) -> int:
+    def whole_attempt_parts(self) -> int:
         """Whole parts that one attempt takes."""
         return max(self.parts_of(1.0), 1)
 
     def wanted_parts(self) -> int:
         """Parts that this front wants to hold."""
-        return self.parts_of(self.demand * MARGIN if self.demand > MANY_ATTEMPTS else self.demand)
+        return self.parts_of(
+            self.demand * DEMAND_MARGIN if self.demand > MARGIN_MIN_ATTEMPTS else self.demand
+        )
 
     # As a lender.
 
@@ -209,12 +216,14 @@
         that much later.
         """
         attempts = self.peaks[0][1] if self.peaks else 0.0
-        is_recent = self.sampled_at - self.demanded_at < RESERVED_PERIODS * self.period
+        is_recent = self.sampled_at - self.last_demand_at < RESERVED_PERIODS * self.period
         return self.parts_of(max(attempts - math.sqrt(attempts), 1.0 if is_recent else 0.0))
 
-    def certain_parts(self) -> float:
+    def confident_demand_parts(self) -> float:
         """Parts that it demands on the mean, or now beyond what chance may have made of that."""
-        return max(self.latest - 2 * math.sqrt(self.latest), self.mean) * self.attempt
+        return (
+            max(self.latest_demand - 2 * math.sqrt(self.latest_demand), self.mean_demand) * self.attempt_cost
+        )
 
     def grantable(self, request: LeaseRequest, balance: LenderBalance, slot: int) -> int:
         """Return how many parts of what is available to grant on a request.
@@ -225,16 +234,16 @@
         alone: all of them go to a front that has precedence in this time slot.
         """
         available = balance.available
-        if available < self.attempt_parts:
+        if available < self.whole_attempt_parts:
             spare = available if self.has_precedence(request.borrower, slot) else 0
         else:
-            rest = available - request.had + balance.returning
-            certain = self.certain_parts()
-            if certain <= rest:
-                spare = max(request.had, available - self.reserved_parts())
+            remaining = available - request.already_leased + balance.returning
+            confident_demand = self.confident_demand_parts()
+            if confident_demand <= remaining:
+                spare = max(request.already_leased, available - self.reserved_parts())
             else:
-                spare = request.had - math.ceil(certain - rest)
-            spare -= spare % self.attempt_parts  # less than an attempt serves nobody
+                spare = request.already_leased - math.ceil(confident_demand - remaining)
+            spare -= spare % self.whole_attempt_parts  # less than an attempt serves nobody
         return max(min(request.parts, spare, math.floor(available - balance.used)), 0)
 
     def has_precedence(self, borrower: str, slot: int) -> bool:
@@ -245,13 +254,13 @@
         if slot != self.slot:
             self.slot = slot
             self.best_rank = rank(self.limit, slot, self.name) if self.demand else -1
-        found = rank(self.limit, slot, borrower)
-        self.best_rank = max(self.best_rank, found)
-        return found == self.best_rank
+        borrower_rank = rank(self.limit, slot, borrower)
+        self.best_rank = max(self.best_rank, borrower_rank)
+        return borrower_rank == self.best_rank
 
     # As a borrower.
 
-    def note_answer(self, now: float, lender: str, spare: int, has_more: bool) -> None:
+    def record_answer(self, now: float, lender: str, spare: int, has_more: bool) -> None:
         """Take in a lender's answer; `has_more` where it granted more than was leased before."""
         self.spare_hints[lender] = spare
         if not (has_more or spare):
@@ -261,18 +270,20 @@
         """Return what to request, renew and release now; `alive` are members that may answer."""
         available = ledger.available(now)
         surplus = available - self.wanted_parts()
-        releases = list(self._releases(ledger, surplus))
+        releases = list(self._plan_releases(ledger, surplus))
         released = {plan.lender for plan in releases}
-        requests = {plan.lender: plan for plan in self._renewals(now, ledger) if plan.lender not in released}
+        requests = {
+            plan.lender: plan for plan in self._plan_renewals(now, ledger) if plan.lender not in released
+        }
         if surplus >= 0:
             self.gathering_since = None
             return [*releases, *requests.values()]
-        has_attempt = available >= self.attempt_parts
-        if not has_attempt and (not self._may_gather(slot, alive) or self._gathered_in_vain(now)):
+        has_attempt = available >= self.whole_attempt_parts
+        if not has_attempt and (not self._may_gather(slot, alive) or self._gathering_timed_out(now)):
             return [PlannedRelease(lender) for lender in ledger.leased]
         if has_attempt or now >= self.backoff_until:
             missing = -surplus - self._pending_parts(now, ledger)
-            for request in self._requests(now, ledger, missing, alive, slot):
+            for request in self._plan_requests(now, ledger, missing, alive, slot):
                 requests[request.lender] = request
         return [*releases, *requests.values()]
 
@@ -283,42 +294,44 @@
         that all compute alike: as many as there are attempts begin at once, the others each a moment later
         than the one before them, unless a front that ranks before them has sent a request here meanwhile.
         """
-        own = rank(self.limit, slot.number, self.name)
-        if self.slot == slot.number and self.best_rank > own:
+        own_rank = rank(self.limit, slot.number, self.name)
+        if self.slot == slot.number and self.best_rank > own_rank:
             return False
-        before = sum(rank(self.limit, slot.number, name) > own for name in alive if name != self.name)
-        delay = max(before - PARTS // self.attempt_parts + 1, 0) * STEP
+        higher_ranked = sum(
+            rank(self.limit, slot.number, name) > own_rank for name in alive if name != self.name
+        )
+        delay = max(higher_ranked - PARTS_PER_LIMIT // self.whole_attempt_parts + 1, 0) * GATHERING_STAGGER
         return delay <= slot.elapsed < self.period
 
-    def _releases(self, ledger: LeaseLedger, surplus: int) -> Iterator[PlannedRelease]:
+    def _plan_releases(self, ledger: LeaseLedger, surplus: int) -> Iterator[PlannedRelease]:
         """Whole leases that are not needed any more, the smallest first."""
-        for lender, loan in sorted(ledger.leased.items(), key=lambda entry: entry[1].parts):
-            if loan.parts > surplus:
+        for lender, lease in sorted(ledger.leased.items(), key=lambda entry: entry[1].parts):
+            if lease.parts > surplus:
                 return
-            surplus -= loan.parts
+            surplus -= lease.parts
             yield PlannedRelease(lender)
 
-    def _renewals(self, now: float, ledger: LeaseLedger) -> Iterator[PlannedAcquire]:
+    def _plan_renewals(self, now: float, ledger: LeaseLedger) -> Iterator[PlannedAcquire]:
         """Leases that are needed on, in the second half of their term; each requested once in a while."""
-        for lender, loan in ledger.leased.items():
-            is_pending = lender in ledger.pending and self._is_fresh(ledger.pending[lender], now)
-            if loan.end - now < self.times.term / 2 and not is_pending and self.demand > 0:
-                yield PlannedAcquire(lender, loan.parts)
+        for lender, lease in ledger.leased.items():
+            is_pending = lender in ledger.pending and self._may_be_answered(ledger.pending[lender], now)
+            if lease.end - now < self.times.term / 2 and not is_pending and self.demand > 0:
+                yield PlannedAcquire(lender, lease.parts)
 
     def _pending_parts(self, now: float, ledger: LeaseLedger) -> int:
         """Parts that may come of what was requested, beyond what is held already."""
-        leased = {lender: loan.parts for lender, loan in ledger.leased.items()}
+        leased = {lender: lease.parts for lender, lease in ledger.leased.items()}
         return sum(
             max(request.parts - leased.get(lender, 0), 0)
             for lender, request in ledger.pending.items()
-            if self._is_fresh(request, now)
+            if self._may_be_answered(request, now)
         )
 
-    def _is_fresh(self, request: PendingRequest, now: float) -> bool:
+    def _may_be_answered(self, request: PendingRequest, now: float) -> bool:
         """Whether its answer may still come."""
         return now - request.sent_at < ANSWER_TIMEOUT
 
-    def _gathered_in_vain(self, now: float) -> bool:
+    def _gathering_timed_out(self, now: float) -> bool:
         """Whether less than an attempt has been gathered for too long: others may make a whole one of it."""
         if self.gathering_since is None:
             self.gathering_since = now
@@ -328,7 +341,7 @@
         self.backoff_until = now + self.times.term * (0.5 + self.random.random())
         return True
 
-    def _requests(
+    def _plan_requests(
         self, now: float, ledger: LeaseLedger, missing: int, alive: Iterable[str], slot: TimeSlot
     ) -> Iterator[PlannedAcquire]:
         """Requests to some lenders that may have something to spare.
@@ -339,28 +352,28 @@
         """
         if missing <= 0:
             return
-        lenders = self._lenders(now, ledger, alive)
-        if ledger.available(now) < self.attempt_parts:
+        lenders = self._available_lenders(now, ledger, alive)
+        if ledger.available(now) < self.whole_attempt_parts:
             lenders.sort(key=lambda name: rank(self.limit, slot.number, name), reverse=True)
-            most = MOST_LENDERS
+            max_lenders = MAX_LENDERS_WHEN_GATHERING
         else:
             lenders.sort(key=lambda name: (-self.spare_hints.get(name, 0), self.random.random()))
-            most = LENDERS
-        count = min(len(lenders), most)
-        for place, lender in enumerate(lenders[:count]):
-            loan = ledger.leased.get(lender)
-            leased = loan.parts if loan else 0
-            parts = min(math.ceil(missing / (count - place)), self.owners[lender] - leased, missing)
+            max_lenders = MAX_LENDERS
+        count = min(len(lenders), max_lenders)
+        for index, lender in enumerate(lenders[:count]):
+            lease = ledger.leased.get(lender)
+            leased_parts = lease.parts if lease else 0
+            parts = min(math.ceil(missing / (count - index)), self.owners[lender] - leased_parts, missing)
             if parts <= 0:
                 continue
-            yield PlannedAcquire(lender, leased + parts)
+            yield PlannedAcquire(lender, leased_parts + parts)
             missing -= parts
             if missing <= 0:
                 return
 
-    def _lenders(self, now: float, ledger: LeaseLedger, alive: Iterable[str]) -> list[str]:
+    def _available_lenders(self, now: float, ledger: LeaseLedger, alive: Iterable[str]) -> list[str]:
         """Members that own parts, have no fresh request and did not just refuse."""
-        busy = {lender for lender, request in ledger.pending.items() if self._is_fresh(request, now)}
+        busy = {lender for lender, request in ledger.pending.items() if self._may_be_answered(request, now)}
         return [
             name
             for name in alive
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -11,7 +11,14 @@
 from typing import NamedTuple, Protocol
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.lease_ledger import PARTS, Borrower, Grant, LeaseLedger, LeaseTimes, owned_parts
+from weldbend.fleet.lease_ledger import (
+    PARTS_PER_LIMIT,
+    Grant,
+    LeaseLedger,
+    LeaseRequestId,
+    LeaseTimes,
+    owned_parts,
+)
 from weldbend.fleet.lease_policy import (
     LeasePolicy,
     LeaseRequest,
@@ -25,11 +32,11 @@
 from weldbend.routing.random_source import RandomSource
 
 SAMPLE_INTERVAL = 0.08  # seconds between two samples of demand
-MOST_LIMITS = 512  # open at a time
-RETRY_AFTER = (0.1, 0.25)  # seconds after which a request without an answer is sent again
-MOST_REQUESTS = 64  # sent after one sample, for all limits together
-MOST_ARRIVALS = 4096  # remembered of one rate
-ROUNDING = 1e-9  # parts that are lost to floating point
+MAX_OPEN_LIMITS = 512  # open at a time
+RETRY_DELAYS = (0.1, 0.25)  # seconds after which a request without an answer is sent again
+MAX_REQUESTS_PER_SAMPLE = 64  # sent after one sample, for all limits together
+MAX_ARRIVALS = 4096  # remembered of one rate
+ROUNDING_TOLERANCE = 1e-9  # parts that are lost to floating point
 
 
 class Spender(Protocol):
@@ -79,7 +86,9 @@
     def update_spender(self, now: float) -> None:
         """Hand the spender what the ledger holds, where that has changed."""
         ledger = self.ledger
-        allowance = Allowance(max(ledger.retained(now), 0), ledger.leased_parts(now), ledger.first_end(now))
+        allowance = Allowance(
+            max(ledger.retained(now), 0), ledger.leased_parts(now), ledger.earliest_lease_end(now)
+        )
         if allowance != self.allowance:
             self.allowance = allowance
             self.spender.set_allowance(*allowance)
@@ -153,7 +162,7 @@
         """
         if name in self.limits:
             return self.limits[name]
-        if len(self.limits) >= MOST_LIMITS:
+        if len(self.limits) >= MAX_OPEN_LIMITS:
             self.counts["limits over the bound"] += 1
             return None
         owners = owned_parts(name, members, attempts)
@@ -200,11 +209,11 @@
             return [Send(sender, m.GrantLease(body.limit, epoch, body.number, 0))] if is_request else []
         match body:
             case m.AcquireLease(_, number, parts):
-                return [Send(sender, self._grant(now, limit, Borrower(sender, epoch, number), parts))]
+                return [Send(sender, self._grant(now, limit, LeaseRequestId(sender, epoch, number), parts))]
             case m.GrantLease(_, requested_in, number, parts, spare):
                 self._accept_grant(now, limit, sender, Grant(requested_in, number, parts, spare))
             case m.ReleaseLease(_, number, unspent):
-                limit.ledger.accept_release(now, Borrower(sender, epoch, number), unspent)
+                limit.ledger.accept_release(now, LeaseRequestId(sender, epoch, number), unspent)
                 self.counts["leases returned early"] += 1
         return []
 
@@ -213,25 +222,27 @@
         is_accepted = limit.ledger.accept_grant(now, lender, grant)
         if grant.epoch == self.epoch:
             has_more = is_accepted and grant.parts > (before.parts if before else 0)
-            limit.policy.note_answer(now, lender, grant.spare, has_more)
+            limit.policy.record_answer(now, lender, grant.spare, has_more)
         if is_accepted:
             self.counts["leases acquired"] += 1
         limit.update_spender(now)
 
-    def _grant(self, now: float, limit: SharedLimit, borrower: Borrower, parts: int) -> m.GrantLease:
+    def _grant(self, now: float, limit: SharedLimit, request_id: LeaseRequestId, parts: int) -> m.GrantLease:
         ledger = limit.ledger
         policy = limit.policy
         usage = limit.spender.usage(now)
         slot = time_slot_at(self._unix(), ledger.times).number
         policy.observe(now, usage)
-        had = ledger.renewable_parts(now, borrower.name, borrower.epoch)
-        balance = LenderBalance(ledger.retained(now) + had, usage.used, ledger.returning_parts(now))
-        allowed = policy.grantable(LeaseRequest(borrower.name, parts, had), balance, slot)
-        grant = ledger.grant(now, borrower, allowed, usage.used)
+        already_leased = ledger.renewable_parts(now, request_id.name, request_id.epoch)
+        balance = LenderBalance(
+            ledger.retained(now) + already_leased, usage.used, ledger.returning_parts(now)
+        )
+        allowed = policy.grantable(LeaseRequest(request_id.name, parts, already_leased), balance, slot)
+        grant = ledger.grant(now, request_id, allowed, usage.used)
         self.counts["leases granted"] += grant.parts > 0
         limit.update_spender(now)  # before the answer leaves
-        rest = LenderBalance(ledger.retained(now), usage.used)
-        spare = policy.grantable(LeaseRequest(borrower.name, PARTS), rest, slot)
+        remaining = LenderBalance(ledger.retained(now), usage.used)
+        spare = policy.grantable(LeaseRequest(request_id.name, PARTS_PER_LIMIT), remaining, slot)
         return m.GrantLease(limit.name, grant.epoch, grant.number, grant.parts, spare)
 
     # Time.
@@ -245,7 +256,7 @@
         names = sorted(alive)
         for limit in list(self.limits.values()):
             limit.ledger.discard_ended(now)
-            sends += self._retries(now, limit)
+            sends += self._due_retries(now, limit)
             if is_sample_due:
                 limit.policy.observe(now, limit.spender.usage(now))
                 members = [name for name in names if name in limit.members]
@@ -255,7 +266,7 @@
             limit.update_spender(now)
         return sends
 
-    def _retries(self, now: float, limit: SharedLimit) -> list[Send]:
+    def _due_retries(self, now: float, limit: SharedLimit) -> list[Send]:
         """Requests that have no answer, under the same number, so that a lender grants once.
 
         Guards against parts that are lost for a term, since the lender has them out and the borrower does
@@ -267,7 +278,7 @@
         sends = []
         for lender, request in pending.items():
             times = limit.retries.get(request.number, 0)
-            if times < len(RETRY_AFTER) and now - request.sent_at >= RETRY_AFTER[times]:
+            if times < len(RETRY_DELAYS) and now - request.sent_at >= RETRY_DELAYS[times]:
                 limit.retries[request.number] = times + 1
                 self.counts["lease requests retried"] += 1
                 sends.append(Send(lender, m.AcquireLease(limit.name, request.number, request.parts)))
@@ -279,7 +290,7 @@
             limit.update_spender(now)  # nothing of it is spent once the release is sent
             unspent = not limit.spender.usage(now).used
             return [Send(plan.lender, m.ReleaseLease(limit.name, number, unspent))] if number else []
-        if sent >= MOST_REQUESTS:
+        if sent >= MAX_REQUESTS_PER_SAMPLE:
             return []
         number = limit.ledger.request(now, plan.lender, plan.parts)
         self.counts["lease requests"] += 1
@@ -296,11 +307,11 @@
             rows.append({
                 "limit": name, "own": ledger.own, "kept": ledger.retained(now),
                 "lent": ledger.granted_parts(now), "borrowed": ledger.leased_parts(now),
-                "need": round(policy.demand, 2), "pull": policy.attempt_parts,
+                "need": round(policy.demand, 2), "pull": policy.whole_attempt_parts,
                 "quiet": round(max(ledger.recovering_until - now, 0.0), 2),
                 "loans": [
                     {"way": way, "with": front, "parts": parts, "ends in": round(end - now, 2)}
-                    for way, front, parts, end in ledger.loan_rows()
+                    for way, front, parts, end in ledger.lease_rows()
                 ],
             })  # fmt: skip
         return rows
@@ -320,21 +331,21 @@
         self.limit = limit
         self.window = times.spending_window
         self.admitted: deque[float] = deque()
-        self.arrivals: deque[float] = deque(maxlen=MOST_ARRIVALS)
+        self.arrivals: deque[float] = deque(maxlen=MAX_ARRIVALS)
         self._allowance = Allowance(0, 0, math.inf)
 
     def used(self, now: float) -> float:
         """Parts that were spent in the last window."""
         while self.admitted and self.admitted[0] <= now - self.window:
             self.admitted.popleft()
-        return len(self.admitted) / self.limit * PARTS
+        return len(self.admitted) / self.limit * PARTS_PER_LIMIT
 
     def usage(self, now: float) -> Usage:
         """What was used in the last window, and what all arrivals would have used."""
         while self.arrivals and self.arrivals[0] <= now - self.window:
             self.arrivals.popleft()
-        attempt = PARTS / self.limit
-        return Usage(self.used(now), len(self.arrivals) * attempt, attempt)
+        attempt_cost = PARTS_PER_LIMIT / self.limit
+        return Usage(self.used(now), len(self.arrivals) * attempt_cost, attempt_cost)
 
     def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
         """Allow so many parts in a window from now on."""
@@ -345,7 +356,7 @@
         self.arrivals.append(now)
         retained, leased, lease_end = self._allowance
         available = retained + (leased if now < lease_end else 0)
-        if self.used(now) + PARTS / self.limit > available + ROUNDING:
+        if self.used(now) + PARTS_PER_LIMIT / self.limit > available + ROUNDING_TOLERANCE:
             return False
         self.admitted.append(now)
         return True
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -18,17 +18,17 @@
 from enum import Enum
 from itertools import pairwise
 
-from weldbend.fleet.health_reports import HealthReport, Outcomes, credit
+from weldbend.fleet.health_reports import HealthReport, Outcomes, reliability
 from weldbend.fleet.rendezvous import rank
 
-ACCUSED_FRACTION = 0.5  # of failed answers, above which a front accuses a cache
-LEAST_ANSWERS = 2.0  # good and failed ones, from which a front knows a cache
-LEAST_CREDIT = 0.3  # below which a front's own network is taken for the cause
-LEAST_REPORTERS = 2  # fronts that have to agree
+FAILING_FRACTION = 0.5  # of failed answers, above which a front accuses a cache
+MIN_ANSWERS = 2.0  # good and failed ones, from which a front knows a cache
+MIN_RELIABILITY = 0.3  # below which a front's own network is taken for the cause
+MIN_REPORTERS = 2  # fronts that have to agree
 EJECTION_SECONDS = 2.0  # of the first ejection
 EJECTION_GROWTH = 1.5  # factor for each relapse
-MOST_EJECTION_SECONDS = 15.0
-MOST_RELAPSES = 8  # counted
+MAX_EJECTION_SECONDS = 15.0
+MAX_RELAPSES = 8  # counted
 HALF_OPEN_SECONDS = 5.0  # in which the front that is drawn has to report
 RECOVERED_ANSWERS = 3.0  # new good ones that end the half-open state well
 RELAPSED_ANSWERS = 2.0  # new failed ones that end it otherwise
@@ -36,7 +36,7 @@
 RAMP_START = 0.1  # fraction of its work that a cache gets when they begin
 HALF_OPEN_FRACTION = 0.5  # of its own work there, that the front which is drawn sends
 FORGET_SECONDS = 60.0  # after which a relapse is a first ejection again
-MOST_EJECTED = 1 / 3  # of the caches of a kind, at once: more is a fault of the site itself
+MAX_EJECTED_FRACTION = 1 / 3  # of the caches of a kind, at once: more is a fault of the site itself
 BAN_WINDOW = 60.0  # seconds within which two fronts must have banned a client
 START_WINDOW = 3.0  # seconds within which two fronts must have seen a cache break off
 
@@ -61,7 +61,7 @@
         is_bound_to_probe: whether that front sends whatever failures it remembers, as an earlier round
             brought too little to judge by.
         last_reports: what each front reported last since the state was entered.
-        gained: by how much reports have grown in this round, good and failed.
+        new_outcomes: by how much reports have grown in this round, good and failed.
         reporters: fronts that accused it when it was ejected.
         zone: in which it is ejected; empty for all.
     """
@@ -71,15 +71,15 @@
     until: float = math.inf
     relapses: int = 0
     round: int = 0
-    is_bound_to_probe: bool = False
+    must_probe: bool = False
     last_reports: dict[str, Outcomes] = field(default_factory=dict)
-    gained: Outcomes = (0.0, 0.0)
+    new_outcomes: Outcomes = (0.0, 0.0)
     reporters: tuple[str, ...] = ()
     zone: str = ""
 
-    def reset_gains(self) -> None:
+    def reset_new_outcomes(self) -> None:
         """Forget what reports have gained."""
-        self.gained = (0.0, 0.0)
+        self.new_outcomes = (0.0, 0.0)
 
     def add_reports(self, reports: Iterable[HealthReport], prober: str) -> None:
         """Count what is new in the reports: good answers of all fronts, failed ones of the prober.
@@ -88,14 +88,14 @@
         half-open state a moment earlier send already, and the others follow. Guards against fronts that never
         do since the prober of their round has nothing new to say. Harm: one that lies ends the state early.
         """
-        good, failed = self.gained
+        good, failed = self.new_outcomes
         for report in reports:
             before = self.last_reports.get(report.writer, report.outcomes)
             good += max(report.outcomes[0] - before[0], 0.0)
             if report.writer == prober:
                 failed += max(report.outcomes[1] - before[1], 0.0)
             self.last_reports[report.writer] = report.outcomes
-        self.gained = good, failed
+        self.new_outcomes = good, failed
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,7 +109,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Accusation:
+class OutlierAssessment:
     """What the health reports on a cache amount to.
 
     Attributes:
@@ -140,34 +140,38 @@
 
 def is_informed(report: HealthReport) -> bool:
     """Whether its writer knows the cache, and has no faulty network of its own."""
-    return sum(report.outcomes) >= LEAST_ANSWERS and credit(report) >= LEAST_CREDIT
+    return sum(report.outcomes) >= MIN_ANSWERS and reliability(report) >= MIN_RELIABILITY
 
 
-def is_accusing(report: HealthReport) -> bool:
+def reports_failing(report: HealthReport) -> bool:
     """Whether its writer accuses the cache."""
-    return report.outcomes[1] > ACCUSED_FRACTION * sum(report.outcomes)
+    return report.outcomes[1] > FAILING_FRACTION * sum(report.outcomes)
 
 
-def is_majority(accusing: int, informed: int) -> bool:
+def is_majority(failing: int, informed: int) -> bool:
     """Whether more than half accuse."""
-    return 2 * accusing > informed
+    return 2 * failing > informed
 
 
-def accusation(reports: Iterable[HealthReport], zones: Mapping[str, str], own_zone: str) -> Accusation:
+def assess_outlier(
+    reports: Iterable[HealthReport], zones: Mapping[str, str], own_zone: str
+) -> OutlierAssessment:
     """Judge a cache for the fronts of one zone, by the reports of all fronts, the own one among them."""
     informed = [report for report in reports if is_informed(report)]
-    reporters = sorted(report.writer for report in informed if is_accusing(report))
-    if len(reporters) < LEAST_REPORTERS:
-        return Accusation(False)
-    near = [report for report in informed if zones.get(report.writer, "") == own_zone]
-    near_accusing = sum(map(is_accusing, near))
-    if near and not is_majority(near_accusing, len(near)):
-        return Accusation(False)  # most of the fronts of this zone fare well
-    if near_accusing >= LEAST_REPORTERS:
-        far = [report for report in informed if report not in near]
-        is_confined = far and not is_majority(sum(map(is_accusing, far)), len(far))
-        return Accusation(True, tuple(reporters), own_zone if is_confined else "")
-    return Accusation(is_majority(len(reporters), len(informed)), tuple(reporters))
+    reporters = sorted(report.writer for report in informed if reports_failing(report))
+    if len(reporters) < MIN_REPORTERS:
+        return OutlierAssessment(False)
+    same_zone = [report for report in informed if zones.get(report.writer, "") == own_zone]
+    same_zone_failing = sum(map(reports_failing, same_zone))
+    if same_zone and not is_majority(same_zone_failing, len(same_zone)):
+        return OutlierAssessment(False)  # most of the fronts of this zone fare well
+    if same_zone_failing >= MIN_REPORTERS:
+        other_zones = [report for report in informed if report not in same_zone]
+        is_confined = other_zones and not is_majority(
+            sum(map(reports_failing, other_zones)), len(other_zones)
+        )
+        return OutlierAssessment(True, tuple(reporters), own_zone if is_confined else "")
+    return OutlierAssessment(is_majority(len(reporters), len(informed)), tuple(reporters))
 
 
 @dataclass
@@ -213,12 +217,12 @@
             del self.records[uid]
         for uid in sorted(kinds):
             cache_reports = reports.get(uid, [])
-            found = accusation(cache_reports, zones, own_zone)
+            assessment = assess_outlier(cache_reports, zones, own_zone)
             record = self.records.get(uid)
-            if record is None and found.is_outlier and self._may_eject(uid, kinds):
+            if record is None and assessment.is_outlier and self._may_eject(uid, kinds):
                 record = self.records[uid] = EjectionRecord()
             if record:
-                self._update(uid, record, view, found, cache_reports)
+                self._update(uid, record, view, assessment, cache_reports)
         self.probed = {uid for uid, record in self.records.items() if self._is_probed(uid, record, view)}
         return {uid: self._admitted_fraction(uid, record, view) for uid, record in self.records.items()}
 
@@ -228,34 +232,35 @@
         Guards against ejecting what fails for one common cause, the network of a whole site. Harm: where more
         than a third are faulty indeed, the rest is left to what each front sees itself.
         """
-        alike = [one for one, kind in kinds.items() if kind == kinds[uid]]
+        same_kind = [other for other, kind in kinds.items() if kind == kinds[uid]]
         ejected = sum(
-            one in self.records and self.records[one].state is not EjectionState.ADMITTED for one in alike
+            other in self.records and self.records[other].state is not EjectionState.ADMITTED
+            for other in same_kind
         )
-        return ejected + 1 <= max(MOST_EJECTED * len(alike), 1) and len(alike) > 1
+        return ejected + 1 <= max(MAX_EJECTED_FRACTION * len(same_kind), 1) and len(same_kind) > 1
 
     def _update(
         self,
         uid: str,
         record: EjectionRecord,
         view: FleetView,
-        found: Accusation,
+        assessment: OutlierAssessment,
         reports: list[HealthReport],
     ) -> None:
         now = view.now
-        is_over = view.now >= record.until
+        is_expired = view.now >= record.until
         match record.state:
-            case EjectionState.ADMITTED if found.is_outlier:
-                self._eject(uid, record, now, found)
+            case EjectionState.ADMITTED if assessment.is_outlier:
+                self._eject(uid, record, now, assessment)
             case EjectionState.ADMITTED if now - record.since > FORGET_SECONDS:
                 del self.records[uid]
-            case EjectionState.EJECTED if is_over:
+            case EjectionState.EJECTED if is_expired:
                 self._enter(uid, record, EjectionState.HALF_OPEN, now, now + HALF_OPEN_SECONDS)
             case EjectionState.HALF_OPEN:
                 self._update_half_open(uid, record, view, reports)
-            case EjectionState.RECOVERING if found.is_outlier:
-                self._eject(uid, record, now, found)
-            case EjectionState.RECOVERING if is_over:
+            case EjectionState.RECOVERING if assessment.is_outlier:
+                self._eject(uid, record, now, assessment)
+            case EjectionState.RECOVERING if is_expired:
                 self._enter(uid, record, EjectionState.ADMITTED, now, math.inf)
 
     def _update_half_open(
@@ -264,22 +269,22 @@
         prober = self._prober(uid, record, view)
         record.add_reports(reports, prober)
         now = view.now
-        (good, failed) = record.gained
+        (good, failed) = record.new_outcomes
         if good >= RECOVERED_ANSWERS and good > 2 * failed:
             self._enter(uid, record, EjectionState.RECOVERING, now, now + RAMP_SECONDS)
         elif failed >= RELAPSED_ANSWERS:
-            self._eject(uid, record, now, Accusation(True, record.reporters, record.zone))
+            self._eject(uid, record, now, OutlierAssessment(True, record.reporters, record.zone))
         elif now >= record.until:  # it has reported too little: another one is drawn
             record.round += 1
-            record.is_bound_to_probe = True
+            record.must_probe = True
             record.until = now + HALF_OPEN_SECONDS
-            record.reset_gains()
+            record.reset_new_outcomes()
 
-    def _eject(self, uid: str, record: EjectionRecord, now: float, found: Accusation) -> None:
-        seconds = min(EJECTION_SECONDS * EJECTION_GROWTH**record.relapses, MOST_EJECTION_SECONDS)
-        record.relapses = min(record.relapses + 1, MOST_RELAPSES)
-        record.reporters = found.reporters
-        record.zone = found.zone
+    def _eject(self, uid: str, record: EjectionRecord, now: float, assessment: OutlierAssessment) -> None:
+        seconds = min(EJECTION_SECONDS * EJECTION_GROWTH**record.relapses, MAX_EJECTION_SECONDS)
+        record.relapses = min(record.relapses + 1, MAX_RELAPSES)
+        record.reporters = assessment.reporters
+        record.zone = assessment.zone
         record.round += 1
         self._enter(uid, record, EjectionState.EJECTED, now, now + seconds)
 
@@ -290,14 +295,16 @@
         record.state = state
         record.since = now
         record.until = until
-        record.is_bound_to_probe = False
+        record.must_probe = False
         record.last_reports = {}
-        record.reset_gains()
+        record.reset_new_outcomes()
 
     def _prober(self, uid: str, record: EjectionRecord, view: FleetView) -> str:
         """The one front that sends in this round: drawn alike by all that hold the ejection."""
-        fit = [one for one in view.fronts if not record.zone or view.zones.get(one, "") == record.zone]
-        return max(fit or [self.name], key=lambda name: rank(uid, record.round, name))
+        candidates = [
+            front for front in view.fronts if not record.zone or view.zones.get(front, "") == record.zone
+        ]
+        return max(candidates or [self.name], key=lambda name: rank(uid, record.round, name))
 
     def _is_probed(self, uid: str, record: EjectionRecord, view: FleetView) -> bool:
         """Whether a cache is half-open, and this front the one that sends."""
@@ -353,28 +360,28 @@
         duration: seconds of a ban.
         now: seconds.
     """
-    found = {}
+    banned = {}
     for client, client_bans in bans.items():
         by_front = {ban.front: ban.at for ban in sorted(client_bans, key=lambda ban: ban.at)}
-        moments = sorted(by_front.values())
-        if len(moments) < LEAST_REPORTERS:
+        ban_times = sorted(by_front.values())
+        if len(ban_times) < MIN_REPORTERS:
             continue
-        until = moments[-1] + duration
-        if moments[-1] - moments[-2] <= BAN_WINDOW and now < until:
-            found[client] = until
-    return found
+        until = ban_times[-1] + duration
+        if ban_times[-1] - ban_times[-2] <= BAN_WINDOW and now < until:
+            banned[client] = until
+    return banned
 
 
 def unlisted_starts(breaks: Iterable[CacheBreak]) -> dict[str, float]:
     """Return when caches have started though no list says so: two fronts saw each break off, together."""
     by_cache: dict[str, dict[str, float]] = defaultdict(dict)
-    for one in breaks:
-        by_cache[one.cache][one.front] = one.at
-    found: dict[str, float] = {}
+    for cache_break in breaks:
+        by_cache[cache_break.cache][cache_break.front] = cache_break.at
+    starts: dict[str, float] = {}
     for uid, by_front in by_cache.items():
-        moments = sorted(by_front.values(), reverse=True)
-        for later, earlier in pairwise(moments):
+        break_times = sorted(by_front.values(), reverse=True)
+        for later, earlier in pairwise(break_times):
             if later - earlier <= START_WINDOW:
-                found[uid] = later
+                starts[uid] = later
                 break
-    return found
+    return starts
--- a/weldbend/fleet/popularity.py
+++ b/weldbend/fleet/popularity.py
@@ -15,9 +15,9 @@
 from dataclasses import dataclass, field
 
 SLOT_SECONDS = 4.0  # that one slot covers
-SLOTS = 64  # of one front that are kept: its key is used again after so many
-MOST_HASHES = 400  # objects in one slot; what comes beyond is omitted
-MOST_COUNTED = 200_000  # hashes held of all fronts together
+KEPT_SLOTS = 64  # of one front that are kept: its key is used again after so many
+MAX_SLOT_HASHES = 400  # objects in one slot; what comes beyond is omitted
+MAX_COUNTED_HASHES = 200_000  # hashes held of all fronts together
 HASH_BYTES = 4
 
 
@@ -36,16 +36,18 @@
 
 def pack_slot(hashes: list[int]) -> str:
     """Return the text of a slot."""
-    return b85encode(b"".join(one.to_bytes(HASH_BYTES, "big") for one in hashes)).decode()
+    return b85encode(b"".join(hash_value.to_bytes(HASH_BYTES, "big") for hash_value in hashes)).decode()
 
 
 def unpack_slot(text: str) -> "array[int]":
     """Return the hashes of one slot, each once; raises ValueError for a text that is none."""
     data = b85decode(text)
-    if len(data) % HASH_BYTES or len(data) > HASH_BYTES * MOST_HASHES:
+    if len(data) % HASH_BYTES or len(data) > HASH_BYTES * MAX_SLOT_HASHES:
         raise InvalidSlotError(len(data))
-    places = range(0, len(data), HASH_BYTES)
-    return array("I", sorted({int.from_bytes(data[at : at + HASH_BYTES], "big") for at in places}))
+    offsets = range(0, len(data), HASH_BYTES)
+    return array(
+        "I", sorted({int.from_bytes(data[offset : offset + HASH_BYTES], "big") for offset in offsets})
+    )
 
 
 @dataclass(slots=True)
@@ -68,7 +70,7 @@
         """Note a request for an object."""
         if object_hash in self.hashes:
             return
-        if len(self.hashes) < MOST_HASHES:
+        if len(self.hashes) < MAX_SLOT_HASHES:
             self.hashes[object_hash] = None
         else:
             self.omitted += 1
@@ -112,7 +114,7 @@
         except ValueError:
             self.rejected += 1
             return
-        if self.size + len(hashes) > MOST_COUNTED:
+        if self.size + len(hashes) > MAX_COUNTED_HASHES:
             self.rejected += 1
             return
         self.slots[item] = until, hashes
@@ -123,11 +125,11 @@
         """Count the slot of an item no more."""
         _, hashes = self.slots.pop(item, (0.0, array("I")))
         self.size -= len(hashes)
-        for one in hashes:
-            if self.counts[one] <= 1:
-                del self.counts[one]
+        for hash_value in hashes:
+            if self.counts[hash_value] <= 1:
+                del self.counts[hash_value]
             else:
-                self.counts[one] -= 1
+                self.counts[hash_value] -= 1
 
     def discard_expired(self, now: float) -> None:
         """Count slots no more whose items have expired."""
--- a/weldbend/fleet/popularity_exchange.py
+++ b/weldbend/fleet/popularity_exchange.py
@@ -26,10 +26,10 @@
         request_class = self.dispatcher.site.settings.classes[class_name]
         if request_class.origin_only or not self.fleet.settings.popularity:
             return 0
-        name = popularity.object_hash(key, part)
+        hash_value = popularity.object_hash(key, part)
         if not is_retry:
-            self.slots.add(name)
-        return self.peer_counts.count_of(name)
+            self.slots.add(hash_value)
+        return self.peer_counts.count_of(hash_value)
 
     def apply(self, change: Change) -> None:
         """Count a slot of a peer in the same zone: they request the same edge caches.
@@ -47,7 +47,7 @@
         """Forget what has expired, and publish the slot that is complete."""
         self.peer_counts.discard_expired(now)
         if self.fleet.settings.popularity and (slot := self.slots.tick(now)):
-            number, names = slot
-            key = f"{number % popularity.SLOTS}|{self.fleet.name}"
+            number, packed = slot
+            key = f"{number % popularity.KEPT_SLOTS}|{self.fleet.name}"
             self.peer_counts.remove(key)  # of this front's process before this one
-            self.fleet.publish(POPULARITY, key, self.fleet.store.epoch, number, names)
+            self.fleet.publish(POPULARITY, key, self.fleet.store.epoch, number, packed)
--- a/weldbend/fleet/purges.py
+++ b/weldbend/fleet/purges.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from weldbend.event_bus.events import Purge
-from weldbend.fleet.conservative_merge import PeerPurges
+from weldbend.fleet.conservative_merge import PeerPurgeLimiter
 from weldbend.fleet.replicated_items import PURGE
 from weldbend.fleet.replicated_store import Change
 from weldbend.fleet.service import Fleet
@@ -18,7 +18,7 @@
     from weldbend.front.dispatcher import Dispatcher
 
 REPLAY_AFTER = 1.0  # seconds after this front's bus delivered a purge; what a peer publishes then is a replay
-MOST_DELIVERED = 16_384  # purges of this front's own bus that are remembered
+MAX_REMEMBERED_PURGES = 16_384  # purges of this front's own bus that are remembered
 KEY_PREFIX = "k:"  # of an item that purges one object
 GROUP_PREFIX = "g:"  # of an item that purges a group of objects
 
@@ -34,7 +34,7 @@
         self.dispatcher = dispatcher
         self.fleet = fleet
         self.counts = counts
-        self.limiter = PeerPurges()
+        self.limiter = PeerPurgeLimiter()
         self.delivered: dict[tuple[str, int], float] = {}
 
     def publish(self, purge: Purge) -> None:
@@ -42,7 +42,7 @@
         key = f"{KEY_PREFIX}{purge.key}" if purge.key else f"{GROUP_PREFIX}{purge.group}"
         stamp = int(purge.purged_at * 1000)
         self.delivered.setdefault((key, stamp), self.dispatcher.clock.now())
-        if len(self.delivered) > MOST_DELIVERED:
+        if len(self.delivered) > MAX_REMEMBERED_PURGES:
             del self.delivered[next(iter(self.delivered))]
         self.fleet.publish(PURGE, key, stamp)
 
--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -133,7 +133,7 @@
 
     def items(self, kind: str) -> Iterator[tuple[str, Item]]:
         """Keys and items of a kind, whether they still count or not."""
-        return ((key, item) for (found, key), item in self.fleet.store.items.items() if found == kind)
+        return ((key, item) for (item_kind, key), item in self.fleet.store.items.items() if item_kind == kind)
 
     def live_figures(self, kind: str, now: float) -> Iterator[tuple[str, str, Item]]:
         """Subject, writer and item of each published figure of a kind that still counts."""
@@ -157,9 +157,9 @@
     def peer_figures(self, kind: str, subject: str) -> dict[str, PeerFigure]:
         """What other fronts published on a subject, as far as it still counts, by front."""
         now = self.now()
-        found = {}
+        figures = {}
         for peer in self.fleet.settings.peers:
             item = self.item(kind, f"{subject}|{peer.name}")
             if item and peer.name != self.name and item.is_live(ITEM_KINDS[kind], now):
-                found[peer.name] = PeerFigure(now - item.written_at, float(item.value[2]))
-        return found
+                figures[peer.name] = PeerFigure(now - item.written_at, float(item.value[2]))
+        return figures
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -54,12 +54,12 @@
 
     def _make_leases(self) -> LeaseService:
         context = self.context
-        longest = max(context.settings.edge_overload_window, WINDOW)
+        longest_window = max(context.settings.edge_overload_window, WINDOW)
         leases = LeaseService(
             context.name,
             context.fleet.membership.epoch,
             context.random,
-            context.now() + self._times(longest).recovery,
+            context.now() + self._times(longest_window).recovery,
             self.slow_start.open_requested,
             SteadyUnixTime(context.loop.clock),
         )
@@ -163,8 +163,8 @@
         self._open_rates()
         self.demand.rates_changed()
         current = set(self.context.front_names())
-        before = {name for limit in self.leases.limits.values() for name in limit.members}
-        if current >= before:
+        previous = {name for limit in self.leases.limits.values() for name in limit.members}
+        if current >= previous:
             self.leases.set_members(self.slow_start.owners, self.leases.is_newcomer, now)
         else:
             self.leases.is_newcomer = True  # until the others have read their files as well
--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -7,7 +7,7 @@
 import math
 from dataclasses import dataclass
 
-from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
+from weldbend.fleet.lease_ledger import PARTS_PER_LIMIT, LeaseTimes
 from weldbend.fleet.lease_policy import Usage
 from weldbend.fleet.lease_service import LeaseService
 from weldbend.fleet.quota_context import FrontLoop, QuotaContext
@@ -17,7 +17,7 @@
 from weldbend.routing.reports import slow_start_demand
 from weldbend.routing.settings import Role
 
-PREFIX = "cold:"  # of these limits' names
+LIMIT_PREFIX = "cold:"  # of these limits' names
 
 
 @dataclass(slots=True)
@@ -45,11 +45,15 @@
         sent = demand.sent
         wanted = demand.wanted
         attempt = demand.attempt_work
-        return Usage(sent / budget * PARTS, wanted / budget * PARTS, attempt / budget * PARTS)
+        return Usage(
+            sent / budget * PARTS_PER_LIMIT,
+            wanted / budget * PARTS_PER_LIMIT,
+            attempt / budget * PARTS_PER_LIMIT,
+        )
 
     def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
         """Hand the quota to the decisions before all that waits: what is decided from now on goes by it."""
-        unit = self.coverage / PARTS
+        unit = self.coverage / PARTS_PER_LIMIT
         quota = SlowStartQuota(self.cache, True, retained * unit, leased * unit, lease_end)
         self.loop.post(quota, first=True)
 
@@ -89,8 +93,8 @@
 
     def open_requested(self, limit: str) -> None:
         """Open a limit from which another front spends, where this one knows of the same start."""
-        uid, started, _ = limit.removeprefix(PREFIX).rpartition("@")
-        if limit.startswith(PREFIX) and started:
+        uid, started, _ = limit.removeprefix(LIMIT_PREFIX).rpartition("@")
+        if limit.startswith(LIMIT_PREFIX) and started:
             self.open(uid)
 
     def cache_restarted(self, uid: str) -> None:
@@ -108,13 +112,13 @@
         cache = context.cache(uid)
         if not (start and cache and self.is_enabled):
             return
-        limit = f"{PREFIX}{uid}@{int(start.value[0])}"
+        limit = f"{LIMIT_PREFIX}{uid}@{int(start.value[0])}"
         if limit in self.budgets:
             return
         if cache.role is Role.ORIGIN or cache.is_warm():
             context.loop.post(SlowStartQuota(cache.id))
             return
-        for earlier in [one for one in self.budgets if one.startswith(f"{PREFIX}{uid}@")]:
+        for earlier in [other for other in self.budgets if other.startswith(f"{LIMIT_PREFIX}{uid}@")]:
             self.close(earlier)
         self._open_limit(limit, cache)
 
@@ -122,8 +126,8 @@
         settings = self.context.settings
         budget = self.budgets[limit] = SlowStartBudget(self.context.loop, cache.id, 1.0)
         owners = self.owners(limit)
-        sharers = settings.zone_fronts if cache.role is Role.EDGE else settings.fronts
-        budget.coverage = min(1.0, len(owners) / sharers)
+        expected_fronts = settings.zone_fronts if cache.role is Role.EDGE else settings.fronts
+        budget.coverage = min(1.0, len(owners) / expected_fronts)
         times = LeaseTimes(
             self.context.limits.lease_term, settings.edge_overload_window, self.context.limits.clock_drift
         )
--- a/weldbend/fleet/topology.py
+++ b/weldbend/fleet/topology.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable
 from hashlib import blake2b
 
-MESH = 12  # fronts up to which each is connected to all others
+FULL_MESH_SIZE = 12  # fronts up to which each is connected to all others
 
 
 def neighbours(name: str, fronts: Iterable[str]) -> list[str]:
@@ -12,15 +12,15 @@
     Of N fronts each has up to 2 log2 N connections (15 at 200) and a change crosses log2 N of them at most; a
     full mesh of 200 would cost each front 199 connections of its few hundred descriptors.
     """
-    ring = sorted({*fronts, name}, key=lambda one: blake2b(one.encode(), digest_size=8).digest())
-    if len(ring) <= MESH:
-        return [one for one in ring if one != name]
-    place = ring.index(name)
+    ring = sorted({*fronts, name}, key=lambda front: blake2b(front.encode(), digest_size=8).digest())
+    if len(ring) <= FULL_MESH_SIZE:
+        return [front for front in ring if front != name]
+    position = ring.index(name)
     step = 1
-    found: dict[str, None] = {}  # in this order
+    connected: dict[str, None] = {}  # in this order
     while step <= len(ring) // 2:
-        for other in (ring[(place + step) % len(ring)], ring[place - step]):
-            found[other] = None
+        for other in (ring[(position + step) % len(ring)], ring[position - step]):
+            connected[other] = None
         step *= 2
-    found.pop(name, None)
-    return list(found)
+    connected.pop(name, None)
+    return list(connected)
--- a/weldbend/testbed/fleet/lease_model.py
+++ b/weldbend/testbed/fleet/lease_model.py
@@ -12,7 +12,7 @@
 from fractions import Fraction
 from typing import NamedTuple
 
-from weldbend.fleet.lease_ledger import Borrower, Grant, LeaseLedger, LeaseTimes, Loan, PendingRequest
+from weldbend.fleet.lease_ledger import Grant, Lease, LeaseLedger, LeaseRequestId, LeaseTimes, PendingRequest
 
 # The times are whole ticks, and exact: the drift is a fraction in place of a float.
 TICKS = LeaseTimes(term=3, window=1, drift=Fraction(1, 6))  # type: ignore[arg-type]  # see above
@@ -49,8 +49,8 @@
     epoch: int
     number: int  # of its last request for a lease
     quiet: float  # ticks until it may lend, after a start
-    granted: tuple[tuple[Borrower, Loan], ...]
-    acquired: tuple[tuple[str, Loan], ...]
+    granted: tuple[tuple[LeaseRequestId, Lease], ...]
+    acquired: tuple[tuple[str, Lease], ...]
     requested: tuple[tuple[str, PendingRequest], ...]
     spent: tuple[int, ...]
 
@@ -183,8 +183,10 @@
 
     def _older(self, number: int, front: Front) -> Front:
         """One tick later by its own clock."""
-        granted = tuple((to, Loan(loan.parts, loan.end - 1, 0, loan.is_ending)) for to, loan in front.granted)
-        acquired = tuple((of, Loan(loan.parts, loan.end - 1, loan.number)) for of, loan in front.acquired)
+        granted = tuple(
+            (to, Lease(loan.parts, loan.end - 1, 0, loan.is_ending)) for to, loan in front.granted
+        )
+        acquired = tuple((of, Lease(loan.parts, loan.end - 1, loan.number)) for of, loan in front.acquired)
         requested = tuple(
             (of, PendingRequest(one.number, one.parts, one.sent_at - 1)) for of, one in front.requested
         )
@@ -217,12 +219,12 @@
         front = state.fronts[to]
         ledger = self.open_ledger(to, front)
         if kind == "ask":
-            granted = ledger.grant(0, Borrower(str(sender), epoch, number), parts, len(front.spent))
+            granted = ledger.grant(0, LeaseRequestId(str(sender), epoch, number), parts, len(front.spent))
             messages |= {Message("grant", to, sender, granted.epoch, number, granted.parts)}
         elif kind == "grant":
             ledger.accept_grant(0, str(sender), Grant(epoch, number, parts))
         else:
-            ledger.accept_release(0, Borrower(str(sender), epoch, number), bool(parts))
+            ledger.accept_release(0, LeaseRequestId(str(sender), epoch, number), bool(parts))
         return state.with_front(to, self.record(front, ledger))._replace(messages=messages)
 
     # The search.
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from weldbend.fleet import messages as m
-from weldbend.fleet.lease_ledger import PARTS, LeaseTimes
+from weldbend.fleet.lease_ledger import PARTS_PER_LIMIT, LeaseTimes
 from weldbend.fleet.lease_service import LeasedRate, LeaseService
 from weldbend.fleet.messages import Send
 from weldbend.fleet.steady_unix import SteadyUnixTime
@@ -165,7 +165,7 @@
         is_reached = experiment.is_open(self.number, 0) and experiment.is_open(0, self.number)
         if not (keeper.is_up and is_reached and not keeper.is_frozen()):
             return False
-        keeper.rate.set_allowance(PARTS, 0, 0.0)
+        keeper.rate.set_allowance(PARTS_PER_LIMIT, 0, 0.0)
         return keeper.rate.try_admit(experiment.clock(0))
 
 
