--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -1,4 +1,4 @@
-"""Every request, every attempt and every final answer passes here, and each rule is kept here once."""
+"""Admission of requests, attempts and final answers; every rule on them is enforced in this module."""
 
 from weldbend.routing import actions, events
 from weldbend.routing.actor import Actor
@@ -13,23 +13,23 @@
 from weldbend.routing.warm_load import WarmLoad
 from weldbend.routing.windows import DecayingAverage, WindowedSum
 
-RETRY_BUDGET = 0.15  # retries for each request within RETRY_WINDOW
-RETRY_ALLOWANCE = 2  # and so many more
+RETRY_BUDGET = 0.15  # retries allowed per request within RETRY_WINDOW
+RETRY_ALLOWANCE = 2  # retries allowed in addition to this budget
 RETRY_WINDOW = 10.0  # seconds
-RETRY_AFTER = 0.5  # seconds after which a rejected client may come back
-LAG_LIMIT = 0.03  # seconds by which events may come late
-LAG_MEMORY = 0.5  # seconds in which that is forgotten
+RETRY_AFTER = 0.5  # seconds after which a rejected client may retry
+LAG_LIMIT = 0.03  # seconds of event-loop lag above which requests are rejected
+LAG_MEMORY = 0.5  # seconds after which a lag measurement has no effect
 LAG_SMOOTHING = 0.3  # weight of the newest measurement
-QUEUED_LIMIT = 0.35  # part of a latency objective for which a request may have lain unread
-OVER_LIMIT_LOAD = 3.0  # what being over a fleet's limit counts as, one being where rejecting begins
-MAX_ERRORS = 3  # caches that may answer one request with an error before it fails
-WARM_LOAD_WINDOW = 10.0  # seconds over which is measured what warm caches bear
-PURGE_MARGIN = 0.001  # seconds by which a copy has to be younger than a purge
-MIN_COPY_AGE = 2e-6  # seconds; an age of 0 would mean any
+QUEUED_LIMIT = 0.35  # fraction of its latency objective that a request may be queued unread
+OVER_LIMIT_LOAD = 3.0  # load assumed for requests over a fleet-wide limit; rejection starts at a load of 1
+MAX_ERRORS = 3  # error answers after which a request fails
+WARM_LOAD_WINDOW = 10.0  # seconds over which the load of warm caches is measured
+PURGE_MARGIN = 0.001  # seconds by which a copy has to be newer than a purge
+MIN_COPY_AGE = 2e-6  # seconds; as an age limit, 0 would mean that any copy is accepted
 
 
 class Admission(Actor[AdmissionMessage]):
-    """The one gate of a router."""
+    """The part of a router that admits or blocks requests, attempts and final answers."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -40,7 +40,7 @@
         self.lag = DecayingAverage(LAG_SMOOTHING, LAG_MEMORY)
 
     def handle(self, message: AdmissionMessage) -> None:
-        """Pass or stop what has come."""
+        """Process a message, and admit or block what it asks for."""
         match message:
             case events.RequestReceived():
                 self.admit(message)
@@ -63,10 +63,12 @@
                 self.answer(message)
 
     def admit(self, received: events.RequestReceived) -> None:
-        """Guards against more requests than this front has time for, where all would come late.
+        """Admit a request, or reject it when this front is overloaded.
 
-        A part is rejected at once, least priority weight first; so is one that lay unread for too long.
-        Harm: a standstill of the machine costs some requests.
+        Guards against more requests than this front has time to process, which would make every answer late.
+        A fraction of the requests is rejected at once, starting with those of the lowest priority weight. A
+        request that was queued unread for too long is treated in the same way. Side effect: a pause of the
+        machine causes some requests to be rejected.
         """
         context = self.context
         request_class = self.context.settings.classes[received.class_name]
@@ -83,7 +85,7 @@
             context.post(context.requests.setdefault(received.id, request), received)
 
     def find_block(self, attempt: Attempt) -> Blocked | None:
-        """Why an attempt may not be sent; None where it may."""
+        """Return what blocks an attempt; None if it may be sent."""
         request = attempt.request
         statistics = self.context.statistics
         if self.is_exhausted(request) or not self.is_safe(attempt):
@@ -109,10 +111,11 @@
         return None
 
     def is_exhausted(self, request: Request) -> bool:
-        """Whether a request gets no further attempt: no time, no attempts, or no retry budget is left.
+        """Return whether a request may have no further attempt.
 
-        Attempts that this machine's faults ended are not counted: each took the time for a connect, so the
-        deadline bounds them.
+        This is the case when its time, its attempts or the retry budget are used up. Attempts that ended by a
+        fault of this machine are not counted: each of them took the time of a connect, so the deadline bounds
+        them.
         """
         now = self.context.now
         errors = sum(attempt.result is AttemptResult.ERROR for attempt in request.attempts)
@@ -124,7 +127,7 @@
         return errors >= MAX_ERRORS or is_budget_spent or is_expired or is_attempt_limit_reached
 
     def is_safe(self, attempt: Attempt) -> bool:
-        """No effect twice, and never two attempts in flight where a site forbids it."""
+        """Return whether an attempt can have no second effect, and is no hedge where those are forbidden."""
         request = attempt.request
         settings = self.context.settings
         executions = request.possible_executions()
@@ -137,7 +140,10 @@
         return request_class.idempotency is Idempotency.DEDUPLICATED and self.context.now < until
 
     def is_deduplicated(self, attempt: Attempt) -> bool:
-        """Whether its cache recognises the key of what may have run; where it does not, another may."""
+        """Return whether the cache of an attempt recognises the keys of all possible executions.
+
+        If it does not, a different cache may.
+        """
         request_class = attempt.request.request_class
         executions = attempt.request.possible_executions()
         if request_class.idempotency is not Idempotency.DEDUPLICATED:
@@ -145,12 +151,15 @@
         return all(shares_idempotency_keys(request_class.deduplication_scope, e, attempt) for e in executions)
 
     def has_slow_start_budget(self, cache: Cache, request: Request) -> bool:
-        """Whether a cache that may be warming up bears the request."""
+        """Return whether a cache has the capacity for a request, considering that it may be warming up."""
         warm_load = self.warm_load.flows.get(cache.role, 0.0)
         return cache.slow_start.admits(self.context.mean_work(request), warm_load)
 
     def send(self, attempt: Attempt) -> None:
-        """Hand an attempt over, counted with all that it touches; it joins no fill that may be its own."""
+        """Send an attempt and count it at every cache involved.
+
+        The attempt does not join a fill that an earlier attempt of the same request may have started.
+        """
         request = attempt.request
         now = self.context.now
         work = self.context.mean_work(attempt.request)
@@ -166,7 +175,10 @@
         self.context.post_to_participants(attempt)
 
     def max_age(self, attempt: Attempt) -> float:
-        """Oldest copy that will do: never one older than a purge that this front knows of."""
+        """Return the maximum age in seconds of an acceptable copy.
+
+        Copies older than a purge known to this front are never accepted.
+        """
         received = attempt.request.received
         fresh_for = attempt.request.request_class.fresh_for
         purged = self.purges.latest((received.key, received.group))
@@ -174,13 +186,17 @@
         return min(age, fresh_for or age)
 
     def record_purge(self, purge: events.ObjectsPurged) -> None:
-        """Remember a purge for as long as an older copy may be met."""
+        """Store a purge for as long as older copies may exist."""
         now = self.context.now
         keep = self.context.settings.purge_lifetime()
         self.purges.record(purge.key or purge.group, now - purge.age, now, keep)
 
     def end(self, ended: events.AttemptEnded) -> None:
-        """An attempt has ended; what it brought is measured where the sizes of links are not told."""
+        """Process the end of an attempt.
+
+        If the endpoint list does not give link sizes, the work served is used to measure the load of warm
+        caches.
+        """
         if request := self.context.requests.get(ended.id):
             attempt = request.end_attempt(ended)
             self.context.post_to_participants(attempt)
@@ -188,7 +204,7 @@
                 self.warm_load.record_served(attempt)
 
     def answer(self, request: Request) -> None:
-        """The final answer: rejected with Retry-After where a repeat does no harm, else failed."""
+        """Send the final answer: a rejection with Retry-After if a repeat is safe, else a failure."""
         executions = request.possible_executions()
         request_class = request.request_class
         is_deduplicated = request_class.idempotency is Idempotency.DEDUPLICATED
--- a/weldbend/routing/events.py
+++ b/weldbend/routing/events.py
@@ -1,8 +1,8 @@
-"""What the decisions are told: events of clients, caches, the endpoint list, timers and other fronts.
+"""Events that a router processes: from clients, caches, the endpoint list, timers and other fronts.
 
-Both programs that hold a router, the front on sockets and the simulator's adapter, translate their protocol
-into these types. Times are float seconds, ages and waits too; sizes are in units of one second of sending
-at a client's top pace (`work`).
+The two programs that contain a router, the front on sockets and the simulator's adapter, translate their
+protocols into these types. Times, ages and waits are float seconds. Sizes (`work`) are in seconds of sending
+at the maximum rate of a client.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 class EndpointState(Enum):
-    """The state that the endpoint list gives a cache; a later one is never less strict."""
+    """State of a cache in the endpoint list; the members are in order of increasing strictness."""
 
     READY = auto()
     DRAINING = auto()
@@ -20,39 +20,39 @@
 
 
 class ListScope(Enum):
-    """How an endpoint list replaces the one known before."""
+    """Relation of an endpoint list to the one known before."""
 
     CHANGES = auto()
-    """Only what has changed."""
+    """Only the entries that have changed."""
     COMPLETE = auto()
-    """All there is: what it does not name is removed."""
+    """All entries: endpoints that are not listed are removed."""
     REMEMBERED = auto()
-    """All there was when it was last written down, which may be old."""
+    """All entries of a stored list, which may be outdated."""
     FAILED = auto()
-    """Nothing: the list could not be had."""
+    """No entries: the list could not be fetched."""
 
 
 class AttemptResult(Enum):
-    """How an attempt ended."""
+    """Outcome of an attempt."""
 
     SERVED = auto()
     ERROR = auto()
     REJECTED = auto()
-    """The cache refused it before it ran."""
+    """The cache refused the attempt before executing it."""
     TIMED_OUT = auto()
     UNREACHABLE = auto()
-    """No connection came up: it never left."""
+    """No connection could be opened, so the attempt was not sent."""
     RESET = auto()
-    """Its connection broke while it was in flight: it may have been executed."""
+    """The connection broke while the attempt was in flight; it may have been executed."""
     CANCELLED = auto()
     SUPERSEDED = auto()
-    """Withdrawn before its first byte left."""
+    """The attempt was withdrawn before its first byte was sent."""
     MISS = auto()
-    """The cache that was looked at, or the source that answers from its copies alone, lacks the object."""
+    """The object is not stored at the cache looked up, or at a source that answers only from its copies."""
     MALFORMED = auto()
-    """Its connection brought what is no answer: it may have been executed."""
+    """The connection delivered data that is not a valid answer; the attempt may have been executed."""
     LOCAL_FAULT = auto()
-    """This front's machine could make no connection: it never left, and nothing is known of its cache."""
+    """This machine could not open a connection: the attempt was not sent, the cache's state is unknown."""
 
 
 NEVER_EXECUTED = frozenset(
@@ -66,13 +66,13 @@
 )
 """Results that prove that an attempt was not executed."""
 ANSWERED = frozenset({AttemptResult.SERVED, AttemptResult.MISS, AttemptResult.REJECTED, AttemptResult.ERROR})
-"""Results that an answer brought."""
+"""Results of attempts that the cache answered."""
 BROKEN = frozenset({AttemptResult.UNREACHABLE, AttemptResult.RESET})
-"""Results that a connection brought which broke, or never came up."""
+"""Results of attempts whose connection broke or could not be opened."""
 
 
 class FillHint(Enum):
-    """What an answer tells of its fill, where a site tells it."""
+    """Information in an answer about its fill, if the site provides it."""
 
     NONE = auto()
     HIT = auto()
@@ -89,16 +89,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One line of the endpoint list.
+    """One entry of the endpoint list.
 
     Attributes:
-        id: number of the cache; never used again for another.
-        weight: flows that its link carries at once at a client's top pace.
-        zone: where it stands.
-        cell: the group within the zone that shares its memory of idempotency keys.
-        role: what it is for.
-        state: whether it may be sent anything.
-        started: when it started, on the clock of `Router.handle`; None for long ago.
+        id: number of the cache, never reused for another cache.
+        weight: number of flows at the maximum rate of a client that its link carries at once.
+        zone: zone of the cache.
+        cell: group of caches within the zone that share their idempotency keys.
+        role: role of the cache.
+        state: state of the cache, which determines whether requests may be sent to it.
+        started: start time of the cache, on the clock of `Router.handle`; None if it started long ago.
     """
 
     id: int
@@ -112,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointsListed:
-    """The endpoint list, or a change of it, has come."""
+    """The endpoint list, or a change of it, was received."""
 
     scope: ListScope
     endpoints: tuple[Endpoint, ...]
@@ -120,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PossibleExecution:
-    """An attempt by another front, of a request with the same idempotency key, that may have run."""
+    """An attempt by another front with the same idempotency key that may have been executed."""
 
     zone: str
     cell: int
@@ -128,27 +128,27 @@
 
     @property
     def cache(self) -> "PossibleExecution":
-        """What is known of its cache: the group that recognises the key."""
+        """The zone and cell of the cache, which determine the caches that recognise the key."""
         return self
 
 
 @dataclass(frozen=True, slots=True)
 class RequestReceived:
-    """A client's request has come whole.
+    """A request of a client was received completely.
 
     Attributes:
-        id: names it, uniquely while it is open.
-        key: the object.
-        part: which part of the object is asked for.
-        group: the group of objects that may be purged together.
-        class_name: its request class.
-        work: its size in seconds of sending; 0 where it is not told.
-        is_retry: whether the client says that it asks again.
-        deadline: moment by which it needs its final answer.
-        queued_for: seconds for which it lay unread while others that came before were read.
-        possible_executions: attempts of it by other fronts that may have run.
-        requested_elsewhere: how often other fronts were asked for the object lately.
-        over_limit: whether it is beyond a limit that holds for all fronts together.
+        id: identifier, unique among the open requests.
+        key: key of the object.
+        part: number of the requested part of the object.
+        group: group of objects that may be purged together.
+        class_name: name of the request class.
+        work: size in seconds of sending; 0 if it is unknown.
+        is_retry: whether the client marked the request as a retry.
+        deadline: time by which the request needs its final answer.
+        queued_for: seconds for which the request was queued unread behind earlier ones.
+        possible_executions: attempts of this request by other fronts that may have been executed.
+        requested_elsewhere: number of recent requests for the object at other fronts.
+        over_limit: whether the request exceeds a fleet-wide limit.
     """
 
     id: str
@@ -167,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseStarted:
-    """The first bytes of an answer have been passed on to the client."""
+    """The first bytes of an answer were forwarded to the client."""
 
     id: str
     attempt: int
@@ -178,14 +178,14 @@
     """An attempt has ended.
 
     Attributes:
-        id: the request.
-        attempt: its number, counted from 0 in each request.
-        result: how it ended.
-        duration: seconds since it was sent.
-        request_closed: whether the request has its final answer, or was cancelled, by then.
-        fill_hint: what the answer tells of its fill.
-        waited: seconds for which it queued at the cache, where that is told.
-        load: the load report in the answer by the name of each figure; None where there is none.
+        id: identifier of the request.
+        attempt: number of the attempt, counted from 0 in each request.
+        result: outcome of the attempt.
+        duration: seconds since the attempt was sent.
+        request_closed: whether the request already has its final answer or was cancelled.
+        fill_hint: information in the answer about its fill.
+        waited: seconds for which the attempt was queued at the cache, if reported.
+        load: load report of the answer, by the name of each figure; None if there is none.
     """
 
     id: str
@@ -200,16 +200,16 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestCancelled:
-    """Nobody waits for a request any more."""
+    """The client no longer waits for a request."""
 
     id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectsPurged:
-    """All copies of an object (`key`), or of a group of objects (key None), made until then are stale.
+    """Copies of an object (`key`), or of a group of objects (key None), made before the purge are stale.
 
-    `age` is how many seconds ago the purge was issued.
+    `age` is the number of seconds since the purge was issued.
     """
 
     key: str | None
@@ -219,9 +219,10 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer of `SetTimer` is due.
+    """A timer set by `SetTimer` has expired.
 
-    `connection_silent`: the connection of the attempt that it is for has brought nothing since it was sent.
+    `connection_silent`: whether the connection of the timer's attempt has delivered no data since the attempt
+    was sent.
     """
 
     token: str
@@ -230,14 +231,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionOpened:
-    """A connection to a cache has come up."""
+    """A connection to a cache was opened."""
 
     cache: int
 
 
 @dataclass(frozen=True, slots=True)
 class PeerKnowledge:
-    """What other fronts know of a cache. None says nothing; it can only make this front stricter."""
+    """Information from other fronts about a cache.
+
+    It can only make this front stricter; None means that nothing is known.
+    """
 
     cache: int
     state: EndpointState | None
@@ -254,7 +258,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerHealthReport:
-    """How attempts at a cache ended at other fronts lately, as weighted counts."""
+    """Recent outcomes of attempts at a cache by other fronts, as weighted counts."""
 
     cache: int
     successes: float
@@ -263,14 +267,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartQuota:
-    """This front's fraction of what all fronts together may send to a cache that warms up.
+    """This front's fraction of the work that all fronts may send to a cache during its warm-up.
 
     Attributes:
-        cache: its number.
-        is_leased: whether fronts share the budget by leases; False for the fixed share of each.
+        cache: number of the cache.
+        is_leased: whether fronts share the budget by leases; False if each front has a fixed share.
         owned: fraction of the whole budget that this front owns.
-        leased: fraction that it holds on leases from others.
-        lease_end: moment at which those leases end.
+        leased: fraction that this front holds on leases from others.
+        lease_end: time at which those leases end.
     """
 
     cache: int
@@ -280,25 +284,30 @@
     lease_end: float = 0.0
 
     def fraction(self, now: float) -> float:
-        """What this front holds at the moment `now`: leases end."""
+        """Return the fraction that this front holds at the time `now`, without expired leases."""
         return self.owned + self.leased * (now < self.lease_end)
 
 
 @dataclass(frozen=True, slots=True)
 class ParentQuota:
-    """This front's fraction, by its demand, of what all fronts may have in flight at the parents."""
+    """This front's fraction of the attempts that all fronts may have in flight at the parents.
+
+    It depends on the demand at each front.
+    """
 
     fraction: float
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionUpdate:
-    """What fraction of its work a cache may have from here by the fleet's verdict: 0 none, 1 all.
+    """The fraction of its work that a cache may receive from this front: 0 for none, 1 for all.
+
+    The outlier detection of the fleet determines it.
 
     Attributes:
-        is_probe: whether the cache is half-open, and this front is the one that sends to it.
-        must_probe: whether it sends whatever failures it remembers, as an earlier probe has brought
-            nothing.
+        is_probe: whether the cache is half-open and this front sends the probe.
+        must_probe: whether this front sends the probe regardless of the failures that it remembers, because
+            an earlier probe produced no result.
     """
 
     cache: int
@@ -319,28 +328,28 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopLagMeasured:
-    """How many seconds events wait for their turn, since the front has more to do than it has time for."""
+    """The number of seconds for which events wait before this front processes them."""
 
     lag: float
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """Other settings hold from now on; requests that are open go on under those they began with."""
+    """New settings apply from now on; open requests keep the request class that they were admitted with."""
 
     settings: SiteSettings
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message of another front has come."""
+    """A message from another front was received."""
 
     front: int
     text: bytes
 
 
 CacheEvent = ConnectionOpened | PeerKnowledge | PeerHealthReport | SlowStartQuota | EjectionUpdate
-"""Events that concern one cache, and go to it."""
+"""Events that concern one cache and are delivered to it."""
 
 Event = (
     EndpointsListed
--- a/weldbend/routing/placement.py
+++ b/weldbend/routing/placement.py
@@ -1,4 +1,4 @@
-"""The paper's placement: prefilter, value and cache rate of a copy, and the hash that picks caches."""
+"""Placement according to the paper: prefilter, value and cache rate of copies, and the choice by hash."""
 
 from weldbend.routing.actor import Actor
 from weldbend.routing.cache_group import CacheGroup, Choices
@@ -10,29 +10,29 @@
 from weldbend.routing.requests import Request
 from weldbend.routing.settings import Role
 
-ALPHA = 1  # the paper's weight of V_k
-BETA = 1  # of V_hop
-GAMMA = 1  # of V_hitk
+ALPHA = 1  # weight of V_k in the paper
+BETA = 1  # weight of V_hop
+GAMMA = 1  # weight of V_hitk
 HOP_VALUE = {Role.EDGE: 2, Role.PARENT: 1}  # V_hop
-HIGHEST_LEVEL = 5  # the paper's highest prefilter level
-EDGE_LEVEL = 2  # prefilter level from which the edge may keep a copy
-COPY_RANK = 2  # the rank of such a copy
-TABLE_SIZE = 8192  # objects that the prefilter remembers
+HIGHEST_LEVEL = 5  # highest prefilter level in the paper
+EDGE_LEVEL = 2  # prefilter level from which an edge may store a copy
+COPY_RANK = 2  # rank of a copy at an edge
+TABLE_SIZE = 8192  # number of objects that the prefilter remembers
 RATE_WINDOW = 10.0  # seconds over which cache rates are measured
-MAX_CHOICES = 32  # caches of a group, the first by hash, that one request may try or draw for
-# seconds after a decrease for which a parent that lacks an object is not preferred
+MAX_CHOICES = 32  # number of caches of a group, in the order of the hash, considered for one request
+# After a miss at a parent whose limit decreased within these seconds, the hub's parents are not preferred.
 OVERLOADED_PARENT_WINDOW = 10.0
 
 
 class Placement(Actor[PlacementMessage]):
-    """Picks the cache that answers, the source that a miss is filled from, and where a copy stays."""
+    """The part of a router that selects the cache to answer, the source of a fill and the copies to store."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.rates = CacheRates(HOP_VALUE, RATE_WINDOW)
 
     def handle(self, message: PlacementMessage) -> None:
-        """Place a request, or see which caches can be used now."""
+        """Plan the next attempt of a request, or update the ready caches after any other message."""
         if not isinstance(message, Request):
             self.context.update_ready()
         elif attempt := self.plan(message):
@@ -41,7 +41,11 @@
             self.context.post(message, Blocked(None))
 
     def plan(self, request: Request) -> Attempt | None:
-        """The next attempt: at the origin where a class is for it, else at an edge, else at a parent."""
+        """Return the next attempt, or None if no cache can be used.
+
+        A class that is for the origin goes there directly. Other requests go to an edge, or to a parent if no
+        edge can be used.
+        """
         if request.request_class.origin_only and self.context.settings.allows_bypass:
             origin = self.pick(request, self.context.ready[Role.ORIGIN], 0.0)
             return Attempt(request, origin) if origin else None
@@ -52,13 +56,16 @@
         edge = self.pick(request, edges, edges.success_rate())
         if edge is None:
             return self.plan_at_parent(request)
-        # a warming edge is filled without a lookup: it holds little, and each attempt counts in its budget
+        # no lookup at an edge during warm-up: it stores little, and each attempt uses up its budget
         if request.request_class.origin_only or not edge.is_warm():
             return self.plan_fill(request, edge)
         return Attempt(request, edge, rank=COPY_RANK if request.popularity.level >= EDGE_LEVEL else 0)
 
     def plan_at_parent(self, request: Request) -> Attempt | None:
-        """No edge is left: a parent is asked for what it holds, before the origin has to."""
+        """Return an attempt at a parent if no edge can be used.
+
+        The parent is asked for its stored copy before the origin is involved.
+        """
         origins = self.context.ready[Role.ORIGIN]
         parent = None
         if self.context.settings.allows_bypass and origins:
@@ -69,9 +76,12 @@
         return Attempt(request, parent, origins.first() if must_fetch else None)
 
     def plan_fill(self, request: Request, edge: Cache) -> Attempt | None:
-        """A parent first gives what it holds: wanted before, if at another front, the edge may keep that.
+        """Return an attempt that fills an edge, or None if there is no source.
 
-        Guards its copies from the origin's faults, whose limit what it lacks goes under. Harm: one trip.
+        A parent is first asked for a copy that it has stored already. Such an object has been requested
+        before, maybe at another front, so the edge may store it as well. Guards the stored copies of a parent
+        against faults of the origin: only objects that the parent lacks count against the origin's limit.
+        Side effect: these objects need one more round trip.
         """
         source = self.pick_source(request)
         if source is None:
@@ -86,9 +96,9 @@
         return attempt
 
     def decide_copies(self, attempt: Attempt) -> None:
-        """The two tests: best value and lowest cache rate keep the copy, the others leave none."""
+        """Decide which tiers store a copy: that of the highest value and that of the lowest cache rate."""
         request = attempt.request
-        if attempt.only_if_cached:  # the edge alone may keep what a parent holds already
+        if attempt.only_if_cached:  # the parent has a copy already
             attempt.rank = min(COPY_RANK, request.popularity.level)
             return
         is_cacheable = not request.request_class.origin_only
@@ -99,7 +109,7 @@
         attempt.leave_no_copy = Role.PARENT in tiers and Role.PARENT not in chosen
 
     def choose_tiers(self, request: Request, tiers: set[Role]) -> set[Role]:
-        """Of the tiers that the prefilter admits, the one of best value and that of the lowest cache rate."""
+        """Return the tiers of the highest value and of the lowest cache rate that the prefilter admits."""
         popularity = request.popularity
         levels = {Role.EDGE: EDGE_LEVEL, Role.PARENT: 0}
         admitted = [tier for tier in HOP_VALUE if tier in tiers and popularity.level >= levels[tier]]
@@ -111,7 +121,11 @@
         return {max(value, key=value.__getitem__), min(rate, key=rate.__getitem__)} if admitted else set()
 
     def pick_source(self, request: Request) -> Cache | None:
-        """The hub's parent by hash, then any by hash; the origin where no parent does as well."""
+        """Return the source of a fill; None if there is none.
+
+        The first trusted parent of the hub by hash is preferred, then any trusted parent by hash. The origin
+        is used if no parent performs as well.
+        """
         parents = self.context.ready[Role.PARENT]
         origins = self.context.ready[Role.ORIGIN]
         missed_parent = request.missed_parent
@@ -132,7 +146,7 @@
         return max(not_failed, key=Cache.draw_success, default=None)
 
     def pick(self, request: Request, caches: CacheGroup, peer_success: float) -> Cache | None:
-        """The first by hash that is trusted, else the best draw of those not ruled out."""
+        """Return the first trusted cache by hash, else the best draw of those not ruled out."""
         if picked := self.pick_trusted(request, caches, peer_success):
             return picked
         ranked = [cache for cache in self.choices(request, caches) if cache not in request.ruled_out]
@@ -140,16 +154,16 @@
         return max(not_failed or ranked, key=Cache.draw_success, default=None)
 
     def pick_trusted(self, request: Request, caches: CacheGroup, peer_success: float) -> Cache | None:
-        """The first by hash that is trusted, not ruled out, and has not failed the request."""
+        """Return the first cache by hash that is trusted, not ruled out, and has not failed the request."""
         excluded = request.ruled_out | request.failed_caches
         remaining = (cache for cache in self.choices(request, caches) if cache not in excluded)
         return next((cache for cache in remaining if cache.is_trusted(peer_success)), None)
 
     def choices(self, request: Request, caches: CacheGroup) -> Choices:
-        """The first caches by hash: no request tries more, however many there are.
+        """Return the first `MAX_CHOICES` caches of a group by hash; a request tries no others.
 
-        Guards against requests whose work grows with the number of caches, where none is trusted or all are
-        over their limits. Harm: one whose first `MAX_CHOICES` are all of no use is rejected, or gets a bad
-        cache, though a later one would do.
+        Guards against work per request that grows with the number of caches if none is trusted or all are
+        over their limits. Side effect: if none of the first `MAX_CHOICES` caches is usable, the request is
+        rejected or sent to a failing cache, although a later one would have been usable.
         """
         return request.choices_in(caches, MAX_CHOICES)
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -1,4 +1,4 @@
-"""Records of attempts, requests and caches: what is known of each. They decide nothing."""
+"""State records of attempts, requests and caches. This module contains no routing decisions."""
 
 import math
 from dataclasses import dataclass
@@ -35,22 +35,23 @@
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt of a request, planned or sent.
+    """One attempt to answer a request, planned or sent.
 
     Attributes:
-        request: what it is for.
-        cache: where it goes.
-        source: where a miss is filled from; None where it only looks whether the cache has the object.
-        rank: with which the cache keeps a copy; 0 for not at all.
-        leave_no_copy: whether the source keeps none of what it fetches.
-        only_if_cached: whether the source answers from its copies alone.
-        origin: the origin, where the source is known to fetch from there.
-        number: its place among the request's attempts, from 0.
-        sent: when it was handed over.
-        result: how it ended; None while it is in flight.
-        ended: the event that told its end.
-        is_suspected: it takes longer than expected.
-        is_silent: and its connection brought nothing meanwhile though answers were due.
+        request: request that the attempt belongs to.
+        cache: cache that the attempt is sent to.
+        source: cache that a miss is filled from; None for a lookup, which only checks whether the cache has
+            the object.
+        rank: rank with which the cache stores a copy; 0 if it stores none.
+        leave_no_copy: whether the source stores no copy of what it fetches.
+        only_if_cached: whether the source answers only from its stored copies.
+        origin: the origin, if the source is known to fetch from there.
+        number: index among the request's attempts, starting at 0.
+        sent: time at which the attempt was sent.
+        result: outcome of the attempt; None while it is in flight.
+        ended: event that reported the end of the attempt.
+        is_suspected: whether the attempt has taken longer than expected.
+        is_silent: whether, in addition, its connection has delivered no data although answers were expected.
     """
 
     request: "Request"
@@ -68,24 +69,24 @@
     is_silent: bool = False
 
     def limited_by(self) -> "Cache":
-        """The cache whose concurrency limit counts it: the one that does the work."""
+        """Return the cache that does the work; its concurrency limit counts the attempt."""
         return self.origin or self.source or self.cache
 
     def caches(self) -> "list[Cache]":
-        """All caches that it touches, those that do the work first."""
+        """Return all caches involved in the attempt, starting with the one that does the work."""
         caches = [self.cache] if self.source in (None, self.cache) else [self.source, self.cache]
         return caches if self.origin is None or self.origin in caches else [self.origin, *caches]
 
     def timeout_token(self) -> str:
-        """Token of the timer after which it is suspected."""
+        """Return the token of the timer that marks the attempt as suspected."""
         return f"slow:{self.request.received.id}:{self.number}"
 
     def is_fill(self) -> bool:
-        """Whether its cache may be filling a copy from elsewhere."""
+        """Return whether the cache may be filling a copy from another cache."""
         return self.source is not None and not self.only_if_cached
 
     def action(self, max_age: float, join_fill: bool) -> SendAttempt:
-        """The attempt as an action."""
+        """Return the action that sends this attempt."""
         source = self.source.id if self.source else None
         if source is None and self.cache.role is not Role.ORIGIN:
             source = self.cache.id
@@ -105,29 +106,29 @@
 
 @dataclass(slots=True)
 class ProbeCounts:
-    """How attempts at a cache ended since this front began to probe it while half-open."""
+    """Weighted outcomes of attempts since this front started to probe a half-open cache."""
 
     successes: float = 0.0
     failures: float = 0.0
 
 
 class RequestRecord(Actor[RequestMessage]):
-    """What is known of one request.
+    """State of one request.
 
     Attributes:
-        received: the event that it came with.
-        request_class: its class, by the settings under which it was admitted.
-        object_name: names what a copy is of; prefilter and hash go by it.
+        received: event that reported the request.
+        request_class: request class, as defined by the settings at the time of admission.
+        object_name: name of the requested object, used by the prefilter and the hash.
         executions: attempts of other fronts that may have been executed.
-        attempts: this front's, in the order in which they were sent.
-        failed_caches: caches that failed it.
-        ruled_out: caches that may not be used for it.
-        choices: the caches that come first for its object, by the group that they are chosen from.
-        missed_cache: the edge that was looked at and lacks the object.
-        missed_parent: the parent that was found to lack it.
-        error_suspects: caches that answered with an error, and may be at fault for it.
-        popularity: what the prefilter says of its object.
-        is_closed: whether it has its final answer or was cancelled.
+        attempts: attempts of this front, in the order in which they were sent.
+        failed_caches: caches that failed to answer this request.
+        ruled_out: caches that may not be used for this request.
+        choices: first choices for the object by hash, for each group of caches.
+        missed_cache: cache that was looked up and does not have the object.
+        missed_parent: parent that does not have the object.
+        error_suspects: caches that answered with an error for which they may be responsible.
+        popularity: popularity of the object according to the prefilter.
+        is_closed: whether the request has its final answer or was cancelled.
     """
 
     def __init__(self, context: Context, received: RequestReceived, request_class: RequestClass) -> None:
@@ -147,59 +148,63 @@
         self.is_closed = False
 
     def in_flight(self) -> list[Attempt]:
-        """Attempts that have not ended."""
+        """Return the attempts that have not ended."""
         return [attempt for attempt in self.attempts if attempt.result is None]
 
     def possible_executions(self) -> list[Attempt | PossibleExecution]:
-        """Attempts that may have been executed, the first one first: other fronts', and this front's."""
+        """Return the attempts that may have been executed: first those of other fronts, then this front's."""
         elsewhere = sorted(self.executions, key=lambda execution: execution.sent)
         return [*elsewhere, *(a for a in self.attempts if a.result not in NEVER_EXECUTED)]
 
     def end_attempt(self, ended: AttemptEnded) -> Attempt:
-        """Write down how an attempt ended, and return it."""
+        """Store the result of an attempt and return the attempt."""
         attempt = self.attempts[ended.attempt]
         attempt.result = ended.result
         attempt.ended = ended
         return attempt
 
     def record_miss(self, attempt: Attempt) -> None:
-        """Remember who was found to lack the object: the cache, and the parent that was asked for it."""
+        """Store which cache, and which parent if one was asked, does not have the object."""
         self.missed_cache = attempt.cache
         parent = attempt.cache if attempt.cache.role is Role.PARENT else self.missed_parent
         self.missed_parent = attempt.source or parent
 
     def choices_in(self, group: CacheGroup, max_choices: int) -> Choices:
-        """The caches of a group that come first for its object, at most so many."""
+        """Return at most `max_choices` caches of a group, in the order of the hash of the object."""
         if group not in self.choices:
             self.choices[group] = Choices(group, self.object_name, max_choices)
         return self.choices[group]
 
     def discard_if_finished(self) -> None:
-        """Let go of the request, unless an attempt is in flight."""
+        """Remove the request from the open requests unless an attempt is in flight."""
         if not self.in_flight():
             self.context.requests.pop(self.received.id, None)
 
 
 class CacheRecord(Actor[CacheMessage]):
-    """What is known of one cache.
+    """State of one cache.
 
     Attributes:
-        id, role, zone, cell, state, weight, started: as the endpoint list has them, or peers know better.
-        sharers: fronts among which it is shared.
-        peer_successes, peer_failures: how attempts ended at other fronts, as weighted counts.
-        admitted_fraction: of its work that it may have, by the fleet's outlier detection.
-        is_probed: whether it is half-open, and this front the one that sends to it.
-        must_probe: whether that is due whatever is remembered.
-        probe_counts: answers since that began, until the cache has all of its work again; else None.
-        quota: this front's quota of what may be sent while it warms up.
-        sent_work, wanted_work: seconds of work sent, and asked for, within the overload window.
-        successes, failures: how attempts ended here, within the health window; a late one counts in part.
-        answers: answers of any kind over its connections.
-        lost_at: when the last connection was lost under what was in flight.
-        breaks: when its connections broke.
-        in_flight: attempts that count against its limit.
-        passing_through: fills that pass it.
-        group: the ready caches of its role, if it is among them.
+        id, role, zone, cell, state, weight, started: values from the endpoint list, or newer ones from peers.
+        sharing_fronts: number of fronts that share the capacity of the cache.
+        peer_successes, peer_failures: outcomes of attempts at other fronts, as weighted counts.
+        admitted_fraction: fraction of its work that the outlier detection of the fleet lets the cache
+            receive.
+        is_probed: whether the cache is half-open and this front sends the probe.
+        must_probe: whether this front sends the probe regardless of the failures that it remembers.
+        probe_counts: outcomes since probing started; None unless the cache is being probed or has been probed
+            and does not receive all of its work yet.
+        quota: this front's quota of what may be sent to the cache during its warm-up.
+        sent_work, wanted_work: seconds of work sent, and requested, within the overload window.
+        successes, failures: outcomes of attempts at this front within the health window, as weighted counts;
+            a late answer counts as a fraction of a failure.
+        answers: number of answers of any kind received on its connections.
+        lost_at: time at which a connection with attempts in flight was last lost.
+        breaks: record of broken connections.
+        in_flight: attempts that count against the concurrency limit of the cache.
+        passing_through: number of fills in flight through this cache that count against the limit of another
+            one.
+        group: group of ready caches of its role; None if it is not a member.
     """
 
     def __init__(self, context: Context, endpoint: Endpoint) -> None:
@@ -223,7 +228,7 @@
         self.group: RoleGroup | None = None
 
     def clear(self, health_window: float, breaks: ConnectionBreaks) -> None:
-        """Forget all that was seen of it here: nothing is in flight there any more, as far as limits go."""
+        """Reset everything that was observed locally, including the attempts in flight that limits count."""
         self.count_in_flight(-len(self.in_flight))
         self.breaks = breaks
         self.health_window = health_window
@@ -238,7 +243,7 @@
         self.passing_through = 0
 
     def change_settings(self) -> None:
-        """Go by the settings as they are: what was sent counts in the new window as if it were sent now."""
+        """Apply changed settings; all work sent within the old window counts as sent now in the new one."""
         now = self.context.now
         window = self.context.settings.edge_overload_window
         self.sharing_fronts = self.context.settings.sharing_fronts(self.role)
@@ -248,7 +253,7 @@
         self.sent_work.add(now, sent)
 
     def update(self, event: CacheEvent) -> None:
-        """Take in what the fleet says of it, and that a connection came up."""
+        """Apply an update from the fleet, or record that a connection was opened."""
         match event:
             case ConnectionOpened():
                 self.breaks.record_open(self.context.now)
@@ -267,13 +272,13 @@
                 self.must_probe = event.must_probe
 
     def track(self, attempt: Attempt) -> None:
-        """Count an attempt that touches it and was sent, or has ended."""
+        """Count the start or end of an attempt that involves this cache."""
         if attempt.cache is self and attempt.result in BROKEN:
             self.breaks.record_break(self.context.now, attempt.result is AttemptResult.UNREACHABLE)
         if attempt.cache is self and attempt.result in ANSWERED:
             self.answers.add(self.context.now)
             if self.probe_counts:
-                # a miss, and what was filled through it, say that it works again: its copies may be gone
+                # a miss or a completed fill shows that the cache works again, even if it has lost its copies
                 is_filled = attempt.result is AttemptResult.SERVED and attempt.limited_by() is not self
                 self.probe_counts.successes += attempt.result is AttemptResult.MISS or is_filled
         is_start = attempt.result is None
@@ -287,11 +292,11 @@
             self.count_in_flight(-1)
 
     def answer_rate(self) -> float:
-        """Answers a second that came of it, within the health window."""
+        """Return the number of answers per second within the health window."""
         return self.answers.total(self.context.now) / self.health_window
 
     def count_in_flight(self, change: int) -> None:
-        """Count what is in flight here with what is in flight at all parents, if this is one."""
+        """Add a change to the number of attempts in flight at all parents, if this cache is a parent."""
         if self.role is Role.PARENT:
             self.context.parents_in_flight += change
 
@@ -299,7 +304,7 @@
 def shares_idempotency_keys(
     scope: DeduplicationScope, execution: Attempt | PossibleExecution, attempt: Attempt
 ) -> bool:
-    """Whether the caches of both share their memory of idempotency keys."""
+    """Return whether the caches of an execution and an attempt share their idempotency keys."""
     match scope:
         case DeduplicationScope.ZONE:
             return execution.cache.zone == attempt.cache.zone
--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -1,4 +1,4 @@
-"""One request from its admission to its last attempt: retries, suspicion of slow attempts, and its end."""
+"""Lifecycle of one request: attempts, retries, suspicion of slow attempts, and the final answer."""
 
 from weldbend.routing import events
 from weldbend.routing.actions import CancelAttempt
@@ -8,16 +8,17 @@
 from weldbend.routing.records import Attempt, RequestRecord
 from weldbend.routing.settings import Idempotency
 
-TIMEOUT_FACTOR = 2.5  # expected durations that an attempt may take before it is suspected
-# answers that would have come meanwhile, from which on a cache's silence says something
+TIMEOUT_FACTOR = 2.5  # multiple of the expected duration after which an attempt is suspected
+# Answers expected since an attempt was sent, from which on a silent connection is evidence of a fault.
 MIN_EXPECTED_ANSWERS = 3.0
+# Results that are no evidence of a faulty cache.
 INCONCLUSIVE_RESULTS = {
     AttemptResult.CANCELLED,
     AttemptResult.SUPERSEDED,
     AttemptResult.MALFORMED,
     AttemptResult.LOCAL_FAULT,
 }
-RETRY_EXEMPT_RESULTS = {  # a further attempt is no retry
+RETRY_EXEMPT_RESULTS = {  # an attempt after one of these does not count as a retry
     AttemptResult.MISS,
     AttemptResult.MALFORMED,
     AttemptResult.RESET,
@@ -26,14 +27,18 @@
 
 
 class Request(RequestRecord):
-    """A client's request that was admitted."""
+    """An admitted request of a client."""
 
     def needs_retry(self) -> bool:
-        """Whether another attempt would repeat one, rather than fill what a lookup found missing."""
+        """Return whether another attempt counts as a retry, which a fill after a miss does not."""
         return any(a.result not in RETRY_EXEMPT_RESULTS and not a.is_silent for a in self.attempts)
 
     def handle(self, message: RequestMessage) -> None:
-        """Go on by what has come: ends count to the last, all else only until the final answer."""
+        """Process a message.
+
+        Ends of attempts are processed until the last attempt has ended, all other messages only until the
+        final answer.
+        """
         match message:
             case Attempt() if message.result is not None:
                 self.attempt_ended(message)
@@ -43,7 +48,7 @@
                 self.handle_open(message)
 
     def handle_open(self, message: RequestMessage) -> None:
-        """Go on, where the final answer is still to come."""
+        """Process a message while the final answer is outstanding."""
         match message:
             case events.RequestReceived():
                 remaining = max(
@@ -71,7 +76,10 @@
                 self.context.post(self.context.admission, self)
 
     def set_timeout(self, attempt: Attempt) -> None:
-        """Have an attempt suspected that takes much longer than expected, and longer than the objective."""
+        """Start the timer after which an attempt is suspected.
+
+        The delay is a multiple of the expected duration, and at least the latency objective.
+        """
         role = attempt.limited_by().role
         now = self.context.now
         work = self.received.work
@@ -80,10 +88,12 @@
         self.context.start_timer(delay, attempt.timeout_token(), self.received.id, attempt.number)
 
     def suspect(self, suspicion: Suspicion) -> None:
-        """Guards against attempts that do not end: one more beside it, or in its place without hedging.
+        """Start another attempt beside a suspected one, or cancel that one if hedging is not allowed.
 
-        Most slow attempts are large objects, so a sound cache whose connection lives gets a second timeout.
-        Silence speaks only where answers were due. Harm: what a silent cache holds first is late.
+        Guards against attempts that do not end. Most slow attempts are for large objects, so an attempt at a
+        trusted cache with an active connection gets a second timeout. Silence of a connection is evidence
+        only if answers were expected on it. Side effect: the first attempts at a cache that stops answering
+        are late.
         """
         context = self.context
         attempt = suspicion.attempt
@@ -103,7 +113,7 @@
             context.post(context.admission, Suspicion(attempt))
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Learn from the end of an attempt, and go on with another where none is left."""
+        """Process the end of an attempt, and plan another one if no unsuspected attempt is in flight."""
         assert attempt.ended is not None
         if attempt.result is AttemptResult.SERVED:
             self.record_served(attempt, attempt.ended.duration)
@@ -121,13 +131,17 @@
             self.discard_if_finished()
 
     def avoid_cache(self, cache: Cache) -> None:
-        """Prefer another cache for this request: this machine may have a connection or a route there."""
+        """Prefer another cache for this request, to which this machine may be able to open a connection."""
         self.failed_caches.add(cache)
         if cache is self.missed_cache:
             self.missed_cache = None
 
     def record_served(self, attempt: Attempt, duration: float) -> None:
-        """Learn duration and size; a late answer must not pass for a large object."""
+        """Record the duration and size of an answer.
+
+        If the size is unknown, the duration is used in its place. A late answer is excepted, because its
+        delay may have other causes than a large object.
+        """
         context = self.context
         request_class = self.request_class
         work = self.received.work
@@ -145,10 +159,12 @@
             context.post(responsible_cache(attempt), Outcome.LATE)
 
     def attribute_failure(self, attempt: Attempt) -> Cache:
-        """A lookup speaks for its edge, a fill for its source: the edge had answered the lookup before.
+        """Record a failure against the cache that is probably responsible, and return that cache.
 
-        A bare error speaks against a cache once another serves the same request. Guards against requests that
-        no cache can use. Harm: one that fails all it is asked is left out a little later.
+        A failed lookup counts against the edge. A failed fill counts against the source, because the edge had
+        answered the lookup before. An error without a fill hint counts against a cache only after another
+        cache has served the same request. This guards against requests that no cache can answer. Side effect:
+        a cache that answers all requests with errors is excluded a little later.
         """
         hint = attempt.ended and attempt.ended.fill_hint
         is_reset = attempt.result is AttemptResult.RESET
@@ -166,7 +182,7 @@
         return blamed
 
     def close(self) -> None:
-        """It has its final answer, or needs none: cancel what is in flight, where the site allows that."""
+        """Mark the request as closed, and cancel its attempts in flight if the site allows that."""
         if not self.is_closed and self.context.settings.allows_cancel:
             for attempt in self.in_flight():
                 self.context.actions.append(CancelAttempt(self.received.id, attempt.number))
