--- a/weldbend/routing/cache_group.py
+++ b/weldbend/routing/cache_group.py
@@ -1,4 +1,7 @@
-"""Caches to choose among, their ranking and sums over them, kept up by changes. No decision is made here."""
+"""Groups of caches to choose from, with their ranking and sums over their counts, updated incrementally.
+
+This module contains no routing decisions.
+"""
 
 from collections.abc import Iterator
 from itertools import islice
@@ -13,17 +16,17 @@
     from weldbend.routing.concurrency import ConcurrencyLimit
     from weldbend.routing.context import Context
 
-SEARCH_GROWTH_FACTOR = 4  # times as many choices as before are found where those do not do
+SEARCH_GROWTH_FACTOR = 4  # factor by which each search for more choices exceeds the previous one
 
 
 class CacheGroup:
-    """Caches that requests choose among.
+    """Caches that requests choose from.
 
     Attributes:
-        caches: its caches by number, in the order in which they came.
-        weights: what each of them counts in the ranking.
-        ranking: ranks them for an object.
-        version: grows with each change of the ranking.
+        caches: caches by number, in the order in which they joined.
+        weights: weight of each cache in the ranking.
+        ranking: ranking of the caches for any object.
+        version: counter that increases with each change of the ranking.
     """
 
     def __init__(self) -> None:
@@ -42,11 +45,11 @@
         return self.caches.get(cache.id) is cache
 
     def first(self) -> "Cache":
-        """The cache that came first of those that are in it; there must be one."""
+        """Return the cache that joined first among the current members; the group must not be empty."""
         return next(iter(self.caches.values()))
 
     def put(self, cache: "Cache", weight: float) -> None:
-        """Take a cache in, or change its weight."""
+        """Add a cache, or change its weight."""
         self.caches[cache.id] = cache
         if self.weights.get(cache.id) != weight:
             self.weights[cache.id] = weight
@@ -54,7 +57,7 @@
             self.version += 1
 
     def remove(self, cache: "Cache") -> None:
-        """Take a cache out; one that is not in it is ignored."""
+        """Remove a cache; one that is not a member is ignored."""
         if cache in self:
             del self.caches[cache.id]
             del self.weights[cache.id]
@@ -62,23 +65,23 @@
             self.version += 1
 
     def ranked(self, object_name: str) -> "Iterator[Cache]":
-        """Its caches, the first choice for an object first; each is found only when it is asked for."""
+        """Return a lazy iterator over the caches, starting with the first choice for an object."""
         return map(self.caches.__getitem__, self.ranking.ranked(object_name))
 
 
 class RoleGroup(CacheGroup):
-    """The ready caches of one role, with sums over what all of them have counted.
+    """The ready caches of one role, with sums over the counts of all of them.
 
     Args:
-        context: the router's.
-        health_window: seconds for which a cache counts how attempts ended.
-        overload_window: seconds for which its limit counts late answers.
+        context: shared state of the router.
+        health_window: seconds for which a cache counts the outcomes of attempts.
+        overload_window: seconds for which a concurrency limit counts late answers.
 
     Attributes:
-        successes, failures: how attempts ended, within the health window.
-        timely, late: answers in time, and those late or none, within the overload window.
-        warming: those of its caches that warm up.
-        late_limits: those that may have counted a late one within the overload window.
+        successes, failures: weighted outcomes of attempts within the health window.
+        timely, late: answers in time, and late or missing ones, within the overload window.
+        warming: members that are warming up.
+        late_limits: limits that may have counted a late answer within the overload window.
     """
 
     def __init__(self, context: "Context", health_window: float, overload_window: float) -> None:
@@ -92,19 +95,19 @@
         self.late_limits: dict[ConcurrencyLimit, None] = {}
 
     def put(self, cache: "Cache", weight: float) -> None:
-        """Take a cache in, with what it has counted, or change its weight."""
+        """Add a cache together with its counts, or change its weight."""
         if cache not in self:
             self.join_sums(cache)
         super().put(cache, weight)
 
     def remove(self, cache: "Cache") -> None:
-        """Take a cache out, with what it has counted; one that is not in it is ignored."""
+        """Remove a cache together with its counts; one that is not a member is ignored."""
         if cache in self:
             self.leave_sums(cache)
         super().remove(cache)
 
     def join_sums(self, cache: "Cache") -> None:
-        """Count what a cache has counted and will count, and whether it is warm."""
+        """Include the past and future counts of a cache in the sums, and record whether it is warm."""
         now = self.context.now
         cache.group = self
         cache.successes.join(self.successes, now)
@@ -115,7 +118,7 @@
         self.warming.update_cache(cache, now)
 
     def leave_sums(self, cache: "Cache") -> None:
-        """Count a cache no longer, nor what it has counted."""
+        """Exclude the counts of a cache from the sums."""
         now = self.context.now
         cache.group = None
         cache.successes.leave(now)
@@ -126,29 +129,29 @@
         self.warming.forget(cache)
 
     def record_late(self, limit: "ConcurrencyLimit") -> None:
-        """Remember that the limit of one of its caches has counted a late answer."""
+        """Record that the limit of a member has counted a late answer."""
         self.late_limits[limit] = None
 
     def success_rate(self) -> float:
-        """Successes among the attempts at all of its caches, one success assumed."""
+        """Return the success rate of the attempts at all members, with one assumed success."""
         successes = self.successes.total(self.context.now)
         failures = self.failures.total(self.context.now)
         return (successes + 1) / (successes + failures + 1)
 
     def most_late(self) -> "ConcurrencyLimit | None":
-        """The limit that counted most late answers; None where none has any."""
+        """Return the limit with the highest count of late answers; None if there are none."""
         now = self.context.now
         self.late_limits = {limit: None for limit in self.late_limits if limit.late.total(now)}
         return max(self.late_limits, key=lambda limit: limit.late.total(now), default=None)
 
 
 class Choices:
-    """The first choices for one object in a group, found as far as they are asked for, and kept.
+    """The first choices for one object in a group, determined on demand and cached.
 
     Args:
-        group: the caches to choose among.
-        object_name: of the object.
-        most: how many choices there are at most.
+        group: group of caches to choose from.
+        object_name: name of the object.
+        max_choices: maximum number of choices.
     """
 
     def __init__(self, group: CacheGroup, object_name: str, max_choices: int) -> None:
@@ -170,6 +173,6 @@
             position += 1
 
     def find_more(self) -> None:
-        """Find the first one, or some more than before: a search that goes on starts anew each time."""
+        """Extend the cached choices; a search always starts over, so each one finds several times as many."""
         wanted = min(SEARCH_GROWTH_FACTOR * len(self.found) or 1, self.max_choices)
         self.found = list(islice(self.group.ranked(self.object_name), wanted))
--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -1,4 +1,4 @@
-"""What this front makes of one cache: its state, its health, and when it is passed by as an outlier."""
+"""The state and health of one cache as seen by this front, and its exclusion as an outlier."""
 
 import math
 
@@ -11,22 +11,22 @@
 from weldbend.routing.settings import Role
 from weldbend.routing.slow_start import RECONNECT_GRACE, RECONNECT_WINDOW, SlowStart
 
-HEALTH_WINDOW = 10.0  # seconds of answers that a cache is judged by
-LATE_WEIGHT = 0.5  # what a late answer counts against a cache, a failed one counting one; exact in binary
-OUTLIER_THRESHOLD = 0.8  # a suspected cache must draw this part of its peers' success
-MIN_PRIOR = 0.1  # the least success of peers that serves as prior
-MAX_PRIOR = 0.95  # the greatest one
+HEALTH_WINDOW = 10.0  # seconds of answers from which the health of a cache is determined
+LATE_WEIGHT = 0.5  # weight of a late answer relative to a failure; exactly representable in binary
+OUTLIER_THRESHOLD = 0.8  # fraction of its peers' success rate that a cache must draw to be trusted
+MIN_PRIOR = 0.1  # lower bound of the peers' success rate in the prior
+MAX_PRIOR = 0.95  # upper bound of that rate
 
 
 class Cache(CacheRecord):
-    """One listed cache, parent or origin."""
+    """An edge, parent or origin in the endpoint list."""
 
     def __init__(self, context: Context, endpoint: events.Endpoint) -> None:
         super().__init__(context, endpoint)
         self.restart(endpoint.started)
 
     def restart(self, started: float | None) -> None:
-        """Forget what was learned of it: it has started anew, or is new."""
+        """Reset everything that was learned about the cache, because it was added or has restarted."""
         group = self.group
         if group is not None:
             group.leave_sums(self)
@@ -38,7 +38,7 @@
             group.join_sums(self)
 
     def handle(self, message: CacheMessage) -> None:
-        """Take in what the list, peers, settings or attempts tell of it."""
+        """Process a message from the endpoint list, peers, settings or attempts."""
         match message:
             case events.Endpoint():
                 if message.started != self.started:
@@ -62,7 +62,7 @@
                 self.update_warming()
 
     def apply_peer_knowledge(self, known: events.PeerKnowledge) -> None:
-        """Stricter at once, and never less strict."""
+        """Apply information from peers at once if it is stricter than what is known; otherwise ignore it."""
         if known.started is not None and known.started > (self.started or -math.inf):
             self.restart(known.started)
         if known.state and known.state.value > self.state.value:
@@ -70,7 +70,10 @@
             self.context.changed[self] = None
 
     def record_outcome(self, outcome: Outcome) -> None:
-        """Judge it by the end of an attempt; a lost connection counts once, whatever was in flight on it."""
+        """Update the health by the outcome of an attempt.
+
+        A lost connection counts once, regardless of the number of attempts in flight on it.
+        """
         now = self.context.now
         if outcome is Outcome.CONNECTION_LOST:
             if now > self.lost_at:
@@ -89,32 +92,33 @@
         self.concurrency.adapt(outcome)
 
     def update_warming(self) -> None:
-        """Have its group know whether it is warm, after an event that may have changed that."""
+        """Update the group's record of whether this cache is warm, as an event may have changed it."""
         if self.group is not None:
             self.group.warming.update_cache(self, self.context.now)
 
     def record_failure(self, weight: float) -> None:
-        """Count a failed answer, or a late one in part."""
+        """Count a failure, or a late answer with a lower weight."""
         self.failures.add(self.context.now, weight)
         if self.probe_counts:
             self.probe_counts.failures += weight
 
     def is_warm(self) -> bool:
-        """Whether it bears its full load again."""
+        """Return whether the cache has its full capacity, that is, is not warming up."""
         return self.slow_start.capacity_fraction() >= 1
 
     def failure_rate(self) -> float:
-        """Failed answers among all, as this front saw them."""
+        """Return the fraction of failures among the answers that this front received."""
         successes = self.successes.total(self.context.now)
         failures = self.failures.total(self.context.now)
         return (failures + 0.1) / (successes + failures + 1)
 
     def is_trusted(self, peer_success: float) -> bool:
-        """Guards against caches that fail, in whole or part, or grow slow, by a draw from the posterior.
+        """Return whether the cache performs about as well as its peers, by a draw from the posterior.
 
-        Prior and bar are the peers' success: what strikes all alike scatters nothing. Harm: after a short
-        fault a sound cache is passed by for up to HEALTH_WINDOW. A probe that others have waited
-        for is sent whatever is remembered.
+        Guards against caches that fail, completely or partly, or become slow. The prior and the threshold are
+        the peers' success rate, so a fault that affects all caches alike does not redistribute requests. Side
+        effect: after a short fault, a healthy cache may be skipped for up to HEALTH_WINDOW. A probe marked as
+        mandatory (`must_probe`) is sent regardless of remembered failures.
         """
         if self.admitted_fraction < 1 and self.context.random.random() >= self.admitted_fraction:
             return False
@@ -124,7 +128,7 @@
         return failures == 0 or self.draw_success(peer_success) > OUTLIER_THRESHOLD * peer_success
 
     def draw_success(self, peer_success: float = 0.5) -> float:
-        """A draw from the posterior of its success rate (Thompson sampling, with a beta prior)."""
+        """Return a draw from the posterior of the success rate (Thompson sampling, with a beta prior)."""
         now = self.context.now
         prior = 2 * min(max(peer_success, MIN_PRIOR), MAX_PRIOR)
         successes = self.peer_successes + self.successes.total(now)
@@ -133,7 +137,11 @@
 
 
 def responsible_cache(attempt: Attempt) -> Cache:
-    """Whom a late answer speaks against: a fetch through a parent that is slow says nothing of the origin."""
+    """Return the cache that a slow attempt counts against.
+
+    A slow fetch from the origin counts against the parent instead if the parent has a high failure rate that
+    exceeds the origin's.
+    """
     parent = attempt.source
     origin = attempt.origin
     if origin and parent and parent.failure_rate() > max(OVERLOAD_LATE_FRACTION, origin.failure_rate()):
--- a/weldbend/routing/concurrency.py
+++ b/weldbend/routing/concurrency.py
@@ -1,4 +1,4 @@
-"""Concurrency limits found by AIMD: what this front may have in flight at a cache, and at all parents."""
+"""Concurrency limits found by AIMD, for this front's attempts in flight at a cache and at all parents."""
 
 import math
 
@@ -9,22 +9,24 @@
 from weldbend.routing.settings import Role
 from weldbend.routing.windows import PooledSum
 
-DECREASE_FACTOR = 0.6  # what a decrease leaves of a limit
-DECREASE_INTERVAL = 0.1  # seconds between two decreases
-MIN_FLEET_LIMIT = 1.0  # bound of a limit on what is in flight, for all fronts together
-INITIAL_SPREAD = 2.0  # first limit: this front's quota of the cache's link, and so many roots of it
-INITIAL_LIMIT = 12.0  # first limit where the sizes of links are not told
-SPILLOVER_FRACTION = 0.5  # of a limit, open to what the hash meant for another cache
-DENSEST_HEADROOM = 1.3  # how far the class with most priority weight for its work may pass a limit
-PASS_THROUGH_WEIGHT = 0.5  # what a fill that passes an edge counts there, a lookup counting one
-OVERLOAD_WINDOW = 3.0  # seconds of answers that tell an overload
-OVERLOAD_LATE_FRACTION = 0.15  # of late answers among them, above which they do
+DECREASE_FACTOR = 0.6  # factor by which a decrease multiplies a limit
+DECREASE_INTERVAL = 0.1  # minimum number of seconds between two decreases
+MIN_FLEET_LIMIT = 1.0  # lower bound of a limit on attempts in flight, summed over all fronts
+INITIAL_SPREAD = 2.0  # initial limit: a front's fair share of the link plus this multiple of its square root
+INITIAL_LIMIT = 12.0  # initial limit if the size of the link is unknown
+# fraction of a limit that is available to requests whose first choice is another cache
+SPILLOVER_FRACTION = 0.5
+DENSEST_HEADROOM = 1.3  # factor by which the class of the highest priority density may exceed a limit
+PASS_THROUGH_WEIGHT = 0.5  # load of a fill passing through an edge, relative to that of a lookup
+OVERLOAD_WINDOW = 3.0  # seconds of answers from which overload is detected
+OVERLOAD_LATE_FRACTION = 0.15  # fraction of late answers above which a cache is considered overloaded
 
 
 class ConcurrencyLimit:
-    """The limit on what this front has in flight at one cache.
+    """The limit on this front's attempts in flight at one cache.
 
-    Guards against overload. Harm: one that is late for another cause gets less than it could bear.
+    Guards against overload. Side effect: a cache whose answers are late for another reason receives less load
+    than it could handle.
     """
 
     def __init__(self, cache: CacheRecord) -> None:
@@ -38,7 +40,11 @@
         self.decreased_at = -math.inf
 
     def has_capacity(self, is_densest: bool, is_primary: bool) -> bool:
-        """Whether one more may go; below one it is a chance, so that many fronts do not add up to a link."""
+        """Return whether one more attempt may be sent.
+
+        If the free capacity is less than one attempt, the result is random, so that the attempts of many
+        fronts together do not exceed the capacity of a link.
+        """
         limit = self.limit * (DENSEST_HEADROOM if is_densest else 1.0)
         limit *= 1.0 if is_primary else SPILLOVER_FRACTION
         free = limit - len(self.cache.in_flight) - PASS_THROUGH_WEIGHT * self.cache.passing_through
@@ -46,13 +52,16 @@
         return free >= 1 or (free > 0 and self.cache.context.random.random() < chance)
 
     def count(self, outcome: Outcome) -> None:
-        """Count an answer that came in time, or one that was late or none."""
+        """Count an answer as timely, or as late or missing."""
         (self.timely if outcome is Outcome.SUCCESS else self.late).add(self.cache.context.now)
         if outcome is not Outcome.SUCCESS and self.cache.group is not None:
             self.cache.group.record_late(self)
 
     def adapt(self, outcome: Outcome) -> None:
-        """Additive increase, by one for all fronts of the zone, where it is used; multiplicative decrease."""
+        """Adapt the limit: additive increase after a success, multiplicative decrease under overload.
+
+        The increase applies only while the limit is in use, and totals one for all fronts of the zone.
+        """
         now = self.cache.context.now
         context = self.cache.context
         if outcome is Outcome.SUCCESS:
@@ -62,18 +71,19 @@
             self.decrease_if_overloaded(now)
 
     def decrease_if_overloaded(self, now: float) -> None:
-        """Decrease the limit where more than a few answers came late."""
+        """Decrease the limit if more than a few answers were late."""
         if is_overloaded(self.late.total(now), self.timely.total(now)):
             self.decreased_at = now
             self.limit = max(MIN_FLEET_LIMIT / self.cache.sharing_fronts, self.limit * DECREASE_FACTOR)
 
 
 class ParentConcurrencyLimit:
-    """The limit on what is in flight from here at all parents together, found by AIMD as for each of them.
+    """The limit on this front's attempts in flight at all parents together, found by AIMD as for one cache.
 
-    Guards against many fronts that each see little: limits of one attempt and more at each parent add up to
-    many times what parents bear. The worst parent is left out, as its fault may be its own. Harm: where two
-    of many are overloaded, what goes to the others is decreased as well.
+    Guards against overload by many fronts that each send little: limits of at least one attempt at each
+    parent add up to many times the capacity of the parents. The parent with the most late answers is ignored,
+    because the cause may be a fault of that parent alone. Side effect: if two of many parents are overloaded,
+    the load on the others is reduced as well.
     """
 
     def __init__(self, context: Context) -> None:
@@ -82,12 +92,12 @@
         self.fraction = 1.0
 
     def limit(self) -> float:
-        """Attempts that may be in flight."""
+        """Return the number of attempts that may be in flight."""
         weight = self.context.ready[Role.PARENT].ranking.weight()
         return self.fraction * initial_limit(weight * self.context.parent_fraction)
 
     def record(self, outcome: Outcome) -> None:
-        """Increase after a success, decrease after an answer that was late or none."""
+        """Adapt the limit to an outcome, as for a single cache."""
         now = self.context.now
         parents = self.context.ready[Role.PARENT]
         if outcome is Outcome.SUCCESS:
@@ -99,7 +109,7 @@
             self.decrease_if_overloaded(parents, now)
 
     def decrease_if_overloaded(self, parents: RoleGroup, now: float) -> None:
-        """Decrease the limit where all parents but the worst one are late together."""
+        """Decrease the limit if the parents, without the one with the most late answers, are overloaded."""
         late = parents.late.total(now)
         timely = parents.timely.total(now)
         if worst := parents.most_late():
@@ -110,7 +120,11 @@
             self.fraction *= DECREASE_FACTOR
 
     def has_capacity(self, is_densest: bool) -> bool:
-        """Whether one more may go, below one by chance; always where the sizes of links are not told."""
+        """Return whether one more attempt may be sent.
+
+        The result is random if the free capacity is less than one attempt, and always true if the sizes of
+        links are unknown.
+        """
         limit = max(self.limit(), MIN_FLEET_LIMIT * self.context.parent_fraction)
         free = limit * (DENSEST_HEADROOM if is_densest else 1.0) - self.context.parents_in_flight
         is_free = not self.context.settings.weighted or free >= 1
@@ -118,10 +132,13 @@
 
 
 def initial_limit(fair_quota: float) -> float:
-    """A fair quota of a link, and room for the scatter of arrivals."""
+    """Return a fair share of a link plus headroom for the variation of arrivals."""
     return fair_quota + INITIAL_SPREAD * math.sqrt(fair_quota)
 
 
 def is_overloaded(late: float, timely: float) -> bool:
-    """Whether more than one answer, and too large a part of them, came late: overload, not large objects."""
+    """Return whether too many answers were late to be explained by large objects.
+
+    More than one answer and more than `OVERLOAD_LATE_FRACTION` of all have to be late.
+    """
     return late > 1 + OVERLOAD_LATE_FRACTION * (late + timely)
--- a/weldbend/routing/context.py
+++ b/weldbend/routing/context.py
@@ -1,4 +1,4 @@
-"""What all parts of one router share: time, settings, chance, caches, and what it has to return."""
+"""State shared by all parts of a router: time, settings, random numbers, caches, requests and actions."""
 
 import math
 from typing import TYPE_CHECKING, Any
@@ -19,25 +19,25 @@
 
 
 class Context:
-    """Shared state of one router; it decides nothing.
+    """Shared state of one router; it contains no routing decisions.
 
     Attributes:
-        settings: the site's, as they hold now.
-        now: moment of the batch that is handled, in seconds.
-        started_at: moment of the first batch.
-        random: where every draw comes from.
-        actions: what the batch leads to, in order.
-        mailbox: messages between the parts.
-        statistics: measured duration and size of answers.
+        settings: current settings of the site.
+        now: time of the current batch in seconds.
+        started_at: time of the first batch.
+        random: source of all random numbers.
+        actions: actions that result from the current batch, in order.
+        mailbox: queue of messages between the parts.
+        statistics: measured durations and sizes of answers.
         caches: all known caches by number.
-        changed: those of which something has changed that says whether they can be used.
-        ready: those that this front may use, by role.
-        hub_parents: those of the parents that stand at the hub.
-        requests: the open ones, and those with attempts in flight, by id.
-        parent_fraction: this front's fraction of what all fronts have in flight at the parents.
-        parents_in_flight: attempts of this front in flight at all parents.
-        parent_limit: the limit on what is in flight there.
-        prefilter, placement, admission: the parts that requests go through.
+        changed: caches whose membership in the groups of ready caches has to be updated.
+        ready: groups of caches that this front may use, by role.
+        hub_parents: ready parents of the hub.
+        requests: requests that are open or have attempts in flight, by id.
+        parent_fraction: this front's fraction of the attempts in flight at the parents for all fronts.
+        parents_in_flight: number of attempts of this front in flight at all parents.
+        parent_limit: limit on that number.
+        prefilter, placement, admission: parts of the router that process requests.
     """
 
     prefilter: "Actor[Request]"
@@ -63,13 +63,13 @@
         self.parent_fraction = 1 / settings.fronts
 
     def begin_batch(self, now: float) -> None:
-        """Go on to another batch of events, at the moment `now`."""
+        """Start a new batch of events at the time `now`."""
         self.now = now
         self.started_at = min(now, self.started_at)
         self.actions = []
 
     def change_settings(self, settings: SiteSettings) -> None:
-        """Go by other settings; what was learned of classes that go on, or have open requests, stays."""
+        """Apply changed settings, keeping the statistics of classes that remain or have open requests."""
         if settings.fronts != self.settings.fronts:
             self.parent_fraction = 1 / settings.fronts
         self.settings = settings
@@ -78,9 +78,9 @@
         self.statistics.change_classes(settings.classes.values(), still_open)
 
     def update_ready(self) -> None:
-        """Forget caches that were removed, as numbers are never used again, and find those that are ready.
+        """Update the groups of ready caches, and delete removed caches, whose numbers are never reused.
 
-        The cost is that of the caches that have changed.
+        The cost is proportional to the number of changed caches.
         """
         for cache in self.changed:
             if cache.state is EndpointState.REMOVED:
@@ -93,22 +93,22 @@
         self.changed.clear()
 
     def put_or_remove(self, cache: "Cache", group: CacheGroup, is_member: bool) -> None:
-        """Have a cache in a group or not; its weight counts where the list tells how large links are."""
+        """Add a cache to a group or remove it; all caches have the same weight if link sizes are unknown."""
         if is_member:
             group.put(cache, cache.weight if self.settings.weighted else 1.0)
         else:
             group.remove(cache)
 
     def start_timer(self, delay: float, token: str, request: str = "", attempt: int = -1) -> None:
-        """Have `TimerFired(token)` come after `delay` seconds."""
+        """Request the event `TimerFired(token)` after `delay` seconds."""
         self.actions.append(SetTimer(delay, token, request, attempt))
 
     def post_to_participants(self, attempt: "Attempt") -> None:
-        """Tell the start or end of an attempt to all that it touches, the request last."""
+        """Notify all caches involved in an attempt of its start or end, and then its request."""
         for cache in attempt.caches():
             self.post(cache, attempt)
         self.post(attempt.request, attempt)
 
     def mean_work(self, request: "Request") -> float:
-        """Mean seconds of sending of a request's class."""
+        """Return the mean seconds of sending for the class of a request."""
         return self.statistics.mean_work(request.request_class)
--- a/weldbend/routing/settings.py
+++ b/weldbend/routing/settings.py
@@ -1,4 +1,4 @@
-"""What a site says of itself, as the decisions go by it: request classes, limits and warm-up times.
+"""Settings of a site that the routing decisions use: request classes, limits and warm-up times.
 
 Times are float seconds. `weldbend.site_settings` reads these types from a configuration.
 """
@@ -8,18 +8,18 @@
 
 
 class Idempotency(Enum):
-    """What a second execution of a request would do."""
+    """Effect of executing a request a second time."""
 
     IDEMPOTENT = auto()
-    """No harm: it may be repeated at any time."""
+    """No effect: the request may be repeated at any time."""
     DEDUPLICATED = auto()
-    """None within a window and a group of caches, which recognise its idempotency key."""
+    """No effect within a time window and a group of caches that recognise its idempotency key."""
     NON_IDEMPOTENT = auto()
-    """Harm: it must not be repeated where an earlier attempt may have been executed."""
+    """A second effect: the request must not be repeated if an earlier attempt may have been executed."""
 
 
 class DeduplicationScope(Enum):
-    """Which caches recognise a repeated idempotency key."""
+    """Set of caches that recognise a repeated idempotency key."""
 
     ALL = auto()
     ZONE = auto()
@@ -27,7 +27,7 @@
 
 
 class Role(Enum):
-    """What a listed cache is for."""
+    """Role of a cache in the endpoint list."""
 
     EDGE = auto()
     PARENT = auto()
@@ -36,19 +36,19 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What a site says of one class of requests.
+    """Settings of one class of requests.
 
     Attributes:
-        name: as the site's settings spell it.
+        name: name of the class in the site's settings.
         idempotency: whether, and under what conditions, a request may be repeated.
-        deduplication_scope: the caches that share their memory of idempotency keys.
-        deduplication_window: seconds from the first attempt for which a key is remembered.
+        deduplication_scope: set of caches that share their idempotency keys.
+        deduplication_window: seconds after the first attempt for which a key is remembered.
         deadline_after: seconds after its arrival by which a request needs its final answer.
-        latency_objective: seconds within which an answer earns its full worth.
-        objective_stretch: what each second of sending adds to that objective.
-        priority_weight: worth of one answer, in units that are the same for all classes.
-        fresh_for: age in seconds up to which a copy is fresh; 0 where it is until it is purged.
-        origin_only: whether the request is for the origin and no cache keeps an answer to it.
+        latency_objective: seconds within which an answer counts with its full priority weight.
+        objective_stretch: seconds added to that objective for each second of sending.
+        priority_weight: value of one answer, in the same units for all classes.
+        fresh_for: age in seconds up to which a copy is fresh; 0 if it is fresh until purged.
+        origin_only: whether requests are answered by the origin and never cached.
     """
 
     name: str
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WarmUp:
-    """What a cache bears after its start.
+    """Capacity of a cache after its start.
 
     Attributes:
-        start_capacity: part of its full capacity that it bears at first.
-        seconds: until it bears all of it; the part grows evenly meanwhile.
-        overload_factor: times its present capacity at which it fails.
+        start_capacity: initial fraction of the full capacity.
+        seconds: time until the full capacity is reached; the fraction grows linearly until then.
+        overload_factor: multiple of the current capacity at which the cache fails.
     """
 
     start_capacity: float
@@ -80,33 +80,34 @@
 
 @dataclass(frozen=True, slots=True)
 class SiteSettings:
-    """What a front is given when it starts, or reads anew while it runs.
+    """Settings that a front receives at its start, or when they are reloaded.
 
     Attributes:
-        zone: where this front stands.
-        hub: the zone of the hub that its zone is tied to.
-        fronts: fronts of the whole site.
-        zone_fronts: fronts of this zone.
-        hub_fronts: fronts of all zones tied to the same hub.
+        zone: zone of this front.
+        hub: zone of the hub that serves this zone.
+        fronts: number of fronts in the whole site.
+        zone_fronts: number of fronts in this zone.
+        hub_fronts: number of fronts in all zones served by the same hub.
         classes: request classes by name.
-        tick: seconds that pass at most between two batches of events.
-        list_refresh: seconds within which the endpoint list has to be asked for again.
-        subscribes: whether changes of the endpoint list are pushed.
-        weighted: whether the list tells how large each cache's link is.
+        tick: maximum number of seconds between two batches of events.
+        list_refresh: seconds within which the endpoint list has to be requested again.
+        subscribes: whether changes of the endpoint list are pushed to the front.
+        weighted: whether the endpoint list contains the size of each cache's link.
         allows_hedging: whether two attempts of one request may be in flight at once.
         allows_cancel: whether an attempt in flight can be cancelled.
-        max_attempts: attempts that one request may take.
-        max_retry_after: longest Retry-After in seconds; 0 where none can be told.
-        allows_bypass: whether requests may go to parents and origin past the edges.
+        max_attempts: maximum number of attempts for one request.
+        max_retry_after: maximum Retry-After in seconds; 0 if it cannot be sent.
+        allows_bypass: whether requests may be sent to parents and the origin without passing an edge.
         joins_fills: whether a request may join a fill that is under way.
-        edge_start_capacity: part of its full capacity that an edge bears when it starts.
-        edge_warmup: seconds until an edge that started bears all of it.
-        edge_overload_factor: times its present capacity at which a starting edge fails.
+        edge_start_capacity: fraction of its full capacity that an edge has at its start.
+        edge_warmup: seconds until an edge reaches its full capacity after its start.
+        edge_overload_factor: multiple of its current capacity at which an edge fails during its warm-up.
         edge_overload_window: seconds of such load after which it fails.
-        parent_start_capacity: the same part of a parent's.
-        parent_warmup: seconds until a parent that started bears all.
-        parent_overload_factor: times its present capacity at which a starting parent fails.
-        purge_grace: seconds after a front learns of a purge from which no older copy may answer.
+        parent_start_capacity: fraction of its full capacity that a parent has at its start.
+        parent_warmup: seconds until a parent reaches its full capacity after its start.
+        parent_overload_factor: multiple of its current capacity at which a parent fails during its warm-up.
+        purge_grace: seconds after a front learns of a purge, after which no older copy may be used in an
+            answer.
         purge_complete_after: seconds after which a purge has reached every cache.
     """
 
@@ -137,15 +138,15 @@
     purge_complete_after: float
 
     def warm_up(self, role: Role) -> WarmUp:
-        """How a cache of this role warms up."""
+        """Return the warm-up parameters of caches of a role."""
         if role is Role.PARENT:
             return WarmUp(self.parent_start_capacity, self.parent_warmup, self.parent_overload_factor)
         return WarmUp(self.edge_start_capacity, self.edge_warmup, self.edge_overload_factor)
 
     def sharing_fronts(self, role: Role) -> int:
-        """Fronts among which a cache of this role is shared."""
+        """Return the number of fronts that share a cache of a role."""
         return {Role.EDGE: self.zone_fronts, Role.PARENT: self.hub_fronts}.get(role, self.fronts)
 
     def purge_lifetime(self) -> float:
-        """Seconds for which a copy older than a purge may be met."""
+        """Return the seconds after a purge during which older copies may still exist."""
         return self.purge_complete_after + 2 * self.purge_grace
