--- a/weldbend/routing/__init__.py
+++ b/weldbend/routing/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions: which cache answers a request, where a miss is filled from, where a copy stays."""
+"""Routing decisions: the cache that answers a request, the source of a fill, and where copies are stored."""
--- a/weldbend/routing/actions.py
+++ b/weldbend/routing/actions.py
@@ -1,6 +1,6 @@
-"""What the decisions want done: the actions that a router returns for a batch of events.
+"""Actions that a router returns for a batch of events.
 
-Times are float seconds; a request is named by the id that it came with.
+Times are float seconds; `id` is the identifier of the request.
 """
 
 from dataclasses import dataclass
@@ -11,16 +11,16 @@
     """Send a request to a cache.
 
     Attributes:
-        id: the request.
+        id: identifier of the request.
         cache: number of the cache that answers.
-        source: number of the cache that a miss is filled from; the cache itself for a look that fills
-            nothing; None where the cache is the origin.
-        rank: with which the copy is kept, 0 for not at all.
-        max_age: age in seconds of the oldest copy that will do; 0 for any.
-        timeout: seconds after which the attempt is given up; 0 for the request's deadline.
-        join_fill: whether it may join a fill that is under way.
-        only_if_cached: whether the source answers from its copies alone.
-        leave_no_copy: whether the source keeps none of what it fetches.
+        source: number of the cache that a miss is filled from; the number of `cache` for a lookup, which
+            fills nothing; None if the cache is the origin.
+        rank: rank with which the cache stores the copy; 0 if it stores none.
+        max_age: maximum age in seconds of an acceptable copy; 0 for any.
+        timeout: seconds after which the attempt is aborted; 0 for the deadline of the request.
+        join_fill: whether the attempt may join a fill that is under way.
+        only_if_cached: whether the source answers only from its stored copies.
+        leave_no_copy: whether the source stores no copy of what it fetches.
         revalidate: whether an ageing copy is renewed after it was served.
     """
 
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel an attempt in flight; `attempt` counts a request's attempts from 0."""
+    """Cancel an attempt in flight; `attempt` is its number, counted from 0 in each request."""
 
     id: str
     attempt: int
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Final answer: not now; the client may come back after `retry_after` seconds (0: nothing is told)."""
+    """Final answer: rejected; the client may retry after `retry_after` seconds (0: not specified)."""
 
     id: str
     retry_after: float
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Final answer: failed, and nothing is promised of a repeat."""
+    """Final answer: failed; it is not known whether a retry is safe."""
 
     id: str
 
@@ -63,8 +63,8 @@
 class SetTimer:
     """Return `TimerFired(token)` after `delay` seconds.
 
-    `id` and `attempt` name what the timer is for, where it is for something: it need not fire once that
-    request has ended. They are "" and -1 otherwise.
+    `id` and `attempt` identify the request and attempt that the timer belongs to, or are "" and -1. The timer
+    need not fire once that request has ended.
     """
 
     delay: float
@@ -75,14 +75,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Ask a cache whether it is there, and for its load where it reports any."""
+    """Check whether a cache is available, and request its load report if it provides one."""
 
     cache: int
 
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to another front, or to all with None; it may be lost."""
+    """Send a message to another front, or to all fronts if `front` is None; the message may be lost."""
 
     front: int | None
     text: bytes
--- a/weldbend/routing/actor.py
+++ b/weldbend/routing/actor.py
@@ -1,4 +1,4 @@
-"""The form of a router's parts: each has an inbox, and one loop hands it what lies there."""
+"""Actors, which are the parts of a router, and the mailbox that delivers their messages."""
 
 from collections import deque
 from typing import Generic, TypeVar
@@ -7,21 +7,22 @@
 
 
 class Actor(Generic[Message]):
-    """One that handles messages from its inbox, one after another."""
+    """A part of a router that processes messages from its inbox one at a time."""
 
     def handle(self, message: Message) -> None:
-        """Act on one message."""
+        """Process one message."""
         raise NotImplementedError
 
 
 class Mailbox:
-    """The inboxes that hold something, in the order in which their messages came.
+    """The non-empty inboxes of all actors, and the order in which their messages were posted.
 
-    An inbox exists only while it holds a message: one kept for each cache would take most of its memory.
+    An inbox exists only while it contains a message, because an inbox for each cache would use most of the
+    cache's memory.
 
     Attributes:
-        inboxes: the messages that wait for each actor.
-        waiting: whom each waiting message is for, in the order in which they came.
+        inboxes: pending messages of each actor.
+        waiting: receiver of each pending message, in the order in which they were posted.
     """
 
     def __init__(self) -> None:
@@ -29,7 +30,7 @@
         self.waiting: deque[Actor[object]] = deque()
 
     def post(self, actor: Actor[Message], message: Message) -> None:
-        """Put a message into an actor's inbox."""
+        """Append a message to the inbox of an actor."""
         receiver: Actor[object] = actor  # type: ignore[assignment]  # each actor only gets what it can handle
         inbox = self.inboxes.get(receiver)
         if inbox is None:
@@ -38,7 +39,7 @@
         self.waiting.append(receiver)
 
     def deliver_all(self) -> None:
-        """Hand over message by message until every inbox is empty."""
+        """Deliver messages until all inboxes are empty."""
         while self.waiting:
             actor = self.waiting.popleft()
             inbox = self.inboxes[actor]
--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -62,7 +62,7 @@
                 self.update_warming()
 
     def apply_peer_knowledge(self, known: events.PeerKnowledge) -> None:
-        """Apply information from peers at once if it is stricter than what is known; otherwise ignore it."""
+        """Apply a later start time or a stricter state known to peers, and ignore anything else."""
         if known.started is not None and known.started > (self.started or -math.inf):
             self.restart(known.started)
         if known.state and known.state.value > self.state.value:
--- a/weldbend/routing/class_statistics.py
+++ b/weldbend/routing/class_statistics.py
@@ -1,4 +1,4 @@
-"""Measured duration and size of answers, by request class and by the role of the cache that gave them."""
+"""Measured durations and sizes of answers, by request class and by role of the answering cache."""
 
 from collections.abc import Iterable
 
@@ -7,13 +7,13 @@
 
 
 class ClassStatistics:
-    """What answers took and how large they were, as far as this front has seen.
+    """Durations and sizes of the answers that this front received.
 
     Args:
-        classes: the request classes of the site.
-        window: seconds that durations are remembered for.
-        prior: answers that a class's latency objective counts for in its mean work.
-        least: least duration and least work in seconds that anything is expected to have.
+        classes: request classes of the site.
+        window: seconds for which durations are remembered.
+        prior: number of answers that the latency objective of a class counts as in its mean work.
+        minimum: minimum expected duration, and minimum expected work, in seconds.
     """
 
     def __init__(self, classes: Iterable[RequestClass], window: float, prior: int, minimum: float) -> None:
@@ -26,12 +26,12 @@
         self.keep_classes({request_class.name for request_class in self.classes})
 
     def change_classes(self, classes: Iterable[RequestClass], still_open: set[str]) -> None:
-        """Go by other classes; what was learned of those that go on, or have open requests, stays."""
+        """Replace the classes, keeping the statistics of those that remain or have open requests."""
         self.classes = tuple(classes)
         self.keep_classes({request_class.name for request_class in self.classes} | still_open)
 
     def keep_classes(self, names: set[str]) -> None:
-        """Have figures of the classes named, and of no others."""
+        """Keep or create the statistics of the named classes, and delete all others."""
         self.answer_sums = {
             (name, role): self.answer_sums.get((name, role))
             or (WindowedSum(self.window), WindowedSum(self.window))
@@ -43,7 +43,7 @@
     def record(
         self, request_class: RequestClass, role: Role, now: float, duration: float, work: float
     ) -> None:
-        """Count an answer that took `duration` seconds; `work` is its size, 0 where that is not told."""
+        """Count an answer that took `duration` seconds; `work` is its size, 0 if it is unknown."""
         durations, sizes = self.answer_sums[request_class.name, role]
         durations.add(now, duration)
         sizes.add(now, work or 1.0)
@@ -54,20 +54,20 @@
         self.work[request_class.name] = total + work, count + 1
 
     def mean_work(self, request_class: RequestClass) -> float:
-        """Mean seconds of sending: as seen so far, and at first the latency objective."""
+        """Return the mean seconds of sending; initially this is the latency objective."""
         total, count = self.work[request_class.name]
         return (total + self.prior * request_class.latency_objective) / (count + self.prior)
 
     def priority_density(self, request_class: RequestClass) -> float:
-        """Priority weight for each second of sending."""
+        """Return the priority weight per second of sending."""
         return request_class.priority_weight / self.mean_work(request_class)
 
     def is_densest(self, request_class: RequestClass) -> bool:
-        """Whether no other class has more priority weight for its work."""
+        """Return whether no other class has a higher priority weight per second of sending."""
         return self.priority_density(request_class) >= max(map(self.priority_density, self.classes))
 
     def expected_duration(self, request_class: RequestClass, role: Role, now: float, work: float) -> float:
-        """Seconds that an answer of this size (0: not told) from a cache of this role is expected to take."""
+        """Return the expected seconds until an answer of this size (0: unknown) from a cache of this role."""
         durations, sizes = (window.total(now) for window in self.answer_sums[request_class.name, role])
         size = max(work, self.minimum) if work else 1.0
         expected = size * (durations + request_class.latency_objective) / (sizes + size)
--- a/weldbend/routing/connection_breaks.py
+++ b/weldbend/routing/connection_breaks.py
@@ -1,14 +1,14 @@
-"""When connections to a cache broke, and whether that may have been a restart. No tuned value is set here."""
+"""Times at which connections to a cache broke, as evidence of a restart; contains no tuning constants."""
 
 import math
 
 
 class ConnectionBreaks:
-    """The last break, and the last one after which no connection came up.
+    """The last time that a connection broke, and the last time that none could be opened.
 
     Args:
-        grace: seconds in which a break is no restart yet.
-        reconnect_window: seconds within which a new connection says that there was none.
+        grace: seconds after a break before a restart is assumed.
+        reconnect_window: seconds within which a new connection shows that there was no restart.
     """
 
     def __init__(self, grace: float, reconnect_window: float) -> None:
@@ -18,20 +18,20 @@
         self.unreachable_at = -math.inf
 
     def record_break(self, now: float, is_unreachable: bool) -> None:
-        """A connection broke, or could not be made."""
+        """Record that a connection broke or could not be opened."""
         self.broken_at = now
         if is_unreachable:
             self.unreachable_at = now
 
     def record_open(self, now: float) -> None:
-        """One has come up: soon after a break, it was no restart."""
+        """Record that a connection was opened, which soon after a break shows that there was no restart."""
         if now < self.broken_at + self.reconnect_window:
             self.broken_at = self.unreachable_at
 
     def grace_ends_at(self) -> float:
-        """The moment from which on a break may have been a restart."""
+        """Return the time from which the last break is assumed to be a possible restart."""
         return self.broken_at + self.grace
 
     def possible_restart(self, now: float) -> float:
-        """The last moment at which the cache may have started unnoticed; minus infinity for never."""
+        """Return the latest time at which the cache may have restarted unnoticed; minus infinity if never."""
         return self.unreachable_at if now < self.grace_ends_at() else self.broken_at
--- a/weldbend/routing/endpoint_table.py
+++ b/weldbend/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""The caches that the endpoint list names, kept up to date with it. No decision is made here."""
+"""Maintenance of the known caches according to the endpoint list; contains no routing decisions."""
 
 from collections.abc import Callable
 
@@ -8,11 +8,11 @@
 
 
 class EndpointTable:
-    """Applies endpoint lists to the known caches; each cache hears of its own line, placement of the list.
+    """Applies endpoint lists to the known caches; each cache receives its entry, placement the whole list.
 
     Args:
-        context: the router's.
-        make_cache: makes what stands for an endpoint that was not known before.
+        context: shared state of the router.
+        make_cache: function that creates the cache for a new endpoint.
     """
 
     def __init__(self, context: Context, make_cache: Callable[[Endpoint], Cache]) -> None:
@@ -20,7 +20,7 @@
         self.make_cache = make_cache
 
     def update(self, event: EndpointsListed) -> None:
-        """Apply a list, or changes of one; it must not be one that failed."""
+        """Apply a list, or changes of one; it must not be one that could not be fetched."""
         context = self.context
         for endpoint in event.endpoints:
             if endpoint.id not in context.caches:
@@ -31,7 +31,7 @@
         context.post(context.placement, event)
 
     def remove_unlisted(self, listed: set[int]) -> None:
-        """What a complete list does not name is removed."""
+        """Mark the caches that a complete list does not contain as removed."""
         for cache in self.context.caches.values():
             if cache.id not in listed:
                 cache.state = EndpointState.REMOVED
--- a/weldbend/routing/event_dispatch.py
+++ b/weldbend/routing/event_dispatch.py
@@ -1,4 +1,4 @@
-"""Posts events to the parts of a router that they concern. No decision is made here."""
+"""Delivery of events to the parts of a router that process them; contains no routing decisions."""
 
 from weldbend.routing import events
 from weldbend.routing.context import Context
@@ -6,13 +6,13 @@
 
 
 class EventDispatcher:
-    """Finds who an event is for: a request, a cache, placement or admission."""
+    """Dispatches each event to its receiver: a request, a cache, placement or admission."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
 
     def dispatch(self, event: events.Event) -> None:
-        """Post an event; those of requests and caches that are not known go nowhere."""
+        """Post an event to its receiver; events for unknown requests and caches are ignored."""
         context = self.context
         match event:
             case events.TimerFired():
@@ -27,12 +27,12 @@
             case events.ParentQuota(fraction):
                 context.parent_fraction = fraction
             case events.HealthCheckDone() | events.MessageReceived():
-                pass  # no part goes by them
+                pass  # no part uses these events
             case _:
                 context.post(context.admission, event)
 
     def dispatch_timer(self, event: events.TimerFired) -> None:
-        """Tokens are `end:REQUEST` and `slow:REQUEST:ATTEMPT`."""
+        """Post a timer event; tokens have the form `end:REQUEST` or `slow:REQUEST:ATTEMPT`."""
         purpose, name, *number = event.token.split(":")
         request = self.context.requests.get(name)
         if request is None:
@@ -44,14 +44,17 @@
             self.context.post(request, event)
 
     def dispatch_settings(self, event: events.SettingsChanged) -> None:
-        """Other settings hold for all that comes; caches and placement go by them at once."""
+        """Apply changed settings, and notify the caches and placement of them."""
         self.context.change_settings(event.settings)
         for cache in self.context.caches.values():
             self.context.post(cache, event)
         self.context.post(self.context.placement, event)
 
     def dispatch_cache_event(self, event: events.CacheEvent) -> None:
-        """What peers know of a cache may change whether it can be used."""
+        """Post an event to its cache, and information from peers to placement as well.
+
+        Information from peers may change the ready caches.
+        """
         cache = self.context.caches.get(event.cache)
         if cache is None:
             return
--- a/weldbend/routing/messages.py
+++ b/weldbend/routing/messages.py
@@ -1,4 +1,4 @@
-"""What the parts of a router tell each other. These types decide nothing."""
+"""Messages between the parts of a router. These types contain no routing decisions."""
 
 from dataclasses import dataclass
 from enum import Enum, auto
@@ -27,7 +27,7 @@
 
 
 class Outcome(Enum):
-    """What a cache learns from the end of an attempt that speaks for it."""
+    """Outcome of an attempt, as counted for the cache that is responsible for it."""
 
     SUCCESS = auto()
     LATE = auto()
@@ -37,9 +37,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Popularity:
-    """How often a request's object was asked for.
+    """Request frequency of an object.
 
-    `level` counts up to the prefilter's highest one; `free_fraction` is the part of its table that is free.
+    `level` is at most the prefilter's highest level; `free_fraction` is the unused fraction of its table.
     """
 
     level: int
@@ -48,14 +48,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Blocked:
-    """A planned attempt may not be sent; `cache` is what is in the way, where another would do."""
+    """A planned attempt may not be sent; `cache` is the blocking cache, None if no other cache would help."""
 
     cache: "Cache | None"
 
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """An attempt takes too long; `is_silent`: nothing has come over its connection since it was sent."""
+    """An attempt takes too long; `is_silent`: its connection has delivered no data since it was sent."""
 
     attempt: "Attempt"
     is_silent: bool = False
--- a/weldbend/routing/object_counts.py
+++ b/weldbend/routing/object_counts.py
@@ -1,17 +1,17 @@
-"""How often each object was asked for, in a bounded table; the longest unasked one makes room."""
+"""Request counts of objects in a bounded table, which evicts the least recently requested object."""
 
 from collections import OrderedDict
 
 
 class ObjectCounts:
-    """Counts by object name, at most `size` of them, in the order in which they were asked for last."""
+    """Counts of at most `size` objects by name, ordered by the last request."""
 
     def __init__(self, size: int) -> None:
         self.size = size
         self.counts: OrderedDict[str, int] = OrderedDict()
 
     def count(self, name: str, step: int, highest: int) -> int:
-        """Add `step` to an object's count, which stays within 1 and `most`, and return it."""
+        """Add `step` to the count of an object, limit it to the range from 1 to `highest`, and return it."""
         count = min(max(self.counts.pop(name, 0) + step, 1), highest)
         self.counts[name] = count
         if len(self.counts) > self.size:
@@ -19,5 +19,5 @@
         return count
 
     def free_fraction(self) -> float:
-        """Which part of the table is free."""
+        """Return the unused fraction of the table."""
         return 1 - len(self.counts) / self.size
--- a/weldbend/routing/prefilter.py
+++ b/weldbend/routing/prefilter.py
@@ -1,4 +1,4 @@
-"""LRU-K: how often this front was asked for an object, in a bounded table."""
+"""LRU-K prefilter: counts requests for each object at this front, in a bounded table."""
 
 from weldbend.routing.actor import Actor
 from weldbend.routing.context import Context
@@ -8,12 +8,12 @@
 
 
 class Prefilter(Actor[Request]):
-    """Tells requests the level of their object; the thresholds on it are placement's.
+    """Determines the popularity level of a requested object; placement applies thresholds to it.
 
     Args:
-        context: the router's.
-        size: objects that are remembered.
-        highest: the level at which counting ends.
+        context: shared state of the router.
+        size: number of objects in the table.
+        highest: highest level.
     """
 
     def __init__(self, context: Context, size: int, highest: int) -> None:
@@ -22,7 +22,10 @@
         self.highest = highest
 
     def handle(self, message: Request) -> None:
-        """Count a request that is no retry; what other fronts were asked for counts as well."""
+        """Count a request, unless it is a retry, and post the level of its object.
+
+        Requests for the object at other fronts are added to the level.
+        """
         level = self.counts.count(message.object_name, int(not message.received.is_retry), self.highest)
         level = min(level + message.received.requested_elsewhere, self.highest)
         self.context.post(message, Popularity(level, self.counts.free_fraction()))
--- a/weldbend/routing/random_source.py
+++ b/weldbend/routing/random_source.py
@@ -1,4 +1,4 @@
-"""Random numbers from a seed and a counter: the same at every run."""
+"""Reproducible random numbers, generated from a seed and a counter."""
 
 import random
 import zlib
@@ -8,14 +8,15 @@
 
 
 class RandomSource(random.Random):
-    """Draws from a checksum of seed and counter; distributions are those of `random.Random`.
+    """Generates numbers from a checksum of seed and counter, with the distributions of `random.Random`.
 
-    A checksum is linear: those of two counters differ by the same bits whatever the seed, so that one draw
-    would give away the next. Two rounds of shift and multiplication (the finalizer `lowbias32`) undo that.
+    A checksum is linear: the checksums of two counters differ by the same bits for every seed, so one number
+    would reveal the next. Two rounds of shift and multiplication (the finalizer `lowbias32`) remove that
+    relation.
 
     Attributes:
-        seed_number: what all draws follow from.
-        count: how many were made.
+        seed_number: seed of all numbers.
+        count: number of values generated so far.
     """
 
     def __init__(self, seed: int) -> None:
@@ -24,7 +25,7 @@
         self.count = 0
 
     def random(self) -> float:
-        """The next number, in [0, 1)."""
+        """Return the next number, in [0, 1)."""
         self.count += 1
         drawn = zlib.crc32(b"%d:%d" % (self.seed_number, self.count))
         drawn = (drawn ^ drawn >> 16) * 0x7FEB352D & WORD_MASK
--- a/weldbend/routing/reports.py
+++ b/weldbend/routing/reports.py
@@ -1,4 +1,4 @@
-"""What a router can tell other fronts of its caches. No decision is made here."""
+"""Information about a router's caches for other fronts; contains no routing decisions."""
 
 import math
 from dataclasses import dataclass
@@ -9,13 +9,13 @@
 
 @dataclass(frozen=True, slots=True)
 class SlowStartDemand:
-    """What is put to a cache that warms up, in seconds of work within the window of its overload rule.
+    """Work for a cache during its warm-up, in seconds of sending within the window of its overload rule.
 
     Attributes:
-        fleet_budget: what all fronts together may send; infinite where it is warm.
-        sent: what this front sent.
-        wanted: what this front would have sent.
-        attempt_work: the work of one attempt, at most.
+        fleet_budget: work that all fronts together may send; infinite if the cache is warm.
+        sent: work that this front sent.
+        wanted: work that this front would have sent without a quota.
+        attempt_work: maximum work of one attempt.
     """
 
     fleet_budget: float
@@ -25,7 +25,10 @@
 
 
 def health_counts(router: Router, now: float) -> dict[int, tuple[float, float]]:
-    """Successes and failures of late at each cache, by its number; those of its probe where there was one."""
+    """Return the recent successes and failures at each cache by its number.
+
+    For a cache that is probed, only the outcomes since probing started are counted.
+    """
     return {cache.id: _health_count(cache, now) for cache in router.caches.values()}
 
 
@@ -36,7 +39,7 @@
 
 
 def slow_start_demand(router: Router, number: int, now: float) -> SlowStartDemand:
-    """What is put to a cache that warms up, and what it bears."""
+    """Return the demand for a cache during its warm-up, and the budget of the whole fleet for it."""
     cache = router.caches[number]
     statistics = router.context.statistics
     works = [statistics.mean_work(other) for other in statistics.classes if not other.origin_only]
--- a/weldbend/routing/router.py
+++ b/weldbend/routing/router.py
@@ -1,7 +1,8 @@
-"""The router: which cache answers a request, where a miss is filled from, and where a copy stays.
+"""The router, which selects the cache to answer a request, the source of a fill and the copies to store.
 
-Call `Router(seed, settings)`, then `handle(now, batch)` for each batch of events; it returns the actions in
-order. `now` never goes back. A restarted front is a new Router. docs/design.md gives the reasons.
+Create `Router(seed, settings)`, then call `handle(now, batch)` for each batch of events; it returns the
+actions in order. `now` must not decrease. A front that restarts creates a new Router. docs/design.md explains
+the design.
 """
 
 from collections.abc import Iterable
@@ -21,15 +22,15 @@
 from weldbend.routing.prefilter import Prefilter
 from weldbend.routing.settings import Role, SiteSettings
 
-STATISTICS_WINDOW = 10.0  # seconds that durations of answers are remembered for
-WORK_PRIOR = 4  # answers that a class's latency objective counts for in its mean work
-MIN_EXPECTED_DURATION = 0.1  # least seconds that an answer is expected to take
-LIST_RETRIES = 20  # times that a list is asked for within the time in which it has to be had
+STATISTICS_WINDOW = 10.0  # seconds for which durations of answers are remembered
+WORK_PRIOR = 4  # number of answers that the latency objective of a class counts as in its mean work
+MIN_EXPECTED_DURATION = 0.1  # minimum expected duration of an answer in seconds
+LIST_RETRIES = 20  # number of requests for the endpoint list within the time limit for receiving it
 WATCH_TOKEN = "watch"
 
 
 class Router:
-    """The decisions of one front: events go to the parts they concern, and their actions are collected."""
+    """The routing decisions of one front: dispatches events to its parts and collects their actions."""
 
     def __init__(self, seed: int, settings: SiteSettings) -> None:
         classes = settings.classes.values()
@@ -48,11 +49,11 @@
 
     @property
     def actions(self) -> list[Action]:
-        """What the batch that is handled, or was handled last, has led to so far."""
+        """The actions of the current batch so far, or of the last one."""
         return self.context.actions
 
     def handle(self, now: float, batch: Iterable[events.Event]) -> list[Action]:
-        """Decide on a batch of events at the moment `now` (seconds)."""
+        """Process a batch of events at the time `now` (seconds), and return the resulting actions."""
         self.context.begin_batch(now)
         if self.context.settings.subscribes and not self.is_watching:
             self.is_watching = True
@@ -69,7 +70,7 @@
         return self.context.actions
 
     def update_endpoints(self, event: events.EndpointsListed) -> None:
-        """Apply an endpoint list; one that failed is asked for again."""
+        """Apply an endpoint list, or schedule a new request for a list that could not be fetched."""
         settings = self.context.settings
         if event.scope is not ListScope.FAILED:
             self.endpoints.update(event)
--- a/weldbend/routing/slow_start.py
+++ b/weldbend/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: what a cache that started lately bears, and what of that this front may send."""
+"""Slow start: the capacity of a recently started cache, and the part of it that this front may use."""
 
 import math
 
@@ -6,16 +6,15 @@
 from weldbend.routing.settings import Role
 from weldbend.routing.turn_credit import TurnCredit
 
-BUDGET_FRACTION = 0.75  # of a warming cache's budget that is used
-# part of the budget's window for which a front's turn at a warming cache stays open
-TURN_VALID_FRACTION = 0.5
-RECONNECT_GRACE = 0.2  # seconds in which a broken connection is no restart yet
-RECONNECT_WINDOW = 0.5  # seconds within which a new connection says that there was none
-MIN_LINK_FLOWS = 0.5  # flows that a cache is held to bear before any was seen to bear more
+BUDGET_FRACTION = 0.75  # fraction of the budget of a cache in warm-up that is used
+TURN_VALID_FRACTION = 0.5  # fraction of the budget's window after which an unused turn of a front expires
+RECONNECT_GRACE = 0.2  # seconds after a broken connection before a restart is assumed
+RECONNECT_WINDOW = 0.5  # seconds within which a new connection shows that there was no restart
+MIN_LINK_FLOWS = 0.5  # minimum size of a link, in flows, assumed if link sizes are unknown
 
 
 class SlowStart:
-    """One cache's warm-up as this front knows of it, and this front's budget there."""
+    """The warm-up of one cache as far as this front knows, and this front's budget there."""
 
     def __init__(self, cache: CacheRecord) -> None:
         self.cache = cache
@@ -23,10 +22,11 @@
         self.credit = TurnCredit()
 
     def capacity_fraction(self) -> float:
-        """The least part of its link that it can be counted on for: it may have started lately.
+        """Return the fraction of its full capacity that the cache has at least; it may have started recently.
 
-        Guards against restarts that the list does not tell yet, as one that broke its connections and cannot
-        be reached again at once. Harm: one cut off gets little until it would be warm.
+        Guards against restarts that the endpoint list does not show yet: a cache may have restarted if its
+        connections broke and no new one can be opened at once. Side effect: a cache that was only cut off
+        from the network receives little work until it would be warm.
         """
         now = self.context.now
         warm_up = self.context.settings.warm_up(self.cache.role)
@@ -38,12 +38,12 @@
         return min(1.0, first + (1 - first) * age / warm_up.seconds)
 
     def possible_start(self) -> float:
-        """The last moment at which it may have started; minus infinity for long ago."""
+        """Return the latest time at which the cache may have started; minus infinity if that was long ago."""
         listed_start = -math.inf if self.cache.started is None else self.cache.started
         return max(listed_start, self.cache.breaks.possible_restart(self.context.now))
 
     def next_change(self) -> float:
-        """The next moment at which it may become warm, or cold, without an event; infinite for never."""
+        """Return the next time at which the cache may become warm or cold by itself; infinity if never."""
         now = self.context.now
         breaks = self.cache.breaks
         grace_end = breaks.grace_ends_at() if now < breaks.grace_ends_at() else math.inf
@@ -52,9 +52,9 @@
         return min(grace_end, self.possible_start() + self.context.settings.warm_up(self.cache.role).seconds)
 
     def admits(self, work: float, warm_load: float) -> bool:
-        """Whether this much work may go: within this front's quota of what it can bear.
+        """Return whether this front may send an amount of work within its quota of the cache's capacity.
 
-        A front that has itself just started may have sent some before: its quota grows over a window.
+        A front that has just started may have sent work before its restart, so its quota grows over a window.
         """
         if self.capacity_fraction() >= 1:
             return True
@@ -68,13 +68,17 @@
         return self.takes_turn(budget, work, window)
 
     def budget(self) -> float:
-        """Work for each flow of its link that it bears in a window of the overload rule."""
+        """Return the work per flow of its link that the cache can handle in one overload window."""
         settings = self.context.settings
         factor = settings.warm_up(self.cache.role).overload_factor
         return factor * self.capacity_fraction() * settings.edge_overload_window * BUDGET_FRACTION
 
     def link_quota(self, warm_load: float) -> float:
-        """This front's quota of its link in flows: as leased or listed, else what warm caches bore lately."""
+        """Return this front's quota of the link in flows.
+
+        It depends on the leases or on the endpoint list. If the sizes of links are unknown, the recently
+        measured load of warm caches is used.
+        """
         cache = self.cache
         settings = self.context.settings
         if not settings.weighted:
@@ -84,10 +88,11 @@
         return cache.weight / (cache.sharing_fronts if cache.role is Role.EDGE else settings.fronts)
 
     def takes_turn(self, budget: float, work: float, window: float) -> bool:
-        """Whether it is this front's turn, where its budget is less than one attempt a window.
+        """Return whether this front may send an attempt although its budget is below one attempt per window.
 
-        Credit grows from a random start, and a turn not taken soon is lost. Guards against fronts that all
-        have one left when traffic comes at once. Harm: a front that asks seldom misses most of its turns.
+        Credit grows from a random start, and a turn that is not used in time expires. Guards against all
+        fronts having a saved turn when requests arrive at many of them at once. Side effect: a front with few
+        requests misses most of its turns.
         """
         first = 0.0 if self.credit.amount is not None else work * self.context.random.random()
         credit = self.credit.grow(self.context.now, budget / window, first)
--- a/weldbend/routing/turn_credit.py
+++ b/weldbend/routing/turn_credit.py
@@ -1,8 +1,8 @@
-"""Credit that grows with time and is spent by what is sent. It decides nothing."""
+"""Credit that grows with time and is spent by sending work; contains no routing decisions."""
 
 
 class TurnCredit:
-    """Seconds of work that may be put to something whose budget is below one attempt."""
+    """Credit in seconds of work, for a receiver whose budget is below one attempt."""
 
     def __init__(self) -> None:
         self.amount: float | None = None
@@ -10,7 +10,7 @@
         self.rate = 0.0
 
     def grow(self, now: float, rate: float, first: float) -> float:
-        """Add what came in since the last time, at the mean of the rate then and now; begin with `first`."""
+        """Add the credit since the last call, at the mean of the old and new rate; start with `first`."""
         if self.amount is None:
             self.amount = first
         else:
@@ -20,6 +20,6 @@
         return self.amount
 
     def spend(self, work: float) -> None:
-        """Take what was sent off, if any credit was counted yet."""
+        """Subtract work that was sent, if the credit has been started."""
         if self.amount is not None:
             self.amount -= work
--- a/weldbend/routing/warm_load.py
+++ b/weldbend/routing/warm_load.py
@@ -1,4 +1,4 @@
-"""What warm caches of each role were seen to bear: stands in where the sizes of links are not told."""
+"""Measured load of the warm caches of each role, used as their capacity if link sizes are unknown."""
 
 from weldbend.routing.context import Context
 from weldbend.routing.records import Attempt
@@ -7,11 +7,11 @@
 
 
 class WarmLoad:
-    """Flows that one warm cache of a role carried at once, on average.
+    """Average number of flows carried at once by a warm cache of a role.
 
     Args:
-        context: the router's.
-        window: seconds that the average covers.
+        context: shared state of the router.
+        window: seconds over which the load is averaged.
     """
 
     def __init__(self, context: Context, window: float) -> None:
@@ -21,7 +21,7 @@
         self.flows: dict[Role, float] = {}
 
     def record_served(self, attempt: Attempt) -> None:
-        """Count what an attempt brought at each cache that it touched, if most of its role are warm."""
+        """Count a served attempt at each warm cache involved, if most caches of that role are warm."""
         for cache in attempt.caches():
             role_group = self.context.ready[cache.role]
             now = self.context.now
--- a/weldbend/routing/warming_caches.py
+++ b/weldbend/routing/warming_caches.py
@@ -1,4 +1,4 @@
-"""Which caches of a group are not warm, known without asking each of them. No decision is made here."""
+"""The caches of a group that are warming up, tracked incrementally; contains no routing decisions."""
 
 import math
 from heapq import heappop, heappush
@@ -8,16 +8,17 @@
 if TYPE_CHECKING:
     from weldbend.routing.cache_state import Cache
 
-MIN_RECHECK_DELAY = 0.01  # seconds until a cache is looked at again that is not yet warm when it should be
+# minimum number of seconds before a cache is checked again, in case it is not warm when expected
+MIN_RECHECK_DELAY = 0.01
 
 
 class WarmingCaches:
-    """Caches that warm up; each is looked at after an event, and when it may have changed without one.
+    """Caches that are warming up; each is checked after events, and when it may change without one.
 
     Attributes:
-        warming: those that were not warm when they were seen last.
-        due: when each is to be looked at again.
-        waiting: the same as a heap; an entry that `due` does not confirm is an old one.
+        warming: caches that were not warm at the last check.
+        due: time of the next check of each cache.
+        waiting: the same times as a heap; an entry that differs from `due` is obsolete.
     """
 
     def __init__(self) -> None:
@@ -27,7 +28,7 @@
         self.numbers = count()
 
     def update_cache(self, cache: "Cache", now: float) -> None:
-        """See whether a cache is warm, and when that may change by itself."""
+        """Check whether a cache is warm, and schedule the next check."""
         if cache.is_warm():
             self.warming.discard(cache)
         else:
@@ -39,12 +40,12 @@
             heappush(self.waiting, (self.due[cache], next(self.numbers), cache))
 
     def forget(self, cache: "Cache") -> None:
-        """Count a cache no longer."""
+        """Stop tracking a cache."""
         self.warming.discard(cache)
         self.due.pop(cache, None)
 
     def count(self, now: float) -> int:
-        """How many warm up now."""
+        """Return the number of caches that are warming up now."""
         while self.waiting and self.waiting[0][0] <= now:
             due, _, cache = heappop(self.waiting)
             if self.due.get(cache) == due:
--- a/weldbend/routing/windows.py
+++ b/weldbend/routing/windows.py
@@ -1,19 +1,20 @@
-"""Sums over the last seconds, in constant memory. They decide nothing."""
+"""Sliding-window sums and decaying averages in constant memory. This module contains no routing decisions."""
 
 
 class WindowedSum:
-    """A sum over about the last `span` seconds, in fixed buckets that are used again in a ring.
+    """A sum over about the last `span` seconds, in a fixed number of buckets used as a ring.
 
     Args:
         span: seconds that the sum covers.
-        buckets: parts that it is divided into; the sum covers up to one part more than `span`.
+        buckets: number of parts that the span is divided into; the sum covers up to one part more than
+            `span`.
 
     Attributes:
-        width: seconds of a bucket.
-        bucket: number of the newest one; bucket 0 begins at moment 0.
-        bucket_end: moment at which the next one begins.
-        sum: of all buckets.
-        sums: of each bucket, at its number modulo their count; None where all are 0.
+        width: seconds covered by a bucket.
+        bucket: number of the newest bucket; bucket 0 begins at time 0.
+        bucket_end: time at which the next bucket begins.
+        sum: sum of all buckets.
+        sums: sum of each bucket, at its number modulo their count; None if all are 0.
     """
 
     __slots__ = ("bucket", "bucket_end", "buckets", "sum", "sums", "width")
@@ -27,7 +28,7 @@
         self.sums: list[float] | None = None
 
     def add(self, now: float, amount: float = 1.0) -> None:
-        """Add an amount at the moment `now`, which never goes back."""
+        """Add an amount at the time `now`, which must not decrease."""
         if now >= self.bucket_end:
             self._advance(now)
         if self.sums is None:
@@ -36,16 +37,16 @@
         self.sum += amount
 
     def total(self, now: float) -> float:
-        """The sum as of the moment `now`."""
+        """Return the sum as of the time `now`."""
         if now >= self.bucket_end:
             self._advance(now)
         return self.sum
 
     def merge(self, other: "WindowedSum", now: float, sign: int) -> None:
-        """Add what another sum of the same span holds (`sign` 1), or take it off again (-1).
+        """Add another sum of the same span (`sign` 1), or subtract it again (-1).
 
-        Sums of one span change buckets at the same moments. What is taken off leaves nothing behind where
-        the amounts are exact in binary, as whole numbers and halves are.
+        Sums of the same span change buckets at the same times. Subtraction leaves no remainder if the amounts
+        are exactly representable in binary, as integers and halves are.
         """
         if other.sums is None:
             return
@@ -57,7 +58,7 @@
         self.sum = sum(self.sums)
 
     def _advance(self, now: float) -> None:
-        """Go on to the bucket of `now`, and empty those that were passed over."""
+        """Move to the bucket of the time `now`, and clear the buckets in between."""
         current = self._bucket_at(now)
         if current - self.bucket >= self.buckets:
             self.sums = None
@@ -69,7 +70,7 @@
         self.bucket_end = (current + 1) * self.width
 
     def _bucket_at(self, now: float) -> int:
-        """The bucket of a moment: the one whose start, as computed here, is the last one not after it."""
+        """Return the last bucket whose start, as computed here, is not after a time."""
         bucket = int(now / self.width)
         while bucket * self.width > now:
             bucket -= 1
@@ -79,7 +80,7 @@
 
 
 class PooledSum(WindowedSum):
-    """A windowed sum that may also count in a pool: a sum of the same span over several of its kind."""
+    """A windowed sum that may also be part of a pool: a sum of the same span over several pooled sums."""
 
     __slots__ = ("pool",)
 
@@ -88,29 +89,29 @@
         self.pool: WindowedSum | None = None
 
     def add(self, now: float, amount: float = 1.0) -> None:
-        """Add an amount at the moment `now`, here and in the pool."""
+        """Add an amount at the time `now`, here and in the pool."""
         super().add(now, amount)
         if self.pool is not None:
             self.pool.add(now, amount)
 
     def join(self, pool: WindowedSum, now: float) -> None:
-        """Count in a pool from now on, with all that was counted before; it must be in none."""
+        """Add this sum, and all amounts added from now on, to a pool; the sum must not be in a pool yet."""
         pool.merge(self, now, 1)
         self.pool = pool
 
     def leave(self, now: float) -> None:
-        """Count in no pool any more; what was counted here leaves it as well."""
+        """Remove this sum from its pool, if it is in one."""
         if self.pool is not None:
             self.pool.merge(self, now, -1)
             self.pool = None
 
 
 class DecayingAverage:
-    """A smoothed measurement that is forgotten linearly when no new one comes.
+    """An exponentially smoothed measurement that decays linearly to 0 while there is no new one.
 
     Args:
         smoothing: weight of the newest measurement, in (0, 1].
-        memory: seconds after which the last value counts for nothing.
+        memory: seconds after which the last value has decayed to 0.
     """
 
     def __init__(self, smoothing: float, memory: float) -> None:
@@ -120,10 +121,10 @@
         self.measured_at = 0.0
 
     def add(self, now: float, measured: float) -> None:
-        """Take in a measurement of the moment `now`."""
+        """Add a measurement made at the time `now`."""
         self.last = (1 - self.smoothing) * self.value(now) + self.smoothing * measured
         self.measured_at = now
 
     def value(self, now: float) -> float:
-        """What is left of it at the moment `now`."""
+        """Return the decayed value at the time `now`."""
         return self.last * max(1 - (now - self.measured_at) / self.memory, 0.0)
--- a/weldbend/site_settings.py
+++ b/weldbend/site_settings.py
@@ -1,7 +1,7 @@
-"""Reads the settings object that a front is given into the settings that the router goes by.
+"""Conversion of the settings object of a front to the settings of its router.
 
-Both programs that hold a router use it: the simulator's adapter and the front on sockets. Unknown keys are
-ignored.
+It is used by both programs that contain a router: the simulator's adapter and the front on sockets. Unknown
+keys are ignored.
 """
 
 from collections.abc import Mapping
@@ -21,14 +21,14 @@
 }
 
 
-MICROSECONDS_PER_SECOND = 1e6  # in a second
+MICROSECONDS_PER_SECOND = 1e6
 
 
 def cache_roles(raw: Mapping[str, Any]) -> dict[str, Role]:
     """Return the role of each machine kind.
 
     Raises:
-        KeyError: for a key that is missing.
+        KeyError: if a key is missing.
     """
     family = raw["family_info"]
     kinds = raw["kinds"]
@@ -40,7 +40,7 @@
 
 
 def _request_class(class_settings: Mapping[str, Any], family: Mapping[str, Any], index: int) -> RequestClass:
-    """Return the request class at a place of the settings' list."""
+    """Return the request class at an index of the list of classes in the settings."""
     return RequestClass(
         name=class_settings["name"],
         idempotency=IDEMPOTENCIES[class_settings["idempotency"]],
@@ -56,10 +56,10 @@
 
 
 def read_site_settings(raw: Mapping[str, Any]) -> SiteSettings:
-    """Return all that the router reads of a settings object.
+    """Return the settings of the router that a settings object contains.
 
     Raises:
-        KeyError: for a key that is missing.
+        KeyError: if a key is missing.
     """
     family = raw["family_info"]
     caps = raw["caps"]
