--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -188,8 +188,8 @@
     def record_purge(self, purge: events.ObjectsPurged) -> None:
         """Store a purge for as long as older copies may exist."""
         now = self.context.now
-        keep = self.context.settings.purge_lifetime()
-        self.purges.record(purge.key or purge.group, now - purge.age, now, keep)
+        lifetime = self.context.settings.purge_lifetime()
+        self.purges.record(purge.key or purge.group, now - purge.age, now, lifetime)
 
     def end(self, ended: events.AttemptEnded) -> None:
         """Process the end of an attempt.
@@ -212,8 +212,10 @@
             is_harmless = self.context.now < executions[0].sent + request_class.deduplication_window
         else:
             is_harmless = not executions or request_class.idempotency is Idempotency.IDEMPOTENT
-        name = request.received.id
+        request_id = request.received.id
         retry_after = min(self.context.settings.max_retry_after, RETRY_AFTER)
-        answer = actions.RejectRequest(name, retry_after) if is_harmless else actions.FailRequest(name)
+        answer = (
+            actions.RejectRequest(request_id, retry_after) if is_harmless else actions.FailRequest(request_id)
+        )
         self.context.actions.append(answer)
-        self.context.post(request, events.RequestCancelled(name))
+        self.context.post(request, events.RequestCancelled(request_id))
--- a/weldbend/routing/event_dispatch.py
+++ b/weldbend/routing/event_dispatch.py
@@ -33,8 +33,8 @@
 
     def dispatch_timer(self, event: events.TimerFired) -> None:
         """Post a timer event; tokens have the form `end:REQUEST` or `slow:REQUEST:ATTEMPT`."""
-        purpose, name, *number = event.token.split(":")
-        request = self.context.requests.get(name)
+        purpose, request_id, *number = event.token.split(":")
+        request = self.context.requests.get(request_id)
         if request is None:
             return
         if purpose == "slow":
