--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -20,7 +20,7 @@
 LAG_LIMIT = 0.03  # seconds of event-loop lag above which requests are rejected
 LAG_MEMORY = 0.5  # seconds after which a lag measurement has no effect
 LAG_SMOOTHING = 0.3  # weight of the newest measurement
-QUEUED_LIMIT = 0.35  # fraction of its latency objective that a request may be queued unread
+QUEUED_LIMIT = 0.35  # fraction of its latency objective that a request may spend queued unread
 OVER_LIMIT_LOAD = 3.0  # load assumed for requests over a fleet-wide limit; rejection starts at a load of 1
 MAX_ERRORS = 3  # error answers after which a request fails
 WARM_LOAD_WINDOW = 10.0  # seconds over which the load of warm caches is measured
@@ -66,9 +66,9 @@
         """Admit a request, or reject it when this front is overloaded.
 
         Guards against more requests than this front has time to process, which would make every answer late.
-        A fraction of the requests is rejected at once, starting with those of the lowest priority weight. A
-        request that was queued unread for too long is treated in the same way. Side effect: a pause of the
-        machine causes some requests to be rejected.
+        A fraction of the requests is rejected at once when the load exceeds 1, or 2 for the classes of the
+        highest priority weight. A request that was queued unread for too long is treated in the same way.
+        Side effect: a pause of the machine causes some requests to be rejected.
         """
         context = self.context
         request_class = self.context.settings.classes[received.class_name]
@@ -113,9 +113,9 @@
     def is_exhausted(self, request: Request) -> bool:
         """Return whether a request may have no further attempt.
 
-        This is the case when its time, its attempts or the retry budget are used up. Attempts that ended by a
-        fault of this machine are not counted: each of them took the time of a connect, so the deadline bounds
-        them.
+        This is the case when its time, its attempts, the errors allowed or the retry budget are used up.
+        Attempts that ended by a fault of this machine are not counted: each of them took the time of a
+        connect, so the deadline bounds them.
         """
         now = self.context.now
         errors = sum(attempt.result is AttemptResult.ERROR for attempt in request.attempts)
@@ -127,7 +127,7 @@
         return errors >= MAX_ERRORS or is_budget_spent or is_expired or is_attempt_limit_reached
 
     def is_safe(self, attempt: Attempt) -> bool:
-        """Return whether an attempt can have no second effect, and is no hedge where those are forbidden."""
+        """Return whether an attempt can have no second effect, and is no hedge where that is forbidden."""
         request = attempt.request
         settings = self.context.settings
         executions = request.possible_executions()
--- a/weldbend/routing/concurrency.py
+++ b/weldbend/routing/concurrency.py
@@ -14,7 +14,7 @@
 MIN_FLEET_LIMIT = 1.0  # lower bound of a limit on attempts in flight, summed over all fronts
 INITIAL_SPREAD = 2.0  # initial limit: a front's fair share of the link plus this multiple of its square root
 INITIAL_LIMIT = 12.0  # initial limit if the size of the link is unknown
-# fraction of a limit that is available to requests whose first choice is another cache
+# Fraction of a limit that is available to requests whose first choice is another cache.
 SPILLOVER_FRACTION = 0.5
 DENSEST_HEADROOM = 1.3  # factor by which the class of the highest priority density may exceed a limit
 PASS_THROUGH_WEIGHT = 0.5  # load of a fill passing through an edge, relative to that of a lookup
@@ -60,7 +60,8 @@
     def adapt(self, outcome: Outcome) -> None:
         """Adapt the limit: additive increase after a success, multiplicative decrease under overload.
 
-        The increase applies only while the limit is in use, and totals one for all fronts of the zone.
+        The increase applies only while the limit is in use. Over as many successes as the limit allows
+        attempts, the increases of all fronts of the zone add up to one.
         """
         now = self.cache.context.now
         context = self.cache.context
--- a/weldbend/routing/events.py
+++ b/weldbend/routing/events.py
@@ -240,7 +240,7 @@
 class PeerKnowledge:
     """Information from other fronts about a cache.
 
-    It can only make this front stricter; None means that nothing is known.
+    It can only lead to stricter decisions; None means that nothing is known.
     """
 
     cache: int
--- a/weldbend/routing/placement.py
+++ b/weldbend/routing/placement.py
@@ -20,7 +20,7 @@
 TABLE_SIZE = 8192  # number of objects that the prefilter remembers
 RATE_WINDOW = 10.0  # seconds over which cache rates are measured
 MAX_CHOICES = 32  # number of caches of a group, in the order of the hash, considered for one request
-# After a miss at a parent whose limit decreased within these seconds, the hub's parents are not preferred.
+# Seconds: after a miss at a parent whose limit decreased this recently, the hub's parents are not preferred.
 OVERLOADED_PARENT_WINDOW = 10.0
 
 
@@ -56,7 +56,7 @@
         edge = self.pick(request, edges, edges.success_rate())
         if edge is None:
             return self.plan_at_parent(request)
-        # no lookup at an edge during warm-up: it stores little, and each attempt uses up its budget
+        # no lookup at an edge during its warm-up: it stores little, and each attempt uses up budget
         if request.request_class.origin_only or not edge.is_warm():
             return self.plan_fill(request, edge)
         return Attempt(request, edge, rank=COPY_RANK if request.popularity.level >= EDGE_LEVEL else 0)
@@ -98,7 +98,7 @@
     def decide_copies(self, attempt: Attempt) -> None:
         """Decide which tiers store a copy: that of the highest value and that of the lowest cache rate."""
         request = attempt.request
-        if attempt.only_if_cached:  # the parent has a copy already
+        if attempt.only_if_cached:  # the parent has a copy, so only the edge may store one
             attempt.rank = min(COPY_RANK, request.popularity.level)
             return
         is_cacheable = not request.request_class.origin_only
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -228,7 +228,7 @@
         self.group: RoleGroup | None = None
 
     def clear(self, health_window: float, breaks: ConnectionBreaks) -> None:
-        """Reset everything that was observed locally, including the attempts in flight that limits count."""
+        """Reset the local observations of the cache, whose attempts in flight no longer count in limits."""
         self.count_in_flight(-len(self.in_flight))
         self.breaks = breaks
         self.health_window = health_window
--- a/weldbend/routing/rendezvous.py
+++ b/weldbend/routing/rendezvous.py
@@ -104,7 +104,10 @@
         self._weight_ratio = None
 
     def weight_ratio(self) -> float:
-        """Return the weight of the heaviest bucket divided by that of the lightest; there must be one."""
+        """Return the weight of the heaviest bucket divided by that of the lightest one.
+
+        The ranking must not be empty.
+        """
         if self._weight_ratio is None:
             weights = [bucket.weight for bucket in self.buckets.values()]
             self._weight_ratio = max(weights) / min(weights)
--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -90,10 +90,10 @@
     def suspect(self, suspicion: Suspicion) -> None:
         """Start another attempt beside a suspected one, or cancel that one if hedging is not allowed.
 
-        Guards against attempts that do not end. Most slow attempts are for large objects, so an attempt at a
-        trusted cache with an active connection gets a second timeout. Silence of a connection is evidence
-        only if answers were expected on it. Side effect: the first attempts at a cache that stops answering
-        are late.
+        Guards against attempts that do not end. Most slow attempts are for large objects, so an attempt gets
+        a second timeout if its connection is not silent and, where hedging is allowed, its cache is trusted.
+        Silence of a connection is evidence only if answers were expected on it. Side effect: the first
+        attempts at a cache that stops answering are late.
         """
         context = self.context
         attempt = suspicion.attempt
@@ -131,7 +131,7 @@
             self.discard_if_finished()
 
     def avoid_cache(self, cache: Cache) -> None:
-        """Prefer another cache for this request, to which this machine may be able to open a connection."""
+        """Prefer another cache for this request, as this machine may be able to connect to that one."""
         self.failed_caches.add(cache)
         if cache is self.missed_cache:
             self.missed_cache = None
@@ -139,8 +139,8 @@
     def record_served(self, attempt: Attempt, duration: float) -> None:
         """Record the duration and size of an answer.
 
-        If the size is unknown, the duration is used in its place. A late answer is excepted, because its
-        delay may have other causes than a large object.
+        If the size is unknown, the duration is recorded instead, unless the answer is late: the delay may
+        have other causes than a large object.
         """
         context = self.context
         request_class = self.request_class
--- a/weldbend/routing/slow_start.py
+++ b/weldbend/routing/slow_start.py
@@ -22,11 +22,11 @@
         self.credit = TurnCredit()
 
     def capacity_fraction(self) -> float:
-        """Return the fraction of its full capacity that the cache has at least; it may have started recently.
+        """Return a lower bound of the cache's capacity, as a fraction of its full capacity.
 
         Guards against restarts that the endpoint list does not show yet: a cache may have restarted if its
         connections broke and no new one can be opened at once. Side effect: a cache that was only cut off
-        from the network receives little work until it would be warm.
+        from the network receives little work until its warm-up would have ended.
         """
         now = self.context.now
         warm_up = self.context.settings.warm_up(self.cache.role)
--- a/weldbend/routing/warming_caches.py
+++ b/weldbend/routing/warming_caches.py
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from weldbend.routing.cache_state import Cache
 
-# minimum number of seconds before a cache is checked again, in case it is not warm when expected
+# Minimum number of seconds until a cache is checked again if it is not warm when expected.
 MIN_RECHECK_DELAY = 0.01
 
 
--- a/weldbend/site_settings.py
+++ b/weldbend/site_settings.py
@@ -20,7 +20,6 @@
     "cell": DeduplicationScope.CELL,
 }
 
-
 MICROSECONDS_PER_SECOND = 1e6
 
 
