--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -95,7 +95,7 @@
 
 
 def treats_a_reset_as_never_executed(monkeypatch):
-    monkeypatch.setitem(request_codec.LOSSES, AttemptLoss.RESET, AttemptResult.SUPERSEDED)
+    monkeypatch.setitem(request_codec.LOSS_RESULTS, AttemptLoss.RESET, AttemptResult.SUPERSEDED)
 
 
 def allows_every_retry(monkeypatch):
