--- a/weldbend/event_bus/__init__.py
+++ b/weldbend/event_bus/__init__.py
@@ -1,1 +1,1 @@
-"""The event bus: its stream of server-sent events, the client that reads it, and the events on it."""
+"""The event bus: the parser of its server-sent events, the client that reads them, and their types."""
--- a/weldbend/event_bus/endpoint_registry.py
+++ b/weldbend/event_bus/endpoint_registry.py
@@ -1,4 +1,7 @@
-"""Maps endpoint records to the router's endpoints: uids to numbers, stamps of starts to the front's time."""
+"""Conversion of endpoint records to the router's endpoints.
+
+Uids become numbers, and Unix times of starts become times of the front's clock.
+"""
 
 import zlib
 from dataclasses import dataclass, field
@@ -17,7 +20,12 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownStart:
-    """The latest start of a cache, as it was stamped (Unix seconds) and dated."""
+    """The latest known start of a cache.
+
+    Attributes:
+        stamp: Unix seconds, as reported.
+        interval: Bounds of the start on the front's clock.
+    """
 
     stamp: float
     interval: StartInterval
@@ -25,18 +33,18 @@
 
 @dataclass(slots=True)
 class EndpointRegistry:
-    """Numbers of endpoints.
+    """Numbers and start times of endpoints.
 
-    A uid has the same number at every front, and after a restart, unless two uids have the same checksum:
-    rendezvous hashing uses the numbers.
+    Rendezvous hashing uses the numbers, so a uid has the same number at every front and after a restart. Uids
+    with equal checksums are the exception.
 
     Attributes:
-        timestamps: Dates what other machines stamped.
+        timestamps: Converter of Unix times from other machines.
         roles: The role of each kind of endpoint.
-        numbers: Number by uid.
-        uids: Uid by number.
-        starts: By uid, the latest start that the bus has told.
-        peer_starts: By uid, the latest start that another front has told.
+        numbers: Numbers by uid.
+        uids: Uids by number.
+        starts: Latest starts by uid, as reported on the bus.
+        peer_starts: Latest starts by uid, as reported by other fronts.
     """
 
     timestamps: RemoteTimestamps
@@ -47,7 +55,7 @@
     peer_starts: dict[str, KnownStart] = field(default_factory=dict)
 
     def number(self, uid: str) -> int:
-        """Return the number of a uid, which is assigned at the first call."""
+        """Return the number of a uid; the first call assigns it."""
         if uid not in self.numbers:
             number = zlib.crc32(uid.encode())
             while number in self.uids:
@@ -64,10 +72,11 @@
             self.peer_starts.pop(uid, None)
 
     def estimate_start(self, record: EndpointRecord, receipt: Receipt) -> StartInterval | None:
-        """Return when a cache started, the same at each call for the same start; None for long ago.
+        """Return bounds of a cache's start time, or None if the record has no start time.
 
-        Guards against a start that is reported again: dated anew it would look like another, and what is
-        known of that cache would be reset. Harm: none.
+        All calls for the same start return the same bounds. This guards against repeated reports of one
+        start: a second estimate would differ and look like another start, which resets the router's state of
+        that cache. There are no side effects.
         """
         if not record.started_at:
             self.starts.pop(record.uid, None)
@@ -85,19 +94,19 @@
         return KnownStart(record.started_at, self.timestamps.estimate_start(record.started_at, receipt))
 
     def discard_start(self, uid: str) -> None:
-        """Have the start of a cache dated anew."""
+        """Discard the estimated start of a cache, so that the next call estimates it again."""
         self.starts.pop(uid, None)
 
     def peer_start(self, uid: str, stamp: float, reported_start: float) -> float:
-        """Return when a cache started, in seconds of the front's clock, by what another front has told.
+        """Return when a cache started, in seconds of the front's clock, given a report of another front.
 
-        What the bus told of that start, or of a later one, stands before it; and a start that the bus tells
-        afterwards is the same one, not another.
+        A report of the same start or a later one on the bus takes precedence. If the bus reports this start
+        afterwards, it counts as the same start and keeps this estimate.
 
         Args:
-            uid: The endpoint.
-            stamp: Unix seconds of its start, which say only which start it is.
-            reported_start: The latest moment at which it can have been, in seconds of the front's clock.
+            uid: Uid of the endpoint.
+            stamp: Unix seconds of the start, used only to identify it.
+            reported_start: Latest possible time of the start, in seconds of the front's clock.
         """
         known = self.starts.get(uid)
         if known and known.stamp >= stamp:
--- a/weldbend/event_bus/errors.py
+++ b/weldbend/event_bus/errors.py
@@ -1,18 +1,18 @@
-"""Errors of the event bus: what cannot be read from its stream or from one of its events."""
+"""Errors of the event bus: invalid streams, events and endpoint records."""
 
-MAX_SHOWN = 80  # characters of bad input that an error's text contains
+MAX_SHOWN = 80  # characters of invalid input in an error message
 
 
 class EventBusError(Exception):
-    """Base of this package's errors."""
+    """Base class of this package's errors."""
 
 
 class InvalidEventError(EventBusError):
-    """Input that is not an event of the bus.
+    """Input that is not a valid event of the bus.
 
     Attributes:
         raw: The input.
-        reason: What is wrong with it.
+        reason: Description of the error.
     """
 
     def __init__(self, raw: object, reason: str) -> None:
@@ -22,11 +22,11 @@
 
 
 class InvalidRecordError(EventBusError):
-    """An endpoint record with a value that cannot be used.
+    """An endpoint record with an invalid value.
 
     Attributes:
-        field: The record's field (its name on the bus).
-        value: The value.
+        field: Name of the field on the bus.
+        value: The invalid value.
     """
 
     def __init__(self, field: str, value: object) -> None:
@@ -36,11 +36,11 @@
 
 
 class InvalidStreamError(EventBusError):
-    """A stream that cannot be read any further, since a line or an event is too long.
+    """A stream that cannot be parsed any further because a line or an event is too long.
 
     Attributes:
-        unit: What is too long: "line" or "event".
-        max_bytes: The limit.
+        unit: The unit that is too long: "line" or "event".
+        max_bytes: Its maximum length.
     """
 
     def __init__(self, unit: str, max_bytes: int) -> None:
--- a/weldbend/event_bus/events.py
+++ b/weldbend/event_bus/events.py
@@ -1,4 +1,4 @@
-"""The events of the bus, parsed from JSON: endpoint list updates and purges, in the bus's own units."""
+"""Events of the bus, parsed from JSON: endpoint list updates and purges, with Unix times in seconds."""
 
 import json
 import math
@@ -13,28 +13,28 @@
 from weldbend.event_bus.errors import InvalidEventError, InvalidRecordError
 
 RECORD_STATES = ("up", "draining", "removed")
-UID = re.compile(r"[\w.:/-]{1,64}", re.ASCII)  # it is sent as a word of the cache protocol's lines
-MAX_PURGE_TIME_MS = 1e15  # milliseconds of Unix time, above any that a purge may name
+UID = re.compile(r"[\w.:/-]{1,64}", re.ASCII)  # uids are sent as fields of the cache protocol's lines
+MAX_PURGE_TIME_MS = 1e15  # exclusive upper bound of a purge's Unix time in milliseconds
 MAX_PORT = 65535
 
-# What reading a field of the wrong type or with an impossible value raises.
+# Exceptions raised by reading a field that is absent, of the wrong type or out of range.
 FIELD_ERRORS = (KeyError, TypeError, ValueError, AttributeError, OverflowError)
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointRecord:
-    """One cache as the bus describes it.
+    """One cache, as described on the bus.
 
     Attributes:
-        uid: Its name.
-        host: Its IPv4 address.
-        port: Its port.
-        zone: Its availability zone.
-        kind: Its model, which the site's configuration maps to a role.
-        cell: The number of its failure domain, 0 for none.
+        uid: Name of the cache.
+        host: IPv4 address.
+        port: TCP port.
+        zone: Availability zone.
+        kind: Machine model, which the site's configuration maps to a role.
+        cell: Number of the failure domain, 0 for none.
         state: One of `RECORD_STATES`.
-        weight: Its capacity relative to others.
-        started_at: Unix seconds of its start, 0 if that is long ago.
+        weight: Capacity relative to other caches.
+        started_at: Unix seconds of the cache's start, 0 if it started long ago.
     """
 
     uid: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointListUpdate:
-    """A new endpoint list or, if not `is_complete`, the records that have changed."""
+    """A complete endpoint list or, if not `is_complete`, only the records that have changed."""
 
     is_complete: bool
     records: tuple[EndpointRecord, ...]
@@ -58,12 +58,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Purge:
-    """Cached copies made before `purged_at` (Unix seconds) are invalid.
+    """A purge of one object or of a group: copies made before `purged_at` are invalid.
 
     Attributes:
-        key: The object's key; None for a whole group.
-        group: The group, if `key` is None.
-        purged_at: Unix seconds.
+        key: Key of the object; None for a whole group.
+        group: Number of the purged group, if `key` is None.
+        purged_at: Unix time in seconds.
     """
 
     key: str | None
@@ -83,19 +83,19 @@
     """Parse the JSON text of an event.
 
     Raises:
-        InvalidEventError: The text is not JSON, or not an event.
+        InvalidEventError: The text is not valid JSON or not a valid event.
     """
     try:
         return parse_event(json.loads(text))
     except (ValueError, RecursionError):
-        raise InvalidEventError(text, "no JSON") from None
+        raise InvalidEventError(text, "invalid JSON") from None
 
 
 def parse_event(raw: Mapping[str, Any]) -> SequencedEvent:
-    """Return the event in decoded JSON, as the bus and the configuration contain it.
+    """Convert decoded JSON, from the bus or the configuration, to an event.
 
     Raises:
-        InvalidEventError: It is not an event.
+        InvalidEventError: The input is not a valid event.
     """
     try:
         offset = int(raw["offset"])
@@ -111,10 +111,10 @@
 
 
 def parse_purge(raw: Mapping[str, Any]) -> Purge:
-    """Return the purge in decoded JSON.
+    """Convert decoded JSON to a purge.
 
     Raises:
-        InvalidEventError: Its key is not text, or its time is out of range.
+        InvalidEventError: The key is not a string, or the time is out of range.
     """
     key = raw.get("url")
     if key is not None and not isinstance(key, str):
@@ -126,7 +126,7 @@
 
 
 def parse_records(raw: list[Any]) -> Iterator[EndpointRecord]:
-    """Yield all valid records of a list; an invalid one is logged and must not hide the others."""
+    """Yield the valid records of a list; log and skip invalid ones, so that the others still apply."""
     for item in raw:
         try:
             yield parse_record(item)
@@ -137,14 +137,14 @@
 
 
 def parse_record(raw: Mapping[str, Any]) -> EndpointRecord:
-    """Return the endpoint record in decoded JSON.
+    """Convert decoded JSON to an endpoint record.
 
     Raises:
-        InvalidRecordError: A field has a value that cannot be used.
+        InvalidRecordError: A field has an invalid value.
         KeyError, TypeError, ValueError, AttributeError, OverflowError: A field is absent or of another type.
     """
     host, _, port = raw["endpoint"].rpartition(":")
-    IPv4Address(host)  # raises ValueError: host names are not resolved
+    IPv4Address(host)  # raises ValueError for host names, which are not resolved
     weight = float(raw.get("capacity_hint") or 1)
     started_at = float(raw.get("boot_ms") or 0) / 1000
     if raw["state"] not in RECORD_STATES:
@@ -171,12 +171,12 @@
 
 
 def parse_known_events(raw: Mapping[str, Any]) -> list[SequencedEvent]:
-    """Return the events that the configuration contains.
+    """Return the events in the `known` section of the configuration.
 
     Raises:
-        InvalidEventError: There is no list of events, or one is not an event.
+        InvalidEventError: The list of events is absent, or one of them is invalid.
     """
     try:
         return [parse_event(item) for item in raw["batch"]]
     except (KeyError, TypeError) as error:
-        raise InvalidEventError(raw, f"known: {error}") from None
+        raise InvalidEventError(raw, f"invalid list of known events: {error}") from None
--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -1,7 +1,7 @@
-"""A client of the event bus: reads its stream, and reconnects after each loss from the last event received.
+"""A client of the event bus that reconnects after each loss and resumes after the last event received.
 
-One `StreamAttempt` is one connection, finished once; only the latest reports anything. The bus may move to
-another address at any time: offsets continue there.
+Each `StreamAttempt` handles one connection and finishes once; only the current attempt reports to the reader.
+The bus may move to another address at any time, where the offsets continue.
 """
 
 from collections.abc import Callable
@@ -32,45 +32,45 @@
 
 MIN_RETRY_DELAY = 0.05  # seconds before the first reconnection; doubled each time
 MAX_RETRY_DELAY = 0.5  # seconds
-SILENCE_TIMEOUT = 1.8  # seconds without a byte after which the bus is lost; it sends a comment every second
+SILENCE_TIMEOUT = 1.8  # seconds without data until the connection is lost; a comment comes every second
 HTTP_OK = 200
-MAX_OFFSET_DIGITS = 18  # of an id that counts as an offset
-MAX_SHOWN_ID = 20  # characters of an id in the log
+MAX_OFFSET_DIGITS = 18  # digits of a message id that is accepted as an offset
+MAX_SHOWN_ID = 20  # characters of a message id in a log line
 
 
 class Timer(Protocol):
     """A scheduled call."""
 
     def cancel(self) -> None:
-        """Cancel it; no effect if it was called or cancelled."""
+        """Cancel the call; no effect if it has run or was cancelled."""
 
 
 class Timers(Protocol):
-    """Schedules calls."""
+    """The clock and the timers that the reader uses."""
 
     def now(self) -> float:
         """Return the monotonic time in seconds."""
         ...
 
     def after(self, delay: float, call: Callable[[], object]) -> Timer:
-        """Schedule a call in `delay` seconds."""
+        """Schedule a call after `delay` seconds."""
         ...
 
 
 @implementer(IAgentEndpointFactory)
 class AddressEndpoints:
-    """Connects to IPv4 addresses; host names are not resolved."""
+    """Factory of endpoints for IPv4 addresses; host names are not resolved."""
 
     def __init__(self, reactor: "IReactorTCP") -> None:
         self.reactor = reactor
 
     def endpointForURI(self, uri: URI) -> TCP4ClientEndpoint:
-        """Return the endpoint for a URI whose host is an address."""
+        """Return the endpoint for a URI whose host is an IPv4 address."""
         return TCP4ClientEndpoint(self.reactor, uri.host.decode(), uri.port, timeout=SILENCE_TIMEOUT)
 
 
 class StreamAttempt(Connection):
-    """One request to the bus, and the stream that answers it."""
+    """One request to the bus and the event stream in its response."""
 
     def __init__(self, reader: "BusReader") -> None:
         self.reader = reader
@@ -84,7 +84,7 @@
         )
 
     def response_received(self, response: "IResponse") -> None:
-        """Read the body of the response; any other status than 200 finishes the attempt."""
+        """Start to read the body of the response, or finish the attempt if the status is not 200."""
         self.pending_request = None
         if response.code != HTTP_OK:
             self.finish(f"status {response.code}")
@@ -96,7 +96,7 @@
             self.transport.loseConnection()  # type: ignore[misc]  # zope: no self
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass on all messages that are complete; an invalid stream finishes the attempt."""
+        """Pass on all complete messages; finish the attempt if the stream is invalid."""
         if self.is_finished:
             return
         self.reader.record_activity()
@@ -107,18 +107,18 @@
             self.finish(str(error))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Finish: the bus has ended the stream."""
+        """Finish the attempt, since the bus has ended the stream."""
         self.finish("stream ended")
 
     def finish(self, reason: str) -> None:
-        """Close the connection, and report its loss to the reader once.
+        """Close the connection and report its loss to the reader once.
 
-        Whatever the connection receives afterwards is ignored.
+        Data received afterwards is ignored.
         """
         if not self.is_finished:
             self.is_finished = True
             if self.pending_request:
-                # Twisted loses track of a connect whose socket could not be watched when it came up.
+                # Twisted loses track of a connection whose socket could not be registered with epoll.
                 with suppress(NotConnectingError):
                     self.pending_request.cancel()
             elif self.transport:
@@ -127,14 +127,14 @@
 
 
 class BusReader:
-    """Reads the bus until it is stopped, with retries after each loss.
+    """Reader of the bus that runs until it is stopped and retries after each loss.
 
     Attributes:
-        on_event: Called with each event, in the order of offsets and each offset once.
-        on_connected: Called at each successful response, right before the past events it contains.
+        on_event: Callback for each event, in the order of offsets and once for each offset.
+        on_connected: Callback for each successful response, before the past events it contains.
         last_offset: Offset of the last event received.
-        loss_count: Lost or failed connections so far.
-        receive_count: How often bytes were received so far.
+        loss_count: Number of lost and failed connections.
+        receive_count: Number of times that bytes were received.
     """
 
     def __init__(
@@ -165,29 +165,31 @@
 
     @property
     def url(self) -> bytes:
-        """The URL of the stream."""
+        """The URL of the event stream."""
         return f"http://{self.address}/bus/read".encode()
 
     def start(self) -> None:
-        """Connect, now or again."""
+        """Connect, for the first time or again after a loss."""
         self.retry_timer = None
         if not self.is_stopped:
             self.progress.connecting()
             self.restart_silence_timer()
             self.attempt = StreamAttempt(self)
-            if self.attempt.is_finished:  # it failed within its constructor, before it was this attempt
+            if self.attempt.is_finished:  # it failed in its constructor, before it was the current attempt
                 self.attempt_finished(self.attempt, "request failed")
 
     def stop(self) -> None:
-        """Disconnect, and do not reconnect."""
+        """Disconnect and do not reconnect."""
         self.is_stopped = True
         self.abort("stopped")
 
     def move(self, address: str) -> None:
-        """Continue at another address at once; nothing more is read from the old one."""
+        """Reconnect to another address at once; nothing more is read from the old one."""
         if address == self.address:
             return
-        logger.info("bus moves from {} to {}, after event {}", self.address, address, self.last_offset)
+        logger.info(
+            "bus address changed from {} to {}, last event {}", self.address, address, self.last_offset
+        )
         self.address = address
         self.retry_delay = MIN_RETRY_DELAY
         previous = self.attempt
@@ -199,16 +201,18 @@
         self.start()
 
     def restart_silence_timer(self) -> None:
-        """Start to wait for the next byte."""
+        """Restart the timer that aborts a connection without data."""
         if self.silence_timer:
             self.silence_timer.cancel()
-        self.silence_timer = self.timers.after(SILENCE_TIMEOUT, lambda: self.abort("silent"))
+        self.silence_timer = self.timers.after(SILENCE_TIMEOUT, lambda: self.abort("no data received"))
 
     def record_activity(self) -> None:
-        """Reset retries and the silence timer, since bytes were received."""
+        """Reset the retry delay and the silence timer after bytes were received."""
         if self.is_lost:
             logger.info(
-                "bus connected again after event {}, lost {} times so far", self.last_offset, self.loss_count
+                "bus reconnected, last event {}, connection losses so far {}",
+                self.last_offset,
+                self.loss_count,
             )
         self.retry_delay = MIN_RETRY_DELAY
         self.is_lost = False
@@ -217,16 +221,16 @@
         self.restart_silence_timer()
 
     def receipt(self) -> Receipt:
-        """Return how the event came that is passed on now."""
+        """Return the receipt of the event that is being passed on."""
         return self.progress.receipt(self.timers.now())
 
     def abort(self, reason: str) -> None:
-        """Finish the current attempt, if there is one."""
+        """Finish the current attempt, if any."""
         if self.attempt:
             self.attempt.finish(reason)
 
     def attempt_finished(self, attempt: StreamAttempt, reason: str) -> None:
-        """Schedule the next attempt; only the current attempt counts."""
+        """Schedule the next attempt if the finished one is the current attempt."""
         if attempt is not self.attempt:
             return
         self.attempt = None
@@ -235,18 +239,18 @@
         if self.is_stopped:
             return
         self.loss_count += 1
-        if not self.is_lost:  # one log line for each loss, however long it lasts
-            logger.warning("bus lost after event {}: {}; retrying", self.last_offset, reason)
+        if not self.is_lost:  # one log line for each outage, not for each retry
+            logger.warning("bus connection lost after event {}: {}; reconnecting", self.last_offset, reason)
         self.is_lost = True
         self.retry_timer = self.timers.after(self.retry_delay, self.start)
         self.retry_delay = min(2 * self.retry_delay, MAX_RETRY_DELAY)
 
     def handle_message(self, message_id: str, data: str) -> None:
-        """Pass on a new event; malformed events are logged, and those received before are ignored."""
+        """Pass on a new event; log malformed events, and ignore those received before."""
         try:
             event = read_event(data)
         except InvalidEventError as error:
-            logger.warning("bus: malformed event {} ignored: {}", message_id[:MAX_SHOWN_ID], error)
+            logger.warning("malformed bus event {} ignored: {}", message_id[:MAX_SHOWN_ID], error)
             if message_id.isascii() and message_id.isdigit() and len(message_id) <= MAX_OFFSET_DIGITS:
                 self.last_offset = max(self.last_offset, int(message_id))
             return
--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -1,13 +1,14 @@
-"""Dates what other machines stamped with Unix times, on this front's monotonic clock. No I/O.
+"""Conversion of Unix timestamps from other machines to this front's monotonic clock. No I/O.
 
-The Unix clock of any machine may be wrong, and may be stepped at any moment. So it is read once, at the start
-of this front, and converted by that reading from then on: a step of it changes nothing. That it is right is
-believed once another machine's clock agrees with it (`RemoteTimestamps.confirm`). And no conversion is
-believed against what was seen: what the bus tells can't have happened after it arrived, nor before the last
-moment at which this front had been told all (`Receipt`). Where a stamp isn't believed, the strictest moment
-stands for it, the arrival: a cache is then colder, and more copies are purged, than may be.
+The Unix clock of any machine may be wrong and may be stepped at any moment. This front therefore reads its
+Unix clock only once, at its start, and converts all timestamps with that reading, so later steps have no
+effect. The reading is trusted once another machine's clock agrees with it (`RemoteTimestamps.confirm`). A
+converted time is not trusted if it contradicts what this front observed: an event cannot have happened after
+it arrived, nor before the last moment at which this front had received all published events (`Receipt`).
+A timestamp that is not trusted is replaced by the most cautious time, the arrival: a cache may then be
+treated as colder than it is, and more copies may be purged than necessary.
 
-The model, its error bounds and what it trusts are in docs/design.md, "Timestamps of other machines".
+The model, its error bounds and its assumptions are in docs/design.md, "Timestamps of other machines".
 """
 
 import math
@@ -16,23 +17,23 @@
 
 from weldbend.event_bus.events import EndpointListUpdate, Purge, SequencedEvent
 
-MAX_CLOCK_DIFFERENCE = 0.5  # seconds by which this front's Unix clock and a fresh stamp of another may differ
-MAX_LIVE_DELAY = 0.05  # seconds that an event takes from its stamp to a front that follows the bus, at most
-SHORT_OUTAGE = 10.0  # seconds out of touch up to which purges that were missed are dated at their arrival
+MAX_CLOCK_DIFFERENCE = 0.5  # maximum seconds between this front's Unix clock and another machine's
+MAX_LIVE_DELAY = 0.05  # maximum seconds from an event's timestamp to its arrival at a connected front
+SHORT_OUTAGE = 10.0  # seconds without the bus up to which missed purges count from their arrival
 
 
 @dataclass(frozen=True, slots=True)
 class Receipt:
-    """How an event came.
+    """The circumstances in which an event was received.
 
     Attributes:
-        arrived: when it came, in seconds of the monotonic clock.
-        caught_up_at: the last moment before at which this front had been told all that was published; minus
-            infinity in its first reading of the bus.
-        is_replay: whether the bus tells what was missed, and not what is new.
-        latest_start: the latest start that this event or one after it stamps (Unix seconds), of events that
-            were read together; minus infinity where none are known.
-        latest_purge: the same of purges.
+        arrived: arrival time of the event, in seconds of the monotonic clock.
+        caught_up_at: last moment before the arrival at which this front had received all published events;
+            minus infinity during the first read of the bus.
+        is_replay: whether the event was missed and is sent again, rather than being new.
+        latest_start: latest start time (Unix seconds) in this event and the events after it that were read
+            together with it; minus infinity if unknown.
+        latest_purge: latest purge time (Unix seconds) in the same events; minus infinity if unknown.
     """
 
     arrived: float
@@ -43,17 +44,17 @@
 
     @property
     def is_first_read(self) -> bool:
-        """Return whether it may have been published at any time in the past."""
+        """True during the first read of the bus, whose events may be of any age."""
         return self.caught_up_at == -math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class StartInterval:
-    """When a cache started, in seconds of the monotonic clock: between these two.
+    """Bounds of a cache's start time, in seconds of the monotonic clock.
 
     Attributes:
-        earliest: only connections from before surely lead to the process that was there until then.
-        latest: it is as warm as a cache that started then.
+        earliest: lower bound; only connections opened before it certainly lead to the previous process.
+        latest: upper bound; the cache counts as warm as if it had started then.
     """
 
     earliest: float
@@ -61,7 +62,7 @@
 
 
 def receipts_of_known_events(events: Sequence[SequencedEvent], now: float) -> list[Receipt]:
-    """Return the receipts of events that were read together from the configuration, in their order."""
+    """Return the receipts, in order, of events that were read together from the configuration."""
     receipts: list[Receipt] = []
     latest_start = -math.inf
     latest_purge = -math.inf
@@ -77,31 +78,31 @@
 
 
 class RemoteTimestamps:
-    """Converts the stamps of other machines.
+    """Converter of Unix timestamps from other machines to times of this front's monotonic clock.
 
     Attributes:
-        is_confirmed: whether another machine's clock agreed with the reading of this one's at the start.
+        is_confirmed: whether another machine's clock has agreed with the reading of this front's Unix clock.
     """
 
     def __init__(self) -> None:
         self.is_confirmed = False
-        self._unix_offset = 0.0  # seconds by which the Unix clock was ahead of the monotonic one
+        self._unix_offset = 0.0  # Unix time minus monotonic time at the reading, in seconds
 
     def set_unix_offset(self, unix_offset: float) -> None:
-        """Take the one reading of the Unix clock: by how many seconds it is ahead of the monotonic one."""
+        """Set the offset of the Unix clock from the monotonic clock, in seconds, read once at the start."""
         self._unix_offset = unix_offset
 
     def to_monotonic(self, stamp: float) -> float:
-        """Return a Unix time in seconds of the monotonic clock, by the reading alone."""
+        """Convert a Unix time to the monotonic clock with the reading alone, without further checks."""
         return stamp - self._unix_offset
 
     def confirm(self, stamp: float, now: float) -> bool:
-        """Compare the reading with a stamp that another machine made lately, or longer ago.
+        """Compare the reading with a timestamp of another machine, which may be new or old.
 
-        No stamp is made in the future, so an old one never agrees with a clock that is ahead.
+        Timestamps are never in the future, so an old one cannot agree with a clock that is ahead.
 
         Returns:
-            Whether the reading is confirmed by it, and was not before.
+            Whether this call confirmed the reading; False if it was confirmed before.
         """
         if self.is_confirmed or abs(now - self.to_monotonic(stamp)) > MAX_CLOCK_DIFFERENCE:
             return False
@@ -109,7 +110,7 @@
         return True
 
     def estimate_start(self, stamp: float, receipt: Receipt) -> StartInterval:
-        """Return when a cache started whose start is stamped so."""
+        """Return bounds of the start time of a cache with this start timestamp."""
         converted = self.to_monotonic(stamp)
         if receipt.is_first_read:
             latest = self._estimate_first_read(stamp, receipt, receipt.latest_start)
@@ -123,7 +124,7 @@
         return StartInterval(converted, converted if is_believed else receipt.arrived)
 
     def estimate_purge_time(self, stamp: float, receipt: Receipt) -> float:
-        """Return the moment before which copies are purged, by a purge that is stamped so."""
+        """Return the time before which copies are invalid, for a purge with this timestamp."""
         converted = self.to_monotonic(stamp)
         if self._is_recent_on_arrival(converted, receipt):
             return converted
@@ -138,10 +139,11 @@
         return receipt.arrived - MAX_LIVE_DELAY <= converted <= receipt.arrived
 
     def _estimate_first_read(self, stamp: float, receipt: Receipt, latest: float) -> float:
-        """Return a moment no earlier than two clocks say that know nothing of each other.
+        """Return the later of two independent estimates, but at most the arrival.
 
-        One is this front's. The other is that of those who stamp: what they stamped later, in the order of
-        the bus, is not in the future yet.
+        One estimate uses this front's clock. The other uses only the writers' clocks: the
+        timestamp `latest`, which follows on the bus, was not in the future either, so this event is at least
+        `latest - stamp` old.
         """
         min_age = max(latest - stamp, 0.0)
         return min(max(self.to_monotonic(stamp), receipt.arrived - min_age), receipt.arrived)
--- a/weldbend/event_bus/sse.py
+++ b/weldbend/event_bus/sse.py
@@ -1,4 +1,4 @@
-"""A parser of server-sent events (WHATWG HTML, section 9.2): bytes in any split in, messages out."""
+"""Parser of server-sent events (WHATWG HTML, section 9.2) that accepts the stream in chunks of any size."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -6,29 +6,29 @@
 from weldbend.buffers.ring import Ring
 from weldbend.event_bus.errors import InvalidStreamError
 
-MAX_BYTES = 1 << 20  # of one line, and of one message's data
+MAX_BYTES = 1 << 20  # maximum length of a line, and of the data of a message
 
 
 class Message(NamedTuple):
-    """One message: the last id on the stream, and its data lines joined."""
+    """One message: the last id received on the stream and the joined data lines."""
 
     id: str
     data: str
 
 
 class Parser:
-    """Parses one stream; lines and messages are limited to `max_bytes`."""
+    """Parser of one stream; lines and messages are limited to `max_bytes`."""
 
     def __init__(self, max_bytes: int = MAX_BYTES) -> None:
         self.ring = Ring(2 * max_bytes)
         self.max_bytes = max_bytes
-        self.scanned = 0  # bytes of the ring known to contain no end of a line
+        self.scanned = 0  # leading bytes of the ring that contain no line ending
         self.last_id = ""
         self.data_lines: list[str] = []
         self.data_bytes = 0
 
     def feed(self, chunk: bytes) -> Iterator[Message]:
-        """Yield each message that a chunk completes.
+        """Add a chunk of the stream and yield each message that it completes.
 
         Raises:
             InvalidStreamError: A line or a message is too long.
@@ -42,7 +42,7 @@
                     yield message
 
     def next_line(self) -> bytes | None:
-        """Remove and return the next line without its end, or None if it is incomplete."""
+        """Remove and return the next line without its ending, or return None if it is incomplete."""
         end = self.ring.find(b"\n", self.scanned, len(self.ring))
         if max(end, len(self.ring) if end < 0 else 0) > self.max_bytes:
             raise InvalidStreamError("line", self.max_bytes)
@@ -55,7 +55,7 @@
         return line.removesuffix(b"\r")
 
     def process_line(self, line: bytes) -> Message | None:
-        """Process a line, and return the message that it completes, if any."""
+        """Process a line and return the message that it completes, if any."""
         if not line:
             message = Message(self.last_id, "\n".join(self.data_lines)) if self.data_lines else None
             self.data_lines = []
