--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -87,7 +87,7 @@
         program.told("new configuration")
         path.write_text("{")
         program.process.send_signal(signal.SIGHUP)
-        program.told("the old one stays")
+        program.told("the current one stays in use")
         link = cache.accept()[0]
         stream = link.makefile("rb")
         assert commands(stream, 2) == [1, 2]
--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests that clients bring: validation, the bound of open requests, the router's event."""
+"""Admission of client requests: validation, the limit on open requests, and the event for the router."""
 
 from weldbend.clients.request import ClientRequest
 from weldbend.front import request_codec
@@ -9,14 +9,14 @@
 from weldbend.front.request_codec import InvalidRequestError, ParsedRequest
 from weldbend.routing.events import RequestReceived
 
-DUPLICATE_ID = "the id of an open download"  # these bytes go to the client: they stay as they are
+DUPLICATE_ID = "the id of an open download"  # sent to clients, part of the wire protocol
 
 
 class Admission:
-    """Accepts requests or turns them away.
+    """Admission control, which accepts requests or answers them at once.
 
     Attributes:
-        is_rejecting: whether it accepts none, since the process is about to end.
+        is_rejecting: whether all requests are rejected because the process is about to exit.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self.is_rejecting = False
 
     def handle(self, client_request: ClientRequest) -> None:
-        """Accept a request whose last byte has come, or answer it at once."""
+        """Accept a completely received request, or answer it at once."""
         try:
             self._admit(client_request)
         except Exception:  # noqa: BLE001 - an error in one request must not end its connection
@@ -38,7 +38,7 @@
                 client_request.answer_failed()
 
     def cancel(self, client_request: ClientRequest) -> None:
-        """Cancel a request for which nobody waits any more."""
+        """Cancel a request whose client no longer waits for the answer."""
         if request := self.requests.by_id.get(client_request.request_id):
             self.attempts.cancel_request(request)
 
@@ -69,7 +69,10 @@
 
     @staticmethod
     def _refuse_duplicate(client_request: ClientRequest, open_request: ClientRequest) -> None:
-        """Guard caches against two requests under one id; a client that brought both loses both."""
+        """Answer a request as invalid because another open request has its id.
+
+        This guards caches against two requests with one id. A client that sent both is banned and loses both.
+        """
         client_request.answer_invalid(DUPLICATE_ID)
         if open_request.client is client_request.client:
             client_request.client.ban("clients with two requests under one id")
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -18,7 +18,7 @@
 
 
 class AttemptManager:
-    """Carries out what the router decides for requests, and posts how their attempts end."""
+    """Executor of the router's decisions on requests, which posts the results of their attempts."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
     # Attempts.
 
     def send(self, action: SendAttempt) -> None:
-        """Send an attempt; the router names only requests that are in the table."""
+        """Send an attempt for a request, which is in the table as long as the router may refer to it."""
         request = self.requests.by_id[action.id]
         source = None
         if action.source is not None and action.source != action.cache:
@@ -54,7 +54,7 @@
         )
         request.attempts.append(attempt)
         request.attempt_times.append(self.context.clock.now())
-        if request.is_closed:  # cancelled or answered in the very iteration in which this was decided
+        if request.is_closed:  # cancelled or answered in the iteration of this decision
             attempt.is_over = True
             self.end(request, attempt, AttemptResult.SUPERSEDED)
             return
@@ -67,7 +67,7 @@
         self.pool.send(attempt)
 
     def _command(self, request: OpenRequest, action: SendAttempt, source: str | None) -> bytes:
-        """Return the command's bytes at the moment in which the first of them leaves."""
+        """Return the bytes of the command; called right before its first byte is sent."""
         parsed = request.parsed
         fleet = self.context.fleet
         remaining = request.deadline - self.context.clock.now()
@@ -78,9 +78,9 @@
         return commands.do(parsed.client_id, fields, parsed.body)
 
     def _is_permission_short_lived(self, request: OpenRequest, action: SendAttempt) -> bool:
-        """Return whether what permits an attempt may end soon.
+        """Return whether the permission for an attempt may expire soon.
 
-        That is a deduplication window, or the budget of a cache that is warming up.
+        The permission may depend on a deduplication window, or on the budget of a cache in slow start.
         """
         is_guarded_retry = request.attempts and request.idempotency is not Idempotency.IDEMPOTENT
         return bool(is_guarded_retry) or not self.endpoints.started.isdisjoint((action.cache, action.source))
@@ -94,16 +94,16 @@
 
     @staticmethod
     def is_locally_blocked(attempt: Attempt) -> bool:
-        """Whether an attempt has not gone out, and a fault of this machine is among the reasons."""
+        """Return whether an attempt has not been sent, and a local fault contributed to the delay."""
         return attempt.is_waiting() and attempt.is_locally_blocked
 
     def end_locally_blocked(self, request: OpenRequest, attempt: Attempt) -> None:
-        """End an attempt that is held up: that it is late says nothing about its cache."""
+        """End an attempt delayed by a local fault, which is no evidence against its cache."""
         self.pool.cancel(attempt)
         self.end(request, attempt, AttemptResult.LOCAL_FAULT)
 
     def cancel(self, request: OpenRequest, attempt: Attempt) -> None:
-        """Cancel an attempt; nothing happens where it has ended."""
+        """Cancel an attempt; no effect if it has ended."""
         if not attempt.is_over:
             was_sent = self.pool.cancel(attempt)
             self.end(request, attempt, AttemptResult.CANCELLED if was_sent else AttemptResult.SUPERSEDED)
@@ -111,7 +111,7 @@
     def end(
         self, request: OpenRequest, attempt: Attempt, outcome: Answer | AttemptLoss | AttemptResult
     ) -> None:
-        """Post the end of an attempt; the first that brings the object answers the request."""
+        """Post the result of an attempt; the first one with the object answers the request."""
         if isinstance(outcome, Answer) and outcome.status in ("DONE", "KEEP") and not request.is_closed:
             self.context.counters.counts["served"] += 1
             self.endpoints.observe_copy(outcome.fields.get("born", ""))
@@ -128,21 +128,21 @@
     # Final answers.
 
     def reject(self, request: OpenRequest, retry_after: float) -> None:
-        """Answer a request with Retry-After in seconds; 0 tells none."""
+        """Reject a request, with a Retry-After in seconds, or without one if it is 0."""
         if not request.is_closed:
             self.context.counters.counts["rejected"] += 1
             request.client_request.answer_rejected(retry_after)
             self.close(request)
 
     def fail(self, request: OpenRequest) -> None:
-        """Answer a request as failed, by decision of the router."""
+        """Answer a request as failed, as decided by the router."""
         if not request.is_closed:
             self.context.counters.counts["failed"] += 1
             request.client_request.answer_failed()
             self.close(request)
 
     def abort(self, request: OpenRequest) -> None:
-        """Answer a request as failed without the router's decision, which is notified."""
+        """Answer a request as failed without a decision of the router, and notify the router."""
         if not request.is_closed:
             self.context.counters.counts["failed"] += 1
             request.client_request.answer_failed()
@@ -152,9 +152,9 @@
     def abort_all(self) -> None:
         """Abort all open requests.
 
-        Guards against the SIGKILL that ends a graceful shutdown: what is still open is answered before it.
-        Should also cover requests whose deadline is later than any shutdown lasts. Harm: a little later one
-        of them may have been served.
+        This guards against the SIGKILL at the end of a graceful shutdown: open requests, including those
+        whose deadline lies beyond the longest shutdown, are answered before it. Its side effect is that
+        requests fail that might have been served a little later.
         """
         for request in list(self.requests.by_id.values()):
             self.guard(request, self.abort)
@@ -167,10 +167,11 @@
             self.close(request)
 
     def expire(self, request: OpenRequest) -> None:
-        """Time out all attempts in flight at the deadline; the router owes the final answer.
+        """Time out all attempts in flight at the deadline; the router decides on the final answer.
 
-        Holds also for a request closed before, where the site does not allow the router to cancel attempts.
-        The router decides after the same polls as always: it decides on what else has come as well.
+        This includes the attempts of a request that was closed before, if the site does not allow the router
+        to cancel attempts. The router decides after the usual polls, so that it takes into account all events
+        that have arrived.
         """
         for attempt in request.attempts:
             self._timeout_attempt(request, attempt)
@@ -178,7 +179,7 @@
             self.queue.after_polls(lambda: self.guard(request, self._decide_or_abort))
 
     def _decide_or_abort(self, request: OpenRequest) -> None:
-        """Have the router answer an expired request, or abort it."""
+        """Run the router on an expired request, and abort the request if the router does not answer it."""
         while not request.is_closed and self.queue.has_events():
             self.queue.run_iteration()
         if not request.is_closed:
@@ -186,9 +187,10 @@
             check_invariant(False, "a request is answered before its deadline")
 
     def close(self, request: OpenRequest) -> None:
-        """Send nothing more for a request.
+        """Close a request, so that nothing more is sent for it.
 
-        Attempts that wait for a connection are withdrawn, whatever the site allows the router to cancel.
+        Attempts that wait for a connection are cancelled, even where the site does not allow the router to
+        cancel attempts.
         """
         self.requests.mark_closed(request)
         for attempt in request.attempts:
@@ -197,9 +199,9 @@
         self.requests.finish_if_done(request)
 
     def guard(self, request: OpenRequest, call: Callable[..., None], *args: object) -> None:
-        """Call `call(request, *args)`; an exception aborts that request.
+        """Call `call(request, *args)`; an exception aborts that request only.
 
-        Guards a connection, which other requests share, against an error in what one request does there.
+        This guards the connection, which other requests share, against an error in the handling of one.
         """
         try:
             call(request, *args)
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -1,4 +1,4 @@
-"""What client connections ask of the front: admission, time, backpressure, and bans by the fleet."""
+"""Interface of the front for client connections: admission, time, backpressure, and bans by the fleet."""
 
 from collections.abc import Callable
 
@@ -9,18 +9,18 @@
 from weldbend.front.dispatcher import Dispatcher
 from weldbend.front.standstill import HEARTBEAT_INTERVAL, ProcessPauseDetector
 
-MAINTENANCE_INTERVAL = HEARTBEAT_INTERVAL  # seconds between two rounds of upkeep of client connections
-CATCH_UP_POLLS = 4  # polls of the sockets after a standstill until what came meanwhile is read
-CONTINUATION_DELAY = 0.002  # seconds until a round goes on that was not finished
+MAINTENANCE_INTERVAL = HEARTBEAT_INTERVAL  # seconds between two maintenance rounds of client connections
+CATCH_UP_POLLS = 4  # polls of the sockets until all bytes received during a process pause are read
+CONTINUATION_DELAY = 0.002  # seconds until an unfinished round continues
 
 
 class ClientGateway:
-    """Joins client connections with the dispatcher.
+    """Adapter between client connections and the dispatcher.
 
     Attributes:
-        unsent_bytes: of answers that slow readers have not read yet.
-        max_unsent_bytes: the most of them so far.
-        max_connections: client connections, at most so far.
+        unsent_bytes: number of answer bytes buffered for slow readers.
+        max_unsent_bytes: highest `unsent_bytes` so far.
+        max_connections: highest number of client connections so far.
     """
 
     def __init__(self, context: FrontContext, dispatcher: Dispatcher, is_serving: Callable[[], bool]) -> None:
@@ -34,12 +34,12 @@
         self.max_connections = 0
 
     def start_maintenance(self) -> None:
-        """Look after idle and silent connections from now on."""
+        """Start the periodic checks of idle and silent connections."""
         self.pause_detector.last_heartbeat = self.now()
         self.context.timers.after(MAINTENANCE_INTERVAL, self._run_maintenance)
 
     def _run_maintenance(self) -> None:
-        """Do a bounded piece of upkeep: what is left goes on shortly, after what else is due."""
+        """Check a bounded number of connections; the rest follow shortly, after other due work."""
         if self.pause_detector.record_heartbeat(self.now()):
             self._catch_up(CATCH_UP_POLLS)
         is_unfinished = self.listener.check_connections()
@@ -48,43 +48,43 @@
         )
 
     def _catch_up(self, polls: int) -> None:
-        """Let the reactor poll its sockets so many times, and count what is read then as of now again."""
+        """Let the reactor poll its sockets `polls` times, then record that it has caught up after a pause."""
         if polls:
             self.context.reactor.callLater(0, self._catch_up, polls - 1)
         else:
             self.pause_detector.mark_caught_up()
 
     def came_at(self, moment: float) -> float:
-        """Return the earliest moment at which bytes that are read at `moment`, the present, can have come."""
+        """Return the earliest time at which bytes read at `moment`, the present, can have arrived."""
         return self.pause_detector.earliest_arrival(moment)
 
     def handle_request(self, request: ClientRequest) -> None:
-        """Handle a request that has come whole."""
+        """Handle a completely received request."""
         self.dispatcher.admission.handle(request)
 
     def cancel_request(self, request: ClientRequest) -> None:
-        """Cancel a request for which nobody waits any more."""
+        """Cancel a request whose client no longer waits for the answer."""
         self.dispatcher.admission.cancel(request)
 
     def log_fault(self, where: str) -> None:
-        """Record the error being handled."""
+        """Record the exception being handled."""
         self.context.counters.record_error(where)
 
     def watch_hangup(self, client: ClientConnection, is_unread: bool) -> None:
-        """Note whether a client does not read its answers."""
+        """Set whether a client does not read its answers, so that its hang-up is watched."""
         self.listener.watch_hangup(client, is_unread)
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
-        """Call back after `delay` seconds."""
+        """Schedule a call after `delay` seconds."""
         self.context.timers.after(delay, call)
 
     def is_admitted(self, host: str) -> bool:
-        """Return whether a client may connect: the fleet may have banned it."""
+        """Return whether a client may connect, which the fleet may have banned."""
         fleet = self.context.fleet
         return not (fleet and fleet.is_banned(host))
 
     def report_ban(self, host: str) -> None:
-        """Report to the fleet a client that broke the protocol."""
+        """Report a client that violated the protocol to the fleet."""
         if self.context.fleet:
             self.context.fleet.report_ban(host)
 
@@ -93,16 +93,16 @@
         return self.context.clock.now()
 
     def client_connected(self, client: ClientConnection) -> None:
-        """Count a client that has connected."""
+        """Register a client that has connected."""
         self.listener.client_connected(client)
         self.max_connections = max(self.max_connections, self.listener.connection_count())
 
     def client_disconnected(self, client: ClientConnection) -> None:
-        """Forget a client that has disconnected."""
+        """Unregister a client that has disconnected."""
         self.listener.client_disconnected(client)
 
     def buffered_changed(self, change: int) -> None:
-        """Count bytes that wait for slow readers: beyond the bound, caches are read no further."""
+        """Update the bytes buffered for slow readers; beyond the limit, pause reading from caches."""
         self.unsent_bytes += change
         self.max_unsent_bytes = max(self.max_unsent_bytes, self.unsent_bytes)
         pool = self.dispatcher.pool
--- a/weldbend/front/clock.py
+++ b/weldbend/front/clock.py
@@ -1,17 +1,17 @@
-"""The front's time: a monotonic clock, the Unix clock beside it, and the source of random bytes.
+"""Clocks of the front and its source of random bytes.
 
-The Unix clock may be stepped at any moment; only the monotonic clock measures spans of time.
+The Unix clock may be stepped at any moment; only the monotonic clock measures durations.
 """
 
 import os
 import time
 
 MAX_READING_ATTEMPTS = 5  # attempts to read both clocks at the same moment
-MAX_READING_DURATION = 0.001  # seconds between the readings that count as the same moment
+MAX_READING_DURATION = 0.001  # seconds within which two readings count as simultaneous
 
 
 class Clock:
-    """Monotonic seconds, and the Unix time of the moment."""
+    """The system's monotonic clock and Unix clock."""
 
     @staticmethod
     def now() -> float:
@@ -25,13 +25,14 @@
 
     @staticmethod
     def random_bytes(size: int) -> bytes:
-        """Return `size` bytes from the system's cryptographic source."""
+        """Return `size` bytes from the system's cryptographic random source."""
         return os.urandom(size)
 
     def unix_offset(self) -> float:
-        """Return by how many seconds the Unix clock is ahead of the monotonic clock now.
+        """Return the current Unix time minus the monotonic time, in seconds.
 
-        It is read between two readings of the other, anew where the process was held up between them.
+        The Unix clock is read between two readings of the monotonic clock. If the process was delayed between
+        them, the reading is repeated.
         """
         for _ in range(MAX_READING_ATTEMPTS):
             before = self.now()
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration of one front, read and checked at start and at each reload."""
+"""The configuration of one front, read and validated at start and at each reload."""
 
 import json
 import zlib
@@ -14,22 +14,26 @@
 from weldbend.routing.settings import Role, SiteSettings
 from weldbend.site_settings import cache_roles, read_site_settings
 
-MAX_ITERATION = 0.004  # seconds that an event-loop iteration may take; the router's tick is at least that
-CACHE_DESCRIPTORS = 96  # descriptors for connections to caches, of which some tens are in use
-RESERVED_DESCRIPTORS = 32  # descriptors for the process itself: log, reactor, bus, listening port
-MEMORY_FRACTION = 4  # one part in so many of the memory may hold answers that slow readers have not read
+MAX_ITERATION = 0.004  # seconds of an event-loop iteration; the router's tick is at least as long
+CACHE_DESCRIPTORS = 96  # file descriptors for connections to caches, of which some tens are used
+RESERVED_DESCRIPTORS = 32  # file descriptors for the log, the reactor, the bus and the listening port
+MEMORY_FRACTION = 4  # one fourth of the memory limit may hold answers for slow readers
 MAX_PORT = 65_535
-MICROSECONDS = 1e6  # in a second
+MICROSECONDS = 1e6  # per second
 
-DEFAULT_CONNECTION_SETTINGS = ConnectionSettings()  # what holds where there is no installation file
+DEFAULT_CONNECTION_SETTINGS = ConnectionSettings()  # used if there is no installation file
 
 
 class ConfigurationError(Exception):
-    """A configuration that no front can start from; its text is one line for people."""
+    """An invalid configuration; the message is one line for operators."""
 
 
 class MissingSettingError(ConfigurationError):
-    """A configuration that lacks a key, named by the error that looking it up raised."""
+    """A configuration without a required key.
+
+    Attributes:
+        missing: exception of the lookup, which names the key.
+    """
 
     def __init__(self, missing: KeyError) -> None:
         super().__init__(f"configuration lacks {missing}")
@@ -37,7 +41,11 @@
 
 
 class UnusableSettingError(ConfigurationError):
-    """A configuration of which something cannot be used, as the error says that reading it raised."""
+    """A configuration with an invalid value.
+
+    Attributes:
+        cause: exception that reading the value raised.
+    """
 
     def __init__(self, cause: Exception) -> None:
         super().__init__(f"configuration cannot be used: {cause}")
@@ -45,10 +53,10 @@
 
 
 class InvalidPortError(ValueError):
-    """An address whose port is none; it becomes the cause of an `UnusableSettingError`."""
+    """An address with an invalid port; it becomes the cause of an `UnusableSettingError`."""
 
     def __init__(self, address: str) -> None:
-        super().__init__(f"no port: {address!r:.40}")
+        super().__init__(f"invalid port in address: {address!r:.40}")
         self.address = address
 
 
@@ -57,25 +65,24 @@
     """A front's configuration.
 
     Attributes:
-        name: of this front.
+        name: name of this front.
         host: address on which it listens.
-        port: on which it listens.
-        seed: of the router's random numbers.
-        bus_address: host:port of the bus.
-        known_events: events of the bus by the time at which the configuration was written.
-        bus_offset: number of the last of them.
-        settings: what the router reads.
-        roles: role of each machine kind.
-        flow_rate: kB that a client at its top pace receives in a second.
+        port: port on which it listens.
+        seed: seed of the router's random numbers.
+        bus_address: address (host:port) of the bus.
+        known_events: events of the bus that had been published when the configuration was written.
+        bus_offset: offset of the last known event.
+        settings: settings of the router.
+        roles: roles by machine kind.
+        flow_rate: kB per second that a client receives at its maximum rate.
         reports_load: whether caches report their load.
-        max_open_requests: open requests beyond which new ones are rejected.
-        cache_limits: of connections to caches.
-        max_descriptors: that the process may have.
-        max_clients: client connections.
-        max_unsent_bytes: of answers that slow readers have not read, beyond which caches are read no further.
-        client_settings: of client connections, from the installation file.
-        fleet: fleet settings of an installation that names one; None on the platform. Its type is loaded
-            only then.
+        max_open_requests: number of open requests beyond which new ones are rejected.
+        cache_limits: limits on connections to caches.
+        max_descriptors: maximum number of file descriptors of the process.
+        max_clients: maximum number of client connections.
+        max_unsent_bytes: bytes buffered for slow readers beyond which reading from caches pauses.
+        client_settings: settings of client connections, from the installation file.
+        fleet: fleet settings of the installation file, None without any. Their type is loaded only if needed.
     """
 
     name: str
@@ -99,10 +106,10 @@
 
 
 def read_site(text: str) -> Site:
-    """Return the configuration in a JSON text.
+    """Parse and validate the JSON text of a configuration.
 
     Raises:
-        ConfigurationError: where something is missing or cannot be used.
+        ConfigurationError: a key is missing or a value is invalid.
     """
     try:
         return _parse_site(json.loads(text))
@@ -113,10 +120,10 @@
 
 
 def _checked_address(text: str) -> str:
-    """Return an IPv4 host:port that can be dialled; names are not resolved.
+    """Return the text if it is an IPv4 address with a port; host names are not resolved.
 
     Raises:
-        ValueError: for anything else.
+        ValueError: the text is not such an address.
     """
     host, _, port = text.rpartition(":")
     IPv4Address(host)
@@ -143,7 +150,7 @@
     settings = read_site_settings(raw_settings)
     host, _, port = raw["listen"].rpartition(":")
     descriptors = int(limits["sockets"])
-    # Client connections get what caches and the process leave, and half in any case.
+    # Client connections get the descriptors that caches and the process leave, and at least half of all.
     max_clients = max(descriptors // 2, descriptors - CACHE_DESCRIPTORS - RESERVED_DESCRIPTORS)
     return Site(
         name=str(raw["name"]),
--- a/weldbend/front/context.py
+++ b/weldbend/front/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one front share, and the interface of its fleet."""
+"""Objects shared by the parts of one front, and the interface of its fleet."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -13,10 +13,10 @@
 
 
 class Reactor(ReactorClock, Protocol):
-    """The part of Twisted's reactor that starts and stops a front."""
+    """The methods of Twisted's reactor used to start and stop a front."""
 
     def callFromThread(self, callback: Callable[..., object], /, *args: object) -> None:
-        """Call back in the reactor's thread; a signal handler may call this."""
+        """Schedule a call in the reactor's thread; signal handlers may use this."""
         ...
 
     def stop(self) -> None:
@@ -25,48 +25,51 @@
 
 
 class FleetPeers(Protocol):
-    """What a front tells its fleet of its requests, and what the fleet knows of them."""
+    """Interface between a front and its fleet about requests and clients."""
 
     def count_request(self, class_name: str, key: str, part: int, is_retry: bool) -> int:
-        """Count a request for an object; return how often other fronts were asked for it lately."""
+        """Count a request for an object, and return how many other fronts have recently received."""
         ...
 
     def possible_executions(
         self, class_name: str, idempotency_key: str, is_retry: bool
     ) -> tuple[PossibleExecution, ...]:
-        """Return attempts with this idempotency key, by any front, that may have run."""
+        """Return attempts with this idempotency key, of any front, that may have been executed."""
         ...
 
     def attempt_sent(self, class_name: str, idempotency_key: str, cache: int) -> None:
-        """Replicate that an attempt goes out, before its bytes leave."""
+        """Replicate the record of an attempt before its bytes are sent."""
         ...
 
     def holds_decisions(self, now: float) -> bool:
-        """Return whether decisions wait, since this process was suspended and its knowledge is old."""
+        """Return whether decisions must wait because this process was suspended and its state is stale."""
         ...
 
     def is_over_limit(self, class_name: str, client: str) -> bool:
-        """Return whether a request is beyond a limit of all fronts together."""
+        """Return whether a request exceeds a limit shared by all fronts."""
         ...
 
     def is_banned(self, client: str) -> bool:
-        """Return whether clients at this address are banned."""
+        """Return whether clients with this address are banned."""
         ...
 
     def report_ban(self, client: str) -> None:
-        """Count a client that broke the protocol."""
+        """Count a protocol violation of a client."""
         ...
 
 
 @dataclass(eq=False, slots=True)
 class FrontContext:
-    """The shared parts of one front.
+    """The shared objects of one front.
 
     Attributes:
         reactor: Twisted's reactor, or the testbed's.
-        site: the configuration in force; another one after a reload.
-        timestamps: dates what other machines stamped.
-        fleet: None where the installation names no fleet, as on the platform.
+        site: current configuration, which a reload replaces.
+        clock: clock of the front.
+        timers: timers of the front.
+        counters: counters of requests, attempts and errors.
+        timestamps: converter of Unix times from other machines.
+        fleet: interface to the fleet; None without one in the installation file.
     """
 
     reactor: Any
--- a/weldbend/front/counters.py
+++ b/weldbend/front/counters.py
@@ -1,18 +1,19 @@
-"""What a front counts of its requests and attempts, and the log of exceptions that were contained."""
+"""Counters of requests and attempts, and the log of unexpected exceptions."""
 
 import traceback
 from collections import Counter
 
 from loguru import logger
 
-MAX_LOGGED_ERRORS = 10  # internal errors logged between two lines of counters
+MAX_LOGGED_ERRORS = 10  # internal errors logged between two counters lines
 
 
 class FrontCounters:
-    """Counters by name, as the line of counters shows them.
+    """Counters of one front.
 
     Attributes:
-        counts: requests, attempts, served, rejected, failed, cancelled, invalid requests, internal errors.
+        counts: numbers of requests, attempts, served, rejected, failed and cancelled requests, invalid
+            requests, internal errors and others, by the names that the counters line shows.
     """
 
     def __init__(self) -> None:
@@ -20,11 +21,11 @@
         self._logged_errors = 0
 
     def record_error(self, context: object, trace: str | None = None) -> None:
-        """Count an internal error and log it with its trace; a flood of them does not fill the log.
+        """Count an internal error and log it with its traceback, up to `MAX_LOGGED_ERRORS` at a time.
 
         Args:
-            context: what was being handled.
-            trace: the trace; None for that of the exception being handled.
+            context: object or place that was being handled.
+            trace: traceback; None for that of the exception being handled.
         """
         self.counts["internal errors"] += 1
         self._logged_errors += 1
@@ -32,5 +33,5 @@
             logger.error("internal error at {:.200}: {}", str(context), trace or traceback.format_exc())
 
     def reset_error_limit(self) -> None:
-        """Log the next errors again."""
+        """Reset the number of logged errors, so that the next ones are logged again."""
         self._logged_errors = 0
--- a/weldbend/front/counters_log.py
+++ b/weldbend/front/counters_log.py
@@ -1,4 +1,4 @@
-"""The line of counters: what was done, which invariants did not hold, and which resources it took."""
+"""The counters line of the log: counts of work, violated invariants and used resources."""
 
 import resource
 from typing import Any
@@ -11,7 +11,7 @@
 from weldbend.front.context import FrontContext
 from weldbend.front.dispatcher import Dispatcher
 
-MILLISECONDS = 1e3  # in a second
+MILLISECONDS = 1e3  # per second
 LINE_FORMAT = (
     "counters {counts}; cpu {cpu_ms} ms, {cpu_ms_per_request} per request; "
     "memory {max_memory_mb} MB at most; "
@@ -26,7 +26,7 @@
 
 
 class CountersLog:
-    """Writes the line of counters; as JSON, each figure is a field of its own."""
+    """Writer of the counters line; a log in JSON has each figure in a field of its own."""
 
     def __init__(
         self, context: FrontContext, dispatcher: Dispatcher, gateway: ClientGateway, bus: BusReader
@@ -38,7 +38,7 @@
         self._max_cache_connections = 0
 
     def write(self) -> None:
-        """Write the line, and let the next internal errors be logged again."""
+        """Write the counters line and reset the limit on logged internal errors."""
         fields = self._process_fields() | self._connection_fields()
         fields |= {
             "max_unsent_kb": self.gateway.max_unsent_bytes // 1000,
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -1,6 +1,6 @@
-"""The dispatcher: hands events to the router, one batch an iteration, and carries out its actions.
+"""The dispatcher, which passes events to the router in one batch per iteration and executes its actions.
 
-It decides nothing itself. The work is parted by concern: `admission`, `attempts`, `endpoint_updates`,
+All decisions are the router's. The work is divided among `admission`, `attempts`, `endpoint_updates`,
 `health_checks` and `event_queue`.
 """
 
@@ -40,11 +40,11 @@
 
 
 class Dispatcher:
-    """Joins the router with clients, caches, the bus and the fleet.
+    """Connects the router with clients, caches, the bus and the fleet.
 
     Attributes:
-        names: numbers of caches by their names, and back.
-        requests: all accepted requests that are not finished.
+        names: registry of endpoints, which maps uids of caches to numbers and back.
+        requests: table of all accepted requests that have not finished.
     """
 
     def __init__(self, context: FrontContext) -> None:
@@ -65,7 +65,7 @@
         self.endpoints = EndpointUpdates(context, self.queue, self.names, self.pool)
         self.attempts = AttemptManager(context, self.queue, self.requests, self.endpoints, self.pool)
         self.admission = Admission(context, self.queue, self.requests, self.attempts)
-        self._current_event: Event | None = None  # what the router is handling
+        self._current_event: Event | None = None  # the event that the router is handling
         self._handlers: dict[type[Any], Callable[[Any], None]] = {
             SendAttempt: self.attempts.send,
             CancelAttempt: self._cancel_attempt,
@@ -77,11 +77,11 @@
             WatchEndpoints: self._watch_endpoints,
         }
 
-    # What the fleet uses.
+    # Interface for the fleet.
 
     @property
     def site(self) -> Site:
-        """The configuration in force."""
+        """The current configuration."""
         return self.context.site
 
     @property
@@ -95,17 +95,17 @@
         return self.context.timers
 
     def join_fleet(self, fleet: FleetPeers) -> None:
-        """Consult a fleet from now on."""
+        """Set the fleet that this front belongs to."""
         self.context.fleet = fleet
 
     def post(self, event: Event, first: bool = False) -> None:
-        """Queue an event for the router, see `EventQueue.post`."""
+        """Queue an event for the router; see `EventQueue.post`."""
         self.queue.post(event, first)
 
-    # Events in.
+    # Events.
 
     def apply_site(self, site: Site) -> None:
-        """Use another configuration from now on."""
+        """Replace the configuration, and notify the router if its settings have changed."""
         previous = self.context.site.settings
         self.context.site = site
         self.pool.limits = site.cache_limits
@@ -121,12 +121,12 @@
     # Iterations.
 
     def run_iteration(self) -> None:
-        """Hand over the events that have come, and carry out the router's actions."""
+        """Pass the queued events to the router and execute the resulting actions."""
         batch = self.queue.begin_iteration()
         while batch and not self.queue.is_time_limit_exceeded():
             try:
                 actions = self.router.handle(self.context.clock.now(), self._skip_cancelled(batch))
-            except Exception:  # noqa: BLE001 - an error in one request ends that one, not the front
+            except Exception:  # noqa: BLE001 - an error in one request must not end the front
                 actions = self.router.actions
                 self._abort_request_of(self._current_event)
             for action in actions:
@@ -139,17 +139,17 @@
         self.queue.end_iteration()
 
     def _remove_unreferenced(self, rest: deque[Event]) -> None:
-        """Forget finished requests and removed caches, but for what events still name that are left.
+        """Remove finished requests and removed caches, except those that remaining events refer to.
 
-        Guards the router's actions on these events: they may concern all that the events name. Harm: names of
-        removed caches are kept until an iteration has handled its whole batch.
+        This guards the router's actions on these events, which may concern anything that the events refer to.
+        Its side effect is that removed caches stay registered until an iteration has handled its whole batch.
         """
         self.requests.remove_finished({getattr(event, "id", "") for event in rest})
         if not rest:
             self.endpoints.remove_unlisted()
 
     def _skip_cancelled(self, batch: deque[Event]) -> Iterator[Event]:
-        """Yield events in order, but no request that was cancelled before the router has seen it."""
+        """Yield the events in order, except requests that were cancelled before the router saw them."""
         while batch and not self.queue.is_time_limit_exceeded():
             self._current_event = event = batch.popleft()
             self.queue.taken_count += 1
@@ -160,15 +160,15 @@
             yield event
 
     def _abort_request_of(self, cause: Event | Action | None) -> None:
-        """Record the error being handled, and abort the one request that an event or action is about."""
+        """Record the exception being handled, and abort the request that the event or action refers to."""
         self.context.counters.record_error(cause)
         if request := self.requests.by_id.get(getattr(cause, "id", "")):
             self.attempts.abort(request)
 
-    # Actions out.
+    # Actions.
 
     def perform(self, action: Action) -> None:
-        """Carry out one action of the router."""
+        """Execute one action of the router."""
         handler = self._handlers.get(type(action))
         if handler:
             handler(action)
@@ -193,9 +193,9 @@
             request.timers.append(timer)
 
     def _fire_timer(self, action: SetTimer) -> None:
-        """Post that a timer is due, and whether the connection of its attempt has brought nothing since.
+        """Post that a timer is due, and whether the attempt's connection has been silent since it was sent.
 
-        An attempt that a fault of this machine holds up is ended instead: its cache is not to blame.
+        An attempt delayed by a local fault is ended instead: the delay is no evidence against its cache.
         """
         request = self.requests.by_id.get(action.id) if action.attempt >= 0 else None
         is_silent = False
@@ -212,8 +212,8 @@
 
     @staticmethod
     def _write_log(action: WriteLog) -> None:
-        logger.info("decisions: {}", action.text)
+        logger.info("router: {}", action.text)
 
     @staticmethod
     def _watch_endpoints(action: WatchEndpoints) -> None:
-        """Do nothing: the bus is read from the start."""
+        """Do nothing, since the front reads the bus from its start."""
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Events of the bus: the endpoint list and purges, for the router and for the connection pool."""
+"""Application of bus events (endpoint lists and purges) to the router and the connection pool."""
 
 import math
 
@@ -11,18 +11,17 @@
 from weldbend.invariants import anomalies
 from weldbend.routing.events import Endpoint, EndpointsListed, EndpointState, ListScope, ObjectsPurged
 
-MILLISECONDS = 1000  # in a second
-EARLY_FRACTION = (
-    0.25  # of the window of the overload rule: what may be sent by then fits beside a whole quota
-)
+MILLISECONDS = 1000  # per second
+# Fraction of the overload rule's window in which the requests that a front may send fit beside a whole quota.
+EARLY_FRACTION = 0.25
 
 
 class EndpointUpdates:
-    """Applies events of the bus.
+    """Handler of bus events.
 
     Attributes:
-        listed: caches that the list names and that are not removed.
-        started: caches for which the list gives a start time: they may be warming up.
+        listed: caches in the endpoint list that are not removed.
+        started: caches with a start time in the endpoint list, which may be in slow start.
     """
 
     def __init__(
@@ -34,18 +33,18 @@
         self.pool = pool
         self.listed: set[int] = set()
         self.started: set[int] = set()
-        self._unconfirmed_starts: dict[str, EndpointRecord] = {}  # starts of the first reading, by uid
-        self._first_unconfirmed: float | None = None  # when the first of them came
-        self._removed: set[int] = set()  # the router may still name them in this iteration
+        self._unconfirmed_starts: dict[str, EndpointRecord] = {}  # from the first read of the bus, by uid
+        self._first_unconfirmed: float | None = None  # arrival of the first of these records
+        self._removed: set[int] = set()  # the router may still refer to them in this iteration
 
     def handle(self, sequenced: SequencedEvent, receipt: Receipt) -> None:
-        """Post an event for the router first, then withdraw the queued attempts that it makes stale.
+        """Post an event for the router, then cancel the queued attempts that it makes obsolete.
 
-        The other way round the router would see the withdrawal alone, and send the same attempt again.
+        In the reverse order, the router would see only the cancellation and send the same attempt again.
 
         Args:
-            sequenced: the event.
-            receipt: how it came.
+            sequenced: event and its offset.
+            receipt: circumstances in which the event was received.
         """
         try:
             match sequenced.event:
@@ -65,9 +64,9 @@
         """Apply an endpoint list, or changes to it.
 
         Args:
-            is_complete: whether what it does not name is removed.
-            records: its lines.
-            receipt: how it came.
+            is_complete: whether caches that are not in `records` are removed.
+            records: endpoint records of the update.
+            receipt: circumstances in which the update was received.
         """
         for record in records:
             self._track_unconfirmed_start(record, receipt)
@@ -95,7 +94,7 @@
         is_usable = endpoint.state is EndpointState.READY
         self.pool.update_endpoint(endpoint.id, record.host, record.port, started, is_usable)
 
-    # Dates of starts.
+    # Estimated start times.
 
     def _track_unconfirmed_start(self, record: EndpointRecord, receipt: Receipt) -> None:
         previous = self._unconfirmed_starts.pop(record.uid, None)
@@ -110,20 +109,21 @@
             )
 
     def observe_copy(self, born: str) -> None:
-        """Compare clocks by the field of an answer that says when its copy was made (Unix milliseconds)."""
+        """Compare clocks with the creation time of a copy, as given in an answer (Unix milliseconds)."""
         if not self.context.timestamps.is_confirmed and born.isascii() and born.isdigit():
             self.observe_stamp(int(born) / MILLISECONDS)
 
     def observe_stamp(self, stamp: float) -> None:
-        """Compare this front's Unix clock with a Unix time that another machine stamped."""
+        """Compare this front's Unix clock with a Unix timestamp of another machine."""
         if self.context.timestamps.confirm(stamp, self.context.clock.now()):
             self._estimate_starts_again()
 
     def _estimate_starts_again(self) -> None:
-        """Date starts again that were dated cautiously at the first reading.
+        """Repeat the cautious estimates of start times that were made in the first read of the bus.
 
-        Dating again forgets what was sent to a cache. So it is done for those that are warm, and for all
-        within the first part of a window, in which a front that has just started sends little of its quota.
+        A new estimate resets the count of requests sent to the cache. It is therefore made only for warm
+        caches, or for all caches in the first part of a window (`EARLY_FRACTION`), in which a front that has
+        just started sends little of its quota.
         """
         now = self.context.clock.now()
         records = list(self._unconfirmed_starts.values())
@@ -146,7 +146,7 @@
         return now - self.context.timestamps.to_monotonic(record.started_at) >= warm_up.seconds
 
     def remove_unlisted(self) -> None:
-        """Forget the names of removed caches at the end of an iteration: names are never used again."""
+        """Remove the registrations of removed caches at the end of an iteration; uids are never reused."""
         for cache in self._removed - self.listed:
             self._unconfirmed_starts.pop(self.names.uids.get(cache, ""), None)
             self.names.remove(cache)
--- a/weldbend/front/event_queue.py
+++ b/weldbend/front/event_queue.py
@@ -7,18 +7,18 @@
 from weldbend.front.context import FrontContext
 from weldbend.routing.events import Event, LoopLagMeasured, RequestReceived
 
-IDLE_GAP = 0.001  # seconds between two iterations that count as idle time: what follows is not late
-MIN_REPORTED_LAG = 0.005  # seconds of event-loop lag from which the router is notified of it
-ITERATION_LIMIT = 0.03  # seconds after which an iteration leaves the rest of its events to the next one
+IDLE_GAP = 0.001  # seconds after an iteration from which a new event counts as not delayed
+MIN_REPORTED_LAG = 0.005  # seconds of event-loop lag that are reported to the router
+ITERATION_LIMIT = 0.03  # seconds after which an iteration leaves its remaining events to the next one
 MIN_EVENTS_PER_ITERATION = 2  # always taken: the lag event of the iteration and one posted event
 
 
 class EventQueue:
-    """Collects events and schedules the iteration that handles them.
+    """Queue of events that schedules the iterations that handle them.
 
     Attributes:
-        max_iteration: seconds that an iteration took, at most.
-        taken_count: events that the iteration has taken so far.
+        max_iteration: duration of the longest iteration, in seconds.
+        taken_count: number of events that the current iteration has taken.
     """
 
     def __init__(self, context: FrontContext, run_iteration: Callable[[], None]) -> None:
@@ -27,10 +27,10 @@
         self.max_iteration = 0.0
         self.taken_count = 0
         self._events: list[Event] = []
-        self._waiting_since: list[float] = []  # for each event, the earliest moment at which it can have come
-        self._batch_waiting_since: list[float] = []  # the same of the batch that is handled
+        self._waiting_since: list[float] = []  # earliest possible arrival time of each event
+        self._batch_waiting_since: list[float] = []  # the same for the batch being handled
         self._is_scheduled = False
-        self._unread_since = -math.inf  # since when what is posted now can have lain unread
+        self._unread_since = -math.inf  # earliest possible arrival time of events posted now
         self._iteration_began = -math.inf
         self._iteration_ended = -math.inf
 
@@ -38,8 +38,8 @@
         """Queue an event for the next iteration.
 
         Args:
-            event: the event.
-            first: whether it goes before all that is queued, so that it holds for those events as well.
+            event: event to queue.
+            first: whether it goes before all queued events, so that it applies to them as well.
         """
         if not self._is_scheduled:
             now = self.context.clock.now()
@@ -58,19 +58,19 @@
         self.after_polls(self._run_when_allowed)
 
     def after_polls(self, call: Callable[[], None]) -> None:
-        """Call once the reactor has polled its sockets again, and once more.
+        """Schedule a call after the reactor has polled its sockets twice.
 
-        Guards caches against attempts for clients that closed or cancelled while this front was busy: a
-        request and its cancellation are read one after the other, each in a poll of its own. Harm: one more
-        poll for each iteration.
+        This guards caches against attempts for clients that disconnected or cancelled while this front was
+        busy: a request and its cancellation are read in two successive polls. Its side effect is one more
+        poll in each iteration.
         """
         reactor = self.context.reactor
         reactor.callLater(0, lambda: reactor.callLater(0, call))
 
     def _run_when_allowed(self, has_waited: bool = False) -> None:
-        """Run the iteration, or wait while the fleet holds decisions.
+        """Run the iteration, or wait while the fleet delays decisions.
 
-        After such a wait, events of caches and purges go before requests.
+        After such a wait, all other events, such as purges and events of caches, go before requests.
         """
         fleet = self.context.fleet
         if fleet and fleet.holds_decisions(self.context.clock.now()):
@@ -81,9 +81,10 @@
         self.run_iteration()
 
     def begin_iteration(self) -> deque[Event]:
-        """Return the batch, with the measured lag of the event loop before it where that is large.
+        """Return the batch of events, preceded by the event-loop lag if that is large.
 
-        The lag is how long the oldest event of the batch may have waited, in earlier iterations too.
+        The lag is the time for which the oldest event of the batch may have waited, including earlier
+        iterations.
         """
         self._is_scheduled = False
         now = self.context.clock.now()
@@ -98,10 +99,10 @@
         return batch
 
     def is_time_limit_exceeded(self) -> bool:
-        """Return whether the iteration has taken so long that the sockets are to be polled.
+        """Return whether the iteration has taken so long that the sockets must be polled.
 
-        Guards caches against attempts decided for clients that close or cancel while a long batch is handled.
-        Harm: what is left of the batch waits for two polls.
+        This guards caches against attempts for clients that disconnect or cancel while a long batch is
+        handled. Its side effect is that the remaining events of the batch wait for two polls.
         """
         is_late = self.context.clock.now() > self._iteration_began + ITERATION_LIMIT
         return is_late and self.taken_count >= MIN_EVENTS_PER_ITERATION
@@ -111,7 +112,7 @@
         return bool(self._events)
 
     def put_back(self, batch: deque[Event]) -> None:
-        """Leave the rest of a batch to the next iteration, before what has been posted since."""
+        """Return the rest of a batch to the front of the queue, for the next iteration."""
         if batch:
             self._events[:0] = batch
             self._waiting_since[:0] = self._batch_waiting_since[-len(batch) :]
@@ -119,6 +120,6 @@
                 self._schedule()
 
     def end_iteration(self) -> None:
-        """Note when the iteration ended, and how long it took."""
+        """Record the end and the duration of the iteration."""
         self._iteration_ended = self.context.clock.now()
         self.max_iteration = max(self.max_iteration, self._iteration_ended - self._iteration_began)
--- a/weldbend/front/health_checks.py
+++ b/weldbend/front/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of caches: each has a tag of its own and ends once, by an answer or a timeout."""
+"""Health checks of caches, each with a unique tag and exactly one result: an answer or a timeout."""
 
 from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.pool import CachePool
@@ -9,17 +9,17 @@
 
 
 class HealthChecker:
-    """Sends health checks over connections that are up, and posts their results."""
+    """Sender of health checks over existing connections, which posts their results."""
 
     def __init__(self, context: FrontContext, queue: EventQueue, pool: CachePool) -> None:
         self.context = context
         self.queue = queue
         self.pool = pool
-        self._pending: dict[str, tuple[int, float]] = {}  # by tag: the cache, and when it was sent
+        self._pending: dict[str, tuple[int, float]] = {}  # cache and time of sending, by tag
         self._serial = 0
 
     def send(self, cache: int) -> None:
-        """Check a cache; one without a connection is unreachable."""
+        """Send a health check to a cache; without a connection, the cache counts as unreachable."""
         self._serial += 1
         tag = f"p{self._serial:x}"
         self._pending[tag] = cache, self.context.clock.now()
@@ -35,7 +35,7 @@
             self.queue.post(HealthCheckDone(cache, result, self.context.clock.now() - sent, None))
 
     def handle_answer(self, cache: int, answer: Answer) -> bool:
-        """Handle an answer that belongs to no attempt; return whether it is a health check's."""
+        """Handle an answer that matches no attempt; return whether it answers a health check."""
         result = request_codec.HEALTH_RESULTS.get(answer.status)
         pending_cache, sent = self._pending.get(answer.name, (None, 0.0))
         if result is None or pending_cache != cache:
--- a/weldbend/front/open_requests.py
+++ b/weldbend/front/open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that a front has accepted and not yet finished with."""
+"""Table of the requests that a front has accepted and not yet finished."""
 
 from dataclasses import dataclass, field
 
@@ -14,15 +14,15 @@
     """One accepted request and its attempts.
 
     Attributes:
-        id: this front's own name for it, never used again.
-        parsed: its fields.
-        client_request: where its answer goes.
-        deadline: on the monotonic clock.
-        idempotency: by the settings under which it was accepted.
-        attempts: in the order in which the router asked for them.
-        attempt_times: when each of them was asked for.
-        timers: to be cancelled once it is finished.
-        is_closed: whether it was answered or cancelled.
+        id: identifier within this front, never reused.
+        parsed: parsed fields of the request.
+        client_request: handle that takes the answer.
+        deadline: deadline in seconds of the monotonic clock.
+        idempotency: idempotency of its class in the settings under which it was accepted.
+        attempts: attempts in the order of the router's decisions.
+        attempt_times: time of the router's decision on each attempt.
+        timers: timers that are cancelled when the request has finished.
+        is_closed: whether the request was answered or cancelled.
     """
 
     id: str
@@ -41,14 +41,14 @@
 
 
 class RequestTable:
-    """Requests by this front's ids and by their clients' ids.
+    """Table of requests by this front's ids and by the clients' ids.
 
-    A request is closed when it is answered or cancelled. It stays here until all its attempts have ended,
-    since the router is notified of the end of each.
+    A request is closed when it is answered or cancelled. It stays in the table until all its attempts have
+    ended, since the router is notified of the end of each.
 
     Attributes:
-        by_id: all requests.
-        by_client_id: those neither answered nor cancelled.
+        by_id: all requests, by this front's id.
+        by_client_id: requests that are not closed, by the client's id.
     """
 
     def __init__(self) -> None:
@@ -61,7 +61,7 @@
         return len(self.by_id)
 
     def next_id(self) -> str:
-        """Return an id that no request has had."""
+        """Return an unused id."""
         self._serial += 1
         return f"{self._serial:x}"
 
@@ -71,14 +71,15 @@
         self.by_client_id[request.parsed.client_id] = request
 
     def mark_closed(self, request: OpenRequest) -> None:
-        """Mark a request as answered or cancelled: its client may use the id again."""
+        """Mark a request as answered or cancelled, so that its client may use the id again."""
         request.is_closed = True
         self.by_client_id.pop(request.parsed.client_id, None)
 
     def finish_if_done(self, request: OpenRequest) -> None:
-        """Cancel a closed request's timers once no attempt is in flight; `remove_finished` removes it.
+        """Finish a closed request without attempts in flight; `remove_finished` removes it later.
 
-        Guards against attempts that the router decides in the meantime, whose end it would never see.
+        Its timers are cancelled. The later removal guards against attempts that the router decides on in the
+        meantime: the router must be notified of their end.
         """
         if request.is_closed and not request.has_attempt_in_flight():
             for timer in request.timers:
@@ -86,10 +87,10 @@
             self._finished.append(request)
 
     def remove_finished(self, still_referenced: set[str]) -> None:
-        """Remove the finished requests, once the router has handled all events of theirs.
+        """Remove the finished requests without events that the router still has to handle.
 
         Args:
-            still_referenced: ids in events that the router has not handled yet.
+            still_referenced: ids of requests in events that the router has not handled yet.
         """
         finished = self._finished
         self._finished = []
--- a/weldbend/front/patient_reactor.py
+++ b/weldbend/front/patient_reactor.py
@@ -1,8 +1,8 @@
-"""Twisted's reactor on epoll, which waits where the system cannot watch one more descriptor.
+"""Twisted's epoll reactor, extended to retry when the system cannot register one more descriptor.
 
-epoll_ctl fails with ENOMEM, or with ENOSPC at the user's bound on watches. Twisted lets that out of whatever
-made it watch: a new connection is dropped, a timer that closes connections or reads the bus again ends for
-good, an answer that is buffered counts as not sent.
+epoll_ctl fails with ENOMEM, or with ENOSPC at the user's limit on watches. Twisted lets the exception escape
+from the operation that registered the descriptor. A new connection is then dropped, a periodic timer that
+closes connections or reconnects to the bus stops forever, and a buffered answer counts as not sent.
 """
 
 import errno
@@ -10,16 +10,21 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-TRANSIENT_ERRORS = (errno.ENOMEM, errno.ENOSPC)  # errors of epoll_ctl that pass
+TRANSIENT_ERRORS = (errno.ENOMEM, errno.ENOSPC)  # temporary errors of epoll_ctl
 RETRY_AFTER = 0.02  # seconds
 
-Selectable = Any  # Twisted's interfaces have no types here
+Selectable = Any  # Twisted's interfaces have no type hints
 
 
 class RetryingEPollReactor(EPollReactor):
-    """Goes on trying to watch what it could not, until that works or is no longer wanted.
+    """Reactor that retries failed registrations until they succeed or are no longer needed.
 
-    Guards connections, timers and the port against errors of epoll_ctl. Harm: bytes wait meanwhile.
+    This guards connections, timers and the listening port against errors of epoll_ctl. Its side effect is
+    that bytes on such descriptors wait until a retry succeeds.
+
+    Attributes:
+        unwatched_readers: descriptors whose registration for reading will be retried.
+        unwatched_writers: descriptors whose registration for writing will be retried.
     """
 
     def __init__(self) -> None:
@@ -28,26 +33,26 @@
         super().__init__()  # type: ignore[no-untyped-call]  # Twisted's
 
     def addReader(self, reader: Selectable) -> None:
-        """Watch a descriptor for bytes, now or as soon as that is possible."""
+        """Watch a descriptor for reading, now or as soon as possible."""
         try:
             super().addReader(reader)  # type: ignore[no-untyped-call]  # Twisted's
         except OSError as error:
             self._retry_later(self.unwatched_readers, reader, error)
 
     def addWriter(self, writer: Selectable) -> None:
-        """Watch a descriptor for room, now or as soon as that is possible."""
+        """Watch a descriptor for writing, now or as soon as possible."""
         try:
             super().addWriter(writer)  # type: ignore[no-untyped-call]  # Twisted's
         except OSError as error:
             self._retry_later(self.unwatched_writers, writer, error)
 
     def removeReader(self, reader: Selectable) -> None:
-        """Watch a descriptor for bytes no longer."""
+        """Stop watching a descriptor for reading."""
         self.unwatched_readers.discard(reader)
         super().removeReader(reader)  # type: ignore[no-untyped-call]  # Twisted's
 
     def removeWriter(self, writer: Selectable) -> None:
-        """Watch a descriptor for room no longer."""
+        """Stop watching a descriptor for writing."""
         self.unwatched_writers.discard(writer)
         super().removeWriter(writer)  # type: ignore[no-untyped-call]  # Twisted's
 
--- a/weldbend/front/reload.py
+++ b/weldbend/front/reload.py
@@ -1,4 +1,4 @@
-"""What a reload of the configuration changes in a running front, and what only a restart changes."""
+"""Reload of the configuration: which settings change in a running front, and which need a restart."""
 
 from dataclasses import fields, replace
 
@@ -14,23 +14,19 @@
     "client_settings",
     "fleet",
 )
-UNCOMPARED_FIELDS = (
-    "bus_address",
-    "known_events",
-    "bus_offset",
-    "seed",
-)  # differ in every configuration that is written
+# Not compared, since they differ in every configuration that is written.
+UNCOMPARED_FIELDS = ("bus_address", "known_events", "bus_offset", "seed")
 
 
 def pending_restart(current: Site, new: Site, has_fleet: bool) -> list[str]:
-    """Return the fields that differ and that only a restart changes; in a fleet that is nearly all."""
+    """Return the changed fields that need a restart, which in a fleet are nearly all."""
     names = [field.name for field in fields(Site) if field.name not in UNCOMPARED_FIELDS]
     changed = [name for name in names if getattr(new, name) != getattr(current, name)]
     return [name for name in changed if name in RESTART_ONLY_FIELDS or (has_fleet and name != "fleet")]
 
 
 def merge_sites(current: Site, new: Site) -> Site:
-    """Return the new configuration with what a running process keeps."""
+    """Return the new configuration with the fields that a running process keeps from the current one."""
     cache_limits = replace(new.cache_limits, max_connections=current.cache_limits.max_connections)
     retained = {
         name: getattr(current, name) for name in (*RESTART_ONLY_FIELDS, "known_events", "bus_offset", "seed")
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -1,6 +1,6 @@
-"""Fields of requests and answers in both protocols, to and from the router's events.
+"""Conversion between the fields of the client and cache protocols and the router's events.
 
-No other module knows the fields' names on the wire.
+The names of the fields on the wire are used only in this module.
 """
 
 import math
@@ -34,17 +34,17 @@
 FILL_HINTS = dict(zip("hfojsrblnx", list(FillHint)[1:], strict=True))  # by the letter on the wire
 HEX16 = re.compile(r"[0-9a-f]{16}")
 HEX = re.compile(r"[0-9a-f]{1,64}")
-INTEGER = re.compile(r"0|[1-9][0-9]{0,8}")  # as it is forwarded, digit for digit
+INTEGER = re.compile(r"0|[1-9][0-9]{0,8}")  # canonical form, since it is forwarded unchanged
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 MAX_BODY = 48_000  # bytes
-MAX_SIZE = 1e8  # kB of one part
+MAX_SIZE = 1e8  # maximum size of a part in kB
 MAX_PART = 99_999
 MAX_GROUP = 255
-TIMEOUT_TOLERANCE = 0.05  # seconds by which a client may round its timeout up
+TIMEOUT_TOLERANCE = 0.05  # seconds by which a client may round up its timeout
 
 
 class InvalidRequestReason(Enum):
-    """What is wrong with a request; the client is sent these texts, so they are part of the wire."""
+    """Reasons for which a request is invalid; the texts are part of the client protocol."""
 
     UNKNOWN_CLASS = "unknown content type"
     MISSING_FIELD = "missing field"
@@ -56,11 +56,11 @@
 
 
 class InvalidRequestError(Exception):
-    """Fields that no request can have.
+    """A request with invalid fields.
 
     Attributes:
-        reason: what is wrong.
-        field: name of the missing field, "" otherwise.
+        reason: reason for which the request is invalid.
+        field: name of the missing field, "" for other reasons.
     """
 
     def __init__(self, reason: InvalidRequestReason, field: str = "") -> None:
@@ -74,17 +74,17 @@
     """A client's request.
 
     Attributes:
-        client_id: the client's name for it, 16 hex digits, unique while it is open.
-        class_name: its request class.
+        client_id: id chosen by the client, 16 hex digits, unique while the request is open.
+        class_name: name of the request class.
         timeout: seconds for which the client waits.
-        is_retry: whether the client says that it asks again.
-        key: the object, 16 hex digits.
-        part: which part of the object.
-        group: the group of objects that may be purged together.
-        size_kb: the part's size; 0 where it is not told.
-        idempotency_key: None or "" where there is none.
-        known_version: of the copy that the client has; None where it has none.
-        body: what is sent along.
+        is_retry: whether the client marked the request as a retry.
+        key: key of the object, 16 hex digits.
+        part: number of the part of the object.
+        group: number of the group of objects that may be purged together.
+        size_kb: size of the part in kB; 0 if the client does not know it.
+        idempotency_key: idempotency key; None or "" if the client sent none.
+        known_version: version of the client's copy; None if it has none.
+        body: body of the request.
     """
 
     client_id: str
@@ -103,12 +103,12 @@
 def read_request(
     fields: Mapping[str, str], body: bytes, classes: Mapping[str, RequestClass]
 ) -> ParsedRequest:
-    """Return a client's request.
+    """Parse and validate the fields of a client's request.
 
-    Guards caches, and what the router learns, against figures and names that no client of ours sends.
+    The validation guards caches, and the router's estimates, against values that no supported client sends.
 
     Raises:
-        InvalidRequestError: for fields that no request can have.
+        InvalidRequestError: a field is missing or invalid.
     """
     client_id, class_name, key = (_text(fields, name) for name in ("id", "class", "key"))
     idempotency_key = fields.get("once")
@@ -158,7 +158,7 @@
 
 
 def _numeric(fields: Mapping[str, str], name: str, form: re.Pattern[str], default: str | None = None) -> str:
-    """Return a numeric field's text; without a default it must be there."""
+    """Return the text of a numeric field, which is required if there is no default."""
     value = _text(fields, name) if default is None else fields.get(name, default)
     if not form.fullmatch(value):
         raise InvalidRequestError(InvalidRequestReason.MALFORMED_NUMBER)
@@ -170,13 +170,13 @@
 ) -> dict[str, str]:
     """Return the fields of the command for one attempt.
 
-    Ages and timeouts are whole milliseconds, and none may become 0, which stands for no bound.
+    Ages and timeouts are sent in whole milliseconds, at least 1, since 0 means unlimited.
 
     Args:
-        request: what the client asks for.
-        action: what the router decided.
-        source: name of the cache that a miss is filled from; None where the cache is asked alone.
-        timeout: seconds that the attempt may take.
+        request: client's request.
+        action: router's decision on the attempt.
+        source: uid of the cache from which a miss is filled; None if the cache fills from no other cache.
+        timeout: maximum duration of the attempt in seconds.
     """
     flags = zip(
         "jhnr", (action.join_fill, action.only_cached, action.leave_no_copy, action.revalidate), strict=True
@@ -198,7 +198,7 @@
 
 
 def _finite(text: str) -> float:
-    """Return a number of a cache's report, 0 for what is none or not finite."""
+    """Parse a number in a cache's report; return 0 if it is malformed or not finite."""
     try:
         value = float(text)
     except ValueError:
@@ -207,7 +207,7 @@
 
 
 def parse_load(text: str | None) -> dict[str, float] | None:
-    """Return a load report, as in `inflight:7;util:0.61`; None where there is none."""
+    """Parse a load report such as `inflight:7;util:0.61`; return None if there is none."""
     if not text:
         return None
     return {name: _finite(value) for name, _, value in (pair.partition(":") for pair in text.split(";"))}
@@ -220,7 +220,7 @@
     duration: float,
     request_closed: bool,
 ) -> AttemptEnded:
-    """Return the event that tells the router how an attempt ended."""
+    """Return the router's event for the end of an attempt."""
     if isinstance(outcome, Answer):
         fields = outcome.fields
         return AttemptEnded(
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -1,7 +1,7 @@
-"""Start and stop of one front: what runs, in which order it comes up, and how it ends.
+"""Startup, reload and shutdown of one front.
 
-It listens only when it can answer. After SIGTERM it goes on accepting, and ends when all accepted requests
-have their answers, not before clients have had time to notice.
+A front listens only when it can answer requests. After SIGTERM it continues to accept requests. It exits when
+all accepted requests have been answered, but not before clients have had time to notice the shutdown.
 """
 
 import gc
@@ -33,26 +33,26 @@
     from weldbend.fleet.front_adapter import FleetAdapter
 
 # All in seconds.
-MIN_SHUTDOWN_TIME = 0.7  # from SIGTERM to the end at least: clients still come
-MAX_DEADLINE = 3.0  # the part of the longest deadline that a shutdown waits for: SIGKILL comes soon after
-ABORT_DELAY = 0.4  # after that deadline what is still open is aborted, and what still comes is rejected
-FORCED_EXIT_DELAY = 0.2  # after that the front ends in any case
-SHUTDOWN_POLL = 0.02  # between two checks whether all is answered
-SHUTDOWN_POLL_IDLE = 0.002  # the same while idle connections are closed, a batch each time
-MAX_BUS_WAIT = 0.3  # that a start waits for the bus
-BUS_CATCH_UP = 0.02  # that a start waits for the events behind the bus's first answer
-COUNTERS_INTERVAL = 10.0  # between two lines of counters
+MIN_SHUTDOWN_TIME = 0.7  # minimum time from SIGTERM to the exit, since clients still send requests
+MAX_DEADLINE = 3.0  # limit on the request deadline that a shutdown waits for; SIGKILL follows soon after
+ABORT_DELAY = 0.4  # from that deadline until open requests are aborted and new ones rejected
+FORCED_EXIT_DELAY = 0.2  # from the abort until the front exits in any case
+SHUTDOWN_POLL = 0.02  # between two checks whether all requests have been answered
+SHUTDOWN_POLL_IDLE = 0.002  # between two checks while idle connections are closed in batches
+MAX_BUS_WAIT = 0.3  # maximum wait for the bus at startup
+BUS_CATCH_UP = 0.02  # wait for the events that follow the bus's first response at startup
+COUNTERS_INTERVAL = 10.0  # between two counters lines
 
 
 class Front:
-    """One front.
+    """A front, from its startup to its shutdown.
 
     Attributes:
-        read_new_site: reads the configuration anew for a reload; None where there is nothing to read.
-        fleet_adapter: None where the installation names no fleet.
-        is_open: whether the port is open.
-        stop_requested: when SIGTERM came; None before.
-        is_aborting: whether SIGKILL is near, and nothing new is begun.
+        read_new_site: function that reads the configuration again for a reload; None without reloads.
+        fleet_adapter: adapter to the fleet; None without one in the installation file.
+        is_open: whether the listening port is open.
+        stop_requested: time of SIGTERM; None before it.
+        is_aborting: whether all requests are answered at once because SIGKILL is imminent.
     """
 
     def __init__(
@@ -89,15 +89,15 @@
 
     @property
     def site(self) -> Site:
-        """The configuration in force."""
+        """The current configuration."""
         return self.context.site
 
     def is_serving(self) -> bool:
-        """Return whether new requests are welcome."""
+        """Return whether the front is open and not shutting down."""
         return self.is_open and self.stop_requested is None
 
     def _make_fleet_adapter(self) -> "FleetAdapter | None":
-        """Return the adapter to the fleet, which is loaded only where the installation names one."""
+        """Return the adapter to the fleet; its modules are loaded only if a fleet is configured."""
         site = self.site
         if not site.fleet:
             return None
@@ -107,25 +107,25 @@
         runtime = Runtime(self.context.reactor, self.timers, self.context.clock.random_bytes)
         return FleetAdapter(self.dispatcher, site.name, site.fleet, runtime, site.bus_offset)
 
-    # Start.
+    # Startup.
 
     def run(self) -> None:
-        """Install the signal handlers and start; a front that cannot start logs why and ends."""
+        """Install the signal handlers and start; if that fails, log the error and exit."""
         for number in (signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda *_: self.reactor.callFromThread(self.terminate))
         signal.signal(signal.SIGHUP, lambda *_: self.reactor.callFromThread(self.reload))
         try:
             self.start()
-            if early_signals.hangups:  # the configuration may have been read before it was written anew
+            if early_signals.hangups:  # the configuration may have been written after it was read
                 self.reload()
-        except CannotListenError as error:  # of the fleet's port
+        except CannotListenError as error:  # raised for the fleet's port
             self._stop_after_listen_error(error.interface, error.port, error)
 
     def start(self) -> None:
-        """Apply the known events and connect to bus and fleet; the port opens shortly after.
+        """Apply the known events and connect to the bus and the fleet; the port opens shortly afterwards.
 
         Raises:
-            CannotListenError: where the fleet's port is taken.
+            CannotListenError: the fleet's port is in use.
         """
         self.context.timestamps.set_unix_offset(self.clock.unix_offset())
         known = self.site.known_events
@@ -135,12 +135,12 @@
         self.bus.start()
         if self.fleet_adapter:
             self.fleet_adapter.start(self.site.known_events)
-        gc.freeze()  # what is loaded by now stays: a full collection of it would stop every request
+        gc.freeze()  # a full collection of the objects loaded so far would delay all requests
         gc.enable()
         self.timers.after(MAX_BUS_WAIT, self._open_or_stop)
 
     def _bus_connected(self) -> None:
-        """Open the port soon: events since the configuration was written come right behind the answer."""
+        """Open the port soon; events published since the configuration was written follow at once."""
         if not self._has_tried_to_open:
             self.timers.after(BUS_CATCH_UP, self._open_or_stop)
 
@@ -155,14 +155,15 @@
         self.reactor.stop()
 
     def open(self) -> None:
-        """Accept requests from now on.
+        """Open the port and accept requests.
 
-        Guards against purges and drains issued while this process was loading: they count as known by then,
-        and a request accepted before the bus is read would be answered with an older copy. Harm: where the
-        bus is away, a start takes `MAX_BUS_WAIT` longer, and such a purge is still not known.
+        The port opens only after the wait for the bus. This guards against purges and drains issued while the
+        process was loading: once the port is open, they count as known, and a request accepted before the bus
+        is read would be answered with an older copy. The side effect is that, without a connection to the
+        bus, startup takes `MAX_BUS_WAIT` longer and such a purge is still unknown.
 
         Raises:
-            CannotListenError: where the port is taken.
+            CannotListenError: the port is in use.
         """
         if self._has_tried_to_open or self.stop_requested is not None:
             return
@@ -173,10 +174,10 @@
         self.gateway.start_maintenance()
         logger.info("front {} serves on {}:{}", self.site.name, self.site.host, self.site.port)
 
-    # While it runs.
+    # Operation.
 
     def _handle_bus_event(self, sequenced: SequencedEvent) -> None:
-        """Apply an event of the bus, then replicate it to the other fronts of a fleet."""
+        """Apply an event of the bus, then replicate it to the other fronts of the fleet."""
         self.dispatcher.endpoints.handle(sequenced, self.bus.receipt())
         if self.fleet_adapter:
             self.fleet_adapter.publish_bus_event(sequenced)
@@ -187,25 +188,26 @@
             self.timers.after(COUNTERS_INTERVAL, self._log_counters)
 
     def reload(self) -> None:
-        """SIGHUP: read the whole configuration anew, and move to the bus that it names.
+        """Handle SIGHUP: read the whole configuration again and connect to the bus address in it.
 
-        Requests accepted from then on go by the new settings, open ones by those under which they were
-        accepted. Guards against a file that is half written, malformed or gone: that is logged, and the old
-        configuration stays. What `reload` names waits for a restart, and in a fleet all but the bus does.
+        New requests use the new settings; open requests keep the settings under which they were accepted. If
+        the file is incomplete, malformed or missing, the error is logged and the current configuration stays.
+        The settings listed in `reload` change only at a restart; in a fleet, this applies to all settings
+        except the bus address.
         """
         if self.read_new_site is None:
             return
         try:
             site = self.read_new_site()
         except (ConfigurationError, OSError, UnicodeDecodeError) as error:
-            logger.error("new configuration rejected, the old one stays: {}", error)
+            logger.error("new configuration rejected, the current one stays in use: {}", error)
             return
         has_fleet = self.fleet_adapter is not None
         if self.fleet_adapter and site.fleet:
             self.fleet_adapter.reload(site.fleet)
         pending = reload.pending_restart(self.site, site, has_fleet)
         logger.info(
-            "new configuration, bus {}; only a restart will change: {}",
+            "new configuration loaded, bus {}; a restart is needed to change: {}",
             site.bus_address,
             pending or "nothing",
         )
@@ -213,10 +215,10 @@
         if not has_fleet:
             self.dispatcher.apply_site(reload.merge_sites(self.site, site))
 
-    # Stop.
+    # Shutdown.
 
     def terminate(self) -> None:
-        """SIGTERM: answer health checks so, accept what still comes, and end when all is answered."""
+        """Handle SIGTERM: fail health checks, still accept requests, and exit when all are answered."""
         if self.stop_requested is None:
             self.stop_requested = self.clock.now()
             logger.info("shutdown requested; {} requests open", len(self.dispatcher.requests))
@@ -224,27 +226,29 @@
             self.timers.after(self._seconds_until_abort(), self._abort_all)
 
     def _seconds_until_abort(self) -> float:
-        """Return the seconds from SIGTERM to the moment in which what is still open is aborted."""
+        """Return the seconds from SIGTERM to the abort of open requests."""
         classes = self.site.settings.classes.values()
         longest = max(request_class.deadline_after for request_class in classes)
         return min(longest, MAX_DEADLINE) + ABORT_DELAY
 
     def _abort_all(self) -> None:
-        """Answer what is open, and at once what still comes; the next checks close every connection.
+        """Abort open requests and reject new ones; the next checks close all connections.
 
-        Guards against clients that send until SIGKILL: a front that waits for a quiet moment among them ends
-        with requests open. Harm: these requests are rejected although there was time for some of them.
+        This guards against clients that send requests until SIGKILL: a front that waits for a moment without
+        requests would be killed with open ones. The side effect is that these requests are rejected although
+        there was time to serve some of them.
         """
         self.is_aborting = True
         self.dispatcher.admission.is_rejecting = True
         self.dispatcher.attempts.abort_all()
 
     def _end_if_done(self) -> None:
-        """End when all is answered; checked again and again, since new requests come until the last moment.
+        """Exit if all requests are answered, otherwise check again later, since new ones may still arrive.
 
-        From here on no new connection is accepted: usual clients went elsewhere. Guards against closing a
-        connection on which a request is on its way, and against clients that go on connecting and send
-        nothing. Harm: none known; a client that still connects is refused, as it will be a moment later.
+        From now on, no new connections are accepted, since most clients have moved to another front. This
+        guards against closing a connection while a request is in transit, and against clients that keep
+        connecting without sending anything. No side effect is known: a client that still connects is refused,
+        as it would be a moment later.
         """
         assert self.stop_requested is not None
         now = self.clock.now()
@@ -262,7 +266,7 @@
 
     def _end(self) -> None:
         self._log_counters()
-        logger.info("ends, {} requests open", len(self.dispatcher.requests))
+        logger.info("front exits with {} open requests", len(self.dispatcher.requests))
         self.bus.stop()
         if self.fleet_adapter:
             self.fleet_adapter.stop()
@@ -270,12 +274,12 @@
 
 
 def serve(site: Site, read_new_site: Callable[[], Site]) -> bool:
-    """Run one front in this process until it is told to end; return False if it could not start."""
+    """Run one front in this process until its shutdown; return False if it could not start."""
     hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     is_unlimited = hard_limit == resource.RLIM_INFINITY
     soft_limit = site.max_descriptors if is_unlimited else min(site.max_descriptors, hard_limit)
     resource.setrlimit(resource.RLIMIT_NOFILE, (soft_limit, hard_limit))
-    # Here, since loading them installs a reactor: only a process that serves wants one.
+    # Imported here because these modules install a reactor, which only a serving process needs.
     from twisted.internet.main import installReactor
 
     from weldbend.front.patient_reactor import RetryingEPollReactor
@@ -284,9 +288,8 @@
     from twisted.internet import reactor
 
     front = Front(reactor, site, read_new_site)
-    observer: Any = TwistedLogObserver(
-        front.context.counters
-    )  # zope declares the interface, not a base class
+    # Any, since zope declares the interface and not a base class.
+    observer: Any = TwistedLogObserver(front.context.counters)
     globalLogBeginner.beginLoggingTo([observer], redirectStandardIO=False, discardBuffer=True)
     running: Any = reactor
     running.callWhenRunning(front.run)
--- a/weldbend/front/standstill.py
+++ b/weldbend/front/standstill.py
@@ -1,19 +1,21 @@
-"""Notices that this process stood still, so that what lay unread meanwhile counts from its beginning.
+"""Detection of process pauses, to estimate when bytes that were read after a pause arrived.
 
-What is read after the system has suspended a process, or after an iteration of the event loop that took
-long, may have come at any moment since the sockets were read last. The strict side is taken: it came then.
+After the system has suspended the process, or after a long iteration of the event loop, the bytes read from
+sockets may have arrived at any time since the previous read. The earliest possible time is assumed.
 """
 
-TOLERANCE = 0.02  # seconds by which a beat may come late
-HEARTBEAT_INTERVAL = 0.1  # seconds between two beats at most
+TOLERANCE = 0.02  # seconds by which a heartbeat may be late
+HEARTBEAT_INTERVAL = 0.1  # maximum seconds between two heartbeats
 
 
 class ProcessPauseDetector:
-    """Receives a beat every HEARTBEAT_INTERVAL; moments are seconds of the front's clock.
+    """Detector of process pauses that expects a heartbeat every HEARTBEAT_INTERVAL.
+
+    Times are seconds of the front's clock.
 
     Attributes:
-        last_heartbeat: when it beat last.
-        paused_at: since when the process stood still, as long as what came meanwhile is still being read.
+        last_heartbeat: time of the last heartbeat.
+        paused_at: earliest start of the last pause; None once all bytes that arrived during it were read.
     """
 
     def __init__(self, now: float) -> None:
@@ -21,7 +23,7 @@
         self.paused_at: float | None = None
 
     def record_heartbeat(self, now: float) -> bool:
-        """Note a sign of life; return whether the process stood still before it."""
+        """Record a heartbeat; return whether the process was paused before it."""
         was_paused = now > self.last_heartbeat + HEARTBEAT_INTERVAL + TOLERANCE
         if was_paused:
             self.paused_at = self.last_heartbeat
@@ -29,11 +31,11 @@
         return was_paused
 
     def mark_caught_up(self) -> None:
-        """Note that all that came during the last standstill was read."""
+        """Record that all bytes that arrived during the last pause have been read."""
         self.paused_at = None
 
     def earliest_arrival(self, now: float) -> float:
-        """Return the earliest moment at which bytes that are read now can have come."""
+        """Return the earliest time at which bytes read now can have arrived."""
         if now > self.last_heartbeat + HEARTBEAT_INTERVAL + TOLERANCE:
             return self.last_heartbeat
         return now if self.paused_at is None else self.paused_at
--- a/weldbend/front/timers.py
+++ b/weldbend/front/timers.py
@@ -1,4 +1,4 @@
-"""All timers of the front: one heap, and one delayed call of the reactor for the earliest of them."""
+"""Timers of the front: one heap, and one delayed call of the reactor for the earliest timer."""
 
 import heapq
 import itertools
@@ -7,31 +7,31 @@
 
 from weldbend.front.clock import Clock
 
-MIN_COMPACTION = 64  # cancelled timers in the heap below which it is not compacted
+MIN_COMPACTION = 64  # number of cancelled timers up to which the heap is not compacted
 
 
 class DelayedCall(Protocol):
-    """What the reactor returns for a delayed call."""
+    """Handle of a delayed call of the reactor."""
 
     def active(self) -> bool:
-        """Return whether it is still to come."""
+        """Return whether the call has neither run nor been cancelled."""
         ...
 
     def cancel(self) -> None:
-        """Cancel it."""
+        """Cancel the call."""
         ...
 
 
 class ReactorClock(Protocol):
-    """The part of Twisted's reactor that delays calls."""
+    """The method of Twisted's reactor that delays calls."""
 
     def callLater(self, delay: float, callback: Callable[..., object], /, *args: object) -> DelayedCall:
-        """Call back after `delay` seconds."""
+        """Schedule a call after `delay` seconds."""
         ...
 
 
 class Timer:
-    """A call that is due once."""
+    """A single scheduled call."""
 
     __slots__ = ("callback", "timers")
 
@@ -40,17 +40,17 @@
         self.callback: Callable[[], object] | None = callback
 
     def cancel(self) -> None:
-        """Cancel the call; nothing happens where it has run or was cancelled already."""
+        """Cancel the call; no effect if it has run or was cancelled."""
         if self.callback:
             self.callback = None
             self.timers.count_cancelled()
 
 
 class Timers:
-    """The heap of timers.
+    """The timers of one front.
 
     Attributes:
-        max_delay: seconds by which a timer ran late, at most.
+        max_delay: maximum seconds by which a timer ran late.
     """
 
     def __init__(self, reactor: ReactorClock, clock: Clock) -> None:
@@ -68,20 +68,20 @@
         return self.clock.now()
 
     def after(self, delay: float, callback: Callable[[], object]) -> Timer:
-        """Call back after `delay` seconds."""
+        """Schedule a call after `delay` seconds."""
         return self.at(self.now() + max(delay, 0.0), callback)
 
     def at(self, moment: float, callback: Callable[[], object]) -> Timer:
-        """Call back at a moment of the monotonic clock."""
+        """Schedule a call at a time of the monotonic clock."""
         timer = Timer(self, callback)
         heapq.heappush(self.heap, (moment, next(self._sequence), timer))
         self._arm()
         return timer
 
     def count_cancelled(self) -> None:
-        """Compact the heap where more than half of it is cancelled.
+        """Count a cancelled timer, and compact the heap if more than half of its timers are cancelled.
 
-        Most timers are cancelled: the heap must not keep them until they would have been due.
+        Most timers are cancelled, and the heap must not keep them until they would have been due.
         """
         self._cancelled += 1
         if self._cancelled > MIN_COMPACTION and 2 * self._cancelled > len(self.heap):
@@ -102,7 +102,7 @@
         self._delayed_call = self.reactor.callLater(max(earliest - self.now(), 0.0), self._run_due)
 
     def _run_due(self) -> None:
-        """Run all that is due; an exception in one call must not stop the others."""
+        """Run all due timers; an exception in one call must not stop the others."""
         now = self.now()
         if self.heap:
             self.max_delay = max(self.max_delay, now - self.heap[0][0])
