--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -120,8 +120,8 @@
             return StartInterval(converted, converted)
         if not receipt.caught_up_at <= converted <= receipt.arrived:
             return StartInterval(min(converted, receipt.caught_up_at), receipt.arrived)
-        is_believed = receipt.is_replay and self.is_confirmed
-        return StartInterval(converted, converted if is_believed else receipt.arrived)
+        is_trusted = receipt.is_replay and self.is_confirmed
+        return StartInterval(converted, converted if is_trusted else receipt.arrived)
 
     def estimate_purge_time(self, stamp: float, receipt: Receipt) -> float:
         """Return the time before which copies are invalid, for a purge with this timestamp."""
@@ -130,9 +130,9 @@
             return converted
         if receipt.is_first_read:
             return self._estimate_first_read(stamp, receipt, receipt.latest_purge)
-        is_seen = receipt.caught_up_at <= converted <= receipt.arrived
+        is_plausible = receipt.caught_up_at <= converted <= receipt.arrived
         is_long = receipt.arrived - receipt.caught_up_at > SHORT_OUTAGE
-        return converted if is_seen and is_long and self.is_confirmed else receipt.arrived
+        return converted if is_plausible and is_long and self.is_confirmed else receipt.arrived
 
     @staticmethod
     def _is_recent_on_arrival(converted: float, receipt: Receipt) -> bool:
@@ -141,9 +141,8 @@
     def _estimate_first_read(self, stamp: float, receipt: Receipt, latest: float) -> float:
         """Return the later of two independent estimates, but at most the arrival.
 
-        One estimate uses this front's clock. The other uses only the writers' clocks: the
-        timestamp `latest`, which follows on the bus, was not in the future either, so this event is at least
-        `latest - stamp` old.
+        One estimate uses this front's clock. The other uses only the writers' clocks: the timestamp `latest`,
+        which follows on the bus, was not in the future either, so this event is at least that much older.
         """
         min_age = max(latest - stamp, 0.0)
         return min(max(self.to_monotonic(stamp), receipt.arrived - min_age), receipt.arrived)
--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -65,7 +65,7 @@
             return
         request = self._open(client_request, parsed)
         self.context.counters.counts["requests"] += 1
-        self.queue.post(self._event(request))
+        self.queue.post(self._request_received(request))
 
     @staticmethod
     def _refuse_duplicate(client_request: ClientRequest, open_request: ClientRequest) -> None:
@@ -89,7 +89,7 @@
         )
         return request
 
-    def _event(self, request: OpenRequest) -> RequestReceived:
+    def _request_received(self, request: OpenRequest) -> RequestReceived:
         parsed = request.parsed
         fleet = self.context.fleet
         client = request.client_request.client
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -99,10 +99,10 @@
     def _track_unconfirmed_start(self, record: EndpointRecord, receipt: Receipt) -> None:
         previous = self._unconfirmed_starts.pop(record.uid, None)
         if previous is not None:
-            is_cautious = previous.started_at == record.started_at
+            is_unconfirmed = previous.started_at == record.started_at
         else:
-            is_cautious = receipt.is_first_read and not self.context.timestamps.is_confirmed
-        if is_cautious and record.started_at and record.state != "removed":
+            is_unconfirmed = receipt.is_first_read and not self.context.timestamps.is_confirmed
+        if is_unconfirmed and record.started_at and record.state != "removed":
             self._unconfirmed_starts[record.uid] = record
             self._first_unconfirmed = (
                 receipt.arrived if self._first_unconfirmed is None else self._first_unconfirmed
