--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -142,7 +142,8 @@
         """Return the later of two independent estimates, but at most the arrival.
 
         One estimate uses this front's clock. The other uses only the writers' clocks: the timestamp `latest`,
-        which follows on the bus, was not in the future either, so this event is at least that much older.
+        which follows on the bus, was not in the future either, so this event is at least as old as the
+        difference of the two timestamps.
         """
         min_age = max(latest - stamp, 0.0)
         return min(max(self.to_monotonic(stamp), receipt.arrived - min_age), receipt.arrived)
