--- a/weldbend/fleet/cli.py
+++ b/weldbend/fleet/cli.py
@@ -1,6 +1,6 @@
-"""`weldbend fleet`: what a running front believes of its fleet, asked over its admin port.
+"""`weldbend fleet`: commands that query running fronts over their admin ports.
 
-The names of the commands, their options and their output are an interface: they keep their wording.
+The names of the commands, their options and their output are an interface and must not change.
 """
 
 import json
@@ -13,15 +13,15 @@
 from weldbend.fleet.view_comparison import differences
 
 STATE_LABELS = {"ALIVE": "alive", "SUSPECT": "suspected", "DEAD": "dead", "LEFT": "left"}
-TIMEOUT = 3.0  # seconds for connecting, and for each read
+TIMEOUT = 3.0  # seconds, for connecting and for each read
 MAX_ANSWER_SIZE = 1 << 24  # bytes
 
 
 def ask(control: str, **question: Any) -> Any:  # noqa: ANN401 - what JSON can hold
-    """Ask one question, and return its answer.
+    """Send one request to an admin port, and return the answer.
 
     Raises:
-        click.ClickException: there is no answer, or it says what is wrong.
+        click.ClickException: there is no answer, or the answer is an error.
     """
     try:
         with (
@@ -45,19 +45,19 @@
 CONTROLS = click.option(
     "--control", "controls", multiple=True, required=True, help="host:port of each front; may be repeated"
 )
-JSON = click.option("--json", "as_json", is_flag=True, help="the answer as JSON")
+JSON = click.option("--json", "as_json", is_flag=True, help="print the answer as JSON")
 
 
 @click.group()
 def fleet() -> None:
-    """What running fronts believe of each other, and their replicated state."""
+    """Query running fronts for their members and replicated state, and change fleet settings."""
 
 
 @fleet.command()
 @CONTROL
 @JSON
 def status(control: str, as_json: bool) -> None:
-    """One front in a few lines: its reachability, its members, how much state it has."""
+    """Show one front: its reachability, its members and the amount of replicated state."""
     answer = ask(control, ask="status")
     if as_json:
         click.echo(json.dumps(answer))
@@ -86,7 +86,7 @@
 @CONTROLS
 @JSON
 def members(controls: tuple[str, ...], as_json: bool) -> None:
-    """What each front that is asked believes of each member, as a matrix."""
+    """Show the state of each member as each queried front sees it, as a matrix."""
     views = {}
     for control in controls:
         answer = ask(control, ask="status")
@@ -108,7 +108,7 @@
 @CONTROL
 @JSON
 def state(control: str, as_json: bool) -> None:
-    """The replicated state of one front, with ages."""
+    """Show the replicated state of one front, with ages."""
     items = ask(control, ask="state")
     if as_json:
         click.echo(json.dumps(items))
@@ -121,7 +121,7 @@
 @click.argument("cache")
 @CONTROL
 def explain(cache: str, control: str) -> None:
-    """Why a cache is in its state: every item about it."""
+    """Show every replicated item about a cache, to explain its state."""
     items = ask(control, ask="explain", cache=cache)
     for item in items:
         click.echo(f"{item['kind']} {item['value']}, {item['age']:.1f} s old")
@@ -133,7 +133,7 @@
 @CONTROL
 @JSON
 def limits(control: str, as_json: bool) -> None:
-    """Quotas and leases on each limit, and when leases expire; amounts in 1200ths of a limit."""
+    """Show the quotas and leases of each limit, with the leases' expiry; amounts in 1200ths of a limit."""
     rows = ask(control, ask="limits")
     if as_json:
         click.echo(json.dumps(rows))
@@ -157,7 +157,7 @@
 @CONTROL
 @JSON
 def verdicts(control: str, as_json: bool) -> None:
-    """Caches that the fleet has ejected or watches, who reported them and until when; banned clients."""
+    """Show ejected and monitored caches with the reporting fronts and the expiry, and banned clients."""
     rows = ask(control, ask="verdicts")
     if as_json:
         click.echo(json.dumps(rows))
@@ -181,7 +181,7 @@
 @click.option("--for", "minutes", type=click.FloatRange(0.1, 1440), default=10.0, show_default=True)
 @CONTROL
 def cast(client: str, minutes: float, control: str) -> None:
-    """Ban a client (its address) from the whole fleet, for so many minutes."""
+    """Ban a client address from the whole fleet, for a number of minutes."""
     ask(control, ask="cast", client=client, seconds=minutes * 60)
     click.echo(f"{client} is cast out for {minutes:g} minutes")
 
@@ -190,7 +190,7 @@
 @click.argument("client")
 @CONTROL
 def pardon(client: str, control: str) -> None:
-    """Lift the ban of a client: what was reported of it until now counts no more."""
+    """Lift the ban of a client and discard earlier reports about it."""
     ask(control, ask="pardon", client=client)
     click.echo(f"{client} is pardoned")
 
@@ -201,7 +201,7 @@
 @click.argument("value")
 @CONTROL
 def set_(name: str, version: int, value: str, control: str) -> None:
-    """Write an operators' setting for the whole fleet; the highest version holds."""
+    """Write an operators' setting for the whole fleet; the highest version takes effect."""
     ask(control, ask="set", name=name, version=version, value=value)
     click.echo(f"{name} is {value} from version {version} on")
 
@@ -209,7 +209,7 @@
 @fleet.command()
 @CONTROLS
 def check(controls: tuple[str, ...]) -> None:
-    """Whether the fronts that are asked agree; exit 1 and a line for each thing on which they do not."""
+    """Check that the queried fronts agree; print each difference and exit with 1 if there is any."""
     statuses = {}
     for control in controls:
         answer = ask(control, ask="status")
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -1,9 +1,11 @@
-"""Between a front and its fleet: publishes what this front knows, and applies what peers know.
-
-Whatever comes from a peer may make this front stricter at once and loosens nothing: a purge bounds the age
-of copies, a drain or removal of a newer list than this front has read excludes a cache, a later start makes
-it warm up again, a request that may have been executed elsewhere is bound to its group and window. Health
-reports and popularity counts are no rule's: the decisions weigh them with what the front sees itself.
+"""The interface between a front's dispatcher and its fleet.
+
+It publishes this front's knowledge to the fleet and applies the knowledge of its peers. Information from a
+peer may only restrict this front's decisions, never relax a rule: a purge bounds the age of copies, a drain
+or removal in a newer endpoint list than this front has read excludes a cache, a later start makes a cache
+warm up again, and a request that may have been executed elsewhere is bound to its group and window. Health
+reports and popularity counts are not rules: the decisions weigh them together with this front's own
+observations.
 """
 
 from collections import Counter
@@ -36,28 +38,28 @@
 
 
 class FleetAdapter:
-    """A front's fleet and all that is exchanged with it; `dispatcher` is the front's dispatcher.
+    """The fleet of a front, with the services that exchange data between the two.
 
     Attributes:
         fleet: membership, replicated store and transports.
         quota_service: limits shared with other fronts.
-        counts: what was applied of peers' knowledge.
+        counts: counters of information from peers that was applied.
     """
 
     def __init__(
         self, dispatcher: "Dispatcher", name: str, settings: FleetSettings, runtime: Runtime, bus_offset: int
     ) -> None:
-        """Make it; nothing is sent or received before `start`.
+        """Create the fleet and its services; nothing is sent or received before `start`.
 
         Args:
-            dispatcher: the front's loop round its decisions.
+            dispatcher: the event loop that runs the front's decisions.
             name: the front's name.
             settings: the fleet's settings.
-            runtime: the reactor, timers and random bytes.
-            bus_offset: number of the last event of the bus that the front's configuration includes.
+            runtime: the reactor, timers and source of random bytes.
+            bus_offset: number of the last bus event that the front's configuration includes.
 
         Raises:
-            FleetConfigurationError: the key file cannot be read or used.
+            FleetConfigurationError: the key file cannot be read or is invalid.
         """
         self.runtime = runtime
         self.counts: Counter[str] = Counter()
@@ -77,7 +79,7 @@
     # Start, stop, reload.
 
     def start(self, known: Iterable[SequencedEvent]) -> None:
-        """Join the fleet; `known` are the bus's events that the configuration includes."""
+        """Join the fleet and publish `known`, the bus events that the configuration includes."""
         self.fleet.start()
         if self.fleet.settings.admin_address:
             self.admin_server.listen(self.runtime.reactor)
@@ -86,22 +88,22 @@
         self.runtime.timers.after(TICK_INTERVAL, self.tick)
 
     def stop(self) -> None:
-        """Leave the fleet."""
+        """Leave the fleet and close the admin port."""
         self.fleet.stop()
         self.admin_server.stop()
 
     def reload(self, settings: FleetSettings) -> None:
-        """Go by new members and keys; settings with a fault change nothing and are logged."""
+        """Apply new settings, members and keys; invalid settings are logged and change nothing."""
         try:
             self.fleet.reload(settings)
             self.quota_service.members_changed()
         except FleetConfigurationError as error:
-            logger.error("fleet: new installation rejected, the previous one stays in force: {}", error)
+            logger.error("fleet: new installation rejected, the previous one remains in effect: {}", error)
 
-    # What the front knows.
+    # Publishing this front's knowledge.
 
     def publish_bus_event(self, sequenced: SequencedEvent) -> None:
-        """Publish an event that this front's own bus has delivered, after its decisions have it."""
+        """Publish an event from this front's own bus connection, after the decisions have applied it."""
         self.cache_states.bus_offset = max(self.cache_states.bus_offset, sequenced.offset)
         match sequenced.event:
             case EndpointListUpdate(_, records):
@@ -112,41 +114,41 @@
         self.fleet.publish(replicated_items.BUS_POSITION, self.fleet.name, self.cache_states.bus_offset)
 
     def attempt_sent(self, class_name: str, idempotency_key: str, cache: int) -> None:
-        """An attempt of a request with an idempotency key goes out."""
+        """Publish that an attempt of a request with an idempotency key is being sent."""
         self.executions.publish_attempt(class_name, idempotency_key, cache)
 
     def report_ban(self, client: str) -> None:
-        """This front has banned a client."""
+        """Publish that this front has banned a client."""
         self.quota_service.publish_ban(client)
 
-    # What the front asks.
+    # Queries by the dispatcher.
 
     def count_request(self, class_name: str, key: str, part: int, is_retry: bool) -> int:
-        """Count a client's request; how often other fronts of the zone had that object lately."""
+        """Count a client's request, and return the recent count of that object at the zone's other fronts."""
         return self.popularity.count_request(class_name, key, part, is_retry)
 
     def possible_executions(
         self, class_name: str, idempotency_key: str, is_retry: bool
     ) -> tuple[PossibleExecution, ...]:
-        """Earlier attempts of a request, by any front, that may have been executed."""
+        """Return earlier attempts of a request, by any front, that may have been executed."""
         return self.executions.possible_executions(class_name, idempotency_key, is_retry)
 
     def is_over_limit(self, class_name: str, client: str) -> bool:
-        """Whether a request is beyond a limit of the fleet; one that is not counts from now on."""
+        """Return whether a request exceeds a limit of the fleet; if not, count it against the limit."""
         return self.quota_service.exceeds_limit(class_name, client)
 
     def is_banned(self, client: str) -> bool:
-        """Whether the fleet or an operator has banned a client."""
+        """Return whether the fleet or an operator has banned a client."""
         return self.quota_service.is_banned(client)
 
     def holds_decisions(self, now: float) -> bool:
-        """Whether decisions wait a moment, because this process was paused and what it knows is old."""
+        """Return whether decisions are on hold because this process was paused and its data may be stale."""
         return self.hold.is_active(now)
 
-    # What peers know.
+    # Applying peers' knowledge.
 
     def apply_change(self, change: Change) -> None:
-        """An item of the replicated state has become stricter."""
+        """Apply a replicated item whose value has become more restrictive."""
         match change.kind:
             case replicated_items.PURGE:
                 self.purges.apply(change)
@@ -160,7 +162,7 @@
     # Time.
 
     def tick(self) -> None:
-        """Exchange what is no event: popularity, health reports and quotas."""
+        """Exchange the data that is sent periodically: popularity, health reports and quotas."""
         if self.fleet.is_stopped:
             return
         self.runtime.timers.after(TICK_INTERVAL, self.tick)
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -1,14 +1,17 @@
-"""Who belongs to the fleet and who is alive: SWIM, refined by Lifeguard. No I/O; time is handed in.
+"""Fleet membership and failure detection: SWIM with the refinements of Lifeguard.
 
-A front probes one member an interval (`probing`); one that does not answer is probed through helpers, then
-suspected, and known dead when no refutation of it was received for a while (Das, Gupta, Motivala 2002). Three
-refinements of Lifeguard (Dadgar, Phillips, Currey 2018) keep a front that lacks CPU from declaring its peers
-dead: its own health stretches its intervals (`local_health`), a suspicion without other reporters lasts
-longer, and who is suspected is told so first (`member_table`).
+This module does no I/O, and callers pass in the time.
 
-What a lie within the format can do is bounded: a later epoch is accepted only from the member itself, over an
-authenticated message; an incarnation may leap by `MAX_INCARNATION_LEAP` at most; and only a member that is
-named can be spoken of.
+A front probes one member per interval (`probing`). A member that does not answer is probed through helpers,
+then suspected, and declared dead if no refutation arrives before a deadline (Das, Gupta, Motivala 2002).
+Three refinements of Lifeguard (Dadgar, Phillips, Currey 2018) keep a front that is short of CPU from
+declaring its peers dead: its own health lengthens its intervals (`local_health`), a suspicion without other
+reporters lasts longer, and a suspected member is notified first (`member_table`).
+
+The effect of a false but well-formed message is bounded: a later epoch is accepted only from the member
+itself, in an authenticated message, or from a helper that has just reached it; one update can raise an
+incarnation by `MAX_INCARNATION_LEAP` at most; and updates about members that the installation does not name
+are dropped.
 """
 
 from collections import Counter
@@ -22,14 +25,30 @@
 from weldbend.fleet.probing import MAX_EPOCH_LEAD, Prober
 from weldbend.fleet.settings import FleetSettings
 
-MAX_INCARNATION_LEAP = 1 << 16  # by which gossip may raise an incarnation
-MIN_UNANSWERED_PROBES = 2  # after which what a member's probe says of this front's epoch is taken
+MAX_INCARNATION_LEAP = 1 << 16  # largest increase of an incarnation by gossip
+MIN_UNANSWERED_PROBES = 2  # before a member's probe may raise this front's epoch
 CONTESTED_EPOCH_RAISES = 3  # epoch raises within the window that show another process with this name
 EPOCH_RAISE_WINDOW = 30.0  # seconds
 
 
 class Membership:
-    """Call `advance` on every tick and `receive` for each datagram; send what both return."""
+    """This front's membership protocol.
+
+    The owner calls `advance` on every tick and `receive` for each datagram, and sends the datagrams that both
+    return.
+
+    Attributes:
+        name: this front's name.
+        settings: the fleet's settings.
+        counts: counters of events of the protocol.
+        local: this front's own entry.
+        health: the local health multiplier.
+        table: the beliefs about the other members.
+        prober: the failure detector.
+        members: the other members by name.
+        active_since: time at which this front started, or resumed after its last pause.
+        last_advance: time of the last `advance`.
+    """
 
     def __init__(
         self, name: str, epoch: int, settings: FleetSettings, peers: Iterable[str], seed: int, now: float
@@ -42,36 +61,36 @@
         self.table = MemberTable(self.local, settings, self.counts)
         self.prober = Prober(self.table, self.health, seed, now, self.counts)
         self.members = self.table.members
-        self.active_since = now  # when it began, or went on after a pause
+        self.active_since = now
         self.last_advance = now
         self.set_members(peers, now)
 
     @property
     def epoch(self) -> int:
-        """This front's own epoch, as it stands now."""
+        """This front's current epoch."""
         return self.local.epoch
 
     @property
     def is_contested(self) -> bool:
-        """Another process runs under this front's name."""
+        """Whether another process runs under this front's name."""
         return self.local.is_contested
 
-    # What may change while it runs.
+    # Reconfiguration.
 
     def reconfigure(self, settings: FleetSettings, now: float) -> None:
-        """Go by new settings and their members from now on."""
+        """Apply new settings and the members that they name."""
         self.settings = self.table.settings = settings
         self.set_members([peer.name for peer in settings.peers], now)
 
     def set_members(self, names: Iterable[str], now: float) -> None:
-        """The members that are named from now on; messages of others are dropped."""
+        """Replace the set of members; messages of fronts outside it are dropped."""
         self.table.set_members(names, now)
         self.prober.drop_removed()
 
-    # What is believed.
+    # View.
 
     def view(self, now: float) -> MembershipView:
-        """All that is believed at this moment."""
+        """Return the current view of the fleet."""
         members = tuple(
             MemberView(
                 name=member.name,
@@ -87,11 +106,11 @@
         return MembershipView(now, self.reachability(now), self.health.multiplier, self.is_contested, members)
 
     def reachability(self, now: float) -> Reachability:
-        """How much this front's judgement of others is worth now.
+        """Return how far this front can rely on its own judgement of others.
 
-        Guards against judging others by a front's own faults. Should cover a lost line, a pause of this
-        machine and a start. Harm: where all others have died at once, the last one goes on calling them
-        suspected.
+        This prevents a front from judging others while the fault is its own: a lost network connection, a
+        pause of the machine or a recent start. As a side effect, if all other members die at once, the last
+        one keeps them in the suspected state.
         """
         if not self.members:
             return Reachability.CLEAR
@@ -108,13 +127,13 @@
         return Reachability.CLEAR if is_clear else Reachability.WAKING
 
     def drain_changes(self) -> list[StateChange]:
-        """Changes of members' states since the last call, for the log."""
+        """Return the members' state changes since the last call, and clear them."""
         return self.table.drain_changes()
 
     # Time.
 
     def advance(self, now: float) -> list[Send]:
-        """Do all that is due by now."""
+        """Perform all actions that are due, and return the datagrams to send."""
         if self.was_paused(now):
             self._resume_after_pause(now)
         self.last_advance = now
@@ -129,33 +148,33 @@
         return sends + self.prober.probe_next(now)
 
     def was_paused(self, now: float) -> bool:
-        """Whether this process was paused since its last `advance`, which is overdue then."""
+        """Return whether this process was paused, which shows by an overdue `advance`."""
         return now - self.last_advance > self.settings.pause_threshold + self.health.scaled(
             self.settings.probe_interval
         )
 
     def _resume_after_pause(self, now: float) -> None:
-        """This process was stopped, or its machine frozen: what it knew is old.
+        """Reset the failure detection after this process was stopped or its machine frozen.
 
-        Guards against a front that resumes and declares all others dead by its own pause, or acts on what it
-        knew before. Harm: real deaths are noticed one suspicion later.
+        This keeps a resuming front from declaring all others dead because of its own pause, and from acting
+        on outdated beliefs. As a side effect, real deaths are detected one suspicion period later.
         """
         self.counts["stood still"] += 1
         self.active_since = now
         self.prober.reset_after_pause(now)
         self.health.reset_after_pause()
         self.table.extend_suspicions(now - self.last_advance)
-        self.local.incarnation += 1  # others may think it dead
+        self.local.incarnation += 1  # others may believe this front dead
 
     def leave(self) -> list[Send]:
-        """Stop in an orderly way; the messages that say so."""
+        """Begin an orderly shutdown, and return the messages that announce it."""
         self.local.is_leaving = True
         return [Send(o.name, m.Leaving()) for o in self.members.values() if o.state is not State.DEAD]
 
-    # What comes.
+    # Received messages.
 
     def receive(self, now: float, sender: str, epoch: int, body: m.Datagram) -> list[Send]:
-        """Handle an authenticated datagram of `sender`, which it sent in that epoch; the answers to send."""
+        """Handle an authenticated datagram that `sender` sent in an epoch, and return the answers."""
         member = self.members.get(sender)
         if member is None:
             self.counts["not a member"] += 1
@@ -166,7 +185,7 @@
             self.counts["of an older run"] += 1
             return [Send(sender, m.StaleEpoch(member.epoch))]
         if epoch > member.epoch:
-            self.table.update(member, Rank(epoch, 0, State.ALIVE), now, "a new start")
+            self.table.update(member, Rank(epoch, 0, State.ALIVE), now, "started a new epoch")
             member.suspected_by = set()
         member.received_at = now
         return self._handle(member, body, now)
@@ -178,9 +197,8 @@
                 self.apply_updates(updates, now)
                 answers = [Send(member.name, m.Ack(number, self.table.gossip_for(member)))]
                 if member.state >= State.SUSPECT:
-                    answers += self.prober.probe_for_refutation(
-                        member, now
-                    )  # it is alive after all, or half of it
+                    # The member can at least send, so it is invited to refute.
+                    answers += self.prober.probe_for_refutation(member, now)
                 return answers
             case m.Ack(number, updates):
                 self.prober.learn_from_helper(member, number, updates, now)
@@ -200,11 +218,12 @@
         return []
 
     def _check_own_epoch(self, prober: Member, updates: Iterable[m.MemberUpdate], now: float) -> None:
-        """Go on above a later start of this name, of which a probe speaks whose sender never answers.
+        """Raise this front's epoch if an unresponsive member's probe reports a later one.
 
-        Guards against a front whose clock went back behind all those of its runs whose numbers another
-        remembers: what it sends is dropped there before anybody could say that it is out of date. Harm: one
-        that lies has this front go on under a later epoch, as with `StaleEpoch`.
+        If this front's clock went back behind all of its epochs that the peer remembers, the peer's
+        authenticator drops its messages, so the peer never answers with `StaleEpoch`. The peer's own probes
+        still report the later epoch. As a side effect, a peer that lies makes this front continue under a
+        later epoch, as with `StaleEpoch`.
         """
         if prober.unanswered_probes < MIN_UNANSWERED_PROBES or self.local.is_leaving:
             return
@@ -214,11 +233,12 @@
                 prober.unanswered_probes = 0
 
     def raise_epoch(self, later_epoch: int, now: float) -> None:
-        """Another front knows a later start of this name: this clock went back, or there is a double.
+        """Raise this front's epoch above a later one that another front knows for its name.
 
-        Guards against being ignored for ever by a fleet that knows the earlier process's later epoch. Where
-        it goes on, two processes run under one name: the one that is told so last falls silent, and says it
-        in its view.
+        Either this machine's clock went back, or another process runs under the same name. Without the raise,
+        a fleet that knows the other epoch would ignore this front for ever. If raises keep recurring, two
+        processes share the name: the one whose epoch is raised last stops sending and marks its view as
+        contested.
         """
         local = self.local
         if not local.epoch <= later_epoch <= local.epoch + MAX_EPOCH_LEAD:
@@ -238,12 +258,12 @@
     # Gossip.
 
     def apply_updates(self, updates: Iterable[m.MemberUpdate], now: float) -> None:
-        """Join what another front believes of members."""
+        """Join the beliefs of another front with this front's own."""
         for update in updates:
             self.apply_update(update, now)
 
     def apply_update(self, update: m.MemberUpdate, now: float) -> None:
-        """Join one belief of another front; what lies out of bounds is counted and dropped."""
+        """Join one belief of another front; an update out of bounds is counted and dropped."""
         if update.name == self.name:
             self.refute(update)
             return
@@ -251,20 +271,21 @@
         if member is None:
             self.counts["rumours of nobody"] += 1
         elif not member.epoch and 0 < update.epoch <= self.epoch + MAX_EPOCH_LEAD:
-            # what is first received of a member may be gossip, or 200 fronts would take minutes to meet
+            # The first information about a member may be gossip: by direct probes alone, 200 fronts would
+            # take minutes to discover each other.
             state = State.ALIVE if update.state == State.SUSPECT else State(update.state)
             rank = Rank(update.epoch, update.incarnation, state)
             self.table.update(member, rank, now, f"reported by {update.reporter}")
         elif update.epoch != member.epoch:
             if update.epoch > member.epoch:
-                self.prober.probe_soon(member)  # gossip of a start: only the member itself proves it
+                self.prober.probe_soon(member)  # a new start must be confirmed by the member itself
         elif update.incarnation > member.incarnation + MAX_INCARNATION_LEAP:
             self.counts["leaps of an incarnation"] += 1
         else:
             self._join(member, update, now)
 
     def _join(self, member: Member, update: m.MemberUpdate, now: float) -> None:
-        """Join a belief about the epoch that is known here."""
+        """Join a belief about the epoch that this front knows."""
         rank = Rank(update.epoch, update.incarnation, State(update.state))
         if rank.state is State.SUSPECT and rank.incarnation >= member.incarnation:
             if member.state is State.ALIVE or rank.incarnation > member.incarnation:
@@ -276,7 +297,7 @@
             self.table.update(member, rank, now, f"reported by {update.reporter}")
 
     def refute(self, update: m.MemberUpdate) -> None:
-        """Another front believes this one suspect or dead: say under a later incarnation that it is alive."""
+        """Refute a belief that this front is suspect or dead, by a later incarnation."""
         local = self.local
         if update.epoch != local.epoch or update.state == State.ALIVE or local.is_leaving:
             return
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -1,7 +1,7 @@
-"""A front's place in its fleet: datagrams by UDP, connections by TCP, and the parts that they serve.
+"""The fleet service of a front: UDP datagrams, TCP connections and the components that use them.
 
-It is made where an installation file names a fleet, and never otherwise. It hands the front what has become
-stricter, and publishes what the front knows; it is asked nothing and holds up nothing.
+It is created only if the installation file names a fleet. It reports items that have become more restrictive
+to the front, and publishes the front's own knowledge. It never blocks the front.
 """
 
 import math
@@ -32,17 +32,17 @@
 from weldbend.fleet.settings import FleetSettings, split_address
 from weldbend.fleet.topology import neighbours
 
-TICK_INTERVAL = 0.05  # seconds between two ticks at most, so that a pause of the process shows
-REPORT_INTERVAL = 10.0  # seconds between two lines of counters
-FIXED_SETTINGS = ("listen", "fleet", "zone")  # only a restart changes them
+TICK_INTERVAL = 0.05  # seconds; much shorter than the pauses of the process that ticks detect
+REPORT_INTERVAL = 10.0  # seconds between two log lines with counters
+FIXED_SETTINGS = ("listen", "fleet", "zone")  # settings that a reload cannot change
 
 
 class FleetConfigurationError(FleetError):
-    """Settings from which a fleet cannot be started or reloaded; the text is one line for people."""
+    """Invalid settings, with which a fleet cannot start or reload; the message is one line."""
 
 
 class KeyFileError(FleetConfigurationError):
-    """The key file at `path` cannot be read or used."""
+    """A key file that cannot be read or is invalid."""
 
     def __init__(self, path: str, problem: str) -> None:
         super().__init__(f"key file {path}: {problem}")
@@ -51,10 +51,10 @@
 
 
 class FixedSettingsError(FleetConfigurationError):
-    """A reload that changes what only a restart can change; `names` are keys of `[fleet]`."""
+    """A reload with changes that need a restart; `names` are the changed keys of `[fleet]`."""
 
     def __init__(self, names: list[str]) -> None:
-        super().__init__(f"[fleet] {', '.join(names)}: changed by a restart only")
+        super().__init__(f"[fleet] {', '.join(names)}: cannot be changed without a restart")
         self.names = names
 
 
@@ -62,7 +62,7 @@
     """Read the key file.
 
     Raises:
-        FleetConfigurationError: it cannot be read or used.
+        FleetConfigurationError: the file cannot be read or is invalid.
     """
     try:
         return read_keys(Path(path).read_text("ascii"))
@@ -76,17 +76,22 @@
     """This front's membership, replicated store and their transports.
 
     Attributes:
-        settings: as the installation file has them; a reload replaces them.
-        membership: who belongs to the fleet and who is alive.
-        store: the replicated state.
-        anti_entropy: keeps the store alike to those of others.
+        runtime: the reactor, timers and source of random bytes.
+        timers: the runtime's timers.
+        name: this front's name.
+        settings: the fleet's settings from the installation file; a reload replaces them.
+        membership: the members and their states.
+        store: this front's replica of the fleet's state.
+        anti_entropy: synchronisation of the replica with those of other fronts.
         connections: connections to neighbours.
-        authenticator: authenticates all messages.
+        authenticator: authenticator of all messages.
         datagrams: the UDP port.
-        counts: datagrams, by what became of them.
-        resumed_at: when this process last went on after a pause; minus infinity for never.
-        connection_lost_at: when the connection to each peer was last lost.
-        lease_service: strict limits shared with others, None where there are none.
+        counts: counters of datagrams by result.
+        resumed_at: time at which this process last resumed after a pause, minus infinity for never.
+        connection_lost_at: time at which the connection to each peer was last lost.
+        logged_reachability: reachability in the last log line about it.
+        is_stopped: whether `stop` was called.
+        lease_service: strict limits shared with other fronts, None if there are none.
     """
 
     def __init__(
@@ -97,18 +102,18 @@
         on_change: Callable[[Change], None],
         epoch: int,
     ) -> None:
-        """Make it; nothing is sent or received before `start`.
+        """Create the components; nothing is sent or received before `start`.
 
         Args:
-            runtime: the reactor, timers and random bytes.
+            runtime: the reactor, timers and source of random bytes.
             name: this front's name.
-            settings: its installation's settings.
-            on_change: is called with every item that has become stricter.
-            epoch: the Unix millisecond of this start; where the clock went back, those who know a later epoch
-                say so.
+            settings: the fleet's settings from the installation file.
+            on_change: function that is called with every item that has become more restrictive.
+            epoch: Unix time of this start in milliseconds. If the clock went back, peers that know a later
+                epoch report it.
 
         Raises:
-            FleetConfigurationError: the key file cannot be read or used.
+            FleetConfigurationError: the key file cannot be read or is invalid.
         """
         self.runtime = runtime
         self.timers = runtime.timers
@@ -133,7 +138,7 @@
     # Start, stop, reload.
 
     def start(self) -> None:
-        """Open both ports and begin to probe and connect."""
+        """Open both ports, and start probing members and connecting to neighbours."""
         host, port = split_address(self.settings.listen)
         self.connections.listen(host, port)
         self.datagrams.listen(host, port)
@@ -141,7 +146,7 @@
         self.timers.after(0.0, self.tick)
         self.timers.after(REPORT_INTERVAL, self.report)
         logger.info(
-            "fleet {}: {} of {} members, epoch {}",
+            "fleet {}: front {} started, {} members configured, epoch {}",
             self.settings.fleet,
             self.name,
             len(self.settings.peers) + 1,
@@ -153,11 +158,11 @@
         self.connections.set_members(peers, neighbours(self.name, [peer.name for peer in peers]))
 
     def reload(self, settings: FleetSettings) -> None:
-        """Go by these settings, members and keys from now on.
+        """Apply new settings, members and keys.
 
         Raises:
-            FleetConfigurationError: only a restart can change that, or the keys cannot be used; nothing has
-                changed then.
+            FleetConfigurationError: a changed setting needs a restart, or the key file is invalid. Nothing
+                has been changed.
         """
         keys = load_keys(settings.key_file)
         fixed = [name for name in FIXED_SETTINGS if getattr(settings, name) != getattr(self.settings, name)]
@@ -169,7 +174,7 @@
         self.connections.settings = settings
         self.membership.reconfigure(settings, self.timers.now())
         self._set_neighbours()
-        logger.info("fleet: {} members named now, {} keys", len(settings.peers) + 1, len(keys))
+        logger.info("fleet: settings reloaded, {} members, {} keys", len(settings.peers) + 1, len(keys))
 
     def stop(self) -> None:
         """Leave the fleet and close all sockets."""
@@ -183,10 +188,10 @@
     # Time.
 
     def tick(self) -> None:
-        """Do all that is due."""
+        """Run the periodic work of all components."""
         if self.is_stopped:
             return
-        self.timers.after(TICK_INTERVAL, self.tick)  # first: a fault in one part must not end the others
+        self.timers.after(TICK_INTERVAL, self.tick)  # first, so that an exception below does not stop ticks
         now = self.timers.now()
         self.detect_pause(now)
         self._send_datagrams(self.membership.advance(now))
@@ -198,7 +203,7 @@
         self.connections.drop_silent()
 
     def detect_pause(self, now: float) -> None:
-        """Before anything is acted on: find out whether this process was paused, and what it knows is old."""
+        """Detect a pause of this process, before any action is based on data that may be stale."""
         if self.membership.was_paused(now):
             seconds = now - self.membership.last_advance
             logger.warning("fleet: this process was paused for {:.1f} s; catching up", seconds)
@@ -208,28 +213,30 @@
     def _log_changes(self, now: float) -> None:
         for name, before, after, reason in self.membership.drain_changes():
             logger.bind(member=name, before=before.name, state=after.name).info(
-                "fleet: {} was {}, is {}: {}", name, before.name, after.name, reason
+                "fleet: member {} changed from {} to {}: {}", name, before.name, after.name, reason
             )
         reachability = self.membership.reachability(now)
         if reachability is not self.logged_reachability:
             logger.info(
-                "fleet: own reachability was {}, is {}", self.logged_reachability.name, reachability.name
+                "fleet: own reachability changed from {} to {}",
+                self.logged_reachability.name,
+                reachability.name,
             )
             self.logged_reachability = reachability
 
     def _propagate_own_epoch(self) -> None:
-        """Have all that goes by this front's epoch go by the membership's, which others may have raised."""
+        """Propagate this front's epoch to all components after messages from peers have raised it."""
         epoch = self.membership.epoch
         if epoch == self.authenticator.epoch:
             return
         logger.warning("fleet: own epoch raised from {} to {}", self.authenticator.epoch, epoch)
-        self.authenticator.epoch = epoch  # this clock went back, or there is a double
+        self.authenticator.epoch = epoch  # the clock went back, or another process runs under this name
         self.store.set_epoch(epoch)
         if self.lease_service:
             self.lease_service.set_epoch(epoch)
 
     def report(self) -> None:
-        """Log all counters, every `REPORT_INTERVAL`."""
+        """Log all counters, and schedule the next report."""
         if self.is_stopped:
             return
         view = self.view()
@@ -246,7 +253,7 @@
             "dropped": dict(self.authenticator.dropped),
         }
         logger.bind(**fields).info(
-            "fleet: {alive} of {named} others alive, reachability {reachability}, health {health}, "
+            "fleet: {alive} of {named} other members alive, reachability {reachability}, health {health}, "
             "caught up {caught_up}, {items} items, {connections} connections; {counts}; "
             "{connection_counts}; dropped {dropped}",
             **fields,
@@ -261,7 +268,7 @@
                 self.datagrams.send(peer, send.body)
 
     def datagram_received(self, now: float, header: Header, body: m.Datagram) -> None:
-        """An authenticated datagram has come."""
+        """Handle an authenticated datagram."""
         self.detect_pause(now)
         if isinstance(body, m.LeaseMessage):
             self._lease_message_received(now, header, body)
@@ -271,7 +278,7 @@
         self._propagate_own_epoch()
 
     def _lease_message_received(self, now: float, header: Header, body: m.LeaseMessage) -> None:
-        """About a strict limit: only of a member, in the epoch that is known of it."""
+        """Handle a message about a strict limit, if its sender is a member in its known epoch."""
         member = self.membership.members.get(header.sender)
         is_known = member is not None and member.epoch == header.epoch and not self.membership.is_contested
         if self.lease_service is None or not is_known:
@@ -280,22 +287,22 @@
         self._send_datagrams(self.lease_service.handle(now, header.sender, header.epoch, body))
 
     def live_members(self) -> list[str]:
-        """Names of members that are believed alive and not suspected."""
+        """Return the names of members that are believed alive and not suspected."""
         return [one.name for one in self.membership.members.values() if one.state is State.ALIVE]
 
     # Connections (`ConnectionHandler`).
 
     def connection_up(self, peer: str, epoch: int) -> None:
-        """A connection to a neighbour can be used."""
+        """Start to synchronise with a neighbour after a connection was established."""
         self._send_messages(self.anti_entropy.peer_connected(peer, self.timers.now()))
 
     def connection_down(self, peer: str) -> None:
-        """The connection to a neighbour has ended."""
+        """Record the loss of the connection to a neighbour."""
         self.connection_lost_at[peer] = self.timers.now()
         self._send_messages(self.anti_entropy.peer_disconnected(peer, self.timers.now()))
 
     def message_received(self, peer: str, epoch: int, body: m.ConnectionMessage) -> None:
-        """An authenticated message has come over a connection."""
+        """Handle an authenticated message from a connection."""
         now = self.timers.now()
         self.detect_pause(now)
         self._send_messages(self.anti_entropy.handle(now, peer, body))
@@ -304,12 +311,12 @@
         for message in messages:
             self.connections.send(message)
 
-    # What the front uses.
+    # Interface for the front.
 
     def publish(self, kind: str, key: str, *value: int | float | str) -> None:
-        """Write an item of the replicated state; kinds and values are in `replicated_items.ITEM_KINDS`."""
+        """Write an item of the replicated state; `replicated_items.ITEM_KINDS` defines kinds and values."""
         self._send_messages(self.anti_entropy.write(self.timers.now(), kind, key, *value))
 
     def view(self) -> MembershipView:
-        """What is believed of the members now."""
+        """Return the current view of the fleet's members."""
         return self.membership.view(self.timers.now())
