--- a/weldbend/fleet/__init__.py
+++ b/weldbend/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""Fronts that know of each other: membership, connections, replicated state. The platform's run has none."""
+"""Cooperation of several fronts as a fleet: membership, connections and replicated state.
+
+A front whose installation file names no fleet, or that has no such file, runs without one.
+"""
--- a/weldbend/fleet/admin_server.py
+++ b/weldbend/fleet/admin_server.py
@@ -1,8 +1,8 @@
-"""Answers operators' questions about the fleet: one JSON object a line over a loopback port.
+"""The admin port of a front: JSON requests and answers, one object per line, over a loopback TCP port.
 
-A request is `{"ask": "status"}` and so on; an answer is `{"ok": ...}` or `{"wrong": "one line"}`. What is
-changed here is an operators' setting for the whole fleet: `set`, and what other modules add
-(`extra_handlers`).
+A request looks like `{"ask": "status"}`. The answer is `{"ok": ...}`, or `{"wrong": "..."}` with an error
+message of one line. The request `set` writes an operators' setting for the whole fleet; other modules may
+add requests that change state (`extra_handlers`).
 """
 
 import contextlib
@@ -23,23 +23,23 @@
 from weldbend.fleet.service import Fleet
 from weldbend.fleet.settings import split_address
 
-MAX_CONNECTIONS = 4  # open at once
-MAX_REQUEST_SIZE = 4096  # bytes of one line
-MAX_ERROR_LENGTH = 200  # characters of an answer that says what is wrong
+MAX_CONNECTIONS = 4  # simultaneous connections
+MAX_REQUEST_SIZE = 4096  # bytes per line
+MAX_ERROR_LENGTH = 200  # characters
 NOT_AN_OBJECT = "a question is one JSON object on one line"
 
-MAX_NUMBER = 1e15  # a number in a question is at most so large
-NUMBER_FIELDS = ("seconds", "version")  # fields that are numbers; all others are taken as text
+MAX_NUMBER = 1e15  # upper bound of a number in a request
+NUMBER_FIELDS = ("seconds", "version")  # numeric fields; all others are converted to strings
 
 AdminHandler = Callable[[dict[str, Any]], Any]
 
 
 class InvalidAdminRequestError(FleetError, ValueError):
-    """A question that cannot be answered; its text is one line for people."""
+    """A request that cannot be answered; the message is one line for the operator."""
 
 
 class MissingFieldError(InvalidAdminRequestError):
-    """A question lacks the field `name`."""
+    """A request without the required field `name`."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"the question lacks {name!r}")
@@ -47,7 +47,7 @@
 
 
 class InvalidFieldError(InvalidAdminRequestError):
-    """The field `name` of a question has a value that it cannot have."""
+    """A request whose field `name` has an invalid value."""
 
     def __init__(self, name: str, value: object, expected: str) -> None:
         super().__init__(f"{name!r} is {json.dumps(value):.40}, not {expected}")
@@ -55,18 +55,18 @@
 
 
 class AdminRequest(dict[str, Any]):
-    """A question's fields, as it came; its numbers are checked."""
+    """The fields of a request; only the numeric ones have been checked."""
 
     def __missing__(self, name: str) -> NoReturn:
-        """Say which field is missing."""
+        """Raise an error that names the missing field."""
         raise MissingFieldError(name)
 
 
 def read_request(line: bytes) -> AdminRequest:
-    """Read a question.
+    """Parse one line into a request.
 
     Raises:
-        InvalidAdminRequestError: It is no JSON object, or a number in it is none.
+        InvalidAdminRequestError: the line is not a JSON object, or a numeric field is invalid.
     """
     try:
         fields = json.loads(line)
@@ -79,10 +79,10 @@
 
 
 def read_number(name: str, value: object) -> int | float:
-    """Read a field that is a number, perhaps written as text.
+    """Convert the value of a numeric field, which may be written as a string.
 
     Raises:
-        InvalidFieldError: It is none, or out of bounds.
+        InvalidFieldError: the value is not a number or out of bounds.
     """
     if isinstance(value, str):
         with contextlib.suppress(ValueError):
@@ -94,7 +94,7 @@
 
 
 class AdminConnection(LineOnlyReceiver):
-    """One operator's connection."""
+    """A client connection to the admin port."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_REQUEST_SIZE
@@ -103,17 +103,17 @@
         self.server = server
 
     def connectionMade(self) -> None:
-        """Refuse it where too many are open."""
+        """Count the connection, and close it if too many are open."""
         self.server.connections += 1
         if self.server.connections > MAX_CONNECTIONS:
             cast(StreamTransport, self.transport).loseConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The connection has ended."""
+        """Remove the connection from the count."""
         self.server.connections -= 1
 
     def lineReceived(self, line: bytes) -> None:
-        """Answer one question; what cannot be answered is said in one line."""
+        """Answer one request; an invalid request gets an error message."""
         try:
             reply = {"ok": self.server.answer(read_request(line))}
         except ValueError as error:
@@ -122,11 +122,24 @@
 
 
 class AdminServer(ServerFactory):
-    """The admin port of one front; `extra_handlers` are answered by other modules, by their names."""
+    """The admin port of one front.
+
+    Attributes:
+        fleet: this front's fleet, to which the requests refer.
+        handlers: functions that answer requests, by the request's name.
+        connections: number of open connections.
+        port: the listening port, None before `listen`.
+    """
 
     noisy = False
 
     def __init__(self, fleet: Fleet, extra_handlers: Mapping[str, AdminHandler]) -> None:
+        """Create the server without opening its port.
+
+        Args:
+            fleet: this front's fleet.
+            extra_handlers: handlers provided by other modules, by the request's name.
+        """
         self.fleet = fleet
         self.handlers: dict[str, AdminHandler] = {
             "status": lambda request: fleet_status.status(fleet),
@@ -139,25 +152,25 @@
         self.port: ListeningPort | None = None
 
     def listen(self, reactor: Reactor) -> None:
-        """Open the port."""
+        """Open the listening port."""
         host, port = split_address(self.fleet.settings.admin_address)
         self.port = reactor.listenTCP(port, self, interface=host)
         AcceptGuard(self.port, self.fleet.timers.after)
 
     def stop(self) -> None:
-        """Close the port."""
+        """Close the listening port."""
         if self.port:
             self.port.stopListening()
 
     def buildProtocol(self, addr: IAddress | None) -> AdminConnection:
-        """An operator connects."""
+        """Create the protocol for a new connection."""
         return AdminConnection(self)
 
     def answer(self, request: AdminRequest) -> Any:  # noqa: ANN401 - what JSON can hold
-        """Answer a question.
+        """Return the answer to a request.
 
         Raises:
-            ValueError: there is no such question, or a field is missing or has a wrong value.
+            ValueError: the request is unknown, or a field is missing or invalid.
         """
         name = str(request["ask"])
         handler = self.handlers.get(name)
@@ -167,12 +180,12 @@
         return handler(request)
 
     def _explain(self, request: dict[str, Any]) -> list[dict[str, Any]]:
-        """All items about one cache."""
+        """Return all replicated items about one cache."""
         items = fleet_status.items(self.fleet)
         return [item for item in items if item["key"].partition("|")[0] == str(request["cache"])]
 
     def _set(self, request: dict[str, Any]) -> Value:
-        """Write an operators' setting; its value from now on."""
+        """Write an operators' setting, and return its new version and value."""
         name = str(request["name"])
         version = int(request["version"])
         value = str(request["value"])
--- a/weldbend/fleet/datagram_port.py
+++ b/weldbend/fleet/datagram_port.py
@@ -1,4 +1,4 @@
-"""The port on which a front sends and receives authenticated datagrams."""
+"""The UDP port on which a front sends and receives authenticated datagrams."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -12,16 +12,23 @@
 from weldbend.fleet.runtime import DatagramTransport, ListeningPort, Runtime
 from weldbend.fleet.settings import Peer
 
-MAX_DATAGRAMS_PER_SECOND = 2000  # received in a second; more are dropped unread
-MAX_PACKET_SIZE = 65_535  # bytes that one read accepts: a longer datagram than allowed shows as such
-REOPEN_DELAY = 0.2  # seconds after which a port that an error closed is opened again
+MAX_DATAGRAMS_PER_SECOND = 2000  # received datagrams above this rate are dropped unread
+MAX_PACKET_SIZE = 65_535  # bytes per read; more than allowed, so that an oversized datagram is recognised
+REOPEN_DELAY = 0.2  # seconds before a port that an error closed is opened again
 
 Handler = Callable[[float, Header, m.Datagram], None]
-"""Is called with the moment, the header and the message."""
+"""A function that is called with the time of receipt, the header and the message."""
 
 
 class DatagramPort(DatagramProtocol):
-    """Passes on to `handler` what is authentic and can be read; the rest is counted and dropped."""
+    """A UDP socket that passes valid messages to `handler`, and counts and drops all others.
+
+    Attributes:
+        counts: counters of sent, dropped and invalid datagrams.
+        is_closed: whether `close` was called.
+        counted_second: the second whose datagrams are being counted.
+        received_in_second: datagrams received within that second.
+    """
 
     noisy = False
 
@@ -34,11 +41,11 @@
         self.counts = counts
         self.port: ListeningPort | None = None
         self.is_closed = False
-        self.counted_second = 0  # that is being counted
+        self.counted_second = 0
         self.received_in_second = 0
 
     def listen(self, host: str, port: int) -> None:
-        """Open the port."""
+        """Open the port on a host and port number."""
         self.address = (host, port)
         self.port = self.runtime.reactor.listenUDP(port, self, interface=host, maxPacketSize=MAX_PACKET_SIZE)
 
@@ -49,9 +56,10 @@
             self.port.stopListening()
 
     def stopProtocol(self) -> None:
-        """Open the port again soon, unless it was to close; Twisted closes it when a read fails.
+        """Schedule reopening of the port unless `close` was called; Twisted closes it when a read fails.
 
-        Guards membership against an error of one read, as where the system lacks memory. Harm: none known.
+        This keeps membership working after a failed read, for example when the system is short of memory. No
+        side effect is known.
         """
         if not self.is_closed:
             self.counts["datagram ports that an error closed"] += 1
@@ -66,7 +74,7 @@
             self.runtime.timers.after(REOPEN_DELAY, self._reopen)
 
     def send(self, peer: Peer, body: m.Datagram) -> None:
-        """Send a message, if the port is open; it may be lost like any datagram."""
+        """Send a message if the port is open; as with any datagram, delivery is not guaranteed."""
         if self.port is None:
             return
         data = self.authenticator.authenticate(peer.name, m.encode(body))
@@ -76,7 +84,7 @@
             self.counts["datagrams that could not go"] += 1
 
     def _write(self, data: bytes, to: tuple[str, int]) -> bool:
-        """Write a datagram; false where it is lost at once: a full buffer, no route, or a local rule."""
+        """Write a datagram; return False if the system rejects it (full buffer, no route or a local rule)."""
         try:
             cast(DatagramTransport, self.transport).write(data, to)
         except OSError:
@@ -84,7 +92,7 @@
         return True
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
-        """Check a datagram; its sender is known by its header, not by its address."""
+        """Verify a datagram and pass it on; its sender is identified by the header, not by the address."""
         now = self.runtime.timers.now()
         if int(now) != self.counted_second:
             self.counted_second = int(now)
@@ -97,7 +105,7 @@
             message = self.authenticator.verify(datagram)
             body = m.read_datagram(message.body)
         except AuthenticationError:
-            return  # counted by its cause
+            return  # the authenticator has counted the cause
         except m.InvalidPeerMessageError:
             self.counts["messages that cannot be read"] += 1
             return
--- a/weldbend/fleet/errors.py
+++ b/weldbend/fleet/errors.py
@@ -1,5 +1,5 @@
-"""The base of all exceptions of this package."""
+"""The base class of this package's exceptions."""
 
 
 class FleetError(Exception):
-    """Something is wrong with the fleet's configuration or messages."""
+    """An error in the fleet's configuration or in a message."""
--- a/weldbend/fleet/fleet_status.py
+++ b/weldbend/fleet/fleet_status.py
@@ -1,4 +1,4 @@
-"""What a front answers when operators ask for the state of its fleet; the keys are the admin protocol's."""
+"""The state of the fleet as the admin port returns it; the keys are part of the admin protocol."""
 
 from typing import Any
 
@@ -6,12 +6,12 @@
 from weldbend.fleet.membership_view import MemberView
 from weldbend.fleet.service import Fleet
 
-MAX_AGE = 1e9  # seconds: an age beyond it stands for what never happened
-DIGEST_MARGIN = 1.0  # seconds: items that expire sooner are left out of the digest that fronts compare
+MAX_AGE = 1e9  # seconds; a larger age means that the event never happened
+DIGEST_MARGIN = 1.0  # seconds; items that expire sooner are excluded from the digest that fronts compare
 
 
 def status(fleet: Fleet) -> dict[str, Any]:
-    """All that is believed of the members, with ages in seconds, and how much state there is."""
+    """Return the view of all members, with ages in seconds, and the amount of replicated state."""
     view = fleet.view()
     anti_entropy = fleet.anti_entropy
     counts = fleet.membership.counts + anti_entropy.counts + fleet.counts + fleet.connections.counts
@@ -53,7 +53,7 @@
 
 
 def items(fleet: Fleet) -> list[dict[str, Any]]:
-    """All items of the replicated state, with their ages in seconds."""
+    """Return all items of the replicated state, with their ages in seconds."""
     now = fleet.timers.now()
     return [
         {"kind": kind, "key": key, "value": list(item.value), "age": round(now - item.written_at, 3)}
--- a/weldbend/fleet/local_health.py
+++ b/weldbend/fleet/local_health.py
@@ -1,31 +1,32 @@
-"""Lifeguard's local health multiplier: a front that lacks CPU or network waits longer for others. No I/O.
+"""Lifeguard's local health multiplier. No I/O.
 
-Dadgar, Phillips, Currey 2018, section IV-A.
+A front that is short of CPU or network capacity waits longer for the answers of others (Dadgar, Phillips,
+Currey 2018, section IV-A).
 """
 
 from dataclasses import dataclass
 
-MAX_MULTIPLIER = 8  # bound of the multiplier
+MAX_MULTIPLIER = 8
 
 
 @dataclass(slots=True)
 class LocalHealth:
-    """`multiplier` is 0 for a healthy front, up to `MAX_MULTIPLIER`."""
+    """The local health of a front; `multiplier` ranges from 0 (healthy) to `MAX_MULTIPLIER`."""
 
     multiplier: int = 0
 
     def improve(self) -> None:
-        """A probe was answered in time."""
+        """Decrement the multiplier after a probe was answered in time."""
         self.multiplier = max(0, self.multiplier - 1)
 
     def worsen(self, by: int = 1) -> None:
-        """Something shows that this front itself is slow or cut off."""
+        """Raise the multiplier after a sign that this front itself is slow or disconnected."""
         self.multiplier = min(MAX_MULTIPLIER, self.multiplier + by)
 
     def reset_after_pause(self) -> None:
-        """This process was paused: it starts from the middle."""
+        """Set the multiplier to half its maximum after this process was paused."""
         self.multiplier = MAX_MULTIPLIER // 2
 
     def scaled(self, seconds: float) -> float:
-        """An interval or timeout as this front must count it now."""
+        """Return an interval or timeout scaled by the current multiplier."""
         return seconds * (1 + self.multiplier)
--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -1,8 +1,8 @@
-"""What a front believes of the other members, and which of it is still to be gossiped. No I/O.
+"""The table of a front's beliefs about the other members, and the updates still to be gossiped. No I/O.
 
-The belief about one member is the greatest of all that was received, ordered by epoch (its start),
-incarnation (its refutations) and state. That order is a join: updates may come in any order, twice, or never,
-and all who received the same believe the same.
+The belief about a member is the greatest update received, ordered by epoch (its start), incarnation (its
+refutations) and state. Taking the greatest is a join: updates may arrive in any order, repeatedly or not at
+all, and fronts that have received the same updates hold the same beliefs.
 """
 
 import math
@@ -16,11 +16,11 @@
 from weldbend.fleet.settings import FleetSettings
 from weldbend.invariants import check_invariant
 
-PIGGYBACK_LIMIT = 12  # pending updates on one datagram, besides those about its ends
+PIGGYBACK_LIMIT = 12  # pending updates per datagram, besides those about its sender and recipient
 
 
 class State(IntEnum):
-    """State of a member; later ones win over earlier ones of the same epoch and incarnation."""
+    """State of a member; within one epoch and incarnation, the higher value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -29,7 +29,7 @@
 
 
 class Rank(NamedTuple):
-    """The place of a belief in the order by which beliefs are joined."""
+    """The sort key by which beliefs about a member are ordered and joined."""
 
     epoch: int
     incarnation: int
@@ -37,7 +37,7 @@
 
 
 class StateChange(NamedTuple):
-    """A change of a member's state, for the log."""
+    """A change of a member's state, with the reason that is logged."""
 
     name: str
     before: State
@@ -47,19 +47,20 @@
 
 @dataclass(eq=False, slots=True)
 class Member:
-    """What is believed of one other front; moments are in this front's time.
+    """The belief about another front; all times are readings of this front's clock, in seconds.
 
     Attributes:
         name: the member's name.
-        epoch: Unix milliseconds of its start, 0 where nothing was ever received about it.
-        incarnation: how often it has refuted a suspicion in that epoch.
-        state: the state it is believed to be in.
-        since: when that state began, here.
-        heard_at: when a message from the member itself last came.
-        suspected_by: names of the fronts that suspect it.
-        suspicion_deadline: when the suspicion becomes a death, infinite where there is none.
-        refutation_probed_at: when it was last probed, out of schedule, because it passes for suspect or dead.
-        unanswered_probes: of this front's own since it last answered one itself.
+        epoch: Unix milliseconds of the member's start, 0 if nothing was ever received about it.
+        incarnation: number of suspicions that the member has refuted in that epoch.
+        state: state that the member is believed to be in.
+        since: time at which this front recorded that state.
+        received_at: time of the last message from the member itself.
+        suspected_by: names of the fronts that suspect the member.
+        suspicion_deadline: time at which a suspected member is declared dead, infinite if not suspected.
+        refutation_probed_at: time of the last unscheduled probe that invited the member to refute a belief
+            that it is suspect or dead.
+        unanswered_probes: number of this front's probes since the member last answered one directly.
     """
 
     name: str
@@ -74,21 +75,21 @@
     unanswered_probes: int = 0
 
     def rank(self) -> Rank:
-        """The place of the current belief in the order of beliefs."""
+        """Return the sort key of the current belief."""
         return Rank(self.epoch, self.incarnation, self.state)
 
 
 @dataclass(slots=True)
 class LocalMember:
-    """What this front says of itself.
+    """This front's own entry in the membership.
 
     Attributes:
-        name: its name.
-        epoch: Unix milliseconds of its start, or later where another process had a later one.
-        incarnation: how often it has refuted a suspicion in that epoch.
-        is_contested: another process runs under the same name, so this one has fallen silent.
-        is_leaving: it is stopping in an orderly way.
-        epoch_raises: when others last made it raise its epoch.
+        name: this front's name.
+        epoch: Unix milliseconds of its start, or a later epoch if peers know a later one for its name.
+        incarnation: number of suspicions that it has refuted in that epoch.
+        is_contested: whether another process runs under the same name, so that this one sends nothing.
+        is_leaving: whether it is shutting down in an orderly way.
+        epoch_raises: times of recent raises of its epoch that messages from peers caused.
     """
 
     name: str
@@ -99,14 +100,21 @@
     epoch_raises: list[float] = field(default_factory=list)
 
     def as_update(self) -> m.MemberUpdate:
-        """The update that says that this front is alive."""
+        """Return the update that announces this front as alive."""
         return m.MemberUpdate(self.name, self.epoch, self.incarnation, int(State.ALIVE), self.name)
 
 
 class MemberTable:
-    """All members that the installation names, the one place at which beliefs change.
+    """All members that the installation names; beliefs are changed only here.
 
-    `pending_updates` says of whom news is to be gossiped, and how often it has been passed on.
+    Attributes:
+        local: this front's own entry.
+        settings: the fleet's settings.
+        counts: counters of suspicions and deaths.
+        members: the other members by name.
+        pending_updates: number of transmissions so far, by the name of each member whose update is still to
+            be gossiped.
+        changes: state changes since the last `drain_changes`.
     """
 
     def __init__(self, local: LocalMember, settings: FleetSettings, counts: Counter[str]) -> None:
@@ -118,7 +126,7 @@
         self.changes: list[StateChange] = []
 
     def set_members(self, names: Iterable[str], now: float) -> None:
-        """Replace the named members; what is believed of those that stay is retained."""
+        """Replace the set of members, and keep the beliefs about those that remain."""
         named = [name for name in names if name != self.local.name]
         for removed in set(self.members) - set(named):
             del self.members[removed]
@@ -127,13 +135,13 @@
             self.members.setdefault(name, Member(name, since=now))
 
     def announce(self, name: str) -> None:
-        """Gossip the belief about that member from now on."""
+        """Queue the belief about a member for gossip."""
         self.pending_updates[name] = 0
 
     # Beliefs.
 
     def update(self, member: Member, rank: Rank, now: float, reason: str) -> None:
-        """Believe something newer of a member, and gossip it."""
+        """Replace the belief about a member by a newer one, and queue it for gossip."""
         check_invariant(rank >= member.rank() or rank.epoch > member.epoch, "beliefs only rise")
         if member.state is not rank.state:
             self.changes.append(StateChange(member.name, member.state, rank.state, reason))
@@ -145,7 +153,7 @@
         self.announce(member.name)
 
     def suspect(self, member: Member, reporter: str, now: float) -> None:
-        """Have `reporter` suspect a member: each further reporter shortens the suspicion."""
+        """Record that `reporter` suspects a member; each further reporter shortens the suspicion."""
         if member.state is State.ALIVE:
             member.suspected_by = set()
             rank = Rank(member.epoch, member.incarnation, State.SUSPECT)
@@ -154,7 +162,7 @@
         if reporter in member.suspected_by:
             return
         if member.suspected_by and len(member.suspected_by) <= self.settings.helpers:
-            self.announce(member.name)  # another reporter is news
+            self.announce(member.name)  # gossip the additional reporter
         member.suspected_by.add(reporter)
         confirmations = min(len(member.suspected_by) - 1, self.settings.helpers)
         member.suspicion_deadline = member.since + self.settings.suspicion_timeout(
@@ -162,7 +170,7 @@
         )
 
     def expire_suspicions(self, now: float) -> None:
-        """Believe dead who has not refuted a suspicion by its deadline."""
+        """Declare dead each suspected member whose deadline has passed without a refutation."""
         for member in self.members.values():
             if member.state is State.SUSPECT and now >= member.suspicion_deadline:
                 rank = Rank(member.epoch, member.incarnation, State.DEAD)
@@ -170,19 +178,19 @@
                 self.counts["known dead"] += 1
 
     def postpone_suspicions(self, now: float) -> None:
-        """Give those whose deadline has passed another interval: this front can judge nobody now."""
+        """Extend expired deadlines by a probe interval, for a front that cannot judge others at present."""
         for member in self.members.values():
             if member.suspicion_deadline <= now:
                 member.suspicion_deadline = now + self.settings.probe_interval
 
     def extend_suspicions(self, seconds: float) -> None:
-        """Move all deadlines by the time for which this process was paused."""
+        """Postpone all deadlines by the duration of this process's pause."""
         for member in self.members.values():
             if member.suspicion_deadline < math.inf:
                 member.suspicion_deadline += seconds
 
     def drain_changes(self) -> list[StateChange]:
-        """Changes of state since the last call."""
+        """Return the state changes since the last call, and clear them."""
         changes = self.changes
         self.changes = []
         return changes
@@ -190,7 +198,7 @@
     # Gossip.
 
     def as_update(self, member: Member) -> m.MemberUpdate:
-        """What this front believes of a member, as a message says it."""
+        """Return this front's belief about a member as a gossip update."""
         if member.state is not State.SUSPECT or self.local.name in member.suspected_by:
             reporter = self.local.name
         else:
@@ -198,10 +206,10 @@
         return m.MemberUpdate(member.name, member.epoch, member.incarnation, int(member.state), reporter)
 
     def gossip_for(self, recipient: Member) -> list[m.MemberUpdate]:
-        """Updates to pass on with a message, the least often passed on first.
+        """Return the updates to attach to a message, those with the fewest transmissions first.
 
-        What concerns the recipient itself goes before all, so that it can refute it (Lifeguard's buddy
-        system, section IV-C).
+        An update about the recipient itself precedes all others, so that the recipient can refute it
+        (Lifeguard's buddy system, section IV-C).
         """
         most_transmissions = self.settings.gossip_transmissions(len(self.members) + 1)
         updates: list[m.MemberUpdate] = []
@@ -218,5 +226,5 @@
                 self.pending_updates[name] = transmissions + 1
         own_name = self.local.name
         if own_name not in self.pending_updates and all(update.name != own_name for update in updates):
-            updates.append(self.local.as_update())  # costs little, and ends many a suspicion
+            updates.append(self.local.as_update())  # inexpensive, and often ends a suspicion
         return updates
--- a/weldbend/fleet/membership_view.py
+++ b/weldbend/fleet/membership_view.py
@@ -1,4 +1,4 @@
-"""What a front believes of its fleet at one moment, for people and for other modules. No I/O."""
+"""Snapshots of a front's beliefs about its fleet, for operators and other modules. No I/O."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,19 +7,25 @@
 
 
 class Reachability(IntEnum):
-    """How much a front's view is worth, by its own judgement. The names are shown by `weldbend fleet`."""
+    """The reliability of a front's view of the fleet. `weldbend fleet` shows the names."""
 
     CLEAR = 0
-    WAKING = 1  # it has just started or was paused, and has not received from most of the others since
-    ALONE = 2  # it receives from nobody: it judges nobody
+    WAKING = 1  # the front has started or resumed, and has not yet received from enough other members
+    ALONE = 2  # the front receives from no other member, and judges none
 
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """One member in a view.
+    """A member within a view.
 
-    `state_age` and `message_age` are seconds since its state began and since its last message came; infinite
-    where that never happened. `suspected_by` names the reporters of a suspicion.
+    Attributes:
+        name: the member's name.
+        state: state that the member is believed to be in.
+        epoch: Unix milliseconds of the member's start, 0 if unknown.
+        incarnation: number of suspicions that the member has refuted in that epoch.
+        state_age: seconds since its state was recorded, infinite if never.
+        message_age: seconds since its last message, infinite if there was none.
+        suspected_by: names of the fronts that suspect it.
     """
 
     name: str
@@ -33,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipView:
-    """What a front believed at a time; never a bare yes or no.
+    """A front's beliefs about its fleet at one time, with their ages and reliability.
 
     Attributes:
-        at: the moment of the view.
-        reachability: how much it is worth.
+        at: time of the view, in seconds.
+        reachability: how far the front can rely on the view.
         health: the local health multiplier; 0 is healthy.
-        is_contested: another process runs under this front's name.
-        members: all other members by name.
+        is_contested: whether another process runs under this front's name.
+        members: all other members, sorted by name.
     """
 
     at: float
@@ -50,5 +56,5 @@
     members: tuple[MemberView, ...]
 
     def alive(self) -> tuple[str, ...]:
-        """Members that are not known dead: those suspected count until it is certain."""
+        """Return the names of members that are alive or suspected; a suspicion alone proves no death."""
         return tuple(one.name for one in self.members if one.state in (State.ALIVE, State.SUSPECT))
--- a/weldbend/fleet/message_authentication.py
+++ b/weldbend/fleet/message_authentication.py
@@ -1,14 +1,14 @@
-"""Authentication of every message between fronts: sender, recipient, epoch and number under a MAC. No I/O.
+"""Authentication of all messages between fronts. No I/O.
 
-An authenticated message is
+An authenticated message consists of (sizes in bytes)
 
     version 1 | key id 4 | MAC 16 | header length 2 | header | body
 
-The MAC is BLAKE2b with a key (RFC 7693, section 2.9) over all that follows it, and over version and key id.
-The header names the fleet (a message of another fleet is dropped), sender and recipient (one that is
-reflected, or meant for another, is dropped), the sender's epoch and a number that only rises in it (one that
-is replayed is dropped). Every drop is counted by its cause; nobody is answered on a message that is not
-authentic.
+The MAC is keyed BLAKE2b (RFC 7693, section 2.9) over the version, the key id and everything after the MAC.
+The header contains the fleet's name (messages of other fleets are dropped), the sender and the recipient
+(reflected and misdirected messages are dropped), and the sender's epoch with a message number that increases
+within the epoch (replayed messages are dropped). Each drop is counted by its cause. A message that fails
+authentication is never answered.
 """
 
 import hmac
@@ -28,15 +28,15 @@
 KEY_ID_SIZE = 4  # bytes
 MAC_SIZE = 16  # bytes
 PREFIX_SIZE = 1 + KEY_ID_SIZE + MAC_SIZE + 2  # bytes before the header
-MAX_MESSAGE_SIZE = MAX_FRAME_SIZE + 512  # bytes of an authenticated message at most
-REPLAY_WINDOW = 1024  # numbers below the highest one received that may still come, for datagrams out of order
-MAX_KEYS = 8  # in one file
-MAX_EPOCHS = 4  # of one sender whose numbers are remembered
+MAX_MESSAGE_SIZE = MAX_FRAME_SIZE + 512  # bytes of an authenticated message
+REPLAY_WINDOW = 1024  # numbers below the highest received one that are accepted, for reordered datagrams
+MAX_KEYS = 8  # per key file
+MAX_EPOCHS = 4  # epochs per sender for which message numbers are remembered
 KEY_LINE = re.compile(r"([0-9a-f]{8})\s+([0-9a-f]{64})")
 
 
 class DropCause(StrEnum):
-    """Why a message is dropped; the values are keys of the admin protocol."""
+    """The cause for which a message is dropped; the values are keys of the admin protocol."""
 
     TOO_SHORT = "too short"
     TOO_LONG = "too long"
@@ -53,10 +53,10 @@
 
 
 class AuthenticationError(FleetError):
-    """A message that is dropped.
+    """A message that failed authentication and is dropped.
 
     Attributes:
-        cause: under which the drop is counted.
+        cause: cause under which the drop is counted.
     """
 
     def __init__(self, cause: DropCause) -> None:
@@ -65,11 +65,11 @@
 
 
 class InvalidKeyFileError(FleetError):
-    """A key file that cannot be used; its text is one line."""
+    """An invalid key file; the message is one line."""
 
 
 class MalformedKeyError(InvalidKeyFileError):
-    """A line that is no key; `line` counts from 1."""
+    """A malformed line in a key file; `line` is its number, counted from 1."""
 
     def __init__(self, line: int) -> None:
         super().__init__(f"line {line}: not an id of 8 and a secret of 64 hex digits")
@@ -77,7 +77,7 @@
 
 
 class DuplicateKeyError(InvalidKeyFileError):
-    """A key id that is listed twice; `line` counts from 1."""
+    """A key id that is listed twice; `line` is the number of the second line, counted from 1."""
 
     def __init__(self, line: int, key_id: str) -> None:
         super().__init__(f"line {line}: key {key_id} is listed twice")
@@ -86,7 +86,7 @@
 
 
 class KeyCountError(InvalidKeyFileError):
-    """No key at all, or too many."""
+    """A key file without keys, or with too many."""
 
     def __init__(self, count: int) -> None:
         super().__init__(f"{count} keys, not 1 to {MAX_KEYS}")
@@ -94,19 +94,19 @@
 
 
 class Header(msgspec.Struct, frozen=True, array_like=True):
-    """What is authenticated besides the body."""
+    """The header of a message, which is authenticated together with the body."""
 
     fleet: Name
     sender: Name
     recipient: Name
     epoch: Count
     number: Count
-    over_connection: bool = False  # of a connection, where numbers follow each other; else of a datagram
+    over_connection: bool = False  # whether the message was sent over a connection, not as a datagram
 
 
 @dataclass(frozen=True, slots=True)
 class AuthenticatedMessage:
-    """A message that passed all checks; `body` is still encoded."""
+    """A message that has passed all checks; `body` is still encoded."""
 
     header: Header
     body: bytes
@@ -117,13 +117,14 @@
 
 
 def read_keys(text: str) -> dict[bytes, bytes]:
-    """Read a key file: a line a key, id (8 hex digits) and secret (64), `#` for comments.
+    """Parse a key file: one key per line, as an id (8 hex digits) and a secret (64), with `#` for comments.
 
-    The first key authenticates what is sent, all of them what is received. To change keys: add the new one
-    last at every front, then move it first at every front, then remove the old one.
+    Sent messages are authenticated with the first key; received messages may use any of them. To rotate keys,
+    add the new key at the end of the file at every front, then move it to the top at every front, then remove
+    the old one.
 
     Raises:
-        InvalidKeyFileError: it holds no key, too many, one twice, or something else.
+        InvalidKeyFileError: the file has no key, too many keys, a duplicate or a malformed line.
     """
     keys: dict[bytes, bytes] = {}
     for number, line in enumerate(text.splitlines(), 1):
@@ -142,7 +143,10 @@
 
 
 class ReplayWindow:
-    """The numbers received in one epoch: each once, and none below the window (as RFC 4303, 3.4.3)."""
+    """An anti-replay window over the message numbers of one epoch (as in RFC 4303, section 3.4.3).
+
+    Each number is accepted once, and none below the window.
+    """
 
     __slots__ = ("bits", "highest")
 
@@ -151,7 +155,7 @@
         self.bits = 0
 
     def accept(self, number: int) -> bool:
-        """Whether that number is new; it is not from then on."""
+        """Return whether a number is new, and mark it as received."""
         if number > self.highest:
             shift = min(number - self.highest, REPLAY_WINDOW)
             self.bits = ((self.bits << shift) | 1) & ((1 << REPLAY_WINDOW) - 1)
@@ -165,9 +169,16 @@
 
 
 class MessageAuthenticator:
-    """Authenticates what this front sends in its epoch, and verifies what is sent to it.
+    """The authenticator of a front's sent messages, and verifier of its received ones.
 
-    `dropped` counts messages that failed, by their cause.
+    Attributes:
+        fleet: the fleet's name.
+        name: this front's name.
+        epoch: this front's epoch.
+        keys: secrets by key id; the first one authenticates sent messages.
+        number: number of the last message sent.
+        windows: anti-replay windows by epoch, for each sender and kind of transport.
+        dropped: number of dropped messages by cause.
     """
 
     def __init__(self, fleet: str, name: str, epoch: int, keys: Mapping[bytes, bytes]) -> None:
@@ -180,19 +191,20 @@
         self.dropped: Counter[str] = Counter()
 
     def set_keys(self, keys: Mapping[bytes, bytes]) -> None:
-        """Go by these keys from now on."""
+        """Replace the keys."""
         self.keys = dict(keys)
 
     def authenticate(
         self, recipient: str, body: bytes, over_connection: bool = False, session: bytes = b""
     ) -> bytes:
-        """The bytes of one message to a member.
+        """Return an authenticated message to a member.
 
         Args:
             recipient: the member's name.
             body: the encoded message.
-            over_connection: whether it goes over a connection, and not as a datagram.
-            session: what both ends of a connection drew, so that a recorded message fits no other.
+            over_connection: whether the message is sent over a connection, not as a datagram.
+            session: the connection's session id, made of random bytes of both ends, so that a recorded
+                message is invalid on any other connection.
         """
         self.number += 1
         header = _encoder.encode(
@@ -205,10 +217,15 @@
     def verify(
         self, data: bytes, over_connection: bool = False, session: bytes = b""
     ) -> AuthenticatedMessage:
-        """Check a message, which uses up its number; `over_connection` and `session` as in `authenticate`.
+        """Verify a message and mark its number as received.
+
+        Args:
+            data: the received bytes.
+            over_connection: whether the message came over a connection, not as a datagram.
+            session: the connection's session id.
 
         Raises:
-            AuthenticationError: it is dropped, and its cause is counted.
+            AuthenticationError: the message is invalid; the drop has been counted by its cause.
         """
         try:
             content = self._check_mac(data, session)
@@ -221,7 +238,7 @@
         return AuthenticatedMessage(header, content[2 + length :])
 
     def _check_mac(self, data: bytes, session: bytes) -> bytes:
-        """The part of a message that its MAC proves."""
+        """Verify the MAC, and return the authenticated bytes after it."""
         if len(data) < PREFIX_SIZE:
             raise AuthenticationError(DropCause.TOO_SHORT)
         if len(data) > MAX_MESSAGE_SIZE:
@@ -258,10 +275,10 @@
             raise AuthenticationError(DropCause.REPLAYED)
 
     def _window(self, header: Header) -> ReplayWindow:
-        """What was received in this epoch; of each sender only the latest epochs are remembered.
+        """Return the anti-replay window of the sender's epoch; only the latest epochs of a sender are kept.
 
-        A message of an epoch before all of them is dropped: its numbers would be new here, and it could be
-        replayed.
+        A message of an epoch older than all kept ones is dropped: its numbers are no longer remembered, so it
+        could be a replay.
         """
         epochs = self.windows.setdefault((header.sender, header.over_connection), {})
         if header.epoch not in epochs:
@@ -274,7 +291,7 @@
 
 
 def mac(secret: bytes, key_id: bytes, content: bytes, session: bytes = b"") -> bytes:
-    """The code that authenticates a message's content in its session."""
+    """Return the message authentication code of a content within a session."""
     state = blake2b(bytes((VERSION,)) + key_id, digest_size=MAC_SIZE, key=secret, person=b"weldbend")
     state.update(len(session).to_bytes(1, "big") + session + content)
     return state.digest()
--- a/weldbend/fleet/messages.py
+++ b/weldbend/fleet/messages.py
@@ -1,8 +1,8 @@
-"""What fronts send to each other, and its coding. Lengths are bounded before anything is decoded. No I/O.
+"""Messages between fronts, and their encoding. Lengths are checked before anything is decoded. No I/O.
 
-Messages are tagged arrays in MessagePack (by msgspec, which checks every type as it decodes): the order of
-the fields and the tags are the wire format, their names are not. A body of a newer version that this one does
-not know fails the decoding and is dropped and counted.
+Messages are tagged arrays in MessagePack, which msgspec type-checks while decoding. The tags and the order of
+the fields are part of the wire format, the fields' names are not. A message that only a newer version knows
+fails to decode, and is counted and dropped.
 """
 
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 from weldbend.fleet.errors import FleetError
 from weldbend.fleet.settings import MAX_NAME_LENGTH
 
-MAX_DATAGRAM_SIZE = 1400  # bytes of an authenticated datagram at most
-MAX_FRAME_SIZE = 1 << 17  # bytes of an authenticated message on a connection at most
-MAX_UPDATES = 24  # member updates in one datagram
-MAX_OPERATIONS = 1024  # in one frame
-MAX_COUNT = (1 << 53) - 1  # the largest integer that every JSON reader holds exactly
-MAX_DECODE_ERROR_LENGTH = 80  # characters of a decoder's message that are passed on
+MAX_DATAGRAM_SIZE = 1400  # bytes of an authenticated datagram
+MAX_FRAME_SIZE = 1 << 17  # bytes of an encoded message on a connection
+MAX_UPDATES = 24  # member updates per datagram
+MAX_OPERATIONS = 1024  # per frame
+MAX_COUNT = (1 << 53) - 1  # largest integer that every JSON parser represents exactly
+MAX_DECODE_ERROR_LENGTH = 80  # characters of the decoder's error message that are kept
 
 Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Text = Annotated[str, Meta(max_length=MAX_NAME_LENGTH)]
@@ -31,10 +31,10 @@
 
 
 class InvalidPeerMessageError(FleetError):
-    """Bytes that are no message of this version.
+    """Bytes that are not a message of this version.
 
     Attributes:
-        reason: what is wrong, in one line.
+        reason: the error, in one line.
     """
 
     def __init__(self, reason: str) -> None:
@@ -43,7 +43,7 @@
 
 
 class MessageTooLongError(InvalidPeerMessageError):
-    """More bytes than a message may have on its path, a `datagram` or a `link`."""
+    """A message that exceeds the size limit of its transport; `path` is `datagram` or `link`."""
 
     def __init__(self, path: str) -> None:
         super().__init__(f"too long for a {path}")
@@ -51,41 +51,41 @@
 
 
 class Body(msgspec.Struct, frozen=True, array_like=True, tag_field="t", forbid_unknown_fields=True):
-    """Base of all messages: an array that begins with the message's tag."""
+    """The base class of all messages, which are arrays that begin with the message's tag."""
 
 
-# Membership, by datagrams.
+# Membership, sent as datagrams.
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What some front believes of a member; `state` is a `member_table.State`."""
+    """A front's belief about a member; `state` is a `member_table.State`."""
 
     name: Name
     epoch: Count
     incarnation: Count
     state: Annotated[int, Meta(ge=0, le=3)]
-    reporter: Name  # who first said so: a suspicion counts its reporters
+    reporter: Name  # front from which the belief originates; a suspicion counts its reporters
 
 
 MemberUpdates = Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)]
 
 
 class Probe(Body, tag=1, frozen=True, array_like=True):
-    """Asks for an `Ack` with the same number."""
+    """A request for an `Ack` with the same number."""
 
     number: Count
     updates: MemberUpdates = []
 
 
 class Ack(Body, tag=2, frozen=True, array_like=True):
-    """Answers a probe."""
+    """The answer to a probe."""
 
     number: Count
     updates: MemberUpdates = []
 
 
 class IndirectProbe(Body, tag=3, frozen=True, array_like=True):
-    """Asks to probe `target` on the sender's behalf."""
+    """A request to probe `target` on the sender's behalf."""
 
     number: Count
     target: Name
@@ -93,31 +93,31 @@
 
 
 class Nack(Body, tag=4, frozen=True, array_like=True):
-    """The helper is alive and has probed the target, but has no answer so far (Lifeguard, section IV-A)."""
+    """A helper's notice that it has probed the target without an answer so far (Lifeguard, section IV-A)."""
 
     number: Count
 
 
 class StaleEpoch(Body, tag=5, frozen=True, array_like=True):
-    """The recipient sent under an epoch that its name has passed already; `epoch` is the latest known."""
+    """A notice that the recipient's epoch is out of date; `epoch` is the latest known for its name."""
 
     epoch: Count
 
 
 class Leaving(Body, tag=6, frozen=True, array_like=True):
-    """The sender stops in an orderly way."""
+    """A notice that the sender is shutting down in an orderly way."""
 
     updates: MemberUpdates = []
 
 
-# Leases on limits, by datagrams (see lease_service). Amounts are parts of a limit.
+# Leases on limits, sent as datagrams (see lease_service). Amounts are parts of a limit.
 
 Limit = Annotated[str, Meta(min_length=1, max_length=96)]
 Parts = Annotated[int, Meta(ge=0, le=10_000)]
 
 
 class AcquireLease(Body, tag=7, frozen=True, array_like=True):
-    """Asks for a lease on so many parts in all, in place of the one that the recipient has granted."""
+    """A request for a lease on a number of parts, which replaces the lease granted before."""
 
     limit: Limit
     number: Count
@@ -125,7 +125,7 @@
 
 
 class GrantLease(Body, tag=8, frozen=True, array_like=True):
-    """Answers the request of that epoch and number; `spare` is how much could be had besides."""
+    """The answer to the lease request of an epoch and number; `spare` is the amount still available."""
 
     limit: Limit
     epoch: Count
@@ -135,18 +135,18 @@
 
 
 class ReleaseLease(Body, tag=9, frozen=True, array_like=True):
-    """The sender spends no more of that lease; `unspent`: nor has it spent anything in the last window."""
+    """The return of a lease; `unspent` states that nothing of it was used in the last window."""
 
     limit: Limit
     number: Count
     unspent: bool = False
 
 
-# Replicated state, by connections. Ages, not moments, cross: clocks may be apart.
+# Replicated state, sent over connections. Ages are sent in place of times, since clocks may differ.
 
 
 class Operation(msgspec.Struct, frozen=True, array_like=True):
-    """One change of one writer; `value` is checked by its kind's own rule (`replicated_items.ITEM_KINDS`)."""
+    """A change by one writer; `value` is validated by its kind (`replicated_items.ITEM_KINDS`)."""
 
     writer: Name
     epoch: Count
@@ -163,47 +163,47 @@
 
 
 class Hello(Body, tag=20, frozen=True, array_like=True):
-    """First on a connection, from both ends: versions spoken, and this end's part of the session."""
+    """The first message from either end of a connection: supported versions, and a part of the session id."""
 
     min_version: Count
     max_version: Count
-    nonce: Annotated[bytes, Meta(min_length=16, max_length=16)]  # at random, for this connection alone
+    nonce: Annotated[bytes, Meta(min_length=16, max_length=16)]  # random, used for this connection only
     zone: Text = ""
 
 
 class Summary(Body, tag=21, frozen=True, array_like=True):
-    """What the sender has of every writer, a checksum over it, and whether it has caught up itself."""
+    """The sender's version vector, a checksum of its items, and whether it has caught up."""
 
     vector: Vector
     digest: Count
     is_caught_up: bool
-    number: Count = 0  # of the sender's summaries on this connection
-    last_received: Count = 0  # the number of the other end's last one that had come: how old this one may be
+    number: Count = 0  # sequence number of the sender's summaries on this connection
+    last_received: Count = 0  # number of the last summary received from the other end; bounds this one's age
 
 
 class Delta(Body, tag=22, frozen=True, array_like=True):
-    """Changes that the recipient may lack."""
+    """Changes that may be new to the recipient."""
 
     operations: Operations
 
 
 class SnapshotRequest(Body, tag=23, frozen=True, array_like=True):
-    """Asks for a snapshot from this place on; `after` is the last key received, empty from the start."""
+    """A request for a snapshot; `after` is the last key received, empty to start from the beginning."""
 
     after: Annotated[str, Meta(max_length=120)] = ""
 
 
 class SnapshotChunk(Body, tag=24, frozen=True, array_like=True):
-    """A chunk of a snapshot, in order of its keys. A donor's first says in `vector` what it had by then."""
+    """A chunk of a snapshot, in key order; a donor's first chunk contains its version vector at the start."""
 
     operations: Operations
-    after: Annotated[str, Meta(max_length=120)]  # the last key in this chunk
+    after: Annotated[str, Meta(max_length=120)]  # last key in this chunk
     is_last: bool
     vector: Vector
 
 
 class SnapshotRefusal(Body, tag=25, frozen=True, array_like=True):
-    """No snapshot from here: the sender has not caught up itself, or serves others."""
+    """A refused snapshot request: the sender has not caught up itself, or is serving other fronts."""
 
     reason: Annotated[str, Meta(max_length=32)]
 
@@ -216,7 +216,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A datagram that is to be sent to a member."""
+    """A datagram to be sent to a member."""
 
     to: str
     body: Datagram
@@ -228,15 +228,15 @@
 
 
 def encode(body: Message) -> bytes:
-    """A message's bytes, before it is authenticated."""
+    """Encode a message, without authentication."""
     return _encoder.encode(body)
 
 
 def read_datagram(data: bytes) -> Datagram:
-    """Decode one message of a datagram.
+    """Decode the message of a datagram.
 
     Raises:
-        InvalidPeerMessageError: it is too long or no such message.
+        InvalidPeerMessageError: the data is too long or not such a message.
     """
     if len(data) > MAX_DATAGRAM_SIZE:
         raise MessageTooLongError("datagram")
@@ -244,10 +244,10 @@
 
 
 def read_connection_message(data: bytes) -> ConnectionMessage:
-    """Decode one message of a connection.
+    """Decode a message received over a connection.
 
     Raises:
-        InvalidPeerMessageError: it is too long or no such message.
+        InvalidPeerMessageError: the data is too long or not such a message.
     """
     if len(data) > MAX_FRAME_SIZE:
         raise MessageTooLongError("link")
--- a/weldbend/fleet/rendezvous.py
+++ b/weldbend/fleet/rendezvous.py
@@ -1,10 +1,10 @@
-"""Drawing one of several fronts alike at all fronts: highest random weight (rendezvous) hashing."""
+"""Rendezvous (highest random weight) hashing, by which all fronts select the same front for a subject."""
 
 from hashlib import blake2b
 
 
 def rank(subject: str, round_number: int, name: str) -> int:
-    """Return the rank of the front `name` for a subject in a round: the highest of all fronts is drawn.
+    """Return the rank of the front `name` for a subject in a round; the highest-ranked front is selected.
 
     Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
     """
--- a/weldbend/fleet/runtime.py
+++ b/weldbend/fleet/runtime.py
@@ -1,6 +1,6 @@
-"""What the fleet needs of the process that it runs in: time, randomness and sockets.
+"""Interfaces to the process that a fleet runs in: time, random bytes and sockets.
 
-The reactor's interfaces (zope) give mypy no types of arguments, so those that are used are written down here.
+The reactor's own interfaces (zope) have no argument types for mypy, so the methods used are declared here.
 """
 
 import os
@@ -12,66 +12,72 @@
 
 
 class Timers(Protocol):
-    """Steady time in seconds, and calls after a delay."""
+    """Monotonic time in seconds, and delayed calls."""
 
     def now(self) -> float:
-        """The present moment."""
+        """Return the current monotonic time in seconds."""
 
     def after(self, delay: float, call: Callable[[], object]) -> object:
-        """Call it once, `delay` seconds from now."""
+        """Schedule one call of a function in `delay` seconds."""
 
 
 class ListeningPort(Protocol):
-    """An open port."""
+    """An open listening port."""
 
     def stopListening(self) -> object:
-        """Close it."""
+        """Close the port."""
 
 
 class Reactor(Protocol):
-    """The part of Twisted's reactor that opens sockets."""
+    """The methods of Twisted's reactor that open sockets."""
 
     def listenTCP(self, port: int, factory: ServerFactory, *, interface: str) -> ListeningPort:
-        """Accept connections."""
+        """Accept connections on a port."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float) -> object:
-        """Open one connection; `timeout` in seconds."""
+        """Open a connection; `timeout` is in seconds."""
 
     def listenUDP(
         self, port: int, protocol: DatagramProtocol, *, interface: str, maxPacketSize: int
     ) -> ListeningPort:
-        """Receive datagrams."""
+        """Receive datagrams on a port."""
 
 
 class StreamTransport(Protocol):
-    """What a protocol calls on its TCP connection."""
+    """The methods that a protocol calls on its TCP transport."""
 
     def write(self, data: bytes) -> object:
         """Queue bytes."""
 
     def setTcpNoDelay(self, enabled: bool) -> object:
-        """Send small segments at once."""
+        """Enable or disable TCP_NODELAY, which sends small segments at once."""
 
     def registerProducer(self, producer: object, streaming: bool) -> object:
-        """Have the transport pause and resume who writes to it."""
+        """Register a producer that the transport pauses and resumes."""
 
     def loseConnection(self) -> object:
-        """Close it once all is written."""
+        """Close the connection after all queued bytes are written."""
 
     def abortConnection(self) -> object:
-        """Close it at once."""
+        """Close the connection at once."""
 
 
 class DatagramTransport(Protocol):
-    """What a protocol calls on its UDP port."""
+    """The methods that a protocol calls on its UDP transport."""
 
     def write(self, datagram: bytes, address: tuple[str, int]) -> object:
-        """Send one datagram."""
+        """Send a datagram."""
 
 
 @dataclass(frozen=True, slots=True)
 class Runtime:
-    """What a fleet runs on; `random_bytes` gives as many unforeseeable bytes as it is asked for."""
+    """The runtime environment of a fleet.
+
+    Attributes:
+        reactor: source of sockets.
+        timers: monotonic time and delayed calls.
+        random_bytes: function that returns a number of cryptographically secure random bytes.
+    """
 
     reactor: Reactor
     timers: Timers
--- a/weldbend/fleet/settings.py
+++ b/weldbend/fleet/settings.py
@@ -3,19 +3,19 @@
 import math
 from dataclasses import dataclass, field
 
-MAX_NAME_LENGTH = 48  # bytes of a front's, a fleet's or a zone's name
-MAX_PEERS = 256  # named in one installation file
+MAX_NAME_LENGTH = 48  # characters of the name of a front, fleet or zone
+MAX_PEERS = 256  # per installation file
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Host and port of a `host:port` that was checked when it was read."""
+    """Split a `host:port`, which was validated when it was read, into host and port."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 @dataclass(frozen=True, slots=True)
 class Peer:
-    """One named member, and its address for datagrams (UDP) and connections (TCP, the same port)."""
+    """A configured member and its address, whose port is used for both UDP datagrams and TCP connections."""
 
     name: str
     host: str
@@ -25,18 +25,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LimitSettings:
-    """What is limited for the whole fleet, as `[limits]` sets it.
+    """Limits that apply to the whole fleet, from the section `[limits]`.
 
     Attributes:
-        lease_term: seconds for which a lease on a strict limit lasts.
-        clock_drift: fraction by which steady clocks may run apart.
-        slow_start: whether budgets of caches that warm up are shared by leases.
-        parent_quotas: whether what is in flight at all parents is divided by demand.
+        lease_term: duration of a lease on a strict limit, in seconds.
+        clock_drift: largest relative difference between the rates of monotonic clocks.
+        slow_start: whether the budgets of caches in slow start are shared by leases.
+        parent_quotas: whether the limit of requests in flight at all parents is divided by demand.
         ejections: whether caches are ejected by the reports of several fronts.
-        ban_duration: seconds for which a client stays banned.
-        leased_rates: request classes and their rates, requests a second of all fronts, never exceeded.
-        demand_rates: request classes and their rates that are divided by demand.
-        client_rate: requests a second of one client (address) at all fronts; 0 for no limit.
+        ban_duration: seconds for which a client remains banned.
+        leased_rates: request classes with their strict limits, in requests per second of all fronts.
+        demand_rates: request classes with limits that are divided by demand, in requests per second.
+        client_rate: limit of one client address at all fronts, in requests per second; 0 for no limit.
     """
 
     lease_term: float = 1.0
@@ -52,28 +52,30 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSettings:
-    """This front's place in a fleet, as `[fleet]` sets it; all in seconds, bytes and bytes a second.
+    """The settings of a front within its fleet, from the section `[fleet]`.
+
+    Times are in seconds, sizes in bytes and rates in bytes per second.
 
     Attributes:
-        listen: host:port of this front's datagrams and connections; empty for a front without a fleet.
+        listen: host:port for this front's datagrams and connections; empty for a front without a fleet.
         fleet: the fleet's name.
         zone: this front's zone.
         key_file: path of the key file.
-        peers: all named members.
-        admin_address: host:port on loopback for `weldbend fleet`; empty for none.
-        probe_interval: time in which a front sends one probe.
-        probe_timeout: time in which a direct probe is answered.
-        helpers: how many members are asked to probe on this front's behalf.
-        min_suspicion: shortest suspicion, in intervals and decades of members.
-        suspicion_spread: factor by which a suspicion lasts longer that nobody else has confirmed.
-        isolation_timeout: time without a message from anybody after which this front judges nobody.
-        pause_threshold: time between two ticks after which this process counts as paused.
-        peer_rate: bytes a second to one peer, snapshots and deltas together.
-        outbox_capacity: bytes that wait for one peer at most.
-        retained_operations: operations of each writer that are retained for deltas.
+        peers: all configured members.
+        admin_address: host:port on loopback for `weldbend fleet`; empty for no admin port.
+        probe_interval: time between two probes of a front.
+        probe_timeout: time within which a direct probe has to be answered.
+        helpers: number of members that are asked to probe on this front's behalf.
+        min_suspicion: shortest suspicion, in units of the probe interval times log10 of the member count.
+        suspicion_spread: factor by which a suspicion without confirmation lasts longer than the shortest.
+        isolation_timeout: time without any received message after which this front judges no members.
+        pause_threshold: time between two ticks above which this process counts as paused.
+        peer_rate: rate of snapshots and deltas to one peer.
+        outbox_capacity: maximum size of the messages queued for one peer.
+        retained_operations: number of operations per writer's run that are retained for deltas.
         summary_interval: time between two summaries to one peer.
-        limits: what is limited for the whole fleet.
-        popularity: whether fronts of a zone count their clients' requests together.
+        limits: limits that apply to the whole fleet.
+        popularity: whether the fronts of a zone share their counts of clients' requests.
     """
 
     listen: str = ""
@@ -97,18 +99,25 @@
     popularity: bool = False
 
     def suspicion_timeout(self, members: int, confirmations: int) -> float:
-        """Seconds of a suspicion that so many other members have confirmed, in a fleet of `members`.
+        """Return the duration of a suspicion in seconds.
+
+        It falls from the longest to the shortest duration by the logarithm of the confirmations: Lifeguard
+        (Dadgar, Phillips, Currey 2018), section IV-B.
 
-        Lifeguard (Dadgar, Phillips, Currey 2018), section IV-B: from the longest down to the shortest, by the
-        logarithm of the confirmations.
+        Args:
+            members: number of members of the fleet.
+            confirmations: number of other members that have confirmed the suspicion.
         """
         shortest = self.min_suspicion * max(1.0, math.log10(max(members, 1))) * self.probe_interval
         longest = shortest * self.suspicion_spread
-        possible = max(min(self.helpers, members - 2), 0)  # who could confirm it at all
+        possible = max(min(self.helpers, members - 2), 0)  # maximum number of confirmations
         if confirmations >= possible:
             return shortest
         return longest - (longest - shortest) * math.log(confirmations + 1) / math.log(possible + 1)
 
     def gossip_transmissions(self, members: int) -> int:
-        """How often an update is passed on: SWIM (Das, Gupta, Motivala 2002), section 4.1, with lambda 3."""
+        """Return the number of transmissions of an update, in a fleet of `members`.
+
+        SWIM (Das, Gupta, Motivala 2002), section 4.1, with lambda 3.
+        """
         return math.ceil(3 * math.log10(members + 1)) + 1
--- a/weldbend/fleet/standstill_hold.py
+++ b/weldbend/fleet/standstill_hold.py
@@ -1,33 +1,34 @@
-"""Decisions wait a moment after this process was paused, until what it knows is fresh again."""
+"""A short delay of all decisions after a pause of this process, until its data is up to date again."""
 
 import math
 from collections.abc import Callable
 
 from weldbend.fleet.service import Fleet
 
-MAX_HOLD = 0.3  # seconds for which decisions wait for the bus or for peers, at most
-SETTLE_TIME = 0.02  # seconds for which they wait for what comes right behind the first message of either
+MAX_HOLD = 0.3  # seconds for which decisions wait for the event bus or for peers
+SETTLE_TIME = 0.02  # seconds to wait for messages that directly follow the first one from either source
 
 
 class StandstillHold:
-    """Guards against sending to caches that were drained, or serving what was purged, during a pause.
+    """A delay of all decisions after a pause of this process, however long the pause was.
 
-    Should also cover a machine frozen for minutes. Harm: the first requests after it are late by `MAX_HOLD`
-    at most.
+    It prevents requests to caches that were drained during the pause, and answers with objects that were
+    purged during it. As a side effect, the first requests after a pause are late by `MAX_HOLD` at most.
 
     Attributes:
-        bus_message_count: gives how many messages this front's own bus connection has received.
+        fleet: this front's fleet.
+        bus_message_count: function that returns the number of messages received on the event bus connection.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.bus_message_count: Callable[[], int] = lambda: 0
         self._resumed_at = -math.inf  # end of the latest pause
-        self._messages_before = 0  # received from the bus by then
-        self._fresh_at = math.inf  # when waiting ends, since the bus or a peer has answered
+        self._messages_before = 0  # bus messages received by that time
+        self._fresh_at = math.inf  # end of the hold, set when the bus or a peer has answered
 
     def is_active(self, now: float) -> bool:
-        """Whether decisions wait now."""
+        """Return whether decisions are on hold."""
         self.fleet.detect_pause(now)
         if self.fleet.resumed_at != self._resumed_at:
             self._resumed_at = self.fleet.resumed_at
--- a/weldbend/fleet/view_comparison.py
+++ b/weldbend/fleet/view_comparison.py
@@ -1,13 +1,13 @@
-"""Compares what several fronts answer about their fleet. No I/O."""
+"""A comparison of the fleet states that several fronts report. No I/O."""
 
 from typing import Any
 
 
 def differences(statuses: dict[str, Any]) -> list[str]:
-    """A line for each thing on which fronts differ.
+    """Return a line for each difference between the fronts' answers, and for each front in an abnormal state.
 
     Args:
-        statuses: each front's answer to `status`, by its name; None where there was no answer.
+        statuses: answer to `status` by the front's name, None for a front that did not answer.
     """
     lines = [f"{name}: no answer" for name, status in sorted(statuses.items()) if status is None]
     answered = {name: status for name, status in sorted(statuses.items()) if status}
