--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -1,10 +1,13 @@
-"""How changes spread over the fleet, and how a front that was away catches up. No I/O; time is handed in.
+"""Replication of changes across the fleet, and recovery of a front that is behind.
 
-Each change goes at once to the neighbours and on from them; a comparison of version vectors every few seconds
-finds what was lost on the way (anti-entropy). A front that lacks more than the others keep requests a
-snapshot from one donor, in chunks at a bounded rate, and goes on where it broke off, with the next donor if
-that one is down. Until it has caught up, a front says so, gives nobody a snapshot, and its owner treats what
-it does not know as the strict case.
+Each change is sent at once to the neighbours, which forward it. Every few seconds, neighbours compare version
+vectors, which reveals changes lost on the way (anti-entropy). A front that lacks more changes than the others
+retain requests a snapshot from one donor. The snapshot is sent in chunks at a bounded rate; if the donor
+fails, the transfer resumes at the same position with another one. Until a front has caught up, it reports
+this in its summaries and serves no snapshots, and its owner assumes the most restrictive case for missing
+information.
+
+This module does no I/O, and callers pass in the time.
 """
 
 import math
@@ -21,23 +24,24 @@
 from weldbend.fleet.settings import FleetSettings
 from weldbend.routing.random_source import RandomSource
 
-BATCH_SIZE = 256  # changes or items in one message
-DONOR_TIMEOUT = 2.0  # seconds without a chunk after which another donor is chosen
-SILENT_DONOR_BACKOFF = 8.0  # seconds for which a donor that timed out is not chosen again
-PROTOCOL_VERSIONS = (1, 1)  # of connections between fronts: the least and the most spoken here
-MAX_DIGEST_MISMATCHES = 3  # summaries in a row with equal vectors and other checksums before a merge
-MAX_CONCURRENT_SNAPSHOTS = 2  # served at a time
+BATCH_SIZE = 256  # changes or items per message
+DONOR_TIMEOUT = 2.0  # seconds without a chunk after which another donor is selected
+SILENT_DONOR_BACKOFF = 8.0  # seconds for which a donor that timed out is not selected again
+PROTOCOL_VERSIONS = (1, 1)  # lowest and highest supported version of the protocol on connections
+MAX_DIGEST_MISMATCHES = 3  # consecutive summaries with equal vectors but different checksums before a merge
+MAX_CONCURRENT_SNAPSHOTS = 2  # snapshots served at the same time
 CHUNK_INTERVAL = 0.05  # seconds between two chunks
-DIGEST_MARGIN_INTERVALS = 4  # summary intervals for which an item must stay live to be in the checksum
-SETTLING_INTERVALS = 2  # intervals after which nobody is waited for any more
-# Reasons of a refusal, as they are sent.
+DIGEST_MARGIN_INTERVALS = 4  # summary intervals for which an item must remain valid to be in the checksum
+SETTLING_INTERVALS = 2  # summary intervals for which a front that is behind waits for its peers
+
+# Reasons for refusing a snapshot, as sent on the wire.
 NOT_CAUGHT_UP = "not caught up"
 BUSY = "busy"
 
 
 @dataclass(frozen=True, slots=True)
 class PeerMessage:
-    """One message to send to a connected peer."""
+    """A message to be sent to a connected peer."""
 
     to: str
     body: m.ConnectionMessage
@@ -46,22 +50,23 @@
 
 @dataclass(eq=False, slots=True)
 class Link:
-    """What is known of the other end of one connection.
+    """The state of the replication with a connected peer; all times are in seconds.
 
     Attributes:
-        peer: its name.
-        tokens: bytes that may be sent to it now, at `tokens_at` seconds.
-        tokens_at: when `tokens` were counted.
-        vector: what it holds.
-        is_caught_up: whether it says that it has caught up.
-        summary_received_at: when its last comparison came.
-        serving_after: the place behind which its snapshot goes on; None where it gets none.
-        has_snapshot_vector: whether the vector at the start of that snapshot was sent.
-        mismatches: comparisons in a row with an equal vector and another checksum.
-        last_sent: number of the last comparison sent.
-        last_received: number of the last one that came.
-        first_valid: the first one sent since this front began to catch up: an answer to it is no old one.
-        replied_at: when a comparison was last sent in answer to one.
+        peer: the peer's name.
+        tokens: number of bytes that could be sent to the peer at `tokens_at` (token bucket).
+        tokens_at: time at which `tokens` was updated.
+        vector: version vector of the peer's replica.
+        is_caught_up: whether the peer reports that it has caught up.
+        summary_received_at: time at which the peer's last valid summary was received.
+        serving_after: key after which the snapshot served to the peer continues; None if none is served.
+        has_snapshot_vector: whether the version vector at the start of that snapshot has been sent.
+        mismatches: number of consecutive summaries with an equal vector but a different checksum.
+        last_sent: number of the last summary sent.
+        last_received: number of the last summary received.
+        first_valid: number of the first summary sent since this front began to catch up. A received summary
+            that acknowledges an earlier one may be out of date.
+        replied_at: time at which a summary was last sent in reply to one.
     """
 
     peer: str
@@ -79,7 +84,10 @@
     replied_at: float = -math.inf
 
     def consume(self, size: int, rate: int, now: float) -> bool:
-        """Take so many bytes of what may be sent at a rate (bytes a second); False where they may not yet."""
+        """Take `size` bytes from the token bucket, or return False if it has too few.
+
+        The bucket is filled at `rate` bytes per second.
+        """
         self.tokens = min(float(rate), self.tokens + (now - self.tokens_at) * rate)
         self.tokens_at = now
         if self.tokens < min(size, rate):
@@ -88,20 +96,21 @@
         return True
 
     def record_operation(self, op: m.Operation) -> None:
-        """Note that the other end has a change, and those before it."""
+        """Record that the peer has a change and its predecessors."""
         run = run_name(op.writer, op.epoch)
         self.vector[run] = max(self.vector.get(run, 0), op.number)
 
 
 @dataclass(slots=True)
 class SnapshotTransfer:
-    """The snapshot that this front receives.
+    """The transfer of a snapshot to this front.
 
     Attributes:
-        donor: who sends it.
-        after: the place behind which it goes on.
-        received_at: when the last chunk came, or was requested.
-        floor: what all its donors held when each began; None before the first chunk.
+        donor: name of the peer that sends the snapshot.
+        after: key after which the transfer continues.
+        received_at: time at which the last chunk was received, or the snapshot was requested.
+        floor: version vector of the changes that each of the donors had at its start; None before the first
+            chunk.
     """
 
     donor: str
@@ -110,7 +119,7 @@
     floor: VersionVector | None = None
 
     def lower_floor(self, vector: VersionVector) -> None:
-        """Note what one more donor held when it began."""
+        """Lower the floor to the version vector with which another donor started."""
         if self.floor is None:
             self.floor = dict(vector)
         else:
@@ -118,15 +127,15 @@
 
 
 class AntiEntropy:
-    """Spreads changes, and catches up; its owner sends the messages that its methods return.
+    """The replication protocol of a front; its owner sends the messages that the methods return.
 
     Attributes:
         store: this front's replica.
-        settings: of the fleet.
-        links: connections, by peer.
+        settings: the fleet's settings.
+        links: states of the replication by the name of the connected peer.
         is_caught_up: whether this front has caught up.
-        transfer: the snapshot that it receives; None where it receives none.
-        counts: counters.
+        transfer: transfer of a snapshot to this front, None if there is none.
+        counts: counters of events of the protocol.
     """
 
     def __init__(
@@ -137,7 +146,15 @@
         on_change: Callable[[Change], None],
         now: float,
     ) -> None:
-        """Make it without connections; `on_change` is called with every item that becomes stricter."""
+        """Create the protocol without connections.
+
+        Args:
+            store: this front's replica.
+            settings: the fleet's settings.
+            seed: seed of the random choices.
+            on_change: function that is called with every item that becomes more restrictive.
+            now: current time in seconds.
+        """
         self.store = store
         self.settings = settings
         self.links: dict[str, Link] = {}
@@ -153,12 +170,12 @@
     # Connections.
 
     def peer_connected(self, peer: str, now: float) -> list[PeerMessage]:
-        """A connection to a peer is up: send a comparison first."""
+        """Register a connection to a peer, and return a summary to send first."""
         self.links[peer] = Link(peer, tokens=float(self.settings.peer_rate), tokens_at=now)
         return [self.next_summary(peer, now)]
 
     def peer_disconnected(self, peer: str, now: float) -> list[PeerMessage]:
-        """A connection to a peer is down."""
+        """Unregister a connection to a peer, and select another donor if the peer was the donor."""
         self.links.pop(peer, None)
         if self.transfer and self.transfer.donor == peer:
             self.counts["snapshot donors lost"] += 1
@@ -166,7 +183,7 @@
         return []
 
     def set_lagging(self, now: float) -> None:
-        """This process stood still: what it holds may be old, though nothing says so."""
+        """Mark this front as behind after a pause of its process, since its replica may be out of date."""
         self.is_caught_up = False
         self._lagging_since = now
         self.transfer = None
@@ -176,13 +193,13 @@
             link.first_valid = link.last_sent + 1
 
     def set_caught_up(self, now: float) -> None:
-        """This front holds all there is."""
+        """Mark this front as caught up, and end a transfer."""
         self.is_caught_up = True
         self.transfer = None
         self.counts["caught up"] += 1
 
     def next_summary(self, peer: str, now: float) -> PeerMessage:
-        """Return the next comparison to send to a peer."""
+        """Return the next summary to send to a peer."""
         link = self.links[peer]
         link.last_sent += 1
         body = m.Summary(
@@ -196,7 +213,7 @@
     # This front's own changes.
 
     def write(self, now: float, kind: str, key: str, *value: int | float | str) -> list[PeerMessage]:
-        """Make a change of this front's own, and spread it."""
+        """Write an item, and return the messages that replicate the change."""
         before = self.store.last_number(self.store.run)
         self.store.write(now, kind, key, *value)
         log = self.store.logs.get(self.store.run)
@@ -205,7 +222,7 @@
         return self._broadcast([log.operations[-1].operation], "")
 
     def _broadcast(self, ops: list[m.Operation], sender: str) -> list[PeerMessage]:
-        """Changes to all connected peers but the one that sent them."""
+        """Return messages with changes for all connected peers except the one that sent them."""
         if not ops:
             return []
         is_critical = any(op.kind in ITEM_KINDS and ITEM_KINDS[op.kind].is_critical for op in ops)
@@ -216,7 +233,7 @@
     # Messages.
 
     def handle(self, now: float, peer: str, body: m.ConnectionMessage) -> list[PeerMessage]:
-        """Handle a message of a connected peer."""
+        """Handle a message of a connected peer, and return the messages to send."""
         link = self.links.get(peer)
         if link is None:
             return []
@@ -249,20 +266,21 @@
         return self._broadcast(new, link.peer)
 
     def _progress(self, op: m.Operation) -> tuple[int, int]:
-        """How far the log of a change's run has come, and how many changes after a gap it has."""
+        """Return the log's number for the run of a change, and its number of early changes."""
         log = self.store.logs.get(run_name(op.writer, op.epoch))
         return (log.number, len(log.early)) if log else (0, 0)
 
     def _handle_summary(self, link: Link, summary: m.Summary, now: float) -> list[PeerMessage]:
         is_first = link.summary_received_at == -math.inf
         link.last_received = summary.number
-        if summary.last_received < link.first_valid:  # it may have waited here while this process stood still
+        if summary.last_received < link.first_valid:  # it may have been queued here during a pause
             return [self.next_summary(link.peer, now)] if is_first and self._may_reply(link, now) else []
         link.vector = dict(summary.vector)
         link.is_caught_up = summary.is_caught_up
         link.summary_received_at = now
         missing = self.store.changes_after(link.vector, now, BATCH_SIZE)
-        outgoing = self._send_changes(link, missing, now) if missing else []  # None: it requests a snapshot
+        # If `missing` is None, changes are no longer retained, and the peer requests a snapshot.
+        outgoing = self._send_changes(link, missing, now) if missing else []
         if self.store.is_behind(link.vector):
             return outgoing + self._catch_up(link, is_first, now)
         self._compare_digests(link, summary, missing, now)
@@ -275,10 +293,10 @@
         return outgoing
 
     def _catch_up(self, link: Link, is_first: bool, now: float) -> list[PeerMessage]:
-        """Get what the other end has and this front lacks."""
+        """Return the messages that request the changes which the peer has and this front lacks."""
         outgoing = []
         if (is_first or not link.is_caught_up or self.transfer) and self._may_reply(link, now):
-            outgoing.append(self.next_summary(link.peer, now))  # it sends what is missing, if it still can
+            outgoing.append(self.next_summary(link.peer, now))  # the peer replies with the changes it retains
         if not self.transfer and link.is_caught_up and self._requires_snapshot(link):
             outgoing += self._request_snapshot(now, "", link.peer)
         return outgoing
@@ -291,14 +309,14 @@
         link.mismatches = link.mismatches + 1 if has_equal_vector and not is_same else 0
 
     def _may_reply(self, link: Link, now: float) -> bool:
-        """Whether a comparison may be answered by one: two that are each behind must not go on so."""
+        """Return whether a summary may be answered by one; the limit prevents endless mutual replies."""
         if now - link.replied_at <= self.settings.summary_interval / 2:
             return False
         link.replied_at = now
         return True
 
     def _requires_snapshot(self, link: Link) -> bool:
-        """Whether more is missing than another keeps as changes, so only a snapshot will do."""
+        """Return whether a snapshot is needed, because the peer may not retain all missing changes."""
         gap = sum(max(n - self.store.last_number(run), 0) for run, n in link.vector.items())
         return not self.is_caught_up or gap > self.settings.retained_operations // 2
 
@@ -306,10 +324,12 @@
         return now - self._lagging_since > SETTLING_INTERVALS * self.settings.summary_interval
 
     def _all_peers_equal(self, now: float) -> bool:
-        """Whether what all connected ones hold is all there is, as when all were started at once.
+        """Return whether this front may count as caught up although none of its connected peers has.
 
-        Guards against a fleet that waits for a donor for ever. Should also cover one that is alone. Harm:
-        with a single peer compared with so far, what a third knew comes a little later.
+        This is the case after the settling time if this front is not behind any peer with a recent summary.
+        Without this rule, fronts that start at the same time would wait for a donor for ever. It also covers
+        a front without peers. As a side effect, a front that has compared summaries with a single peer so far
+        may count as caught up before it receives the items of a third front.
         """
         recent = [
             link
@@ -321,7 +341,7 @@
         )
 
     def _send_changes(self, link: Link, ops: list[m.Operation], now: float) -> list[PeerMessage]:
-        """As much as its rate allows; what is left over the next comparison finds."""
+        """Return a message with changes, if the peer's rate allows it; a later summary finds the others."""
         body = m.Delta(ops)
         if not link.consume(len(m.encode(body)), self.settings.peer_rate, now):
             return []
@@ -332,9 +352,12 @@
     # Snapshots.
 
     def _request_snapshot(self, now: float, after: str, preferred: str = "") -> list[PeerMessage]:
-        """Request one of a peer that has caught up and did not just refuse.
+        """Return a request for a snapshot to a peer that has caught up and has not just refused.
 
-        Goes on where the last one broke off (`after`).
+        Args:
+            now: current time in seconds.
+            after: key after which an interrupted transfer continues, empty for a new one.
+            preferred: name of the donor to use if it is available.
         """
         donors = [
             link.peer
@@ -362,11 +385,12 @@
         return self._serve_snapshot(link, now)
 
     def _serve_snapshot(self, link: Link, now: float) -> list[PeerMessage]:
-        """The next chunk for a peer that requested one, if its rate allows it now."""
+        """Return the next chunk for a peer that has requested a snapshot, if the peer's rate allows it."""
         if link.serving_after is None:
             return []
         chunk = next(self.store.snapshot_chunks(link.serving_after, now, BATCH_SIZE))
-        # what is changed meanwhile comes as changes: the snapshot amounts to what was held when it began
+        # Changes made during the transfer are sent separately, so the snapshot corresponds to the version
+        # vector at its start.
         vector = {} if link.has_snapshot_vector else self.store.vector()
         body = m.SnapshotChunk(chunk.operations, chunk.after, chunk.is_last, vector)
         if not link.consume(len(m.encode(body)), self.settings.peer_rate, now):
@@ -405,14 +429,14 @@
     # Time.
 
     def next_due(self, now: float) -> float:
-        """Return when `tick` is to be called next, in seconds."""
+        """Return the time at which `tick` is due next, in seconds."""
         if any(link.serving_after is not None for link in self.links.values()):
             return now + CHUNK_INTERVAL
         timeout = self.transfer.received_at + DONOR_TIMEOUT if self.transfer else math.inf
         return min(self._next_summary_at, timeout)
 
     def tick(self, now: float) -> list[PeerMessage]:
-        """Return chunks, requests and comparisons that are due."""
+        """Return the chunks, requests and summaries that are due."""
         outgoing: list[PeerMessage] = []
         for link in self.links.values():
             outgoing += self._serve_snapshot(link, now)
@@ -427,18 +451,19 @@
             self.store.discard_expired(now)
             outgoing += [self.next_summary(peer, now) for peer in self.links]
             if not self.is_caught_up and not self.links and self._is_past_settling_time(now):
-                self.set_caught_up(now)  # alone: what it holds is all there is, and its view says so
+                self.set_caught_up(now)  # without peers there is no more to receive; the view shows this
         return outgoing
 
 
 def resume_after_pause(members: Membership, exchange: AntiEntropy, now: float) -> list[Send]:
-    """Find out first whether this process stood still, before anything that comes is acted on.
+    """Reset membership and replication if this process was paused.
 
-    Guards against acting on what was known before, and on what waited in the sockets meanwhile. Harm: one
-    comparison with each neighbour more.
+    Called before any received message is handled, it prevents actions on outdated data and on messages that
+    were queued in the sockets during the pause. As a side effect, one more summary is exchanged with each
+    neighbour.
 
     Returns:
-        What to send; nothing where it did not stand still.
+        Datagrams to send; none if this process was not paused.
     """
     if not members.was_paused(now):
         return []
--- a/weldbend/fleet/outbox.py
+++ b/weldbend/fleet/outbox.py
@@ -1,8 +1,8 @@
-"""Messages that wait for one peer: bounded, and by priority. No I/O.
+"""A bounded priority queue of the messages to one peer. No I/O.
 
-A peer that reads slowly or not at all costs this front a bounded number of bytes and nothing else. Where
-that bound is met, what is superseded or can be requested again is dropped first, critical changes last; a
-comparison later finds whatever was dropped.
+A peer that reads slowly or not at all costs this front a bounded number of bytes and nothing else. When the
+bound is reached, superseded messages and those that can be requested again are dropped first, and critical
+changes last. A later comparison of summaries finds dropped changes.
 """
 
 from collections import Counter, deque
@@ -10,24 +10,24 @@
 
 
 class Priority(IntEnum):
-    """What is dropped first where an outbox is full: lower ones before higher ones."""
+    """The priority of a message; a full outbox drops lower priorities first."""
 
-    COMPARISON = 0  # superseded by the next one
-    SNAPSHOT = 1  # requested again
-    CHANGE = 2  # found missing by a comparison
-    CRITICAL = 3  # purges, drains, starts, ejections: dropped last
+    COMPARISON = 0  # summaries; the next one supersedes it
+    SNAPSHOT = 1  # snapshot messages; a lost chunk is requested again
+    CHANGE = 2  # changes; a comparison of summaries finds a lost one
+    CRITICAL = 3  # purges, drains, starts and ejections
 
 
 class Outbox:
-    """A bounded queue of messages.
+    """A bounded priority queue of messages.
 
     Attributes:
-        size: bytes that wait.
-        dropped: messages that were dropped, by the name of their priority.
+        size: total size of the queued messages, in bytes.
+        dropped: number of dropped messages by the name of their priority.
     """
 
     def __init__(self, capacity: int) -> None:
-        """Make an empty outbox for so many bytes."""
+        """Create an empty outbox; `capacity` is in bytes."""
         self.size = 0
         self.dropped: Counter[str] = Counter()
         self._capacity = capacity
@@ -37,8 +37,12 @@
         return sum(len(queue) for queue in self._queues.values())
 
     def put(self, data: bytes, priority: Priority) -> bool:
-        """Queue a message; False where it was dropped, because all that waits has its priority or more."""
-        if priority is Priority.COMPARISON:  # only the newest is worth anything
+        """Queue a message, dropping others if needed; return False if the message itself was dropped.
+
+        A message is dropped if the outbox is full of messages with the same or a higher priority. A critical
+        message replaces older critical ones.
+        """
+        if priority is Priority.COMPARISON:  # a new summary supersedes all queued ones
             self._drop(priority, len(self._queues[priority]))
         while self.size + len(data) > self._capacity:
             victim = self._victim(priority)
@@ -51,10 +55,10 @@
         return True
 
     def _victim(self, priority: Priority) -> Priority | None:
-        """The priority of which the oldest message is to make place for a new one; None for no place."""
+        """Return the priority whose oldest message makes room for a new one; None if there is no such."""
         lower = next((one for one in Priority if one < priority and self._queues[one]), None)
         if lower is None and priority is Priority.CRITICAL and self._queues[priority]:
-            return priority  # the newest of its kind holds more than the oldest
+            return priority  # the newest critical message is more useful than the oldest
         return lower
 
     def _drop(self, priority: Priority, count: int) -> None:
@@ -63,7 +67,7 @@
             self.dropped[priority.name] += 1
 
     def pop(self) -> bytes | None:
-        """Return the next message: the highest priority first, in their order; None where none waits."""
+        """Remove and return the oldest message of the highest priority; None if the outbox is empty."""
         for priority in reversed(Priority):
             if self._queues[priority]:
                 data = self._queues[priority].popleft()
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -1,11 +1,12 @@
-"""Connections between fronts: one a pair of neighbours, authenticated, framed, each with a bounded outbox.
+"""TCP connections between fronts: one per pair of neighbours, each with a bounded outbox.
 
-The end whose name sorts first connects. Both send a hello with a random part of the session; all that follows
-is authenticated with the whole session, so a recorded connection fits no other. A peer that reads nothing
-fills its own outbox; one that sends nothing for some summaries is dropped and connected to anew. Nothing here
-ever waits: a request never does either.
+The front whose name sorts first opens the connection. Both ends send a hello with a random half of the
+session id. All later messages are authenticated with the whole session id, so the recorded messages of a
+connection are invalid on any other. A peer that does not read only fills the outbox for its own connection. A
+connection without any received bytes for several summary intervals is dropped and opened again. Nothing in
+this module blocks, so client requests never wait for a peer.
 
-A frame is a length of four bytes (big-endian) and one authenticated message.
+A frame consists of a length of four bytes (big-endian) and one authenticated message.
 """
 
 from collections import Counter
@@ -27,33 +28,48 @@
 from weldbend.fleet.runtime import ListeningPort, Runtime, StreamTransport
 from weldbend.fleet.settings import FleetSettings, Peer
 
-HELLO_TIMEOUT = 2.0  # seconds for the first message
+HELLO_TIMEOUT = 2.0  # seconds until the peer's hello
 MAX_SILENT_SUMMARY_INTERVALS = 4.0  # summary intervals without a byte before a connection is dropped
-MIN_BACKOFF = 0.2  # seconds between attempts to connect to a peer, doubled with each failure
+MIN_BACKOFF = 0.2  # seconds between attempts to connect to a peer; doubles with each failure
 MAX_BACKOFF = 3.0  # seconds
 CONNECT_TIMEOUT = 1.0  # seconds
-MAX_UNIDENTIFIED = 16  # accepted connections that have not sent their hello
-LENGTH_SIZE = 4  # bytes of a frame's length
-NONCE_SIZE = 16  # bytes of each end's part of the session
+MAX_UNIDENTIFIED = 16  # connections without a hello from the peer
+LENGTH_SIZE = 4  # bytes of a frame's length field
+NONCE_SIZE = 16  # bytes of each end's half of the session id
 RECEIVE_BUFFER_SIZE = 2 * MAX_MESSAGE_SIZE + (1 << 17)  # bytes
 
 
 class ConnectionHandler(Protocol):
-    """Is called with what happens on connections; `epoch` is the peer's own."""
+    """The interface for events on connections; `epoch` is the peer's epoch."""
 
     def connection_up(self, peer: str, epoch: int) -> None:
-        """Messages can be sent to that peer."""
+        """Handle that messages can now be sent to a peer."""
 
     def connection_down(self, peer: str) -> None:
-        """No more messages can be sent to that peer."""
+        """Handle that no more messages can be sent to a peer."""
 
     def message_received(self, peer: str, epoch: int, body: m.ConnectionMessage) -> None:
-        """An authenticated message of that peer."""
+        """Handle an authenticated message of a peer."""
 
 
 @implementer(IPushProducer)
 class PeerConnection(Connection):
-    """One end of a connection; `peer` is empty until an accepted one has identified itself."""
+    """This front's end of a connection to a peer.
+
+    Attributes:
+        manager: the owner of all connections.
+        peer: the peer's name, empty on an accepted connection until the peer's hello.
+        is_initiator: whether this front opened the connection.
+        buffer: received bytes that are not yet handled.
+        outbox: messages that are not yet written.
+        nonce: this end's half of the session id.
+        session: the session id, empty until the peer's hello.
+        is_paused: whether the transport accepts no bytes at present.
+        is_lost: whether the connection is closed.
+        received_at: time of the last received bytes, in seconds.
+        frame_length: length of the frame being received, None while its length field is incomplete.
+        drop_reason: reason for which the connection was closed.
+    """
 
     def __init__(self, manager: "PeerConnections", peer: str = "") -> None:
         self.manager = manager
@@ -66,18 +82,18 @@
         self.is_paused = False
         self.is_lost = False
         self.received_at = manager.runtime.timers.now()
-        self.frame_length: int | None = None  # of the frame that is coming
+        self.frame_length: int | None = None
         self.drop_reason = "closed by the other end"
 
     @property
     def stream(self) -> StreamTransport:
-        """The transport, while there is a connection."""
+        """The transport of the open connection."""
         return cast(StreamTransport, self.transport)
 
     # Opening.
 
     def connectionMade(self) -> None:
-        """Send the hello, if this end connected, and give the other end some time for its own."""
+        """Schedule the hello timeout, and send the hello if this front opened the connection."""
         self.stream.setTcpNoDelay(True)
         self.stream.registerProducer(self, True)
         self.manager.runtime.timers.after(HELLO_TIMEOUT, self.check_hello)
@@ -85,7 +101,7 @@
             self.send_hello()
 
     def send_hello(self) -> None:
-        """Send this end's part of the session."""
+        """Send the hello, with this end's half of the session id."""
         body = m.encode(m.Hello(*PROTOCOL_VERSIONS, self.nonce, self.manager.settings.zone))
         self.outbox.put(
             add_length_prefix(self.manager.authenticator.authenticate(self.peer, body, True)),
@@ -94,7 +110,7 @@
         self.flush()
 
     def check_hello(self) -> None:
-        """Drop a connection on which no hello has come in time."""
+        """Drop the connection if the peer's hello has not arrived in time."""
         if not self.session and not self.is_lost:
             self.drop("no hello")
 
@@ -119,7 +135,7 @@
     # Sending.
 
     def send(self, message: PeerMessage) -> None:
-        """Queue a message; where the outbox is full, what weighs least is dropped."""
+        """Queue a message; a full outbox drops messages by their priority."""
         body = m.encode(message.body)
         if len(body) > m.MAX_FRAME_SIZE:
             self.manager.counts["too long to say"] += 1
@@ -129,28 +145,28 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what waits, as far as the transport accepts it."""
+        """Write queued messages for as long as the transport accepts bytes."""
         while not (self.is_paused or self.is_lost) and (data := self.outbox.pop()) is not None:
             self.manager.counts["bytes out"] += len(data)
             self.stream.write(data)
 
     def pauseProducing(self) -> None:
-        """The transport's buffer is full."""
+        """Stop writing, because the transport's buffer is full."""
         self.is_paused = True
 
     def resumeProducing(self) -> None:
-        """The transport accepts bytes again."""
+        """Resume writing, because the transport accepts bytes again."""
         self.is_paused = False
         self.flush()
 
     def stopProducing(self) -> None:
-        """The transport accepts no more bytes."""
+        """Stop writing permanently, because the transport accepts no more bytes."""
         self.is_paused = True
 
     # Receiving.
 
     def dataReceived(self, data: bytes) -> None:
-        """Handle the frames that are complete by now."""
+        """Buffer received bytes, and handle all complete frames."""
         self.received_at = self.manager.runtime.timers.now()
         self.manager.counts["bytes in"] += len(data)
         rest = memoryview(data)
@@ -196,7 +212,7 @@
     # Closing.
 
     def drop(self, reason: str) -> None:
-        """Close it at once; what still waits in the outbox is found missing by a later summary."""
+        """Close the connection at once; later summaries reveal changes that were still in the outbox."""
         if not self.is_lost:
             self.drop_reason = reason
             self.manager.counts[f"dropped: {reason}"] += 1
@@ -204,18 +220,18 @@
             self.stream.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The connection has ended."""
+        """Report the end of the connection to its manager."""
         self.is_lost = True
         self.manager.connection_closed(self)
 
 
 def add_length_prefix(data: bytes) -> bytes:
-    """An authenticated message behind its length."""
+    """Return the frame of an authenticated message: its length, followed by the message."""
     return len(data).to_bytes(LENGTH_SIZE, "big") + data
 
 
 class InitiatorFactory(ClientFactory):
-    """Makes this front's end of a connection that it opens."""
+    """A factory for connections that this front opens."""
 
     noisy = False
 
@@ -224,16 +240,16 @@
         self.peer = peer
 
     def buildProtocol(self, addr: IAddress | None) -> PeerConnection:
-        """The connection is open."""
+        """Create this front's end of the opened connection."""
         return self.manager.create_connection(self.peer)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:  # noqa: ANN401 - zope has no types
-        """The connection could not be opened."""
+        """Schedule another attempt after the connection could not be opened."""
         self.manager.connect_failed(self.peer)
 
 
 class AcceptorFactory(ServerFactory):
-    """Makes this front's end of a connection that a peer opened."""
+    """A factory for connections that peers open."""
 
     noisy = False
 
@@ -241,7 +257,7 @@
         self.manager = manager
 
     def buildProtocol(self, addr: IAddress | None) -> PeerConnection | None:
-        """Accept it, unless too many have not identified themselves yet."""
+        """Accept the connection unless too many others are still unidentified."""
         if sum(not connection.session for connection in self.manager.all_connections) >= MAX_UNIDENTIFIED:
             self.manager.counts["strangers turned away"] += 1
             return None
@@ -249,16 +265,22 @@
 
 
 class PeerConnections:
-    """All connections of this front.
+    """The connections of this front to its peers.
 
     Attributes:
+        runtime: the reactor, timers and source of random bytes.
+        authenticator: authenticator of all messages.
+        settings: the fleet's settings.
+        handler: object that is notified of events on connections.
         members: the other members by name, with their addresses.
-        neighbours: names of those that this front is to be connected to.
+        neighbours: names of the members to which this front keeps a connection.
         all_connections: all open connections, including unidentified ones, in the order of their opening.
-        established_by_peer: the one connection to each peer over which messages go.
-        connecting: peers to which a connection is being opened.
-        backoffs: seconds waited before the last attempt to connect to a peer.
-        counts: bytes, drops by reason, and messages that were dropped.
+        established_by_peer: the one connection to each peer that messages are sent over.
+        connecting: names of the peers to which a connection is being opened.
+        backoffs: delay before the last attempt to connect to a peer, in seconds.
+        counts: counters of bytes, of dropped connections by reason, and of dropped messages.
+        port: the listening port, None before `listen`.
+        is_stopped: whether `stop` was called.
     """
 
     def __init__(
@@ -283,12 +305,12 @@
         self.is_stopped = False
 
     def listen(self, host: str, port: int) -> None:
-        """Accept connections of peers."""
+        """Open the port on which peers connect."""
         self.port = self.runtime.reactor.listenTCP(port, AcceptorFactory(self), interface=host)
         AcceptGuard(self.port, self.runtime.timers.after)
 
     def set_members(self, members: Iterable[Peer], neighbours: Iterable[str]) -> None:
-        """Replace the members and neighbours; connections to others end."""
+        """Replace the members and neighbours, and drop connections to fronts that are not neighbours."""
         self.members = {peer.name: peer for peer in members}
         self.neighbours = set(neighbours) & set(self.members)
         for connection in [
@@ -301,8 +323,8 @@
             self.connect(peer)
 
     def connect(self, peer: str) -> None:
-        """Open a connection to a neighbour, where it is this end that does so and there is none."""
-        is_initiator = self.authenticator.name < peer  # else there would be two connections
+        """Open a connection to a neighbour if this front is the initiator and there is no connection."""
+        is_initiator = self.authenticator.name < peer  # only one end connects, or there would be two
         is_needed = peer in self.neighbours and peer not in self.established_by_peer
         if not (is_initiator and is_needed) or peer in self.connecting or self.is_stopped:
             return
@@ -315,20 +337,20 @@
             self.connect_failed(peer)
 
     def connect_failed(self, peer: str) -> None:
-        """Try again after a backoff that doubles each time."""
+        """Schedule another attempt after a backoff that doubles with each failure."""
         self.connecting.discard(peer)
         backoff = min(max(self.backoffs.get(peer, 0.0) * 2, MIN_BACKOFF), MAX_BACKOFF)
         self.backoffs[peer] = backoff
         self.runtime.timers.after(backoff, lambda: self.connect(peer))
 
     def create_connection(self, peer: str = "") -> PeerConnection:
-        """A new connection; `peer` is known where this end opened it."""
+        """Create and register a connection; `peer` is given if this front opens it."""
         connection = PeerConnection(self, peer)
         self.all_connections[connection] = None
         return connection
 
     def connection_established(self, connection: PeerConnection, epoch: int) -> None:
-        """Both ends have sent their hello. A newer connection of the same pair replaces the older one."""
+        """Register a connection after the hello of both ends; it replaces an older one to the same peer."""
         self.connecting.discard(connection.peer)
         self.backoffs.pop(connection.peer, None)
         if older := self.established_by_peer.get(connection.peer):
@@ -338,7 +360,7 @@
         self.handler.connection_up(connection.peer, epoch)
 
     def connection_closed(self, connection: PeerConnection) -> None:
-        """A connection has ended; it may be reported more than once."""
+        """Unregister a closed connection; further calls for the same connection have no effect."""
         if connection not in self.all_connections:
             return
         del self.all_connections[connection]
@@ -349,19 +371,19 @@
             self.connect_failed(connection.peer)
 
     def send(self, message: PeerMessage) -> None:
-        """Send a message to a peer; dropped where there is no connection."""
+        """Send a message to a peer; without an established connection, the message is dropped."""
         if connection := self.established_by_peer.get(message.to):
             connection.send(message)
 
     def drop_silent(self) -> None:
-        """Drop silent connections: each end sends a summary every few seconds, so the path is lost."""
+        """Drop silent connections; peers send summaries every few seconds, so silence means a lost path."""
         now = self.runtime.timers.now()
         for connection in list(self.established_by_peer.values()):
             if now - connection.received_at > MAX_SILENT_SUMMARY_INTERVALS * self.settings.summary_interval:
                 connection.drop("silent")
 
     def stop(self) -> None:
-        """Close the port and all connections."""
+        """Close the listening port and all connections."""
         self.is_stopped = True
         if self.port:
             self.port.stopListening()
--- a/weldbend/fleet/probing.py
+++ b/weldbend/fleet/probing.py
@@ -1,7 +1,8 @@
-"""Failure detection by probes: SWIM's rounds, with helpers and Lifeguard's NACKs. No I/O; time is handed in.
+"""Failure detection by probes: SWIM's rounds, with indirect probes and Lifeguard's NACKs.
 
-A front probes one member an interval, in a shuffled round; one that does not answer in time is probed through
-helpers, then suspected (Das, Gupta, Motivala 2002, section 3.1).
+A front probes one member per interval, in shuffled rounds. A member that does not answer in time is probed
+through helpers, and then suspected (Das, Gupta, Motivala 2002, section 3.1). This module does no I/O, and
+callers pass in the time.
 """
 
 import math
@@ -16,24 +17,24 @@
 from weldbend.fleet.settings import FleetSettings
 from weldbend.routing.random_source import RandomSource
 
-UNKNOWN_MEMBER_PROBE_PERIOD = 3  # one probe in so many goes to a member never heard of
-LEFT_MEMBER_PROBE_PROBABILITY = 0.25  # with which a member that left is probed in its place in the round
-MAX_EPOCH_LEAD = 1 << 40  # milliseconds by which another's word may lead the epoch known here
+UNKNOWN_MEMBER_PROBE_PERIOD = 3  # one scheduled probe in this many goes to a member nothing is known about
+LEFT_MEMBER_PROBE_PROBABILITY = 0.25  # of probing a member that has left when its turn comes in a round
+MAX_EPOCH_LEAD = 1 << 40  # milliseconds by which a reported epoch may exceed this front's own
 
 
 @dataclass(slots=True)
 class PendingProbe:
-    """A probe whose answer is still awaited.
+    """A probe whose result is not yet known.
 
     Attributes:
-        number: names it in its answers.
-        target: who is probed.
-        requester: the member on whose behalf it is, empty where it is this front's own.
-        requester_number: the number of that member's own probe.
-        indirect_at: when helpers are asked, or the requester gets a NACK; infinite once that is done.
-        ends_at: when it is judged.
-        expected_nacks: NACKs of helpers that have not come yet.
-        is_answered: an answer has come.
+        number: number that identifies the probe in its answers.
+        target: the probed member.
+        requester: name of the member on whose behalf the probe is sent, empty for this front's own probe.
+        requester_number: number of that member's own probe.
+        indirect_at: time at which helpers are asked, or a NACK is sent to the requester; infinite once done.
+        ends_at: time at which the result is determined.
+        expected_nacks: number of NACKs from helpers that have not arrived yet.
+        is_answered: whether an answer has arrived.
     """
 
     number: int
@@ -47,7 +48,18 @@
 
 
 class Prober:
-    """Chooses whom to probe, sends probes and judges their outcome."""
+    """The failure detector: it selects targets, creates probes and evaluates their results.
+
+    Attributes:
+        table: the beliefs about the other members.
+        health: the local health multiplier.
+        counts: counters of probes.
+        random: source of random numbers.
+        round: members still to be probed in this round, the next one last.
+        targets_drawn: number of scheduled probes so far.
+        pending: pending probes by number.
+        next_at: time of the next scheduled probe.
+    """
 
     def __init__(
         self, table: MemberTable, health: LocalHealth, seed: int, now: float, counts: Counter[str]
@@ -59,32 +71,33 @@
         self.round: list[Member] = []
         self.targets_drawn = 0
         self.pending: dict[int, PendingProbe] = {}
-        self.next_at = now + self.random.random() * self.settings.probe_interval  # not all fronts in step
+        # A random offset keeps fronts that start together from probing in step.
+        self.next_at = now + self.random.random() * self.settings.probe_interval
 
     @property
     def settings(self) -> FleetSettings:
-        """The settings in force, which a reload may replace."""
+        """The current settings, which a reload may replace."""
         return self.table.settings
 
     def drop_removed(self) -> None:
-        """Forget probes of members that are no longer named."""
+        """Discard probes of members that were removed from the table."""
         members = self.table.members
         self.round = [member for member in self.round if member.name in members]
         self.pending = {n: probe for n, probe in self.pending.items() if probe.target.name in members}
 
     def reset_after_pause(self, now: float) -> None:
-        """This process was paused: what it waited for says nothing any more."""
+        """Discard all pending probes after a pause, since missing answers prove nothing then."""
         self.pending.clear()
         self.next_at = now
 
     def postpone(self, now: float) -> None:
-        """Probe nobody for another interval."""
+        """Postpone the next probe by one interval."""
         self.next_at = now + self.settings.probe_interval
 
     # Time.
 
     def advance_pending(self, now: float) -> list[Send]:
-        """Go on with probes whose answer is overdue."""
+        """Process overdue probes: ask helpers or send NACKs, and finish probes whose time is over."""
         sends: list[Send] = []
         for probe in list(self.pending.values()):
             if not probe.is_answered and now >= probe.indirect_at:
@@ -94,7 +107,7 @@
         return sends
 
     def probe_next(self, now: float) -> list[Send]:
-        """The probe of this interval, if it is due."""
+        """Return the scheduled probe if it is due."""
         if now < self.next_at:
             return []
         self.next_at = now + self.health.scaled(self.settings.probe_interval)
@@ -102,12 +115,13 @@
         return [self.probe(target, now)] if target else []
 
     def _next_target(self) -> Member | None:
-        """The next of a shuffled round: each is probed once a round, in another order each time.
+        """Return the next target; each round probes all members once, in a new random order.
 
-        Members that were silent for long are probed in their place as well: that is how a healed partition is
-        found. Every third probe goes to one never heard of yet. Guards against a storm of joins, in which
-        there is more news than datagrams carry, so that the last ones would be found a whole round later.
-        Harm: a death is noticed later by half while some that are named were never started.
+        Members that have been silent for a long time are probed in their turn as well, which detects that a
+        partition has healed. Every third probe goes to a member about which nothing was received yet. When
+        many fronts join at once, there are more updates than datagrams can carry, and without these probes
+        the last members would be discovered a whole round later. As a side effect, while some configured
+        members have never been started, the detection of a death takes half as long again.
         """
         self.targets_drawn += 1
         members = self.table.members
@@ -124,12 +138,19 @@
         return None
 
     def probe_soon(self, member: Member) -> None:
-        """Probe that member next: others say that it has started again."""
+        """Schedule a member as the next target, because it is reported to have restarted."""
         if member not in self.round[-1:]:
             self.round.append(member)
 
     def probe(self, target: Member, now: float, requester: str = "", requester_number: int = 0) -> Send:
-        """Probe a member now, on another's behalf where `requester` is given."""
+        """Create a pending probe of a member, and return its datagram.
+
+        Args:
+            target: the member to probe.
+            now: current time in seconds.
+            requester: name of the member on whose behalf the probe is sent, empty for this front's own probe.
+            requester_number: number of that member's own probe.
+        """
         number = int(self.random.random() * (1 << 32)) << 20 | len(self.pending)
         timeout = self.health.scaled(self.settings.probe_timeout)
         own_end = max(self.health.scaled(self.settings.probe_interval), 2 * timeout)
@@ -147,9 +168,10 @@
         return Send(target.name, m.Probe(number, self.table.gossip_for(target)))
 
     def probe_for_refutation(self, member: Member, now: float) -> list[Send]:
-        """Probe a member that answers though it passes for dead: it refutes, and all learn of it.
+        """Probe a member that sends messages although it is believed suspect or dead, so that it refutes.
 
-        Guards, by once an interval, against two that answer each other without end where it does not refute.
+        The refutation is then gossiped to all. At most one such probe is sent per interval, since two fronts
+        would otherwise answer each other endlessly if the member does not refute.
         """
         if now - member.refutation_probed_at < self.settings.probe_interval:
             return []
@@ -157,7 +179,10 @@
         return [self.probe(member, now)]
 
     def _probe_indirectly(self, probe: PendingProbe) -> list[Send]:
-        """No answer in time: others may have a path that this front lacks."""
+        """Ask helpers to probe an unresponsive target, which they may reach when this front cannot.
+
+        If the probe itself was sent on another member's behalf, that member gets a NACK.
+        """
         probe.indirect_at = math.inf
         if probe.requester:
             return [Send(probe.requester, m.Nack(probe.requester_number))]
@@ -178,22 +203,22 @@
         if probe.is_answered:
             self.health.improve()
             return
-        # a helper that is well sends a NACK at least: where none came, this front's own line is at fault
+        # A healthy helper sends at least a NACK, so a missing one points to a fault of this front's network.
         self.health.worsen(probe.expected_nacks)
         target = probe.target
         if target.state <= State.SUSPECT and target.epoch:
-            # also where another reported it: a second reporter shortens the suspicion
+            # A target that is already suspected is reported too: a second reporter shortens the suspicion.
             self.table.suspect(target, self.table.local.name, now)
 
     # Answers.
 
     def ack_received(self, member: Member, number: int, now: float) -> list[Send]:
-        """An answer came from `member`; what to send on account of it."""
+        """Handle the answer of `member` to a probe, and return the datagrams to send in response."""
         probe = self.pending.get(number)
         if probe is None or probe.is_answered:
             return []
         if probe.target is not member:
-            # a helper passes on the answer of its target
+            # A helper forwards the answer of the target.
             if probe.requester or member.state >= State.DEAD:
                 self.counts["answers of the wrong one"] += 1
                 return []
@@ -209,7 +234,7 @@
         return self.probe_for_refutation(member, now) if member.state is State.DEAD else []
 
     def nack_received(self, number: int) -> None:
-        """A helper says that it has probed the target and received nothing so far."""
+        """Handle a helper's notice that it has probed the target without an answer so far."""
         probe = self.pending.get(number)
         if probe and probe.expected_nacks:
             probe.expected_nacks -= 1
@@ -217,10 +242,11 @@
     def learn_from_helper(
         self, helper: Member, number: int, updates: Iterable[m.MemberUpdate], now: float
     ) -> None:
-        """A helper has just received an answer of a member that this front cannot reach: take its epoch.
+        """Accept the epoch of a target from a helper that has just received the target's answer.
 
-        Guards against a path that never worked between two fronts which others reach. Harm: a helper that
-        lies can name a start that never was; that member is then told so, and goes on under a later one.
+        Otherwise this front could never learn of a member that others reach but it does not. As a side
+        effect, a helper that lies can report an epoch that never existed; the member is then notified, and
+        continues under a later epoch.
         """
         probe = self.pending.get(number)
         if probe is None or probe.requester or probe.target is helper or probe.expected_nacks == 0:
--- a/weldbend/fleet/replicated_items.py
+++ b/weldbend/fleet/replicated_items.py
@@ -1,9 +1,9 @@
-"""Kinds of replicated items: how each is checked and merged, and how long it counts. No I/O.
+"""The kinds of replicated items, with their validation, merge function and lifetime. No I/O.
 
-The merge of each kind is commutative, associative and idempotent, so that changes may come in any order,
-twice, or by any path, and all that received the same hold the same (state-based replicated data, Shapiro and
-others 2011). It keeps the stricter of two values: what comes from a peer can make a front stricter at once,
-and loosens nothing that a rule of the front asks.
+The merge of each kind is commutative, associative and idempotent: changes may arrive in any order, repeatedly
+and by any path, and all replicas that received the same changes are equal (state-based replicated data types,
+Shapiro et al. 2011). The merge keeps the more restrictive of two values. So information from a peer can
+restrict a front's decisions at once, but never relaxes a rule of the front.
 """
 
 import math
@@ -14,7 +14,7 @@
 Value = tuple[int | float | str, ...]
 FieldCheck = Callable[[object], bool]
 
-# Names of the kinds, as they are sent and stored.
+# Names of the kinds, as used on the wire and in stored items.
 PURGE = "purge"
 DRAIN = "drain"
 START = "start"
@@ -29,26 +29,27 @@
 BUS_POSITION = "bus"
 SETTING = "setting"
 
-MAX_INTEGER = 1 << 53  # exact in a float as well
+MAX_INTEGER = 1 << 53  # integers up to this one are exact as floats
 MAX_NUMBER = 1e12
-ALL_CACHES = ""  # the group in which an idempotency key holds at all caches
-NO_CACHE = "!"  # the group in which it holds at none
+ALL_CACHES = ""  # group of an idempotency key that is valid at all caches
+NO_CACHE = "!"  # group of an idempotency key that is valid at no cache
 GROUP_PATTERN = re.compile(r"|!|z:[\w.:-]{1,48}|c:[0-9]{1,9}", re.ASCII)
 PURGE_KEY_PATTERN = re.compile(r"k:[\w.-]{1,64}|g:[0-9]{1,3}", re.ASCII)
-REMOVED = 2  # the last of the states that a `drain` item may have
+REMOVED = 2  # highest state of a `drain` item
 
 
 @dataclass(frozen=True, slots=True)
 class ItemKind:
-    """How a kind of item is checked and merged, and for how long it counts.
+    """The validation, merge function and lifetime of a kind of item.
 
     Attributes:
-        is_valid: whether a writer may write a value under a key; called with key, value and writer.
-        merge: of two values.
-        lifetime: seconds since it was written.
-        is_critical: whether a rule of the front rests on it: such changes are dropped last.
-        has_writer_key: whether keys end in `|` and the writer, so that each writes items of its own.
-        keeps_first: whether the first write dates the item, whatever it said; else the first of its value.
+        is_valid: function that returns whether a key, value and writer form a valid write.
+        merge: function that merges two values.
+        lifetime: seconds for which an item is valid after its last write.
+        is_critical: whether a rule of the front depends on such items; changes to them are dropped last.
+        has_writer_key: whether keys end in `|` and the writer's name, so that each writer has its own items.
+        keeps_first: whether an item is dated by its first write with any value, in place of the first write
+            of its current value.
     """
 
     is_valid: Callable[[str, Value, str], bool]
@@ -60,27 +61,27 @@
 
 
 def is_integer(value: object, minimum: int = 0, maximum: int = MAX_INTEGER) -> bool:
-    """Whether a value is an integer within bounds."""
+    """Return whether a value is an integer within bounds."""
     return isinstance(value, int) and not isinstance(value, bool) and minimum <= value <= maximum
 
 
 def is_number(value: object) -> bool:
-    """Whether a value is a number from 0 to `MAX_NUMBER`."""
+    """Return whether a value is a number from 0 to `MAX_NUMBER`."""
     return isinstance(value, int | float) and not isinstance(value, bool) and 0 <= value <= MAX_NUMBER
 
 
 def is_group(value: object) -> bool:
-    """Whether a value names a group of caches."""
+    """Return whether a value names a group of caches."""
     return isinstance(value, str) and GROUP_PATTERN.fullmatch(value) is not None
 
 
 def is_text(value: object) -> bool:
-    """Whether a value is a string."""
+    """Return whether a value is a string."""
     return isinstance(value, str)
 
 
 def is_list_state(value: object) -> bool:
-    """Whether a value is the state of a cache in a list: 0 up, 1 draining, 2 removed."""
+    """Return whether a value is the state of a cache in an endpoint list: 0 up, 1 draining, 2 removed."""
     return is_integer(value, 0, REMOVED)
 
 
@@ -90,12 +91,12 @@
 
 
 def writer_of(key: str) -> str:
-    """Return the writer that a key names."""
+    """Return the writer's name at the end of a key."""
     return key.rpartition("|")[2]
 
 
 def merge_first_attempts(one: Value, other: Value) -> Value:
-    """Merge two first attempts of a request: in one group since the first, or in no group at all."""
+    """Merge two first attempts of a request: the common group, or none, and the earlier time."""
     return one[0] if one[0] == other[0] else NO_CACHE, min(one[1], other[1])
 
 
@@ -107,7 +108,16 @@
     is_critical: bool = True,
     keeps_first: bool = False,
 ) -> ItemKind:
-    """Return a kind of which all fronts write the same items, with a check for each field of a value."""
+    """Return a kind whose items are shared by all writers.
+
+    Args:
+        merge: function that merges two values.
+        lifetime: seconds for which an item is valid after its last write.
+        fields: check for each field of a value.
+        keys: pattern of valid keys; None allows any key.
+        is_critical: see `ItemKind`.
+        keeps_first: see `ItemKind`.
+    """
 
     def is_valid(key: str, value: Value, writer: str) -> bool:
         return has_fields(value, fields) and (keys is None or keys.fullmatch(key) is not None)
@@ -116,7 +126,13 @@
 
 
 def per_writer_kind(lifetime: float, is_critical: bool, *fields: FieldCheck) -> ItemKind:
-    """Return a kind of which each writer's own latest value counts, with a check for each field."""
+    """Return a kind whose items belong to one writer each, and of which the latest value is valid.
+
+    Args:
+        lifetime: seconds for which an item is valid after its last write.
+        is_critical: see `ItemKind`.
+        fields: check for each field of a value.
+    """
 
     def is_valid(key: str, value: Value, writer: str) -> bool:
         return has_fields(value, fields) and writer_of(key) == writer
@@ -125,37 +141,39 @@
 
 
 def has_fields(value: Value, checks: tuple[FieldCheck, ...]) -> bool:
-    """Whether a value has just these fields."""
+    """Return whether a value has exactly one field for each check, and all pass."""
     return len(value) == len(checks) and all(check(item) for check, item in zip(checks, value, strict=True))
 
 
-VERSION_FIELDS = (is_integer, is_integer)  # epoch of the writer, and its number of the value
+VERSION_FIELDS = (is_integer, is_integer)  # the writer's epoch, and a number that increases with each value
 
 ITEM_KINDS: dict[str, ItemKind] = {
-    # object `k:KEY` or group `g:N` -> Unix ms of the purge. The latest purge is the strictest.
+    # object `k:KEY` or group `g:N` -> Unix ms of the purge. The latest purge is the most restrictive.
     PURGE: shared_kind(max, 60.0, is_integer, keys=PURGE_KEY_PATTERN),
-    # cache -> (revision of the list, 0 up, 1 draining, 2 removed). The newer list holds, else the strictest.
+    # cache -> (revision of the endpoint list, state: 0 up, 1 draining, 2 removed). The newest list takes
+    # precedence; within one revision, the highest state does.
     DRAIN: shared_kind(max, 600.0, is_integer, is_list_state),
-    # cache -> Unix ms of its start. The latest start is the coldest cache.
+    # cache -> Unix ms of its start. The latest start means the coldest cache.
     START: shared_kind(max, 120.0, is_integer),
-    # idempotency key -> (group that may have executed it, Unix ms of the first attempt); of two groups: none
+    # idempotency key -> (group that may have executed the request, Unix ms of the first attempt). Two
+    # different groups merge to no group.
     FIRST_ATTEMPT: shared_kind(merge_first_attempts, 30.0, is_group, is_integer, keeps_first=True),
-    # cache|writer -> (epoch, number, good, failed): how one front's attempts there ended
+    # cache|writer -> (epoch, number, good, failed): results of one front's attempts at the cache
     HEALTH_REPORT: per_writer_kind(20.0, True, *VERSION_FIELDS, is_number, is_number),
-    # slot|writer -> (epoch, number, packed names) of objects that one front was requested in some seconds
+    # slot|writer -> (epoch, number, packed names): objects requested from one front within some seconds
     POPULARITY: per_writer_kind(256.0, False, *VERSION_FIELDS, is_text),
-    # `parents` or request class|writer -> (epoch, number, amount): one front's demand, a second
+    # `parents` or request class|writer -> (epoch, number, amount per second): one front's demand
     DEMAND: per_writer_kind(20.0, False, *VERSION_FIELDS, is_number),
-    # client|writer -> (epoch, number, requests a second) of one that requests much of one front
+    # client|writer -> (epoch, number, requests per second): the rate of a busy client at one front
     CLIENT_RATE: per_writer_kind(20.0, False, *VERSION_FIELDS, is_number),
-    # client|writer -> (epoch, number, seconds since): one front has banned it
+    # client|writer -> (epoch, number, seconds ago): one front has banned the client
     CLIENT_BAN: per_writer_kind(900.0, True, *VERSION_FIELDS, is_number),
-    # cache|writer -> (epoch, number, seconds since): its connections broke and it could not be reached again
+    # cache|writer -> (epoch, number, seconds ago): the cache's connections broke and could not be reopened
     CACHE_BREAK: per_writer_kind(60.0, True, *VERSION_FIELDS, is_number),
-    # |writer -> (epoch, number, checksum): the members that one front's file names
+    # |writer -> (epoch, number, checksum): the members that one front's installation file names
     MEMBERS: per_writer_kind(60.0, True, *VERSION_FIELDS, is_number),
-    # writer -> number of the last event that it read from the bus
+    # writer -> number of the last event that the writer has read from the event bus
     BUS_POSITION: per_writer_kind(600.0, False, is_integer),
-    # operators' settings for the fleet, by name -> (version, value)
+    # name -> (version, value): operators' settings for the fleet
     SETTING: shared_kind(max, math.inf, is_integer, is_anything, is_critical=False),
 }
--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -1,14 +1,14 @@
-"""Replicated state: what each front writes is kept by all, and replicas that differ are merged. No I/O.
+"""A replica of the fleet's state: every front holds the items written by all, and replicas merge. No I/O.
 
-`replicated_items` says how each kind of item is checked and merged.
+`replicated_items` defines how each kind of item is validated and merged.
 
-Writers number their changes from 1 in each of their runs. A version vector (run -> number up to which nothing
-is missing) says what a front holds; what another lacks is the changes after its numbers while they are kept,
-else a snapshot. A change that comes before those it follows is merged at once and counted later: strictness
-does not wait for order.
+A writer numbers its changes from 1 in each of its runs (epochs). A version vector maps each run to the number
+up to which a replica has all changes. A replica that is behind gets the changes after its numbers while they
+are retained, otherwise a snapshot. A change that arrives before its predecessors is merged at once, so that a
+restriction takes effect without delay, and enters the version vector when the gap is closed.
 
-Moments cross the network as ages, since clocks may be apart: an item grows no younger on its way than the
-time that the way took.
+Times are sent as ages, since clocks may differ. So an item appears too young by its transmission time at
+most.
 """
 
 import math
@@ -22,29 +22,33 @@
 from weldbend.fleet.replicated_items import ITEM_KINDS, ItemKind, Value, writer_of
 
 MAX_ITEMS = 65_536
-MAX_EARLY_OPERATIONS = 4096  # changes of one run that came before those they follow
+MAX_EARLY_OPERATIONS = 4096  # changes per run that arrived before their predecessors
 MAX_RUNS = 1024
-REWRITE_AFTER = 1.0  # seconds after which an unchanged item is written again, so that it lasts
-RUN_LIFETIME = 900.0  # seconds for which a run's numbers are remembered after its last change
+REWRITE_AFTER = 1.0  # seconds after which an unchanged value is written again, to extend its lifetime
+RUN_LIFETIME = 900.0  # seconds for which a run's numbers are kept after its last change
 
 VersionVector = dict[str, int]
-ItemName = tuple[str, str]  # kind and key
+"""The number up to which all changes are present, by the name of each run."""
+
+ItemName = tuple[str, str]
+"""The kind and the key of an item."""
 
 
 def run_name(writer: str, epoch: int) -> str:
-    """Return the name of one run of a writer, as version vectors have it."""
+    """Return the name of a writer's run, as used in version vectors."""
     return f"{writer}/{epoch}"
 
 
 @dataclass(slots=True)
 class Item:
-    """A replicated item; both moments are in this front's time.
+    """A replicated item; both times are readings of this front's clock, in seconds.
 
     Attributes:
-        value: what the strictest of its writes said.
-        written_at: when it was written last by any front.
-        first_written_at: when its value was written first, or the item at all (`ItemKind.keeps_first`), as
-            far as is known here: what it speaks of had happened by then, whatever anybody's wall clock says.
+        value: most restrictive value of all writes.
+        written_at: time of the last write by any front.
+        first_written_at: earliest known write of the current value, or of any value if
+            `ItemKind.keeps_first`. The event that the item describes had happened by then, independent of
+            any wall clock.
     """
 
     value: Value
@@ -52,25 +56,25 @@
     first_written_at: float
 
     def update_first_write(self, kind: ItemKind, value: Value, merged: Value, written_at: float) -> None:
-        """Note a write of `value`, which together with the present one makes `merged`."""
+        """Update `first_written_at` for a write of `value` whose merge with the current value is `merged`."""
         if kind.keeps_first or value == merged == self.value:
             self.first_written_at = min(self.first_written_at, written_at)
         elif merged != self.value:
             self.first_written_at = written_at
 
     def is_live(self, kind: ItemKind, now: float) -> bool:
-        """Whether it still counts."""
+        """Return whether the item has not expired."""
         return now < self.written_at + kind.lifetime
 
 
 class LoggedOperation(NamedTuple):
-    """A change, and when it was written, in this front's time."""
+    """A change and the time of its write, by this front's clock."""
 
     operation: Operation
     written_at: float
 
     def at(self, now: float) -> Operation:
-        """Return the change with its age at a moment."""
+        """Return the change with its age at the time `now`."""
         op = self.operation
         age = max(now - self.written_at, 0.0)
         return Operation(op.writer, op.epoch, op.number, op.kind, op.key, op.value, age)
@@ -78,13 +82,13 @@
 
 @dataclass(slots=True)
 class OperationLog:
-    """The changes of one run of one writer.
+    """The log of the changes of one run of one writer.
 
     Attributes:
-        number: up to which nothing is missing.
-        operations: the latest ones up to that number, oldest first.
-        early: those after a gap, by number.
-        changed_at: when the last one came, in seconds.
+        number: number up to which all changes are present.
+        operations: latest changes up to that number, oldest first.
+        early: changes received after a gap, by number.
+        changed_at: time at which the last change was received, in seconds.
     """
 
     number: int = 0
@@ -93,19 +97,19 @@
     changed_at: float = -math.inf
 
     def append(self, operation: LoggedOperation, max_count: int) -> None:
-        """Add the next change; `max_count` are kept."""
+        """Append the next change, and keep the latest `max_count`."""
         self.number = operation.operation.number
         self.operations.append(operation)
         if len(self.operations) > max_count:
             self.operations.popleft()
 
     def append_early(self, max_count: int) -> None:
-        """Add those that came early, as far as there is no gap any more."""
+        """Append the early changes that now follow without a gap."""
         while following := self.early.pop(self.number + 1, None):
             self.append(following, max_count)
 
     def advance(self, number: int, now: float, max_count: int) -> None:
-        """Count all changes up to a number as held: a snapshot amounts to them."""
+        """Mark all changes up to a number as present, because a snapshot includes them."""
         self.number = number
         self.changed_at = now
         self.operations.clear()
@@ -116,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An item that is stricter than it was, for those who act on it; `age` is seconds since its write."""
+    """An item whose value has become more restrictive; `age` is the time since its write, in seconds."""
 
     kind: str
     key: str
@@ -126,12 +130,12 @@
 
 
 class SnapshotChunk(NamedTuple):
-    """Some items of a snapshot.
+    """A part of a snapshot.
 
     Attributes:
-        operations: the items, as changes without numbers.
-        after: the place behind which the next chunk goes on.
-        is_last: whether there is none.
+        operations: items, as changes without numbers.
+        after: last key of this chunk, after which the next chunk begins.
+        is_last: whether there are no further chunks.
     """
 
     operations: list[Operation]
@@ -140,18 +144,18 @@
 
 
 class ReplicatedStore:
-    """One front's replica.
+    """A front's replica of the fleet's state.
 
     Attributes:
-        name: this front's.
-        epoch: of this run, as it stands now.
-        items: by kind and key.
-        logs: changes by run.
-        counts: counters.
+        name: this front's name.
+        epoch: this front's current epoch.
+        items: replicated items by kind and key.
+        logs: logs of changes by run.
+        counts: counters of rejected changes.
     """
 
     def __init__(self, name: str, epoch: int, max_operations: int = 4096) -> None:
-        """Make an empty replica; `max_operations` changes of each run are kept."""
+        """Create an empty replica that retains `max_operations` changes per run."""
         self.name = name
         self.epoch = epoch
         self.items: dict[ItemName, Item] = {}
@@ -165,21 +169,21 @@
         return run_name(self.name, self.epoch)
 
     def set_epoch(self, epoch: int) -> None:
-        """Write under another epoch from now on: this run's epoch was raised.
+        """Set the epoch for subsequent writes, after the epoch of this run was raised.
 
-        Guards against figures (their greatest epoch and number hold) that stay behind those of an earlier run
-        for ever, because this run began under a clock that had gone back. Harm: one more run's numbers are
-        remembered by all, for `RUN_LIFETIME`.
+        Of a writer's values, the one with the highest epoch and number is valid. If the clock was set back
+        before this run began, its values would otherwise rank below those of an earlier run for ever. As a
+        side effect, all replicas keep the numbers of one more run for `RUN_LIFETIME`.
         """
         self.epoch = epoch
 
     # Changes.
 
     def write(self, now: float, kind: str, key: str, *value: int | float | str) -> Change | None:
-        """Make a change of this front's own; nothing is numbered where it changes nothing.
+        """Write an item; a write that changes nothing is not logged.
 
         Returns:
-            The item that it made stricter; None where it did not.
+            The change if the item became more restrictive, otherwise None.
         """
         current = self.items.get((kind, key))
         rules = ITEM_KINDS[kind]
@@ -196,16 +200,16 @@
         return self.apply(op, now)
 
     def apply(self, op: Operation, now: float) -> Change | None:
-        """Apply a change of any front, by any path.
+        """Apply a change by any front, received by any path.
 
         Returns:
-            The item that it made stricter; None where it did not.
+            The change if the item became more restrictive, otherwise None.
         """
         rules = ITEM_KINDS.get(op.kind)
         value = tuple(op.value)
         if rules is None or not rules.is_valid(op.key, value, op.writer):
             self.counts["invalid changes"] += 1
-            self.log_operation(op, now)  # else it would be requested without end
+            self.log_operation(op, now)  # otherwise it would be requested again for ever
             return None
         if self.log_operation(op, now) or (op.kind, op.key) not in self.items:
             return self._merge(op, value, now)
@@ -228,18 +232,18 @@
         merged = rules.merge(current.value, value)
         is_stricter = merged != current.value
         current.update_first_write(rules, value, merged, written_at)
-        current.written_at = max(current.written_at, written_at)  # any write keeps the strictest value
+        current.written_at = max(current.written_at, written_at)  # any write extends the lifetime
         current.value = merged
         age = now - current.written_at
         return Change(op.kind, op.key, merged, age, op.writer) if is_stricter else None
 
     def _has_capacity(self, rules: ItemKind, now: float) -> bool:
-        """Whether one more item may be kept; items on which no rule rests leave half for those."""
+        """Return whether there is room for a new item; half of the room is reserved for critical items."""
         max_count = MAX_ITEMS if rules.is_critical else MAX_ITEMS // 2
         return len(self.items) < max_count or self.discard_expired(now) > 0
 
     def log_operation(self, op: Operation, now: float) -> bool:
-        """Keep a change for fronts that lack it; False for one that was here before."""
+        """Log a change for replicas that are behind; return False if it was present already."""
         run = run_name(op.writer, op.epoch)
         log = self.logs.get(run)
         if log is None:
@@ -262,23 +266,23 @@
     # Comparison.
 
     def vector(self) -> VersionVector:
-        """Return what this replica holds of each run."""
+        """Return the version vector of this replica."""
         return {run: log.number for run, log in self.logs.items() if log.number}
 
     def is_behind(self, vector: VersionVector) -> bool:
-        """Whether the holder of that vector has what is missing here."""
+        """Return whether the replica with a version vector has changes that this one lacks."""
         return any(number > self.last_number(run) for run, number in vector.items())
 
     def last_number(self, run: str) -> int:
-        """Return the number up to which nothing of a run is missing; 0 where it is unknown."""
+        """Return the number up to which all changes of a run are present, 0 for an unknown run."""
         log = self.logs.get(run)
         return log.number if log else 0
 
     def changes_after(self, vector: VersionVector, now: float, max_count: int) -> list[Operation] | None:
-        """Return changes that the holder of that vector lacks, oldest of each run first.
+        """Return the changes that the replica with a version vector lacks, oldest of each run first.
 
         Returns:
-            So many at most; None where some are no longer kept.
+            At most `max_count` changes, or None if some of them are no longer retained.
         """
         found: list[Operation] = []
         for run, log in self.logs.items():
@@ -295,12 +299,12 @@
         return found
 
     def digest(self, now: float, margin: float = 0.0, only_critical: bool = False) -> int:
-        """Return a checksum, the same wherever the same is held.
+        """Return a checksum of the items, equal for equal replicas.
 
         Args:
-            now: seconds.
-            margin: seconds for which items have to count still.
-            only_critical: leaves out items on which no rule rests: they change every second.
+            now: current time in seconds.
+            margin: minimum remaining lifetime, in seconds, of the items that are included.
+            only_critical: whether to exclude items that no rule depends on, which change every second.
         """
         total = 0
         for (kind, key), item in self.items.items():
@@ -313,7 +317,7 @@
     # Snapshots.
 
     def snapshot_chunks(self, after: str, now: float, max_count: int) -> Iterator[SnapshotChunk]:
-        """Yield the items behind a place in the order of their keys, so many at a time."""
+        """Yield the items after a position in key order, at most `max_count` per chunk."""
         keys = sorted(f"{kind} {key}" for kind, key in self.items)
         rest = [key for key in keys if key > after]
         while True:
@@ -330,7 +334,7 @@
                 return
 
     def _as_operations(self, kind: str, key: str, item: Item, now: float) -> list[Operation]:
-        """The last write of an item, and the first one too where that dates it."""
+        """Return the last write of an item, and its first write as well if that one dates the item."""
         rules = ITEM_KINDS[kind]
         writer = writer_of(key) if rules.has_writer_key else self.name
         moments = [item.written_at]
@@ -340,7 +344,7 @@
         return [Operation(writer, 0, 0, kind, key, value, max(now - at, 0.0)) for at in moments]
 
     def load_snapshot(self, ops: Iterable[Operation], now: float) -> list[Change]:
-        """Merge items of a snapshot, which are not numbered; return those that became stricter."""
+        """Merge the items of a snapshot, and return those that became more restrictive."""
         changes = []
         for op in ops:
             rules = ITEM_KINDS.get(op.kind)
@@ -352,7 +356,7 @@
         return changes
 
     def advance_to(self, vector: VersionVector, now: float) -> None:
-        """Count what a snapshot amounts to, which was loaded completely, as no longer missing."""
+        """Mark the changes of a version vector as present, after a snapshot was loaded completely."""
         for run, number in vector.items():
             if run not in self.logs and len(self.logs) >= MAX_RUNS:
                 continue
@@ -363,7 +367,7 @@
     # Expiry.
 
     def discard_expired(self, now: float) -> int:
-        """Drop items that count no more, and runs that ended long ago; return how many items went."""
+        """Drop expired items and logs of runs without recent changes; return the number of items dropped."""
         expired = [name for name, item in self.items.items() if not item.is_live(ITEM_KINDS[name[0]], now)]
         for name in expired:
             del self.items[name]
