--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -211,7 +211,7 @@
         An update about the recipient itself precedes all others, so that the recipient can refute it
         (Lifeguard's buddy system, section IV-C).
         """
-        most_transmissions = self.settings.gossip_transmissions(len(self.members) + 1)
+        max_transmissions = self.settings.gossip_transmissions(len(self.members) + 1)
         updates: list[m.MemberUpdate] = []
         if recipient.state >= State.SUSPECT and recipient.epoch:
             updates.append(self.as_update(recipient))
@@ -220,7 +220,7 @@
             if name != recipient.name:
                 member = self.members.get(name)
                 updates.append(self.as_update(member) if member else self.local.as_update())
-            if transmissions + 1 >= most_transmissions:
+            if transmissions + 1 >= max_transmissions:
                 del self.pending_updates[name]
             else:
                 self.pending_updates[name] = transmissions + 1
--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -187,10 +187,10 @@
         """
         current = self.items.get((kind, key))
         rules = ITEM_KINDS[kind]
-        lasts = rules.lifetime == math.inf or (current and current.written_at > now - REWRITE_AFTER)
+        needs_no_rewrite = rules.lifetime == math.inf or (current and current.written_at > now - REWRITE_AFTER)
         if (
             current
-            and lasts
+            and needs_no_rewrite
             and current.is_live(rules, now)
             and rules.merge(current.value, value) == current.value
         ):
@@ -230,12 +230,12 @@
             self.items[op.kind, op.key] = Item(value, written_at, written_at)
             return Change(op.kind, op.key, value, op.age, op.writer)
         merged = rules.merge(current.value, value)
-        is_stricter = merged != current.value
+        is_more_restrictive = merged != current.value
         current.update_first_write(rules, value, merged, written_at)
         current.written_at = max(current.written_at, written_at)  # any write extends the lifetime
         current.value = merged
         age = now - current.written_at
-        return Change(op.kind, op.key, merged, age, op.writer) if is_stricter else None
+        return Change(op.kind, op.key, merged, age, op.writer) if is_more_restrictive else None
 
     def _has_capacity(self, rules: ItemKind, now: float) -> bool:
         """Return whether there is room for a new item; half of the room is reserved for critical items."""
@@ -337,11 +337,11 @@
         """Return the last write of an item, and its first write as well if that one dates the item."""
         rules = ITEM_KINDS[kind]
         writer = writer_of(key) if rules.has_writer_key else self.name
-        moments = [item.written_at]
+        write_times = [item.written_at]
         if rules.keeps_first and item.first_written_at < item.written_at:
-            moments.append(item.first_written_at)
+            write_times.append(item.first_written_at)
         value = list(item.value)
-        return [Operation(writer, 0, 0, kind, key, value, max(now - at, 0.0)) for at in moments]
+        return [Operation(writer, 0, 0, kind, key, value, max(now - at, 0.0)) for at in write_times]
 
     def load_snapshot(self, ops: Iterable[Operation], now: float) -> list[Change]:
         """Merge the items of a snapshot, and return those that became more restrictive."""
