--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -187,10 +187,10 @@
         """
         current = self.items.get((kind, key))
         rules = ITEM_KINDS[kind]
-        needs_no_rewrite = rules.lifetime == math.inf or (current and current.written_at > now - REWRITE_AFTER)
+        is_recent = rules.lifetime == math.inf or (current and current.written_at > now - REWRITE_AFTER)
         if (
             current
-            and needs_no_rewrite
+            and is_recent
             and current.is_live(rules, now)
             and rules.merge(current.value, value) == current.value
         ):
