--- a/weldbend/fleet/cache_states.py
+++ b/weldbend/fleet/cache_states.py
@@ -1,8 +1,8 @@
-"""Drains, removals and starts of caches: published from this front's bus, and applied where peers know more.
+"""Exchange of drains, removals and starts of caches between this front's bus and its peers.
 
-What comes from a peer may make this front stricter at once and loosens nothing: a drain or removal of a newer
-list than this front has read excludes a cache, a later start makes it warm up again. What the front's own bus
-says of a cache holds again once it has delivered the list that a peer spoke of.
+Knowledge from a peer can add restrictions at once but never lifts one: a drain or removal in a newer list
+than this front has read excludes a cache, and a later start puts it into slow start again. This front's own
+bus is authoritative again once it has delivered the list that the peer referred to.
 """
 
 from collections import Counter
@@ -23,10 +23,14 @@
 
 
 class CacheStates:
-    """Keeps caches in the strictest state that any front knows.
+    """Keeps caches in the most restrictive state that any front knows.
 
     Attributes:
+        dispatcher: dispatcher of the routing decisions.
+        fleet: the fleet as this front sees it.
+        quotas: limits and ejections that this front shares with its fleet.
         bus_offset: number of the last event that this front's own bus has delivered.
+        counts: counters of the fleet adapter.
     """
 
     def __init__(
@@ -44,7 +48,7 @@
         self.counts = counts
 
     def publish(self, record: EndpointRecord, offset: int) -> None:
-        """Publish what the bus's event of that number says of a cache."""
+        """Publish the state and start of a cache from the bus event with the given number."""
         if record.state != "up" or (DRAIN, record.uid) in self.fleet.store.items:
             self.fleet.publish(DRAIN, record.uid, offset, LIST_STATES.index(record.state))
         if record.started_at:
@@ -54,9 +58,10 @@
             self.quotas.cache_restarted(record.uid)
 
     def apply(self, uid: str) -> None:
-        """Keep a cache as strictly as the newest list says that any front has read.
+        """Apply the most restrictive known state and the latest known start of a cache.
 
-        Should also cover a list of this front's own that comes later but is older.
+        Called after each event of this front's own bus as well, because its list may be older than the list
+        that a peer has read.
         """
         number = self.dispatcher.names.numbers.get(uid)
         if number is None:
@@ -74,17 +79,18 @@
         if drain is not None and state is not None:
             self.dispatcher.pool.cancel_concerning({number})
             logger.bind(cache=uid).info(
-                "fleet: {} is {} by event {}, which this front's bus has not delivered",
+                "fleet: {} is {} by event {} of a peer's bus, which this front's bus has not delivered yet",
                 uid,
                 state.name,
                 drain.value[0],
             )
 
     def _started(self, uid: str) -> float | None:
-        """When the cache last started, in this front's time, at the latest; None where nobody has said so.
+        """Return the latest possible time of a cache's last start; None if no front published a start.
 
-        A start that this front's own list has not named yet is dated by when its first writer had read of it,
-        which is later than the start itself: the strict side. The stamp only says which start it is.
+        A start that this front's own list does not contain yet is dated by when the first front published it,
+        which is later than the start itself and thus the more restrictive choice. The timestamp from the bus
+        only identifies the start. The result is a time of this front's clock.
         """
         item = self.fleet.store.items.get((START, uid))
         if item is None:
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -1,8 +1,8 @@
-"""Limits and bans of single clients, for the whole fleet. No I/O.
+"""Limits and bans of single clients for the whole fleet. No I/O.
 
-Fronts publish the clients that request the most; where one client's requests at all fronts are over its
-limit, the excess is rejected by chance. A client that two fronts have banned is banned by all (see
-`outlier_detection`), and an operator may ban or reinstate one.
+Fronts publish their clients with the highest request rates. If a client's total rate at all fronts exceeds
+its limit, each front rejects a random fraction of its requests to remove the excess. A client that two fronts
+have banned is banned by all fronts (see `outlier_detection`), and an operator can ban or reinstate a client.
 """
 
 import math
@@ -17,30 +17,30 @@
 from weldbend.fleet.replicated_items import CLIENT_BAN, CLIENT_RATE, SETTING
 from weldbend.fleet.steady_unix import SteadyUnixTime
 
-MAX_PUBLISHED_CLIENTS = 8  # clients that this front publishes in a second, those that request the most
+MAX_PUBLISHED_CLIENTS = 8  # in a second; those with the highest rates
 SMOOTHING = 0.5  # weight of the last second in a client's mean rate
-NEGLIGIBLE_RATE = 0.05  # requests a second below which a client is forgotten
+NEGLIGIBLE_RATE = 0.05  # requests a second below which a client's rate is discarded
 CLIENT_ADDRESS = re.compile(r"[0-9a-fA-F.:]{2,45}")
-SETTING_PREFIX = "cast/"  # of the names of operators' settings on clients
-# Verbs of an operator's setting on a client.
+SETTING_PREFIX = "cast/"  # of the names of operators' settings for clients
+# Verbs in the value of an operator's setting for a client.
 REINSTATE = "pardon"
 BAN_UNTIL = "until"
 
 
 class InvalidClientAddressError(ValueError):
-    """An operator named something that is no address of a client.
+    """An operator gave a text that is not a valid client address.
 
     Attributes:
-        text: what was named.
+        text: the invalid text.
     """
 
     def __init__(self, text: str) -> None:
-        super().__init__(f"{text!r:.40} is no address of a client")
+        super().__init__(f"{text!r:.40} is not a valid client address")
         self.text = text
 
 
 class ClientRateLimit:
-    """The limit on the requests of one client at all fronts together."""
+    """Limit on the total request rate of a client at all fronts."""
 
     def __init__(self, context: QuotaContext) -> None:
         self.context = context
@@ -48,14 +48,14 @@
         self.rates: dict[str, float] = {}  # requests a second at this front, as a running mean
 
     def exceeds_limit(self, client: str) -> bool:
-        """Count a request; return whether it is to be rejected as beyond its client's limit."""
+        """Count a request; return whether it must be rejected because its client exceeds the limit."""
         if not self.context.limits.client_rate:
             return False
         self.requests[client] += 1
         return self._is_excess(client)
 
     def _is_excess(self, client: str) -> bool:
-        """By chance, as much as one client requests of all fronts beyond its limit."""
+        """Return True at random, for the fraction of the client's total rate that exceeds the limit."""
         limit = self.context.limits.client_rate
         rate_elsewhere = sum(rate for _, rate in self.context.peer_figures(CLIENT_RATE, client).values())
         total_rate = self.rates.get(client, 0.0) + rate_elsewhere
@@ -74,7 +74,7 @@
                 self.rates[client] = rate
         self.requests.clear()
         min_published_rate = limit / (2 * (len(self.context.fleet.settings.peers) + 1))
-        # by name where rates are equal: a set has another order in each process
+        # Equal rates are ordered by name, because the order of a set differs between processes.
         busiest = sorted(self.rates, key=lambda client: (-self.rates[client], client))
         for client in busiest[:MAX_PUBLISHED_CLIENTS]:
             if self.rates[client] >= min_published_rate:
@@ -82,10 +82,10 @@
 
 
 class ClientBans:
-    """Which clients the fleet or an operator has banned.
+    """Clients that the fleet or an operator has banned.
 
     Attributes:
-        banned: clients that the fleet has banned, and until when, in seconds of the steady clock.
+        banned: end of the ban of each client that the fleet has banned, in seconds of the steady clock.
     """
 
     def __init__(self, context: QuotaContext) -> None:
@@ -98,7 +98,7 @@
         self.context.publish_figure(CLIENT_BAN, client, 0.0)
 
     def is_banned(self, client: str) -> bool:
-        """Whether the fleet has banned a client, or an operator; counts the connections of those it has."""
+        """Return whether the fleet or an operator has banned a client; count it if the fleet has."""
         override = self._override(client)
         if override is not None:
             return override
@@ -108,7 +108,7 @@
         return is_banned
 
     def _override(self, client: str) -> bool | None:
-        """What an operator decided on a client; None where that is nothing, or no longer holds."""
+        """Return whether an operator has banned a client; None without a decision that is in force."""
         item = self.context.item(SETTING, SETTING_PREFIX + client)
         if item is None or not isinstance(item.value[1], str):
             return None
@@ -123,14 +123,14 @@
         return None
 
     def _last_reported(self, client: str) -> float:
-        """When a front last published that it has banned a client."""
+        """Return when a front last published that it has banned a client."""
         reports = (
             item.written_at for key, item in self.context.items(CLIENT_BAN) if key.startswith(f"{client}|")
         )
         return max(reports, default=-math.inf)
 
     def tick(self, now: float) -> None:
-        """Find anew which clients enough fronts have banned."""
+        """Update the clients that enough fronts have banned."""
         reports: dict[str, list[ClientBan]] = defaultdict(list)
         for client, writer, item in self.context.live_figures(CLIENT_BAN, now):
             reports[client].append(ClientBan(writer, item.written_at - float(item.value[2])))
@@ -141,14 +141,14 @@
         self.banned = found
 
     def set_override(self, client: str, text: str) -> str:
-        """Publish an operator's decision on a client for the whole fleet, and return it.
+        """Publish an operator's decision on a client for the whole fleet, and return its text.
 
         Args:
-            client: its address.
-            text: `pardon`, or `until` and a Unix second.
+            client: address of the client.
+            text: `pardon`, or `until` and a Unix time in seconds.
 
         Raises:
-            InvalidClientAddressError: where `client` is no address.
+            InvalidClientAddressError: if `client` is not a valid address.
         """
         if not CLIENT_ADDRESS.fullmatch(client):
             raise InvalidClientAddressError(client)
@@ -156,18 +156,18 @@
         return text
 
     def override_until(self, client: str, seconds: float) -> str:
-        """Ban a client for so many seconds; raises InvalidClientAddressError where it is no address."""
+        """Ban a client for a number of seconds; raises InvalidClientAddressError for an invalid address."""
         until = int(self.context.loop.clock.unix() + seconds)
         text = self.set_override(client, f"{BAN_UNTIL} {until}")
         self.context.publish_setting(SPAN_PREFIX + client, format_span(until, seconds))
         return text
 
     def reinstate(self, client: str) -> str:
-        """Lift the ban on a client; raises InvalidClientAddressError where it is no address."""
+        """Lift the ban on a client; raises InvalidClientAddressError for an invalid address."""
         return self.set_override(client, REINSTATE)
 
     def status_rows(self, now: float) -> list[dict[str, object]]:
-        """Return what the admin question `verdicts` shows of clients."""
+        """Return the banned clients for the admin question `verdicts`."""
         return [
             {"client": client, "ends in": round(until - now, 1)}
             for client, until in sorted(self.banned.items())
--- a/weldbend/fleet/conservative_merge.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -1,25 +1,27 @@
-"""What a front takes over of peers' knowledge, beside what its own bus says. No I/O.
+"""Rules for accepting peers' knowledge in addition to this front's own event bus. No I/O.
 
-Nothing here can loosen: a choice is either stricter than what the front's own list says, or nothing.
+Peers can only make a restriction stronger: a result is either more restrictive than the front's own endpoint
+list, or empty.
 """
 
 from weldbend.fleet.replicated_items import Value
 
-LIST_STATES = ("up", "draining", "removed")  # of a cache, as the bus words them; later ones are stricter
-MAX_PURGES_PER_SECOND = 200  # a second that peers may bring; beyond it the decisions would keep too many
-UNREACHABLE_OFFSET = 1 << 40  # a list's number that no bus reaches
-MAX_CLOCK_AHEAD = 2.0  # seconds by which a purge may lie ahead of this front's clock, else it is cut to now
+LIST_STATES = ("up", "draining", "removed")  # of a cache on the bus, in order of increasing restriction
+MAX_PURGES_PER_SECOND = 200  # accepted from peers; more would fill the purge table of the routing
+UNREACHABLE_OFFSET = 1 << 40  # event number that no bus reaches
+MAX_CLOCK_AHEAD = 2.0  # seconds by which a purge may be ahead of this front's clock; else it counts from now
 
 
 def stricter_state(drain: Value | None, last_read: int) -> str | None:
-    """Return the state of a cache by a newer list than this front has read, where that is stricter than up.
+    """Return the state of a cache in a newer list than this front has read; None if that is up or unknown.
 
-    Harm: a peer that lies can keep a cache out until the bus's own numbers reach what it published; numbers
-    out of reach are ignored.
+    Side effect: a peer that publishes false states can exclude a cache until the numbers of the bus reach the
+    number that it published. Numbers that the bus never reaches are ignored.
 
     Args:
-        drain: value of the replicated item: revision of the list, and state; None where there is none.
-        last_read: number of the last event of this front's own bus.
+        drain: value of the replicated item, with the revision of the list and the state; None if there is
+            no item.
+        last_read: number of the last event that this front's own bus has delivered.
     """
     if drain is None or not drain[1] or not last_read < int(drain[0]) < UNREACHABLE_OFFSET:
         return None
@@ -27,13 +29,14 @@
 
 
 class PeerPurgeLimiter:
-    """Which purges of peers are taken over, and from which moment.
+    """Limiter of the purges that are accepted from peers.
 
-    Guards against a front whose bus is cut off: the object must not be served older than its purge. Harm: a
-    peer that lies has what it names fetched anew, at most `MAX_PURGES_PER_SECOND` a second.
+    Accepting them guards against serving purged copies while this front's own bus is disconnected. Side
+    effect: a peer that publishes false purges causes its objects to be fetched again, at most
+    `MAX_PURGES_PER_SECOND` in a second.
 
     Attributes:
-        anomalies: purges that were not taken over as they came.
+        anomalies: number of purges that were rejected or dated differently.
     """
 
     def __init__(self) -> None:
@@ -42,12 +45,12 @@
         self._received = 0  # in that second
 
     def effective_from(self, purged_at: float, now: float, unix: float) -> float | None:
-        """Return the Unix second from which a purge counts; None where too many came.
+        """Return the Unix time from which a purge takes effect; None if it exceeds the rate limit.
 
         Args:
-            purged_at: Unix second of the purge, as its writer says.
-            now: seconds of the steady clock.
-            unix: the same moment by the Unix clock.
+            purged_at: Unix time of the purge in seconds, as its writer published it.
+            now: time of the steady clock in seconds.
+            unix: Unix time of the same moment in seconds.
         """
         if int(now) != self._second:
             self._second = int(now)
--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -1,6 +1,7 @@
-"""Limits that are divided by demand: of operators' rates that may be exceeded a little, and at the parents.
+"""Limits divided by demand: the operators' rates that need not be strict, and the quota at the parents.
 
-Unlike leased limits these may be exceeded for a moment while demand moves (see `demand_share`). No I/O.
+Unlike leased limits, these can be exceeded briefly while demand moves between fronts (see `demand_share`).
+No I/O.
 """
 
 from collections import deque
@@ -12,9 +13,9 @@
 from weldbend.fleet.replicated_items import DEMAND
 from weldbend.routing.events import ParentQuota
 
-WINDOW = 1.0  # seconds in which an operator's rate holds
-PARENTS_SUBJECT = "parents"  # the subject under which demand at the parents is published
-MIN_CHANGE = 0.02  # of this front's fraction at the parents, below which the decisions keep the old one
+WINDOW = 1.0  # seconds over which an operator's rate is enforced
+PARENTS_SUBJECT = "parents"  # subject under which demand at the parents is published
+MIN_CHANGE = 0.02  # relative change of this front's parent quota below which the routing keeps the old one
 
 
 @dataclass(slots=True)
@@ -22,9 +23,10 @@
     """An operator's rate for one request class, divided by demand.
 
     Attributes:
-        limit: requests in a window, of all fronts together.
-        fraction: this front's, from 0 to 1.
-        admitted: when requests were admitted in the last window, in seconds.
+        limit: number of requests that all fronts together may admit in a window.
+        demand: estimate of this front's demand.
+        fraction: fraction of the limit that this front may use, from 0 to 1.
+        admitted: times of the requests admitted in the last window, in seconds.
     """
 
     limit: float
@@ -33,7 +35,7 @@
     admitted: deque[float] = field(default_factory=deque)
 
     def try_admit(self, now: float) -> bool:
-        """Count a request; return whether this front's fraction has capacity for it."""
+        """Count a request; return whether this front's fraction of the limit has capacity for it."""
         self.demand.add()
         while self.admitted and self.admitted[0] <= now - WINDOW:
             self.admitted.popleft()
@@ -47,9 +49,10 @@
     """All limits of this front that are divided by demand.
 
     Attributes:
-        rates: by request class.
-        parents: demand at the parents.
-        parent_fraction: this front's, of what all may have in flight there; 0 before the first tick.
+        rates: operators' rates, by request class.
+        parents: estimate of this front's demand at the parents.
+        parent_fraction: fraction of the work in flight at the parents that this front may have; 0 before the
+            first tick.
     """
 
     def __init__(self, context: QuotaContext) -> None:
@@ -59,7 +62,7 @@
         self.parent_fraction = 0.0
 
     def rates_changed(self) -> None:
-        """Take over the rates of an installation file that was read anew; demand that is known stays."""
+        """Apply the rates of a reloaded installation file, and keep the current demand estimates."""
         previous = self.rates
         self.rates = {}
         for name, limit in self.context.limits.demand_rates:
@@ -67,7 +70,7 @@
             rate.limit = limit
 
     def tick(self, now: float, alive: list[str]) -> None:
-        """Publish this front's demands, and divide anew."""
+        """Publish this front's demands, and update its fractions of the limits."""
         self._divide_parents(now, alive)
         for name, rate in self.rates.items():
             rate.fraction = self._divide(f"type:{name}", rate.demand, now, alive)
@@ -88,7 +91,7 @@
             context.loop.post(ParentQuota(fraction))
 
     def status_rows(self) -> list[dict[str, object]]:
-        """Return what the admin question `limits` shows of these."""
+        """Return these limits for the admin question `limits`."""
         rows: list[dict[str, object]] = [
             {
                 "limit": f"type:{name}", "kind": "soft", "most": rate.limit, "part": round(rate.fraction, 3),
--- a/weldbend/fleet/demand_share.py
+++ b/weldbend/fleet/demand_share.py
@@ -1,26 +1,27 @@
-"""Quotas by demand: each front's fraction of a limit, as all publish their demand. No I/O.
+"""Quotas by demand: the fraction of a limit that each front may use, from the demand of all fronts. No I/O.
 
-Each front publishes each second how much it had to do. Its fraction is its demand over that of all that are
-alive in its view, itself included, and never under a floor. Where views and figures are the same the
-fractions add up to one at most, floors apart. The limit is exceeded at most by the number of sides of a
-network partition (each side counts only itself), and by what demands grew within one figure's age.
+Each front publishes its demand once a second. Its fraction is its own demand divided by the total demand of
+all fronts that are alive in its view, including itself, and has a lower bound. If all fronts have the same
+view and the same figures, the fractions add up to at most one, apart from the lower bounds. Use can exceed
+the limit in a network partition, at most by a factor equal to the number of its sides, as each side counts
+only its own fronts. It can also exceed it by the growth of demand since the figures were published.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import NamedTuple
 
-FLOOR = 0.05  # of an equal fraction: the least that a front has
-MAX_AGE = 4.0  # seconds after which a figure counts no more; its writer counts with the mean then
-SMOOTHING = 0.5  # weight of a new figure in the running mean
+FLOOR = 0.05  # lower bound of a front's fraction, as a fraction of an equal share
+MAX_AGE = 4.0  # seconds after which a figure is ignored, and its writer counts with the mean demand
+SMOOTHING = 0.5  # weight of a new sample in the running mean
 
 
 class PeerFigure(NamedTuple):
     """A figure that another front published.
 
     Attributes:
-        age: seconds since it was published.
-        figure: amount a second, for demands.
+        age: time since it was published, in seconds.
+        figure: the published number; for demands, an amount per second.
     """
 
     age: float
@@ -29,12 +30,12 @@
 
 @dataclass(slots=True)
 class DemandEstimate:
-    """How much this front has to do in a second: a running mean, so that fractions do not leap.
+    """Running mean of this front's demand, which keeps its fractions from changing abruptly.
 
     Attributes:
-        mean: amount a second.
-        pending: amount since `updated_at`.
-        updated_at: seconds; None before the first update.
+        mean: mean amount per second.
+        pending: amount since the last update.
+        updated_at: time of the last update, in seconds; None before the first one.
     """
 
     mean: float = 0.0
@@ -42,11 +43,11 @@
     updated_at: float | None = None
 
     def add(self, amount: float = 1.0) -> None:
-        """Count an amount that has just come."""
+        """Add an amount that has just arrived."""
         self.pending += amount
 
     def update(self, now: float) -> float:
-        """Take what has come since the last update into the mean, and return the mean."""
+        """Add the amount since the last update to the mean, and return the mean."""
         if self.updated_at is None or now <= self.updated_at:
             self.updated_at = now
             return self.mean
@@ -60,10 +61,10 @@
 def demand_fraction(
     name: str, own_demand: float, peer_demands: Mapping[str, PeerFigure], alive: Iterable[str]
 ) -> float:
-    """Return the fraction, from 0 to 1, of a limit that the front `name` has by its demand.
+    """Return the fraction of a limit, from 0 to 1, that the front `name` may use by its demand.
 
-    A front that is alive and published nothing lately counts with the mean of the others: it may just have
-    started.
+    A front that is alive but has published no figure within `MAX_AGE` counts with the mean demand of the
+    others, because it may have just started.
     """
     others = [front for front in alive if front != name]
     known_demands = {
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -1,4 +1,4 @@
-"""Ejections of caches, and starts that no list names, handed to the routing decisions. No I/O."""
+"""Ejections and unlisted starts of caches, passed on to the routing decisions. No I/O."""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -19,11 +19,13 @@
 
 
 class EjectionService:
-    """Runs the outlier detector of this front and hands its results to the decisions.
+    """Runs the outlier detector of this front and passes its results to the routing decisions.
 
     Attributes:
-        updates: what the decisions were told of caches that may not have all of their work, by number.
-        broken_at: when this front's connections to a cache broke, as published; seconds, by uid.
+        context: context shared by all limits and ejections.
+        detector: outlier detector of this front.
+        updates: last update sent for each cache that may not have its full load, by the cache's number.
+        broken_at: published times at which this front lost its connections to a cache, in seconds, by uid.
     """
 
     def __init__(self, context: QuotaContext) -> None:
@@ -35,7 +37,7 @@
     def update_ejections(
         self, now: float, reports: Mapping[str, list[HealthReport]], alive: Iterable[str]
     ) -> None:
-        """Judge all caches by the health reports of all fronts, by cache."""
+        """Update the ejections of all caches from the health reports of all fronts, given by cache."""
         names = self.context.loop.names
         caches = self.context.loop.router.caches
         uids = names.uids
@@ -63,13 +65,13 @@
         logger.bind(
             cache=uid, state=change.after.name, reporters=record.reporters, zone=record.zone
         ).info(
-            "fleet: ejection state of {}: {} after {}, reported by {}{}",
+            "fleet: ejection state of {} is now {} (was {}), reported as failing by {}{}",
             uid, change.after.name, change.before.name, ", ".join(record.reporters) or "nobody",
             f", in zone {record.zone}" if record.zone else "",
         )  # fmt: skip
 
     def find_unlisted_starts(self, now: float) -> None:
-        """Publish caches that broke off, and take what two fronts have seen for a start."""
+        """Publish lost connections to caches, and treat those that two fronts report as a start."""
         self._publish_breaks(now)
         breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_at.items()]
         breaks += [
@@ -99,7 +101,7 @@
         return update.admitted_fraction if update else 1.0
 
     def status_rows(self, now: float) -> list[dict[str, object]]:
-        """Return what the admin question `verdicts` shows of caches."""
+        """Return the ejected caches for the admin question `verdicts`."""
         numbers = self.context.loop.names.numbers
         return [
             {
--- a/weldbend/fleet/execution_exchange.py
+++ b/weldbend/fleet/execution_exchange.py
@@ -1,4 +1,4 @@
-"""Requests with an idempotency key that may have been executed by way of another front."""
+"""Exchange of attempts at requests with an idempotency key that another front may have executed."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -16,7 +16,7 @@
 
 
 class ExecutionExchange:
-    """Publishes attempts of this front, and binds requests to the group that may have executed them."""
+    """Publishes this front's attempts, and restricts requests to the group that may have executed them."""
 
     def __init__(self, dispatcher: "Dispatcher", fleet: Fleet, counts: Counter[str]) -> None:
         self.dispatcher = dispatcher
@@ -31,7 +31,7 @@
         self.unknown_attempts = idempotency.UnknownAttempts(max(windows, default=0.0))
 
     def publish_attempt(self, class_name: str, idempotency_key: str, cache: int) -> None:
-        """An attempt of a deduplicated request goes out: others learn of it before its bytes leave."""
+        """Publish an attempt of a deduplicated request; must be called before its bytes are sent."""
         request_class = self.dispatcher.site.settings.classes[class_name]
         destination = self.dispatcher.router.caches.get(cache)
         if request_class.idempotency is Idempotency.DEDUPLICATED and destination:
@@ -43,7 +43,7 @@
     def possible_executions(
         self, class_name: str, idempotency_key: str, is_retry: bool
     ) -> tuple[PossibleExecution, ...]:
-        """Earlier attempts of a deduplicated request, by any front, that may have been executed."""
+        """Return attempts of a deduplicated request, by any front, that may have been executed."""
         request_class = self.dispatcher.site.settings.classes[class_name]
         now = self.fleet.timers.now()
         if request_class.idempotency is not Idempotency.DEDUPLICATED:
@@ -68,7 +68,7 @@
         )
 
     def apply(self, change: Change) -> None:
-        """Bind open requests to what another front has just published."""
+        """Apply an attempt that another front has just published to the open requests with its key."""
         now = self.fleet.timers.now()
         item = self.fleet.store.items[FIRST_ATTEMPT, change.key]
         for request in self.dispatcher.requests.by_client_id.values():
--- a/weldbend/fleet/health_exchange.py
+++ b/weldbend/fleet/health_exchange.py
@@ -1,4 +1,4 @@
-"""Health reports on caches: published from this front's attempts, and aggregated from those of peers."""
+"""Exchange of health reports on caches: publishes this front's reports and aggregates those of peers."""
 
 from collections import defaultdict
 from collections.abc import Set
@@ -16,27 +16,33 @@
 
 
 Reports = dict[str, list[HealthReport]]
-"""Reports of fronts by the name of the cache."""
+"""Reports of fronts, by the name of the cache."""
 
 
 class HealthExchange:
-    """Publishes this front's records of caches, and tells the decisions what those of peers amount to."""
+    """Publishes this front's health reports, and passes the aggregate of its peers' reports to the routing.
+
+    Attributes:
+        dispatcher: dispatcher of the routing decisions.
+        fleet: the fleet as this front sees it.
+        reporter: selects the reports to publish.
+        number: number of the last report that this process has published.
+        posted: last aggregate passed to the routing for each cache with failures, by the cache's number.
+    """
 
     def __init__(self, dispatcher: "Dispatcher", fleet: Fleet) -> None:
         self.dispatcher = dispatcher
         self.fleet = fleet
         self.reporter = HealthReporter()
-        self.number = 0  # of what this process has published
-        self.posted: dict[
-            int, Outcomes
-        ] = {}  # what the decisions go by, by cache; none where there are no failures
+        self.number = 0
+        self.posted: dict[int, Outcomes] = {}
 
     def tick(self, now: float, recovering: Set[str]) -> Reports:
-        """Publish and aggregate; returns the reports of all fronts, this one included.
+        """Publish and aggregate reports, and return the reports of all fronts including this one.
 
         Args:
-            now: seconds.
-            recovering: caches on which this front reports also where all its attempts end well.
+            now: time of the steady clock in seconds.
+            recovering: caches on which this front reports even if all its attempts succeed.
         """
         reports = self._peer_reports(now)
         self._publish(now, {*reports, *recovering})
@@ -44,7 +50,7 @@
         return self._with_own(now, reports, recovering)
 
     def _peer_reports(self, now: float) -> Reports:
-        """What other members report of each cache now."""
+        """Return the current reports of other members, by cache."""
         records: dict[str, dict[str, tuple[float, Outcomes]]] = defaultdict(dict)
         for (kind, key), item in self.fleet.store.items.items():
             if kind == HEALTH_REPORT and now - item.written_at < health_reports.REPORT_SPAN:
@@ -78,7 +84,7 @@
             self.fleet.publish(HEALTH_REPORT, key, self.fleet.store.epoch, self.number, *record)
 
     def _post(self, reports: Reports) -> None:
-        """Tell the decisions what peers' reports on each cache amount to, where that has changed."""
+        """Pass the aggregate of the peers' reports on each cache to the routing if it has changed."""
         numbers = self.dispatcher.names.numbers
         aggregated = {
             numbers[uid]: health_reports.combine(by_front)
@@ -93,7 +99,7 @@
         self.posted = failing
 
     def _with_own(self, now: float, reports: Reports, recovering: Set[str]) -> Reports:
-        """The same with this front's own reports: an ejection goes by those of all."""
+        """Return the reports together with this front's own: ejections are based on those of all fronts."""
         uids = self.dispatcher.names.uids
         records = health_counts(self.dispatcher.router, now)
         total = (
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -1,36 +1,37 @@
-"""Health reports on caches: what a front publishes of its attempts, and how others weigh it. No I/O.
-
-Each front publishes how its attempts at a cache ended in the last seconds, as long as some failed, and how it
-fares with all caches together. Who reads a report weighs it by its age, by where its writer stands, and by
-how well the writer fares with all other caches: one whose own network is faulty has failures everywhere. The
-heaviest accuser is left out, so no front alone, wrong or lying, makes another suspect a cache; and no writer
-counts for more than `MAX_ANSWERS` answers, however many it claims.
+"""Health reports on caches: what a front publishes about its attempts, and the weight of a report. No I/O.
+
+Each front publishes how its recent attempts at a cache ended, as long as some of them failed, and the same
+for all caches together. The reader weights a report by its age, by the zone of its writer, and by the
+writer's success with all other caches, because a front whose own network is faulty has failures everywhere.
+The report with the most weighted failures is ignored, so that a single front with wrong or forged reports
+cannot make another one suspect a cache. No report counts for more than `MAX_ANSWERS` answers, whatever it
+claims.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-REPORT_SPAN = 10.0  # seconds that a report covers; an older one counts for nothing
-REPEAT_INTERVAL = 3.0  # seconds after which the same is published again
-WATCHED_INTERVAL = 0.9  # the same, for caches that others accuse
-MAX_ANSWERS = 4.0  # that one writer's report counts for at most
-OTHER_ZONE_WEIGHT = 0.5  # of the report of a front in another zone: its network path is another
-MIN_FAILED = 0.5  # failed answers below which nothing is suspected
-MAX_REPORTS = 32  # published at once; the worst first
-ALL_CACHES = "*"  # stands for all caches together
-MIN_CHANGE = 1.0  # in failed answers, that is published at once
-MIN_CHANGE_FRACTION = 0.2  # the same, of the failed answers published before
-
-Outcomes = tuple[float, float]  # answers: good ones and failed ones
+REPORT_SPAN = 10.0  # seconds after which a report has no weight
+REPEAT_INTERVAL = 3.0  # seconds after which an unchanged report is published again
+WATCHED_INTERVAL = 0.9  # the same for caches that peers report on, or that recover
+MAX_ANSWERS = 4.0  # for which a single report counts at most
+OTHER_ZONE_WEIGHT = 0.5  # of a report from another zone, whose network path to the cache differs
+MIN_FAILED = 0.5  # weighted failed answers below which a cache is not suspected
+MAX_REPORTS = 32  # published at a time, those with the most failures first
+ALL_CACHES = "*"  # key of the report on all caches together
+MIN_CHANGE = 1.0  # change in failed answers that is published at once
+MIN_CHANGE_FRACTION = 0.2  # the same, as a fraction of the failed answers published last
+
+Outcomes = tuple[float, float]  # numbers of successful and of failed answers
 NO_OUTCOMES: Outcomes = (0.0, 0.0)
 
 
 @dataclass(slots=True)
 class HealthReporter:
-    """Decides what this front publishes of its own attempts.
+    """Selects the reports that this front publishes about its own attempts.
 
     Attributes:
-        published: of each cache, when it was published last, in seconds, and what.
+        published: time in seconds and content of the last report on each cache.
     """
 
     published: dict[str, tuple[float, Outcomes]] = field(default_factory=dict)
@@ -38,10 +39,10 @@
     def due_reports(
         self, now: float, outcomes: Mapping[str, Outcomes], watched: Iterable[str] = ()
     ) -> list[tuple[str, Outcomes]]:
-        """Return what to publish now, of caches and of all together (`ALL_CACHES`).
+        """Return the reports to publish now, on single caches and on all together (`ALL_CACHES`).
 
-        That is nothing while all attempts end well, unless others accuse a cache (`watched`): of these also
-        a front that fares well reports.
+        There are none while all attempts succeed, except on caches that must be reported in any case
+        (`watched`), because peers report on them.
         """
         rounded = {uid: (round(good, 1), round(failed, 1)) for uid, (good, failed) in outcomes.items()}
         watched = set(watched)
@@ -81,14 +82,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReport:
-    """What one front reports of one cache.
+    """Report of one front on one cache.
 
     Attributes:
-        writer: the front.
-        is_same_zone: whether it stands in the reader's zone.
-        age: seconds since it was published.
-        outcomes: of its attempts at the cache.
-        total: of its attempts at all caches together.
+        writer: name of the front that published the report.
+        is_same_zone: whether that front is in the reader's zone.
+        age: time since the report was published, in seconds.
+        outcomes: outcomes of the front's attempts at the cache.
+        total: outcomes of its attempts at all caches together.
     """
 
     writer: str
@@ -99,7 +100,7 @@
 
 
 def reliability(report: HealthReport) -> float:
-    """Return how well its writer fares with all other caches, from 0 to 1."""
+    """Return the reliability of a report, from 0 to 1: its writer's success with all other caches."""
     good, failed = (
         max(total - at_cache, 0.0) for total, at_cache in zip(report.total, report.outcomes, strict=True)
     )
@@ -107,7 +108,7 @@
 
 
 def weight(report: HealthReport) -> float:
-    """Return how far a report counts, from 0 to 1."""
+    """Return the weight of a report, from 0 to 1."""
     freshness = max(1 - report.age / REPORT_SPAN, 0.0)
     answers = sum(report.outcomes)
     distance = 1.0 if report.is_same_zone else OTHER_ZONE_WEIGHT
@@ -115,7 +116,7 @@
 
 
 def combine(reports: Iterable[HealthReport]) -> Outcomes:
-    """Return the answers that all reports on one cache amount to, the heaviest accuser left out."""
+    """Return the weighted sum of all reports on one cache, without the one with the most failures."""
     weighted = [
         (report_weight * report.outcomes[1], report_weight * report.outcomes[0])
         for report in reports
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -1,15 +1,15 @@
-"""Requests with an idempotency key that another front may have executed, and what that binds. No I/O.
-
-The client of a front that died sends its request to another one again, under the same idempotency key. That
-front keeps to the rule for such requests as if it had sent the first attempt itself: it retries only in the
-group of caches that drops the repeat, and only within the deduplication window.
-
-What a front cannot know: an attempt that left in the last moments before its front died, was partitioned or
-fell silent. Where repeats are dropped by all caches that changes nothing within the window, past which no
-client sends again. Where only a zone or a cell drops them, a marked repeat counts as possibly executed
-anywhere, as long as this front has not caught up, or somebody's connection was lost or somebody fell silent
-so lately that an attempt of theirs may still be in its window (`UnknownAttempts`). Beyond that a partition
-that lasts is not covered: what its other side sends is not known here.
+"""Requests with an idempotency key that another front may have executed, and the resulting limits. No I/O.
+
+When a front dies, its client sends the request again to another front with the same idempotency key. That
+front follows the rule for such requests as if it had sent the first attempt itself: it retries only in the
+group of caches that drops duplicates of that attempt, and only within the deduplication window.
+
+A front cannot know of an attempt that another front sent just before it died, was partitioned or stopped
+responding. If all caches drop duplicates, this makes no difference within the window, and clients do not
+retry after it. If only a zone or a cell drops them, a request that is marked as a retry counts as possibly
+executed anywhere while this front has not caught up, or while an unknown attempt may still be in its window
+because the connection to a front was lost or a front stopped responding (`UnknownAttempts`). A longer
+partition is not covered: attempts from its other side are not known here.
 """
 
 import math
@@ -21,13 +21,13 @@
 from weldbend.routing.events import PossibleExecution
 from weldbend.routing.settings import DeduplicationScope
 
-MAX_CLOCK_ERROR = 10.0  # seconds by which another's clock may be wrong before its moment is ignored
+MAX_CLOCK_ERROR = 10.0  # seconds; a timestamp by a clock with a greater error is ignored
 ZONE_PREFIX = "z:"
 CELL_PREFIX = "c:"
 
 
 def deduplication_group(scope: DeduplicationScope, zone: str, cell: int) -> str:
-    """Return the caches that drop a repeat of what one of them has executed, as it is published."""
+    """Return the published name of the caches that drop duplicates of an attempt sent to one of them."""
     groups = {
         DeduplicationScope.ZONE: f"{ZONE_PREFIX}{zone}",
         DeduplicationScope.CELL: f"{CELL_PREFIX}{cell}",
@@ -36,17 +36,17 @@
 
 
 def possible_execution(value: Value, written_at: float, now: float, unix: float) -> PossibleExecution:
-    """Return what an item `keyed` binds.
+    """Return the possible execution that a replicated item of kind `keyed` records.
 
-    The first attempt is dated by its writer's Unix clock, and at most by when the item was first written: no
-    clock makes the window longer. One that is wrong by less than `MAX_CLOCK_ERROR` may make it shorter by as
-    much, which is the strict side.
+    The first attempt is dated by its writer's Unix clock, but no later than the first write of the item, so
+    no clock error makes the window longer. A clock that is wrong by less than `MAX_CLOCK_ERROR` can make the
+    window shorter by its error, which is the safe direction.
 
     Args:
-        value: of the item: the group, and the Unix milliseconds of the first attempt.
-        written_at: when it was written first, in this front's time.
-        now: seconds of the steady clock.
-        unix: the same moment by the Unix clock.
+        value: value of the item: the group, and the Unix time of the first attempt in milliseconds.
+        written_at: time when the item was first written, by this front's steady clock.
+        now: time of the steady clock in seconds.
+        unix: Unix time of the same moment in seconds.
     """
     group = str(value[0])
     first = int(value[1]) / 1000
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownAttempts:
-    """Whether there may be attempts of which this front does not know.
+    """Check for attempts by other fronts that this front may not know of.
 
     Attributes:
-        window: seconds: the longest deduplication window of any request class.
+        window: longest deduplication window of any request class, in seconds.
     """
 
     window: float
@@ -73,15 +73,16 @@
     def may_exist(
         self, is_caught_up: bool, lost: Mapping[str, float], members: Iterable[Member], now: float
     ) -> bool:
-        """Whether an attempt of another front may be in its window unknown to this one.
+        """Return whether an unknown attempt of another front may still be in its deduplication window.
 
-        Guards against a second execution in another group. Harm: a marked repeat fails for some seconds.
+        Guards against a second execution in another group of caches. Side effect: retries of such requests
+        fail for some seconds.
 
         Args:
-            is_caught_up: whether this front's replica is.
-            lost: when the connection to each peer was lost last.
+            is_caught_up: whether this front's replica has caught up with its peers.
+            lost: time when the connection to each peer was last lost, in seconds.
             members: other fronts as this one sees them.
-            now: seconds.
+            now: time of the steady clock in seconds.
         """
         if not is_caught_up or any(now - lost_at < self.window for lost_at in lost.values()):
             return True
--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -1,19 +1,24 @@
-"""One front's ledger of one strict limit that fronts share by leases. No I/O.
+"""Ledger that one front keeps of one strict limit, which the fronts share by leases. No I/O.
 
-A limit is cut into equal parts. Each member owns some, spends from what it holds, and grants leases on what
-it does not need for a term. What all may spend in any window never exceeds the limit, whatever network
-partitions, crashes, frozen processes and clocks within their drift do, because four things hold here, each by
+A limit is divided into equal parts. Each member owns some parts, spends from the parts that it holds, and
+grants leases on parts that it does not need for the length of a lease term. The total that all members can
+spend in any window never exceeds the limit, even with network partitions, crashes, frozen processes and
+clocks that run too fast or too slow within the allowed drift. Each front guarantees four invariants by
 itself:
 
-1. What is granted is out before the grant leaves, until the lease has surely ended and a window has passed.
-2. Nothing is granted that the own spending of the last window needs.
-3. A lease ends, for its borrower, at the latest when it has for its lender: its term counts from the request.
-4. A start that cannot know what it granted before holds nothing of its own for a term and a window.
-
-Then, at any moment t: what a front spent in the window up to t was covered, at its last spending s, by what
-it retained and by leases that had not ended at s, and their lenders count those as out until after
-s + window > t. What is retained never falls below the own spending (2). So the sum is at most the sum of
-what is owned: the whole limit.
+1. The lender counts granted parts as out before it sends the grant, and until the lease has certainly ended
+   and a further window has passed.
+2. The lender grants no parts that its own spending in the last window needs.
+3. A lease ends for its borrower no later than for its lender, because the borrower counts the term from the
+   moment when it sent the request.
+4. A front that has restarted, and cannot know what it granted before, holds no parts of its own for a term
+   and a window.
+
+Proof for any moment t: let s be the moment of a front's last spending in the window up to t. The spending of
+that window was covered at s by the parts that the front retained and by leases that had not ended at s. The
+lenders of those leases count them as out until after s + window > t. The retained parts never fall below the
+front's own spending (2). The total spending is therefore at most the sum of all owned parts, which is the
+whole limit.
 """
 
 from collections.abc import Iterable, Iterator
@@ -21,19 +26,19 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-PARTS_PER_LIMIT = 1200  # of each limit
-MAX_GRANTED_LEASES = 512  # granted leases of one limit at a time
+PARTS_PER_LIMIT = 1200
+MAX_GRANTED_LEASES = 512  # of one limit at the same time
 
 
 def owned_parts(limit: str, names: Iterable[str], attempts: float) -> dict[str, int]:
-    """Return how many parts each named member owns, by an order that all compute alike.
+    """Return how many parts of a limit each member owns; all fronts compute the same result.
 
     Args:
-        limit: its name.
-        names: the members that own it together.
-        attempts: for how many attempts in a window the limit has capacity. No more members own a part of it
-            than that, so that what one owns is worth something by itself, and what one lacks comes from one
-            lender.
+        limit: name of the limit.
+        names: names of the members that share the limit.
+        attempts: number of attempts in a window for which the limit has capacity. At most that many members
+            own parts of it: each owner then has enough parts for an attempt of its own, and another member
+            can get the parts for one attempt from a single lender.
     """
     order = sorted(set(names), key=lambda name: blake2b(f"{limit} {name}".encode(), digest_size=8).digest())
     owners = min(len(order), max(int(attempts), 1))
@@ -43,11 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimes:
-    """The times of one limit, in seconds.
+    """Durations of one limit, in seconds.
 
     Attributes:
-        term: of a lease.
-        window: in which the limit holds.
+        term: duration of a lease.
+        window: length of the window in which spending must not exceed the limit.
         drift: fraction by which any steady clock may run too fast or too slow.
     """
 
@@ -57,33 +62,33 @@
 
     @property
     def borrower_term(self) -> float:
-        """The term as its borrower counts it, from when it sent its request."""
+        """The lease term by the borrower's clock, counted from when it sent the request."""
         return self.term * (1 - 2 * self.drift)
 
     @property
     def safe_window(self) -> float:
-        """A window that is not shorter than by any other front's clock."""
+        """A duration by this front's clock that is at least a window by any other front's clock."""
         return self.window * (1 + 2 * self.drift)
 
     @property
     def spending_window(self) -> float:
-        """A window as the spender counts it, by a clock that may be too fast."""
+        """The window by the spender's clock, lengthened because that clock may be too fast."""
         return self.window * (1 + self.drift)
 
     @property
     def recovery(self) -> float:
-        """For how long a start that knows nothing holds nothing of its own."""
+        """The time after a restart during which a front holds no parts of its own."""
         return self.term * (1 + 2 * self.drift) + self.safe_window
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequestId:
-    """One request of one run of a front.
+    """Identifier of one lease request of one front.
 
     Attributes:
-        name: the front's.
-        epoch: of the run.
-        number: of the request; they only rise.
+        name: name of the front that sent the request, the borrower.
+        epoch: epoch of the process that sent it.
+        number: number of the request; it increases with each request of that process.
     """
 
     name: str
@@ -93,13 +98,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease, at its lender or at its borrower.
+    """A lease, as its lender or its borrower records it.
 
     Attributes:
-        parts: of the limit.
-        end: seconds; at the lender when it counts as its own again, at the borrower when it is spent no more.
-        number: of the request, at the borrower; 0 at the lender.
-        is_ending: at the lender: it is not renewed any more, and only its end is waited for.
+        parts: number of leased parts.
+        end: end of the lease, in seconds. From then on the lender counts the parts as its own again, and the
+            borrower does not spend from them any more.
+        number: number of the request in the borrower's record; 0 in the lender's.
+        is_ending: whether the lease cannot be renewed any more; set in the lender's record only.
     """
 
     parts: int
@@ -110,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRequest:
-    """A request for a lease that has no answer yet, sent at `sent_at` seconds for `parts` in all."""
+    """A request for a lease of `parts` in total, sent at `sent_at` seconds and not answered yet."""
 
     number: int
     parts: int
@@ -119,13 +125,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """What a lender answers to a request.
+    """A lender's answer to a request.
 
     Attributes:
-        epoch: of the borrower that requested it.
-        number: of the request.
-        parts: granted in all; 0 for a refusal.
-        spare: how many more it could grant: a hint.
+        epoch: epoch of the borrower that sent the request.
+        number: number of the request.
+        parts: total number of granted parts; 0 for a refusal.
+        spare: number of further parts that the lender could grant; only a hint.
     """
 
     epoch: int
@@ -135,7 +141,14 @@
 
 
 class LeaseRow(NamedTuple):
-    """A lease as the admin port shows it: `way` is "out" or "in", `end` in seconds."""
+    """A lease as the admin port shows it.
+
+    Attributes:
+        way: "out" for a granted lease, "in" for one that is leased from another front.
+        front: name of the other front.
+        parts: number of leased parts.
+        end: end of the lease, in seconds.
+    """
 
     way: str
     front: str
@@ -144,23 +157,25 @@
 
 
 class LeaseLedger:
-    """One front's ledger of one limit.
+    """Ledger that one front keeps of one limit.
 
-    From each lender there is one lease at most, and one pending request. A request is for all that is wanted
-    from that lender; what it brings replaces what was leased, and voids every request before it.
+    A front has at most one lease and one pending request with each lender. A request asks for the total
+    number of parts wanted from that lender: its grant replaces the current lease, and it voids all earlier
+    requests to that lender.
 
-    In all methods `now` is seconds of the own steady clock, and `used` what the front has spent in the last
-    window by that clock, in parts.
+    In all methods `now` is the time of this front's steady clock in seconds, and `used` the number of parts
+    that the front has spent in the last window by that clock.
 
     Attributes:
-        own: parts that this front owns.
-        times: of the limit.
-        epoch: of this run.
-        recovering_until: before it, nothing of its own is held (4).
-        last_number: of the requests sent.
-        granted: leases to others.
-        leased: leases from others, by lender.
-        pending: requests without an answer, by lender.
+        own: number of parts that this front owns.
+        times: durations of the limit.
+        epoch: epoch of this process.
+        recovering_until: end of the recovery after a restart, in seconds; until then the front holds no parts
+            of its own (invariant 4).
+        last_number: number of the last request sent.
+        granted: leases granted to other fronts.
+        leased: leases from other fronts, by lender.
+        pending: unanswered requests, by lender.
     """
 
     __slots__ = (
@@ -180,31 +195,31 @@
     # Balance.
 
     def retained(self, now: float) -> int:
-        """Parts of its own that are not granted: held without any end."""
+        """Return the number of own parts that are not granted, and that the front holds without a lease."""
         if now < self.recovering_until:
             return 0
         return self.own - self.granted_parts(now)
 
     def granted_parts(self, now: float) -> int:
-        """Parts that are out."""
+        """Return the number of parts that are granted to other fronts."""
         return sum(lease.parts for lease in self.granted.values() if lease.end > now)
 
     def leased_parts(self, now: float) -> int:
-        """Parts that are leased from others."""
+        """Return the number of parts that are leased from other fronts."""
         return sum(lease.parts for lease in self.leased.values() if lease.end > now)
 
     def available(self, now: float) -> int:
-        """Parts that may be spent in the window up to now."""
+        """Return the number of parts that this front may spend in the window up to now."""
         return self.retained(now) + self.leased_parts(now)
 
     def earliest_lease_end(self, now: float) -> float:
-        """When the first lease from others ends; infinity where there is none."""
+        """Return when the first lease from another front ends; infinity without any lease."""
         return min((lease.end for lease in self.leased.values() if lease.end > now), default=float("inf"))
 
     # As a lender.
 
     def renewable_parts(self, now: float, name: str, epoch: int) -> int:
-        """Parts that are out to one run of a front, and go on being out if it requests them again."""
+        """Return the number of parts granted to one process of a front that it can renew."""
         leases = (
             lease
             for request_id, lease in self.granted.items()
@@ -213,14 +228,14 @@
         return sum(lease.parts for lease in leases if lease.end > now and not lease.is_ending)
 
     def returning_parts(self, now: float) -> int:
-        """Parts that are out and come back by themselves."""
+        """Return the number of granted parts that return without a release, as they cannot be renewed."""
         return sum(lease.parts for lease in self.granted.values() if lease.end > now and lease.is_ending)
 
     def grant(self, now: float, request_id: LeaseRequestId, parts: int, used: float) -> Grant:
-        """Grant up to so many parts, in place of all that this borrower has.
+        """Grant up to `parts` parts, in place of all current leases of this borrower.
 
-        The same request gets the same answer. What the borrower had beyond the new grant stays out until it
-        would have ended: the answer may never arrive.
+        A repeated request gets the same answer. Parts that the borrower had beyond the new grant count as out
+        until their lease would have ended, because the answer may never arrive.
         """
         self.discard_ended(now)
         if request_id in self.granted:
@@ -230,7 +245,7 @@
             earlier: lease for earlier, lease in self.granted.items() if (earlier.name, earlier.epoch) == run
         }
         if any(earlier.number > request_id.number for earlier in earlier_leases):
-            return Grant(request_id.epoch, request_id.number, 0)  # late: a later request was granted
+            return Grant(request_id.epoch, request_id.number, 0)  # out of order: a later request was granted
         already_granted = sum(lease.parts for lease in earlier_leases.values())
         retained = self.retained(now)
         granted = max(min(parts, already_granted + int(retained - used)), 0)
@@ -241,10 +256,10 @@
         return Grant(request_id.epoch, request_id.number, granted, max(int(self.retained(now) - used), 0))
 
     def _replace(self, earlier_leases: dict[LeaseRequestId, Lease], granted: int) -> None:
-        """Keep out what a borrower may spend of its earlier leases beyond the new grant."""
+        """Keep as granted the parts of earlier leases that the borrower may spend beyond the new grant."""
         for request_id in earlier_leases:
             del self.granted[request_id]
-        later_parts = 0  # parts of those that end later
+        later_parts = 0  # total parts of the leases that end later
         for request_id, lease in sorted(earlier_leases.items(), key=lambda entry: entry[1].end, reverse=True):
             remaining_parts = max(later_parts + lease.parts - granted, 0) - max(later_parts - granted, 0)
             later_parts += lease.parts
@@ -252,12 +267,14 @@
                 self.granted[request_id] = Lease(remaining_parts, lease.end, is_ending=True)
 
     def accept_release(self, now: float, request_id: LeaseRequestId, unspent: bool) -> None:
-        """A borrower spends no more of a lease: what it has spent counts for a window yet.
+        """Take back a lease that its borrower has released.
+
+        The parts count as out for one more window, because the borrower may have spent them just before.
 
         Args:
-            now: seconds.
-            request_id: the request that brought the lease.
-            unspent: whether it had spent nothing at all in the window before, so that nothing is waited for.
+            now: time of the steady clock in seconds.
+            request_id: identifier of the request that brought the lease.
+            unspent: whether the borrower spent nothing in the last window; the parts then return at once.
         """
         lease = self.granted.get(request_id)
         if lease and unspent:
@@ -269,13 +286,17 @@
     # As a borrower.
 
     def request(self, now: float, lender: str, parts: int) -> int:
-        """Return the number under which to request so many parts in all from a lender."""
+        """Record a new request for `parts` parts in total from a lender, and return its number."""
         self.last_number += 1
         self.pending[lender] = PendingRequest(self.last_number, parts, now)
         return self.last_number
 
     def accept_grant(self, now: float, lender: str, grant: Grant) -> bool:
-        """Take an answer to a request; False for one not requested by this run, or that ended on its way."""
+        """Record a lender's answer, and return whether it brought a lease.
+
+        It brings none if it is a refusal, if this process has no such request pending, or if the lease ended
+        before its answer arrived.
+        """
         request = self.pending.get(lender)
         if request is None or (grant.epoch, grant.number) != (self.epoch, request.number):
             return False
@@ -287,7 +308,7 @@
         return True
 
     def release(self, now: float, lender: str) -> int:
-        """Spend no more of a lease; return its number, for its lender, or 0 where there was none."""
+        """Stop spending from a lease; return the number of its request, or 0 without a current lease."""
         self.pending.pop(lender, None)
         lease = self.leased.pop(lender, None)
         return lease.number if lease and lease.end > now else 0
@@ -295,7 +316,7 @@
     # Time.
 
     def discard_ended(self, now: float) -> None:
-        """Drop what has ended: no balance changes by it."""
+        """Drop leases and requests that have ended; this changes no balance."""
         for request_id in [one for one, lease in self.granted.items() if lease.end <= now]:
             del self.granted[request_id]
         for lender in [lender for lender, lease in self.leased.items() if lease.end <= now]:
@@ -305,11 +326,11 @@
             del self.pending[lender]
 
     def resize(self, own: int) -> None:
-        """Own so many parts from now on; what is granted stays out, and may exceed it."""
+        """Set the number of owned parts; granted parts stay out, even beyond the new number."""
         self.own = own
 
     def lease_rows(self) -> Iterator[LeaseRow]:
-        """Yield all leases, for the admin port."""
+        """Yield all leases for the admin port."""
         for request_id, lease in self.granted.items():
             yield LeaseRow("out", request_id.name, lease.parts, lease.end)
         for lender, lease in self.leased.items():
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -1,7 +1,7 @@
-"""What a front requests of one limit, reserves, grants and releases. No I/O.
+"""Policy by which a front requests, reserves, grants and releases leases of one limit. No I/O.
 
-Safety is the ledger's (`lease_ledger`): whatever is chosen here, no strict limit is exceeded. What is chosen
-here is how much of a limit lies idle. All amounts are parts of the limit.
+The ledger (`lease_ledger`) ensures that no strict limit is exceeded, regardless of the choices made here. The
+policy only affects how much of a limit stays unused. All amounts are parts of the limit.
 """
 
 import math
@@ -13,16 +13,16 @@
 from weldbend.fleet.rendezvous import rank
 from weldbend.routing.random_source import RandomSource
 
-MAX_LENDERS = 4  # to which requests go at a time
-MAX_LENDERS_WHEN_GATHERING = 64  # the same, where parts of one attempt are still to be gathered
-ANSWER_TIMEOUT = 0.45  # seconds for which an answer is waited for
-GATHERING_TIMEOUT = 1.2  # seconds after which what has been gathered, less than an attempt, is released
-GATHERING_STAGGER = 0.02  # seconds by which each waits for the front before it to send its requests
-DEMAND_MARGIN = 1.2  # factor on a demand of many attempts: it grows while answers are on their way
-MARGIN_MIN_ATTEMPTS = 4.0
-RESERVED_PERIODS = 5.0  # terms and windows for which one attempt is reserved after a demand
-PEAK_PERIODS = 2.0  # terms and windows for which an own demand keeps parts from being granted
-ROUNDING_TOLERANCE = 1e-9  # parts that are lost to floating point
+MAX_LENDERS = 4  # that are sent requests at the same time
+MAX_LENDERS_WHEN_GATHERING = 64  # the same while this front holds fewer parts than one attempt takes
+ANSWER_TIMEOUT = 0.45  # seconds
+GATHERING_TIMEOUT = 1.2  # seconds after which gathered parts are released if they are less than one attempt
+GATHERING_STAGGER = 0.02  # seconds between the first requests of successive fronts in a time slot
+DEMAND_MARGIN = 1.2  # factor on a high demand, which may grow until the answers arrive
+MARGIN_MIN_ATTEMPTS = 4.0  # demand, in attempts of a window, above which the margin is added
+RESERVED_PERIODS = 5.0  # periods (a term and a window) for which one attempt stays reserved after a demand
+PEAK_PERIODS = 2.0  # periods for which this front's own peak demand is not granted to others
+ROUNDING_TOLERANCE = 1e-9  # parts; allows for floating-point rounding
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,9 +30,9 @@
     """A sample of the use of a limit, in parts.
 
     Attributes:
-        used: spent in the last window.
-        wanted: what a window would take as things go.
-        attempt_cost: parts that one attempt takes.
+        used: number of parts spent in the last window.
+        wanted: number of parts that the current demand would spend in a window.
+        attempt_cost: number of parts that one attempt takes.
     """
 
     used: float
@@ -42,11 +42,13 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeSlot:
-    """Slots of time by the Unix clock, for precedence. Only how much lies idle goes by them.
+    """A slot of time by the Unix clock, which decides precedence between fronts.
+
+    A wrong Unix clock only affects how many parts stay unused, not whether the limit holds.
 
     Attributes:
-        number: of the slot.
-        elapsed: seconds since it began.
+        number: number of the slot.
+        elapsed: time since the slot began, in seconds.
     """
 
     number: int
@@ -54,7 +56,7 @@
 
 
 def time_slot_at(unix: float, times: LeaseTimes) -> TimeSlot:
-    """Return the slot of a Unix second: in one slot parts are gathered, used, and have come back."""
+    """Return the time slot of a Unix time; a slot is long enough to gather parts, use and return them."""
     duration = 2 * times.term + times.window
     number = int(unix / duration)
     return TimeSlot(number, unix - number * duration)
@@ -62,12 +64,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRequest:
-    """A borrower's request, as its lender judges it.
+    """A borrower's request, as the lender's policy evaluates it.
 
     Attributes:
-        borrower: the front's name.
-        parts: requested in all.
-        already_leased: parts that it has on lease already.
+        borrower: name of the front that sent the request.
+        parts: total number of requested parts.
+        already_leased: number of parts that it already leases from this lender.
     """
 
     borrower: str
@@ -77,12 +79,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LenderBalance:
-    """What a lender has to grant from, in parts.
+    """Parts that a lender can grant from.
 
     Attributes:
-        available: its own, with what the borrower has on lease already.
-        used: what it spent in the last window.
-        returning: what comes back by itself soon.
+        available: number of parts that the lender retains, plus those already leased to the borrower.
+        used: number of parts that the lender spent in the last window.
+        returning: number of granted parts that return soon without a release.
     """
 
     available: int
@@ -92,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedAcquire:
-    """Request so many parts in all from a lender."""
+    """Decision to request `parts` parts in total from a lender."""
 
     lender: str
     parts: int
@@ -100,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannedRelease:
-    """Release the lease of a lender."""
+    """Decision to release the lease from a lender."""
 
     lender: str
 
@@ -110,30 +112,31 @@
 
 @dataclass
 class LeasePolicy:
-    """One front's choices about one limit.
+    """Lease policy of one front for one limit.
 
-    Demand is held in attempts, since the parts that one takes of a limit that grows change meanwhile.
+    Demand is stored in attempts, because the number of parts that an attempt takes changes as a limit grows.
 
     Attributes:
-        limit: its name.
-        name: this front's.
-        times: of the limit.
-        owners: how many parts each member owns.
-        random: for the order of lenders, and for backoff.
-        attempt_cost: parts that one attempt takes, exactly.
-        demand: attempts of a window that this front could use.
-        demand_until: until when `demand` holds, where less is demanded since; seconds.
-        latest_demand: demand by the last sample.
-        mean_demand: demand as a mean of samples, the latest ones counting most.
-        sampled_at: when the last sample was taken.
-        last_demand_at: when the last sample was that found a demand.
-        peaks: demands of late with their moments, each above those after it.
-        slot: the latest in which parts too few for an attempt were requested.
-        best_rank: the highest in that slot.
-        gathering_since: since when it holds less than an attempt and requests the rest; None where not.
-        backoff_until: until when it sends no requests, having gathered in vain.
-        spare_hints: what lenders could spare, by their answers.
-        refused_until: until when lenders get no more requests.
+        limit: name of the limit.
+        name: name of this front.
+        times: durations of the limit.
+        owners: number of parts that each member owns.
+        random: source of random numbers for the order of lenders and for backoff.
+        attempt_cost: exact number of parts that one attempt takes.
+        demand: number of attempts in a window that this front could use.
+        demand_until: time in seconds before which `demand` is not lowered.
+        latest_demand: demand of the last sample.
+        mean_demand: running mean of the sampled demand; recent samples have the greatest weight.
+        sampled_at: time of the last sample, in seconds.
+        last_demand_at: time of the last sample with any demand, in seconds.
+        peaks: recent samples as pairs of time and demand, each demand higher than all later ones.
+        slot: number of the last time slot in which a front requested parts of less than one attempt.
+        best_rank: highest rank of the fronts that sent such requests in that slot.
+        gathering_since: time in seconds since which this front has held less than one attempt and requested
+            the missing parts; None if it does not.
+        backoff_until: time in seconds before which this front sends no requests after gathering timed out.
+        spare_hints: number of further parts that each lender could grant, by its last answer.
+        refused_until: time in seconds before which each lender that refused is sent no further requests.
     """
 
     limit: str
@@ -158,13 +161,13 @@
 
     @property
     def period(self) -> float:
-        """A term and a window, in seconds: for that long, parts that are granted are gone."""
+        """A term and a window, in seconds: the time for which granted parts are unavailable."""
         return self.times.term + self.times.window
 
     def observe(self, now: float, usage: Usage) -> None:
-        """Take in a sample: demand rises at once, and falls after a term.
+        """Add a sample: the demand rises at once, and falls only after a term.
 
-        What was released early would be requested again.
+        If it fell at once, parts would be released and then requested again.
         """
         self.attempt_cost = usage.attempt_cost
         self.latest_demand = attempts = max(usage.used, usage.wanted) / usage.attempt_cost
@@ -176,7 +179,7 @@
         if attempts >= self.demand or now >= self.demand_until:
             self.demand = attempts
             self.demand_until = now + self.times.term
-            if self.whole_attempt_parts > self.owners.get(self.name, 0):  # gathering one takes a slot
+            if self.whole_attempt_parts > self.owners.get(self.name, 0):  # gathering takes a time slot
                 self.demand_until = now + 2 * self.times.term + self.times.window
 
     def _add_peak(self, now: float, attempts: float) -> None:
@@ -189,7 +192,7 @@
             self.peaks.popleft()
 
     def parts_of(self, attempts: float) -> int:
-        """Parts that so many attempts take; a part of an attempt is worth nothing."""
+        """Return the number of parts for a number of attempts, rounded up to whole attempts."""
         return min(
             math.ceil(math.ceil(attempts - ROUNDING_TOLERANCE) * self.attempt_cost - ROUNDING_TOLERANCE),
             PARTS_PER_LIMIT,
@@ -197,11 +200,11 @@
 
     @property
     def whole_attempt_parts(self) -> int:
-        """Whole parts that one attempt takes."""
+        """The number of whole parts that one attempt takes."""
         return max(self.parts_of(1.0), 1)
 
     def wanted_parts(self) -> int:
-        """Parts that this front wants to hold."""
+        """Return the number of parts that this front wants to hold."""
         return self.parts_of(
             self.demand * DEMAND_MARGIN if self.demand > MARGIN_MIN_ATTEMPTS else self.demand
         )
@@ -209,29 +212,34 @@
     # As a lender.
 
     def reserved_parts(self) -> int:
-        """Parts that it demanded at most of late, without what chance makes of that.
+        """Return the number of parts to keep for this front: its recent peak demand less random variation.
 
-        Guards against demand that comes and goes: what is granted is unavailable for a term and a window, so
-        a quota that was demanded that lately is worth more here. Harm: one that moves for good is granted
-        that much later.
+        Guards against granting parts during a short gap in demand: granted parts are unavailable for a term
+        and a window, so a quota with recent demand is more useful here. Side effect: when demand moves to
+        another front permanently, that front gets the parts later by the same time.
         """
         attempts = self.peaks[0][1] if self.peaks else 0.0
         is_recent = self.sampled_at - self.last_demand_at < RESERVED_PERIODS * self.period
         return self.parts_of(max(attempts - math.sqrt(attempts), 1.0 if is_recent else 0.0))
 
     def confident_demand_parts(self) -> float:
-        """Parts that it demands on the mean, or now beyond what chance may have made of that."""
+        """Return a cautious estimate of this front's demand in parts.
+
+        This is the mean demand, or the latest demand less two standard deviations of random variation if
+        that is higher.
+        """
         return (
             max(self.latest_demand - 2 * math.sqrt(self.latest_demand), self.mean_demand) * self.attempt_cost
         )
 
     def grantable(self, request: LeaseRequest, balance: LenderBalance, slot: int) -> int:
-        """Return how many parts of what is available to grant on a request.
+        """Return how many of the available parts to grant on a request.
 
-        A lease is renewed unless this front certainly demands it, since what is taken back and granted again
-        lies idle for a window each time. What this front demands itself stays, so one that claims too much
-        gets only what lies idle, for a term. Parts that are less than an attempt are worth nothing here
-        alone: all of them go to a front that has precedence in this time slot.
+        A lease is renewed unless this front's own demand is almost certain, because parts that are taken back
+        and granted again stay unused for a window each time. Parts that this front demands are not granted,
+        so a front that claims too much gets only unused parts, and only for a term. Parts of less than one
+        attempt cannot be used by this front alone: all of them go to a front that has precedence in this time
+        slot.
         """
         available = balance.available
         if available < self.whole_attempt_parts:
@@ -243,13 +251,14 @@
                 spare = max(request.already_leased, available - self.reserved_parts())
             else:
                 spare = request.already_leased - math.ceil(confident_demand - remaining)
-            spare -= spare % self.whole_attempt_parts  # less than an attempt serves nobody
+            spare -= spare % self.whole_attempt_parts  # less than one attempt is of no use
         return max(min(request.parts, spare, math.floor(available - balance.used)), 0)
 
     def has_precedence(self, borrower: str, slot: int) -> bool:
-        """Whether a borrower ranks before all others that sent requests in this slot, and before this front.
+        """Return whether a borrower ranks above this front and all fronts that sent requests in this slot.
 
-        Guards against several that each gather parts of an attempt, and none a whole one.
+        Guards against several fronts that each gather some parts of an attempt, so that none of them has
+        enough for a whole one.
         """
         if slot != self.slot:
             self.slot = slot
@@ -261,13 +270,13 @@
     # As a borrower.
 
     def record_answer(self, now: float, lender: str, spare: int, has_more: bool) -> None:
-        """Take in a lender's answer; `has_more` where it granted more than was leased before."""
+        """Record a lender's answer; `has_more` is whether it granted more than was leased before."""
         self.spare_hints[lender] = spare
         if not (has_more or spare):
             self.refused_until[lender] = now + self.times.term / 2
 
     def plan(self, now: float, ledger: LeaseLedger, alive: Iterable[str], slot: TimeSlot) -> list[Plan]:
-        """Return what to request, renew and release now; `alive` are members that may answer."""
+        """Return the requests, renewals and releases to send now; `alive` are members that may answer."""
         available = ledger.available(now)
         surplus = available - self.wanted_parts()
         releases = list(self._plan_releases(ledger, surplus))
@@ -288,11 +297,12 @@
         return [*releases, *requests.values()]
 
     def _may_gather(self, slot: TimeSlot, alive: Iterable[str]) -> bool:
-        """Whether this front may gather an attempt from parts that are each less than one.
+        """Return whether this front may gather the parts of one attempt from several members.
 
-        Guards against many that each hold some parts and none an attempt. In each slot all stand in an order
-        that all compute alike: as many as there are attempts begin at once, the others each a moment later
-        than the one before them, unless a front that ranks before them has sent a request here meanwhile.
+        Guards against many fronts that each hold some parts, so that none has enough for an attempt. All
+        fronts compute the same ranking for a time slot. As many fronts as the limit has attempts begin at
+        once; each further one begins `GATHERING_STAGGER` after the one above it, unless a front that ranks
+        higher has sent a request here in the meantime.
         """
         own_rank = rank(self.limit, slot.number, self.name)
         if self.slot == slot.number and self.best_rank > own_rank:
@@ -304,7 +314,7 @@
         return delay <= slot.elapsed < self.period
 
     def _plan_releases(self, ledger: LeaseLedger, surplus: int) -> Iterator[PlannedRelease]:
-        """Whole leases that are not needed any more, the smallest first."""
+        """Yield the releases of leases that are not needed any more, the smallest first."""
         for lender, lease in sorted(ledger.leased.items(), key=lambda entry: entry[1].parts):
             if lease.parts > surplus:
                 return
@@ -312,14 +322,14 @@
             yield PlannedRelease(lender)
 
     def _plan_renewals(self, now: float, ledger: LeaseLedger) -> Iterator[PlannedAcquire]:
-        """Leases that are needed on, in the second half of their term; each requested once in a while."""
+        """Yield renewals of leases in the second half of their term that have no request pending."""
         for lender, lease in ledger.leased.items():
             is_pending = lender in ledger.pending and self._may_be_answered(ledger.pending[lender], now)
             if lease.end - now < self.times.term / 2 and not is_pending and self.demand > 0:
                 yield PlannedAcquire(lender, lease.parts)
 
     def _pending_parts(self, now: float, ledger: LeaseLedger) -> int:
-        """Parts that may come of what was requested, beyond what is held already."""
+        """Return the number of parts that pending requests may bring beyond those already leased."""
         leased = {lender: lease.parts for lender, lease in ledger.leased.items()}
         return sum(
             max(request.parts - leased.get(lender, 0), 0)
@@ -328,11 +338,14 @@
         )
 
     def _may_be_answered(self, request: PendingRequest, now: float) -> bool:
-        """Whether its answer may still come."""
+        """Return whether a request may still be answered."""
         return now - request.sent_at < ANSWER_TIMEOUT
 
     def _gathering_timed_out(self, now: float) -> bool:
-        """Whether less than an attempt has been gathered for too long: others may make a whole one of it."""
+        """Return whether this front has gathered for too long without getting the parts of one attempt.
+
+        It then releases its parts and backs off, so that another front can complete an attempt with them.
+        """
         if self.gathering_since is None:
             self.gathering_since = now
         if now - self.gathering_since < GATHERING_TIMEOUT:
@@ -344,11 +357,12 @@
     def _plan_requests(
         self, now: float, ledger: LeaseLedger, missing: int, alive: Iterable[str], slot: TimeSlot
     ) -> Iterator[PlannedAcquire]:
-        """Requests to some lenders that may have something to spare.
+        """Yield requests to lenders that may have spare parts.
 
-        Those whose answers say so come first, the others in random order. A front that gathers an attempt
-        sends to those first that rank next in this slot: they then leave it to this one. From each lender
-        there is one lease at most: more is requested together with what is leased.
+        Lenders that reported spare parts come first, the others in random order. A front that gathers the
+        parts of one attempt sends to the lenders with the highest ranks in this slot first, so that these
+        give it precedence and do not gather themselves. As there is at most one lease from each lender, a
+        request for more parts includes those that are leased already.
         """
         if missing <= 0:
             return
@@ -372,7 +386,7 @@
                 return
 
     def _available_lenders(self, now: float, ledger: LeaseLedger, alive: Iterable[str]) -> list[str]:
-        """Members that own parts, have no fresh request and did not just refuse."""
+        """Return the members that own parts, have no pending request and have not just refused one."""
         busy = {lender for lender, request in ledger.pending.items() if self._may_be_answered(request, now)}
         return [
             name
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -1,7 +1,8 @@
-"""The strict limits that this front shares with others by leases: their ledgers and messages. No I/O.
+"""Strict limits that this front shares with others by leases: their ledgers and messages. No I/O.
 
-A limit has a name that all compute alike. Its `Spender` reports what it used, and is handed what it may spend
-before any answer to others leaves: what is granted is out here first.
+All fronts compute the same name for a limit. The `Spender` of a limit reports how much it used, and receives
+its new allowance before an answer to another front is sent: granted parts must not be spent here any more
+when the borrower learns of them.
 """
 
 import math
@@ -32,27 +33,33 @@
 from weldbend.routing.random_source import RandomSource
 
 SAMPLE_INTERVAL = 0.08  # seconds between two samples of demand
-MAX_OPEN_LIMITS = 512  # open at a time
-RETRY_DELAYS = (0.1, 0.25)  # seconds after which a request without an answer is sent again
-MAX_REQUESTS_PER_SAMPLE = 64  # sent after one sample, for all limits together
-MAX_ARRIVALS = 4096  # remembered of one rate
-ROUNDING_TOLERANCE = 1e-9  # parts that are lost to floating point
+MAX_OPEN_LIMITS = 512
+RETRY_DELAYS = (0.1, 0.25)  # seconds after which an unanswered request is sent again
+MAX_REQUESTS_PER_SAMPLE = 64  # for all limits together
+MAX_ARRIVALS = 4096  # arrival times remembered for one rate
+ROUNDING_TOLERANCE = 1e-9  # parts; allows for floating-point rounding
 
 
 class Spender(Protocol):
-    """Spends from a limit."""
+    """Component that spends from a limit."""
 
     def usage(self, now: float) -> Usage:
-        """What was used in the last window, and would be if all that is wanted could be had; in parts."""
+        """Return the use in the last window, and the use without the limit, in parts."""
         ...
 
     def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
-        """Allow so many parts in a window from now on: the leased ones until `lease_end` at the latest."""
+        """Set the number of parts that may be spent in a window; leased parts until `lease_end` at most."""
         ...
 
 
 class Allowance(NamedTuple):
-    """What a spender may spend in a window, in parts; `lease_end` in seconds."""
+    """Parts that a spender may spend in a window.
+
+    Attributes:
+        retained: number of parts that this front owns and has not granted.
+        leased: number of parts leased from other fronts.
+        lease_end: end of the first of these leases, in seconds.
+    """
 
     retained: int
     leased: int
@@ -64,14 +71,14 @@
     """One open limit.
 
     Attributes:
-        name: of the limit.
-        members: that own it together.
-        attempts: for which it has capacity in a window, at the least.
-        ledger: of its leases.
-        policy: for its leases.
-        spender: from it.
-        allowance: what the spender was handed last; None before the first time.
-        retries: how often a request was sent again, by its number.
+        name: name of the limit.
+        members: names of the members that share the limit.
+        attempts: least number of attempts in a window for which the limit has capacity.
+        ledger: ledger of its leases.
+        policy: policy that plans and grants its leases.
+        spender: component that spends from the limit.
+        allowance: allowance that the spender received last; None before the first one.
+        retries: number of times that each pending request was sent again, by request number.
     """
 
     name: str
@@ -84,7 +91,7 @@
     retries: dict[int, int] = field(default_factory=dict)
 
     def update_spender(self, now: float) -> None:
-        """Hand the spender what the ledger holds, where that has changed."""
+        """Pass the current allowance to the spender if it has changed."""
         ledger = self.ledger
         allowance = Allowance(
             max(ledger.retained(now), 0), ledger.leased_parts(now), ledger.earliest_lease_end(now)
@@ -98,12 +105,13 @@
     """All strict limits of this front.
 
     Attributes:
-        name: this front's.
-        epoch: of this run.
-        limits: those that are open, by name.
-        is_newcomer: whether others do not name this front yet, so that it owns nothing.
-        recovering_until: before it, nothing of its own is held, since an earlier run may have granted it.
-        counts: counters.
+        name: name of this front.
+        epoch: epoch of this process.
+        limits: open limits, by name.
+        is_newcomer: whether other fronts may not count this front as a member yet, so that it owns no parts.
+        recovering_until: end of the recovery after a restart, in seconds. Until then this front holds no
+            parts of its own, because its previous process may have granted them.
+        counts: counters of lease events.
     """
 
     def __init__(
@@ -115,15 +123,15 @@
         open_requested: Callable[[str], object],
         unix: Callable[[], float],
     ) -> None:
-        """Make it without any limit.
+        """Create the service without any open limit.
 
         Args:
-            name: this front's.
-            epoch: of this run.
-            random: for the policies.
-            recovering_until: seconds of the steady clock.
-            open_requested: called with a limit that another front spends from and this one does not yet.
-            unix: the Unix clock, by which goes precedence, and nothing that must hold.
+            name: name of this front.
+            epoch: epoch of this process.
+            random: source of random numbers for the policies.
+            recovering_until: end of the recovery, in seconds of the steady clock.
+            open_requested: called with the name of a limit that another front uses and that is not open here.
+            unix: Unix clock. It decides only precedence between fronts; no guarantee depends on it.
         """
         self.name = name
         self.epoch = epoch
@@ -147,18 +155,19 @@
         spender: Spender,
         now: float,
     ) -> SharedLimit | None:
-        """Spend from a limit from now on.
+        """Open a limit.
 
         Args:
-            name: of the limit.
-            members: that own it together.
-            attempts: for which it has capacity in a window, at the least, as all compute alike.
-            times: of the limit.
-            spender: from it.
-            now: seconds.
+            name: name of the limit.
+            members: names of the members that share the limit.
+            attempts: least number of attempts in a window for which the limit has capacity; all fronts must
+                compute the same number.
+            times: durations of the limit.
+            spender: component that will spend from the limit.
+            now: time of the steady clock in seconds.
 
         Returns:
-            The limit, the same one where it is open already; None beyond the bound on limits.
+            The limit, or the existing one if it is open already; None if too many limits are open.
         """
         if name in self.limits:
             return self.limits[name]
@@ -177,11 +186,11 @@
         return 0 if self.is_newcomer else owners.get(self.name, 0)
 
     def close(self, name: str) -> None:
-        """Spend no more from a limit. What is granted ends by itself."""
+        """Stop spending from a limit; leases granted on it expire by themselves."""
         self.limits.pop(name, None)
 
     def set_members(self, members: Callable[[str], Iterable[str]], is_newcomer: bool, now: float) -> None:
-        """Divide all limits anew; `members` gives those that own a limit."""
+        """Divide all limits again; `members` returns the names of the members that share a given limit."""
         self.is_newcomer = is_newcomer
         for limit in self.limits.values():
             owners = owned_parts(limit.name, members(limit.name), limit.attempts)
@@ -191,7 +200,7 @@
             limit.update_spender(now)
 
     def set_epoch(self, epoch: int) -> None:
-        """Go on under another epoch: what was granted stays granted, what was requested is void."""
+        """Continue with another epoch: granted leases stay valid, pending requests become void."""
         self.epoch = epoch
         for limit in self.limits.values():
             limit.ledger.epoch = epoch
@@ -199,7 +208,7 @@
     # Messages.
 
     def handle(self, now: float, sender: str, epoch: int, body: m.LeaseMessage) -> list[Send]:
-        """Handle a message of a member, in the run that is known of it; return what to send."""
+        """Handle a message from a member with the given epoch, and return the messages to send."""
         if body.limit not in self.limits and isinstance(body, m.AcquireLease):
             self._open_requested(body.limit)
         limit = self.limits.get(body.limit)
@@ -240,7 +249,7 @@
         allowed = policy.grantable(LeaseRequest(request_id.name, parts, already_leased), balance, slot)
         grant = ledger.grant(now, request_id, allowed, usage.used)
         self.counts["leases granted"] += grant.parts > 0
-        limit.update_spender(now)  # before the answer leaves
+        limit.update_spender(now)  # before the answer is sent
         remaining = LenderBalance(ledger.retained(now), usage.used)
         spare = policy.grantable(LeaseRequest(request_id.name, PARTS_PER_LIMIT), remaining, slot)
         return m.GrantLease(limit.name, grant.epoch, grant.number, grant.parts, spare)
@@ -248,7 +257,7 @@
     # Time.
 
     def tick(self, now: float, alive: Iterable[str]) -> list[Send]:
-        """Return what to request and release; each limit is sampled once in `SAMPLE_INTERVAL`."""
+        """Return the requests and releases to send; demand is sampled once in each `SAMPLE_INTERVAL`."""
         sends: list[Send] = []
         is_sample_due = now >= self._next_sample
         if is_sample_due:
@@ -267,10 +276,11 @@
         return sends
 
     def _due_retries(self, now: float, limit: SharedLimit) -> list[Send]:
-        """Requests that have no answer, under the same number, so that a lender grants once.
+        """Return the unanswered requests that are due to be sent again.
 
-        Guards against parts that are lost for a term, since the lender has them out and the borrower does
-        not know it. Harm: a message more to one that is down.
+        A retry has the same number as the request, so that the lender grants it only once. Retries guard
+        against parts that lie idle for a term because the grant was lost: the lender counts them as out, and
+        the borrower does not know of them. Side effect: further messages to a lender that is down.
         """
         pending = limit.ledger.pending
         numbers = {request.number for request in pending.values()}
@@ -287,7 +297,7 @@
     def _execute(self, now: float, limit: SharedLimit, plan: Plan, sent: int) -> list[Send]:
         if isinstance(plan, PlannedRelease):
             number = limit.ledger.release(now, plan.lender)
-            limit.update_spender(now)  # nothing of it is spent once the release is sent
+            limit.update_spender(now)  # released parts must not be spent once the release is sent
             unspent = not limit.spender.usage(now).used
             return [Send(plan.lender, m.ReleaseLease(limit.name, number, unspent))] if number else []
         if sent >= MAX_REQUESTS_PER_SAMPLE:
@@ -299,7 +309,7 @@
     # Admin port.
 
     def status_rows(self, now: float) -> list[dict[str, object]]:
-        """Return all limits with their leases, for the admin port."""
+        """Return all limits and their leases for the admin port."""
         rows: list[dict[str, object]] = []
         for name, limit in sorted(self.limits.items()):
             ledger = limit.ledger
@@ -318,13 +328,13 @@
 
 
 class LeasedRate:
-    """A strict limit on requests in a window, spent at admission.
+    """A strict limit on the number of requests in a window, enforced at admission.
 
     Attributes:
-        limit: requests in a window, of all fronts together.
-        window: seconds.
-        admitted: when requests were admitted in the last window, in seconds.
-        arrivals: when requests came lately, whether admitted or not.
+        limit: number of requests that all fronts together may admit in a window.
+        window: length of the window, in seconds.
+        admitted: times of the requests admitted in the last window, in seconds.
+        arrivals: times of the last requests in that window, admitted or not, at most `MAX_ARRIVALS`.
     """
 
     def __init__(self, limit: float, times: LeaseTimes) -> None:
@@ -335,24 +345,27 @@
         self._allowance = Allowance(0, 0, math.inf)
 
     def used(self, now: float) -> float:
-        """Parts that were spent in the last window."""
+        """Return the number of parts spent in the last window."""
         while self.admitted and self.admitted[0] <= now - self.window:
             self.admitted.popleft()
         return len(self.admitted) / self.limit * PARTS_PER_LIMIT
 
     def usage(self, now: float) -> Usage:
-        """What was used in the last window, and what all arrivals would have used."""
+        """Return the use in the last window, and the use if all arrivals had been admitted."""
         while self.arrivals and self.arrivals[0] <= now - self.window:
             self.arrivals.popleft()
         attempt_cost = PARTS_PER_LIMIT / self.limit
         return Usage(self.used(now), len(self.arrivals) * attempt_cost, attempt_cost)
 
     def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
-        """Allow so many parts in a window from now on."""
+        """Set the number of parts that may be spent in a window."""
         self._allowance = Allowance(retained, leased, lease_end)
 
     def try_admit(self, now: float) -> bool:
-        """Admit a request if what is held now has capacity for it: the clock is read before each."""
+        """Return whether the current allowance has capacity for a request, and count it if so.
+
+        The caller must read the clock before each request, because leases end.
+        """
         self.arrivals.append(now)
         retained, leased, lease_end = self._allowance
         available = retained + (leased if now < lease_end else 0)
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -1,14 +1,14 @@
-"""Outlier detection of a fleet: ejected caches, banned clients, starts that no list names. No I/O.
+"""Outlier detection of a fleet: ejected caches, banned clients and unlisted starts of caches. No I/O.
 
-Every front judges by the same health reports, so all that hold the same replicas judge alike within a tick.
-One front alone never has a cache ejected: two have to accuse it, and most of those that know it. Where all
-that accuse stand in one zone and others fare well, the ejection holds in that zone only: its network path may
-be the cause.
+All fronts evaluate the same health reports, so fronts with the same replicas reach the same result within a
+tick. A single front can never cause an ejection: at least two fronts must report a cache as failing, and a
+majority of the fronts that know it. If all failures are reported from one zone and the other zones report
+success, the cache is ejected in that zone only, because the network path of the zone may be the cause.
 
-An ejection ends. After it the cache is half-open (as a circuit breaker is): one front, drawn alike by all,
-sends to it. When that front reports that all went well, the others follow by a ramp, so that what has just
-recovered does not meet all of them at once. A relapse makes the next ejection half as long again. Reports
-older than their bound count for nothing, so an ejection that nobody can renew ends.
+Every ejection ends after a time. The cache is then half-open, as in a circuit breaker: one front, on which
+all fronts agree by hashing, sends to it. If that front reports success, the others increase their load
+gradually, so that a cache that has just recovered is not overloaded. Each relapse makes the next ejection
+half as long again. Old reports are ignored, so an ejection that no front can renew ends.
 """
 
 import math
@@ -21,28 +21,28 @@
 from weldbend.fleet.health_reports import HealthReport, Outcomes, reliability
 from weldbend.fleet.rendezvous import rank
 
-FAILING_FRACTION = 0.5  # of failed answers, above which a front accuses a cache
-MIN_ANSWERS = 2.0  # good and failed ones, from which a front knows a cache
-MIN_RELIABILITY = 0.3  # below which a front's own network is taken for the cause
-MIN_REPORTERS = 2  # fronts that have to agree
-EJECTION_SECONDS = 2.0  # of the first ejection
-EJECTION_GROWTH = 1.5  # factor for each relapse
+FAILING_FRACTION = 0.5  # fraction of failed answers above which a report calls a cache failing
+MIN_ANSWERS = 2.0  # successful and failed ones together that make a report significant
+MIN_RELIABILITY = 0.3  # below which a front's own network is assumed to be the cause
+MIN_REPORTERS = 2  # fronts that must agree
+EJECTION_SECONDS = 2.0  # duration of the first ejection
+EJECTION_GROWTH = 1.5  # factor on the duration for each relapse
 MAX_EJECTION_SECONDS = 15.0
-MAX_RELAPSES = 8  # counted
-HALF_OPEN_SECONDS = 5.0  # in which the front that is drawn has to report
-RECOVERED_ANSWERS = 3.0  # new good ones that end the half-open state well
-RELAPSED_ANSWERS = 2.0  # new failed ones that end it otherwise
-RAMP_SECONDS = 4.0  # in which the others come back
-RAMP_START = 0.1  # fraction of its work that a cache gets when they begin
-HALF_OPEN_FRACTION = 0.5  # of its own work there, that the front which is drawn sends
-FORGET_SECONDS = 60.0  # after which a relapse is a first ejection again
-MAX_EJECTED_FRACTION = 1 / 3  # of the caches of a kind, at once: more is a fault of the site itself
+MAX_RELAPSES = 8  # further ones do not lengthen the ejection
+HALF_OPEN_SECONDS = 5.0  # within which the probing front must report
+RECOVERED_ANSWERS = 3.0  # new successful answers after which a half-open cache recovers
+RELAPSED_ANSWERS = 2.0  # new failed answers after which a half-open cache is ejected again
+RAMP_SECONDS = 4.0  # in which a recovering cache returns to its full load
+RAMP_START = 0.1  # fraction of its load that a recovering cache gets at first
+HALF_OPEN_FRACTION = 0.5  # fraction of its usual load there that the probing front sends
+FORGET_SECONDS = 60.0  # after which the next ejection counts as the first again
+MAX_EJECTED_FRACTION = 1 / 3  # of the caches of a kind at a time; more failures indicate a fault of the site
 BAN_WINDOW = 60.0  # seconds within which two fronts must have banned a client
-START_WINDOW = 3.0  # seconds within which two fronts must have seen a cache break off
+START_WINDOW = 3.0  # seconds within which two fronts must have lost their connections to a cache
 
 
 class EjectionState(Enum):
-    """State of a cache; the values are the words that the admin port shows."""
+    """State of a cache; the admin port shows the values."""
 
     ADMITTED = "OPEN"
     EJECTED = "SHUT"
@@ -52,18 +52,20 @@
 
 @dataclass(slots=True)
 class EjectionRecord:
-    """What this front holds of one cache.
+    """Ejection state of one cache at this front.
 
     Attributes:
-        state: its state, entered at `since` and left at `until` at the latest, in seconds.
-        relapses: ejections so far.
-        round: counts draws of the front that sends while it is half-open.
-        is_bound_to_probe: whether that front sends whatever failures it remembers, as an earlier round
-            brought too little to judge by.
-        last_reports: what each front reported last since the state was entered.
-        new_outcomes: by how much reports have grown in this round, good and failed.
-        reporters: fronts that accused it when it was ejected.
-        zone: in which it is ejected; empty for all.
+        state: current state of the cache.
+        since: time in seconds when the cache entered that state.
+        until: time in seconds when it leaves that state at the latest.
+        relapses: number of ejections so far, at most `MAX_RELAPSES`.
+        round: number of the current choice of a probing front.
+        must_probe: whether the probing front sends even if it remembers failures of its own, because an
+            earlier round brought too few reports for a decision.
+        last_reports: last outcomes that each front reported since the state was entered.
+        new_outcomes: successful and failed answers that were reported in this round.
+        reporters: names of the fronts that reported the cache as failing when it was ejected.
+        zone: zone in which the cache is ejected; empty for all zones.
     """
 
     state: EjectionState = EjectionState.ADMITTED
@@ -78,15 +80,16 @@
     zone: str = ""
 
     def reset_new_outcomes(self) -> None:
-        """Forget what reports have gained."""
+        """Reset the counts of newly reported answers."""
         self.new_outcomes = (0.0, 0.0)
 
     def add_reports(self, reports: Iterable[HealthReport], prober: str) -> None:
-        """Count what is new in the reports: good answers of all fronts, failed ones of the prober.
+        """Count new answers in the reports: successful ones of all fronts, failed ones of the prober only.
 
-        The first report of a front says nothing new. Good ones count whoever had them: fronts that ended the
-        half-open state a moment earlier send already, and the others follow. Guards against fronts that never
-        do since the prober of their round has nothing new to say. Harm: one that lies ends the state early.
+        The first report of a front in this state is the baseline for its later ones. Successful answers count
+        from any front, because fronts that left the half-open state slightly earlier are sending already.
+        This guards against fronts that stay in the half-open state because the prober of their round has
+        nothing new to report. Side effect: a front with false reports can end the state too early.
         """
         good, failed = self.new_outcomes
         for report in reports:
@@ -100,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A change of a cache's state, for the log."""
+    """A change of a cache's ejection state, to be logged."""
 
     cache: str
     before: EjectionState
@@ -110,12 +113,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OutlierAssessment:
-    """What the health reports on a cache amount to.
+    """Result of evaluating the health reports on a cache.
 
     Attributes:
-        is_outlier: whether enough fronts accuse it.
-        reporters: fronts that do.
-        zone: to which it is confined; empty for all.
+        is_outlier: whether enough fronts report the cache as failing.
+        reporters: names of the fronts that report it as failing.
+        zone: zone to which the failures are confined; empty for all zones.
     """
 
     is_outlier: bool
@@ -128,9 +131,9 @@
     """The fleet as this front sees it at one tick.
 
     Attributes:
-        now: seconds.
-        fronts: this one and those that are alive, in the order of their names.
-        zones: of all fronts.
+        now: time of the steady clock in seconds.
+        fronts: names of this front and of all others that are alive, in order.
+        zones: zone of each front.
     """
 
     now: float
@@ -139,24 +142,24 @@
 
 
 def is_informed(report: HealthReport) -> bool:
-    """Whether its writer knows the cache, and has no faulty network of its own."""
+    """Return whether a report has enough answers, and its writer no faulty network of its own."""
     return sum(report.outcomes) >= MIN_ANSWERS and reliability(report) >= MIN_RELIABILITY
 
 
 def reports_failing(report: HealthReport) -> bool:
-    """Whether its writer accuses the cache."""
+    """Return whether a report calls the cache failing."""
     return report.outcomes[1] > FAILING_FRACTION * sum(report.outcomes)
 
 
 def is_majority(failing: int, informed: int) -> bool:
-    """Whether more than half accuse."""
+    """Return whether more than half of the informed fronts report a failing cache."""
     return 2 * failing > informed
 
 
 def assess_outlier(
     reports: Iterable[HealthReport], zones: Mapping[str, str], own_zone: str
 ) -> OutlierAssessment:
-    """Judge a cache for the fronts of one zone, by the reports of all fronts, the own one among them."""
+    """Return the assessment of a cache for one zone, by the reports of all fronts including this one."""
     informed = [report for report in reports if is_informed(report)]
     reporters = sorted(report.writer for report in informed if reports_failing(report))
     if len(reporters) < MIN_REPORTERS:
@@ -164,7 +167,7 @@
     same_zone = [report for report in informed if zones.get(report.writer, "") == own_zone]
     same_zone_failing = sum(map(reports_failing, same_zone))
     if same_zone and not is_majority(same_zone_failing, len(same_zone)):
-        return OutlierAssessment(False)  # most of the fronts of this zone fare well
+        return OutlierAssessment(False)  # most fronts of this zone report success
     if same_zone_failing >= MIN_REPORTERS:
         other_zones = [report for report in informed if report not in same_zone]
         is_confined = other_zones and not is_majority(
@@ -176,13 +179,13 @@
 
 @dataclass
 class OutlierDetector:
-    """The ejection states of all caches at one front; `tick` is handed the health reports each second.
+    """Ejection states of all caches at one front; `tick` must be called with health reports each second.
 
     Attributes:
-        name: of this front.
-        records: by cache, of those that are or were ejected lately.
-        probed: half-open caches to which this front sends, since the last tick.
-        changes: of states, until they are taken for the log.
+        name: name of this front.
+        records: ejection records by cache, of caches that are ejected or were ejected recently.
+        probed: half-open caches to which this front sends, as of the last tick.
+        changes: state changes that have not been taken with `pop_changes` yet.
     """
 
     name: str
@@ -198,18 +201,18 @@
         zones: Mapping[str, str],
         alive: Iterable[str],
     ) -> dict[str, float]:
-        """Bring all states up to date.
+        """Update the ejection states of all caches.
 
         Args:
-            now: seconds.
-            reports: of all fronts, this one among them, by cache.
-            kinds: of each listed cache, by which others are like it; a kind that is ejected as far as it may
-                be is not ejected further.
-            zones: of all fronts.
-            alive: other fronts that may answer.
+            now: time of the steady clock in seconds.
+            reports: health reports of all fronts, including this one, by cache.
+            kinds: kind of each listed cache; only a limited fraction of the caches of a kind is ejected at
+                the same time.
+            zones: zone of each front.
+            alive: names of other fronts that may answer.
 
         Returns:
-            The fraction of its work that each cache with a record may have from here, from 0 to 1.
+            The fraction of its load that this front may send to each cache with a record, from 0 to 1.
         """
         own_zone = zones.get(self.name, "")
         view = FleetView(now, sorted({self.name, *alive}), zones)
@@ -227,10 +230,11 @@
         return {uid: self._admitted_fraction(uid, record, view) for uid, record in self.records.items()}
 
     def _may_eject(self, uid: str, kinds: Mapping[str, str]) -> bool:
-        """Whether enough caches of a kind would be left.
+        """Return whether enough caches of the same kind would remain after an ejection.
 
-        Guards against ejecting what fails for one common cause, the network of a whole site. Harm: where more
-        than a third are faulty indeed, the rest is left to what each front sees itself.
+        Guards against ejecting most caches because of a common cause, such as a fault of the site's network.
+        Side effect: if more than a third of the caches are really faulty, the further ones are avoided only
+        by fronts that see their failures themselves.
         """
         same_kind = [other for other, kind in kinds.items() if kind == kinds[uid]]
         ejected = sum(
@@ -274,7 +278,7 @@
             self._enter(uid, record, EjectionState.RECOVERING, now, now + RAMP_SECONDS)
         elif failed >= RELAPSED_ANSWERS:
             self._eject(uid, record, now, OutlierAssessment(True, record.reporters, record.zone))
-        elif now >= record.until:  # it has reported too little: another one is drawn
+        elif now >= record.until:  # the prober reported too few answers: choose another
             record.round += 1
             record.must_probe = True
             record.until = now + HALF_OPEN_SECONDS
@@ -300,14 +304,14 @@
         record.reset_new_outcomes()
 
     def _prober(self, uid: str, record: EjectionRecord, view: FleetView) -> str:
-        """The one front that sends in this round: drawn alike by all that hold the ejection."""
+        """Return the only front that sends in this round; all fronts with this record choose the same."""
         candidates = [
             front for front in view.fronts if not record.zone or view.zones.get(front, "") == record.zone
         ]
         return max(candidates or [self.name], key=lambda name: rank(uid, record.round, name))
 
     def _is_probed(self, uid: str, record: EjectionRecord, view: FleetView) -> bool:
-        """Whether a cache is half-open, and this front the one that sends."""
+        """Return whether a cache is half-open and this front is its prober."""
         is_half_open = record.state is EjectionState.HALF_OPEN
         return is_half_open and self._prober(uid, record, view) == self.name
 
@@ -322,12 +326,12 @@
         return 1.0
 
     def recovering_caches(self) -> set[str]:
-        """Half-open caches and those that come back: each front reports how it fares there, well or not."""
+        """Return the half-open and recovering caches, on which each front reports even without failures."""
         states = EjectionState.HALF_OPEN, EjectionState.RECOVERING
         return {uid for uid, record in self.records.items() if record.state in states}
 
     def pop_changes(self) -> list[StateChange]:
-        """Return the changes of states since the last call."""
+        """Return the state changes since the last call."""
         changes = self.changes
         self.changes = []
         return changes
@@ -335,7 +339,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientBan:
-    """A front has banned a client, `at` seconds."""
+    """A ban of a client by one front.
+
+    Attributes:
+        front: name of the front.
+        at: time of the ban, in seconds.
+    """
 
     front: str
     at: float
@@ -343,7 +352,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheBreak:
-    """A front's connections to a cache broke `at` seconds, and it could not be reached again."""
+    """A loss of all connections of one front to a cache that then could not be reached again.
+
+    Attributes:
+        cache: name of the cache.
+        front: name of the front.
+        at: time of the loss, in seconds.
+    """
 
     cache: str
     front: str
@@ -351,14 +366,15 @@
 
 
 def banned_clients(bans: Mapping[str, Iterable[ClientBan]], duration: float, now: float) -> dict[str, float]:
-    """Return the clients that the fleet has banned, and until when.
+    """Return the end of the ban of each client that the fleet has banned.
 
-    One front alone bans a client for itself only, so that none that lies can do it for all.
+    A ban by a single front is valid at that front only, so that one front with false reports cannot ban a
+    client at all fronts.
 
     Args:
-        bans: by client, what single fronts have banned.
-        duration: seconds of a ban.
-        now: seconds.
+        bans: bans by single fronts, by client.
+        duration: duration of a ban, in seconds.
+        now: time of the steady clock in seconds.
     """
     banned = {}
     for client, client_bans in bans.items():
@@ -373,7 +389,10 @@
 
 
 def unlisted_starts(breaks: Iterable[CacheBreak]) -> dict[str, float]:
-    """Return when caches have started though no list says so: two fronts saw each break off, together."""
+    """Return the time of each start of a cache that no endpoint list names.
+
+    A cache counts as started when two fronts lost their connections to it within `START_WINDOW`.
+    """
     by_cache: dict[str, dict[str, float]] = defaultdict(dict)
     for cache_break in breaks:
         by_cache[cache_break.cache][cache_break.front] = cache_break.at
--- a/weldbend/fleet/popularity.py
+++ b/weldbend/fleet/popularity.py
@@ -1,11 +1,11 @@
-"""What the fronts of a zone are requested, counted together. No I/O.
-
-A front's own count of an object stands for its popularity, and with ten fronts in a zone a second request
-seldom comes to the same one; a front that has just started has counted nothing at all (the weak spots that
-the design names). So each publishes, slot by slot of time, which objects it was requested: a hash of four
-bytes each, packed into one text a slot. Slots expire, so counts decay; who reads adds, for each object, the
-slots of other fronts that name it. One slot names an object once, and repeats of clients are not counted: no
-front raises a level by more elsewhere than it does at home.
+"""Popularity of objects, counted over all fronts of a zone. No I/O.
+
+The popularity level of an object depends on the number of requests that a front has counted for it. With ten
+fronts in a zone, a second request seldom reaches the same front, and a front that has just started has
+counted nothing. Each front therefore publishes the objects requested in each time slot: a hash of four bytes
+for each object, packed into one text for each slot. A reader counts, for each object, the slots of other
+fronts that contain it; slots expire, so the counts decay. A slot contains an object only once, and retries of
+clients are not counted, so no front raises a popularity level elsewhere by more than it does for itself.
 """
 
 import zlib
@@ -14,33 +14,37 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-SLOT_SECONDS = 4.0  # that one slot covers
-KEPT_SLOTS = 64  # of one front that are kept: its key is used again after so many
-MAX_SLOT_HASHES = 400  # objects in one slot; what comes beyond is omitted
-MAX_COUNTED_HASHES = 200_000  # hashes held of all fronts together
+SLOT_SECONDS = 4.0  # duration of a slot
+KEPT_SLOTS = 64  # for each front; the keys of its slots are reused after that many
+MAX_SLOT_HASHES = 400  # in one slot; requests for further objects are omitted
+MAX_COUNTED_HASHES = 200_000  # of all other fronts together
 HASH_BYTES = 4
 
 
 class InvalidSlotError(ValueError):
-    """A text that is no packed slot; `size` is its length in bytes once decoded."""
+    """A text that is not a valid packed slot.
+
+    Attributes:
+        size: length of the decoded text in bytes.
+    """
 
     def __init__(self, size: int) -> None:
-        super().__init__(f"{size} bytes are no slot of hashes")
+        super().__init__(f"{size} bytes are not a valid popularity slot")
         self.size = size
 
 
 def object_hash(key: str, number: int) -> int:
-    """Return the four bytes that stand for an object, a numbered piece of a key, at all fronts."""
+    """Return the four-byte hash of an object, which is a numbered part of a key; equal at all fronts."""
     return zlib.crc32(f"{key} {number}".encode())
 
 
 def pack_slot(hashes: list[int]) -> str:
-    """Return the text of a slot."""
+    """Return the text of a slot with the given hashes."""
     return b85encode(b"".join(hash_value.to_bytes(HASH_BYTES, "big") for hash_value in hashes)).decode()
 
 
 def unpack_slot(text: str) -> "array[int]":
-    """Return the hashes of one slot, each once; raises ValueError for a text that is none."""
+    """Return the distinct hashes of a slot; raises ValueError for a text that is not a valid slot."""
     data = b85decode(text)
     if len(data) % HASH_BYTES or len(data) > HASH_BYTES * MAX_SLOT_HASHES:
         raise InvalidSlotError(len(data))
@@ -52,13 +56,13 @@
 
 @dataclass(slots=True)
 class PopularitySlots:
-    """What this front was requested, until it is published.
+    """Objects requested from this front in the current slot, until they are published.
 
     Attributes:
-        number: of the last slot.
-        began_at: when the current slot began, in seconds; None before the first tick.
-        hashes: of objects in it.
-        omitted: requests that found it full.
+        number: number of the last published slot.
+        began_at: time when the current slot began, in seconds; None before the first tick.
+        hashes: hashes of the objects in the current slot, in order of their first request.
+        omitted: number of requests that were omitted because the slot was full.
     """
 
     number: int = 0
@@ -67,7 +71,7 @@
     omitted: int = 0
 
     def add(self, object_hash: int) -> None:
-        """Note a request for an object."""
+        """Add an object that was requested to the current slot."""
         if object_hash in self.hashes:
             return
         if len(self.hashes) < MAX_SLOT_HASHES:
@@ -76,7 +80,7 @@
             self.omitted += 1
 
     def tick(self, now: float) -> tuple[int, str] | None:
-        """Return number and text of a slot that is over; None where none is, or it is empty."""
+        """Return number and text of the slot if it is complete; None if it is not, or is empty."""
         if self.began_at is None:
             self.began_at = now
         if now < self.began_at + SLOT_SECONDS:
@@ -92,13 +96,13 @@
 
 @dataclass(slots=True)
 class PopularityCounts:
-    """What other fronts were requested, counted by object. Every slot is counted as long as its item counts.
+    """Counts of the slots of other fronts that contain an object; a slot counts until its item expires.
 
     Attributes:
-        counts: of slots, by the hash of an object.
-        slots: by the key of their item: when it expires, in seconds, and its hashes.
-        size: hashes in all slots together.
-        rejected: slots that could not be read, or for which there was no capacity.
+        counts: number of slots that contain an object, by the object's hash.
+        slots: expiry time in seconds and hashes of each slot, by the key of its replicated item.
+        size: total number of hashes in all slots.
+        rejected: number of slots that were invalid or exceeded `MAX_COUNTED_HASHES`.
     """
 
     counts: Counter[int] = field(default_factory=Counter)
@@ -107,7 +111,7 @@
     rejected: int = 0
 
     def replace(self, item: str, text: str, until: float) -> None:
-        """Count a slot in place of what its item held before; one that cannot be read counts nothing."""
+        """Replace the slot of an item by a new text; an invalid one only removes the old slot."""
         self.remove(item)
         try:
             hashes = unpack_slot(text)
@@ -122,7 +126,7 @@
         self.counts.update(hashes)
 
     def remove(self, item: str) -> None:
-        """Count the slot of an item no more."""
+        """Remove the slot of an item from the counts."""
         _, hashes = self.slots.pop(item, (0.0, array("I")))
         self.size -= len(hashes)
         for hash_value in hashes:
@@ -132,10 +136,10 @@
                 self.counts[hash_value] -= 1
 
     def discard_expired(self, now: float) -> None:
-        """Count slots no more whose items have expired."""
+        """Remove the slots of expired items from the counts."""
         for item in [item for item, (until, _) in self.slots.items() if until <= now]:
             self.remove(item)
 
     def count_of(self, object_hash: int) -> int:
-        """Return how many slots of other fronts name an object."""
+        """Return the number of slots of other fronts that contain an object."""
         return self.counts.get(object_hash, 0)
--- a/weldbend/fleet/popularity_exchange.py
+++ b/weldbend/fleet/popularity_exchange.py
@@ -1,4 +1,4 @@
-"""Which objects the fronts of a zone are asked for, counted together."""
+"""Exchange of the popularity of objects between the fronts of a zone."""
 
 from typing import TYPE_CHECKING
 
@@ -13,7 +13,7 @@
 
 
 class PopularityExchange:
-    """Publishes what this front's clients request, and counts what others of its zone publish."""
+    """Publishes the objects that clients request, and counts those published by the zone's other fronts."""
 
     def __init__(self, dispatcher: "Dispatcher", fleet: Fleet) -> None:
         self.dispatcher = dispatcher
@@ -22,7 +22,10 @@
         self.peer_counts = PopularityCounts()
 
     def count_request(self, class_name: str, key: str, part: int, is_retry: bool) -> int:
-        """Count a request of a client here; how often other fronts of the zone had that object lately."""
+        """Count a client's request, and return the object's count at the other fronts of the zone.
+
+        A retry is not counted again.
+        """
         request_class = self.dispatcher.site.settings.classes[class_name]
         if request_class.origin_only or not self.fleet.settings.popularity:
             return 0
@@ -32,9 +35,9 @@
         return self.peer_counts.count_of(hash_value)
 
     def apply(self, change: Change) -> None:
-        """Count a slot of a peer in the same zone: they request the same edge caches.
+        """Count a slot of a peer in the same zone, whose fronts use the same edge caches.
 
-        A slot under this front's own name is one of its process before this one.
+        A slot under this front's own name was published by its previous process, and counts too.
         """
         settings = self.fleet.settings
         writer = change.key.rpartition("|")[2]
@@ -44,10 +47,10 @@
             self.peer_counts.replace(change.key, str(change.value[2]), until)
 
     def tick(self, now: float) -> None:
-        """Forget what has expired, and publish the slot that is complete."""
+        """Remove expired slots from the counts, and publish the current slot if it is complete."""
         self.peer_counts.discard_expired(now)
         if self.fleet.settings.popularity and (slot := self.slots.tick(now)):
             number, packed = slot
             key = f"{number % popularity.KEPT_SLOTS}|{self.fleet.name}"
-            self.peer_counts.remove(key)  # of this front's process before this one
+            self.peer_counts.remove(key)  # a slot of this front's previous process
             self.fleet.publish(POPULARITY, key, self.fleet.store.epoch, number, packed)
--- a/weldbend/fleet/purges.py
+++ b/weldbend/fleet/purges.py
@@ -1,7 +1,7 @@
-"""Purges: published from this front's bus, and applied where a peer's bus delivered them first.
+"""Exchange of purges: publishes those from this front's bus, and applies those that peers received first.
 
-A purge of a peer counts from when it was published, by its age: it was issued before. The stamp of the bus
-only says which purge it is; no wall clock dates it.
+A purge from a peer takes effect from the time when it was published, which its age gives and which is later
+than the purge itself. The bus's timestamp only identifies the purge; no wall clock is used to date it.
 """
 
 from collections import Counter
@@ -17,17 +17,22 @@
 if TYPE_CHECKING:
     from weldbend.front.dispatcher import Dispatcher
 
-REPLAY_AFTER = 1.0  # seconds after this front's bus delivered a purge; what a peer publishes then is a replay
-MAX_REMEMBERED_PURGES = 16_384  # purges of this front's own bus that are remembered
+REPLAY_AFTER = 1.0  # seconds after delivery by this front's bus; a peer's purge published later is a replay
+MAX_REMEMBERED_PURGES = 16_384  # of this front's own bus
 KEY_PREFIX = "k:"  # of an item that purges one object
 GROUP_PREFIX = "g:"  # of an item that purges a group of objects
 
 
 class PurgeExchange:
-    """A purge of a peer bounds the age of copies at this front at once.
+    """Publishes purges, and applies the purges of peers so that older copies are not served here either.
 
     Attributes:
-        delivered: purges of this front's own bus, by key and stamp, and when they came first; in that order.
+        dispatcher: dispatcher of the routing decisions.
+        fleet: the fleet as this front sees it.
+        counts: counters of the fleet adapter.
+        limiter: limiter of the purges accepted from peers.
+        delivered: time of the first delivery of each purge by this front's own bus, by key and timestamp,
+            in order of delivery.
     """
 
     def __init__(self, dispatcher: "Dispatcher", fleet: Fleet, counts: Counter[str]) -> None:
@@ -47,22 +52,23 @@
         self.fleet.publish(PURGE, key, stamp)
 
     def _is_replay(self, change: Change, written_at: float) -> bool:
-        """Whether a peer's bus has replayed what this front's own bus delivered long before.
+        """Return whether a peer's purge is a replay of one that this front's own bus delivered earlier.
 
-        Guards against purges of long ago that a front publishes again after its start, and that would make
-        all others fetch anew what they have fetched since. Harm: none, the front goes by its own bus.
+        Guards against old purges that a front publishes again after its start, which would make all other
+        fronts fetch again the copies that they have fetched since. There is no side effect: the purge has
+        already taken effect here as this front's own bus delivered it.
         """
         delivered_at = self.delivered.get((change.key, int(change.value[0])))
         return delivered_at is not None and delivered_at < written_at - REPLAY_AFTER
 
     def apply(self, change: Change) -> None:
-        """Apply a purge of a peer, unless too many came in this second."""
+        """Apply a purge of a peer, unless it is a replay or exceeds the rate limit."""
         now = self.dispatcher.clock.now()
         written_at = now - change.age
         if self._is_replay(change, written_at):
             self.counts["peer purges replayed"] += 1
             return
-        # all by the monotonic clock: the limiter compares moments of one clock only
+        # All times are of the monotonic clock, because the limiter compares times of a single clock.
         purged_at = self.limiter.effective_from(written_at, now, now)
         self.counts["peer purges out of bounds"] = self.limiter.anomalies
         if purged_at is None:
--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -1,4 +1,4 @@
-"""What all quotas of a front work with: its loop, its fleet, and the figures that fronts publish. No I/O."""
+"""Common context of a front's quotas: its event loop, its fleet, and figures published by fronts. No I/O."""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -18,40 +18,40 @@
 
 
 class Clock(Protocol):
-    """The front's time."""
+    """Clock of the front."""
 
     def now(self) -> float:
-        """Seconds of the steady clock."""
+        """Return the time of the steady clock in seconds."""
         ...
 
     def unix(self) -> float:
-        """Seconds of the Unix clock."""
+        """Return the Unix time in seconds."""
         ...
 
 
 class Scheduler(Protocol):
-    """The front's timers."""
+    """Scheduler of the front's timers."""
 
     def after(self, delay: float, call: Callable[[], object]) -> object:
-        """Call once, `delay` seconds from now."""
+        """Schedule a single call `delay` seconds from now."""
         ...
 
 
 class Site(Protocol):
-    """The front's configuration."""
+    """Configuration of the front."""
 
     @property
     def settings(self) -> SiteSettings:
-        """The settings that the routing decisions use."""
+        """The settings of the routing decisions."""
         ...
 
 
 class FrontLoop(Protocol):
-    """The front's event loop round the routing decisions."""
+    """Event loop of the front, which runs the routing decisions."""
 
     @property
     def clock(self) -> Clock:
-        """The front's time."""
+        """The front's clock."""
         ...
 
     @property
@@ -71,18 +71,21 @@
 
     @property
     def names(self) -> EndpointRegistry:
-        """Numbers of caches by their names, and back."""
+        """The registry that maps cache names to numbers and numbers to names."""
         ...
 
     def post(self, event: Event, first: bool = False) -> None:
-        """Queue an event for the decisions; `first` puts it before all that waits."""
+        """Queue an event for the routing decisions; `first` puts it at the head of the queue."""
         ...
 
 
 class QuotaContext:
-    """The loop, the fleet and the figures published by fronts, for all that limits or ejects.
+    """Context shared by the limits and ejections of a front.
 
     Attributes:
+        loop: event loop of the front.
+        fleet: the fleet as this front sees it.
+        random: source of random numbers.
         counts: counters of all quotas of this front.
     """
 
@@ -91,7 +94,7 @@
         self.fleet = fleet
         self.random = random
         self.counts: Counter[str] = Counter()
-        self._last_number = 0  # of the figures that this run has published
+        self._last_number = 0  # of the figures that this process has published
 
     @property
     def name(self) -> str:
@@ -100,7 +103,7 @@
 
     @property
     def limits(self) -> LimitSettings:
-        """The fleet's limits, as last loaded."""
+        """The limits of the fleet, as last loaded."""
         return self.fleet.settings.limits
 
     @property
@@ -109,53 +112,53 @@
         return self.loop.site.settings
 
     def now(self) -> float:
-        """Seconds of the steady clock."""
+        """Return the time of the steady clock in seconds."""
         return self.loop.clock.now()
 
     def front_names(self) -> list[str]:
-        """All fronts that the installation file names, this one among them."""
+        """Return the names of all fronts in the installation file, including this one, in order."""
         return sorted({peer.name for peer in self.fleet.settings.peers} | {self.name})
 
     def zones(self) -> dict[str, str]:
-        """The zone of each front."""
+        """Return the zone of each front."""
         settings = self.fleet.settings
         return {peer.name: peer.zone for peer in settings.peers} | {self.name: settings.zone}
 
     def cache(self, uid: str) -> Cache | None:
-        """A listed cache by its name; None where the list does not have it."""
+        """Return a cache by its name; None if the endpoint list does not contain it."""
         return self.loop.router.caches.get(self.loop.names.numbers.get(uid, -1))
 
     # Replicated items.
 
     def item(self, kind: str, key: str) -> Item | None:
-        """A replicated item, whether it still counts or not; None where there is none."""
+        """Return a replicated item, expired or not; None if there is none."""
         return self.fleet.store.items.get((kind, key))
 
     def items(self, kind: str) -> Iterator[tuple[str, Item]]:
-        """Keys and items of a kind, whether they still count or not."""
+        """Return the keys and items of a kind, expired or not."""
         return ((key, item) for (item_kind, key), item in self.fleet.store.items.items() if item_kind == kind)
 
     def live_figures(self, kind: str, now: float) -> Iterator[tuple[str, str, Item]]:
-        """Subject, writer and item of each published figure of a kind that still counts."""
+        """Yield subject, writer and item of each published figure of a kind that has not expired."""
         for key, item in self.items(kind):
             if item.is_live(ITEM_KINDS[kind], now):
                 subject, _, writer = key.rpartition("|")
                 yield subject, writer, item
 
     def publish_figure(self, kind: str, subject: str, figure: float) -> None:
-        """Publish this front's figure on a subject to all fronts, in place of its earlier one."""
+        """Publish this front's figure on a subject to all fronts, replacing its earlier one."""
         self._last_number += 1
         key = f"{subject}|{self.name}"
         self.fleet.publish(kind, key, self.fleet.store.epoch, self._last_number, figure)
 
     def publish_setting(self, name: str, text: str) -> None:
-        """Publish an operator's setting for the whole fleet: the latest version holds."""
+        """Publish an operator's setting for the whole fleet; the latest version is valid."""
         current = self.item(SETTING, name)
         version = int(current.value[0]) + 1 if current else 1
         self.fleet.publish(SETTING, name, version, text)
 
     def peer_figures(self, kind: str, subject: str) -> dict[str, PeerFigure]:
-        """What other fronts published on a subject, as far as it still counts, by front."""
+        """Return the figures of other fronts on a subject that have not expired, by front."""
         now = self.now()
         figures = {}
         for peer in self.fleet.settings.peers:
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -1,8 +1,8 @@
-"""All limits and ejections that this front shares with its fleet, as the front's adapter uses them. No I/O.
+"""Limits and ejections that this front shares with its fleet, as used by the front's adapter. No I/O.
 
-Strict limits are shared by leases: the budgets of caches that warm up (`slow_start_quotas`) and the
-operators' strict rates. Others are divided by demand (`demand_limits`). Beside them go the limits and bans of
-clients (`client_limits`) and the ejections of caches (`ejection_service`).
+Strict limits are shared by leases: the slow-start budgets of caches (`slow_start_quotas`) and the operators'
+strict rates. Other limits are divided by demand (`demand_limits`). The service also runs the limits and bans
+of clients (`client_limits`) and the ejections of caches (`ejection_service`).
 """
 
 import math
@@ -24,17 +24,25 @@
 from weldbend.fleet.steady_unix import SteadyUnixTime
 from weldbend.routing.random_source import RandomSource
 
-WINDOW = 1.0  # seconds in which an operator's rate holds
-MEMBERS_INTERVAL = 10.0  # seconds after which a front publishes again which members its file names
+WINDOW = 1.0  # seconds over which an operator's rate is enforced
+MEMBERS_INTERVAL = 10.0  # seconds after which a front publishes the checksum of its members again
 
 AdminHandler = Callable[[dict[str, Any]], object]
 
 
 class QuotaService:
-    """The front's limits and ejections that are shared with its fleet; has `tick` called once a second.
+    """Limits and ejections that the front shares with its fleet; `tick` must be called once a second.
 
     Attributes:
-        leases: the strict limits, which the fleet's service carries out.
+        context: context shared by all limits and ejections.
+        counts: counters of limits and ejections.
+        slow_start: slow-start budgets of caches.
+        demand: limits divided by demand.
+        client_rate: limit on the request rate of a single client.
+        bans: bans of clients.
+        ejections: ejections of caches.
+        leases: strict limits, whose messages the fleet's service sends and receives.
+        rates: operators' strict rates, by request class.
     """
 
     def __init__(self, loop: FrontLoop, fleet: Fleet, random: RandomSource) -> None:
@@ -49,7 +57,9 @@
         self._members_checksum = 0
         self._members_published_at = -math.inf
         self.rates: dict[str, LeasedRate] = {}
-        self._opened_rates: dict[str, LeasedRate] = {}  # those of earlier files too: others may hold leases
+        self._opened_rates: dict[
+            str, LeasedRate
+        ] = {}  # with rates of earlier files, for which other fronts may hold leases
         self._open_rates()
 
     def _make_leases(self) -> LeaseService:
@@ -86,7 +96,7 @@
     # Admission.
 
     def exceeds_limit(self, request_class: str, client: str) -> bool:
-        """Count a request; return whether it is to be rejected as beyond a limit of the fleet."""
+        """Count a request; return whether it must be rejected because it exceeds a limit of the fleet."""
         now = self.context.now()
         if not self.context.settings.classes[request_class].origin_only:
             self.demand.parents.add()
@@ -100,7 +110,7 @@
         return False
 
     def is_banned(self, client: str) -> bool:
-        """Whether the fleet or an operator has banned a client."""
+        """Return whether the fleet or an operator has banned a client."""
         return self.bans.is_banned(client)
 
     def publish_ban(self, client: str) -> None:
@@ -108,17 +118,17 @@
         self.bans.publish(client)
 
     def cache_restarted(self, uid: str) -> None:
-        """Note that a cache may have started."""
+        """Handle a possible restart of a cache."""
         self.slow_start.cache_restarted(uid)
 
     # Time.
 
     def tick(self, now: float, reports: Mapping[str, list[HealthReport]]) -> None:
-        """Publish this front's figures, and bring all quotas and ejections up to date.
+        """Publish this front's figures, and update all quotas and ejections.
 
         Args:
-            now: seconds of the steady clock.
-            reports: health reports of all fronts, this one among them, by cache.
+            now: time of the steady clock in seconds.
+            reports: health reports of all fronts, including this one, by cache.
         """
         alive = self.context.fleet.live_members()
         self._confirm_members(now)
@@ -133,11 +143,11 @@
     # Membership.
 
     def _confirm_members(self, now: float) -> None:
-        """Let a newcomer own quotas once all that it has figures of name the same members.
+        """Let a newcomer own quotas once all fronts whose figures it has name the same members.
 
-        Guards against quotas of two sets of members, or of two limits, which add up to more than one. A front
-        that receives nothing has its fixed quota. Harm: a start waits for the next figure of the others, at
-        most `MEMBERS_INTERVAL`.
+        Guards against quotas that are computed from different sets of members or different limits, and whose
+        sum exceeds the limit. A front that receives no messages owns its fixed quota after its recovery. Side
+        effect: after a start, a front waits up to `MEMBERS_INTERVAL` for the next figures of the others.
         """
         context = self.context
         checksum = zlib.crc32(f"{context.front_names()} {context.limits.leased_rates}".encode())
@@ -155,9 +165,9 @@
             self.leases.set_members(self.slow_start.owners, False, now)
 
     def members_changed(self) -> None:
-        """Take over the members and rates of an installation file that was read anew.
+        """Apply the members and rates of a reloaded installation file.
 
-        Where members are fewer, quotas grow only once all fronts name the same.
+        If members were removed, quotas grow only once all fronts name the same members.
         """
         now = self.context.now()
         self._open_rates()
@@ -167,13 +177,13 @@
         if current >= previous:
             self.leases.set_members(self.slow_start.owners, self.leases.is_newcomer, now)
         else:
-            self.leases.is_newcomer = True  # until the others have read their files as well
+            self.leases.is_newcomer = True  # until the other fronts have reloaded their files as well
         self._members_published_at = -math.inf
 
-    # Admin questions.
+    # Admin port.
 
     def admin_handlers(self) -> dict[str, AdminHandler]:
-        """Return the questions of the admin port that this answers; each is handed the whole question."""
+        """Return the handlers of admin-port questions; each is called with the whole question."""
         return {
             "limits": lambda question: self.limit_rows(),
             "verdicts": lambda question: self.ejection_rows(),
--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -1,7 +1,8 @@
-"""Budgets of caches that warm up, shared by the fronts that may send to them. No I/O.
+"""Slow-start budgets of caches, shared by the fronts that may send to them. No I/O.
 
-What all fronts together may send to a cache that has just started is a strict limit, shared by leases. Each
-start has a limit of its own, `cold:UID@UNIX_MILLISECONDS`, a name that all fronts compute alike.
+The load that all fronts together may send to a cache that has just started is a strict limit, shared by
+leases. Each start has its own limit, named `cold:UID@UNIX_MILLISECONDS`, so that all fronts compute the same
+name.
 """
 
 import math
@@ -17,16 +18,17 @@
 from weldbend.routing.reports import slow_start_demand
 from weldbend.routing.settings import Role
 
-LIMIT_PREFIX = "cold:"  # of these limits' names
+LIMIT_PREFIX = "cold:"  # of the names of these limits
 
 
 @dataclass(slots=True)
 class SlowStartBudget:
-    """The budget of one cache that warms up, as the spender of its limit.
+    """Slow-start budget of one cache, which is the spender of its limit.
 
     Attributes:
-        cache: the cache's number.
-        coverage: of the fronts that may send to it, the fraction that share by leases.
+        loop: event loop of the front.
+        cache: number of the cache.
+        coverage: fraction of the fronts that may send to the cache that share its budget by leases.
     """
 
     loop: FrontLoop
@@ -34,7 +36,7 @@
     coverage: float
 
     def usage(self, now: float) -> Usage:
-        """What this front sent in the last window, wanted to send, and sends in one attempt; in parts."""
+        """Return the work sent and wanted in the last window, and the work of one attempt, in parts."""
         router = self.loop.router
         if self.cache not in router.caches:  # no longer listed
             return Usage(0.0, 0.0)
@@ -52,17 +54,18 @@
         )
 
     def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
-        """Hand the quota to the decisions before all that waits: what is decided from now on goes by it."""
+        """Pass the quota to the routing ahead of all queued events, so that all later decisions obey it."""
         unit = self.coverage / PARTS_PER_LIMIT
         quota = SlowStartQuota(self.cache, True, retained * unit, leased * unit, lease_end)
         self.loop.post(quota, first=True)
 
 
 class SlowStartQuotas:
-    """Opens and closes the limits of caches that warm up.
+    """Opens and closes the slow-start limits of caches.
 
     Attributes:
-        budgets: the open ones, by limit.
+        context: context shared by all limits and ejections.
+        budgets: open budgets, by the name of their limit.
     """
 
     def __init__(self, context: QuotaContext) -> None:
@@ -73,16 +76,16 @@
     def leases(self) -> LeaseService:
         """The strict limits of this front."""
         leases = self.context.fleet.lease_service
-        assert leases is not None  # the quota service sets it before it opens any limit
+        assert leases is not None  # set by the quota service before any limit is opened
         return leases
 
     @property
     def is_enabled(self) -> bool:
-        """Whether such budgets are shared by leases at all."""
+        """Whether slow-start budgets are shared by leases at all."""
         return self.context.limits.slow_start and bool(self.context.settings.weighted)
 
     def owners(self, limit: str) -> list[str]:
-        """Return the fronts that own a limit: of an edge cache those of this front's zone, else all."""
+        """Return the fronts that own a limit: for an edge cache those in this front's zone, else all."""
         context = self.context
         budget = self.budgets.get(limit)
         cache = context.loop.router.caches.get(budget.cache) if budget else None
@@ -92,13 +95,13 @@
         return [name for name in context.front_names() if zones[name] == zones[context.name]]
 
     def open_requested(self, limit: str) -> None:
-        """Open a limit from which another front spends, where this one knows of the same start."""
+        """Open a limit that another front uses, if this front knows of the same start."""
         uid, started, _ = limit.removeprefix(LIMIT_PREFIX).rpartition("@")
         if limit.startswith(LIMIT_PREFIX) and started:
             self.open(uid)
 
     def cache_restarted(self, uid: str) -> None:
-        """Send nothing to a cache that may have started until its limit is open, one iteration later."""
+        """Stop sending to a cache that may have started until its limit is open, one loop iteration later."""
         loop = self.context.loop
         number = loop.names.numbers.get(uid)
         if number is not None and self.is_enabled:
@@ -106,7 +109,7 @@
             loop.timers.after(0.0, lambda: self.open(uid))
 
     def open(self, uid: str) -> None:
-        """Share the budget of a cache that has started, as far as this front knows, from now on."""
+        """Open the limit of a cache if this front knows of a start of it."""
         context = self.context
         start = context.item(START, uid)
         cache = context.cache(uid)
@@ -138,7 +141,7 @@
             self.close(limit)
 
     def _first_attempts(self, cache: Cache) -> float:
-        """Attempts in a window for which a cache's budget has room when it has just started."""
+        """Return the number of attempts in a window for which a cache's initial budget has capacity."""
         settings = self.context.settings
         if cache.role is Role.PARENT:
             capacity = settings.parent_start_capacity * settings.parent_overload_factor
@@ -148,13 +151,13 @@
         return capacity * settings.edge_overload_window * cache.weight / work
 
     def close(self, limit: str) -> None:
-        """Spend no more from a limit, and give the decisions back the fixed quota of each front."""
+        """Close a limit, and let the routing use the fixed quota of each front again."""
         budget = self.budgets.pop(limit)
         self.leases.close(limit)
         self.context.loop.post(SlowStartQuota(budget.cache), first=True)
 
     def tick(self) -> None:
-        """Close the limits of caches that are warm by now or removed, and open those of new starts."""
+        """Close the limits of caches that are warm or removed, and open limits for new starts."""
         for limit, budget in list(self.budgets.items()):
             cache = self.context.loop.router.caches.get(budget.cache)
             if cache is None or cache.is_warm():
