--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -98,7 +98,10 @@
         self.context.publish_figure(CLIENT_BAN, client, 0.0)
 
     def is_banned(self, client: str) -> bool:
-        """Return whether the fleet or an operator has banned a client; count it if the fleet has."""
+        """Return whether the fleet or an operator has banned a client.
+
+        Connections of clients that the fleet has banned are counted.
+        """
         override = self._override(client)
         if override is not None:
             return override
--- a/weldbend/fleet/conservative_merge.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -7,7 +7,7 @@
 from weldbend.fleet.replicated_items import Value
 
 LIST_STATES = ("up", "draining", "removed")  # of a cache on the bus, in order of increasing restriction
-MAX_PURGES_PER_SECOND = 200  # accepted from peers; more would fill the purge table of the routing
+MAX_PURGES_PER_SECOND = 200  # accepted from peers; the routing has to keep each of them
 UNREACHABLE_OFFSET = 1 << 40  # event number that no bus reaches
 MAX_CLOCK_AHEAD = 2.0  # seconds by which a purge may be ahead of this front's clock; else it counts from now
 
@@ -45,12 +45,12 @@
         self._received = 0  # in that second
 
     def effective_from(self, purged_at: float, now: float, unix: float) -> float | None:
-        """Return the Unix time from which a purge takes effect; None if it exceeds the rate limit.
+        """Return the time from which a purge takes effect; None if it exceeds the rate limit.
 
         Args:
-            purged_at: Unix time of the purge in seconds, as its writer published it.
+            purged_at: time of the purge in seconds, by the same clock as `unix`.
             now: time of the steady clock in seconds.
-            unix: Unix time of the same moment in seconds.
+            unix: the same moment by the clock that dates the purge, in seconds.
         """
         if int(now) != self._second:
             self._second = int(now)
--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -51,8 +51,8 @@
     Attributes:
         rates: operators' rates, by request class.
         parents: estimate of this front's demand at the parents.
-        parent_fraction: fraction of the work in flight at the parents that this front may have; 0 before the
-            first tick.
+        parent_fraction: this front's fraction of what all fronts together may have in flight at the parents;
+            0 before the first tick.
     """
 
     def __init__(self, context: QuotaContext) -> None:
--- a/weldbend/fleet/execution_exchange.py
+++ b/weldbend/fleet/execution_exchange.py
@@ -43,7 +43,7 @@
     def possible_executions(
         self, class_name: str, idempotency_key: str, is_retry: bool
     ) -> tuple[PossibleExecution, ...]:
-        """Return attempts of a deduplicated request, by any front, that may have been executed."""
+        """Return earlier attempts of a deduplicated request, by any front, that may have been executed."""
         request_class = self.dispatcher.site.settings.classes[class_name]
         now = self.fleet.timers.now()
         if request_class.idempotency is not Idempotency.DEDUPLICATED:
--- a/weldbend/fleet/health_exchange.py
+++ b/weldbend/fleet/health_exchange.py
@@ -106,10 +106,10 @@
             sum(successes for successes, _ in records.values()),
             sum(failures for _, failures in records.values()),
         )
-        combined_reports = dict(reports)
+        all_reports = dict(reports)
         for number, record in records.items():
             uid = uids.get(number)
             if uid and (uid in reports or uid in recovering or record[1]):
                 own = HealthReport(self.fleet.name, True, 0.0, record, total)
-                combined_reports[uid] = [*reports.get(uid, ()), own]
-        return combined_reports
+                all_reports[uid] = [*reports.get(uid, ()), own]
+        return all_reports
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-REPORT_SPAN = 10.0  # seconds after which a report has no weight
+REPORT_SPAN = 10.0  # seconds of attempts that a report covers; an older report has no weight
 REPEAT_INTERVAL = 3.0  # seconds after which an unchanged report is published again
 WATCHED_INTERVAL = 0.9  # the same for caches that peers report on, or that recover
 MAX_ANSWERS = 4.0  # for which a single report counts at most
@@ -41,8 +41,8 @@
     ) -> list[tuple[str, Outcomes]]:
         """Return the reports to publish now, on single caches and on all together (`ALL_CACHES`).
 
-        There are none while all attempts succeed, except on caches that must be reported in any case
-        (`watched`), because peers report on them.
+        There are none while all attempts succeed, except on the caches in `watched`, on which a front reports
+        even without failures, because peers report on them or because they recover.
         """
         rounded = {uid: (round(good, 1), round(failed, 1)) for uid, (good, failed) in outcomes.items()}
         watched = set(watched)
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -39,8 +39,8 @@
     """Return the possible execution that a replicated item of kind `keyed` records.
 
     The first attempt is dated by its writer's Unix clock, but no later than the first write of the item, so
-    no clock error makes the window longer. A clock that is wrong by less than `MAX_CLOCK_ERROR` can make the
-    window shorter by its error, which is the safe direction.
+    that no clock error makes the window longer. A clock that is wrong by less than `MAX_CLOCK_ERROR` can
+    make the window shorter by its error, which is the safe direction.
 
     Args:
         value: value of the item: the group, and the Unix time of the first attempt in milliseconds.
--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -42,8 +42,8 @@
     """
     order = sorted(set(names), key=lambda name: blake2b(f"{limit} {name}".encode(), digest_size=8).digest())
     owners = min(len(order), max(int(attempts), 1))
-    least, remainder = divmod(PARTS_PER_LIMIT, owners) if owners else (0, 0)
-    return {name: (least + (place < remainder)) * (place < owners) for place, name in enumerate(order)}
+    base, remainder = divmod(PARTS_PER_LIMIT, owners) if owners else (0, 0)
+    return {name: (base + (index < remainder)) * (index < owners) for index, name in enumerate(order)}
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,8 +102,8 @@
 
     Attributes:
         parts: number of leased parts.
-        end: end of the lease, in seconds. From then on the lender counts the parts as its own again, and the
-            borrower does not spend from them any more.
+        end: end of the lease, in seconds. In the lender's record, the time when the lender counts the parts
+            as its own again; in the borrower's, the time when the borrower stops spending from them.
         number: number of the request in the borrower's record; 0 in the lender's.
         is_ending: whether the lease cannot be renewed any more; set in the lender's record only.
     """
@@ -195,7 +195,7 @@
     # Balance.
 
     def retained(self, now: float) -> int:
-        """Return the number of own parts that are not granted, and that the front holds without a lease."""
+        """Return the number of this front's own parts that are not granted to others."""
         if now < self.recovering_until:
             return 0
         return self.own - self.granted_parts(now)
@@ -228,7 +228,7 @@
         return sum(lease.parts for lease in leases if lease.end > now and not lease.is_ending)
 
     def returning_parts(self, now: float) -> int:
-        """Return the number of granted parts that return without a release, as they cannot be renewed."""
+        """Return the number of granted parts whose leases cannot be renewed, and that thus return soon."""
         return sum(lease.parts for lease in self.granted.values() if lease.end > now and lease.is_ending)
 
     def grant(self, now: float, request_id: LeaseRequestId, parts: int, used: float) -> Grant:
@@ -294,8 +294,8 @@
     def accept_grant(self, now: float, lender: str, grant: Grant) -> bool:
         """Record a lender's answer, and return whether it brought a lease.
 
-        It brings none if it is a refusal, if this process has no such request pending, or if the lease ended
-        before its answer arrived.
+        It brings none if the request was refused or is not pending at this process, or if the lease ended
+        before the answer arrived.
         """
         request = self.pending.get(lender)
         if request is None or (grant.epoch, grant.number) != (self.epoch, request.number):
@@ -317,12 +317,12 @@
 
     def discard_ended(self, now: float) -> None:
         """Drop leases and requests that have ended; this changes no balance."""
-        for request_id in [one for one, lease in self.granted.items() if lease.end <= now]:
+        for request_id in [ended for ended, lease in self.granted.items() if lease.end <= now]:
             del self.granted[request_id]
         for lender in [lender for lender, lease in self.leased.items() if lease.end <= now]:
             del self.leased[lender]
         term = self.times.borrower_term
-        for lender in [lender for lender, one in self.pending.items() if one.sent_at + term <= now]:
+        for lender in [lender for lender, request in self.pending.items() if request.sent_at + term <= now]:
             del self.pending[lender]
 
     def resize(self, own: int) -> None:
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -216,7 +216,7 @@
 
         Guards against granting parts during a short gap in demand: granted parts are unavailable for a term
         and a window, so a quota with recent demand is more useful here. Side effect: when demand moves to
-        another front permanently, that front gets the parts later by the same time.
+        another front permanently, that front gets the parts only after the recent demand has expired here.
         """
         attempts = self.peaks[0][1] if self.peaks else 0.0
         is_recent = self.sampled_at - self.last_demand_at < RESERVED_PERIODS * self.period
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -44,7 +44,7 @@
     """Component that spends from a limit."""
 
     def usage(self, now: float) -> Usage:
-        """Return the use in the last window, and the use without the limit, in parts."""
+        """Return the use in the last window and the current demand, in parts."""
         ...
 
     def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
@@ -108,7 +108,7 @@
         name: name of this front.
         epoch: epoch of this process.
         limits: open limits, by name.
-        is_newcomer: whether other fronts may not count this front as a member yet, so that it owns no parts.
+        is_newcomer: whether some fronts may not know this front as a member yet; it then owns no parts.
         recovering_until: end of the recovery after a restart, in seconds. Until then this front holds no
             parts of its own, because its previous process may have granted them.
         counts: counters of lease events.
@@ -227,10 +227,10 @@
         return []
 
     def _accept_grant(self, now: float, limit: SharedLimit, lender: str, grant: Grant) -> None:
-        before = limit.ledger.leased.get(lender)
+        previous_lease = limit.ledger.leased.get(lender)
         is_accepted = limit.ledger.accept_grant(now, lender, grant)
         if grant.epoch == self.epoch:
-            has_more = is_accepted and grant.parts > (before.parts if before else 0)
+            has_more = is_accepted and grant.parts > (previous_lease.parts if previous_lease else 0)
             limit.policy.record_answer(now, lender, grant.spare, has_more)
         if is_accepted:
             self.counts["leases acquired"] += 1
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -34,7 +34,7 @@
 RELAPSED_ANSWERS = 2.0  # new failed answers after which a half-open cache is ejected again
 RAMP_SECONDS = 4.0  # in which a recovering cache returns to its full load
 RAMP_START = 0.1  # fraction of its load that a recovering cache gets at first
-HALF_OPEN_FRACTION = 0.5  # fraction of its usual load there that the probing front sends
+HALF_OPEN_FRACTION = 0.5  # fraction of its usual load that the probing front sends to a half-open cache
 FORGET_SECONDS = 60.0  # after which the next ejection counts as the first again
 MAX_EJECTED_FRACTION = 1 / 3  # of the caches of a kind at a time; more failures indicate a fault of the site
 BAN_WINDOW = 60.0  # seconds within which two fronts must have banned a client
@@ -93,10 +93,10 @@
         """
         good, failed = self.new_outcomes
         for report in reports:
-            before = self.last_reports.get(report.writer, report.outcomes)
-            good += max(report.outcomes[0] - before[0], 0.0)
+            previous = self.last_reports.get(report.writer, report.outcomes)
+            good += max(report.outcomes[0] - previous[0], 0.0)
             if report.writer == prober:
-                failed += max(report.outcomes[1] - before[1], 0.0)
+                failed += max(report.outcomes[1] - previous[1], 0.0)
             self.last_reports[report.writer] = report.outcomes
         self.new_outcomes = good, failed
 
--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -152,7 +152,7 @@
         self.fleet.publish(kind, key, self.fleet.store.epoch, self._last_number, figure)
 
     def publish_setting(self, name: str, text: str) -> None:
-        """Publish an operator's setting for the whole fleet; the latest version is valid."""
+        """Publish an operator's setting for the whole fleet, as the latest version."""
         current = self.item(SETTING, name)
         version = int(current.value[0]) + 1 if current else 1
         self.fleet.publish(SETTING, name, version, text)
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -57,9 +57,8 @@
         self._members_checksum = 0
         self._members_published_at = -math.inf
         self.rates: dict[str, LeasedRate] = {}
-        self._opened_rates: dict[
-            str, LeasedRate
-        ] = {}  # with rates of earlier files, for which other fronts may hold leases
+        # Rates of earlier files stay open, because other fronts may hold leases on them.
+        self._opened_rates: dict[str, LeasedRate] = {}
         self._open_rates()
 
     def _make_leases(self) -> LeaseService:
