--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -16,46 +16,51 @@
 
     def __init__(self, folder, count=3, **options):
         self.folder, self.names = Path(folder), [f"n{n}" for n in range(1, count + 1)]
-        held = [part for name, value in options.items() for part in (f"--{name}", value)]
+        arguments = [part for name, value in options.items() for part in (f"--{name}", value)]
         self.lab = subprocess.Popen(
             [sys.executable, "-m", "weldbend", "lab", "fleet", "--lines", "--fronts", str(count),
-             "--folder", str(folder), *held],
+             "--folder", str(folder), *arguments],
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
         )  # fmt: skip
-        where = json.loads(self.lab.stdout.readline())
-        self.controls, self.fronts = where["controls"], where["fronts"]
+        addresses = json.loads(self.lab.stdout.readline())
+        self.controls, self.fronts = addresses["controls"], addresses["fronts"]
 
-    def do(self, deed, who="all", **held):
+    def send_command(self, command, fronts="all", **fields):
         """One event; returns once it has begun."""
-        self.lab.stdin.write(json.dumps({"do": deed, **({"who": who} if who else {}), **held}) + "\n")
+        self.lab.stdin.write(
+            json.dumps({"do": command, **({"who": fronts} if fronts else {}), **fields}) + "\n"
+        )
         self.lab.stdin.flush()
         for line in self.lab.stdout:
-            told = json.loads(line)
-            assert "wrong" not in told, told
-            if "done" in told:
+            reply = json.loads(line)
+            assert "wrong" not in reply, reply
+            if "done" in reply:
                 return
 
-    def tell(self, **event):
-        self.do("tell", event=event)
+    def publish(self, **event):
+        self.send_command("tell", event=event)
 
     def start(self, *names):
-        self.do("start", " ".join(names or self.names))
+        self.send_command("start", " ".join(names or self.names))
 
     def kill(self, name, signal="KILL"):
         """Gone when this returns, but for a mere stop."""
-        self.do("signal", name, name=signal)
+        self.send_command("signal", name, name=signal)
         if signal in ("KILL", "TERM"):
-            self.until(lambda: not self.answers(name))
+            self.wait_until(lambda: not self.is_reachable(name))
 
-    def answers(self, name):
+    def is_reachable(self, name):
         try:
             return bool(self.status(name))
         except OSError:
             return False
 
-    def ask(self, name, **question):
+    def query(self, name, **question):
         host, _, port = self.controls[name].rpartition(":")
-        with socket.create_connection((host, int(port)), timeout=2.0) as held, held.makefile("rwb") as lines:
+        with (
+            socket.create_connection((host, int(port)), timeout=2.0) as connection,
+            connection.makefile("rwb") as lines,
+        ):
             lines.write(json.dumps(question).encode() + b"\n")
             lines.flush()
             answer = json.loads(lines.readline())
@@ -63,36 +68,40 @@
         return answer["ok"]
 
     def status(self, name):
-        return self.ask(name, ask="status")
+        return self.query(name, ask="status")
 
-    def sees(self, name):
+    def member_states(self, name):
         """How one front sees the others, as a short line."""
-        return " ".join(f"{one['name']}:{one['state'].lower()}" for one in self.status(name)["members"])
+        return " ".join(
+            f"{member['name']}:{member['state'].lower()}" for member in self.status(name)["members"]
+        )
 
-    def holds(self, name, kind):
-        return {one["key"]: one["value"] for one in self.ask(name, ask="state") if one["kind"] == kind}
+    def state_entries(self, name, kind):
+        return {
+            entry["key"]: entry["value"] for entry in self.query(name, ask="state") if entry["kind"] == kind
+        }
 
     def log(self, name):
         return (self.folder / f"{name}.log").read_text()
 
-    def until(self, what, seconds=12.0):
-        """Wait until it holds; what it gave last is shown where it never does."""
+    def wait_until(self, condition, seconds=12.0):
+        """Return the first true result of `condition`; on timeout, raise with its last result or error."""
         end, last = time.monotonic() + seconds, None
         while time.monotonic() < end:
             try:
-                if last := what():
+                if last := condition():
                     return last
-            except (OSError, ValueError, AssertionError) as wrong:
-                last = wrong
+            except (OSError, ValueError, AssertionError) as error:
+                last = error
             time.sleep(0.03)
-        shown = {}
+        member_states = {}
         for name in self.names:
             with contextlib.suppress(OSError, ValueError):
-                shown[name] = self.sees(name)
+                member_states[name] = self.member_states(name)
         logs = "\n".join(f"{name}:\n{self.log(name)[-1500:]}" for name in self.names)
-        raise AssertionError(f"never held: {last!r}; {shown}\n{logs}")
+        raise AssertionError(f"condition not met in time: {last!r}; {member_states}\n{logs}")
 
-    def alike(self, *names):
+    def has_converged(self, *names):
         """They see each other alive, have caught up, and hold the same."""
         return not differences({name: self.status(name) for name in names or self.names})
 
--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -8,10 +8,10 @@
 from twisted.python.failure import Failure
 
 from weldbend.buffers.ring import Ring
-from weldbend.event_bus.events import parse_event as bus_event
+from weldbend.event_bus.events import parse_event
 from weldbend.event_bus.remote_timestamps import Receipt
 from weldbend.front.configuration import read_site
-from weldbend.front.server import Front as Door
+from weldbend.front.server import Front
 from weldbend.routing.actions import CancelAttempt, FailRequest, RejectRequest, SendAttempt, WatchEndpoints
 from weldbend.routing.events import (
     AttemptEnded,
@@ -35,7 +35,7 @@
 __all__ = ["give_up", "listing", "message", "probe", "target"]
 
 
-def content(name="photo", **changes):
+def request_class(name="photo", **changes):
     base = RequestClass(
         name, Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 3.0, 6.0, 0.5, 1.6, 2.0, 0.0, False
     )
@@ -48,7 +48,7 @@
     fronts=2,
     zone_fronts=2,
     hub_fronts=2,
-    classes={"photo": content()},
+    classes={"photo": request_class()},
     tick=0.002,
     list_refresh=10.0,
     subscribes=False,
@@ -71,44 +71,44 @@
 )
 
 
-def entry(number, role=Role.EDGE, zone="z", state=EndpointState.READY, started=None, cell=0):
+def endpoint(number, role=Role.EDGE, zone="z", state=EndpointState.READY, started=None, cell=0):
     return Endpoint(number, 10.0, zone, cell, role, state, started)
 
 
 CACHES = (
-    entry(1),
-    entry(2),
-    entry(11, Role.PARENT, "h"),
-    entry(12, Role.PARENT, "far"),
-    entry(21, Role.ORIGIN, "h"),
+    endpoint(1),
+    endpoint(2),
+    endpoint(11, Role.PARENT, "h"),
+    endpoint(12, Role.PARENT, "far"),
+    endpoint(21, Role.ORIGIN, "h"),
 )
 
 
-class Front:
+class RouterHarness:
     """Feeds a Router and keeps a printed line for each pull and each final answer."""
 
     def __init__(self, caches=CACHES, **site):
         self.router, self.now, self.trace, self.attempts = Router(7, replace(SITE, **site)), 0.0, [], {}
-        self.listed(*caches, scale=ListScope.COMPLETE)
+        self.update_endpoints(*caches, scope=ListScope.COMPLETE)
 
-    def at(self, now, *events):
+    def handle(self, now, *events):
         self.now = now
         for action in self.router.handle(now, events):
-            line = self.line(action)
+            line = self.describe(action)
             if line:
                 self.trace.append(f"{now:.2f} {line}")
 
-    def line(self, action):
+    def describe(self, action):
         match action:
             case SendAttempt():
                 self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
-                fill = "look" if action.source in (None, action.cache) else f"fill from {action.source}"
-                fill += " if held" * action.only_if_cached
+                fill = "lookup" if action.source in (None, action.cache) else f"fill from {action.source}"
+                fill += " if cached" * action.only_if_cached
                 age = f" age {action.max_age:.3f}" if action.max_age else ""
                 leave = " leave-no-copy" if action.leave_no_copy else ""
                 return f"{action.id}: {action.cache} {fill} rank {action.rank}{leave}{age}"
             case CancelAttempt(name, attempt):
-                return f"{name}: call off {attempt}"
+                return f"{name}: cancel attempt {attempt}"
             case RejectRequest(name, wait):
                 return f"{name}: throttled, wait {wait}"
             case FailRequest(name):
@@ -116,33 +116,33 @@
             case WatchEndpoints():
                 return "watch"
 
-    def listed(self, *entries, scale=ListScope.CHANGES, now=None):
-        self.at(self.now if now is None else now, EndpointsListed(scale, entries))
+    def update_endpoints(self, *endpoints, scope=ListScope.CHANGES, now=None):
+        self.handle(self.now if now is None else now, EndpointsListed(scope, endpoints))
 
-    def ask(self, name, key="k", now=None, type="photo", until=None, repeat=False):
+    def request(self, name, key="k", now=None, type="photo", deadline=None, repeat=False):
         now = self.now if now is None else now
-        self.at(now, RequestReceived(name, key, 0, 3, type, 0.0, repeat, until or now + 6.0))
+        self.handle(now, RequestReceived(name, key, 0, 3, type, 0.0, repeat, deadline or now + 6.0))
 
-    def end(self, name, result, now=None, hint=FillHint.NONE, attempt=None, took=0.01):
+    def end_attempt(self, name, result, now=None, hint=FillHint.NONE, attempt=None, duration=0.01):
         attempt = self.attempts[name] - 1 if attempt is None else attempt
         closed = result is AttemptResult.SERVED
         now = self.now if now is None else now
-        self.at(now, AttemptEnded(name, attempt, result, took, closed, hint, 0.0, None))
+        self.handle(now, AttemptEnded(name, attempt, result, duration, closed, hint, 0.0, None))
 
-    def wake(self, name, why="slow", attempt=0, now=None):
-        token = f"slow:{name}:{attempt}" if why == "slow" else f"end:{name}"
-        self.at(self.now if now is None else now, TimerFired(token))
+    def fire_timer(self, name, timer="slow", attempt=0, now=None):
+        token = f"slow:{name}:{attempt}" if timer == "slow" else f"end:{name}"
+        self.handle(self.now if now is None else now, TimerFired(token))
 
     def fill(self, name, key="k", now=None):
         """A download that misses at its edge, and at a parent asked for what it holds, and is then filled."""
-        self.ask(name, key, now)
-        self.end(name, AttemptResult.MISS)
-        if "held" in self.trace[-1]:
-            self.end(name, AttemptResult.MISS)
-        self.end(name, AttemptResult.SERVED)
-
-    def shows(self, kept):
-        lines = [line.strip() for line in kept.strip().splitlines()]
+        self.request(name, key, now)
+        self.end_attempt(name, AttemptResult.MISS)
+        if "if cached" in self.trace[-1]:
+            self.end_attempt(name, AttemptResult.MISS)
+        self.end_attempt(name, AttemptResult.SERVED)
+
+    def assert_trace(self, expected):
+        lines = [line.strip() for line in expected.strip().splitlines()]
         assert self.trace == lines, "\n" + "\n".join(self.trace)
 
 
@@ -152,29 +152,37 @@
 TARGETS = (target("e1"), target("e2", port=2), target("p1", "parent", "h", 3), target("o1", "origin", "h", 4))
 
 
-def configuration(targets=TARGETS, **held):
-    return emulated_configuration.configuration(targets, settings=SETTINGS | {"unknown": 1}, **held)
+def configuration(targets=TARGETS, **options):
+    return emulated_configuration.configuration(targets, settings=SETTINGS | {"unknown": 1}, **options)
 
 
 def process(seqid, body=b"", **fields):
     number = f"{seqid:016x}"
-    held = {"class": "photo", "id": number, "wait": "6000", "key": KEY, "nth": "0", "batch": "3", "kb": "640"}
-    return client_calls.process(seqid, {k: v for k, v in (held | fields).items() if v is not None}, body)
+    defaults = {
+        "class": "photo",
+        "id": number,
+        "wait": "6000",
+        "key": KEY,
+        "nth": "0",
+        "batch": "3",
+        "kb": "640",
+    }
+    return client_calls.process(seqid, {k: v for k, v in (defaults | fields).items() if v is not None}, body)
 
 
 def answer_text(data):
     """One answer as a client reads it, in a line."""
-    heard = client_calls.read_answer(data)
-    match heard.outcome:
+    answer = client_calls.read_answer(data)
+    match answer.outcome:
         case "exception":
-            return f"{heard.seqid} exception {heard.fields['kind']}: {heard.body.decode()}"
+            return f"{answer.seqid} exception {answer.fields['kind']}: {answer.body.decode()}"
         case "probe":
-            return f"{heard.seqid} probe: good {heard.good}"
+            return f"{answer.seqid} probe: good {answer.good}"
         case "fulfilled":
-            shown = heard.body.decode() if len(heard.body) < 20 else f"{len(heard.body)} bytes"
-            return f"{heard.seqid} process: {shown!r} {heard.fields or ''}".rstrip()
+            body = answer.body.decode() if len(answer.body) < 20 else f"{len(answer.body)} bytes"
+            return f"{answer.seqid} process: {body!r} {answer.fields or ''}".rstrip()
         case outcome:
-            return f"{heard.seqid} {outcome} {heard.fields or ''}".rstrip()
+            return f"{answer.seqid} {outcome} {answer.fields or ''}".rstrip()
 
 
 class Transport(StringTransport):
@@ -196,191 +204,199 @@
     abortConnection = loseConnection
     loseWriteConnection = loseConnection  # a client in memory closes as soon as it hears of the end
 
-    def taken(self):
+    def take_written(self):
         data = self.value()
         self.clear()
         return data
 
 
-class DescriptorSetInMemory:
+class InMemoryEpollSet:
     """Parked connections in memory; numbers stand for descriptors, the lowest free one as the system does."""
 
-    def __init__(self, stage):
-        self.stage, self.places, self.came, self.told, self.closed = stage, {}, {}, set(), []
+    def __init__(self, harness):
+        self.harness, self.client_indexes, self.pending, self.reported, self.closed = (
+            harness,
+            {},
+            {},
+            set(),
+            [],
+        )
         self.most_read = 0
 
     def fileno(self):
         return 1000
 
     def detach(self, transport):
-        fd = next(n for n in range(5, 1 << 20) if n not in self.places)
-        self.places[fd] = transport.place
-        self.stage.read(transport.place, transport)
+        fd = next(n for n in range(5, 1 << 20) if n not in self.client_indexes)
+        self.client_indexes[fd] = transport.client_index
+        self.harness.record_answers(transport.client_index, transport)
         transport.protocol = None
         return fd
 
     def attach(self, fd, protocol):
-        self.told.discard(fd)
-        place = self.places.pop(fd)
-        transport = self.stage.attach(protocol, place)
+        self.reported.discard(fd)
+        client_index = self.client_indexes.pop(fd)
+        transport = self.harness.attach_transport(protocol, client_index)
         transport.reading = True
         return transport
 
-    def bring(self, place, data):
+    def deliver(self, client_index, data):
         """Something comes on a parked connection: bytes, an end (empty) or an error."""
-        fd = next(fd for fd, held in self.places.items() if held == place)
-        self.came.setdefault(fd, []).append(data)
+        fd = next(fd for fd, index in self.client_indexes.items() if index == client_index)
+        self.pending.setdefault(fd, []).append(data)
         return fd
 
     def poll_readable(self, limit):
-        found = [fd for fd in self.came if fd not in self.told][:limit]
-        self.told.update(found)
-        return found
+        readable = [fd for fd in self.pending if fd not in self.reported][:limit]
+        self.reported.update(readable)
+        return readable
 
     def rearm(self, fd):
-        self.told.discard(fd)
+        self.reported.discard(fd)
 
     def read(self, fd):
-        waiting = self.came.get(fd)
-        if not waiting:
+        chunks = self.pending.get(fd)
+        if not chunks:
             return None
-        data = waiting.pop(0)
-        if not waiting:
-            del self.came[fd]
+        data = chunks.pop(0)
+        if not chunks:
+            del self.pending[fd]
         if isinstance(data, OSError):
             raise data
         return data
 
     def close(self, fd):
-        self.closed.append(self.places.pop(fd))
-        self.came.pop(fd, None)
-        self.told.discard(fd)
+        self.closed.append(self.client_indexes.pop(fd))
+        self.pending.pop(fd, None)
+        self.reported.discard(fd)
 
     def close_set(self):
         pass
 
 
-class Stage:
+class FrontHarness:
     """A whole front in memory, with its clock in the test's hands, and a printed line for each message.
 
-    With `parks`, idle clients are parked as in service, on a stand-in for their descriptors.
+    With `parking`, idle clients are parked as in service, on a stand-in for their descriptors.
     """
 
     transport = Transport
 
-    def __init__(self, parks=False, terms=None, **caps):
+    def __init__(self, parking=False, client_settings=None, **settings):
         self.reactor = MemoryReactorClock()
-        held = read_site(configuration(**caps))
-        self.door = Door(self.reactor, replace(held, client_settings=terms or held.client_settings))
-        self.rim = DescriptorSetInMemory(self)
-        if parks:
-            self.door.listener.epoll_set_factory = lambda reactor: self.rim
-        self.door.clock.now = lambda: self.reactor.seconds() + 1.0
-        self.door.clock.unix = self.unix
+        site = read_site(configuration(**settings))
+        self.front = Front(
+            self.reactor, replace(site, client_settings=client_settings or site.client_settings)
+        )
+        self.epoll_set = InMemoryEpollSet(self)
+        if parking:
+            self.front.listener.epoll_set_factory = lambda reactor: self.epoll_set
+        self.front.clock.now = lambda: self.reactor.seconds() + 1.0
+        self.front.clock.unix = self.unix
         self.trace, self.clients, self.caches = [], [], {}
-        self.door.listener.set_keepalive = lambda: None  # a port in memory has no socket
-        self.door.start()
-        self.door.context.timestamps.confirm(self.unix(), self.door.clock.now())
-        self.door.open()
-        self.door.listener.port.doRead = lambda: None  # nobody waits to be accepted
-        self.turn()
+        self.front.listener.set_keepalive = lambda: None  # a port in memory has no socket
+        self.front.start()
+        self.front.context.timestamps.confirm(self.unix(), self.front.clock.now())
+        self.front.open()
+        self.front.listener.port.doRead = lambda: None  # nobody waits to be accepted
+        self.advance()
 
     @property
     def dispatcher(self):
-        return self.door.dispatcher
+        return self.front.dispatcher
 
     @property
     def counts(self):
-        return self.door.context.counters.counts
+        return self.front.context.counters.counts
 
     def unix(self):
         return 1000.0 + self.reactor.seconds()
 
-    def receipt(self):
+    def bus_receipt(self):
         """How events of the bus come: after an hour out of touch, so that each may be old."""
-        now = self.door.clock.now()
+        now = self.front.clock.now()
         return Receipt(now, caught_up_at=now - 3600.0)
 
-    def turn(self, seconds=0.0):
+    def advance(self, seconds=0.0):
         self.reactor.advance(seconds)
         for _ in range(4):
             self.reactor.advance(0)
-        self.note()
+        self.record_output()
 
-    def note(self):
+    def record_output(self):
         """Print what the front has written since."""
         for number, (client, _) in enumerate(self.clients):
             if client.transport:
-                self.read(number, client.transport)
+                self.record_answers(number, client.transport)
         for (uid, number), connection in self.caches.items():
-            for line in re.findall(rb"[^\r]*\r\n", connection.transport.taken()):
+            for line in re.findall(rb"[^\r]*\r\n", connection.transport.take_written()):
                 if line.strip():
                     self.trace.append(f"{uid}/{number} < {line.strip().decode()}")
 
-    def read(self, number, transport):
+    def record_answers(self, number, transport):
         ring = self.clients[number][1]
-        ring.write(transport.taken())
+        ring.write(transport.take_written())
         while data := next_frame(ring, 1 << 20):
             self.trace.append(f"client {number} < {answer_text(data)}")
 
-    def client(self):
-        client = self.door.listener.buildProtocol(None)
+    def connect_client(self):
+        client = self.front.listener.buildProtocol(None)
         self.clients.append((client, Ring(1 << 22)))
-        client.transport = self.attach(client, len(self.clients) - 1)
+        client.transport = self.attach_transport(client, len(self.clients) - 1)
         client.connectionMade()
         return client
 
-    def attach(self, client, place):
-        """A transport for a client, which from now on is the one at this place."""
+    def attach_transport(self, client, client_index):
+        """A transport for a client, which from now on is the one at this index."""
         transport = Transport()
-        transport.protocol, transport.place = client, place
-        self.clients[place] = client, self.clients[place][1]
+        transport.protocol, transport.client_index = client, client_index
+        self.clients[client_index] = client, self.clients[client_index][1]
         return transport
 
-    def bring(self, place, *frames):
+    def deliver(self, client_index, *frames):
         """Bytes for a parked client; they are noted at once, and woken in their turn."""
-        fd = self.rim.bring(place, b"".join(frames))
-        self.door.listener.idle_pool.doRead()
+        fd = self.epoll_set.deliver(client_index, b"".join(frames))
+        self.front.listener.idle_pool.doRead()
         return fd
 
-    def say(self, client, *frames):
+    def send(self, client, *frames):
         client.dataReceived(b"".join(frames))
-        self.turn()
+        self.advance()
 
-    def dials(self):
+    def pending_connects(self):
         """Dials to caches that wait to come up, with the names of the caches."""
         dispatcher = self.dispatcher
         return [
-            (dispatcher.names.uids[n], dial)
+            (dispatcher.names.uids[n], connector)
             for n, lane in dispatcher.pool.endpoints.items()
-            for dial in lane.connecting
+            for connector in lane.connecting
         ]
 
-    def connect(self):
-        """Let every dial come up."""
-        for uid, dial in self.dials():
-            connection = dial.buildProtocol(None)
+    def complete_connects(self):
+        """Complete all pending connects."""
+        for uid, connector in self.pending_connects():
+            connection = connector.buildProtocol(None)
             connection.transport = Transport()
             connection.transport.protocol = connection
             self.caches[uid, sum(key[0] == uid for key in self.caches)] = connection
             connection.connectionMade()
-        self.turn()
+        self.advance()
 
-    def refuse(self):
-        for _, dial in self.dials():
-            dial.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-        self.turn()
+    def fail_connects(self):
+        for _, connector in self.pending_connects():
+            connector.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
+        self.advance()
 
-    def answer(self, uid, seqid, word, fields="-", body=b"", number=0):
-        line = b"%016x %b %b %d\r\n%b\r\n" % (seqid, word.encode(), fields.encode(), len(body), body)
+    def answer(self, uid, seqid, outcome, fields="-", body=b"", number=0):
+        line = b"%016x %b %b %d\r\n%b\r\n" % (seqid, outcome.encode(), fields.encode(), len(body), body)
         self.caches[uid, number].dataReceived(line)
-        self.turn()
+        self.advance()
 
-    def bus(self, raw):
-        self.dispatcher.endpoints.handle(bus_event(raw), self.receipt())
-        self.turn()
+    def deliver_event(self, raw):
+        self.dispatcher.endpoints.handle(parse_event(raw), self.bus_receipt())
+        self.advance()
 
-    def shows(self, kept):
-        lines = [line.strip() for line in kept.strip().splitlines()]
+    def assert_trace(self, expected):
+        lines = [line.strip() for line in expected.strip().splitlines()]
         assert self.trace == lines, "\n" + "\n".join(self.trace)
         self.trace.clear()
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -5,7 +5,7 @@
 import re
 
 import pytest
-from fronts import TARGETS, Stage, give_up, listing, process, target
+from fronts import TARGETS, FrontHarness, give_up, listing, process, target
 
 WORDS = ("DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST")
 SLACK = 0.058  # what the rules allow past an expiry
@@ -16,17 +16,17 @@
     """Random steps of clients, caches, machines, the bus and the clock, from one seed."""
 
     def __init__(self, seed):
-        self.chance, self.stage = random.Random(seed), Stage(max_streams=4)
+        self.chance, self.harness = random.Random(seed), FrontHarness(max_streams=4)
         self.owed = {}  # number of a download -> client, and the moment after which an answer is late
         self.left, self.answered, self.closed = set(), set(), set()
         self.number = self.offset = 1
-        self.members = [self.stage.client() for _ in range(3)]
+        self.members = [self.harness.connect_client() for _ in range(3)]
 
     def now(self):
-        return self.stage.reactor.seconds()
+        return self.harness.reactor.seconds()
 
     def links(self):
-        return [link for link in self.stage.caches.values() if not link.is_lost]
+        return [link for link in self.harness.caches.values() if not link.is_lost]
 
     def ask(self):
         self.number += 1
@@ -36,13 +36,13 @@
         key = f"{self.chance.randrange(9):016x}"
         until = math.inf if self.members[client].writer.is_paused else self.now() + wait + SLACK
         self.owed[self.number] = client, until
-        self.stage.say(self.members[client], process(self.number, key=key, wait=str(wait * 1000), **kind))
+        self.harness.send(self.members[client], process(self.number, key=key, wait=str(wait * 1000), **kind))
 
     def give_up(self):
         if self.owed:
             number = self.chance.choice(list(self.owed))
             self.left.add(number)
-            self.stage.say(self.members[self.owed.pop(number)[0]], give_up(number))
+            self.harness.send(self.members[self.owed.pop(number)[0]], give_up(number))
 
     def answer(self):
         busy = [link for link in self.links() if link.in_flight]
@@ -52,12 +52,12 @@
             word = self.chance.choice(WORDS)
             body = b"x" * self.chance.choice((0, 5, 90_000)) if word == "DONE" else b""
             link.dataReceived(b"%b %b - %d\r\n%b\r\n" % (name.encode(), word.encode(), len(body), body))
-            self.stage.turn()
+            self.harness.advance()
 
     def machine(self):
         if self.links() and self.chance.random() < 0.5:
             self.chance.choice(self.links()).transport.loseConnection()
-        self.stage.refuse() if self.chance.random() < 0.2 else self.stage.connect()
+        self.harness.fail_connects() if self.chance.random() < 0.2 else self.harness.complete_connects()
 
     def reader(self):
         """One that reads nothing for a while can be told nothing, nor be heard."""
@@ -72,23 +72,25 @@
         self.offset += 1
         if self.chance.random() < 0.4:
             ban = {"tag": 3} if self.chance.random() < 0.2 else {"url": f"{self.chance.randrange(9):016x}"}
-            self.stage.bus({"offset": self.offset, "ban": ban | {"ts": self.stage.unix() * 1000}})
+            self.harness.deliver_event(
+                {"offset": self.offset, "ban": ban | {"ts": self.harness.unix() * 1000}}
+            )
             return
         held = self.chance.choice(TARGETS)
-        boot = self.chance.choice((0, self.stage.unix() * 1000))
+        boot = self.chance.choice((0, self.harness.unix() * 1000))
         state = self.chance.choice(("up", "up", "draining", "removed"))
         port = int(held["endpoint"].partition(":")[2])
         changed = target(held["uid"], held["model"], held["az"], port, state, boot)
         self.closed = self.closed - {held["uid"]} | ({held["uid"]} if state != "up" else set())
-        self.stage.bus(listing(self.offset, changed))
+        self.harness.deliver_event(listing(self.offset, changed))
 
     def clock(self):
-        self.stage.turn(self.chance.choice((0.001, 0.02, STEP)))
+        self.harness.advance(self.chance.choice((0.001, 0.02, STEP)))
 
     def check(self):
         """Every answer is the first and in time, no pull goes where the list says no, and no two are out."""
-        self.stage.note()
-        for line in self.stage.trace:
+        self.harness.record_output()
+        for line in self.harness.trace:
             if line.startswith("client"):
                 number = int(line.split()[3])
                 assert number not in self.answered, f"a second answer: {line}"
@@ -100,7 +102,7 @@
                 assert not {line.partition("/")[0], source and source[1]} & self.closed, line
         out = [name for link in self.links() for name in link.in_flight]
         assert len(out) == len(set(out)), "two pulls of one download are out"
-        self.stage.trace.clear()
+        self.harness.trace.clear()
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -114,15 +116,15 @@
     for client in walk.members:
         client.resumeProducing()
     for _ in range(40):
-        walk.stage.turn(0.1)
+        walk.harness.advance(0.1)
         for client in walk.members:
             client.resumeProducing()
         walk.check()
-    door = walk.stage.door
+    door = walk.harness.front
     assert not walk.owed, walk.owed
     assert (
         not door.dispatcher.requests
-        and not walk.stage.counts["internal errors"]
+        and not walk.harness.counts["internal errors"]
         and door.gateway.unsent_bytes == 0
     )
     assert not door.dispatcher.router.requests and len(walk.answered) > 50
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -6,7 +6,7 @@
 from types import SimpleNamespace
 
 import pytest
-from fronts import Stage, process
+from fronts import FrontHarness, process
 from twisted.internet.error import ConnectionDone, ConnectionRefusedError
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
@@ -327,17 +327,17 @@
 
 
 def test_a_close_to_make_way_is_no_evidence_against_its_cache():
-    stage = Stage()
-    pool = stage.dispatcher.pool
+    harness = FrontHarness()
+    pool = harness.dispatcher.pool
     pool.limits = replace(pool.limits, max_connections=1)
     for number in range(1, 13):
-        stage.say(stage.client(), process(number, key=f"{number:016x}"))
-        stage.connect()
-        uid, place = next(held for held, link in stage.caches.items() if link.in_flight)
-        stage.answer(uid, number, "DONE", "-", b"photo", number=place)
-    assert stage.counts["served"] == 12 and stage.counts["attempts"] == 12
-    assert {uid for uid, _ in stage.caches} == {"e1", "e2"} and len(stage.caches) > 2
-    known = stage.dispatcher.router.caches.values()
+        harness.send(harness.connect_client(), process(number, key=f"{number:016x}"))
+        harness.complete_connects()
+        uid, place = next(held for held, link in harness.caches.items() if link.in_flight)
+        harness.answer(uid, number, "DONE", "-", b"photo", number=place)
+    assert harness.counts["served"] == 12 and harness.counts["attempts"] == 12
+    assert {uid for uid, _ in harness.caches} == {"e1", "e2"} and len(harness.caches) > 2
+    known = harness.dispatcher.router.caches.values()
     assert all(cache.breaks.broken_at == -math.inf and cache.failure_rate() < 0.5 for cache in known)
 
 
--- a/tests/test_decision_work.py
+++ b/tests/test_decision_work.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from fronts import SITE, content
+from fronts import SITE, request_class
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -43,7 +43,7 @@
     """A router with so many caches, that bear as much together whatever their number."""
 
     def __init__(self, caches, **site):
-        self.router = Router(7, replace(SITE, classes={"photo": content()}, **site))
+        self.router = Router(7, replace(SITE, classes={"photo": request_class()}, **site))
         self.now = 1.0
         self.endpoints = [endpoint(n, 10.0 * SMALL / caches) for n in range(caches)]
         self.handle(EndpointsListed(ListScope.COMPLETE, tuple(self.endpoints)))
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 
 import pytest
-from fronts import KEY, Stage, configuration, give_up, probe, process
+from fronts import KEY, FrontHarness, configuration, give_up, probe, process
 from test_process import LONG, Program, ask, commands, heard, site
 
 from weldbend.caches.stall_detector import STALL_TIMEOUT
@@ -361,126 +361,128 @@
 
 def test_an_answer_that_lies_unread_when_its_connection_ends_is_taken():
     """Held back since slow readers hold too much: the cache has answered, and closes or resets."""
-    stage = Stage()
-    stage.say(stage.client(), process(1, once="ab", **{"class": "order"}))
-    stage.connect()
-    stage.door.gateway.buffered_changed(stage.door.site.max_unsent_bytes + 1)
-    stage.answer("o1", 1, "DONE", "-", b"ok")
-    stage.caches["o1", 0].transport.loseConnection()
-    stage.turn()
-    assert stage.trace[-1] == "client 0 < 1 process: 'ok'" and not stage.dispatcher.requests
+    harness = FrontHarness()
+    harness.send(harness.connect_client(), process(1, once="ab", **{"class": "order"}))
+    harness.complete_connects()
+    harness.front.gateway.buffered_changed(harness.front.site.max_unsent_bytes + 1)
+    harness.answer("o1", 1, "DONE", "-", b"ok")
+    harness.caches["o1", 0].transport.loseConnection()
+    harness.advance()
+    assert harness.trace[-1] == "client 0 < 1 process: 'ok'" and not harness.dispatcher.requests
 
 
 def test_an_answer_that_never_ends_holds_up_nobody_for_longer_than_an_expiry():
-    stage, before = Stage(), anomalies["cache answers over the time limit"]
-    client = stage.client()
-    stage.say(client, process(1))
-    stage.connect()
-    link = stage.caches["e2", 0]
+    harness, before = FrontHarness(), anomalies["cache answers over the time limit"]
+    client = harness.connect_client()
+    harness.send(client, process(1))
+    harness.complete_connects()
+    link = harness.caches["e2", 0]
     link.dataReceived(b"%016x DONE - 200000\r\n" % 1)
     for _ in range(20):
         link.dataReceived(b"x")
-        stage.turn(STALL_TIMEOUT / 2)
-    stage.say(client, give_up(1), process(2, key=KEY))
+        harness.advance(STALL_TIMEOUT / 2)
+    harness.send(client, give_up(1), process(2, key=KEY))
     assert link.is_draining and not any(f"{2:016x}" in c.in_flight for c in [link])
-    while not link.is_lost and stage.reactor.seconds() < 30:
+    while not link.is_lost and harness.reactor.seconds() < 30:
         link.dataReceived(b"x")
-        stage.turn(STALL_TIMEOUT / 2)
+        harness.advance(STALL_TIMEOUT / 2)
     assert link.is_lost and anomalies["cache answers over the time limit"] in (before, before + 1)
 
 
 def test_a_stop_lasts_no_longer_than_the_sites_own_expiries_allow():
     """SIGKILL comes 0.7 s after the longest of them, or after 3 s: a site with short ones is killed early."""
-    stage = Stage()
-    kinds = stage.door.site.settings.classes.values()
+    harness = FrontHarness()
+    kinds = harness.front.site.settings.classes.values()
     for kind in kinds:
         object.__setattr__(kind, "deadline_after", 1.0)
-    client = stage.client()
-    stage.say(client, process(1, wait="1000"))
-    stage.connect()
-    stage.door.terminate()
-    stage.turn(0.95)
-    stage.say(stage.client(), probe(7), process(2)[:50])  # half a call keeps it from ending in quiet
+    client = harness.connect_client()
+    harness.send(client, process(1, wait="1000"))
+    harness.complete_connects()
+    harness.front.terminate()
+    harness.advance(0.95)
+    harness.send(
+        harness.connect_client(), probe(7), process(2)[:50]
+    )  # half a call keeps it from ending in quiet
     for _ in range(60):
-        stage.turn(0.01)
-    assert stage.reactor.hasStopped
+        harness.advance(0.01)
+    assert harness.reactor.hasStopped
 
 
 def test_what_waits_goes_only_after_all_that_came_in_the_same_moment_was_heard():
     """A connection comes up, and then its client's end is read: both had come before either was looked at."""
-    stage = Stage()
-    client = stage.client()
-    stage.say(client, process(1))
-    (_, dial) = stage.dials()[0]
+    harness = FrontHarness()
+    client = harness.connect_client()
+    harness.send(client, process(1))
+    (_, dial) = harness.pending_connects()[0]
     connection = dial.buildProtocol(None)
-    stage.caches["e2", 0] = connection
+    harness.caches["e2", 0] = connection
     connection.transport = type(client.transport)()
     connection.transport.protocol = connection
     connection.connectionMade()
     client.transport.loseConnection()
-    stage.turn()
-    stage.shows("")
+    harness.advance()
+    harness.assert_trace("")
 
 
 def test_settings_that_change_hold_for_what_comes_and_not_for_what_is_open():
     """One content type is renamed, the other may be repeated no more; each has one download open."""
-    stage = Stage()
-    client = stage.client()
-    stage.say(client, process(1), process(2, once="ab", **{"class": "order"}))
-    stage.connect()
-    stage.trace.clear()
+    harness = FrontHarness()
+    client = harness.connect_client()
+    harness.send(client, process(1), process(2, once="ab", **{"class": "order"}))
+    harness.complete_connects()
+    harness.trace.clear()
     text = (
         configuration(max_streams=3).replace('"photo"', '"clip"').replace('"deduplicated"', '"at_most_once"')
     )
-    stage.door.read_new_site = lambda: read_site(text)
-    stage.door.reload()
-    stage.turn()
-    stage.say(
+    harness.front.read_new_site = lambda: read_site(text)
+    harness.front.reload()
+    harness.advance()
+    harness.send(
         client, process(3), process(4, **{"class": "clip"}), process(5, once="cd", **{"class": "order"})
     )
-    stage.connect()
-    assert "client 0 < 3 exception 7: unknown content type" in stage.trace
-    stage.trace.clear()
-    stage.answer("e2", 1, "DONE", "-", b"old name")
-    for at in [at for at in stage.caches if at[0] == "o1"]:
-        stage.caches[at].transport.loseConnection()  # both orders may have run
-    stage.turn()
-    stage.connect()
-    sent = [line for line in stage.trace if "o1/" in line]
-    assert len(sent) == 1 and f"{2:016x}" in sent[0], stage.trace  # by the settings that it began under
-    assert "client 0 < 5 abandoned" in stage.trace and "client 0 < 1 process: 'old name'" in stage.trace
+    harness.complete_connects()
+    assert "client 0 < 3 exception 7: unknown content type" in harness.trace
+    harness.trace.clear()
+    harness.answer("e2", 1, "DONE", "-", b"old name")
+    for at in [at for at in harness.caches if at[0] == "o1"]:
+        harness.caches[at].transport.loseConnection()  # both orders may have run
+    harness.advance()
+    harness.complete_connects()
+    sent = [line for line in harness.trace if "o1/" in line]
+    assert len(sent) == 1 and f"{2:016x}" in sent[0], harness.trace  # by the settings that it began under
+    assert "client 0 < 5 abandoned" in harness.trace and "client 0 < 1 process: 'old name'" in harness.trace
 
 
 @pytest.mark.parametrize("again", ["{", None])
 def test_settings_that_cannot_be_used_change_nothing(again):
-    stage = Stage()
-    before = stage.door.site
+    harness = FrontHarness()
+    before = harness.front.site
 
     def read():
         if again is None:
             raise FileNotFoundError("gone")
         return read_site(again)
 
-    stage.door.read_new_site = read
-    stage.door.reload()
-    stage.say(stage.client(), process(1))
-    stage.connect()
-    assert stage.door.site is before and any("do 0000000000000001" in line for line in stage.trace)
+    harness.front.read_new_site = read
+    harness.front.reload()
+    harness.send(harness.connect_client(), process(1))
+    harness.complete_connects()
+    assert harness.front.site is before and any("do 0000000000000001" in line for line in harness.trace)
 
 
 def test_a_connection_that_takes_nothing_is_let_go():
     """Its cache hangs: what was written never leaves, and a close that waits for that would wait for good."""
-    stage, ended = Stage(), []
-    stage.say(stage.client(), process(1))
-    stage.connect()
-    stage.answer("e2", 1, "DONE", "-", b"photo")
-    link = stage.caches["e2", 0]
+    harness, ended = FrontHarness(), []
+    harness.send(harness.connect_client(), process(1))
+    harness.complete_connects()
+    harness.answer("e2", 1, "DONE", "-", b"photo")
+    link = harness.caches["e2", 0]
     link.transport.loseConnection = lambda: ended.append("asked")
     link.transport.abortConnection = lambda: ended.append("let go")
     link.drain()
-    stage.turn(0.9)
+    harness.advance(0.9)
     assert ended == ["asked"]
-    stage.turn(0.2)
+    harness.advance(0.2)
     assert ended == ["asked", "let go"]
 
 
@@ -491,84 +493,86 @@
     lanes = (
         configuration().replace('"deduplicated"', '"at_most_once"') if kind == "print" else configuration()
     )
-    stage = Stage()
-    stage.dispatcher.apply_site(read_site(lanes))
-    client = stage.client()
+    harness = FrontHarness()
+    harness.dispatcher.apply_site(read_site(lanes))
+    client = harness.connect_client()
     wish = {} if kind == "photo" else {"class": "order", "once": "ab"}
-    stage.say(client, process(1, wait="2000", **wish))
-    stage.connect()
-    (uid, at), link = next(iter(stage.caches.items()))
+    harness.send(client, process(1, wait="2000", **wish))
+    harness.complete_connects()
+    (uid, at), link = next(iter(harness.caches.items()))
     text = b"%016x DONE - 5\r\nphoto\r\n" % 1
     link.dataReceived(text[:-4])
-    stage.trace.clear()
+    harness.trace.clear()
     if between == "the cache's close":
         link.transport.loseConnection()
     elif between == "the expiry":
-        stage.turn(2.1)
+        harness.advance(2.1)
     else:
         client.dataReceived(give_up(1))
-    stage.turn()
+    harness.advance()
     if not link.is_lost:
         link.dataReceived(text[-4:])
-    stage.connect()
-    stage.turn(0.05)
-    answers = [line for line in stage.trace if "client" in line]
-    again = [line for line in stage.trace if "< do" in line]
+    harness.complete_connects()
+    harness.advance(0.05)
+    answers = [line for line in harness.trace if "client" in line]
+    again = [line for line in harness.trace if "< do" in line]
     if between == "the cache's close":
         assert (len(again), answers) == ((1, []) if kind != "print" else (0, ["client 0 < 1 abandoned"]))
     else:
-        assert not again and len(answers) == (between == "the expiry"), stage.trace
-        assert not stage.dispatcher.requests
-    assert (uid, at) in stage.caches and "process" not in str(answers)
+        assert not again and len(answers) == (between == "the expiry"), harness.trace
+        assert not harness.dispatcher.requests
+    assert (uid, at) in harness.caches and "process" not in str(answers)
 
 
 def test_a_burst_of_clients_who_leave_together_with_a_reload_and_a_stop_among_them():
     """Some close, some withdraw, some were answered; then nothing is owed to anybody, and it ends."""
-    stage = Stage(max_streams=4)
-    clients = [stage.client() for _ in range(60)]
+    harness = FrontHarness(max_streams=4)
+    clients = [harness.connect_client() for _ in range(60)]
     for n, client in enumerate(clients, 1):
-        stage.say(client, process(n, key=f"{n:016x}"))
-    stage.connect()
-    answered = [n for link in stage.caches.values() for n in [int(name, 16) for name in link.in_flight]][:10]
-    for (uid, at), link in list(stage.caches.items()):
+        harness.send(client, process(n, key=f"{n:016x}"))
+    harness.complete_connects()
+    answered = [n for link in harness.caches.values() for n in [int(name, 16) for name in link.in_flight]][
+        :10
+    ]
+    for (uid, at), link in list(harness.caches.items()):
         for n in [n for n in answered if f"{n:016x}" in link.in_flight]:
-            stage.answer(uid, n, "DONE", "-", b"ok", number=at)
+            harness.answer(uid, n, "DONE", "-", b"ok", number=at)
     for n, client in enumerate(clients, 1):
         if n % 2:
             client.dataReceived(give_up(n))  # of some that are answered as well
         else:
             client.transport.loseConnection()
-    stage.door.read_new_site = lambda: read_site(configuration(bus="127.0.0.1:9093", max_streams=4))
-    stage.door.reload()
-    stage.door.terminate()
-    stage.trace.clear()
-    stage.turn()
-    while stage.dials():
-        stage.connect()
-    dispatcher = stage.dispatcher
-    assert not any("< do" in line for line in stage.trace), stage.trace
+    harness.front.read_new_site = lambda: read_site(configuration(bus="127.0.0.1:9093", max_streams=4))
+    harness.front.reload()
+    harness.front.terminate()
+    harness.trace.clear()
+    harness.advance()
+    while harness.pending_connects():
+        harness.complete_connects()
+    dispatcher = harness.dispatcher
+    assert not any("< do" in line for line in harness.trace), harness.trace
     assert not (dispatcher.requests or dispatcher.requests.by_client_id or dispatcher.router.requests)
     assert not any(lane.waiting for lane in dispatcher.pool.endpoints.values())
     for _ in range(90):
-        stage.turn(0.01)
-    assert stage.reactor.hasStopped
+        harness.advance(0.01)
+    assert harness.reactor.hasStopped
 
 
 def test_a_connect_that_comes_up_after_the_stop_was_told_still_serves_and_one_after_the_end_does_not():
-    stage = Stage()
-    client = stage.client()
-    stage.say(client, process(1))
-    stage.door.terminate()
-    stage.turn(0.3)
-    stage.connect()
-    stage.answer("e2", 1, "DONE", "-", b"photo")
-    assert stage.trace[-1] == "client 0 < 1 process: 'photo'"
-    stage.say(client, process(2, wait="300"))
-    stage.connect()
-    stage.turn(0.4)
-    stage.trace.clear()
-    stage.connect()
-    assert not any("< do" in line for line in stage.trace)
+    harness = FrontHarness()
+    client = harness.connect_client()
+    harness.send(client, process(1))
+    harness.front.terminate()
+    harness.advance(0.3)
+    harness.complete_connects()
+    harness.answer("e2", 1, "DONE", "-", b"photo")
+    assert harness.trace[-1] == "client 0 < 1 process: 'photo'"
+    harness.send(client, process(2, wait="300"))
+    harness.complete_connects()
+    harness.advance(0.4)
+    harness.trace.clear()
+    harness.complete_connects()
+    assert not any("< do" in line for line in harness.trace)
 
 
 def test_a_flood_after_the_close_is_cut_off(front):
@@ -585,8 +589,8 @@
 
 def test_small_writes_are_held_back_by_nobody():
     """The system would wait for more before it sends, and a reset would take along what it holds."""
-    stage = Stage()
-    client = stage.client()
-    stage.say(client, process(1))
-    stage.connect()
-    assert client.transport.no_delay and all(link.transport.no_delay for link in stage.caches.values())
+    harness = FrontHarness()
+    client = harness.connect_client()
+    harness.send(client, process(1))
+    harness.complete_connects()
+    assert client.transport.no_delay and all(link.transport.no_delay for link in harness.caches.values())
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -9,7 +9,7 @@
 import sys
 
 import pytest
-from fronts import Stage, answer_text, configuration, probe, process
+from fronts import FrontHarness, answer_text, configuration, probe, process
 from twisted.internet import tcp
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.testing import MemoryReactorClock
@@ -129,11 +129,11 @@
 
 
 def test_the_clients_port_that_cannot_be_watched_again_rests_once_more():
-    stage = Stage()
-    listener = stage.door.listener
+    harness = FrontHarness()
+    listener = harness.front.listener
     listening = Listening([errno.ENFILE], is_guarded=False)
     listener.port, listener.port.factory = listening.port, listener
-    listener.accept_guard = AcceptGuard(listening.port, stage.reactor.callLater, listener.update_accepting)
+    listener.accept_guard = AcceptGuard(listening.port, harness.reactor.callLater, listener.update_accepting)
     listening.turn(0.001)
     add_reader = listening.reactor.addReader
 
@@ -142,31 +142,31 @@
         raise OSError(errno.ENOMEM, "injected")
 
     listening.reactor.addReader = refuse_once
-    stage.turn(MIN_PAUSE)
+    harness.advance(MIN_PAUSE)
     assert listener.is_paused and not listening.is_watched()
-    stage.turn(MAX_PAUSE)
+    harness.advance(MAX_PAUSE)
     assert not listener.is_paused and listening.is_watched()
     listening.close()
 
 
 def test_a_front_that_cannot_accept_does_not_end_over_those_that_wait():
     """Found by seed 4 of the trials: three clients waited to be accepted, and the front ended."""
-    stage, stopped = Stage(), []
-    stage.reactor.stop = lambda: stopped.append(True)
-    stage.door.listener.stop = lambda: False  # accepting fails at present
-    stage.door.terminate()
-    stage.turn(0.8)
+    harness, stopped = FrontHarness(), []
+    harness.reactor.stop = lambda: stopped.append(True)
+    harness.front.listener.stop = lambda: False  # accepting fails at present
+    harness.front.terminate()
+    harness.advance(0.8)
     assert not stopped
-    stage.door.listener.stop = lambda: True
-    stage.turn(0.05)
+    harness.front.listener.stop = lambda: True
+    harness.advance(0.05)
     assert stopped
 
 
 def test_a_client_that_cannot_be_watched_for_writing_gets_no_second_answer():
-    stage = Stage()
-    client = stage.client()
-    stage.say(client, process(1))
-    stage.connect()
+    harness = FrontHarness()
+    client = harness.connect_client()
+    harness.send(client, process(1))
+    harness.complete_connects()
     write, ended = client.transport.write, []
 
     def write_and_fail(data):
@@ -174,8 +174,8 @@
         raise OSError(errno.ENOMEM, "injected")
 
     client.transport.write, client.transport.abortConnection = write_and_fail, lambda: ended.append(1)
-    stage.answer("e2", 1, "DONE", "-", b"photo")
-    stage.shows("""
+    harness.answer("e2", 1, "DONE", "-", b"photo")
+    harness.assert_trace("""
         e2/0 < do 0000000000000001 queue=photo,path=7f3a9c21e0b4d655,blk=0,budget=6000,mode=j 0
         client 0 < 1 process: 'photo'
     """)
@@ -184,19 +184,19 @@
 
 def test_caches_that_cannot_be_watched_end_alone():
     """One of two connections fails to be read again, and one to be written to: the other is not concerned."""
-    stage = Stage()
-    client = stage.client()
-    stage.say(client, process(1), process(2, key="a" * 16), process(3, key="5" * 16))
-    stage.connect()
-    assert len(stage.caches) == 2
-    stage.dispatcher.pool.pause_reading(True)
-    broken, sound = stage.caches["e1", 0], stage.caches["e2", 0]
+    harness = FrontHarness()
+    client = harness.connect_client()
+    harness.send(client, process(1), process(2, key="a" * 16), process(3, key="5" * 16))
+    harness.complete_connects()
+    assert len(harness.caches) == 2
+    harness.dispatcher.pool.pause_reading(True)
+    broken, sound = harness.caches["e1", 0], harness.caches["e2", 0]
 
     def refuse(*args):
         raise OSError(errno.ENOMEM, "injected")
 
     broken.transport.resumeProducing = refuse
-    stage.dispatcher.pool.pause_reading(False)
+    harness.dispatcher.pool.pause_reading(False)
     assert broken.is_aborted and not sound.is_aborted and not sound.is_read_paused
     sound.transport.write = refuse
     sound.write(b"ping p1\r\n")
@@ -204,8 +204,8 @@
 
 
 def test_a_client_that_cannot_be_read_again_ends():
-    stage = Stage()
-    client, ended = stage.client(), []
+    harness = FrontHarness()
+    client, ended = harness.connect_client(), []
 
     def refuse():
         raise OSError(errno.ENOMEM, "injected")
@@ -217,15 +217,15 @@
 
 
 def test_a_front_that_cannot_accept_does_not_close_its_port_over_those_that_wait():
-    stage = Stage()
-    listener = stage.door.listener
+    harness = FrontHarness()
+    listener = harness.front.listener
     listening = Listening([errno.ENFILE], is_guarded=False)
     listener.port = listening.port
     listener.port.factory = listener
-    listener.accept_guard = AcceptGuard(listening.port, stage.reactor.callLater, listener.update_accepting)
+    listener.accept_guard = AcceptGuard(listening.port, harness.reactor.callLater, listener.update_accepting)
     assert not listener.stop() and listener.is_paused
     assert not listener.stop() and listening.failing.calls == 1  # it rests
-    stage.turn(MIN_PAUSE)
+    harness.advance(MIN_PAUSE)
     assert not listener.stop() and listener.connection_count() == 1  # one has come
     assert listener.stop() and listener.port is None
     listening.close()
@@ -363,54 +363,54 @@
 
 
 def parked(count):
-    stage = Stage(parks=True)
+    harness = FrontHarness(parking=True)
     for _ in range(count):
-        stage.client().dataReceived(probe(1))
+        harness.connect_client().dataReceived(probe(1))
     for _ in range(100):
-        stage.reactor.advance(0.01)
-    stage.note()
-    stage.trace.clear()
-    assert stage.door.listener.idle_count() == count
-    return stage
+        harness.reactor.advance(0.01)
+    harness.record_output()
+    harness.trace.clear()
+    assert harness.front.listener.idle_count() == count
+    return harness
 
 
 def test_one_idle_connection_that_cannot_be_woken_ends_alone():
-    stage = parked(3)
-    attach = stage.rim.attach
+    harness = parked(3)
+    attach = harness.epoll_set.attach
 
     def attach_all_but_one(fd, protocol):
-        if stage.rim.places[fd] == 1:
+        if harness.epoll_set.client_indexes[fd] == 1:
             raise OSError(errno.ENOSPC, "injected")
         return attach(fd, protocol)
 
-    stage.rim.attach = attach_all_but_one
+    harness.epoll_set.attach = attach_all_but_one
     for place in range(3):
-        stage.rim.bring(place, probe(2))
-    stage.door.listener.idle_pool.doRead()
-    stage.turn(0.05)
-    assert sorted(stage.trace) == [f"client {n} < 2 probe: good True" for n in (0, 2)]
+        harness.epoll_set.deliver(place, probe(2))
+    harness.front.listener.idle_pool.doRead()
+    harness.advance(0.05)
+    assert sorted(harness.trace) == [f"client {n} < 2 probe: good True" for n in (0, 2)]
 
 
 def test_one_idle_connection_that_cannot_be_watched_again_is_closed_alone():
-    stage = parked(2)
-    stage.rim.read = lambda fd: None  # reported readable, with nothing to read
+    harness = parked(2)
+    harness.epoll_set.read = lambda fd: None  # reported readable, with nothing to read
 
     def refuse(fd):
         raise OSError(errno.ENOMEM, "injected")
 
-    stage.rim.rearm = refuse
-    stage.rim.bring(0, b"")
-    stage.door.listener.idle_pool.doRead()
-    assert stage.rim.closed == [0] and stage.door.listener.idle_count() == 1
+    harness.epoll_set.rearm = refuse
+    harness.epoll_set.deliver(0, b"")
+    harness.front.listener.idle_pool.doRead()
+    assert harness.epoll_set.closed == [0] and harness.front.listener.idle_count() == 1
 
 
 def test_what_the_upkeep_finds_readable_before_the_reactor_does_is_woken():
     """Found by seed 19 of the trials: twelve idle clients' calls lay unread for over a second."""
-    stage = parked(2)
-    stage.rim.bring(0, probe(2))  # the reactor has not polled since
-    stage.turn(0.11)  # a round of upkeep polls the set
-    stage.turn()
-    assert stage.trace == ["client 0 < 2 probe: good True"]
+    harness = parked(2)
+    harness.epoll_set.deliver(0, probe(2))  # the reactor has not polled since
+    harness.advance(0.11)  # a round of upkeep polls the set
+    harness.advance()
+    assert harness.trace == ["client 0 < 2 probe: good True"]
 
 
 def test_an_error_of_close_frees_the_descriptor_all_the_same(pair, monkeypatch):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import pytest
-from fronts import KEY, Stage, listing, process, target
+from fronts import KEY, FrontHarness, listing, process, target
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -703,22 +703,22 @@
 
     def __init__(self, folder):
         (folder / "keys").write_text("0badcafe " + "5a" * 32)
-        self.stage = Stage()
+        self.harness = FrontHarness()
         terms = FleetSettings(key_file=str(folder / "keys"), peers=(Peer("n2", "127.0.0.1", 7402),))
-        door = self.stage.door
-        runtime = Runtime(self.stage.reactor, door.timers, door.clock.random_bytes)
+        door = self.harness.front
+        runtime = Runtime(self.harness.reactor, door.timers, door.clock.random_bytes)
         self.adapter = FleetAdapter(door.dispatcher, "n1", terms, runtime, 5)
         self.number = 0
 
     def peer(self, kind, key, *value, writer="n2"):
         self.number += 1
         op = m.Operation(writer, 9, self.number, kind, key, list(value), 0.0)
-        if change := self.adapter.fleet.store.apply(op, self.stage.door.clock.now()):
+        if change := self.adapter.fleet.store.apply(op, self.harness.front.clock.now()):
             self.adapter.apply_change(change)
-        self.stage.turn()
+        self.harness.advance()
 
     def cache(self, uid):
-        dispatcher = self.stage.dispatcher
+        dispatcher = self.harness.dispatcher
         return dispatcher.router.caches[dispatcher.names.numbers[uid]]
 
     def phase(self, uid):
@@ -727,11 +727,11 @@
 
 def test_a_purge_of_a_peer_bounds_the_age_of_copies(tmp_path):
     told = Told(tmp_path)
-    told.peer("purge", f"k:{KEY}", int(told.stage.unix() * 1000) - 200)
-    client = told.stage.client()
-    told.stage.say(client, process(1))
-    told.stage.connect()
-    assert any(f"path={KEY}" in line and "oldest=" in line for line in told.stage.trace)
+    told.peer("purge", f"k:{KEY}", int(told.harness.unix() * 1000) - 200)
+    client = told.harness.connect_client()
+    told.harness.send(client, process(1))
+    told.harness.complete_connects()
+    assert any(f"path={KEY}" in line and "oldest=" in line for line in told.harness.trace)
 
 
 def test_a_drain_of_a_peer_holds_only_by_a_list_that_this_front_has_not_read(tmp_path):
@@ -746,9 +746,9 @@
 
 def test_a_purge_of_a_group_that_is_no_number_ends_nothing(tmp_path):
     told = Told(tmp_path)
-    told.peer("purge", "g:abc", int(told.stage.unix() * 1000))
+    told.peer("purge", "g:abc", int(told.harness.unix() * 1000))
     assert told.adapter.fleet.store.counts["invalid changes"] == 1
-    told.peer("purge", "g:17", int(told.stage.unix() * 1000))
+    told.peer("purge", "g:17", int(told.harness.unix() * 1000))
     assert told.adapter.counts["peer purges applied"] == 1
 
 
@@ -760,14 +760,14 @@
 
 def test_a_start_told_again_by_other_clocks_makes_nothing_forgotten(tmp_path):
     told = Told(tmp_path)
-    stamp = int(told.stage.unix() * 1000)
+    stamp = int(told.harness.unix() * 1000)
     told.peer("start", "e1", stamp)
     cache, begun = told.cache("e1"), told.cache("e1").started
-    cache.successes.add(told.stage.door.clock.now())
-    told.stage.unix = lambda: 1000.25 + told.stage.reactor.seconds()  # the clock is set
+    cache.successes.add(told.harness.front.clock.now())
+    told.harness.unix = lambda: 1000.25 + told.harness.reactor.seconds()  # the clock is set
     told.adapter.cache_states.apply("e1")
-    told.stage.bus(listing(10, target("e1", port=1, boot=stamp)))
-    assert cache.started == begun and cache.successes.total(told.stage.door.clock.now()) == 1
+    told.harness.deliver_event(listing(10, target("e1", port=1, boot=stamp)))
+    assert cache.started == begun and cache.successes.total(told.harness.front.clock.now()) == 1
 
 
 def test_what_is_heeded_of_peers_is_stricter_or_nothing():
--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from fronts import KEY, Stage, bus_event, listing, target
+from fronts import KEY, FrontHarness, listing, parse_event, target
 
 from weldbend.event_bus.events import Purge
 from weldbend.fleet import idempotency
@@ -108,20 +108,20 @@
 
     def __init__(self, folder):
         (folder / "keys").write_text("0badcafe " + "5a" * 32)
-        self.stage = Stage()
+        self.harness = FrontHarness()
         self.offset = 0.0  # seconds by which the Unix clock is ahead
-        clock = self.stage.door.clock
-        clock.unix = lambda: self.stage.unix() + self.offset
+        clock = self.harness.front.clock
+        clock.unix = lambda: self.harness.unix() + self.offset
         clock.age = lambda stamp: max(clock.unix() - stamp, 0.0)
         clock.from_unix = lambda stamp: clock.now() - (clock.unix() - stamp)
         settings = FleetSettings(key_file=str(folder / "keys"), peers=(Peer("n2", "127.0.0.1", 7402),))
-        runtime = Runtime(self.stage.reactor, self.stage.door.timers, clock.random_bytes)
-        self.adapter = FleetAdapter(self.stage.dispatcher, "n1", settings, runtime, 5)
+        runtime = Runtime(self.harness.reactor, self.harness.front.timers, clock.random_bytes)
+        self.adapter = FleetAdapter(self.harness.dispatcher, "n1", settings, runtime, 5)
         self.fleet = self.adapter.fleet
         self.number = 0
 
     def now(self):
-        return self.stage.door.clock.now()
+        return self.harness.front.clock.now()
 
     def peer(self, kind, key, *value, age=0.0, writer="n2"):
         """A change of another front comes, `age` seconds after it was written."""
@@ -129,7 +129,7 @@
         op = m.Operation(writer, 9, self.number, kind, key, list(value), age)
         if change := self.fleet.store.apply(op, self.now()):
             self.adapter.apply_change(change)
-        self.stage.turn()
+        self.harness.advance()
 
 
 def test_all_parts_of_a_front_follow_a_raised_epoch(tmp_path):
@@ -153,8 +153,8 @@
 def purges_posted(joined):
     """Ages of the purges that come to the decisions from now on."""
     ages = []
-    post = joined.stage.dispatcher.post
-    joined.stage.dispatcher.post = lambda event, first=False: (
+    post = joined.harness.dispatcher.post
+    joined.harness.dispatcher.post = lambda event, first=False: (
         ages.append(event.age) if isinstance(event, ObjectsPurged) else None,
         post(event, first),
     )
@@ -165,7 +165,7 @@
 def test_a_purge_of_a_peer_counts_from_when_it_was_published(tmp_path, step):
     joined = Joined(tmp_path)
     ages = purges_posted(joined)
-    stamp = int(joined.stage.unix() * 1000)
+    stamp = int(joined.harness.unix() * 1000)
     joined.offset = step
     joined.peer("purge", f"k:{KEY}", stamp, age=0.25)
     assert ages == [pytest.approx(0.25)]
@@ -173,11 +173,11 @@
 
 def test_a_purge_that_a_peer_replays_is_not_issued_again(tmp_path):
     joined = Joined(tmp_path)
-    stamp = int(joined.stage.unix() * 1000)
-    joined.stage.bus({"offset": 6, "ban": {"url": KEY, "ts": stamp}})
+    stamp = int(joined.harness.unix() * 1000)
+    joined.harness.deliver_event({"offset": 6, "ban": {"url": KEY, "ts": stamp}})
     joined.adapter.purges.publish(Purge(KEY, 0, stamp / 1000))
     joined.fleet.store.items.clear()  # it has lasted its time
-    joined.stage.turn(70.0)
+    joined.harness.advance(70.0)
     ages = purges_posted(joined)
     joined.peer("purge", f"k:{KEY}", stamp)
     assert ages == [] and joined.adapter.counts["peer purges replayed"] == 1
@@ -188,17 +188,17 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_a_start_that_a_peer_speaks_of_is_not_earlier_than_known_and_stays(tmp_path, step):
     joined = Joined(tmp_path)
-    registry, stamp = joined.stage.dispatcher.names, int(joined.stage.unix() * 1000)
+    registry, stamp = joined.harness.dispatcher.names, int(joined.harness.unix() * 1000)
     joined.offset = step
     joined.peer("start", "e1", stamp, age=0.25)
     started = joined.now() - 0.25
     told = registry.peer_starts["e1"]
     assert (told.stamp, told.interval.latest) == (stamp / 1000, pytest.approx(started))
     joined.offset = -step
-    joined.stage.turn(2.0)
+    joined.harness.advance(2.0)
     joined.peer("start", "e1", stamp)  # another peer has read of it now
-    joined.stage.bus(listing(10, target("e1", port=1, boot=stamp)))
-    cache = joined.stage.dispatcher.router.caches[registry.numbers["e1"]]
+    joined.harness.deliver_event(listing(10, target("e1", port=1, boot=stamp)))
+    cache = joined.harness.dispatcher.router.caches[registry.numbers["e1"]]
     assert cache.started == pytest.approx(started)
 
 
@@ -207,11 +207,11 @@
     joined = Joined(tmp_path)
     scope = joined.adapter.executions
     first = joined.now()
-    joined.peer("keyed", "once", "c:1", int(joined.stage.unix() * 1000))
-    joined.stage.turn(2.0)
+    joined.peer("keyed", "once", "c:1", int(joined.harness.unix() * 1000))
+    joined.harness.advance(2.0)
     joined.offset = step
-    joined.peer("keyed", "once", "c:1", int((joined.stage.unix() + step) * 1000), writer="n3")  # a repeat
-    joined.stage.turn(0.5)
+    joined.peer("keyed", "once", "c:1", int((joined.harness.unix() + step) * 1000), writer="n3")  # a repeat
+    joined.harness.advance(0.5)
     item = joined.fleet.store.items["keyed", "once"]
     found = scope._possible_execution(item, joined.now())
     assert found.sent <= first
@@ -241,16 +241,16 @@
     here.offset = peer.offset = step
     for seconds, is_banned in ((1.0, True), (598.0, True), (2.0, False)):
         for joined in (here, peer):
-            joined.stage.turn(seconds)
+            joined.harness.advance(seconds)
         assert [one.is_banned("10.0.9.8") for one in bans] == [is_banned] * 2
 
 
 def test_a_ban_of_an_earlier_version_ends_at_its_second_and_does_not_move_with_a_step(tmp_path):
     joined = Joined(tmp_path)
-    joined.peer("setting", "cast/10.0.9.8", 1, f"until {int(joined.stage.unix()) + 600}")
+    joined.peer("setting", "cast/10.0.9.8", 1, f"until {int(joined.harness.unix()) + 600}")
     joined.offset = HOUR
     assert joined.adapter.quota_service.is_banned("10.0.9.8")
-    joined.stage.turn(601.0)
+    joined.harness.advance(601.0)
     assert not joined.adapter.quota_service.is_banned("10.0.9.8")
 
 
@@ -259,17 +259,17 @@
     slots = joined.fleet.lease_service._unix
     before = slots()
     joined.offset = HOUR
-    joined.stage.turn(1.0)
+    joined.harness.advance(1.0)
     assert slots() == pytest.approx(before + 1.0)
 
 
 def test_a_start_of_the_own_list_is_not_dated_by_peers(tmp_path):
     joined = Joined(tmp_path)
-    names, stamp = joined.stage.dispatcher.names, int(joined.stage.unix() * 1000) - 5000
+    names, stamp = joined.harness.dispatcher.names, int(joined.harness.unix() * 1000) - 5000
     listed = listing(6, target("e1", port=1, boot=stamp))
-    joined.stage.bus(listed)
-    joined.adapter.publish_bus_event(bus_event(listed))
-    cache = joined.stage.dispatcher.router.caches[names.numbers["e1"]]
+    joined.harness.deliver_event(listed)
+    joined.adapter.publish_bus_event(parse_event(listed))
+    cache = joined.harness.dispatcher.router.caches[names.numbers["e1"]]
     before = cache.started
     joined.offset = HOUR
     joined.peer("start", "e1", stamp)
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -1,145 +1,145 @@
 """No attempt begins for a client whose end has come while this front was busy with others."""
 
-from fronts import Stage, bus_event, give_up, listing, process, target
+from fronts import FrontHarness, give_up, listing, parse_event, process, target
 
 from weldbend.front.event_queue import ITERATION_LIMIT
 from weldbend.routing.events import LoopLagMeasured, RequestReceived
 
 
-def warmed_up_stage():
+def warmed_up_harness():
     """A front with a connection to its cache."""
-    stage = Stage()
-    client = stage.client()
-    stage.say(client, process(1))
-    stage.connect()
-    stage.answer("e2", 1, "DONE", "-", b"one")
-    return stage, client
+    harness = FrontHarness()
+    client = harness.connect_client()
+    harness.send(client, process(1))
+    harness.complete_connects()
+    harness.answer("e2", 1, "DONE", "-", b"one")
+    return harness, client
 
 
-def sent(stage, number):
-    return [line for line in stage.trace if f"do {number:016x}" in line]
+def sent(harness, number):
+    return [line for line in harness.trace if f"do {number:016x}" in line]
 
 
-def answers(stage, seqid):
-    return [line for line in stage.trace if line.startswith(f"client 0 < {seqid} ")]
+def answers(harness, seqid):
+    return [line for line in harness.trace if line.startswith(f"client 0 < {seqid} ")]
 
 
 def test_the_deadline_of_one_request_sends_nothing_for_a_client_whose_end_is_read_next():
-    stage, client = warmed_up_stage()
-    stage.say(client, process(2, wait="1000"))
-    stage.answer("e2", 99, "FIT")  # so that the connection is used on
-    other = stage.client()
+    harness, client = warmed_up_harness()
+    harness.send(client, process(2, wait="1000"))
+    harness.answer("e2", 99, "FIT")  # so that the connection is used on
+    other = harness.connect_client()
     for _ in range(9):
-        stage.turn(0.11)
-    stage.reactor.rightNow += 0.02
+        harness.advance(0.11)
+    harness.reactor.rightNow += 0.02
     other.dataReceived(process(3))
-    stage.reactor.callLater(0, other.transport.loseConnection)  # what the next poll of the sockets brings
-    stage.turn()
-    assert len(answers(stage, 2)) == 1
-    assert not sent(stage, 3) and not stage.dials(), "not even a connection is made for it"
+    harness.reactor.callLater(0, other.transport.loseConnection)  # what the next poll of the sockets brings
+    harness.advance()
+    assert len(answers(harness, 2)) == 1
+    assert not sent(harness, 3) and not harness.pending_connects(), "not even a connection is made for it"
 
 
 def test_an_expired_request_is_answered_where_the_events_before_its_own_take_long(monkeypatch):
-    stage, client = warmed_up_stage()
-    stage.say(client, process(2, wait="1000"))
-    events = stage.dispatcher.router.events
+    harness, client = warmed_up_harness()
+    harness.send(client, process(2, wait="1000"))
+    events = harness.dispatcher.router.events
     dispatch = events.dispatch
 
     def slow(event):
-        stage.reactor.rightNow += 2 * ITERATION_LIMIT
+        harness.reactor.rightNow += 2 * ITERATION_LIMIT
         dispatch(event)
 
     monkeypatch.setattr(events, "dispatch", slow)
-    stage.reactor.rightNow += 1.1
+    harness.reactor.rightNow += 1.1
     client.dataReceived(process(3) + process(4) + process(5))
-    stage.turn()
-    assert len(answers(stage, 2)) == 1
-    assert all(answers(stage, number) or sent(stage, number) for number in (3, 4, 5))
+    harness.advance()
+    assert len(answers(harness, 2)) == 1
+    assert all(answers(harness, number) or sent(harness, number) for number in (3, 4, 5))
 
 
 def test_a_long_batch_is_parted_so_that_ends_are_read_meanwhile(monkeypatch):
-    stage, _ = warmed_up_stage()
-    clients = [stage.client() for _ in range(8)]
-    events = stage.dispatcher.router.events
+    harness, _ = warmed_up_harness()
+    clients = [harness.connect_client() for _ in range(8)]
+    events = harness.dispatcher.router.events
     dispatch = events.dispatch
     handled = []
 
     def slow(event):
-        stage.reactor.rightNow += 0.6 * ITERATION_LIMIT
+        harness.reactor.rightNow += 0.6 * ITERATION_LIMIT
         if isinstance(event, RequestReceived):
             handled.append(event.id)
         if len(handled) == 1:
-            stage.reactor.callLater(0, clients[-1].transport.loseConnection)
+            harness.reactor.callLater(0, clients[-1].transport.loseConnection)
         dispatch(event)
 
     monkeypatch.setattr(events, "dispatch", slow)
     for number, client in enumerate(clients, start=11):
         client.dataReceived(process(number))
-    stage.turn()
-    assert not sent(stage, 18)
+    harness.advance()
+    assert not sent(harness, 18)
     sent_or_rejected = [
-        len(sent(stage, number)) + sum(f"< {number} throttled" in line for line in stage.trace)
+        len(sent(harness, number)) + sum(f"< {number} throttled" in line for line in harness.trace)
         for number in range(11, 18)
     ]
     assert sent_or_rejected == [1] * 7, "the others lose nothing: each goes out or is rejected for the lag"
-    assert sent(stage, 11) and sent(stage, 12)
+    assert sent(harness, 11) and sent(harness, 12)
 
 
 def test_what_the_rest_of_a_long_batch_names_is_known_until_it_is_handled(monkeypatch):
-    stage, _ = warmed_up_stage()
-    clients = [stage.client() for _ in range(8)]
-    events = stage.dispatcher.router.events
+    harness, _ = warmed_up_harness()
+    clients = [harness.connect_client() for _ in range(8)]
+    events = harness.dispatcher.router.events
     dispatch = events.dispatch
     handled = []
 
     def slow(event):
-        stage.reactor.rightNow += 0.6 * ITERATION_LIMIT
+        harness.reactor.rightNow += 0.6 * ITERATION_LIMIT
         handled.append(event)
         if len(handled) == 1:
             for number, client in enumerate(clients[4:], start=15):
-                stage.reactor.callLater(0, client.dataReceived, give_up(number))
+                harness.reactor.callLater(0, client.dataReceived, give_up(number))
         dispatch(event)
 
     monkeypatch.setattr(events, "dispatch", slow)
     for number, client in enumerate(clients, start=11):
         client.dataReceived(process(number))
-    stage.turn()
-    assert stage.door.context.counters.counts["internal errors"] == 0
-    assert not any(sent(stage, number) for number in range(15, 19))
-    assert len(stage.dispatcher.requests.by_id) == 4, "nothing is kept of those that are over"
+    harness.advance()
+    assert harness.front.context.counters.counts["internal errors"] == 0
+    assert not any(sent(harness, number) for number in range(15, 19))
+    assert len(harness.dispatcher.requests.by_id) == 4, "nothing is kept of those that are over"
 
 
 def test_a_removed_cache_is_known_until_the_router_has_handled_its_removal(monkeypatch):
-    stage, client = warmed_up_stage()
-    events = stage.dispatcher.router.events
+    harness, client = warmed_up_harness()
+    events = harness.dispatcher.router.events
     dispatch = events.dispatch
     handled = []
 
     def slow(event):
-        stage.reactor.rightNow += 0.6 * ITERATION_LIMIT
+        harness.reactor.rightNow += 0.6 * ITERATION_LIMIT
         handled.append(event)
         if len(handled) == 1:
-            removal = bus_event(
+            removal = parse_event(
                 listing(9, target("e1", state="removed"), target("e2", port=2, state="removed"))
             )
-            stage.dispatcher.endpoints.handle(removal, stage.receipt())
+            harness.dispatcher.endpoints.handle(removal, harness.bus_receipt())
         dispatch(event)
 
     monkeypatch.setattr(events, "dispatch", slow)
     client.dataReceived(b"".join(process(number) for number in range(2, 9)))
-    stage.turn()
-    assert stage.door.context.counters.counts["internal errors"] == 0
+    harness.advance()
+    assert harness.front.context.counters.counts["internal errors"] == 0
 
 
 def test_the_lag_of_what_a_long_batch_left_counts_from_its_first_wait(monkeypatch):
-    stage, _ = warmed_up_stage()
-    clients = [stage.client() for _ in range(8)]
-    events = stage.dispatcher.router.events
+    harness, _ = warmed_up_harness()
+    clients = [harness.connect_client() for _ in range(8)]
+    events = harness.dispatcher.router.events
     dispatch = events.dispatch
     lags = []
 
     def slow(event):
-        stage.reactor.rightNow += 0.6 * ITERATION_LIMIT
+        harness.reactor.rightNow += 0.6 * ITERATION_LIMIT
         if isinstance(event, LoopLagMeasured):
             lags.append(event.lag)
         dispatch(event)
@@ -147,6 +147,6 @@
     monkeypatch.setattr(events, "dispatch", slow)
     for number, client in enumerate(clients, start=11):
         client.dataReceived(process(number))
-    stage.turn()
+    harness.advance()
     assert len(lags) >= 3 and lags == sorted(lags)
     assert lags[-1] > 3 * ITERATION_LIMIT, lags
--- a/tests/test_half_open.py
+++ b/tests/test_half_open.py
@@ -1,6 +1,6 @@
 """A half-open cache: the front that probes it sends in the end, reports, and all fronts follow."""
 
-from fronts import Front
+from fronts import RouterHarness
 
 from weldbend.fleet.health_reports import HealthReport
 from weldbend.fleet.outlier_detection import HALF_OPEN_SECONDS, EjectionState, OutlierDetector
@@ -32,7 +32,7 @@
 
 def failing_front():
     """A front that remembers nothing but failures of cache 1."""
-    front = Front()
+    front = RouterHarness()
     cache = front.router.caches[1]
     for _ in range(30):
         cache.handle(Outcome.FAILURE)
@@ -45,23 +45,23 @@
 
 def test_a_probe_that_is_due_is_sent_whatever_is_remembered():
     front, cache = failing_front()
-    front.at(1.0, EjectionUpdate(1, 0.5, is_probe=True))
+    front.handle(1.0, EjectionUpdate(1, 0.5, is_probe=True))
     assert not is_tried(cache), "the first round is passed on, as its front remembers failures"
-    front.at(6.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True))
+    front.handle(6.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True))
     assert is_tried(cache)
-    front.at(11.0, EjectionUpdate(1, 0.0))
+    front.handle(11.0, EjectionUpdate(1, 0.0))
     assert not is_tried(cache)
 
 
 def test_a_probe_is_judged_by_what_came_since_it_began_and_misses_speak_well():
     front, cache = failing_front()
-    front.at(1.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True), EjectionUpdate(2, 0.0))
+    front.handle(1.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True), EjectionUpdate(2, 0.0))
     assert health_counts(front.router, 1.0)[1] == (0.0, 0.0)
     for name in "abcdefgh":  # half of them go to cache 1
         front.fill(name, now=front.now + 0.1)
     good, failed = health_counts(front.router, front.now)[1]
     assert good >= 3 and failed == 0, "its copies are gone, and it answers"
-    front.at(front.now, EjectionUpdate(1, 1.0))
+    front.handle(front.now, EjectionUpdate(1, 1.0))
     assert health_counts(front.router, front.now)[1][1] == 30.0
 
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -3,7 +3,7 @@
 import math
 
 import pytest
-from fronts import CACHES, Front, content, entry
+from fronts import CACHES, RouterHarness, endpoint, request_class
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -23,26 +23,26 @@
 # Requests with an idempotency key that another front may have executed.
 
 ORDER = {
-    "order": content(
+    "order": request_class(
         "order",
         idempotency=Idempotency.DEDUPLICATED,
         deduplication_scope=DeduplicationScope.CELL,
         origin_only=True,
     )
 }
-ORIGINS = (entry(21, Role.ORIGIN, "h", cell=1), entry(22, Role.ORIGIN, "h", cell=2))
+ORIGINS = (endpoint(21, Role.ORIGIN, "h", cell=1), endpoint(22, Role.ORIGIN, "h", cell=2))
 
 
 def asked(ran, now=1.0):
-    front = Front(ORIGINS, classes=ORDER, allows_bypass=True)
-    front.at(now, RequestReceived("d", "k", 0, 3, "order", 0.0, True, now + 6.0, 0.0, tuple(ran)))
+    front = RouterHarness(ORIGINS, classes=ORDER, allows_bypass=True)
+    front.handle(now, RequestReceived("d", "k", 0, 3, "order", 0.0, True, now + 6.0, 0.0, tuple(ran)))
     return front.trace[-1]
 
 
 def test_a_repeat_goes_only_to_the_group_in_which_another_front_had_it_executed():
     chosen = {asked([PossibleExecution("", cell, 0.5)]) for cell in (1, 2)}
     assert {line.split()[2] for line in chosen} == {"21", "22"}
-    assert all(" look " in line or "fill" in line for line in chosen)
+    assert all(" lookup " in line or "fill" in line for line in chosen)
 
 
 @pytest.mark.parametrize(
@@ -59,15 +59,15 @@
 
 
 def test_an_attempt_of_another_front_binds_a_request_that_is_open():
-    front = Front(ORIGINS, classes=ORDER, allows_bypass=True)
-    front.ask("d", type="order", now=1.0)
-    front.end("d", AttemptResult.UNREACHABLE, now=1.1)
+    front = RouterHarness(ORIGINS, classes=ORDER, allows_bypass=True)
+    front.request("d", type="order", now=1.0)
+    front.end_attempt("d", AttemptResult.UNREACHABLE, now=1.1)
     first = front.trace[-1].split()[2]
-    front.at(1.2, ExecutedElsewhere("d", PossibleExecution("", 1 if first == "22" else 2, 1.15)))
-    front.end("d", AttemptResult.UNREACHABLE, now=1.3)
-    tried = [line.split()[2] for line in front.trace if " look " in line]
+    front.handle(1.2, ExecutedElsewhere("d", PossibleExecution("", 1 if first == "22" else 2, 1.15)))
+    front.end_attempt("d", AttemptResult.UNREACHABLE, now=1.3)
+    tried = [line.split()[2] for line in front.trace if " lookup " in line]
     assert tried[-1] != first or front.trace[-1].endswith("abandoned")
-    front.at(1.4, ExecutedElsewhere("nobody", PossibleExecution("", 1, 1.0)))
+    front.handle(1.4, ExecutedElsewhere("nobody", PossibleExecution("", 1, 1.0)))
 
 
 def test_the_first_attempt_is_dated_by_the_stricter_clock():
@@ -154,15 +154,15 @@
 
 def test_reports_of_peers_have_a_cache_avoided_that_this_front_never_saw_fail():
     def share(good, bad):
-        front = Front(CACHES)
-        front.ask("x", now=1.0)
+        front = RouterHarness(CACHES)
+        front.request("x", now=1.0)
         first = int(front.trace[-1].split()[2])
-        front.end("x", AttemptResult.SERVED)
-        front.at(1.0, PeerHealthReport(first, good, bad))
+        front.end_attempt("x", AttemptResult.SERVED)
+        front.handle(1.0, PeerHealthReport(first, good, bad))
         for n in range(200):
-            front.ask(f"d{n}", now=2.0 + n / 50)
-            front.end(f"d{n}", AttemptResult.SERVED, now=2.01 + n / 50)
-        looks = [line for line in front.trace[1:] if " look " in line]
+            front.request(f"d{n}", now=2.0 + n / 50)
+            front.end_attempt(f"d{n}", AttemptResult.SERVED, now=2.01 + n / 50)
+        looks = [line for line in front.trace[1:] if " lookup " in line]
         return sum(int(line.split()[2]) == first for line in looks) / len(looks)
 
     assert share(0.0, 0.0) == 1.0
@@ -215,8 +215,8 @@
 
 def test_a_request_that_another_front_had_before_counts_as_the_second_one():
     def kept(elsewhere):
-        front = Front(CACHES)
-        front.at(1.0, RequestReceived("d", "k", 0, 3, "photo", 0.0, False, 7.0, 0.0, (), elsewhere))
+        front = RouterHarness(CACHES)
+        front.handle(1.0, RequestReceived("d", "k", 0, 3, "photo", 0.0, False, 7.0, 0.0, (), elsewhere))
         return front.trace[-1].split()[-1]
 
     assert [kept(n) for n in (0, 1, 3)] == ["0", "2", "2"]
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -7,7 +7,7 @@
 import time
 
 import pytest
-from fronts import Stage, answer_text, process, target
+from fronts import FrontHarness, answer_text, process, target
 
 from weldbend.buffers.ring import Ring
 from weldbend.testbed.emulator.configuration import SETTINGS
@@ -21,47 +21,47 @@
 CROSSING = 0.05  # seconds before the end of a connection in which a request crosses it and is sent again
 
 
-def stage_with_deadlines(seconds):
-    stage = Stage()
-    for kind in stage.door.site.settings.classes.values():
+def harness_with_deadlines(seconds):
+    harness = FrontHarness()
+    for kind in harness.front.site.settings.classes.values():
         object.__setattr__(kind, "deadline_after", seconds)
-    return stage
+    return harness
 
 
 @pytest.mark.parametrize("longest", [0.1, 0.3, 1.0, 3.0, 9.0])
 def test_requests_that_come_until_the_kill_are_answered_and_the_front_ends_before_it(longest):
-    stage = stage_with_deadlines(longest)
-    client = stage.client()
+    harness = harness_with_deadlines(longest)
+    client = harness.connect_client()
     kill = min(longest, 3.0) + 0.7
-    stage.door.terminate()
+    harness.front.terminate()
     sent = 0
-    while not stage.reactor.hasStopped and stage.reactor.seconds() < kill + 1.0:
+    while not harness.reactor.hasStopped and harness.reactor.seconds() < kill + 1.0:
         if not client.transport.disconnecting:
             sent += 1
-            stage.say(client, process(sent, wait="100"))
-        stage.turn(0.01)
-    ended = stage.reactor.seconds()
-    answered = {int(line.split()[3]) for line in stage.trace if line.startswith("client 0 <")}
+            harness.send(client, process(sent, wait="100"))
+        harness.advance(0.01)
+    ended = harness.reactor.seconds()
+    answered = {int(line.split()[3]) for line in harness.trace if line.startswith("client 0 <")}
     assert answered == set(range(1, sent + 1)) and sent > 20
     assert ended < kill, "it has ended before it can be killed"
 
 
 def test_calls_that_lie_unhandled_behind_a_slow_reader_are_answered_at_the_last_moment():
-    stage = stage_with_deadlines(0.3)
-    client = stage.client()
+    harness = harness_with_deadlines(0.3)
+    client = harness.connect_client()
     client.pauseProducing()
     for seqid in (101, 102):  # the second waits for room in the ring
         client.writer.write(messages.answer("process", seqid, bytes(240_000), {}, True))
-    stage.say(client, process(1, wait="300"), process(2, wait="300"))
+    harness.send(client, process(1, wait="300"), process(2, wait="300"))
     assert not client.open_requests and len(client.incoming)
-    stage.door.terminate()
-    stage.turn(0.7)
-    stage.turn(0.03)
+    harness.front.terminate()
+    harness.advance(0.7)
+    harness.advance(0.03)
     assert not client.transport.disconnecting, "it has answers that wait"
     client.resumeProducing()
-    stage.turn(0.01)
+    harness.advance(0.01)
     assert client.transport.disconnecting
-    stage.shows("""
+    harness.assert_trace("""
         client 0 < 101 process: '240000 bytes'
         client 0 < 102 process: '240000 bytes'
         client 0 < 1 throttled {'after': '1000'}
--- a/tests/test_local_faults.py
+++ b/tests/test_local_faults.py
@@ -3,7 +3,7 @@
 import errno
 
 import pytest
-from fronts import Front, Stage, process
+from fronts import FrontHarness, RouterHarness, process
 from twisted.internet.error import ConnectError, ConnectionDone
 from twisted.python.failure import Failure
 
@@ -13,21 +13,21 @@
 
 
 def test_attempts_that_never_left_this_machine_spend_neither_attempts_nor_retry_budget():
-    front = Front(max_attempts=2)
-    front.ask("d")
+    front = RouterHarness(max_attempts=2)
+    front.request("d")
     for _ in range(5):
-        front.end("d", AttemptResult.LOCAL_FAULT)
-    front.end("d", AttemptResult.SERVED)
+        front.end_attempt("d", AttemptResult.LOCAL_FAULT)
+    front.end_attempt("d", AttemptResult.SERVED)
     assert front.attempts["d"] == 6 and not any("throttled" in line for line in front.trace)
     assert front.router.admission.retries.total(front.now) == 0
 
 
 @pytest.mark.parametrize("result", [AttemptResult.LOCAL_FAULT, AttemptResult.UNREACHABLE])
 def test_a_fault_of_this_machine_is_no_evidence_against_a_cache_and_a_refusal_is(result):
-    front = Front()
-    front.ask("d")
+    front = RouterHarness()
+    front.request("d")
     first = front.trace[-1].split()[2]
-    front.end("d", result)
+    front.end_attempt("d", result)
     cache = next(c for c in front.router.context.caches.values() if str(c.id) == first)
     is_known = result is AttemptResult.UNREACHABLE
     assert (cache.failures.total(front.now) > 0) == is_known
@@ -38,10 +38,10 @@
 class Refusing:
     """Has a front's connects fail in this machine, reported by Twisted or raised, while `errors` lasts."""
 
-    def __init__(self, stage, errors, is_raised=False):
-        self.reactor, self.connect = stage.reactor, stage.reactor.connectTCP
+    def __init__(self, harness, errors, is_raised=False):
+        self.reactor, self.connect = harness.reactor, harness.reactor.connectTCP
         self.errors, self.is_raised, self.count = errors, is_raised, 0
-        stage.reactor.connectTCP = self.connect_tcp
+        harness.reactor.connectTCP = self.connect_tcp
 
     def connect_tcp(self, host, port, factory, timeout=30, bindAddress=None):
         self.count += 1
@@ -56,10 +56,10 @@
         return connector
 
 
-def ends(stage):
+def ends(harness):
     """The results of attempts that the router is told from now on, and that of a request's end."""
-    told, post = [], stage.dispatcher.queue.post
-    stage.dispatcher.queue.post = lambda event: (told.append(event), post(event))
+    told, post = [], harness.dispatcher.queue.post
+    harness.dispatcher.queue.post = lambda event: (told.append(event), post(event))
     return lambda: [event.result.name for event in told if isinstance(event, AttemptEnded)]
 
 
@@ -78,67 +78,67 @@
 
 @pytest.mark.parametrize("error", LOCAL, ids=str)
 def test_a_connect_that_this_machine_could_not_make_is_made_again_while_the_attempt_waits(error):
-    stage = Stage()
-    results = ends(stage)
-    refusing = Refusing(stage, [error] * 3)
-    stage.say(stage.client(), process(1))
+    harness = FrontHarness()
+    results = ends(harness)
+    refusing = Refusing(harness, [error] * 3)
+    harness.send(harness.connect_client(), process(1))
     for _ in range(30):
-        stage.turn(0.01)
+        harness.advance(0.01)
     assert refusing.count == 4 and not results()
-    stage.connect()
-    stage.answer("e2", 1, "DONE", "-", b"photo")
-    assert stage.trace[-1] == "client 0 < 1 process: 'photo'" and results() == ["SERVED"]
+    harness.complete_connects()
+    harness.answer("e2", 1, "DONE", "-", b"photo")
+    assert harness.trace[-1] == "client 0 < 1 process: 'photo'" and results() == ["SERVED"]
 
 
 def test_a_connection_that_comes_up_and_cannot_be_watched_is_this_machines_fault():
     """Twisted makes the protocol, fails to watch the socket, and reports the end of what never opened."""
-    stage = Stage()
-    results = ends(stage)
-    stage.say(stage.client(), process(1))
-    ((_, dial),) = stage.dials()
+    harness = FrontHarness()
+    results = ends(harness)
+    harness.send(harness.connect_client(), process(1))
+    ((_, dial),) = harness.pending_connects()
     dial.buildProtocol(None).connectionLost(Failure(OSError(errno.ENOMEM, "epoll_ctl")))
-    assert not stage.dials()  # there is a backoff
+    assert not harness.pending_connects()  # there is a backoff
     for _ in range(45):
-        stage.turn(0.01)
+        harness.advance(0.01)
     assert results() == ["LOCAL_FAULT"]
-    stage.connect()
-    stage.answer("e1", 1, "DONE", "-", b"photo")
-    assert stage.trace[-1] == "client 0 < 1 process: 'photo'"
+    harness.complete_connects()
+    harness.answer("e1", 1, "DONE", "-", b"photo")
+    assert harness.trace[-1] == "client 0 < 1 process: 'photo'"
 
 
 def test_an_error_that_connecting_raises_does_not_fail_the_request():
-    stage = Stage()
-    Refusing(stage, [errno.EMFILE], is_raised=True)
-    stage.say(stage.client(), process(1))
-    stage.turn(0.02)
-    stage.connect()
-    stage.answer("e2", 1, "DONE", "-", b"photo")
-    assert stage.trace[-1] == "client 0 < 1 process: 'photo'"
+    harness = FrontHarness()
+    Refusing(harness, [errno.EMFILE], is_raised=True)
+    harness.send(harness.connect_client(), process(1))
+    harness.advance(0.02)
+    harness.complete_connects()
+    harness.answer("e2", 1, "DONE", "-", b"photo")
+    assert harness.trace[-1] == "client 0 < 1 process: 'photo'"
 
 
 @pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT])
 def test_a_connect_that_the_peer_or_its_path_failed_ends_the_attempt_at_once(error):
-    stage = Stage()
-    results = ends(stage)
-    refusing = Refusing(stage, [error])
-    stage.say(stage.client(), process(1))
-    stage.turn()
+    harness = FrontHarness()
+    results = ends(harness)
+    refusing = Refusing(harness, [error])
+    harness.send(harness.connect_client(), process(1))
+    harness.advance()
     assert results() == ["UNREACHABLE"] and refusing.count == 2
 
 
 def test_without_any_connection_a_request_gets_its_answer_by_its_deadline_and_connects_are_bounded():
     """Connects that never work: no cache is blamed, and their number is bounded by the backoff."""
-    stage = Stage()
-    results = ends(stage)
-    refusing = Refusing(stage, [errno.ENFILE] * 10_000)
-    client = stage.client()
-    stage.say(client, *(process(n, wait="1500") for n in range(1, 31)))
+    harness = FrontHarness()
+    results = ends(harness)
+    refusing = Refusing(harness, [errno.ENFILE] * 10_000)
+    client = harness.connect_client()
+    harness.send(client, *(process(n, wait="1500") for n in range(1, 31)))
     for _ in range(160):
-        stage.turn(0.01)
-    answers = [line for line in stage.trace if line.startswith("client 0 <")]
+        harness.advance(0.01)
+    answers = [line for line in harness.trace if line.startswith("client 0 <")]
     assert len(answers) == 30 and all("throttled" in line for line in answers), answers
     assert set(results()) == {"LOCAL_FAULT"}
-    context = stage.dispatcher.router.context
+    context = harness.dispatcher.router.context
     assert not any(cache.failures.total(context.now) for cache in context.caches.values())
     assert all(cache.breaks.broken_at < 0 for cache in context.caches.values())
     most = 1.5 / (MAX_DELAY / 2) + 4  # in the time of the requests, the first four waits being shorter
@@ -146,37 +146,37 @@
 
 
 def test_what_broke_a_connection_is_found_out_also_where_the_first_new_connect_fails_in_this_machine():
-    stage = Stage()
-    stage.say(stage.client(), process(1))
-    stage.connect()
-    refusing = Refusing(stage, [errno.EMFILE])
-    stage.caches["e2", 0].transport.loseConnection()
-    stage.turn()
-    stage.turn(0.02)
-    assert refusing.count >= 2 and "e2" in [name for name, _ in stage.dials()]
+    harness = FrontHarness()
+    harness.send(harness.connect_client(), process(1))
+    harness.complete_connects()
+    refusing = Refusing(harness, [errno.EMFILE])
+    harness.caches["e2", 0].transport.loseConnection()
+    harness.advance()
+    harness.advance(0.02)
+    assert refusing.count >= 2 and "e2" in [name for name, _ in harness.pending_connects()]
 
 
 def test_an_attempt_held_up_for_longer_than_an_answer_may_take_is_not_held_against_its_cache():
     """Its cache was suspected as slow, though nothing had reached it."""
-    stage = Stage()
-    results = ends(stage)
-    Refusing(stage, [errno.EMFILE] * 1000)
-    stage.say(stage.client(), process(1))
-    ((request_id, request),) = stage.dispatcher.requests.by_id.items()
-    stage.turn(0.05)
-    stage.dispatcher._fire_timer(SetTimer(0.05, f"slow:{request_id}:0", request_id, 0))
-    stage.turn()
-    context = stage.dispatcher.router.context
+    harness = FrontHarness()
+    results = ends(harness)
+    Refusing(harness, [errno.EMFILE] * 1000)
+    harness.send(harness.connect_client(), process(1))
+    ((request_id, request),) = harness.dispatcher.requests.by_id.items()
+    harness.advance(0.05)
+    harness.dispatcher._fire_timer(SetTimer(0.05, f"slow:{request_id}:0", request_id, 0))
+    harness.advance()
+    context = harness.dispatcher.router.context
     assert request.attempts[0].is_over and results() == ["LOCAL_FAULT"]
     assert not any(cache.failures.total(context.now) for cache in context.caches.values())
 
 
 def test_no_connect_says_unreachable_only_where_one_was_under_way_for_the_whole_time():
-    stage = Stage()
-    results = ends(stage)
-    Refusing(stage, [])
-    stage.say(stage.client(), process(1))
-    stage.turn(0.41)
+    harness = FrontHarness()
+    results = ends(harness)
+    Refusing(harness, [])
+    harness.send(harness.connect_client(), process(1))
+    harness.advance(0.41)
     assert results() == ["UNREACHABLE"]
 
 
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 import pytest
-from fronts import Stage, probe, process
+from fronts import FrontHarness, probe, process
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
@@ -24,16 +24,16 @@
 
 def parked(count, calls=1, **held):
     """A front with so many parked clients that asked one probe, and one place for each."""
-    stage = Stage(parks=True, **held)
-    stage.door.listener.max_connections = 10_000
+    harness = FrontHarness(parking=True, **held)
+    harness.front.listener.max_connections = 10_000
     for _ in range(count):
-        stage.client().dataReceived(b"".join(probe(n + 1) for n in range(calls)))
+        harness.connect_client().dataReceived(b"".join(probe(n + 1) for n in range(calls)))
     for _ in range(100):
-        stage.reactor.advance(0.01)
-    stage.note()
-    assert stage.door.listener.idle_count() == count and not stage.door.listener.clients
-    stage.trace.clear()
-    return stage
+        harness.reactor.advance(0.01)
+    harness.record_output()
+    assert harness.front.listener.idle_count() == count and not harness.front.listener.clients
+    harness.trace.clear()
+    return harness
 
 
 def test_the_action_decided_for_each_connection_state():
@@ -135,220 +135,224 @@
 
 
 def test_an_idle_connection_in_the_pool_is_closed_when_an_active_one_would_have_been():
-    stage = Stage(parks=True)
-    stage.client()
-    stage.say(stage.client(), probe(1))
+    harness = FrontHarness(parking=True)
+    harness.connect_client()
+    harness.send(harness.connect_client(), probe(1))
     before, gone = anomalies["idle clients without a call"], {}
     for quarter in range(1, 24):
-        stage.turn(LOOKED)
-        for place in stage.rim.closed:
+        harness.advance(LOOKED)
+        for place in harness.epoll_set.closed:
             gone.setdefault(place, quarter / 4)
-    assert 2.0 < gone[0] <= 2.5 and 4.5 < gone[1] <= 5.0 and not stage.door.listener.connection_count()
+    assert 2.0 < gone[0] <= 2.5 and 4.5 < gone[1] <= 5.0 and not harness.front.listener.connection_count()
     assert anomalies["idle clients without a call"] == before + 1
 
 
 def test_a_woken_connection_continues_with_its_record():
-    stage = parked(1)
-    stage.bring(0, process(2))
-    stage.turn()
-    client = stage.clients[0][0]
-    assert client.call_count == 2 and stage.door.listener.idle_count() == 0
-    stage.connect()
-    stage.answer("e2", 2, "DONE", "-", b"photo")
-    assert stage.trace[-1] == "client 0 < 2 process: 'photo'"
+    harness = parked(1)
+    harness.deliver(0, process(2))
+    harness.advance()
+    client = harness.clients[0][0]
+    assert client.call_count == 2 and harness.front.listener.idle_count() == 0
+    harness.complete_connects()
+    harness.answer("e2", 2, "DONE", "-", b"photo")
+    assert harness.trace[-1] == "client 0 < 2 process: 'photo'"
     for _ in range(3):
-        stage.turn(LOOKED)
-    assert stage.door.listener.idle_count() == 1 and client.is_lost
+        harness.advance(LOOKED)
+    assert harness.front.listener.idle_count() == 1 and client.is_lost
 
 
 def test_all_idle_connections_wake_at_once_and_each_gets_its_one_answer():
     """The first are pulled; what lay too long is throttled at once with a time, whoever is busy goes on."""
-    count, stage = 600, parked(600, open_cap=10_000)
-    busy = stage.client()
-    stage.say(busy, process(1, id="ffffffffffffffff"))
-    stage.connect()
+    count, harness = 600, parked(600, open_cap=10_000)
+    busy = harness.connect_client()
+    harness.send(busy, process(1, id="ffffffffffffffff"))
+    harness.complete_connects()
     for place in range(count):
-        stage.rim.bring(place, process(2, id=f"{place:016x}", key=f"{place:016x}"))
-    lot, sizes = stage.door.listener.idle_pool, []
+        harness.epoll_set.deliver(place, process(2, id=f"{place:016x}", key=f"{place:016x}"))
+    lot, sizes = harness.front.listener.idle_pool, []
     wake = lot.wake_batch
 
     def turn():
         before = lot.count()
         wake()
         sizes.append(before - lot.count())
-        stage.reactor.rightNow += 0.004  # a turn takes so long
+        harness.reactor.rightNow += 0.004  # a turn takes so long
 
     lot.wake_batch = turn
     lot.doRead()
-    stage.turn()
-    assert max(sizes) <= stage.door.site.client_settings.wake_batch and lot.max_wake_delay > 0.3
-    throttled = [line for line in stage.trace if "throttled {'after': '1000'}" in line]
+    harness.advance()
+    assert max(sizes) <= harness.front.site.client_settings.wake_batch and lot.max_wake_delay > 0.3
+    throttled = [line for line in harness.trace if "throttled {'after': '1000'}" in line]
     assert len({line.split()[1] for line in throttled}) == len(throttled) > count // 2
     for _ in range(4):
-        stage.connect()
-        for uid, number in list(stage.caches):
-            for name in list(stage.caches[uid, number].in_flight):
-                stage.answer(uid, int(name, 16), "DONE", "-", b"photo", number)
-    answers = [line.split()[1] for line in stage.trace if line.startswith("client")]
+        harness.complete_connects()
+        for uid, number in list(harness.caches):
+            for name in list(harness.caches[uid, number].in_flight):
+                harness.answer(uid, int(name, 16), "DONE", "-", b"photo", number)
+    answers = [line.split()[1] for line in harness.trace if line.startswith("client")]
     assert sorted(answers, key=int) == [str(n) for n in range(count + 1)]
-    assert not stage.dispatcher.requests
+    assert not harness.dispatcher.requests
 
 
 def test_the_time_that_a_request_was_unread_counts_towards_its_deadline():
-    stage = parked(40)
+    harness = parked(40)
     for place in range(40):
-        stage.rim.bring(place, process(2, id=f"{place:016x}", wait="1000"))
-    stage.door.listener.idle_pool.doRead()
-    begun = stage.door.clock.now()
+        harness.epoll_set.deliver(place, process(2, id=f"{place:016x}", wait="1000"))
+    harness.front.listener.idle_pool.doRead()
+    begun = harness.front.clock.now()
     for _ in range(6):
-        stage.reactor.advance(0.01)
-    assert {request.deadline for request in stage.dispatcher.requests.by_id.values()} == {begun + 1.0}
+        harness.reactor.advance(0.01)
+    assert {request.deadline for request in harness.dispatcher.requests.by_id.values()} == {begun + 1.0}
 
 
 def test_bytes_arrive_in_the_iteration_in_which_the_connection_is_closed_as_idle():
-    stage = parked(1)
-    stage.turn(3.0)
-    stage.rim.bring(0, process(2))
-    stage.rim.told.update(stage.rim.came)  # the system has not told of it yet
+    harness = parked(1)
+    harness.advance(3.0)
+    harness.epoll_set.deliver(0, process(2))
+    harness.epoll_set.reported.update(harness.epoll_set.pending)  # the system has not told of it yet
     for _ in range(4):
-        stage.turn(LOOKED)
-    assert not stage.rim.closed and stage.clients[0][0].open_requests
+        harness.advance(LOOKED)
+    assert not harness.epoll_set.closed and harness.clients[0][0].open_requests
 
 
 @pytest.mark.parametrize("end", [ConnectionResetError(104, "reset"), b""])
 def test_a_peer_ends_or_resets_an_idle_connection(end):
-    stage = parked(2)
-    stage.rim.bring(0, end)
-    stage.door.listener.idle_pool.doRead()
+    harness = parked(2)
+    harness.epoll_set.deliver(0, end)
+    harness.front.listener.idle_pool.doRead()
     assert (
-        stage.rim.closed == [0]
-        and stage.door.listener.connection_count() == 1
-        and not stage.door.listener.clients
+        harness.epoll_set.closed == [0]
+        and harness.front.listener.connection_count() == 1
+        and not harness.front.listener.clients
     )
 
 
 def test_a_connection_is_reported_readable_without_bytes():
-    stage = parked(1)
-    stage.rim.came[5] = []
-    stage.door.listener.idle_pool.doRead()
-    del stage.rim.came[5]
-    assert stage.door.listener.idle_count() == 1 and not stage.rim.told
-    stage.bring(0, probe(2))
-    stage.turn()
-    assert stage.trace == ["client 0 < 2 probe: good True"]
+    harness = parked(1)
+    harness.epoll_set.pending[5] = []
+    harness.front.listener.idle_pool.doRead()
+    del harness.epoll_set.pending[5]
+    assert harness.front.listener.idle_count() == 1 and not harness.epoll_set.reported
+    harness.deliver(0, probe(2))
+    harness.advance()
+    assert harness.trace == ["client 0 < 2 probe: good True"]
 
 
 def test_half_a_frame_wakes_a_connection_and_nothing_follows():
-    stage = parked(1)
-    stage.bring(0, process(2)[:40])
-    client = stage.clients[0][0]
+    harness = parked(1)
+    harness.deliver(0, process(2)[:40])
+    client = harness.clients[0][0]
     for _ in range(7):
-        stage.turn(LOOKED)
-    assert list(stage.door.listener.clients) == [client] and not client.transport.disconnecting
+        harness.advance(LOOKED)
+    assert list(harness.front.listener.clients) == [client] and not client.transport.disconnecting
     for _ in range(3):
-        stage.turn(LOOKED)
-    assert client.transport.disconnecting and not stage.door.listener.connection_count()
+        harness.advance(LOOKED)
+    assert client.transport.disconnecting and not harness.front.listener.connection_count()
 
 
 def test_the_descriptor_of_a_connection_that_ended_while_queued_is_reused():
-    stage = parked(2)
-    lot = stage.door.listener.idle_pool
-    first = stage.rim.bring(0, probe(2))
+    harness = parked(2)
+    lot = harness.front.listener.idle_pool
+    first = harness.epoll_set.deliver(0, probe(2))
     assert lot.queue_readable() == 1 and lot.table.waking_count == 1
     lot.close(first)
-    stage.say(stage.client(), probe(1))
+    harness.send(harness.connect_client(), probe(1))
     for _ in range(3):
-        stage.turn(LOOKED)
-    assert stage.rim.places[first] == 2 and lot.count() == 2
-    stage.trace.clear()
-    stage.bring(2, probe(2))
-    stage.turn()
-    assert stage.trace == ["client 2 < 2 probe: good True"] and lot.count() == 1
+        harness.advance(LOOKED)
+    assert harness.epoll_set.client_indexes[first] == 2 and lot.count() == 2
+    harness.trace.clear()
+    harness.deliver(2, probe(2))
+    harness.advance()
+    assert harness.trace == ["client 2 < 2 probe: good True"] and lot.count() == 1
 
 
 def test_a_shutdown_with_thousands_of_idle_connections_ends_in_time_and_answers_those_that_wake():
-    stage = parked(2000)
-    stage.say(stage.client(), process(1))
-    stage.connect()
-    stage.door.terminate()
-    stage.turn(0.3)
-    stage.bring(7, process(2, id="00000000000000aa"))
-    stage.turn()
-    stage.answer("e2", 1, "DONE", "-", b"one")
-    for uid, number in list(stage.caches):
-        if "00000000000000aa" in stage.caches[uid, number].in_flight:
-            stage.answer(uid, 0xAA, "DONE", "-", b"two", number)
-    stage.turn(0.41)
+    harness = parked(2000)
+    harness.send(harness.connect_client(), process(1))
+    harness.complete_connects()
+    harness.front.terminate()
+    harness.advance(0.3)
+    harness.deliver(7, process(2, id="00000000000000aa"))
+    harness.advance()
+    harness.answer("e2", 1, "DONE", "-", b"one")
+    for uid, number in list(harness.caches):
+        if "00000000000000aa" in harness.caches[uid, number].in_flight:
+            harness.answer(uid, 0xAA, "DONE", "-", b"two", number)
+    harness.advance(0.41)
     turns = 0
-    while not stage.reactor.hasStopped:
-        before = len(stage.rim.closed)
-        stage.turn(0.02)
-        assert len(stage.rim.closed) - before <= 10 * stage.door.site.client_settings.close_batch
+    while not harness.reactor.hasStopped:
+        before = len(harness.epoll_set.closed)
+        harness.advance(0.02)
+        assert len(harness.epoll_set.closed) - before <= 10 * harness.front.site.client_settings.close_batch
         turns += 1
-    assert turns < 30 and sorted(stage.rim.closed) == [n for n in range(2000) if n != 7]
-    assert {"client 2000 < 1 process: 'one'", "client 7 < 2 process: 'two'"} <= set(stage.trace)
+    assert turns < 30 and sorted(harness.epoll_set.closed) == [n for n in range(2000) if n != 7]
+    assert {"client 2000 < 1 process: 'one'", "client 7 < 2 process: 'two'"} <= set(harness.trace)
 
 
 def test_a_reload_with_thousands_of_idle_connections_moves_the_bus_and_keeps_them():
-    stage = parked(2000)
-    stage.door.read_new_site = lambda: replace(stage.door.site, bus_address="127.0.0.1:9999")
-    stage.door.reload()
-    stage.turn()
-    assert stage.door.bus.address == "127.0.0.1:9999" and stage.door.listener.idle_count() == 2000
-    stage.bring(5, probe(2))
-    stage.turn()
-    assert stage.trace == ["client 5 < 2 probe: good True"]
+    harness = parked(2000)
+    harness.front.read_new_site = lambda: replace(harness.front.site, bus_address="127.0.0.1:9999")
+    harness.front.reload()
+    harness.advance()
+    assert harness.front.bus.address == "127.0.0.1:9999" and harness.front.listener.idle_count() == 2000
+    harness.deliver(5, probe(2))
+    harness.advance()
+    assert harness.trace == ["client 5 < 2 probe: good True"]
 
 
 def test_at_the_connection_limit_idle_connections_are_evicted_for_regular_clients():
-    stage = parked(64)
-    listener, port = stage.door.listener, []
+    harness = parked(64)
+    listener, port = harness.front.listener, []
     listener.max_connections = 64
     for _ in range(30):
-        usual = stage.client()
+        usual = harness.connect_client()
         port.append(listener.is_paused)
-        stage.say(usual, process(1, id=f"{random.Random(len(port)).getrandbits(64):016x}"))
+        harness.send(usual, process(1, id=f"{random.Random(len(port)).getrandbits(64):016x}"))
         assert listener.connection_count() <= 64 and usual in listener.clients and usual.open_requests
-    assert not any(port) and len(stage.rim.closed) >= 26
-    assert sorted(stage.rim.closed) == list(range(len(stage.rim.closed)))  # the longest idle went first
+    assert not any(port) and len(harness.epoll_set.closed) >= 26
+    assert sorted(harness.epoll_set.closed) == list(
+        range(len(harness.epoll_set.closed))
+    )  # the longest idle went first
 
 
 def test_a_hundred_wakes_and_returns_to_the_pool_leave_nothing_behind():
-    stage = parked(3)
-    table, sizes = stage.door.listener.idle_pool.table, []
+    harness = parked(3)
+    table, sizes = harness.front.listener.idle_pool.table, []
     for number in range(2, 102):
-        stage.bring(1, probe(number))
+        harness.deliver(1, probe(number))
         for _ in range(4):
-            stage.turn(LOOKED / 2)
+            harness.advance(LOOKED / 2)
         if number % 3 == 0:  # the others must not fall due meanwhile
             for place in (0, 2):
-                stage.bring(place, probe(number))
+                harness.deliver(place, probe(number))
         for _ in range(3):
-            stage.turn(LOOKED)
+            harness.advance(LOOKED)
         wheels = [len(wheel.next) for wheel in table.wheels]
-        sizes.append((len(table.states), wheels, len(table.long_idle_queue), len(stage.door.listener.checks)))
-    assert sizes[5:] == sizes[5:6] * 95 and stage.door.listener.idle_count() == 3
-    assert sum("client 1 <" in line for line in stage.trace) == 100 and not stage.rim.closed
+        sizes.append(
+            (len(table.states), wheels, len(table.long_idle_queue), len(harness.front.listener.checks))
+        )
+    assert sizes[5:] == sizes[5:6] * 95 and harness.front.listener.idle_count() == 3
+    assert sum("client 1 <" in line for line in harness.trace) == 100 and not harness.epoll_set.closed
 
 
 def test_closing_many_expired_connections_is_spread_over_iterations():
-    stage = parked(700, terms=ConnectionSettings(close_batch=50))
+    harness = parked(700, client_settings=ConnectionSettings(close_batch=50))
     closed = []
     for _ in range(2000):
-        before = len(stage.rim.closed)
-        stage.reactor.advance(0.0021)
-        closed.append(len(stage.rim.closed) - before)
+        before = len(harness.epoll_set.closed)
+        harness.reactor.advance(0.0021)
+        closed.append(len(harness.epoll_set.closed) - before)
     assert sum(closed) == 700 and max(closed) <= 50
 
 
 def test_a_fault_in_handling_first_bytes_ends_that_connection_only(monkeypatch):
-    stage = parked(2)
+    harness = parked(2)
     monkeypatch.setattr(
         "weldbend.clients.connection.next_frame", lambda *_: (_ for _ in ()).throw(RuntimeError("fault"))
     )
-    stage.bring(0, probe(2))
+    harness.deliver(0, probe(2))
     monkeypatch.undo()
-    assert stage.clients[0][0].transport.disconnecting and stage.counts["internal errors"] == 1
-    stage.bring(1, probe(2))
-    stage.turn()
-    assert stage.trace == ["client 1 < 2 probe: good True"]
+    assert harness.clients[0][0].transport.disconnecting and harness.counts["internal errors"] == 1
+    harness.deliver(1, probe(2))
+    harness.advance()
+    assert harness.trace == ["client 1 < 2 probe: good True"]
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 
 import pytest
-from fronts import SITE, entry
+from fronts import SITE, endpoint
 
 from weldbend.routing.actions import SendAttempt
 from weldbend.routing.events import (
@@ -37,8 +37,8 @@
         self.settings = replace(
             SITE, fronts=count, zone_fronts=count, hub_fronts=count, edge_overload_window=WINDOW
         )
-        self.cold = replace(entry(11, role, "z" if role is Role.EDGE else "h"), weight=weight)
-        self.others = (entry(21, Role.ORIGIN, "h"), *(entry(n) for n in range(1, edges)))
+        self.cold = replace(endpoint(11, role, "z" if role is Role.EDGE else "h"), weight=weight)
+        self.others = (endpoint(21, Role.ORIGIN, "h"), *(endpoint(n) for n in range(1, edges)))
         busy = [40.0 if skewed and n < count // 10 else 1.0 for n in range(count)]
         self.rates = [count * part / sum(busy) for part in busy]  # of the fleet's traffic, on the mean one
         self.heard = [STARTED + 3.0 * self.chance.random() for _ in range(count)]
--- a/tests/test_remote_timestamps.py
+++ b/tests/test_remote_timestamps.py
@@ -10,7 +10,7 @@
 import time
 
 import pytest
-from fronts import KEY, Stage, configuration, listing, process, target
+from fronts import KEY, FrontHarness, configuration, listing, process, target
 
 from weldbend.event_bus.events import parse_event
 from weldbend.event_bus.remote_timestamps import (
@@ -176,42 +176,42 @@
 # A whole front in memory.
 
 
-class UnconfirmedStage(Stage):
+class UnconfirmedFrontHarness(FrontHarness):
     """One that has read its first list, of a cache that started long ago, and knows of no other clock."""
 
     def __init__(self, age):
         super().__init__()
-        self.door.context.timestamps.is_confirmed = False
+        self.front.context.timestamps.is_confirmed = False
         boot = (self.unix() - age) * 1000
         self.dispatcher.endpoints.handle(
-            parse_event(listing(2, target("e9", boot=boot))), Receipt(self.door.clock.now())
+            parse_event(listing(2, target("e9", boot=boot))), Receipt(self.front.clock.now())
         )
-        self.turn()
+        self.advance()
 
     def age(self):
         cache = self.dispatcher.router.context.caches[self.dispatcher.names.number("e9")]
-        return self.door.clock.now() - cache.started
+        return self.front.clock.now() - cache.started
 
 
 def test_a_cache_of_the_first_list_is_cold_until_a_copy_shows_that_this_clock_is_right():
-    stage = UnconfirmedStage(100.0)
-    assert stage.age() == pytest.approx(0.0)
-    stage.dispatcher.endpoints.observe_copy("x")
-    stage.dispatcher.endpoints.observe_copy(str(int((stage.unix() - HOUR) * 1000)))
-    stage.turn()
-    assert stage.age() == pytest.approx(0.0)
-    stage.dispatcher.endpoints.observe_copy(str(int((stage.unix() - 0.1) * 1000)))
-    stage.turn()
-    assert stage.age() == pytest.approx(100.0)
+    harness = UnconfirmedFrontHarness(100.0)
+    assert harness.age() == pytest.approx(0.0)
+    harness.dispatcher.endpoints.observe_copy("x")
+    harness.dispatcher.endpoints.observe_copy(str(int((harness.unix() - HOUR) * 1000)))
+    harness.advance()
+    assert harness.age() == pytest.approx(0.0)
+    harness.dispatcher.endpoints.observe_copy(str(int((harness.unix() - 0.1) * 1000)))
+    harness.advance()
+    assert harness.age() == pytest.approx(100.0)
 
 
 def test_one_that_still_warms_up_is_dated_again_only_before_much_was_sent_to_it():
     for wait, age in ((0.2, 3.2), (1.0, 1.0)):
-        stage = UnconfirmedStage(3.0)
-        stage.turn(wait)
-        stage.dispatcher.endpoints.observe_copy(str(int(stage.unix() * 1000)))
-        stage.turn()
-        assert stage.age() == pytest.approx(age), wait
+        harness = UnconfirmedFrontHarness(3.0)
+        harness.advance(wait)
+        harness.dispatcher.endpoints.observe_copy(str(int(harness.unix() * 1000)))
+        harness.advance()
+        assert harness.age() == pytest.approx(age), wait
 
 
 # A real process.
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -3,7 +3,7 @@
 import re
 
 import pytest
-from fronts import Stage, process
+from fronts import FrontHarness, process
 
 from weldbend.clients.arrival_times import MAX_MARKS, ArrivalTimes
 from weldbend.clients.connection import READ_SIZE
@@ -13,22 +13,22 @@
 SLACK = 0.15  # seconds that a cache may be told beyond what the client has left
 
 
-def told(stage, number):
+def told(harness, number):
     """Seconds that the first command of a request told its cache."""
-    lines = [line for line in stage.trace if f"do {number:016x}" in line]
+    lines = [line for line in harness.trace if f"do {number:016x}" in line]
     return int(re.search(r"budget=(\d+)", lines[0])[1]) / 1000
 
 
-def running_stage():
+def running_harness():
     """A front that has one connection to its cache, and whose timers have run for a while."""
-    stage = Stage()
+    harness = FrontHarness()
     for _ in range(5):
-        stage.turn(0.1)
-    client = stage.client()
-    stage.say(client, process(1))
-    stage.connect()
-    stage.answer("e2", 1, "DONE", "-", b"one")
-    return stage, client
+        harness.advance(0.1)
+    client = harness.connect_client()
+    harness.send(client, process(1))
+    harness.complete_connects()
+    harness.answer("e2", 1, "DONE", "-", b"one")
+    return harness, client
 
 
 def block(client):
@@ -38,62 +38,62 @@
         client.writer.write(messages.answer("process", seqid, bytes(240_000), {}, True))
 
 
-def pass_time(stage, seconds):
+def pass_time(harness, seconds):
     for _ in range(round(seconds / 0.1)):
-        stage.turn(0.1)
+        harness.advance(0.1)
 
 
 def test_what_lay_in_the_ring_counts_from_when_it_was_read():
-    stage, client = running_stage()
+    harness, client = running_harness()
     block(client)
-    stage.say(client, process(2))
-    pass_time(stage, 2.0)
-    stage.say(client, process(3))
-    pass_time(stage, 1.0)
+    harness.send(client, process(2))
+    pass_time(harness, 2.0)
+    harness.send(client, process(3))
+    pass_time(harness, 1.0)
     client.resumeProducing()
-    stage.turn()
-    assert 2.85 <= told(stage, 2) <= 3.0 + SLACK
-    assert 4.85 <= told(stage, 3) <= 5.0 + SLACK
+    harness.advance()
+    assert 2.85 <= told(harness, 2) <= 3.0 + SLACK
+    assert 4.85 <= told(harness, 3) <= 5.0 + SLACK
 
 
 def test_what_lay_in_the_socket_counts_from_when_reading_was_paused():
-    stage, client = running_stage()
+    harness, client = running_harness()
     block(client)
     filler = process(2, body=bytes(40_000))
     while not client.is_read_paused:
-        stage.say(client, filler)
-    pass_time(stage, 2.0)
+        harness.send(client, filler)
+    pass_time(harness, 2.0)
     client.cancelled_early.add(2)
     client.incoming.skip(len(client.incoming))
     client.resumeProducing()
-    stage.say(client, process(3))
-    assert 3.85 <= told(stage, 3) <= 4.0 + SLACK
+    harness.send(client, process(3))
+    assert 3.85 <= told(harness, 3) <= 4.0 + SLACK
 
 
 def test_a_full_read_leaves_the_moment_for_what_is_read_after_it():
-    stage, client = running_stage()
-    stage.reactor.rightNow += 1.5
+    harness, client = running_harness()
+    harness.reactor.rightNow += 1.5
     data = process(2, body=bytes(40_000)) + process(3, body=bytes(40_000))
     client.dataReceived(data[:READ_SIZE])
-    pass_time(stage, 0.3)
-    stage.say(client, data[READ_SIZE:])
-    assert 3.9 <= told(stage, 3) <= 4.2 + SLACK
-    stage.say(client, process(4))
-    assert told(stage, 4) == 6.0, "the last read had emptied the socket"
+    pass_time(harness, 0.3)
+    harness.send(client, data[READ_SIZE:])
+    assert 3.9 <= told(harness, 3) <= 4.2 + SLACK
+    harness.send(client, process(4))
+    assert told(harness, 4) == 6.0, "the last read had emptied the socket"
 
 
 @pytest.mark.parametrize("timers_first", [True, False])
 def test_what_came_while_the_process_stood_still_counts_from_its_beginning(timers_first):
-    stage, client = running_stage()
-    stage.reactor.rightNow += 1.5
+    harness, client = running_harness()
+    harness.reactor.rightNow += 1.5
     if timers_first:
-        stage.door.gateway._run_maintenance()
+        harness.front.gateway._run_maintenance()
     client.dataReceived(process(2))
-    stage.turn()
-    assert 4.35 <= told(stage, 2) <= 4.5 + SLACK
-    pass_time(stage, 0.3)
-    stage.say(client, process(3))
-    assert told(stage, 3) == 6.0, "what comes later has all its time"
+    harness.advance()
+    assert 4.35 <= told(harness, 2) <= 4.5 + SLACK
+    pass_time(harness, 0.3)
+    harness.send(client, process(3))
+    assert told(harness, 3) == 6.0, "what comes later has all its time"
 
 
 def test_a_standstill_is_noticed_between_two_beats():
