--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -18,7 +18,7 @@
 FIELD_COUNT = 6
 TESTS_PASSED = 0  # pytest's exit status
 TESTS_FAILED = 1  # pytest's exit status if tests ran and at least one failed
-LIST_IS_INVALID = 2  # exit status of this script if the list cannot be used
+INVALID_LIST_STATUS = 2  # exit status of this script if the list cannot be used
 
 
 class InvalidListError(Exception):
@@ -48,7 +48,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KnownRed:
+class KnownFailure:
     """A test that fails, and the open issue under which it is to be repaired.
 
     Attributes:
@@ -68,7 +68,7 @@
     issue: str
 
 
-def read_entries(path: Path) -> list[KnownRed]:
+def read_entries(path: Path) -> list[KnownFailure]:
     """Return the entries of the list, none if the file does not exist.
 
     Raises:
@@ -81,7 +81,7 @@
     return entries
 
 
-def read_entry(path: Path, number: int, line: str) -> KnownRed:
+def read_entry(path: Path, number: int, line: str) -> KnownFailure:
     """Parse one line of the list.
 
     Raises:
@@ -94,7 +94,7 @@
     if "::" not in test or test.startswith("-"):
         raise InvalidEntryError(path, number)
     try:
-        return KnownRed(test, Frequency(frequency), *rest)
+        return KnownFailure(test, Frequency(frequency), *rest)
     except ValueError:
         raise InvalidEntryError(path, number) from None
 
@@ -105,7 +105,7 @@
     return subprocess.run(command, capture_output=not shows_output, check=False).returncode
 
 
-def is_entry_true(entry: KnownRed) -> bool:
+def has_listed_result(entry: KnownFailure) -> bool:
     """Run a listed test, print its entry and result, and return whether the entry describes that result."""
     status = run_pytest(entry.test)
     results = {TESTS_PASSED: "passed", TESTS_FAILED: "failed"}
@@ -123,12 +123,12 @@
         entries = read_entries(path)
     except InvalidListError as error:
         print(error)
-        return LIST_IS_INVALID
-    false_entries = [entry.test for entry in entries if not is_entry_true(entry)]
-    for test in false_entries:
+        return INVALID_LIST_STATUS
+    incorrect_entries = [entry.test for entry in entries if not has_listed_result(entry)]
+    for test in incorrect_entries:
         print(f"{path.name} is not true of {test}: correct the list")
     status = run_pytest(*(f"--deselect={entry.test}" for entry in entries), shows_output=True)
-    return status or int(bool(false_entries))
+    return status or int(bool(incorrect_entries))
 
 
 if __name__ == "__main__":
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -339,10 +339,12 @@
         raise OSError(number, "injected")
 
     monkeypatch.setattr(epoll_set.select, "epoll", refuse)
-    before = anomalies[epoll_set.UNWATCHED]
+    before = anomalies[epoll_set.UNWATCHED_CLIENTS]
     watcher = HangupWatcher(reactor)
     watcher.watch(transport, lambda: None)
-    assert anomalies[epoll_set.UNWATCHED] == before + 1 and not watcher.callbacks and transport.connected
+    assert (
+        anomalies[epoll_set.UNWATCHED_CLIENTS] == before + 1 and not watcher.callbacks and transport.connected
+    )
     transport.socket.close()
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -20,7 +20,7 @@
 from weldbend.thrift import messages
 from weldbend.thrift.messages import read_call
 
-ANSWERS = [messages.answer("process", n, b"%d" % n * 50, {}, True) for n in range(1, 6)]
+ANSWERS = [messages.success_reply("process", n, b"%d" % n * 50, {}, True) for n in range(1, 6)]
 
 
 def injector(seed=1, framing="thrift", **faults):
@@ -136,7 +136,7 @@
 
 @pytest.mark.parametrize("field", ["seqid", "body"])
 def test_corruption_of_an_answer_that_still_parses(field):
-    raw = messages.answer("process", 7, b"photo" * 9, {"ok304": "1"}, True)
+    raw = messages.success_reply("process", 7, b"photo" * 9, {"ok304": "1"}, True)
     found = rewrite("thrift", Message(raw, read_thrift(raw)), field, "12")
     heard = client_calls.read_answer(found[4:])
     assert len(found) == 4 + int.from_bytes(found[:4])
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -51,7 +51,7 @@
     client = stage.client()
     client.pauseProducing()
     for seqid in (101, 102):  # the second waits for room in the ring
-        client.writer.write(messages.answer("process", seqid, bytes(240_000), {}, True))
+        client.writer.write(messages.success_reply("process", seqid, bytes(240_000), {}, True))
     stage.say(client, process(1, wait="300"), process(2, wait="300"))
     assert not client.open_requests and len(client.incoming)
     stage.door.terminate()
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -35,7 +35,7 @@
     """Let a client read no answers, with so many that its calls wait."""
     client.pauseProducing()
     for seqid in (101, 102):
-        client.writer.write(messages.answer("process", seqid, bytes(240_000), {}, True))
+        client.writer.write(messages.success_reply("process", seqid, bytes(240_000), {}, True))
 
 
 def pass_time(stage, seconds):
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -119,11 +119,11 @@
     match case["as"]:
         case "answer":
             name, seqid, body, fields, good = given
-            return thrift.answer(name, seqid, bytes.fromhex(body), dict(fields), good)
+            return thrift.success_reply(name, seqid, bytes.fromhex(body), dict(fields), good)
         case "overloaded":
-            return thrift.overloaded(given[0], dict(given[1]))
+            return thrift.overloaded_reply(given[0], dict(given[1]))
         case "internal":
-            return thrift.internal(given[0])
+            return thrift.internal_error_reply(given[0])
     return thrift.application_exception(thrift.InvalidCall(*given))
 
 
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -107,7 +107,7 @@
         raise click.ClickException(str(error)) from None
 
 
-class Commands(click.Group):
+class LazyCommands(click.Group):
     """Loads the commands of testbed and fleet only when they are asked for: a front never does."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -136,7 +136,7 @@
         return lab
 
 
-@click.group(cls=Commands, invoke_without_command=True)
+@click.group(cls=LazyCommands, invoke_without_command=True)
 @click.pass_context
 def main(context: click.Context) -> None:
     """A front for caches of large objects behind thin links."""
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -244,7 +244,7 @@
                 self.cancelled_early.discard(seqid)
                 self._cancel(seqid)
             case messages.Probe(seqid):
-                self.send_answer(messages.answer("probe", seqid, b"", {}, self.owner.is_serving()))
+                self.send_answer(messages.success_reply("probe", seqid, b"", {}, self.owner.is_serving()))
             case messages.InvalidCall() if call.seqid in self.open_requests:
                 self.ban(misbehaviour.REUSED_SEQUENCE_ID)
             case messages.InvalidCall():
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -20,7 +20,7 @@
 from weldbend.idle_connections import policy
 from weldbend.idle_connections.connection_table import ConnectionRecord
 from weldbend.idle_connections.epoll_set import EpollSet, HangupWatcher, Reactor
-from weldbend.idle_connections.idle_pool import FAILED, DescriptorSet, IdlePool
+from weldbend.idle_connections.idle_pool import FAILED_IDLE_CONNECTIONS, DescriptorSet, IdlePool
 from weldbend.idle_connections.policy import ConnectionAction, ConnectionSettings
 from weldbend.invariants import anomalies
 
@@ -258,7 +258,7 @@
         try:
             transport: ClientTransport = self.idle_pool.descriptors.attach(fd, client)
         except OSError:  # the descriptor could not be registered, and the connection was closed
-            anomalies[FAILED] += 1
+            anomalies[FAILED_IDLE_CONNECTIONS] += 1
             self.update_accepting()
             return
         try:
--- a/weldbend/clients/request.py
+++ b/weldbend/clients/request.py
@@ -60,7 +60,7 @@
             is_not_modified: Whether the client's copy is still current.
         """
         fields = {"ok304": "1"} if is_not_modified else {}
-        self._answer(messages.answer("process", self.seqid, body, fields, True))
+        self._answer(messages.success_reply("process", self.seqid, body, fields, True))
 
     def answer_rejected(self, retry_after: float) -> None:
         """Reject the request because of overload.
@@ -69,11 +69,11 @@
             retry_after: Seconds after which the client should retry; 0 or less to send no such hint.
         """
         fields = {"after": str(int(retry_after * MILLISECONDS_PER_SECOND))} if retry_after > 0 else {}
-        self._answer(messages.overloaded(self.seqid, fields))
+        self._answer(messages.overloaded_reply(self.seqid, fields))
 
     def answer_failed(self) -> None:
         """Answer that the request failed, without a hint whether to retry."""
-        self._answer(messages.internal(self.seqid))
+        self._answer(messages.internal_error_reply(self.seqid))
 
     def answer_invalid(self, reason: str) -> None:
         """Answer that the request is invalid, and count this as a violation of its client."""
--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -26,7 +26,7 @@
 IDLE = 1
 WAKING = 2
 
-BUCKETS = 64  # in the idle timeout of a usage class
+BUCKETS_PER_TIMEOUT = 64  # in the idle timeout of a usage class
 MIN_BUCKET_SECONDS = 0.01
 MAX_REQUEST_COUNT = (1 << 32) - 1  # of an array of type "I"
 MAX_SMALL_COUNT = 255  # of an array of type "B"
@@ -60,7 +60,9 @@
         self.request_counts = array("I")
         self.last_active = array("d")
         timeouts = [idle_timeout(settings, usage) for usage in range(USAGE_CLASSES)]
-        self.wheels = [TimerWheel(keep, max(keep / BUCKETS, MIN_BUCKET_SECONDS)) for keep in timeouts]
+        self.wheels = [
+            TimerWheel(keep, max(keep / BUCKETS_PER_TIMEOUT, MIN_BUCKET_SECONDS)) for keep in timeouts
+        ]
         # Readable connections, in the order in which that was noticed.
         self.short_idle_queue: deque[int] = deque()
         self.long_idle_queue: deque[int] = deque()
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -28,7 +28,8 @@
 NOTHING_TO_READ = (*WOULD_BLOCK_ERRORS, errno.EINTR)
 
 
-UNWATCHED = "clients whose end cannot be watched"  # name of the anomaly counter, as it appears in the log
+# Name of the anomaly counter, as it appears in the log.
+UNWATCHED_CLIENTS = "clients whose end cannot be watched"
 
 
 def poll_now(epoll: select.epoll, limit: int = -1) -> list[tuple[int, int]]:
@@ -86,7 +87,7 @@
         try:
             self._register(transport.fileno())
         except OSError:
-            anomalies[UNWATCHED] += 1
+            anomalies[UNWATCHED_CLIENTS] += 1
         else:
             self.callbacks[transport.fileno()] = callback
 
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -21,7 +21,8 @@
     from twisted.internet import tcp
     from twisted.internet.protocol import Protocol as ConnectionProtocol
 
-FAILED = "idle connections that failed"  # name of the anomaly counter, as it appears in the log
+# Name of the anomaly counter, as it appears in the log.
+FAILED_IDLE_CONNECTIONS = "idle connections that failed"
 POLL_BATCH = 1024  # descriptors queued as readable in one poll
 
 
@@ -172,7 +173,7 @@
             data = self.descriptors.read(fd)
         except OSError:
             data = b""
-            anomalies[FAILED] += 1
+            anomalies[FAILED_IDLE_CONNECTIONS] += 1
         if data:
             record = self.table.remove(fd)
             self.wake_count += 1
@@ -189,7 +190,7 @@
         try:
             self.descriptors.rearm(fd)
         except OSError:
-            anomalies[FAILED] += 1
+            anomalies[FAILED_IDLE_CONNECTIONS] += 1
             return False
         return True
 
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -23,7 +23,7 @@
         self.router = Router(self.codec.seed, self.codec.settings)
         self.events: list[Event] = []
 
-    def answer(self, now: float) -> list[str]:
+    def process_events(self, now: float) -> list[str]:
         """Hand the events to the router; return the lines of its actions, or one that reports an error."""
         events = self.events
         self.events = []
@@ -81,7 +81,7 @@
         while (parts := self._next_line())[0] != "over_to_you":
             self._handle_line(*parts)
         for number, reply in self._replies.items():
-            reply += self._instances[number].answer(now)
+            reply += self._instances[number].process_events(now)
         texts = [
             f"source {number}\n" + "".join(f"{line}\n" for line in reply)
             for number, reply in self._replies.items()
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -57,8 +57,8 @@
 }
 RESULTS = dict(enumerate((r for r in AttemptResult if r is not AttemptResult.LOCAL_FAULT), 1))
 FILL_HINTS = dict(enumerate(FillHint))
-MICROSECONDS = 1e6  # in a second
-ROUNDING = 1e-3  # microseconds: a time that is a whole number of them but for rounding is that number
+MICROSECONDS_PER_SECOND = 1e6  # in a second
+ROUNDING_MARGIN = 1e-3  # microseconds: a time that is a whole number of them but for rounding is that number
 LIST_ENTRY = "a list entry"  # what errors call a line of the endpoint list
 RETRY_FLAG = 2  # in the flags of a request
 
@@ -102,12 +102,12 @@
     Raises:
         MalformedLineError: for anything else.
     """
-    return 0.0 if text == "-" else integer(text) / MICROSECONDS
+    return 0.0 if text == "-" else integer(text) / MICROSECONDS_PER_SECOND
 
 
-def micros(value: float) -> int:
+def to_microseconds(value: float) -> int:
     """Return seconds as whole microseconds, rounded down."""
-    return int(value * MICROSECONDS + ROUNDING)
+    return int(value * MICROSECONDS_PER_SECOND + ROUNDING_MARGIN)
 
 
 def values(name: str, rest: str, count: int) -> list[str]:
@@ -122,7 +122,7 @@
     return found
 
 
-def known(name: str, table: Mapping[Key, Value], key: Key) -> Value:
+def look_up(name: str, table: Mapping[Key, Value], key: Key) -> Value:
     """Return what a word or number stands for.
 
     Raises:
@@ -174,7 +174,7 @@
         Raises:
             MalformedLineError: for what the protocol does not allow.
         """
-        scope = known("scope", SCOPES, values("view", rest, 3)[0])
+        scope = look_up("scope", SCOPES, values("view", rest, 3)[0])
         return EndpointsListed(scope, tuple(self._endpoint(line) for line in lines))
 
     def _endpoint(self, line: str) -> Endpoint:
@@ -187,8 +187,8 @@
             weight=number(weight),
             zone=zone,
             cell=int(number(cell)),
-            role=known("kind", self.roles, kind),
-            state=known("lifecycle", STATES, state),
+            role=look_up("kind", self.roles, kind),
+            state=look_up("lifecycle", STATES, state),
             started=seconds(started) or None,
         )
 
@@ -205,7 +205,7 @@
 
     def _request(self, rest: str) -> Event:
         name, key, flags, class_name, group, _, part, size, deadline = values("call", rest, 9)[:9]
-        known("class", self.settings.classes, class_name)
+        look_up("class", self.settings.classes, class_name)
         return RequestReceived(
             id=name,
             key=key,
@@ -223,10 +223,10 @@
         return AttemptEnded(
             id=name,
             attempt=integer(attempt),
-            result=known("status", RESULTS, integer(result)),
+            result=look_up("status", RESULTS, integer(result)),
             duration=seconds(duration),
             request_closed=closed == "1",
-            fill_hint=known("info", FILL_HINTS, int(number(hint))),
+            fill_hint=look_up("info", FILL_HINTS, int(number(hint))),
             waited=seconds(waited),
             load=load(report),
         )
@@ -254,7 +254,7 @@
     def _health_check_done(rest: str) -> Event:
         cache, result, duration, report = values("echo", rest, 4)[:4]
         return HealthCheckDone(
-            integer(cache), known("status", RESULTS, integer(result)), seconds(duration), load(report)
+            integer(cache), look_up("status", RESULTS, integer(result)), seconds(duration), load(report)
         )
 
     @staticmethod
@@ -264,18 +264,18 @@
 
 
 def _send_attempt_text(action: SendAttempt) -> str:
-    timeout = micros(action.timeout)
+    timeout = to_microseconds(action.timeout)
     if action.source is None:
         return f"place {action.id} {action.cache} {timeout}"
     mode = action.join_fill + 2 * action.only_if_cached + 4 * action.leave_no_copy + 8 * action.revalidate
-    age = micros(action.max_age)
+    age = to_microseconds(action.max_age)
     return f"obtain {action.id} {action.source} {action.rank} {age} {timeout} {action.cache} {mode}"
 
 
 def _other_action_text(action: SetTimer | SendHealthCheck | SendMessage | WatchEndpoints | WriteLog) -> str:
     match action:
         case SetTimer(delay, token):
-            return f"wake_at {micros(delay)} {token}"
+            return f"wake_at {to_microseconds(delay)} {token}"
         case SendHealthCheck(cache):
             return f"ask_load {cache}"
         case SendMessage(front, text):
@@ -294,7 +294,7 @@
         case CancelAttempt(name, attempt):
             return f"stop_attempt {name} {attempt}"
         case RejectRequest(name, retry_after):
-            return f"say_no {name} {micros(retry_after)}"
+            return f"say_no {name} {to_microseconds(retry_after)}"
         case FailRequest(name):
             return f"end_failed {name}"
         case _:
--- a/weldbend/testbed/faults/messages.py
+++ b/weldbend/testbed/faults/messages.py
@@ -124,7 +124,7 @@
     """`name`, `seqid` and `kind` of a call or an answer, and the fields of its first map."""
     reader = Reader(raw[LENGTH.size :])
     try:
-        head = reader.head()
+        head = reader.message_header()
         fields = {"message.name": head.name, "seqid": str(head.seqid), "message.kind": str(head.kind)}
         return fields | (first_map(reader) or {})
     except InvalidMessageError:
@@ -196,7 +196,8 @@
     """A thrift message with another `seqid`, another `body`, or another field of its map."""
     data = message.raw[LENGTH.size :]
     if name == "seqid" and to is not None:
-        at = 4 + len(binary.binary(Reader(data).head().name.encode()))  # after version, kind and name
+        # after version, kind and name
+        at = 4 + len(binary.binary(Reader(data).message_header().name.encode()))
         data = data[:at] + binary.i32(int(to)) + data[at + 4 :]
     elif name == "body":
         data = replace_body(data, (to or "").encode())
@@ -220,7 +221,7 @@
 def replace_body(data: bytes, body: bytes) -> bytes:
     """An answer with another body: shorter, or of another request."""
     reader = Reader(data)
-    reader.head()
+    reader.message_header()
     for kind, _ in reader.fields():
         if kind != binary.STRUCT:
             reader.skip(kind)
--- a/weldbend/testbed/load/client_calls.py
+++ b/weldbend/testbed/load/client_calls.py
@@ -30,7 +30,7 @@
 
 def message(kind: int, name: str, seqid: int, arguments: bytes = b"") -> bytes:
     """A message of the Front service in its frame."""
-    return frame(binary.head(kind, name, seqid) + arguments + b"\x00")
+    return frame(binary.message_header(kind, name, seqid) + arguments + b"\x00")
 
 
 def process(seqid: int, fields: dict[str, str], body: bytes = b"") -> bytes:
@@ -72,7 +72,7 @@
 def read_answer(data: bytes) -> ClientAnswer:
     """One frame as an answer; raises InvalidMessageError, KeyError or ValueError for what is none."""
     reader = Reader(data)
-    head = reader.head()
+    head = reader.message_header()
     result = read_struct(reader)
     if reader.position != len(data):
         problem = "bytes after the answer"
--- a/weldbend/thrift/binary.py
+++ b/weldbend/thrift/binary.py
@@ -48,7 +48,7 @@
 _U32 = struct.Struct(">I")
 
 
-class Head(NamedTuple):
+class MessageHeader(NamedTuple):
     """The head of a message.
 
     Attributes:
@@ -103,12 +103,12 @@
         except UnicodeDecodeError:
             raise InvalidTextError from None
 
-    def head(self) -> Head:
+    def message_header(self) -> MessageHeader:
         """The head of a message."""
         version = _U32.unpack(self.read_bytes(4))[0]
         if version & VERSION_MASK != VERSION:
             raise UnsupportedVersionError(version)
-        return Head(version & 0xFF, self.string(), self.i32())
+        return MessageHeader(version & 0xFF, self.string(), self.i32())
 
     def count(self, *kinds: int) -> int:
         """A number of elements, each made of values of these types, that what is left can hold."""
@@ -171,8 +171,8 @@
             raise UnknownTypeError(kind)
 
 
-def head(kind: int, name: str, seqid: int) -> bytes:
-    """The head of a message, written out; see `Head`."""
+def message_header(kind: int, name: str, seqid: int) -> bytes:
+    """The head of a message, written out; see `MessageHeader`."""
     return _U32.pack(VERSION | kind) + binary(name.encode()) + _I32.pack(seqid)
 
 
--- a/weldbend/thrift/messages.py
+++ b/weldbend/thrift/messages.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from weldbend.thrift import binary
-from weldbend.thrift.binary import MAP, REPLY, STRING, STRUCT, Head, Reader
+from weldbend.thrift.binary import MAP, REPLY, STRING, STRUCT, MessageHeader, Reader
 from weldbend.thrift.errors import InvalidMessageError, MissingArgumentError, TrailingBytesError
 from weldbend.thrift.framing import LENGTH, frame
 
@@ -14,7 +14,7 @@
 PROTOCOL_ERROR = 7
 
 MESSAGE_TYPES = {"process": binary.CALL, "giveUp": binary.ONEWAY, "probe": binary.CALL}
-MAX_NAME = 100  # characters of a method's name that are sent back
+MAX_METHOD_NAME_LENGTH = 100  # characters of a method's name that are sent back
 STOP = bytes((binary.STOP,))
 
 
@@ -68,46 +68,46 @@
         InvalidMessageError: Not even its head can be read, or it is a oneway call, which has no answer.
     """
     reader = Reader(data)
-    head = reader.head()
-    if head.name not in MESSAGE_TYPES:
-        reason = f"unknown method {head.name!r}"[:MAX_NAME]
-        return InvalidCall(head.name, head.seqid, UNKNOWN_METHOD, reason)
-    if head.kind != MESSAGE_TYPES[head.name]:
-        return InvalidCall(head.name, head.seqid, INVALID_MESSAGE_TYPE, f"message kind {head.kind}")
+    header = reader.message_header()
+    if header.name not in MESSAGE_TYPES:
+        reason = f"unknown method {header.name!r}"[:MAX_METHOD_NAME_LENGTH]
+        return InvalidCall(header.name, header.seqid, UNKNOWN_METHOD, reason)
+    if header.kind != MESSAGE_TYPES[header.name]:
+        return InvalidCall(header.name, header.seqid, INVALID_MESSAGE_TYPE, f"message kind {header.kind}")
     try:
-        return read_arguments(reader, head)
+        return read_arguments(reader, header)
     except InvalidMessageError as error:
-        if head.kind == binary.ONEWAY:
+        if header.kind == binary.ONEWAY:
             raise
-        return InvalidCall(head.name, head.seqid, PROTOCOL_ERROR, str(error))
+        return InvalidCall(header.name, header.seqid, PROTOCOL_ERROR, str(error))
 
 
-def read_arguments(reader: Reader, head: Head) -> Process | GiveUp | Probe:
+def read_arguments(reader: Reader, header: MessageHeader) -> Process | GiveUp | Probe:
     """Read the rest of a call whose head was read; raises `InvalidMessageError`."""
     fields: dict[str, str] | None = None
     body = b""
-    given_up = None
+    cancelled_seqid = None
     for kind, number in reader.fields():
-        match head.name, kind, number:
+        match header.name, kind, number:
             case "process", binary.MAP, 1:
                 fields = reader.text_map()
             case "process", binary.STRING, 2:
                 body = reader.binary()
             case "giveUp", binary.I32, 1:
-                given_up = reader.i32()
+                cancelled_seqid = reader.i32()
             case _:
                 reader.skip(kind)
     if reader.position != len(reader.data):
         raise TrailingBytesError(len(reader.data) - reader.position)
-    if head.name == "probe":
-        return Probe(head.seqid)
-    if head.name == "giveUp":
-        if given_up is None:
-            raise MissingArgumentError(head.name, "a seqid")
-        return GiveUp(given_up)
+    if header.name == "probe":
+        return Probe(header.seqid)
+    if header.name == "giveUp":
+        if cancelled_seqid is None:
+            raise MissingArgumentError(header.name, "a seqid")
+        return GiveUp(cancelled_seqid)
     if fields is None:
-        raise MissingArgumentError(head.name, "fields")
-    return Process(head.seqid, fields, body)
+        raise MissingArgumentError(header.name, "fields")
+    return Process(header.seqid, fields, body)
 
 
 # Parts of every answer, written out once.
@@ -116,7 +116,7 @@
 NO_FIELDS = binary.field(MAP, 2, binary.text_map({}))
 
 
-def answer(name: str, seqid: int, body: bytes, fields: Mapping[str, str], is_ok: bool) -> bytes:
+def success_reply(name: str, seqid: int, body: bytes, fields: Mapping[str, str], is_ok: bool) -> bytes:
     """An answer of a method that went well, as a frame.
 
     It is joined once, since a body may be long: each further copy of it would cost.
@@ -128,7 +128,7 @@
         fields: Further texts of the answer.
         is_ok: The answer's flag: whether the front serves.
     """
-    head = binary.head(REPLY, name, seqid) + SUCCESS + BODY + binary.i32(len(body))
+    head = binary.message_header(REPLY, name, seqid) + SUCCESS + BODY + binary.i32(len(body))
     encoded_fields = binary.field(MAP, 2, binary.text_map(fields)) if fields else NO_FIELDS
     tail = encoded_fields + binary.field(binary.BOOL, 3, bytes((is_ok,))) + STOP + STOP
     return b"".join((LENGTH.pack(len(head) + len(body) + len(tail)), head, body, tail))
@@ -137,15 +137,15 @@
 def declared_exception(number: int, seqid: int, fields: Mapping[str, str]) -> bytes:
     """A reply to `process` with the declared exception of this field id, as a frame."""
     struct = binary.field(MAP, 1, binary.text_map(fields)) + STOP
-    return frame(binary.head(REPLY, "process", seqid) + binary.field(STRUCT, number, struct) + STOP)
+    return frame(binary.message_header(REPLY, "process", seqid) + binary.field(STRUCT, number, struct) + STOP)
 
 
-def overloaded(seqid: int, fields: Mapping[str, str]) -> bytes:
+def overloaded_reply(seqid: int, fields: Mapping[str, str]) -> bytes:
     """The answer to a request that was rejected for overload, as a frame."""
     return declared_exception(1, seqid, fields)
 
 
-def internal(seqid: int) -> bytes:
+def internal_error_reply(seqid: int) -> bytes:
     """The answer to a request that failed, as a frame."""
     return declared_exception(2, seqid, {})
 
@@ -154,4 +154,6 @@
     """The answer to a call that cannot be understood, as a frame."""
     text = binary.field(STRING, 1, binary.binary(call.reason.encode()))
     struct = text + binary.field(binary.I32, 2, binary.i32(call.kind)) + STOP
-    return frame(binary.head(binary.EXCEPTION, call.name[:MAX_NAME], call.seqid) + struct)
+    return frame(
+        binary.message_header(binary.EXCEPTION, call.name[:MAX_METHOD_NAME_LENGTH], call.seqid) + struct
+    )
