--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -42,7 +42,7 @@
         ("sync x\n", "line 1: not a whole number: 'x'"),
         (START + "sync 2\nfor 3\nbogus 1\n", "line 10: unknown event 'bogus'"),
         (START + "sync 2\nfor 4\ntimeout_fired sweep\n", "line 10: event for unknown instance 4"),
-        (START + "sync 2\nfor 3\ncall t/a ab\n", "line 10: call: 2 values, 9 wanted"),
+        (START + "sync 2\nfor 3\ncall t/a ab\n", "line 10: call: got 2 values, expected 9 or more"),
         (START.replace('"zones"', '"zonez"'), "line 3: provision: settings lack 'zones'"),
         (START + "sync 2\nfor 3\n", "line 9: input ended inside a batch"),
     ],
--- a/weldbend/simhost/__init__.py
+++ b/weldbend/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter: its line protocol on standard input and output, in front of the router."""
+"""Adapter that runs the router under the simulator, with a line protocol on standard input and output."""
--- a/weldbend/simhost/__main__.py
+++ b/weldbend/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m weldbend.simhost`: answers the simulator until its input ends."""
+"""`python -m weldbend.simhost`: replies to the simulator until standard input ends."""
 
 import sys
 
--- a/weldbend/simhost/errors.py
+++ b/weldbend/simhost/errors.py
@@ -1,8 +1,8 @@
-"""What is wrong with a line of the simulator's protocol."""
+"""Errors in lines of the simulator's protocol."""
 
 
 class MalformedLineError(Exception):
-    """A line that the protocol does not allow."""
+    """A line that violates the protocol."""
 
 
 class TruncatedBatchError(MalformedLineError):
@@ -13,7 +13,7 @@
 
 
 class UnexpectedLineError(MalformedLineError):
-    """A line of another kind than must come here."""
+    """A line of another kind than the protocol requires at this point."""
 
     def __init__(self, expected: str, found: str) -> None:
         super().__init__(f"expected {expected}, got {found!r}")
@@ -22,7 +22,7 @@
 
 
 class UnknownInstanceError(MalformedLineError):
-    """An event for an instance that was never started, or has ended."""
+    """An event for an instance that was never started or has been retired."""
 
     def __init__(self, number: int | None) -> None:
         super().__init__(f"event for unknown instance {number}")
@@ -30,7 +30,7 @@
 
 
 class UnknownEventError(MalformedLineError):
-    """An event that the protocol does not have."""
+    """An event whose name the protocol does not define."""
 
     def __init__(self, name: str) -> None:
         super().__init__(f"unknown event {name!r}")
@@ -38,7 +38,7 @@
 
 
 class UnknownValueError(MalformedLineError):
-    """A word or number that stands for nothing."""
+    """A word or number that is not among the defined values of its field."""
 
     def __init__(self, name: str, value: object) -> None:
         super().__init__(f"unknown {name}: {value!r}")
@@ -47,7 +47,7 @@
 
 
 class InvalidNumberError(MalformedLineError):
-    """A value that is not the number that it must be."""
+    """A value that is not a number, or not an integer where one is required."""
 
     def __init__(self, text: str, is_integer: bool = False) -> None:
         kind = "whole number" if is_integer else "number"
@@ -57,17 +57,17 @@
 
 
 class MissingValuesError(MalformedLineError):
-    """A line with fewer values than its kind has."""
+    """A line with fewer values than its kind requires."""
 
     def __init__(self, name: str, found: int, wanted: int) -> None:
-        super().__init__(f"{name}: {found} values, {wanted} wanted")
+        super().__init__(f"{name}: got {found} values, expected {wanted} or more")
         self.name = name
         self.found = found
         self.wanted = wanted
 
 
 class UnreadableSettingsError(MalformedLineError):
-    """Settings of a new instance that are no JSON."""
+    """Settings of a new instance that are not valid JSON."""
 
     def __init__(self, cause: ValueError) -> None:
         super().__init__(f"provision: settings are not JSON: {cause}")
@@ -75,7 +75,7 @@
 
 
 class MissingSettingError(MalformedLineError):
-    """Settings of a new instance that lack a key, named by the error that looking it up raised."""
+    """Settings of a new instance without a required key, which the `KeyError` names."""
 
     def __init__(self, missing: KeyError) -> None:
         super().__init__(f"provision: settings lack {missing}")
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -1,4 +1,7 @@
-"""Framing of the simulator's protocol: batches of events in, one reply each, and the instances meant."""
+"""Framing of the simulator's protocol: each batch of events gets one reply.
+
+A batch may contain events for several simulated fronts, which are called instances.
+"""
 
 import traceback
 from collections.abc import Iterator
@@ -16,7 +19,13 @@
 
 
 class Instance:
-    """One simulated front: its codec, its router, and the events of the batch being read."""
+    """One simulated front: its codec, its router, and its events in the batch that is being read.
+
+    Attributes:
+        codec: Settings of the instance, and the parser of its events.
+        router: Router that handles the events.
+        events: Events of the current batch, in the order of the input.
+    """
 
     def __init__(self, line_rest: str) -> None:
         self.codec = wire.InstanceCodec(line_rest)
@@ -24,31 +33,31 @@
         self.events: list[Event] = []
 
     def process_events(self, now: float) -> list[str]:
-        """Hand the events to the router; return the lines of its actions, or one that reports an error."""
+        """Pass the events to the router; return the lines of its actions, or one line for an exception."""
         events = self.events
         self.events = []
         try:
             return [wire.action_text(action) for action in self.router.handle(now, events)]
-        except Exception as error:  # noqa: BLE001 - the simulator is told of any error
+        except Exception as error:  # noqa: BLE001 - any error is reported to the simulator
             return ["panic " + "".join(traceback.format_exception(error)).replace("\n", " | ")]
 
 
 class Host:
-    """All instances of this process, and the reader of their batches.
+    """The instances of this process, and the reader of batches.
 
     Attributes:
-        line_number: of the line read last, counted from 1.
+        line_number: Number of the last line read, counted from 1.
     """
 
     def __init__(self, lines: TextIO) -> None:
         self.line_number = 0
         self._lines = lines
         self._instances: dict[int, Instance] = {}
-        self._current: int | None = None  # the instance that the lines are for
-        self._replies: dict[int, list[str]] = {}  # by instance, in the order of its first event in the batch
+        self._current: int | None = None  # number of the instance to which the next lines apply
+        self._replies: dict[int, list[str]] = {}  # by instance, in the order of their first events
 
     def read(self) -> Iterator[tuple[str, str]]:
-        """Yield each line as its first word and the rest."""
+        """Yield each line, split into its first word and the rest."""
         for line in self._lines:
             self.line_number += 1
             yield wire.split(line)
@@ -67,11 +76,11 @@
         """Read one batch to its end and return the reply.
 
         Args:
-            head: first word of its first line.
-            rest: the rest of that line, the batch's time.
+            head: First word of the batch's first line.
+            rest: Rest of that line, which is the time of the batch.
 
         Raises:
-            MalformedLineError: for a line that the protocol does not allow.
+            MalformedLineError: A line violates the protocol.
         """
         if head != "sync":
             raise UnexpectedLineError("sync", head)
@@ -112,7 +121,7 @@
 
 
 def serve(lines: TextIO, out: TextIO, err: TextIO) -> int:
-    """Answer every batch until the input ends; return 0, or 1 after a malformed line."""
+    """Reply to every batch until the input ends; return the exit status: 0, or 1 after a malformed line."""
     host = Host(lines)
     try:
         for head, rest in host.read():
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -1,6 +1,6 @@
-"""Lines of the simulator's protocol, to and from the router's events and actions.
+"""Translation between lines of the simulator's protocol and the router's events and actions.
 
-Times on the wire are whole microseconds; `-` stands for a value that is not told.
+Times on the wire are integers in microseconds; `-` is written for an absent value.
 """
 
 import base64
@@ -57,26 +57,26 @@
 }
 RESULTS = dict(enumerate((r for r in AttemptResult if r is not AttemptResult.LOCAL_FAULT), 1))
 FILL_HINTS = dict(enumerate(FillHint))
-MICROSECONDS_PER_SECOND = 1e6  # in a second
-ROUNDING_MARGIN = 1e-3  # microseconds: a time that is a whole number of them but for rounding is that number
-LIST_ENTRY = "a list entry"  # what errors call a line of the endpoint list
-RETRY_FLAG = 2  # in the flags of a request
+MICROSECONDS_PER_SECOND = 1e6
+ROUNDING_MARGIN = 1e-3  # microseconds; added so that floating-point error does not lose a whole one
+LIST_ENTRY = "a list entry"  # a line of the endpoint list, as error messages call it
+RETRY_FLAG = 2  # bit in the flags of a request
 
 Key = TypeVar("Key")
 Value = TypeVar("Value")
 
 
 def split(line: str) -> tuple[str, str]:
-    """Return a line's first word and the rest."""
+    """Split a line into its first word and the rest."""
     head, _, rest = line.rstrip("\n").partition(" ")
     return head, rest
 
 
 def integer(text: str) -> int:
-    """Return an integer.
+    """Parse an integer.
 
     Raises:
-        MalformedLineError: for anything else.
+        MalformedLineError: The text is not an integer.
     """
     try:
         return int(text)
@@ -85,10 +85,10 @@
 
 
 def number(text: str) -> float:
-    """Return a number, 0 for one that is not told.
+    """Parse a number; an absent one is 0.
 
     Raises:
-        MalformedLineError: for anything else.
+        MalformedLineError: The text is not a number.
     """
     try:
         return 0.0 if text == "-" else float(text)
@@ -97,24 +97,24 @@
 
 
 def seconds(text: str) -> float:
-    """Return a time or duration in seconds, 0 for one that is not told.
+    """Parse a time or duration in microseconds and return it in seconds; an absent one is 0.
 
     Raises:
-        MalformedLineError: for anything else.
+        MalformedLineError: The text is not an integer.
     """
     return 0.0 if text == "-" else integer(text) / MICROSECONDS_PER_SECOND
 
 
 def to_microseconds(value: float) -> int:
-    """Return seconds as whole microseconds, rounded down."""
+    """Convert seconds to whole microseconds, rounded down."""
     return int(value * MICROSECONDS_PER_SECOND + ROUNDING_MARGIN)
 
 
 def values(name: str, rest: str, count: int) -> list[str]:
-    """Return the values of a line, at least `count` of them.
+    """Return all values of a line, which must be at least `count`.
 
     Raises:
-        MalformedLineError: where there are fewer.
+        MalformedLineError: The line has fewer values.
     """
     found = rest.split(" ") if rest else []
     if len(found) < count:
@@ -123,10 +123,10 @@
 
 
 def look_up(name: str, table: Mapping[Key, Value], key: Key) -> Value:
-    """Return what a word or number stands for.
+    """Return the meaning of a word or number according to a table.
 
     Raises:
-        MalformedLineError: for one that the table lacks.
+        MalformedLineError: The table does not contain it.
     """
     if key not in table:
         raise UnknownValueError(name, key)
@@ -134,7 +134,7 @@
 
 
 def load(text: str) -> dict[str, float] | None:
-    """Return a load report, as in `inflight:7,util:0.61`; None where there is none."""
+    """Parse a load report such as `inflight:7,util:0.61`; return None for an absent one."""
     if text == "-":
         return None
     pairs = [pair.partition(":") for pair in text.split(",")]
@@ -142,7 +142,14 @@
 
 
 class InstanceCodec:
-    """One instance's side of the protocol: its settings, and the translation of its events."""
+    """Settings of one instance, and the parser of its events.
+
+    Attributes:
+        seed: Seed of the router's random choices.
+        settings: Settings of the site.
+        flow_rate: Rate of one transfer (kB per second), by which object sizes are converted to work.
+        roles: Role of each kind of cache.
+    """
 
     def __init__(self, line_rest: str) -> None:
         seed, _, text = line_rest.partition(" ")
@@ -169,10 +176,10 @@
         }
 
     def endpoints_listed(self, rest: str, lines: list[str]) -> EndpointsListed:
-        """Return the event of an endpoint list and its lines.
+        """Return the event for an endpoint list, whose entries are `lines`.
 
         Raises:
-            MalformedLineError: for what the protocol does not allow.
+            MalformedLineError: A line violates the protocol.
         """
         scope = look_up("scope", SCOPES, values("view", rest, 3)[0])
         return EndpointsListed(scope, tuple(self._endpoint(line) for line in lines))
@@ -193,10 +200,10 @@
         )
 
     def event(self, head: str, rest: str) -> Event:
-        """Return any event of a running instance but the endpoint list.
+        """Return the event of a line; all events of a running instance except the endpoint list.
 
         Raises:
-            MalformedLineError: for an unknown event, or values that the protocol does not allow.
+            MalformedLineError: The event is unknown, or its values violate the protocol.
         """
         translate = self._events.get(head)
         if translate is None:
@@ -247,7 +254,7 @@
     @staticmethod
     def _objects_purged(rest: str) -> Event:
         key, age, group = values("purged", rest, 3)[:3]
-        is_group = not key.strip("0-")  # a key of zeros, or none
+        is_group = not key.strip("0-")  # the key is absent or consists of zeros
         return ObjectsPurged(None if is_group else key, int(number(group)), seconds(age))
 
     @staticmethod
@@ -287,7 +294,7 @@
 
 
 def action_text(action: Action) -> str:
-    """Return the line of an action."""
+    """Format an action as a line of the protocol."""
     match action:
         case SendAttempt():
             return _send_attempt_text(action)
--- a/weldbend/thrift/__init__.py
+++ b/weldbend/thrift/__init__.py
@@ -1,1 +1,1 @@
-"""Framed transport, strict binary protocol and the messages of the Front service; no I/O."""
+"""Thrift's framed transport, its strict binary protocol, and the messages of the Front service. No I/O."""
--- a/weldbend/thrift/binary.py
+++ b/weldbend/thrift/binary.py
@@ -1,7 +1,8 @@
-"""Thrift's strict binary protocol: values and message heads, read from one complete frame and written to one.
+"""Thrift's strict binary protocol: decoding of complete frames, and encoding of values and message headers.
 
-Every length is checked against what is left of the frame before anything is read; values that are not known
-are skipped, down to a bounded depth. The format is that of the Apache Thrift binary protocol specification.
+Every length is checked against the remaining bytes of the frame before the value is read. Unknown fields are
+skipped, down to a bounded depth of nesting. The format is that of the Apache Thrift binary protocol
+specification.
 """
 
 import struct
@@ -18,7 +19,7 @@
     UnsupportedVersionError,
 )
 
-VERSION = 0x80010000  # of the strict protocol, in the upper three bytes; the lowest is the message type
+VERSION = 0x80010000  # of the strict protocol; the lowest byte holds the message type
 VERSION_MASK = 0xFFFFFF00
 # Message types.
 CALL = 1
@@ -26,7 +27,7 @@
 EXCEPTION = 3
 ONEWAY = 4
 
-# Types of values.
+# Value types.
 STOP = 0
 BOOL = 2
 BYTE = 3
@@ -39,9 +40,9 @@
 MAP = 13
 SET = 14
 LIST = 15
-WIDTHS = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # bytes that a value occupies
-MIN_WIDTHS = {STRING: 4, STRUCT: 1, MAP: 6, SET: 5, LIST: 5}  # the fewest bytes that a value occupies
-MAX_DEPTH = 16  # levels of nested values
+WIDTHS = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # encoded size of a value (bytes)
+MIN_WIDTHS = {STRING: 4, STRUCT: 1, MAP: 6, SET: 5, LIST: 5}  # smallest encoded size of a value (bytes)
+MAX_DEPTH = 16  # levels of nesting in a skipped value
 
 _I16 = struct.Struct(">h")
 _I32 = struct.Struct(">i")
@@ -49,12 +50,12 @@
 
 
 class MessageHeader(NamedTuple):
-    """The head of a message.
+    """The header of a message.
 
     Attributes:
-        kind: Its message type: CALL, REPLY, EXCEPTION or ONEWAY.
-        name: The method that it is about.
-        seqid: The sequence id by which a reply is matched to its call.
+        kind: Message type: CALL, REPLY, EXCEPTION or ONEWAY.
+        name: Name of the method.
+        seqid: Sequence id, by which a reply is matched to its call.
     """
 
     kind: int
@@ -63,13 +64,13 @@
 
 
 class Reader:
-    """Reads values one after another from a frame.
+    """Decoder that reads values one after another from a frame.
 
-    All methods raise `InvalidMessageError` where the frame does not hold such a value.
+    All methods raise `InvalidMessageError` if the next bytes of the frame are not such a value.
 
     Attributes:
-        data: The frame, without its length.
-        position: How many bytes were read.
+        data: Content of the frame, without its length prefix.
+        position: Number of bytes read so far.
     """
 
     def __init__(self, data: bytes) -> None:
@@ -77,41 +78,45 @@
         self.position = 0
 
     def read_bytes(self, count: int) -> bytes:
-        """The next `count` bytes."""
+        """Read the next `count` bytes."""
         if count < 0 or count > len(self.data) - self.position:
             raise TruncatedError(count, len(self.data) - self.position)
         self.position += count
         return self.data[self.position - count : self.position]
 
     def byte(self) -> int:
-        """One byte, unsigned."""
+        """Read an unsigned byte."""
         return self.read_bytes(1)[0]
 
     def i32(self) -> int:
-        """A signed integer of 32 bits."""
+        """Read a signed 32-bit integer."""
         value: int = _I32.unpack(self.read_bytes(4))[0]
         return value
 
     def binary(self) -> bytes:
-        """Bytes with their length before them."""
+        """Read bytes that are preceded by their length."""
         return self.read_bytes(self.i32())
 
     def string(self) -> str:
-        """A text."""
+        """Read a string, which is encoded as UTF-8."""
         try:
             return self.binary().decode()
         except UnicodeDecodeError:
             raise InvalidTextError from None
 
     def message_header(self) -> MessageHeader:
-        """The head of a message."""
+        """Read the header of a message."""
         version = _U32.unpack(self.read_bytes(4))[0]
         if version & VERSION_MASK != VERSION:
             raise UnsupportedVersionError(version)
         return MessageHeader(version & 0xFF, self.string(), self.i32())
 
     def count(self, *kinds: int) -> int:
-        """A number of elements, each made of values of these types, that what is left can hold."""
+        """Read the number of elements of a container, and check that the rest of the frame can hold them.
+
+        Args:
+            *kinds: Value types that make up each element: key and value of a map, or one type.
+        """
         count = self.i32()
         width = sum(WIDTHS.get(kind) or MIN_WIDTHS.get(kind, 1) for kind in kinds)
         if count < 0 or count * width > len(self.data) - self.position:
@@ -119,17 +124,17 @@
         return count
 
     def fields(self) -> Iterator[tuple[int, int]]:
-        """Type and id of each field of a struct; the caller reads or skips the value before the next."""
+        """Yield type and id of each field of a struct; the caller has to read or skip each value."""
         while (kind := self.byte()) != STOP:
             yield kind, _I16.unpack(self.read_bytes(2))[0]
 
     def text_map(self) -> dict[str, str]:
-        """A map of texts to texts."""
+        """Read a map from strings to strings."""
         kinds = self.byte(), self.byte()
         count = self.count(*kinds)
         if count and kinds != (STRING, STRING):
             raise MapTypesError(kinds)
-        # The hottest loop of a call: no method is called for each text, and names are local.
+        # This loop dominates the decoding of a call: it uses local names, and calls no method for each string.
         data = self.data
         position = self.position
         end = len(data)
@@ -147,7 +152,7 @@
         return dict(zip(texts[::2], texts[1::2], strict=True))
 
     def skip(self, kind: int, depth: int = 0) -> None:
-        """Skip one value of this type, at this depth of nesting."""
+        """Skip one value of the type `kind`, which is nested `depth` levels deep."""
         if depth > MAX_DEPTH:
             raise NestingError
         if kind in WIDTHS:
@@ -172,26 +177,26 @@
 
 
 def message_header(kind: int, name: str, seqid: int) -> bytes:
-    """The head of a message, written out; see `MessageHeader`."""
+    """Encode the header of a message; see `MessageHeader`."""
     return _U32.pack(VERSION | kind) + binary(name.encode()) + _I32.pack(seqid)
 
 
 def binary(data: bytes) -> bytes:
-    """Bytes with their length before them; a text is written so as well."""
+    """Encode bytes, preceded by their length; strings have the same encoding."""
     return _I32.pack(len(data)) + data
 
 
 def field(kind: int, number: int, value: bytes) -> bytes:
-    """A field of a struct: its type, its id, and its value as it was written out."""
+    """Encode a field of a struct from its type, its id (`number`) and its encoded value."""
     return bytes((kind,)) + _I16.pack(number) + value
 
 
 def i32(value: int) -> bytes:
-    """A signed integer of 32 bits, written out."""
+    """Encode a signed 32-bit integer."""
     return _I32.pack(value)
 
 
 def text_map(pairs: Mapping[str, str]) -> bytes:
-    """A map of texts to texts, written out in its order."""
+    """Encode a map from strings to strings, in its iteration order."""
     texts = b"".join(binary(text.encode()) for pair in pairs.items() for text in pair)
     return bytes((STRING, STRING)) + _I32.pack(len(pairs)) + texts
--- a/weldbend/thrift/errors.py
+++ b/weldbend/thrift/errors.py
@@ -1,15 +1,15 @@
-"""What can be wrong with bytes from a client.
+"""Protocol errors in bytes received from a client.
 
-The text of an `InvalidMessageError` goes to the client where its call can be answered at all.
+If the call can be answered, the text of an `InvalidMessageError` is sent to the client.
 """
 
 
 class ThriftError(Exception):
-    """Bytes that break the protocol."""
+    """Bytes that violate the protocol."""
 
 
 class InvalidFrameError(ThriftError):
-    """A length that no message of ours can have."""
+    """A frame whose length is outside the limits for messages."""
 
     def __init__(self, length: int) -> None:
         super().__init__(f"frame of {length} bytes")
@@ -17,11 +17,11 @@
 
 
 class InvalidMessageError(ThriftError):
-    """A frame that does not hold a message of the strict binary protocol."""
+    """A frame whose content is not a message of the strict binary protocol."""
 
 
 class TruncatedError(InvalidMessageError):
-    """A value that is longer than the rest of its frame."""
+    """A value that extends beyond the end of its frame."""
 
     def __init__(self, wanted: int, available: int) -> None:
         super().__init__(f"{wanted} bytes wanted, {available} left")
@@ -30,7 +30,7 @@
 
 
 class InvalidTextError(InvalidMessageError):
-    """Bytes that are no text."""
+    """A string that is not valid UTF-8; in a map, it may also be truncated."""
 
     def __init__(self, is_in_map: bool = False) -> None:
         super().__init__("text that is not UTF-8" + (", or not all there" if is_in_map else ""))
@@ -45,7 +45,7 @@
 
 
 class ElementCountError(InvalidMessageError):
-    """More elements than what is left of the frame can hold."""
+    """A number of elements that is negative, or more than the rest of the frame can hold."""
 
     def __init__(self, count: int) -> None:
         super().__init__(f"{count} elements")
@@ -53,7 +53,7 @@
 
 
 class MapTypesError(InvalidMessageError):
-    """A map whose keys and values are not both texts."""
+    """A map whose keys and values are not both strings."""
 
     def __init__(self, types: tuple[int, int]) -> None:
         super().__init__(f"a map of kinds {types}")
@@ -61,14 +61,14 @@
 
 
 class NestingError(InvalidMessageError):
-    """Values nested deeper than any of ours."""
+    """Values that are nested deeper than the limit."""
 
     def __init__(self) -> None:
         super().__init__("nested too deep")
 
 
 class UnknownTypeError(InvalidMessageError):
-    """A type of value that the protocol does not have."""
+    """A value type that the protocol does not define."""
 
     def __init__(self, type_id: int) -> None:
         super().__init__(f"kind {type_id}")
@@ -76,7 +76,7 @@
 
 
 class TrailingBytesError(InvalidMessageError):
-    """Bytes between the end of a message and that of its frame."""
+    """Bytes between the end of a message and the end of its frame."""
 
     def __init__(self, count: int) -> None:
         super().__init__(f"{count} bytes after the message")
@@ -84,7 +84,7 @@
 
 
 class MissingArgumentError(InvalidMessageError):
-    """A call without an argument that it needs."""
+    """A call without a required argument."""
 
     def __init__(self, method: str, argument: str) -> None:
         super().__init__(f"{method} without {argument}")
--- a/weldbend/thrift/framing.py
+++ b/weldbend/thrift/framing.py
@@ -1,4 +1,4 @@
-"""Thrift's framed transport: four bytes of length, most significant first, then so many bytes."""
+"""Thrift's framed transport: each message is preceded by its length, four bytes in big-endian order."""
 
 import struct
 
@@ -10,21 +10,22 @@
 
 
 def frame(message: bytes) -> bytes:
-    """A message with its length before it."""
+    """Return a message preceded by its length."""
     return LENGTH.pack(len(message)) + message
 
 
 def peek_small_frame(ring: Ring, start: int, max_length: int) -> tuple[int, bytes | None] | None:
-    """Read the frame that begins `start` bytes into the ring, and leave it there.
+    """Return the frame at the offset `start` of the ring without consuming it.
 
     Args:
-        ring: The bytes that came.
-        start: Where the frame begins, in bytes from the ring's first.
-        max_length: The longest content (bytes) that is worth a copy.
+        ring: Received bytes.
+        start: Offset of the frame from the first byte of the ring (bytes).
+        max_length: Longest content that is copied (bytes).
 
     Returns:
-        Where the frame ends, and its content, or None for that where it is longer. None where the frame is
-        not complete, or cannot be one: `next_frame` raises for that.
+        The offset of the frame's end, and its content, or None as the content if it is longer than
+        `max_length`. None alone if the frame is incomplete or its length is invalid; `next_frame` raises an
+        error for an invalid length.
     """
     if len(ring) < start + LENGTH_SIZE:
         return None
@@ -36,10 +37,10 @@
 
 
 def next_frame(ring: Ring, max_length: int) -> bytes | None:
-    """Read the content of the next frame from the ring; None where it is not complete yet.
+    """Consume the next frame of the ring and return its content; None if it is not complete yet.
 
     Raises:
-        InvalidFrameError: It has no content, or one longer than `max_length` bytes.
+        InvalidFrameError: The frame has no content, or more than `max_length` bytes.
     """
     if len(ring) < LENGTH_SIZE:
         return None
--- a/weldbend/thrift/messages.py
+++ b/weldbend/thrift/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the Front service: calls read, answers written."""
+"""Messages of the Front service: decoding of calls, and encoding of replies."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -14,13 +14,19 @@
 PROTOCOL_ERROR = 7
 
 MESSAGE_TYPES = {"process": binary.CALL, "giveUp": binary.ONEWAY, "probe": binary.CALL}
-MAX_METHOD_NAME_LENGTH = 100  # characters of a method's name that are sent back
+MAX_METHOD_NAME_LENGTH = 100  # characters of an unknown method's name, or of the reason, in a reply
 STOP = bytes((binary.STOP,))
 
 
 @dataclass(frozen=True, slots=True)
 class Process:
-    """A request."""
+    """A request for an object.
+
+    Attributes:
+        seqid: Sequence id of the call.
+        fields: Fields of the request.
+        body: Body of the request.
+    """
 
     seqid: int
     fields: dict[str, str]
@@ -29,27 +35,35 @@
 
 @dataclass(frozen=True, slots=True)
 class GiveUp:
-    """The cancellation of the request with this sequence id."""
+    """The cancellation of an earlier request.
+
+    Attributes:
+        seqid: Sequence id of the request that is cancelled.
+    """
 
     seqid: int
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """A client's health check."""
+    """A client's health check.
+
+    Attributes:
+        seqid: Sequence id of the call.
+    """
 
     seqid: int
 
 
 @dataclass(frozen=True, slots=True)
 class InvalidCall:
-    """A call that cannot be understood, but can be answered.
+    """A call that cannot be decoded, except for its header, which suffices for a reply.
 
     Attributes:
-        name: The method that was called.
-        seqid: The call's sequence id.
-        kind: The type of application exception that answers it.
-        reason: What is wrong with it, in words for people.
+        name: Name of the method that was called.
+        seqid: Sequence id of the call.
+        kind: Type of the application exception that is the reply.
+        reason: Description of the problem, for people.
     """
 
     name: str
@@ -62,10 +76,10 @@
 
 
 def read_call(data: bytes) -> Call:
-    """Read the content of one frame as a call.
+    """Decode the content of one frame as a call.
 
     Raises:
-        InvalidMessageError: Not even its head can be read, or it is a oneway call, which has no answer.
+        InvalidMessageError: The header is invalid, or the arguments of a oneway call are, which has no reply.
     """
     reader = Reader(data)
     header = reader.message_header()
@@ -83,7 +97,11 @@
 
 
 def read_arguments(reader: Reader, header: MessageHeader) -> Process | GiveUp | Probe:
-    """Read the rest of a call whose head was read; raises `InvalidMessageError`."""
+    """Decode the arguments of a call, which follow its header.
+
+    Raises:
+        InvalidMessageError: An argument is missing or invalid, or bytes follow the message.
+    """
     fields: dict[str, str] | None = None
     body = b""
     cancelled_seqid = None
@@ -110,23 +128,23 @@
     return Process(header.seqid, fields, body)
 
 
-# Parts of every answer, written out once.
+# Constant parts of all replies, encoded once.
 SUCCESS = binary.field(STRUCT, 0, b"")
 BODY = binary.field(STRING, 1, b"")
 NO_FIELDS = binary.field(MAP, 2, binary.text_map({}))
 
 
 def success_reply(name: str, seqid: int, body: bytes, fields: Mapping[str, str], is_ok: bool) -> bytes:
-    """An answer of a method that went well, as a frame.
+    """Return the frame of the reply to a call that succeeded.
 
-    It is joined once, since a body may be long: each further copy of it would cost.
+    The parts are joined only once, since a body may be long and each further copy would take time.
 
     Args:
-        name: The method.
-        seqid: The sequence id of the call.
-        body: The object that was asked for; empty for a probe.
-        fields: Further texts of the answer.
-        is_ok: The answer's flag: whether the front serves.
+        name: Name of the method.
+        seqid: Sequence id of the call.
+        body: The requested object; empty for a probe.
+        fields: Fields of the reply.
+        is_ok: Flag in the reply that states whether the front serves requests.
     """
     head = binary.message_header(REPLY, name, seqid) + SUCCESS + BODY + binary.i32(len(body))
     encoded_fields = binary.field(MAP, 2, binary.text_map(fields)) if fields else NO_FIELDS
@@ -135,23 +153,23 @@
 
 
 def declared_exception(number: int, seqid: int, fields: Mapping[str, str]) -> bytes:
-    """A reply to `process` with the declared exception of this field id, as a frame."""
+    """Return the frame of a reply to `process` with the declared exception whose field id is `number`."""
     struct = binary.field(MAP, 1, binary.text_map(fields)) + STOP
     return frame(binary.message_header(REPLY, "process", seqid) + binary.field(STRUCT, number, struct) + STOP)
 
 
 def overloaded_reply(seqid: int, fields: Mapping[str, str]) -> bytes:
-    """The answer to a request that was rejected for overload, as a frame."""
+    """Return the frame of the reply to a request that was rejected because of overload."""
     return declared_exception(1, seqid, fields)
 
 
 def internal_error_reply(seqid: int) -> bytes:
-    """The answer to a request that failed, as a frame."""
+    """Return the frame of the reply to a request that failed."""
     return declared_exception(2, seqid, {})
 
 
 def application_exception(call: InvalidCall) -> bytes:
-    """The answer to a call that cannot be understood, as a frame."""
+    """Return the frame of the reply to a call that cannot be decoded."""
     text = binary.field(STRING, 1, binary.binary(call.reason.encode()))
     struct = text + binary.field(binary.I32, 2, binary.i32(call.kind)) + STOP
     return frame(
