--- a/weldbend/idle_connections/__init__.py
+++ b/weldbend/idle_connections/__init__.py
@@ -1,1 +1,1 @@
-"""Idle client connections, each kept as a descriptor and a few numbers and woken in bounded batches."""
+"""Idle client connections: each is kept as a descriptor and a small record, and woken in bounded batches."""
--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -1,6 +1,6 @@
 """Records of idle connections: flat arrays indexed by file descriptor, no object per connection. No I/O.
 
-A connection takes about fifty bytes: its state, the time of its last activity, its counts of requests,
+A connection takes about fifty bytes: its state, the time of its last activity, its numbers of requests,
 rejections and cancellations, and its entry in the timer wheel of its usage class.
 """
 
@@ -21,26 +21,27 @@
 from weldbend.idle_connections.timer_wheel import TimerWheel
 from weldbend.invariants import check_invariant
 
-# States of a descriptor: one byte each, so no enum.
+# States of a descriptor. They are plain integers rather than an enum since an array holds them as bytes.
 ABSENT = 0
 IDLE = 1
 WAKING = 2
 
-BUCKETS_PER_TIMEOUT = 64  # in the idle timeout of a usage class
+BUCKETS_PER_TIMEOUT = 64  # buckets of a timer wheel in the idle timeout of its usage class
 MIN_BUCKET_SECONDS = 0.01
-MAX_REQUEST_COUNT = (1 << 32) - 1  # of an array of type "I"
-MAX_SMALL_COUNT = 255  # of an array of type "B"
-MIN_GROWTH = 256  # entries by which the arrays grow at least
+MAX_REQUEST_COUNT = (1 << 32) - 1  # largest value in an array of type "I"
+MAX_SMALL_COUNT = 255  # largest value in an array of type "B"
+MIN_GROWTH = 256  # smallest number of entries by which the arrays grow
 
 
 class ConnectionRecord(NamedTuple):
-    """What is kept of an idle connection, and restored when it wakes.
+    """Data of a connection that is kept while it is idle, and restored when it wakes.
 
     Attributes:
-        request_count: Requests so far.
-        rejection_count: Malformed requests that were rejected so far.
-        cancellation_count: Consecutive requests that the client cancelled at once.
-        last_active: When the connection was last active, or became readable (seconds of the front's clock).
+        request_count: Number of requests so far.
+        rejection_count: Number of malformed requests that were rejected so far.
+        cancellation_count: Number of consecutive requests that the client cancelled immediately.
+        last_active: Time when the connection was last active or became readable (seconds of the front's
+            clock).
     """
 
     request_count: int
@@ -50,7 +51,21 @@
 
 
 class ConnectionTable:
-    """All idle connections of a front; a slot is the number of a file descriptor."""
+    """All idle connections of a front; a slot is the number of a file descriptor.
+
+    Attributes:
+        settings: Settings for client connections.
+        states: State of each slot.
+        rejection_counts: Number of rejected requests of each slot.
+        cancellation_counts: Number of consecutive cancellations of each slot.
+        request_counts: Number of requests of each slot.
+        last_active: Time of the last activity of each slot (seconds of the front's clock).
+        wheels: Timer wheel of each usage class.
+        short_idle_queue: Readable connections with a short idle time, in the order of detection.
+        long_idle_queue: Readable connections with a long idle time, in the order of detection.
+        waking_count: Number of connections that are about to wake.
+        dequeue_count: Number of slots taken from the queues so far.
+    """
 
     def __init__(self, settings: ConnectionSettings) -> None:
         self.settings = settings
@@ -63,7 +78,6 @@
         self.wheels = [
             TimerWheel(keep, max(keep / BUCKETS_PER_TIMEOUT, MIN_BUCKET_SECONDS)) for keep in timeouts
         ]
-        # Readable connections, in the order in which that was noticed.
         self.short_idle_queue: deque[int] = deque()
         self.long_idle_queue: deque[int] = deque()
         self.waking_count = 0
@@ -77,7 +91,7 @@
         return slot < len(self.states) and self.states[slot] != ABSENT
 
     def add(self, slot: int, record: ConnectionRecord, now: float) -> None:
-        """Add a connection; counts are capped at what their arrays hold."""
+        """Add a connection; its counts are capped at the largest values of their arrays."""
         if slot >= len(self.states):
             self.grow(slot)
         check_invariant(self.states[slot] == ABSENT, "a descriptor is added to the idle table once")
@@ -89,7 +103,7 @@
         self.schedule_timeout(slot, now)
 
     def grow(self, slot: int) -> None:
-        """Extend all arrays to contain a slot."""
+        """Extend all arrays so that they contain a slot."""
         growth = max(slot + 1 - len(self.states), MIN_GROWTH)
         for column in (
             self.states,
@@ -101,15 +115,15 @@
             column.extend([0] * growth)
 
     def schedule_timeout(self, slot: int, now: float) -> None:
-        """Schedule the check of a connection for the end of its idle timeout."""
+        """Schedule a connection in the timer wheel for the end of its idle timeout."""
         usage = usage_class(self.request_counts[slot])
         self.wheels[usage].schedule(slot, self.last_active[slot] + idle_timeout(self.settings, usage), now)
 
     def queue_readable(self, slot: int, now: float) -> bool:
-        """Queue a connection to be woken, since bytes or its end arrived.
+        """Queue a connection to be woken, because bytes or the end of the stream arrived.
 
         Returns:
-            Whether it was queued; False if it isn't idle any more.
+            Whether it was queued; False if it is no longer idle.
         """
         if slot >= len(self.states) or self.states[slot] != IDLE:
             return False
@@ -122,21 +136,23 @@
         return True
 
     def next_waking(self) -> int | None:
-        """Dequeue the next connection to be woken, or return None.
+        """Take the next connection to be woken from the queues; return None if they are empty.
 
-        Its slot remains in use until `remove` or `return_to_idle`.
+        The state of its slot does not change before `remove` or `return_to_idle`.
         """
         while self.short_idle_queue or self.long_idle_queue:
             self.dequeue_count += 1
             prefers_long_idle = not self.short_idle_queue or self.dequeue_count % LONG_IDLE_INTERVAL == 0
             use_long_idle = self.long_idle_queue and prefers_long_idle
             slot = (self.long_idle_queue if use_long_idle else self.short_idle_queue).popleft()
-            if self.states[slot] == WAKING:  # else it was removed, and the slot may be used by another
+            if (
+                self.states[slot] == WAKING
+            ):  # else the connection was removed, and another one may use the slot
                 return slot
         return None
 
     def return_to_idle(self, slot: int, now: float) -> None:
-        """Make a connection idle again: there was nothing to read."""
+        """Make a connection idle again, because there was nothing to read."""
         self.waking_count -= 1
         self.states[slot] = IDLE
         self.schedule_timeout(slot, now)
@@ -157,7 +173,7 @@
         )
 
     def expired(self, now: float, limit: int) -> list[int]:
-        """Return at most `limit` connections past their idle timeout; they stay until they are removed."""
+        """Return at most `limit` connections past their idle timeout, without removing them."""
         expired: list[int] = []
         for usage, wheel in enumerate(self.wheels):
             timeout = idle_timeout(self.settings, usage)
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -1,6 +1,7 @@
 """System calls for idle connections: a second epoll set, and descriptors detached from Twisted's transports.
 
-All access to the system and to the inside of a transport is here, so that tests can replace it.
+This module contains all system calls and all access to internals of a transport, so that tests can replace
+them.
 """
 
 import errno
@@ -22,7 +23,7 @@
 if TYPE_CHECKING:
     from twisted.internet.protocol import Protocol as ConnectionProtocol
 
-FIRST_READ_BYTES = 1 << 14  # read when a connection wakes; the rest arrives through its transport
+FIRST_READ_BYTES = 1 << 14  # bytes read when a connection wakes; its transport reads the rest
 READABLE_ONCE = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLONESHOT
 HANGUP_ONCE = select.EPOLLRDHUP | select.EPOLLONESHOT
 NOTHING_TO_READ = (*WOULD_BLOCK_ERRORS, errno.EINTR)
@@ -33,9 +34,10 @@
 
 
 def poll_now(epoll: select.epoll, limit: int = -1) -> list[tuple[int, int]]:
-    """Return what is ready, and nothing where a signal came between: it is reported next time.
+    """Return the events that are ready, or none if a signal interrupts the call; the next call reports them.
 
-    Guards the reader that an epoll set is for the reactor, which drops one that raises. Harm: none known.
+    Guards against the loss of the epoll set: it is a reader of the reactor, which removes a reader that
+    raises an exception. No side effect is known.
     """
     try:
         return epoll.poll(0, limit)
@@ -44,33 +46,38 @@
 
 
 class Reactor(Protocol):
-    """What this package calls on Twisted's reactor."""
+    """The methods of Twisted's reactor that this package calls."""
 
     def addReader(self, reader: object) -> object:
-        """Watch a descriptor for bytes."""
+        """Start watching a descriptor for bytes to read."""
 
     def removeReader(self, reader: object) -> object:
         """Stop watching a descriptor."""
 
     def callLater(self, delay: float, callback: Callable[..., object], *args: object) -> object:
-        """Schedule a call in `delay` seconds."""
+        """Schedule a call after `delay` seconds."""
 
 
 @implementer(IReadDescriptor)
 class HangupWatcher:
-    """Notifies of the end of connections that are not read for now; unread bytes would hide it.
+    """Detects that clients disconnect while reading from them is paused.
 
-    Protects caches against attempts for clients that have disconnected. Cost: one more descriptor, and only
-    while some connection is not read.
+    Without it, unread bytes would hide the end of the connection. Guards caches against attempts for clients
+    that have disconnected. Side effect: one more descriptor, which is opened when it is first needed.
+
+    Attributes:
+        reactor: Reactor to which the epoll set is added.
+        epoll: The epoll set; None before it is needed.
+        callbacks: Function to call at the end of each watched connection, by descriptor.
     """
 
     def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
         self.epoll: select.epoll | None = None
-        self.callbacks: dict[int, Callable[[], None]] = {}  # by descriptor
+        self.callbacks: dict[int, Callable[[], None]] = {}
 
     def fileno(self) -> int:
-        """Return the descriptor of the epoll set, or -1 before it is needed."""
+        """Return the descriptor of the epoll set, or -1 if there is none yet."""
         return self.epoll.fileno() if self.epoll else -1
 
     def logPrefix(self) -> str:
@@ -78,9 +85,10 @@
         return "connections that are not read"
 
     def watch(self, transport: object, callback: Callable[[], None]) -> None:
-        """Call back once when the peer ends the connection; ignored for other kinds of transports.
+        """Call `callback` once when the peer ends the connection; transports without a socket are ignored.
 
-        Where the system has no descriptor or memory left for it, the end is noticed when the client is read.
+        If the system has no descriptor or memory left for this, the end is detected only when the connection
+        is read again.
         """
         if type(transport) is not tcp.Server or not transport.connected:
             return
@@ -99,7 +107,7 @@
         self.epoll.register(fd, HANGUP_ONCE)
 
     def unwatch(self, callback: Callable[[], None]) -> None:
-        """Stop watching; a descriptor that was closed meanwhile has left the set by itself."""
+        """Stop watching; the kernel has already removed a descriptor that was closed from the set."""
         for fd in [fd for fd, registered in self.callbacks.items() if registered == callback]:
             del self.callbacks[fd]
             with suppress(OSError):
@@ -107,14 +115,14 @@
                     self.epoll.unregister(fd)
 
     def doRead(self) -> None:
-        """Call back for each connection that has ended."""
+        """Call the function of each connection that has ended."""
         for fd, _ in poll_now(self.epoll) if self.epoll else ():
             if callback := self.callbacks.get(fd):
                 self.unwatch(callback)
                 callback()
 
     def connectionLost(self, reason: Failure) -> None:
-        """Close the epoll set when the reactor ends."""
+        """Close the epoll set when the reactor stops."""
         if self.epoll:
             self.reactor.removeReader(self)
             self.epoll.close()
@@ -122,28 +130,28 @@
 
 
 class EpollSet:
-    """The sockets of idle connections; a connection is identified by its descriptor."""
+    """The epoll set of idle connections; a connection is identified by its descriptor."""
 
     def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
         self.epoll = select.epoll()
 
     def fileno(self) -> int:
-        """Return the set's own descriptor, which is readable as soon as any connection in it is."""
+        """Return the set's own descriptor, which is readable while any connection in it is."""
         return self.epoll.fileno()
 
     def detach(self, transport: object) -> int | None:
-        """Remove a connection from the reactor, and keep its descriptor.
+        """Remove a connection from the reactor, and keep its descriptor open.
 
-        The transport is dead afterwards: its protocol receives nothing more from it.
+        The transport cannot be used afterwards, and its protocol receives no more calls from it.
 
         Returns:
-            The descriptor; None if the transport has bytes left to send, is closing, or is not a socket's
-            (one in memory), or if the system cannot watch one more.
+            The descriptor; None if the transport has bytes left to send, is closing, or has no socket (one in
+            memory), or if the epoll set cannot take another descriptor.
         """
         if type(transport) is not tcp.Server or not transport.connected or transport.disconnecting:
             return None
-        # Twisted has no public access to what was written but not sent yet.
+        # Twisted has no public access to bytes that were written but not sent yet.
         if transport.dataBuffer or transport._tempDataBuffer:  # noqa: SLF001
             return None
         try:
@@ -156,18 +164,22 @@
         fd: int = transport.socket.detach()
         transport.connected = 0
         transport.disconnected = 1
-        del transport.protocol, transport.socket, transport.fileno  # no reference cycles: freed at once
+        del (
+            transport.protocol,
+            transport.socket,
+            transport.fileno,
+        )  # avoids reference cycles, so that memory is freed immediately
         return fd
 
     def attach(self, fd: int, protocol: "ConnectionProtocol") -> tcp.Server:
-        """Return a new transport for a descriptor, with its socket options unchanged; reading starts.
+        """Return a new transport that reads from a descriptor; its socket options are unchanged.
 
         Raises:
-            OSError: The reactor cannot watch it; the connection is closed.
+            OSError: The reactor cannot watch the descriptor; the connection has been closed.
         """
         self.epoll.unregister(fd)
         connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
-        # Twisted's interfaces are nominal to mypy; the port (None) is used for its address only.
+        # mypy treats Twisted's interfaces as nominal types. The port (None) is used only for its address.
         try:
             transport = tcp.Server(connection, protocol, ("", 0), None, 0, self.reactor)  # type: ignore[arg-type]
         except OSError:
@@ -177,18 +189,18 @@
         return transport
 
     def poll_readable(self, limit: int) -> list[int]:
-        """Return descriptors with bytes to read or at their end, each once until `rearm`."""
+        """Return at most `limit` descriptors with bytes or an end to read, each only once until `rearm`."""
         return [fd for fd, _ in poll_now(self.epoll, limit)]
 
     def rearm(self, fd: int) -> None:
-        """Report a descriptor again when it next becomes readable; raises OSError on failure."""
+        """Enable the next report that a descriptor is readable; raises OSError on failure."""
         self.epoll.modify(fd, READABLE_ONCE)
 
     def read(self, fd: int) -> bytes | None:
-        """Read the first bytes that wait.
+        """Read bytes that have arrived, at most `FIRST_READ_BYTES`.
 
         Returns:
-            The bytes; empty at the connection's end, None if there is nothing to read.
+            The bytes; empty at the end of the connection, None if there is nothing to read.
 
         Raises:
             OSError: The connection has failed.
@@ -201,9 +213,10 @@
             raise
 
     def close(self, fd: int) -> None:
-        """Close a connection; it leaves the set by itself, since nothing else holds the descriptor.
+        """Close a connection.
 
-        Linux frees the descriptor also where close(2) reports an error.
+        The kernel removes it from the set, since no other descriptor refers to the socket. Errors are
+        ignored: Linux frees the descriptor even if close(2) reports one.
         """
         with suppress(OSError):
             os.close(fd)
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -1,8 +1,8 @@
-"""The pool of idle connections: outside the reactor's table, in one epoll set that is one reader of it.
+"""Pool of idle connections, which the reactor sees as a single reader: the epoll set that contains them.
 
-Connections that become readable are queued at once and in order, and woken in batches, one batch an
-event-loop iteration; the time each has waited is recorded. A connection that ends while idle is closed
-without a protocol object.
+Connections that become readable are queued immediately and in order, and woken in batches, one batch in each
+event-loop iteration; the longest waiting time is recorded. A connection that ends while idle is closed
+without creating a protocol object for it.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 
 # Name of the anomaly counter, as it appears in the log.
 FAILED_IDLE_CONNECTIONS = "idle connections that failed"
-POLL_BATCH = 1024  # descriptors queued as readable in one poll
+POLL_BATCH = 1024  # largest number of descriptors queued as readable in one poll
 
 
 class DescriptorSet(Protocol):
@@ -38,7 +38,7 @@
         ...
 
     def attach(self, fd: int, protocol: "ConnectionProtocol") -> "tcp.Server":
-        """Return a new transport for a descriptor; raises OSError where it cannot be watched."""
+        """Return a new transport for a descriptor; raises OSError if it cannot be watched."""
         ...
 
     def poll_readable(self, limit: int) -> list[int]:
@@ -46,10 +46,10 @@
         ...
 
     def rearm(self, fd: int) -> None:
-        """Report a descriptor again when it next becomes readable; raises OSError on failure."""
+        """Enable the next report that a descriptor is readable; raises OSError on failure."""
 
     def read(self, fd: int) -> bytes | None:
-        """Read; empty at the end, None if nothing waits, raises OSError on failure."""
+        """Read bytes; empty at the end, None if there is nothing to read, raises OSError on failure."""
         ...
 
     def close(self, fd: int) -> None:
@@ -64,14 +64,19 @@
     """Holds idle connections, wakes them when they become readable, and closes them.
 
     Attributes:
-        descriptors: The system calls.
-        on_woken: Called with descriptor, record and first bytes of each connection that received bytes; it
-            attaches the descriptor to a transport.
-        on_closed: Called after a connection was closed because its peer ended it.
-        now: Returns the front's time in seconds.
+        reactor: Reactor to which the pool is added as a reader.
+        descriptors: Provider of the system calls.
+        on_woken: Function called with descriptor, record and first bytes of each connection that received
+            bytes; it attaches the descriptor to a transport.
+        on_closed: Function called after a connection was closed because its peer ended it.
+        now: Function that returns the front's time in seconds.
+        table: Records of the idle connections.
+        batch_sizer: Source of the size of each batch.
+        is_wake_scheduled: Whether a batch is scheduled for the next event-loop iteration.
+        is_reading: Whether the pool is a reader of the reactor.
         peak_size: Largest number of idle connections so far.
-        wake_count: Connections woken by bytes so far.
-        max_wake_delay: Longest time (seconds) from readable to woken so far.
+        wake_count: Number of connections woken by bytes so far.
+        max_wake_delay: Longest time so far from readable to woken (seconds).
     """
 
     def __init__(
@@ -111,13 +116,13 @@
         return "idle connections"
 
     def doRead(self) -> None:
-        """Queue what became readable, and wake a batch unless one is scheduled."""
+        """Queue connections that became readable, and wake a batch unless one is scheduled."""
         self.queue_readable()
         if not self.is_wake_scheduled:
             self.wake_batch()
 
     def connectionLost(self, reason: Failure) -> None:
-        """Stop when the reactor ends."""
+        """Close the pool when the reactor stops."""
         self.stop()
 
     # Adding and waking.
@@ -143,10 +148,11 @@
         return len(readable)
 
     def queue_and_schedule(self) -> None:
-        """Queue what has become readable outside a read of the set, and see to it that it is woken.
+        """Queue connections that have become readable, and schedule a batch to wake them.
 
-        Guards requests on idle connections: the set reports each descriptor once, so the reactor would call
-        only when another one becomes readable. Harm: none known.
+        Used when the pool polls the set itself, rather than in a call from the reactor. Guards against
+        requests that stay unread: the set reports each descriptor only once, so the reactor would not call
+        before another one becomes readable. No side effect is known.
         """
         if self.queue_readable():
             self.schedule_wake()
@@ -158,7 +164,7 @@
             self.reactor.callLater(0, self.wake_batch)
 
     def wake_batch(self) -> None:
-        """Wake one batch; later iterations wake the rest, so that busy connections are served between."""
+        """Wake one batch; later iterations wake the rest, so that active connections are served between."""
         self.is_wake_scheduled = False
         for _ in range(self.batch_sizer.next_size(self.now(), self.table.waking_count)):
             if (fd := self.table.next_waking()) is None:
@@ -168,7 +174,7 @@
             self.schedule_wake()
 
     def wake(self, fd: int) -> None:
-        """Read from a queued connection: bytes make it active, an end or a failure closes it."""
+        """Read from a queued connection; bytes make it active, its end or a failure closes it."""
         try:
             data = self.descriptors.read(fd)
         except OSError:
@@ -186,7 +192,7 @@
             self.on_closed()
 
     def _rearm(self, fd: int) -> bool:
-        """Report a descriptor again when it becomes readable; false where that is impossible."""
+        """Enable the next report that a descriptor is readable; return False if that fails."""
         try:
             self.descriptors.rearm(fd)
         except OSError:
@@ -203,7 +209,7 @@
         return record
 
     def close_if_idle(self, fd: int) -> bool:
-        """Close a connection unless bytes have just arrived on it, which wake it instead.
+        """Close a connection, or wake it if bytes have just arrived on it.
 
         Returns:
             Whether it was closed.
@@ -225,7 +231,7 @@
         """Close at most `limit` connections that are past their idle timeout.
 
         Returns:
-            How many were due, and how many of the closed ones never sent a request.
+            The number that were due, and the number of closed ones that never sent a request.
         """
         self.queue_and_schedule()
         expired = self.table.expired(self.now(), limit)
@@ -236,15 +242,15 @@
         return len(expired), silent_count
 
     def has_nothing_to_read(self) -> bool:
-        """Return whether no idle connection has bytes or an end waiting."""
+        """Return whether no idle connection has bytes or an end to read."""
         self.queue_and_schedule()
         return not self.table.waking_count
 
     def close_longest_idle(self, limit: int) -> int:
-        """Close at most `limit` connections, the longest idle of each class first, when the front ends.
+        """Close at most `limit` connections when the front stops, the longest idle of each class first.
 
         Returns:
-            How many were closed.
+            The number of connections that were closed.
         """
         closed = 0
         for fd in list(self.table.longest_idle(limit))[:limit]:
@@ -252,7 +258,7 @@
         return closed
 
     def stop(self) -> None:
-        """Leave the reactor and close the epoll set."""
+        """Remove the pool from the reactor and close the epoll set."""
         if self.is_reading:
             self.is_reading = False
             self.reactor.removeReader(self)
--- a/weldbend/idle_connections/policy.py
+++ b/weldbend/idle_connections/policy.py
@@ -1,72 +1,73 @@
 """Decisions about client connections: which are kept, made idle or closed, and how many at a time.
 
-Nothing here does I/O or reads a clock. The defaults are the platform's limits on silent clients, incomplete
-requests and file descriptors; an installation file may set others (`weldbend.installation`).
+The functions do no I/O and read no clock. The defaults are the platform's limits on silent clients,
+incomplete requests and file descriptors; an installation file may set other values (`weldbend.installation`).
 """
 
 from dataclasses import dataclass
 from enum import Enum, auto
 
-RECENT_BYTE_SECONDS = 0.05  # seconds since the last byte, within which a request may be on its way
-QUIESCENT_SECONDS = 0.1  # seconds since the last byte, after which no request can be on its way
-OVERLOAD_CONNECTIONS = 256  # active connections above which idle ones are moved to the pool early
-REGULAR_CLIENT_REQUESTS = 8  # requests after which a client is expected to send more
-SHORT_IDLE_SECONDS = 2.0  # seconds of idleness below which a connection is woken before others
-LONG_IDLE_INTERVAL = 4  # one wake in so many is of a connection that was idle for long, if any waits
-EVICTION_DIVISOR = 16  # at the connection limit, one connection in so many is evicted at once
-USAGE_CLASSES = 3  # classes of idle connections by requests so far: none, one, more
+RECENT_BYTE_SECONDS = 0.05  # time since the last byte during which another request may be in transit
+QUIESCENT_SECONDS = 0.1  # time since the last byte after which no request is in transit any more
+OVERLOAD_CONNECTIONS = 256  # number of active connections above which idle ones move to the pool early
+REGULAR_CLIENT_REQUESTS = 8  # number of requests after which a client is expected to send more
+SHORT_IDLE_SECONDS = 2.0  # idle time below which a connection is woken before others
+LONG_IDLE_INTERVAL = 4  # one wake in this many is of a connection with a long idle time, if one waits
+EVICTION_DIVISOR = 16  # at the connection limit, one connection in this many is evicted at a time
+USAGE_CLASSES = 3  # classes of idle connections by number of requests so far: none, one, more
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionSettings:
     """Settings of an installation for client connections.
 
-    Times are in seconds, all others are counts. The defaults are the platform's.
+    Times are in seconds, all other values are counts. The defaults are the platform's.
     """
 
-    request_timeout: float = 2.0  # for the first request, and for the rest of each request that has begun
-    idle_timeout: float = 4.5  # without an open request; clients close such a connection after 4 s
+    request_timeout: float = 2.0  # for the first request to arrive, and for the rest of each partial one
+    idle_timeout: float = 4.5  # without an open request; clients close an idle connection after 4 s
     pool_after: float = 0.5  # idle time after which a connection moves to the idle pool; 0: never
-    wake_batch: int = 32  # connections woken in one event-loop iteration at most
-    close_batch: int = 256  # connections closed or moved to the pool in one event-loop iteration at most
-    accept_batch: int = 64  # connections accepted in one event-loop iteration, approximately
-    max_connections: int = 0  # client connections at once; 0: derived from the limit on descriptors
+    wake_batch: int = 32  # largest number of connections woken in one event-loop iteration
+    close_batch: int = 256  # largest number closed or moved to the pool in one event-loop iteration
+    accept_batch: int = 64  # approximate number of connections accepted in one event-loop iteration
+    max_connections: int = 0  # limit on open client connections; 0: derived from the limit on descriptors
 
 
 class ConnectionAction(Enum):
-    """What is done about a connection after a check."""
+    """Action to take on a connection after a check."""
 
     KEEP = auto()
     MOVE_TO_POOL = auto()
-    CLOSE_IDLE = auto()  # it was idle for too long
-    CLOSE_SILENT = auto()  # it never sent a request
-    CLOSE_INCOMPLETE = auto()  # it stopped in the middle of a request
+    CLOSE_IDLE = auto()  # the connection was idle for too long
+    CLOSE_SILENT = auto()  # the client never sent a request
+    CLOSE_INCOMPLETE = auto()  # the client stopped in the middle of a request
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionState:
     """State of an active connection at the time of a check; times are in seconds of the front's clock."""
 
-    is_busy: bool  # a request is open, or bytes wait to be sent
+    is_busy: bool  # a request is open, or bytes remain to be sent
     has_partial_request: bool
     request_count: int
-    last_active: float  # when it was last not idle
-    request_started: float  # when the first byte of the request that is arriving came
+    last_active: float  # time when the connection was last not idle
+    request_started: float  # time when the first byte of the partial request arrived
 
 
 def decide(
     settings: ConnectionSettings, state: ConnectionState, now: float, active_connections: int = 0
 ) -> ConnectionAction:
-    """Decide what is done about a connection.
+    """Choose the action to take on a connection.
 
-    Protects descriptors against clients that send nothing, stop in the middle of a request, or never close.
-    Cost: a client that needs longer than `request_timeout` for one request is disconnected.
+    Guards descriptors against clients that send nothing, stop in the middle of a request, or never close the
+    connection. Side effect: a client that needs longer than `request_timeout` to send one request is
+    disconnected.
 
     Args:
         settings: Limits to apply.
-        state: The connection as it is now.
-        now: Seconds of the front's clock.
-        active_connections: How many connections are active, this one included.
+        state: Current state of the connection.
+        now: Current time of the front's clock (seconds).
+        active_connections: Number of active connections, including this one.
 
     Returns:
         The action to carry out.
@@ -87,9 +88,10 @@
 def pool_delay(settings: ConnectionSettings, request_count: int, active_connections: int) -> float:
     """Return the seconds without a byte after which an idle connection moves to the idle pool.
 
-    Protects memory against bursts: thousands of connections opened in one second would all be active at
-    once, and the allocator does not give back what they took. Regular clients are exempt. Cost: a client
-    that sends its next request soon afterwards costs a wake, about a twentieth of a request's CPU time.
+    Guards memory against bursts: thousands of connections opened in one second would all be active at the
+    same time, and the allocator does not return their memory to the system. Regular clients are exempt. Side
+    effect: if a client sends its next request soon afterwards, its connection has to be woken, which takes
+    about a twentieth of the CPU time of a request.
     """
     if active_connections <= OVERLOAD_CONNECTIONS or request_count >= REGULAR_CLIENT_REQUESTS:
         return settings.pool_after
@@ -99,8 +101,8 @@
 def is_short_idle(idle_seconds: float) -> bool:
     """Return whether a connection with this idle time is woken before others.
 
-    Protects clients in the middle of their work against many that return after a long pause. Cost: those
-    wait a little longer; every `LONG_IDLE_INTERVAL`-th wake is still one of theirs.
+    Guards clients that send requests regularly against delays by many clients that return after a long pause.
+    Side effect: the latter wait slightly longer, but every `LONG_IDLE_INTERVAL`-th wake is one of theirs.
     """
     return idle_seconds < SHORT_IDLE_SECONDS
 
@@ -111,24 +113,24 @@
 
 
 def idle_timeout(settings: ConnectionSettings, usage: int) -> float:
-    """Return the seconds for which an idle connection of a usage class is kept open."""
+    """Return how long an idle connection of a usage class is kept open (seconds)."""
     return settings.idle_timeout if usage else min(settings.request_timeout, settings.idle_timeout)
 
 
 def eviction_order(request_count: int, last_active: float, now: float) -> tuple[bool, int, float]:
-    """Return the sort key by which idle connections are evicted, the first one first.
+    """Return the sort key of an idle connection for eviction, which starts with the smallest key.
 
-    Connections that sent a byte just now come last, since a request may be on its way. Otherwise the order
-    is by usage class, and within a class the longest idle comes first.
+    Connections that were active within `RECENT_BYTE_SECONDS` come last, since another request may be in
+    transit. The others are ordered by usage class, and within a class the longest idle comes first.
     """
     return last_active > now - RECENT_BYTE_SECONDS, usage_class(request_count), last_active
 
 
 def eviction_count(connections: int, max_connections: int) -> int:
-    """Return how many idle connections are evicted.
+    """Return the number of idle connections to evict.
 
-    Protects the port against clients that open connections in hundreds and leave them open. Cost: an
-    ordinary idle client has to reconnect when the site has fewer descriptors than clients.
+    Guards the port against clients that open hundreds of connections and leave them open. Side effect: an
+    ordinary idle client has to reconnect if the site has fewer descriptors than clients.
     """
     if connections < max_connections:
         return 0
@@ -136,15 +138,16 @@
 
 
 def is_accept_paused(connections: int, max_connections: int) -> bool:
-    """Return whether no connection is accepted; new ones wait in the kernel's backlog."""
+    """Return whether accepting is paused; new connections wait in the kernel's backlog."""
     return connections >= max_connections
 
 
 def is_quiescent(idle: bool, last_active: float, now: float) -> bool:
-    """Return whether no request can be on its way on a connection.
+    """Return whether no request is in transit on a connection.
 
-    True only if no part of a request is here and none was received or answered lately. This covers a
-    connection that has just been accepted: its first request may still be unread.
+    True only if no part of a request has arrived and no request was received or answered within
+    `QUIESCENT_SECONDS`. A connection that has just been accepted is therefore not quiescent: its first
+    request may still be unread.
     """
     return idle and now > last_active + QUIESCENT_SECONDS
 
@@ -152,24 +155,30 @@
 class WakeBatchSizer:
     """Adapts the number of idle connections woken in one event-loop iteration to the iterations' length.
 
-    Protects the deadlines of open requests, and the timers, when many idle connections become readable at
-    the same time. The size grows by one and is halved (additive increase, multiplicative decrease) by how
-    long iterations last while connections wait to be woken. Cost: the last of them wakes late; the router
-    is notified of that delay and rejects requests whose deadline has become too close.
+    Guards timers and the deadlines of open requests against long iterations when many idle connections become
+    readable at the same time. While connections wait to be woken, the size grows by one after a short
+    iteration and is halved after a long one (additive increase, multiplicative decrease). Side effect: the
+    last of the waiting connections wake late; the router is notified of that delay and rejects requests whose
+    deadline has become too close.
+
+    Attributes:
+        max_size: Upper bound of the size.
+        size: Number of connections woken in the next iteration.
+        previous_start: Time when the previous batch began (seconds); None if no connection was left waiting
+            after it.
     """
 
-    SHORT_ITERATION = 0.003  # seconds below which the size grows
-    LONG_ITERATION = 0.008  # seconds above which the size is halved
+    SHORT_ITERATION = 0.003  # duration in seconds below which the size grows
+    LONG_ITERATION = 0.008  # duration in seconds above which the size is halved
     START_SIZE = 4
 
     def __init__(self, max_size: int) -> None:
         self.max_size = max_size
         self.size = min(self.START_SIZE, max_size)
-        # When the previous batch began, if connections still waited behind it.
         self.previous_start: float | None = None
 
     def next_size(self, now: float, waiting: int) -> int:
-        """Return how many of the `waiting` connections are woken now (`now` in seconds)."""
+        """Return how many of the `waiting` connections to wake at the time `now` (seconds)."""
         if self.previous_start is not None:
             elapsed = now - self.previous_start
             if elapsed > self.LONG_ITERATION:
--- a/weldbend/idle_connections/timer_wheel.py
+++ b/weldbend/idle_connections/timer_wheel.py
@@ -1,8 +1,9 @@
-"""Hashed timing wheel over small numbers: the cost of expiry grows with what is due, not with what waits.
+"""Hashed timing wheel for small integers; the cost of expiry grows only with the number that are due.
 
-Each bucket is a ring of doubly linked slots in flat arrays, twelve bytes a slot; a slot is any small number,
-such as a file descriptor. Slots of one bucket keep the order of insertion. Source: Varghese and Lauck 1987,
-hashed timing wheel, with one revolution only: no slot is scheduled further ahead than the wheel's span.
+Each bucket is a circular doubly linked list of slots in flat arrays, twelve bytes a slot. A slot is any small
+integer, such as a file descriptor. Slots of one bucket keep the order of insertion. Source: Varghese and
+Lauck 1987, hashed timing wheel, with one revolution only: no slot is scheduled further ahead than the
+wheel's span.
 """
 
 from array import array
@@ -11,20 +12,30 @@
 from weldbend.invariants import check_invariant
 
 NO_BUCKET = -1
-MIN_GROWTH = 256  # entries by which the arrays grow at least
+MIN_GROWTH = 256  # smallest number of entries by which the arrays grow
 
 
 class TimerWheel:
-    """Slots in buckets of `bucket_seconds`, scheduled at most `span` seconds ahead."""
+    """Timer wheel whose slots are scheduled at most `span` seconds ahead.
+
+    Attributes:
+        bucket_seconds: Length of time that a bucket covers (seconds).
+        bucket_count: Number of buckets.
+        next: Index of the next entry in the list of each entry; a bucket's head precedes its first slot.
+        previous: Index of the previous entry in the list of each entry.
+        bucket: Index of the bucket that contains each entry, or `NO_BUCKET`.
+        tick: Number of the first bucket that may contain a slot, counted from time 0 of the clock.
+        count: Number of scheduled slots.
+    """
 
     def __init__(self, span: float, bucket_seconds: float) -> None:
         self.bucket_seconds = bucket_seconds
         self.bucket_count = int(span / bucket_seconds) + 3
-        # The first entries are the heads of the buckets, the entries of slots follow.
+        # The first entries are the heads of the buckets' lists; the entries of slots follow.
         self.next = array("i", range(self.bucket_count))
         self.previous = array("i", range(self.bucket_count))
         self.bucket = array("i", [NO_BUCKET]) * self.bucket_count
-        self.tick = 0  # of the first bucket that may hold a slot
+        self.tick = 0
         self.count = 0
 
     def __len__(self) -> int:
@@ -35,7 +46,7 @@
         return entry < len(self.bucket) and self.bucket[entry] != NO_BUCKET
 
     def reserve(self, slot: int) -> int:
-        """Grow the arrays to contain a slot, and return the index of its entry."""
+        """Extend the arrays so that they contain a slot, and return the index of its entry."""
         entry = slot + self.bucket_count
         if entry >= len(self.next):
             growth = max(entry + 1 - len(self.next), MIN_GROWTH)
@@ -45,15 +56,15 @@
         return entry
 
     def schedule(self, slot: int, due: float, now: float) -> None:
-        """Put a slot into the bucket of the time `due` (seconds); one in the past is due at once.
+        """Add a slot to the bucket of the time `due` (seconds); a time in the past is due immediately.
 
-        If `pop_due` was not called for long, a slot far ahead may become due early, but never late.
+        If `pop_due` has not been called for a long time, a slot far ahead may become due early, never late.
         """
         entry = self.reserve(slot)
         check_invariant(self.bucket[entry] == NO_BUCKET, "a slot waits in one bucket")
         if not self.count:
             self.tick = int(now / self.bucket_seconds)
-        # What lies beyond the span goes into the last bucket.
+        # A time beyond the span goes into the last bucket.
         tick = min(max(int(due / self.bucket_seconds), self.tick), self.tick + self.bucket_count - 1)
         bucket = tick % self.bucket_count
         last = self.previous[bucket]
@@ -76,7 +87,7 @@
         return True
 
     def pop_due(self, now: float, limit: int) -> list[int]:
-        """Remove and return at most `limit` slots whose buckets have passed."""
+        """Remove and return at most `limit` slots from buckets whose time has passed."""
         due: list[int] = []
         end = int(now / self.bucket_seconds)
         while self.tick < end:
--- a/weldbend/thrift/binary.py
+++ b/weldbend/thrift/binary.py
@@ -134,7 +134,7 @@
         count = self.count(*kinds)
         if count and kinds != (STRING, STRING):
             raise MapTypesError(kinds)
-        # This loop dominates the decoding of a call: it uses local names, and calls no method for each string.
+        # This loop dominates the decoding of a call: it uses local names, and no method call for each string.
         data = self.data
         position = self.position
         end = len(data)
