--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -164,11 +164,8 @@
         fd: int = transport.socket.detach()
         transport.connected = 0
         transport.disconnected = 1
-        del (
-            transport.protocol,
-            transport.socket,
-            transport.fileno,
-        )  # avoids reference cycles, so that memory is freed immediately
+        # Deleting the references avoids a cycle, so that the memory is freed immediately.
+        del transport.protocol, transport.socket, transport.fileno
         return fd
 
     def attach(self, fd: int, protocol: "ConnectionProtocol") -> tcp.Server:
--- a/weldbend/installation/__init__.py
+++ b/weldbend/installation/__init__.py
@@ -1,1 +1,1 @@
-"""The installation file: settings of the operators, validated as a whole before anything starts."""
+"""The installation file: settings of an operator, all of which are validated before the front starts."""
--- a/weldbend/installation/errors.py
+++ b/weldbend/installation/errors.py
@@ -1,15 +1,15 @@
-"""Errors of the installation file: each text is one line for people."""
+"""Errors in the installation file; the text of each is one line for people."""
 
-MAX_SHOWN = 60  # characters of a bad value that an error's text contains
+MAX_SHOWN = 60  # characters of an invalid value that are shown in an error
 
 
 class InstallationError(Exception):
     """An installation file that cannot be used.
 
     Attributes:
-        path: The file.
-        section: The section that is wrong, empty if the problem isn't in one.
-        problem: What is wrong.
+        path: Path of the file.
+        section: Name of the section with the problem; empty if the problem is not in a section.
+        problem: Description of the problem.
     """
 
     def __init__(self, path: str, problem: str, section: str = "") -> None:
@@ -20,15 +20,15 @@
 
 
 class InvalidValueError(ValueError):
-    """A value that a key cannot have; its text follows section and key."""
+    """A value that a key cannot have; messages show the error's text after section and key."""
 
 
 class MalformedValueError(InvalidValueError):
-    """A value that is not written as its key requires.
+    """A value whose text does not have the format that its key requires.
 
     Attributes:
-        value: The value as written.
-        problem: What it is not, as the rest of a sentence.
+        value: Text of the value.
+        problem: Description of the problem, as the predicate of a sentence about the value.
     """
 
     def __init__(self, value: str, problem: str) -> None:
@@ -38,7 +38,13 @@
 
 
 class ValueRangeError(InvalidValueError):
-    """A value outside its limits, all three as the file writes them."""
+    """A value outside its limits.
+
+    Attributes:
+        value: The value, in the format of the file.
+        least: Smallest valid value, in the same format.
+        most: Largest valid value, in the same format.
+    """
 
     def __init__(self, value: str, least: str, most: str) -> None:
         super().__init__(f"{value} is not between {least} and {most}")
@@ -56,16 +62,16 @@
 
 
 class UnknownUnitError(InvalidValueError):
-    """A duration in a unit that does not exist."""
+    """A duration with an unknown unit."""
 
     def __init__(self, unit: str, units: tuple[str, ...]) -> None:
-        super().__init__(f"unit {unit!r:.{MAX_SHOWN}} is none of {', '.join(units)}")
+        super().__init__(f"unit {unit!r:.{MAX_SHOWN}} is not one of {', '.join(units)}")
         self.unit = unit
         self.units = units
 
 
 class SharedAddressError(InvalidValueError):
-    """Two peers with one address."""
+    """Two peers with the same address."""
 
     def __init__(self, host: str, port: int) -> None:
         super().__init__(f"{host}:{port} belongs to two peers")
--- a/weldbend/installation/keys.py
+++ b/weldbend/installation/keys.py
@@ -1,7 +1,7 @@
-"""The keys of the installation file: the section of each, its parser, and the settings field that it sets.
+"""Keys of the installation file: the section of each, its parser, and the settings field that it sets.
 
-A section sets the fields of one frozen dataclass, whose defaults apply where the file sets nothing. The names
-of sections and keys are the file's format; those of fields are the program's.
+A section sets the fields of one frozen dataclass, whose defaults apply to keys that the file does not
+contain. The names of sections and keys belong to the file format; they may differ from those of the fields.
 """
 
 from collections.abc import Callable
@@ -12,18 +12,18 @@
 from weldbend.idle_connections.policy import ConnectionSettings
 from weldbend.installation import values
 
-MIN_OUTBOX = 1 << 18  # bytes: two of the longest messages between fronts
+MIN_OUTBOX = 1 << 18  # bytes; room for two of the longest messages between fronts
 
 
 @dataclass(frozen=True, slots=True)
 class Key:
-    """One key.
+    """Definition of a key.
 
     Attributes:
-        name: Its name in the file.
-        field: The settings field that it sets.
-        parse: Parses its text, and raises `InvalidValueError` for one that it cannot have.
-        format: Returns the text of a value.
+        name: Name of the key in the file.
+        field: Name of the settings field that it sets.
+        parse: Function that parses the text of a value; it raises `InvalidValueError` for an invalid one.
+        format: Function that returns the text of a value.
     """
 
     name: str
@@ -34,12 +34,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """One section.
+    """Definition of a section.
 
     Attributes:
-        keys: Its keys, in the order in which they are shown.
-        defaults: The settings object, with its defaults.
-        find_conflict: Returns what is impossible about the settings together, or None.
+        keys: Keys of the section, in the order in which they are shown.
+        defaults: Settings object with the default values.
+        find_conflict: Function that describes why the settings cannot be used together, or returns None.
     """
 
     keys: tuple[Key, ...]
@@ -48,7 +48,7 @@
 
 
 def duration_key(name: str, field: str, least: float, most: float) -> Key:
-    """Return a key for a duration; its limits and its field are in seconds."""
+    """Return a key for a duration; the limits and the settings field are in seconds."""
     return Key(name, field, values.duration_between(least, most), values.format_duration)
 
 
@@ -63,12 +63,12 @@
 
 
 def optional_key(name: str, field: str, parse: Callable[[str], str]) -> Key:
-    """Return a key for a text that may be `none`."""
+    """Return a key for a text; `none` is an empty one."""
     return Key(name, field, parse, values.format_optional)
 
 
 def connection_conflict(settings: ConnectionSettings) -> str | None:
-    """Return what is impossible about settings of client connections, or None."""
+    """Return why settings of client connections cannot be used together; None if they can."""
     if settings.pool_after and settings.pool_after >= settings.idle_timeout:
         delay = values.format_duration(settings.pool_after)
         timeout = values.format_duration(settings.idle_timeout)
@@ -77,24 +77,28 @@
 
 
 def fleet_conflict(settings: fleet.FleetSettings) -> str | None:
-    """Return what is impossible about settings of a fleet, or None."""
+    """Return why settings of a fleet cannot be used together; None if they can."""
     if not settings.listen:
-        return "peers without listen: this front has no place in the fleet" if settings.peers else None
+        return (
+            "peers without listen: this front has no address at which the peers can reach it"
+            if settings.peers
+            else None
+        )
     if not settings.key_file:
-        return "listen without keys: messages between fronts are authenticated"
+        return "listen without keys: messages between fronts must be authenticated"
     if 2 * settings.probe_timeout > settings.probe_interval:
         timeout = values.format_duration(settings.probe_timeout)
         interval = values.format_duration(settings.probe_interval)
         return f"timeout ({timeout}) must be at most half of interval ({interval})"
     if settings.outbox_capacity < MIN_OUTBOX:
-        return f"outbox must hold two of the longest messages ({MIN_OUTBOX})"
+        return f"outbox must have room for two of the longest messages ({MIN_OUTBOX} bytes)"
     return None
 
 
 def limit_conflict(settings: fleet.LimitSettings) -> str | None:
-    """Return what is impossible about settings of limits, or None."""
+    """Return why settings of limits cannot be used together; None if they can."""
     both = {name for name, _ in settings.leased_rates} & {name for name, _ in settings.demand_rates}
-    return f"{min(both)} has a strict limit and a soft one" if both else None
+    return f"{min(both)} has both a strict and a soft limit" if both else None
 
 
 CLIENTS = Section(
--- a/weldbend/installation/reader.py
+++ b/weldbend/installation/reader.py
@@ -1,6 +1,7 @@
-"""Reads and validates an installation file: INI parsed by ConfigObj, each key as `keys.SECTIONS` defines it.
+"""Reader of the installation file, which validates each key according to `keys.SECTIONS`.
 
-ConfigObj is imported only if there is a file: neither a front nor `check` needs it without one.
+The file is INI, parsed by ConfigObj. ConfigObj is imported only if there is a file, since a front and `check`
+do not need it otherwise.
 """
 
 from collections.abc import Mapping
@@ -16,13 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One key, for people.
+    """A key and its value in a form for people.
 
     Attributes:
-        section: Its section.
-        key: Its name.
-        value: The text of its value.
-        origin: The path of the file that sets it, or "default".
+        section: Name of the section.
+        key: Name of the key.
+        value: Text of the value.
+        origin: Path of the file that sets the key, or "default".
     """
 
     section: str
@@ -33,11 +34,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Installation:
-    """All settings.
+    """Settings of all sections.
 
     Attributes:
-        sections: The settings object of each section, by its name.
-        settings: All keys, for people.
+        sections: Settings object of each section, by name of the section.
+        settings: All keys in a form for people.
     """
 
     sections: dict[str, Any]
@@ -54,7 +55,7 @@
 
 
 def parse(path: str) -> Mapping[str, Any]:
-    """Return the sections of an INI file by name; a key before any section is among them, as text.
+    """Return the sections of an INI file by name; a key before the first section is included, with its text.
 
     Raises:
         InstallationError: The file cannot be read, is too long, or is not INI in UTF-8.
@@ -83,14 +84,18 @@
 
 
 def build(raw: Mapping[str, Any], path: str) -> Installation:
-    """Validate the sections of a file, and return its settings.
+    """Validate the sections of a file and return its settings.
+
+    Args:
+        raw: Sections of the file by name, with the texts of their keys.
+        path: Path of the file, for error messages.
 
     Raises:
-        InstallationError: Describes the first problem.
+        InstallationError: The file has a problem; the error describes the first one.
     """
     for name, values in raw.items():
         if not isinstance(values, Mapping):
-            raise InstallationError(path, f"key '{name}' stands before any section")
+            raise InstallationError(path, f"key '{name}' precedes the first section")
         if name not in SECTIONS:
             raise InstallationError(path, f"unknown section [{name}]; known: {', '.join(SECTIONS)}")
     sections: dict[str, Any] = {}
@@ -108,10 +113,10 @@
 
 
 def parse_values(section: Section, name: str, texts: Mapping[str, Any], path: str) -> dict[str, Any]:
-    """Return the values that a file sets in a section, by settings field.
+    """Parse the values that a file sets in a section, and return them by name of the settings field.
 
     Raises:
-        InstallationError: A key is unknown, or has an invalid value.
+        InstallationError: A key is unknown or has an invalid value.
     """
     known = [key.name for key in section.keys]
     for key_name in texts:
--- a/weldbend/installation/values.py
+++ b/weldbend/installation/values.py
@@ -1,7 +1,7 @@
 """Parsers and formatters of the values of the installation file. No I/O.
 
-A parser takes the text of a value, and raises `InvalidValueError` if the key cannot have it. A function named
-`..._between` returns a parser for values within limits.
+A parser takes the text of a value, and raises `InvalidValueError` if the text is invalid. A function named
+`..._between` returns a parser that accepts values within limits.
 """
 
 import re
@@ -25,9 +25,9 @@
 NAME = re.compile(r"[\w.-]{1,48}", re.ASCII)
 PEER = re.compile(r"([\w.-]{1,48})@([0-9.]{7,15}):([0-9]{1,5})(?:/([\w.-]{1,48}))?", re.ASCII)
 
-NONE = "none"  # written for an empty value
+NONE = "none"  # text for an empty value
 IPV4_OCTETS = 4
-MAX_IPV4_DIGITS = 3  # of one octet
+MAX_IPV4_DIGITS = 3  # digits in one octet
 MAX_IPV4_OCTET = 255
 MAX_PORT = 65535
 MIN_RATE = 0.1  # requests per second
@@ -40,7 +40,7 @@
     def parse(text: str) -> float:
         match = DURATION.fullmatch(text)
         if not match:
-            raise MalformedValueError(text, "is no duration such as '500 ms', '4.5 s', '2 min' or '1 h'")
+            raise MalformedValueError(text, "is not a duration such as '500 ms', '4.5 s', '2 min' or '1 h'")
         number, unit = match.groups()
         if not unit:
             raise MalformedValueError(text, "lacks its unit (ms, s, min, h)")
@@ -55,20 +55,20 @@
 
 
 def format_duration(seconds: float) -> str:
-    """Return a duration as the file writes it."""
+    """Return the text of a duration in the format of the file."""
     unit = "ms" if 0 < seconds < 1 else "s"
     return f"{seconds / SECONDS_PER_UNIT[unit]:g} {unit}"
 
 
 def integer_between(least: int, most: int, **names: int) -> Callable[[str], int]:
-    """Return a parser of integers; `names` stand for a value each, such as `auto`."""
+    """Return a parser of integers; `names` are words such as `auto` with the value of each."""
 
     def parse(text: str) -> int:
         if text in names:
             return names[text]
         if not INTEGER.fullmatch(text):
             alternatives = "".join(f" or {name!r}" for name in names)
-            raise MalformedValueError(text, f"is no whole number{alternatives}")
+            raise MalformedValueError(text, f"is not an integer{alternatives}")
         if not least <= int(text) <= most:
             raise ValueRangeError(text, str(least), str(most))
         return int(text)
@@ -83,17 +83,17 @@
 
 
 def format_float(value: float) -> str:
-    """Return a floating-point number without superfluous digits."""
+    """Return the text of a floating-point number without trailing zeros."""
     return f"{value:g}"
 
 
 def percentage_between(least: float, most: float) -> Callable[[str], float]:
-    """Return a parser of percentages such as `1 %`, which returns a fraction; so are the limits."""
+    """Return a parser of percentages such as `1 %`, which returns fractions; the limits are fractions too."""
 
     def parse(text: str) -> float:
         match = PERCENTAGE.fullmatch(text)
         if not match:
-            raise MalformedValueError(text, "is no share such as '1 %'")
+            raise MalformedValueError(text, "is not a percentage such as '1 %'")
         fraction = float(match[1]) / 100
         if not least <= fraction <= most:
             raise ValueRangeError(text, format_percentage(least), format_percentage(most))
@@ -103,42 +103,42 @@
 
 
 def format_percentage(fraction: float) -> str:
-    """Return a fraction as the file writes it."""
+    """Return the text of a fraction as a percentage."""
     return f"{fraction * 100:g} %"
 
 
 def parse_switch(text: str) -> bool:
-    """Return True for `on` and False for `off`."""
+    """Parse a switch: return True for `on` and False for `off`."""
     if text not in ("on", "off"):
-        raise MalformedValueError(text, "is neither on nor off")
+        raise MalformedValueError(text, "is neither 'on' nor 'off'")
     return text == "on"
 
 
 def format_switch(value: bool) -> str:
-    """Return a switch as the file writes it."""
+    """Return the text of a switch."""
     return "on" if value else "off"
 
 
 def parse_optional(text: str) -> str:
-    """Return any text, such as a path; empty for `none`."""
+    """Parse a text such as a path; return an empty text for `none`."""
     return "" if text == NONE else text
 
 
 def format_optional(value: object) -> str:
-    """Return a value, or `none` for an empty one."""
+    """Return the text of a value; `none` for an empty one."""
     return str(value or NONE)
 
 
 def parse_name(text: str) -> str:
-    """Return a name of letters, digits, `.`, `-` and `_`; empty for `none`."""
+    """Parse a name of letters, digits, `.`, `-` and `_`; return an empty text for `none`."""
     name = parse_optional(text)
     if name and not NAME.fullmatch(name):
-        raise MalformedValueError(name, "is no word of letters, digits, '.', '-' and '_'")
+        raise MalformedValueError(name, "is not a name of letters, digits, '.', '-' and '_'")
     return name
 
 
 def is_ipv4(host: str) -> bool:
-    """Return whether a host is an IPv4 address; host names are not resolved."""
+    """Return whether a host is an IPv4 address, rather than a host name."""
     octets = host.split(".")
     return len(octets) == IPV4_OCTETS and all(
         octet.isdigit() and len(octet) <= MAX_IPV4_DIGITS and int(octet) <= MAX_IPV4_OCTET for octet in octets
@@ -146,29 +146,29 @@
 
 
 def parse_address(text: str) -> str:
-    """Return an address to listen on, such as `127.0.0.1:7401`; empty for `none`."""
+    """Parse an address to listen on, such as `127.0.0.1:7401`; return an empty text for `none`."""
     address = parse_optional(text)
     host, _, port = address.rpartition(":")
     if address and not (is_ipv4(host) and port.isdigit() and 0 < int(port) <= MAX_PORT):
-        raise MalformedValueError(address, "is no address such as '127.0.0.1:7401'")
+        raise MalformedValueError(address, "is not an address such as '127.0.0.1:7401'")
     return address
 
 
 def parse_loopback_address(text: str) -> str:
-    """Return an address of the loopback interface; empty for `none`."""
+    """Parse an address of the loopback interface; return an empty text for `none`."""
     address = parse_address(text)
     if address and not address.startswith("127."):
-        raise MalformedValueError(text, "is not on loopback")
+        raise MalformedValueError(text, "is not a loopback address")
     return address
 
 
 def list_items(text: str) -> Iterator[str]:
-    """Yield the items of a list separated by commas."""
+    """Return the items of a comma-separated list."""
     return filter(None, (item.strip() for item in parse_optional(text).split(",")))
 
 
 def parse_peers(text: str) -> tuple[fleet.Peer, ...]:
-    """Return the peers of a list such as `n1@127.0.0.1:7401/upper, n2@127.0.0.2:7401`."""
+    """Parse a list of peers such as `n1@127.0.0.1:7401/upper, n2@127.0.0.2:7401`."""
     peers: dict[str, fleet.Peer] = {}
     addresses = set()
     for item in list_items(text):
@@ -185,29 +185,29 @@
 
 
 def parse_peer(text: str) -> fleet.Peer:
-    """Return a peer such as `n1@127.0.0.1:7401/zone`; the zone may be absent."""
+    """Parse a peer such as `n1@127.0.0.1:7401/zone`; the zone is optional."""
     match = PEER.fullmatch(text)
     if not match or not is_ipv4(match[2]) or not 0 < int(match[3]) <= MAX_PORT:
-        raise MalformedValueError(text, "is no peer such as 'n1@127.0.0.1:7401/zone'")
+        raise MalformedValueError(text, "is not a peer such as 'n1@127.0.0.1:7401/zone'")
     return fleet.Peer(match[1], match[2], int(match[3]), match[4] or "")
 
 
 def format_peers(peers: tuple[fleet.Peer, ...]) -> str:
-    """Return a list of peers as the file writes it."""
+    """Return the text of a list of peers."""
     return format_optional(
         ", ".join(f"{p.name}@{p.host}:{p.port}{'/' + p.zone if p.zone else ''}" for p in peers)
     )
 
 
 def parse_rates(text: str) -> tuple[tuple[str, float], ...]:
-    """Return the rates of a list such as `order=50, photo=400`: request classes, requests per second."""
+    """Parse a list such as `order=50, photo=400`: request classes and their rates (requests per second)."""
     rates: dict[str, float] = {}
     for item in list_items(text):
         name, _, rate = (side.strip() for side in item.partition("="))
         if not NAME.fullmatch(name) or not RATE.fullmatch(rate):
-            raise MalformedValueError(item, "is no limit such as 'order=50'")
+            raise MalformedValueError(item, "is not a limit such as 'order=50'")
         if not MIN_RATE <= float(rate) <= MAX_RATE:
-            raise ValueRangeError(item, f"{MIN_RATE:g}", f"{MAX_RATE:.0f} a second")
+            raise ValueRangeError(item, f"{MIN_RATE:g}", f"{MAX_RATE:.0f} per second")
         if name in rates:
             raise DuplicateValueError(name)
         rates[name] = float(rate)
@@ -215,5 +215,5 @@
 
 
 def format_rates(rates: tuple[tuple[str, float], ...]) -> str:
-    """Return a list of rates as the file writes it."""
+    """Return the text of a list of rates."""
     return format_optional(", ".join(f"{name}={rate:g}" for name, rate in rates))
