--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,12 +1,13 @@
-"""Runs the test suite except for the tests listed in KNOWN-RED.txt, which are run one by one and reported.
+"""Runner of the test suite that runs the tests listed in KNOWN-RED.txt one by one, and then all others.
 
 Each line of the list is
 
     test id | always or sometimes | command | seed | what was seen | issue
 
-A test listed as `always` has to fail: the run fails if it passes, so that an entry is removed once its test
-is repaired. A test listed as `sometimes` is run and reported, and its result does not decide. The seed is `-`
-for a test without one. A test that cannot be run and a line of another form fail the run.
+The result of each listed test is printed. A test listed as `always` has to fail: if it passes, the whole run
+fails, so that an entry is removed once its test is repaired. A test listed as `sometimes` may pass or fail.
+The seed is `-` for a test without one. A listed test that cannot be run, or a line that does not have this
+form, fails the run.
 """
 
 import subprocess
@@ -22,11 +23,11 @@
 
 
 class InvalidListError(Exception):
-    """The list is not of the documented form; the text is one line for people."""
+    """The list does not have the documented form; the text of the error is one line for people."""
 
 
 class InvalidEntryError(InvalidListError):
-    """A line of the list is not of the documented form."""
+    """A line of the list does not have the documented form."""
 
     def __init__(self, path: Path, number: int) -> None:
         form = "test id | always or sometimes | command | seed | what was seen | issue"
@@ -34,14 +35,14 @@
 
 
 class RepeatedEntryError(InvalidListError):
-    """A test is listed more than once."""
+    """The list contains a test more than once."""
 
     def __init__(self, path: Path) -> None:
         super().__init__(f"{path.name} lists a test twice")
 
 
 class Frequency(Enum):
-    """How often a listed test fails."""
+    """Frequency with which a listed test fails."""
 
     ALWAYS = "always"
     SOMETIMES = "sometimes"
@@ -49,15 +50,15 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownFailure:
-    """A test that fails, and the open issue under which it is to be repaired.
+    """A test that is known to fail, and the open issue about it.
 
     Attributes:
-        test: pytest's id of the test.
-        frequency: whether it fails at each run.
-        command: the command that showed the failure.
-        seed: the seed of the failing run; `-` for a test without one.
-        observation: the failure that was seen.
-        issue: the open issue.
+        test: Identifier of the test in pytest.
+        frequency: Frequency with which the test fails.
+        command: Command of the run that failed.
+        seed: Seed of the run that failed; `-` for a test without one.
+        observation: Description of the failure.
+        issue: Identifier of the open issue.
     """
 
     test: str
@@ -69,10 +70,10 @@
 
 
 def read_entries(path: Path) -> list[KnownFailure]:
-    """Return the entries of the list, none if the file does not exist.
+    """Return the entries of the list, which is empty if the file does not exist.
 
     Raises:
-        InvalidListError: The file does not have the form that this module describes.
+        InvalidListError: The file does not have the documented form.
     """
     lines = path.read_text("utf-8").splitlines() if path.exists() else []
     entries = [read_entry(path, number, line) for number, line in enumerate(lines, 1)]
@@ -82,10 +83,11 @@
 
 
 def read_entry(path: Path, number: int, line: str) -> KnownFailure:
-    """Parse one line of the list.
+    """Parse the line with this number.
 
     Raises:
-        InvalidEntryError: A field is missing or empty, first no test id, second no frequency.
+        InvalidEntryError: A field is missing or empty, the first is not a test id, or the second is not a
+            frequency.
     """
     fields = [field.strip() for field in line.split("|")]
     if len(fields) != FIELD_COUNT or not all(fields):
@@ -100,13 +102,13 @@
 
 
 def run_pytest(*options: str, shows_output: bool = False) -> int:
-    """Run pytest, and return its exit status."""
+    """Run pytest and return its exit status."""
     command = [sys.executable, "-m", "pytest", "-q", *options]
     return subprocess.run(command, capture_output=not shows_output, check=False).returncode
 
 
 def has_listed_result(entry: KnownFailure) -> bool:
-    """Run a listed test, print its entry and result, and return whether the entry describes that result."""
+    """Run a listed test, print its entry and result, and return whether the result agrees with the entry."""
     status = run_pytest(entry.test)
     results = {TESTS_PASSED: "passed", TESTS_FAILED: "failed"}
     result = results.get(status, f"cannot be run (pytest exits with {status})")
@@ -118,7 +120,11 @@
 
 
 def main(path: Path) -> int:
-    """Run the listed tests, then all others; the exit status is 0 if all others pass and the list is true."""
+    """Run the listed tests and then all others.
+
+    Returns:
+        The exit status: 0 if all listed tests agree with their entries and all others pass.
+    """
     try:
         entries = read_entries(path)
     except InvalidListError as error:
@@ -126,7 +132,7 @@
         return INVALID_LIST_STATUS
     incorrect_entries = [entry.test for entry in entries if not has_listed_result(entry)]
     for test in incorrect_entries:
-        print(f"{path.name} is not true of {test}: correct the list")
+        print(f"{path.name} does not describe the result of {test}: correct the list")
     status = run_pytest(*(f"--deselect={entry.test}" for entry in entries), shows_output=True)
     return status or int(bool(incorrect_entries))
 
--- a/weldbend/__main__.py
+++ b/weldbend/__main__.py
@@ -1,9 +1,9 @@
-"""`python -m weldbend`: runs the command line."""
+"""Entry point of `python -m weldbend`: runs the command-line interface."""
 
 import gc
 import sys
 
-gc.disable()  # until a front serves: collections while loading take a tenth of the time of a restart
+gc.disable()  # until a front serves: garbage collection while loading takes a tenth of the restart time
 
 from weldbend import early_signals  # noqa: E402 - after gc.disable
 
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -1,4 +1,4 @@
-"""The command line: serve, check of a configuration, version."""
+"""Command-line interface: serving, validation of a configuration, version."""
 
 import sys
 from dataclasses import replace
@@ -16,7 +16,11 @@
 
 
 class InvalidInstallationError(ConfigurationError):
-    """An installation file that cannot be used, with the reason that its reader gives."""
+    """An installation file that cannot be used.
+
+    Attributes:
+        reason: Description of the problem, which names the file.
+    """
 
     def __init__(self, reason: object) -> None:
         super().__init__(f"installation {reason}")
@@ -24,7 +28,13 @@
 
 
 class InvalidSectionError(InvalidInstallationError):
-    """A section that does not fit what it names: files of keys, or the site's request classes."""
+    """A section that refers to an unusable key file, or to a request class that the site does not have.
+
+    Attributes:
+        path: Path of the installation file.
+        section: Name of the section.
+        reason: Description of the problem.
+    """
 
     def __init__(self, path: str, section: str, reason: object) -> None:
         super().__init__(f"{path}: [{section}] {reason}")
@@ -33,12 +43,12 @@
 
 
 def read_installation_file(path: str | None) -> "Installation":
-    """Return what an installation file sets; None gives the defaults.
+    """Return the settings of an installation file, or the defaults if `path` is None.
 
-    The reader is imported only where it is asked for: a front without such a file never loads it.
+    The reader is imported only when it is needed: a front without such a file never loads it.
 
     Raises:
-        InvalidInstallationError: where the file cannot be used.
+        InvalidInstallationError: The file cannot be used.
     """
     from weldbend.installation.errors import InstallationError
     from weldbend.installation.reader import read_installation
@@ -50,12 +60,16 @@
 
 
 def read_configuration(path: str | None, installation: str | None = None) -> Site:
-    """Return a front's configuration together with its installation file.
+    """Return the configuration of a front, combined with the settings of its installation file.
+
+    Args:
+        path: Path of the configuration.
+        installation: Path of the installation file, if there is one.
 
     Raises:
-        ConfigurationError: where one of them cannot be used.
-        OSError: where the configuration cannot be read.
-        UnicodeDecodeError: where it is no text.
+        ConfigurationError: One of the files cannot be used.
+        OSError: The configuration cannot be read.
+        UnicodeDecodeError: The configuration is not UTF-8.
     """
     site = read_site(Path(path or "").read_text("utf-8"))
     if not installation:
@@ -72,10 +86,10 @@
 
 
 def _check_fleet(fleet: "FleetSettings", site: Site, installation: str) -> None:
-    """Check what a fleet's settings name outside the installation file.
+    """Check that the key file and the request classes to which a fleet's settings refer exist.
 
     Raises:
-        InvalidSectionError: for keys that cannot be used, or a limit on a request class that the site lacks.
+        InvalidSectionError: The key file cannot be used, or the site does not have a limited request class.
     """
     from weldbend.fleet.service import FleetConfigurationError, load_keys
 
@@ -86,14 +100,14 @@
     limited = {name for name, _ in (*fleet.limits.leased_rates, *fleet.limits.demand_rates)}
     unknown = sorted(limited - set(site.settings.classes))
     if unknown:
-        raise InvalidSectionError(installation, "limits", f"no request class {unknown[0]!r}")
+        raise InvalidSectionError(installation, "limits", f"unknown request class {unknown[0]!r}")
 
 
 def load_configuration(path: str | None, installation: str | None = None) -> Site:
-    """Return a configuration, or end the command with one line that says why not.
+    """Return a configuration, or exit the command with one line that describes the error.
 
     Raises:
-        click.ClickException: where it cannot be read or used.
+        click.ClickException: The configuration or the installation file cannot be read or used.
     """
     if not path:
         message = "no configuration: give --config or set ROUTER_CONFIG"
@@ -108,17 +122,17 @@
 
 
 class LazyCommands(click.Group):
-    """Loads the commands of testbed and fleet only when they are asked for: a front never does."""
+    """Group that imports the commands of testbed and fleet only when they are used: a front never does."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the commands' names, without loading the testbed or the fleet."""
+        """Return the names of all commands, without importing the testbed or the fleet."""
         return [*super().list_commands(ctx), "fleet", "lab"]
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """Return a command; None for an unknown one.
 
         Raises:
-            click.ClickException: for the testbed's, where its libraries are not installed.
+            click.ClickException: The command is the testbed's, and its libraries are not installed.
         """
         if cmd_name == "fleet":
             from weldbend.fleet.cli import fleet
@@ -139,7 +153,7 @@
 @click.group(cls=LazyCommands, invoke_without_command=True)
 @click.pass_context
 def main(context: click.Context) -> None:
-    """A front for caches of large objects behind thin links."""
+    """Run or inspect a front for caches of large objects behind thin links."""
     if context.invoked_subcommand is None:
         click.echo(context.get_help())
 
@@ -148,7 +162,7 @@
 INSTALLATION = click.option(
     "--installation",
     envvar="WELDBEND_INSTALLATION",
-    help="our own file of settings (INI), see deploy/weldbend.ini",
+    help="the installation file (INI); see deploy/weldbend.ini",
 )
 
 
@@ -175,7 +189,7 @@
 @CONFIG
 @INSTALLATION
 def check(config: str | None, installation: str | None) -> None:
-    """Read configuration and installation file, and print what a front would make of them."""
+    """Validate the configuration and the installation file, and print the resulting settings."""
     site = load_configuration(config, installation)
     settings = site.settings
     classes = ", ".join(site.settings.classes)
--- a/weldbend/early_signals.py
+++ b/weldbend/early_signals.py
@@ -1,12 +1,13 @@
-"""Signals that come while a front is still loading.
+"""Signals that arrive while a front is still loading.
 
-Guards against a SIGHUP in that time: without a handler it would end the process, and ignored it would leave
-a front that has read its configuration already with a bus that has moved. Harm: none known.
+Guards against a SIGHUP during that time. Without a handler, the signal would end the process; if it were
+ignored, a front that has already read its configuration would keep the old address of a moved event bus. No
+side effect is known.
 """
 
 import signal
 
-hangups: list[int] = []  # one entry for each SIGHUP that came before the front could handle it
+hangups: list[int] = []  # one entry for each SIGHUP that arrived before the front could handle it
 
 
 def install_handler() -> None:
--- a/weldbend/logs.py
+++ b/weldbend/logs.py
@@ -1,6 +1,6 @@
-"""The log on standard error: lines for people, or one JSON object a line for machines.
+"""Log on standard error: lines of text for people, or one JSON object per line for programs.
 
-A line that cannot be written is lost: a full disk, a closed pipe or no standard error at all stops nobody.
+A line that cannot be written is lost; a full disk, a closed pipe or a missing standard error stops nothing.
 """
 
 import json
@@ -18,10 +18,10 @@
 
 
 def start(level: str, form: str) -> None:
-    """Send what is logged from `level` on to standard error, in one of FORMS.
+    """Write log messages of at least `level` to standard error, in a form out of `FORMS`.
 
     Raises:
-        ValueError: for an unknown level.
+        ValueError: The level is unknown.
     """
     logger.remove()
     if form == "json":
@@ -31,18 +31,19 @@
 
 
 def write(text: str) -> None:
-    """Write text that ends in a newline, if that is possible.
+    """Write text that ends in a newline; ignore errors.
 
-    Guards the front against what is behind its log. Harm: lines are lost without a trace.
+    Guards the front against failures of the file or pipe that receives its log. Side effect: lines are lost
+    without any report.
     """
-    if sys.stderr is not None:  # closed before the start, it is None
-        with suppress(OSError, ValueError):  # ValueError: closed since
+    if sys.stderr is not None:  # None if it was closed before the start
+        with suppress(OSError, ValueError):  # ValueError: closed after the start
             sys.stderr.write(text)
             sys.stderr.flush()
 
 
 def write_json(message: "Message") -> None:
-    """Write one line: time, level, message, and the fields that were bound, each under its name."""
+    """Write a message as a JSON object with time, level, message and the bound fields."""
     record = message.record
     line = {
         "time": record["time"].isoformat(timespec="milliseconds"),
