--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -76,7 +76,8 @@
         self.last_active = array("d")
         timeouts = [idle_timeout(settings, usage) for usage in range(USAGE_CLASSES)]
         self.wheels = [
-            TimerWheel(keep, max(keep / BUCKETS_PER_TIMEOUT, MIN_BUCKET_SECONDS)) for keep in timeouts
+            TimerWheel(timeout, max(timeout / BUCKETS_PER_TIMEOUT, MIN_BUCKET_SECONDS))
+            for timeout in timeouts
         ]
         self.short_idle_queue: deque[int] = deque()
         self.long_idle_queue: deque[int] = deque()
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -53,7 +53,7 @@
         self.line_number = 0
         self._lines = lines
         self._instances: dict[int, Instance] = {}
-        self._current: int | None = None  # number of the instance to which the next lines apply
+        self._current_number: int | None = None  # number of the instance to which the next lines apply
         self._replies: dict[int, list[str]] = {}  # by instance, in the order of their first events
 
     def read(self) -> Iterator[tuple[str, str]]:
@@ -68,9 +68,9 @@
         raise TruncatedBatchError
 
     def _instance(self) -> tuple[int, Instance]:
-        if self._current is None or self._current not in self._instances:
-            raise UnknownInstanceError(self._current)
-        return self._current, self._instances[self._current]
+        if self._current_number is None or self._current_number not in self._instances:
+            raise UnknownInstanceError(self._current_number)
+        return self._current_number, self._instances[self._current_number]
 
     def batch(self, head: str, rest: str) -> str:
         """Read one batch to its end and return the reply.
@@ -85,7 +85,7 @@
         if head != "sync":
             raise UnexpectedLineError("sync", head)
         now = wire.seconds(rest)
-        self._current = None
+        self._current_number = None
         self._replies = {}
         while (parts := self._next_line())[0] != "over_to_you":
             self._handle_line(*parts)
@@ -100,10 +100,10 @@
 
     def _handle_line(self, head: str, rest: str) -> None:
         if head == "for":
-            self._current = wire.integer(rest)
-        elif head == "provision" and self._current is not None:
-            self._instances[self._current] = Instance(rest)
-            self._replies[self._current] = []
+            self._current_number = wire.integer(rest)
+        elif head == "provision" and self._current_number is not None:
+            self._instances[self._current_number] = Instance(rest)
+            self._replies[self._current_number] = []
         elif head == "retire":
             number, _ = self._instance()
             del self._instances[number]
