--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -33,7 +33,7 @@
     Attributes:
         path: Path of the installation file.
         section: Name of the section.
-        reason: Description of the problem.
+        reason: Description of the problem, which names file and section.
     """
 
     def __init__(self, path: str, section: str, reason: object) -> None:
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -28,7 +28,6 @@
 HANGUP_ONCE = select.EPOLLRDHUP | select.EPOLLONESHOT
 NOTHING_TO_READ = (*WOULD_BLOCK_ERRORS, errno.EINTR)
 
-
 # Name of the anomaly counter, as it appears in the log.
 UNWATCHED_CLIENTS = "clients whose end cannot be watched"
 
--- a/weldbend/logs.py
+++ b/weldbend/logs.py
@@ -18,7 +18,7 @@
 
 
 def start(level: str, form: str) -> None:
-    """Write log messages of at least `level` to standard error, in a form out of `FORMS`.
+    """Write log messages of at least `level` to standard error, in one of `FORMS`.
 
     Raises:
         ValueError: The level is unknown.
--- a/weldbend/thrift/binary.py
+++ b/weldbend/thrift/binary.py
@@ -124,7 +124,10 @@
         return count
 
     def fields(self) -> Iterator[tuple[int, int]]:
-        """Yield type and id of each field of a struct; the caller has to read or skip each value."""
+        """Yield type and id of each field of a struct.
+
+        The caller has to read or skip the value of a field before it continues with the next.
+        """
         while (kind := self.byte()) != STOP:
             yield kind, _I16.unpack(self.read_bytes(2))[0]
 
@@ -134,7 +137,7 @@
         count = self.count(*kinds)
         if count and kinds != (STRING, STRING):
             raise MapTypesError(kinds)
-        # This loop dominates the decoding of a call: it uses local names, and no method call for each string.
+        # This loop dominates the decoding of a call, so it uses local names and none of the reader's methods.
         data = self.data
         position = self.position
         end = len(data)
--- a/weldbend/thrift/messages.py
+++ b/weldbend/thrift/messages.py
@@ -14,7 +14,7 @@
 PROTOCOL_ERROR = 7
 
 MESSAGE_TYPES = {"process": binary.CALL, "giveUp": binary.ONEWAY, "probe": binary.CALL}
-MAX_METHOD_NAME_LENGTH = 100  # characters of an unknown method's name, or of the reason, in a reply
+MAX_METHOD_NAME_LENGTH = 100  # characters of a method's name, or of the reason that quotes it, in a reply
 STOP = bytes((binary.STOP,))
 
 
