--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -1,4 +1,7 @@
-"""Framing of the simulator's protocol: batches of events in, one reply each, and the instances meant."""
+"""Framing of the simulator's protocol: each batch of events gets one reply.
+
+A batch may contain events for several simulated fronts, which are called instances.
+"""
 
 import traceback
 from collections.abc import Iterator
@@ -16,39 +19,45 @@
 
 
 class Instance:
-    """One simulated front: its codec, its router, and the events of the batch being read."""
+    """One simulated front: its codec, its router, and its events in the batch that is being read.
+
+    Attributes:
+        codec: Settings of the instance, and the parser of its events.
+        router: Router that handles the events.
+        events: Events of the current batch, in the order of the input.
+    """
 
     def __init__(self, line_rest: str) -> None:
         self.codec = wire.InstanceCodec(line_rest)
         self.router = Router(self.codec.seed, self.codec.settings)
         self.events: list[Event] = []
 
-    def answer(self, now: float) -> list[str]:
-        """Hand the events to the router; return the lines of its actions, or one that reports an error."""
+    def process_events(self, now: float) -> list[str]:
+        """Pass the events to the router; return the lines of its actions, or one line for an exception."""
         events = self.events
         self.events = []
         try:
             return [wire.action_text(action) for action in self.router.handle(now, events)]
-        except Exception as error:  # noqa: BLE001 - the simulator is told of any error
+        except Exception as error:  # noqa: BLE001 - any error is reported to the simulator
             return ["panic " + "".join(traceback.format_exception(error)).replace("\n", " | ")]
 
 
 class Host:
-    """All instances of this process, and the reader of their batches.
+    """The instances of this process, and the reader of batches.
 
     Attributes:
-        line_number: of the line read last, counted from 1.
+        line_number: Number of the last line read, counted from 1.
     """
 
     def __init__(self, lines: TextIO) -> None:
         self.line_number = 0
         self._lines = lines
         self._instances: dict[int, Instance] = {}
-        self._current: int | None = None  # the instance that the lines are for
-        self._replies: dict[int, list[str]] = {}  # by instance, in the order of its first event in the batch
+        self._current_number: int | None = None  # number of the instance to which the next lines apply
+        self._replies: dict[int, list[str]] = {}  # by instance, in the order of their first events
 
     def read(self) -> Iterator[tuple[str, str]]:
-        """Yield each line as its first word and the rest."""
+        """Yield each line, split into its first word and the rest."""
         for line in self._lines:
             self.line_number += 1
             yield wire.split(line)
@@ -59,29 +68,29 @@
         raise TruncatedBatchError
 
     def _instance(self) -> tuple[int, Instance]:
-        if self._current is None or self._current not in self._instances:
-            raise UnknownInstanceError(self._current)
-        return self._current, self._instances[self._current]
+        if self._current_number is None or self._current_number not in self._instances:
+            raise UnknownInstanceError(self._current_number)
+        return self._current_number, self._instances[self._current_number]
 
     def batch(self, head: str, rest: str) -> str:
         """Read one batch to its end and return the reply.
 
         Args:
-            head: first word of its first line.
-            rest: the rest of that line, the batch's time.
+            head: First word of the batch's first line.
+            rest: Rest of that line, which is the time of the batch.
 
         Raises:
-            MalformedLineError: for a line that the protocol does not allow.
+            MalformedLineError: A line violates the protocol.
         """
         if head != "sync":
             raise UnexpectedLineError("sync", head)
         now = wire.seconds(rest)
-        self._current = None
+        self._current_number = None
         self._replies = {}
         while (parts := self._next_line())[0] != "over_to_you":
             self._handle_line(*parts)
         for number, reply in self._replies.items():
-            reply += self._instances[number].answer(now)
+            reply += self._instances[number].process_events(now)
         texts = [
             f"source {number}\n" + "".join(f"{line}\n" for line in reply)
             for number, reply in self._replies.items()
@@ -91,10 +100,10 @@
 
     def _handle_line(self, head: str, rest: str) -> None:
         if head == "for":
-            self._current = wire.integer(rest)
-        elif head == "provision" and self._current is not None:
-            self._instances[self._current] = Instance(rest)
-            self._replies[self._current] = []
+            self._current_number = wire.integer(rest)
+        elif head == "provision" and self._current_number is not None:
+            self._instances[self._current_number] = Instance(rest)
+            self._replies[self._current_number] = []
         elif head == "retire":
             number, _ = self._instance()
             del self._instances[number]
@@ -112,7 +121,7 @@
 
 
 def serve(lines: TextIO, out: TextIO, err: TextIO) -> int:
-    """Answer every batch until the input ends; return 0, or 1 after a malformed line."""
+    """Reply to every batch until the input ends; return the exit status: 0, or 1 after a malformed line."""
     host = Host(lines)
     try:
         for head, rest in host.read():
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -1,6 +1,6 @@
-"""Lines of the simulator's protocol, to and from the router's events and actions.
+"""Translation between lines of the simulator's protocol and the router's events and actions.
 
-Times on the wire are whole microseconds; `-` stands for a value that is not told.
+Times on the wire are integers in microseconds; `-` is written for an absent value.
 """
 
 import base64
@@ -57,26 +57,26 @@
 }
 RESULTS = dict(enumerate((r for r in AttemptResult if r is not AttemptResult.LOCAL_FAULT), 1))
 FILL_HINTS = dict(enumerate(FillHint))
-MICROSECONDS = 1e6  # in a second
-ROUNDING = 1e-3  # microseconds: a time that is a whole number of them but for rounding is that number
-LIST_ENTRY = "a list entry"  # what errors call a line of the endpoint list
-RETRY_FLAG = 2  # in the flags of a request
+MICROSECONDS_PER_SECOND = 1e6
+ROUNDING_MARGIN = 1e-3  # microseconds; added so that floating-point error does not lose a whole one
+LIST_ENTRY = "a list entry"  # a line of the endpoint list, as error messages call it
+RETRY_FLAG = 2  # bit in the flags of a request
 
 Key = TypeVar("Key")
 Value = TypeVar("Value")
 
 
 def split(line: str) -> tuple[str, str]:
-    """Return a line's first word and the rest."""
+    """Split a line into its first word and the rest."""
     head, _, rest = line.rstrip("\n").partition(" ")
     return head, rest
 
 
 def integer(text: str) -> int:
-    """Return an integer.
+    """Parse an integer.
 
     Raises:
-        MalformedLineError: for anything else.
+        MalformedLineError: The text is not an integer.
     """
     try:
         return int(text)
@@ -85,10 +85,10 @@
 
 
 def number(text: str) -> float:
-    """Return a number, 0 for one that is not told.
+    """Parse a number; an absent one is 0.
 
     Raises:
-        MalformedLineError: for anything else.
+        MalformedLineError: The text is not a number.
     """
     try:
         return 0.0 if text == "-" else float(text)
@@ -97,24 +97,24 @@
 
 
 def seconds(text: str) -> float:
-    """Return a time or duration in seconds, 0 for one that is not told.
+    """Parse a time or duration in microseconds and return it in seconds; an absent one is 0.
 
     Raises:
-        MalformedLineError: for anything else.
+        MalformedLineError: The text is not an integer.
     """
-    return 0.0 if text == "-" else integer(text) / MICROSECONDS
+    return 0.0 if text == "-" else integer(text) / MICROSECONDS_PER_SECOND
 
 
-def micros(value: float) -> int:
-    """Return seconds as whole microseconds, rounded down."""
-    return int(value * MICROSECONDS + ROUNDING)
+def to_microseconds(value: float) -> int:
+    """Convert seconds to whole microseconds, rounded down."""
+    return int(value * MICROSECONDS_PER_SECOND + ROUNDING_MARGIN)
 
 
 def values(name: str, rest: str, count: int) -> list[str]:
-    """Return the values of a line, at least `count` of them.
+    """Return all values of a line, which must be at least `count`.
 
     Raises:
-        MalformedLineError: where there are fewer.
+        MalformedLineError: The line has fewer values.
     """
     found = rest.split(" ") if rest else []
     if len(found) < count:
@@ -122,11 +122,11 @@
     return found
 
 
-def known(name: str, table: Mapping[Key, Value], key: Key) -> Value:
-    """Return what a word or number stands for.
+def look_up(name: str, table: Mapping[Key, Value], key: Key) -> Value:
+    """Return the meaning of a word or number according to a table.
 
     Raises:
-        MalformedLineError: for one that the table lacks.
+        MalformedLineError: The table does not contain it.
     """
     if key not in table:
         raise UnknownValueError(name, key)
@@ -134,7 +134,7 @@
 
 
 def load(text: str) -> dict[str, float] | None:
-    """Return a load report, as in `inflight:7,util:0.61`; None where there is none."""
+    """Parse a load report such as `inflight:7,util:0.61`; return None for an absent one."""
     if text == "-":
         return None
     pairs = [pair.partition(":") for pair in text.split(",")]
@@ -142,7 +142,14 @@
 
 
 class InstanceCodec:
-    """One instance's side of the protocol: its settings, and the translation of its events."""
+    """Settings of one instance, and the parser of its events.
+
+    Attributes:
+        seed: Seed of the router's random choices.
+        settings: Settings of the site.
+        flow_rate: Rate of one transfer (kB per second), by which object sizes are converted to work.
+        roles: Role of each kind of cache.
+    """
 
     def __init__(self, line_rest: str) -> None:
         seed, _, text = line_rest.partition(" ")
@@ -169,12 +176,12 @@
         }
 
     def endpoints_listed(self, rest: str, lines: list[str]) -> EndpointsListed:
-        """Return the event of an endpoint list and its lines.
+        """Return the event for an endpoint list, whose entries are `lines`.
 
         Raises:
-            MalformedLineError: for what the protocol does not allow.
+            MalformedLineError: A line violates the protocol.
         """
-        scope = known("scope", SCOPES, values("view", rest, 3)[0])
+        scope = look_up("scope", SCOPES, values("view", rest, 3)[0])
         return EndpointsListed(scope, tuple(self._endpoint(line) for line in lines))
 
     def _endpoint(self, line: str) -> Endpoint:
@@ -187,16 +194,16 @@
             weight=number(weight),
             zone=zone,
             cell=int(number(cell)),
-            role=known("kind", self.roles, kind),
-            state=known("lifecycle", STATES, state),
+            role=look_up("kind", self.roles, kind),
+            state=look_up("lifecycle", STATES, state),
             started=seconds(started) or None,
         )
 
     def event(self, head: str, rest: str) -> Event:
-        """Return any event of a running instance but the endpoint list.
+        """Return the event of a line; all events of a running instance except the endpoint list.
 
         Raises:
-            MalformedLineError: for an unknown event, or values that the protocol does not allow.
+            MalformedLineError: The event is unknown, or its values violate the protocol.
         """
         translate = self._events.get(head)
         if translate is None:
@@ -205,7 +212,7 @@
 
     def _request(self, rest: str) -> Event:
         name, key, flags, class_name, group, _, part, size, deadline = values("call", rest, 9)[:9]
-        known("class", self.settings.classes, class_name)
+        look_up("class", self.settings.classes, class_name)
         return RequestReceived(
             id=name,
             key=key,
@@ -223,10 +230,10 @@
         return AttemptEnded(
             id=name,
             attempt=integer(attempt),
-            result=known("status", RESULTS, integer(result)),
+            result=look_up("status", RESULTS, integer(result)),
             duration=seconds(duration),
             request_closed=closed == "1",
-            fill_hint=known("info", FILL_HINTS, int(number(hint))),
+            fill_hint=look_up("info", FILL_HINTS, int(number(hint))),
             waited=seconds(waited),
             load=load(report),
         )
@@ -247,14 +254,14 @@
     @staticmethod
     def _objects_purged(rest: str) -> Event:
         key, age, group = values("purged", rest, 3)[:3]
-        is_group = not key.strip("0-")  # a key of zeros, or none
+        is_group = not key.strip("0-")  # the key is absent or consists of zeros
         return ObjectsPurged(None if is_group else key, int(number(group)), seconds(age))
 
     @staticmethod
     def _health_check_done(rest: str) -> Event:
         cache, result, duration, report = values("echo", rest, 4)[:4]
         return HealthCheckDone(
-            integer(cache), known("status", RESULTS, integer(result)), seconds(duration), load(report)
+            integer(cache), look_up("status", RESULTS, integer(result)), seconds(duration), load(report)
         )
 
     @staticmethod
@@ -264,18 +271,18 @@
 
 
 def _send_attempt_text(action: SendAttempt) -> str:
-    timeout = micros(action.timeout)
+    timeout = to_microseconds(action.timeout)
     if action.source is None:
         return f"place {action.id} {action.cache} {timeout}"
     mode = action.join_fill + 2 * action.only_if_cached + 4 * action.leave_no_copy + 8 * action.revalidate
-    age = micros(action.max_age)
+    age = to_microseconds(action.max_age)
     return f"obtain {action.id} {action.source} {action.rank} {age} {timeout} {action.cache} {mode}"
 
 
 def _other_action_text(action: SetTimer | SendHealthCheck | SendMessage | WatchEndpoints | WriteLog) -> str:
     match action:
         case SetTimer(delay, token):
-            return f"wake_at {micros(delay)} {token}"
+            return f"wake_at {to_microseconds(delay)} {token}"
         case SendHealthCheck(cache):
             return f"ask_load {cache}"
         case SendMessage(front, text):
@@ -287,14 +294,14 @@
 
 
 def action_text(action: Action) -> str:
-    """Return the line of an action."""
+    """Format an action as a line of the protocol."""
     match action:
         case SendAttempt():
             return _send_attempt_text(action)
         case CancelAttempt(name, attempt):
             return f"stop_attempt {name} {attempt}"
         case RejectRequest(name, retry_after):
-            return f"say_no {name} {micros(retry_after)}"
+            return f"say_no {name} {to_microseconds(retry_after)}"
         case FailRequest(name):
             return f"end_failed {name}"
         case _:
