--- a/tests/test_waiting_attempts.py
+++ b/tests/test_waiting_attempts.py
@@ -1,9 +1,9 @@
 """Guards against attempts that wait for a connection to a cache while none is being opened.
 
 A connection is established, and in the same poll of the event loop a second client's requests are due for
-routing. They are routed before the attempts that waited for the connection are sent, and take all its streams.
-The attempts that still wait need another connection; without one they end as unreachable after the connect
-timeout.
+routing. They are routed before the attempts that waited for the connection are sent, and take all its
+streams. The attempts that still wait need another connection; without one they end as unreachable after the
+connect timeout.
 """
 
 from fronts import FrontHarness, Transport, process, target
