--- a/tests/test_binding_rules.py
+++ b/tests/test_binding_rules.py
@@ -14,7 +14,7 @@
 from weldbend.routing.admission import Admission
 from weldbend.testbed.simulation.run import Run
 from weldbend.testbed.simulation.settings import RunSettings
-from weldbend.testbed.simulation.slow_start_audit import calls_bound
+from weldbend.testbed.simulation.slow_start_audit import max_calls
 
 SEEDS = range(1, 7)
 SETTINGS = RunSettings(seconds=6.0, faults=8, orders=0.1, edits=0.15, weight=1.5)
@@ -38,8 +38,8 @@
 
 
 def test_the_bound_on_calls_is_the_published_one():
-    assert calls_bound(25) == 25 + 3 * 5 + 3
-    assert calls_bound(100) == 100 + 2 * 10 + 2
+    assert max_calls(25) == 25 + 3 * 5 + 3
+    assert max_calls(100) == 100 + 2 * 10 + 2
 
 
 def keeps_on_for_gone_clients(monkeypatch):
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -13,7 +13,7 @@
 
 from weldbend.cache_protocol import commands
 from weldbend.event_bus.sse import Parser as EventParser
-from weldbend.testbed.faults.engine import FaultAction, Injector, What
+from weldbend.testbed.faults.engine import ActionKind, FaultAction, Injector
 from weldbend.testbed.faults.messages import Message, Splitter, read_line, read_thrift, rewrite
 from weldbend.testbed.faults.plan import Direction, InvalidPlanError, parse_plan, read_plan
 from weldbend.testbed.load import client_calls
@@ -27,7 +27,7 @@
     return Injector(parse_plan({name: held for name, held in faults.items()}, framing), seed)
 
 
-def played(made, frames, direction=Direction.BACK, now=0.0):
+def played(made, frames, direction=Direction.TO_CLIENT, now=0.0):
     stream = made.stream(1, direction, 0.0)
     fault_actions = [fault_action for frame in frames for fault_action in stream.feed(now, frame)]
     return fault_actions + stream.end(now)
@@ -86,7 +86,7 @@
             (
                 joined(fault_actions),
                 made.injections,
-                [d.what for d in fault_actions if d.what is not What.DATA],
+                [d.kind for d in fault_actions if d.kind is not ActionKind.DATA],
             )
         )
     assert results[0] == results[1]
@@ -106,10 +106,10 @@
         len(first) + 9,
         len(first) + 10,
     ]
-    end = [(d.what, d.data) for d in run(kind="half-close", inside="7")]
-    assert end == [(What.DATA, first), (What.DATA, second[:7]), (What.END, b"")]
-    assert [d.what for d in run(kind="cut")] == [What.DATA, What.RESET]
-    assert run(kind="cut", how="close", inside="3")[-1].what is What.CLOSE
+    end = [(d.kind, d.data) for d in run(kind="half-close", inside="7")]
+    assert end == [(ActionKind.DATA, first), (ActionKind.DATA, second[:7]), (ActionKind.END, b"")]
+    assert [d.kind for d in run(kind="cut")] == [ActionKind.DATA, ActionKind.RESET]
+    assert run(kind="cut", how="close", inside="3")[-1].kind is ActionKind.CLOSE
     assert joined(run(kind="hang", inside="5")) == first + second[:5]
     assert [d.at for d in run(kind="stall", **{"for": "2 s"}) if d.data] == [0.0, 2.0, 2.0]
     assert [d.at for d in run(kind="delay", **{"for": "1 s"}) if d.data] == [0.0, 1.0, 1.0]
@@ -122,15 +122,15 @@
 def test_triggers_by_byte_field_connection_time_and_number_of_times():
     data = b"".join(ANSWERS)
     cut = played(injector(framing="raw", x={"kind": "cut", "byte": "100"}), [data[:60], data[60:]])
-    assert joined(cut) == data[:100] and cut[-1].what is What.RESET
+    assert joined(cut) == data[:100] and cut[-1].kind is ActionKind.RESET
     made = injector(x={"kind": "drop", "field": "seqid=3"})
     assert joined(played(made, ANSWERS)) == b"".join(ANSWERS[:2] + ANSWERS[3:])
     assert [(s.message, s.offset) for s in made.injections] == [(3, len(ANSWERS[0]) * 2)]
     made = injector(x={"kind": "drop", "connection": "2", "times": "1"})
-    assert not [d for d in made.stream(1, Direction.BACK, 0.0).feed(0.0, ANSWERS[0]) if not d.data]
-    other = made.stream(2, Direction.BACK, 0.0)
+    assert not [d for d in made.stream(1, Direction.TO_CLIENT, 0.0).feed(0.0, ANSWERS[0]) if not d.data]
+    other = made.stream(2, Direction.TO_CLIENT, 0.0)
     assert not other.feed(0.0, ANSWERS[0]) and other.feed(0.0, ANSWERS[1])
-    late = injector(x={"kind": "drop", "after": "1 s"}).stream(1, Direction.BACK, 0.0)
+    late = injector(x={"kind": "drop", "after": "1 s"}).stream(1, Direction.TO_CLIENT, 0.0)
     assert late.feed(0.9, ANSWERS[0]) and not late.feed(1.1, ANSWERS[1])
 
 
@@ -178,9 +178,12 @@
         assert b"".join(m.raw for m in Splitter(framing).feed(data)) == data
     parts = [commands.do("a", {"x": "1"}, b"\r\n"), commands.undo("a"), commands.ping("t")]
     assert [m.raw for m in Splitter("commands").feed(b"".join(parts))] == parts
-    half = injector(x={"kind": "drop", "message": "9"}).stream(1, Direction.BACK, 0.0)
+    half = injector(x={"kind": "drop", "message": "9"}).stream(1, Direction.TO_CLIENT, 0.0)
     assert half.feed(0.0, ANSWERS[0][:9]) == []
-    assert half.end(0.0) == [FaultAction(0.0, What.DATA, ANSWERS[0][:9]), FaultAction(0.0, What.END)]
+    assert half.end(0.0) == [
+        FaultAction(0.0, ActionKind.DATA, ANSWERS[0][:9]),
+        FaultAction(0.0, ActionKind.END),
+    ]
 
 
 def test_a_half_close_in_the_middle_of_a_thrift_reply_between_real_sockets(tmp_path):
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -234,5 +234,5 @@
     held = Auditor(None)
     held.on_front_unreachable("n1", 2.0, 5.0, False)
     held.on_front_unreachable("n1", 4.5, 6.0, False)
-    assert [held.known_since("n1", at) for at in (1.0, 2.0, 5.5, 6.0)] == [1.0, 6.0, 6.0, 6.0]
-    assert held.known_since("n2", 3.0) == 3.0
+    assert [held.earliest_notice("n1", at) for at in (1.0, 2.0, 5.5, 6.0)] == [1.0, 6.0, 6.0, 6.0]
+    assert held.earliest_notice("n2", 3.0) == 3.0
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -19,7 +19,7 @@
 from weldbend.testbed.faults.call_faults import (
     ALL_FAULTS,
     ERRORS,
-    WINDOWS,
+    SEED_FAULT_WINDOWS,
     Call,
     CallFaults,
     draw_plan,
@@ -28,7 +28,7 @@
 )
 from weldbend.testbed.faults.socket_trial import (
     DEDUPLICATION_WINDOW,
-    OVERLAP,
+    OVERLAP_SLACK,
     AttemptAudit,
     AuditedConnection,
 )
@@ -37,8 +37,8 @@
 def test_a_plan_depends_on_its_seed_alone_and_as_many_seeds_as_faults_inject_each_in_all_of_the_time():
     assert draw_plan(7, 5.0) == draw_plan(7, 5.0) != draw_plan(8, 5.0)
     assert {seed_fault(seed) for seed in range(len(ALL_FAULTS))} == set(ALL_FAULTS)
-    own = draw_plan(7, 5.0)[:WINDOWS]
-    assert {(episode.call, episode.number) for episode in own} == {seed_fault(7)}
+    own = draw_plan(7, 5.0)[:SEED_FAULT_WINDOWS]
+    assert {(episode.call, episode.error_number) for episode in own} == {seed_fault(7)}
     assert (own[0].since, own[-1].until) == (0.0, 5.0)
 
 
@@ -47,17 +47,17 @@
     episode.chance = 1.0
     faults = CallFaults([episode], random.Random(1))
     inside = (episode.since + episode.until) / 2
-    assert faults.draw(Call.WAIT, inside) is None
+    assert faults.draw(Call.EPOLL_WAIT, inside) is None
     drawn = [faults.draw(Call.ACCEPT, inside) for _ in range(100)]
     assert drawn == [errno.ENFILE] * drawn.count(errno.ENFILE) + [None] * drawn.count(None)
     assert 0 < drawn.count(errno.ENFILE) <= 40 and faults.calls[Call.ACCEPT] == 100
-    episode.left = 9
+    episode.remaining = 9
     assert faults.draw(Call.ACCEPT, episode.until + 1.0) is None
 
 
 def test_errors_of_connect_are_this_machines_or_the_peers():
     peers = {errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNREFUSED, errno.ECONNRESET}
-    for call in (Call.SOCKET, Call.CONNECT, Call.CONNECT_RESULT, Call.WATCH):
+    for call in (Call.SOCKET, Call.CONNECT, Call.CONNECT_RESULT, Call.EPOLL_CTL):
         for number in ERRORS[call]:
             expected = FaultSide.PEER if number in peers else FaultSide.THIS_MACHINE
             assert connect_fault_side(number) is expected, errno.errorcode[number]
@@ -76,12 +76,12 @@
     server = SimpleNamespace(cache=SimpleNamespace(open=0))
     first, second = (AuditedConnection(server, audit) for _ in range(2))
     command = SimpleNamespace(name="0000000000000001", fields={"uniq": "ab"})
-    audit.sent(command, first)
+    audit.on_attempt_sent(command, first)
     clock.advance(0.01)
-    audit.sent(command, second)
+    audit.on_attempt_sent(command, second)
     if ends_first:
-        audit.ended(command.name, first)
-    clock.advance(OVERLAP)
+        audit.on_attempt_ended(command.name, first)
+    clock.advance(OVERLAP_SLACK)
     return command, second
 
 
@@ -99,8 +99,8 @@
     audit = AttemptAudit(clock)
     command, second = attempts(clock, audit, ends_first=True)
     clock.advance(DEDUPLICATION_WINDOW)
-    audit.ended(command.name, second)
-    audit.sent(command, second)
+    audit.on_attempt_ended(command.name, second)
+    audit.on_attempt_sent(command, second)
     assert audit.violations == ["effect asked for again beyond its window: ab"]
 
 
--- a/weldbend/testbed/faults/call_faults.py
+++ b/weldbend/testbed/faults/call_faults.py
@@ -19,20 +19,20 @@
     CONNECT_RESULT = "connect, later"
     RECEIVE = "recv"
     SEND = "send"
-    WAIT = "epoll_wait"
-    WATCH = "epoll_ctl"
+    EPOLL_WAIT = "epoll_wait"
+    EPOLL_CTL = "epoll_ctl"
 
 
-SHORT = 0  # in place of an error number: the call moves a part of the bytes
+SHORT_TRANSFER = 0  # in place of an error number: the call moves a part of the bytes
 
-BREAKING = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
-NO_RESOURCES = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-NO_PATH = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNREFUSED)
+CONNECTION_FAILURES = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
+RESOURCE_EXHAUSTION = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+UNREACHABLE = (errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNREFUSED)
 ERRORS: dict[Call, tuple[int, ...]] = {
-    Call.ACCEPT: (errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, *NO_RESOURCES),
-    Call.SOCKET: NO_RESOURCES,
+    Call.ACCEPT: (errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, *RESOURCE_EXHAUSTION),
+    Call.SOCKET: RESOURCE_EXHAUSTION,
     Call.CONNECT: (
-        *NO_PATH,
+        *UNREACHABLE,
         errno.EADDRNOTAVAIL,
         errno.EAGAIN,
         errno.EINTR,
@@ -40,21 +40,21 @@
         errno.ENOMEM,
         errno.EPERM,
     ),
-    Call.CONNECT_RESULT: (*NO_PATH, errno.ECONNRESET),
-    Call.RECEIVE: (SHORT, errno.EAGAIN, *BREAKING, errno.ENOMEM),
-    Call.SEND: (SHORT, errno.EAGAIN, errno.ENOBUFS, *BREAKING, errno.EPIPE, errno.ENOMEM),
-    Call.WAIT: (errno.EINTR,),
-    Call.WATCH: (errno.ENOSPC, errno.ENOMEM),
+    Call.CONNECT_RESULT: (*UNREACHABLE, errno.ECONNRESET),
+    Call.RECEIVE: (SHORT_TRANSFER, errno.EAGAIN, *CONNECTION_FAILURES, errno.ENOMEM),
+    Call.SEND: (SHORT_TRANSFER, errno.EAGAIN, errno.ENOBUFS, *CONNECTION_FAILURES, errno.EPIPE, errno.ENOMEM),
+    Call.EPOLL_WAIT: (errno.EINTR,),
+    Call.EPOLL_CTL: (errno.ENOSPC, errno.ENOMEM),
 }
 ALL_FAULTS = tuple((call, number) for call, numbers in ERRORS.items() for number in numbers)
-HARMLESS_TRANSFERS = frozenset({SHORT, errno.EAGAIN, errno.ENOBUFS})  # of RECEIVE and SEND
-EPISODES = 5  # of a plan, drawn at random
-OWN_CHANCE = 0.6  # with which the seed's own fault is injected at least, while it may be
-WINDOWS = 10  # equal parts of the time, in each of which the seed's own fault is injected
-SHORTEST = 0.05  # seconds of an episode at least
-LONGEST = 0.8  # and at most
-MOST_BREAKS = 3  # in one episode that ends connections
-MOST_FAULTS = 40  # in one that does not
+HARMLESS_TRANSFERS = frozenset({SHORT_TRANSFER, errno.EAGAIN, errno.ENOBUFS})  # of RECEIVE and SEND
+RANDOM_EPISODES = 5  # of a plan, drawn at random
+MIN_SEED_FAULT_CHANCE = 0.6  # with which the seed's own fault is injected at least, while it may be
+SEED_FAULT_WINDOWS = 10  # equal parts of the time, in each of which the seed's own fault is injected
+MIN_EPISODE = 0.05  # seconds of an episode at least
+MAX_EPISODE = 0.8  # and at most
+MAX_BREAKING_FAULTS = 3  # in one episode that ends connections
+MAX_HARMLESS_FAULTS = 40  # in one that does not
 
 
 def error_name(number: int) -> str:
@@ -73,19 +73,19 @@
 
     Attributes:
         call: which.
-        number: how; an error number, or SHORT.
+        error_number: how; an error number, or SHORT_TRANSFER.
         since: when it begins, in seconds after the start.
         until: when it ends.
         chance: with which a call in that time fails.
-        left: how many calls may still fail.
+        remaining: how many calls may still fail.
     """
 
     call: Call
-    number: int
+    error_number: int
     since: float
     until: float
     chance: float
-    left: int
+    remaining: int
 
 
 def draw_plan(seed: int, seconds: float) -> list[Episode]:
@@ -95,14 +95,14 @@
     time; some others are drawn beside it.
     """
     rng = random.Random(f"socket calls {seed}")
-    window = seconds / WINDOWS
-    moments = [(index * window, (index + 1) * window) for index in range(WINDOWS)]
+    window = seconds / SEED_FAULT_WINDOWS
+    moments = [(index * window, (index + 1) * window) for index in range(SEED_FAULT_WINDOWS)]
     episodes = [draw_episode(rng, seed_fault(seed), *moment) for moment in moments]
     for episode in episodes:
-        episode.chance = max(episode.chance, OWN_CHANCE)
-    for fault in rng.sample(ALL_FAULTS, EPISODES):
+        episode.chance = max(episode.chance, MIN_SEED_FAULT_CHANCE)
+    for fault in rng.sample(ALL_FAULTS, RANDOM_EPISODES):
         since = rng.uniform(0.0, seconds)
-        episodes.append(draw_episode(rng, fault, since, since + rng.uniform(SHORTEST, LONGEST)))
+        episodes.append(draw_episode(rng, fault, since, since + rng.uniform(MIN_EPISODE, MAX_EPISODE)))
     return episodes
 
 
@@ -115,8 +115,8 @@
     """An episode of a fault between two moments: how often, and by what chance."""
     is_breaking = ends_connection(*fault)
     chance = rng.uniform(0.1, 0.5) if is_breaking else rng.choice((0.2, 0.5, 1.0))
-    left = rng.randint(1, MOST_BREAKS if is_breaking else MOST_FAULTS)
-    return Episode(*fault, since, until, chance, left)
+    remaining = rng.randint(1, MAX_BREAKING_FAULTS if is_breaking else MAX_HARMLESS_FAULTS)
+    return Episode(*fault, since, until, chance, remaining)
 
 
 @dataclass
@@ -134,7 +134,7 @@
     calls: dict[Call, int] = field(default_factory=lambda: dict.fromkeys(Call, 0))
 
     def draw(self, call: Call, now: float) -> int | None:
-        """How a call that is made now fails: an error number, SHORT, or None for not at all.
+        """How a call that is made now fails: an error number, SHORT_TRANSFER, or None for not at all.
 
         Args:
             call: the call.
@@ -142,8 +142,8 @@
         """
         self.calls[call] += 1
         for episode in self.episodes:
-            is_due = episode.call is call and episode.since <= now < episode.until and episode.left > 0
+            is_due = episode.call is call and episode.since <= now < episode.until and episode.remaining > 0
             if is_due and self.rng.random() < episode.chance:
-                episode.left -= 1
-                return episode.number
+                episode.remaining -= 1
+                return episode.error_number
         return None
--- a/weldbend/testbed/faults/engine.py
+++ b/weldbend/testbed/faults/engine.py
@@ -11,13 +11,13 @@
 from enum import Enum, auto
 
 from weldbend.testbed.faults.messages import Message, Splitter, rewrite
-from weldbend.testbed.faults.plan import FRAMINGS, Direction, Fault, Kind, Plan
+from weldbend.testbed.faults.plan import FRAMINGS, Direction, Fault, FaultKind, Plan
 
-SLICE = 0.02  # seconds of a throttled stream that are handed on in one piece
-FLIPPED_BITS = 0x55  # of a byte that is corrupted
+THROTTLE_SLICE = 0.02  # seconds of a throttled stream that are handed on in one piece
+CORRUPTION_MASK = 0x55  # of a byte that is corrupted
 
 
-class What(Enum):
+class ActionKind(Enum):
     """What is to be done towards the receiver."""
 
     DATA = auto()
@@ -31,7 +31,7 @@
     """One thing to be done towards the receiver."""
 
     at: float  # seconds of the caller's clock; never before the action ahead of it
-    what: What
+    kind: ActionKind
     data: bytes = b""
 
 
@@ -77,13 +77,13 @@
 
 
 @dataclass
-class MessageFate:
+class MessageEffects:
     """What the faults that are injected into one message make of it."""
 
     raw: bytes
     delay: float = 0.0  # seconds
     copies: int = 1
-    is_swapped: bool = False  # it changes place with the next
+    is_reordered: bool = False  # it changes place with the next
     interruption: Fault | None = None  # one that stops the stream within the message
 
 
@@ -99,35 +99,37 @@
             for fault in injector.plan.faults
             if fault.direction is direction and fault.connection in (0, connection)
         ]
-        self.framing = FRAMINGS[injector.plan.framing][direction is Direction.BACK]
+        self.framing = FRAMINGS[injector.plan.framing][direction is Direction.TO_CLIENT]
         self.splitter = Splitter(self.framing)
-        self.began = now
-        self.clear_at = now  # when all actions so far are done
+        self.opened_at = now
+        self.last_action_at = now  # when all actions so far are done
         self.message_count = 0
         self.offset = 0  # bytes of the stream before the present message
         self.rate = 0  # bytes a second; 0 for no bound
         self.added_delay = 0.0  # seconds that growing delays have come to
-        self.swapped = b""  # a message that lets the next go first
-        self.is_over = False
-        self.draws: dict[str, bool] = {}  # on raw streams chance is drawn once a connection, by fault
+        self.reordered = b""  # a message that lets the next go first
+        self.is_finished = False
+        self.connection_draws: dict[
+            str, bool
+        ] = {}  # on raw streams chance is drawn once a connection, by fault
 
     def feed(self, now: float, data: bytes) -> list[FaultAction]:
         """Bytes that came; what is to be done about them, and when."""
         actions: list[FaultAction] = []
         for message in self.splitter.feed(data):
-            if self.is_over:
+            if self.is_finished:
                 break
             self.message_count += 1
-            self._pass_on(now, message, actions)
+            self._process_message(now, message, actions)
             self.offset += len(message.raw)
         return actions
 
     def end(self, now: float) -> list[FaultAction]:
         """The sender has shut down its side: so is the receiver's, after all that went before."""
         actions: list[FaultAction] = []
-        if not self.is_over:
-            self._emit(now, self.swapped + self.splitter.rest(), actions)
-            self._finish(now, What.END, actions)
+        if not self.is_finished:
+            self._emit(now, self.reordered + self.splitter.rest(), actions)
+            self._finish(now, ActionKind.END, actions)
         return actions
 
     # One message.
@@ -140,7 +142,7 @@
         ]
 
     def _is_triggered(self, now: float, fault: Fault, message: Message) -> bool:
-        if fault.message not in (0, self.message_count) or now < self.began + fault.after:
+        if fault.message not in (0, self.message_count) or now < self.opened_at + fault.after:
             return False
         if fault.byte is not None and not self.offset <= fault.byte < self.offset + len(message.raw):
             return False
@@ -150,86 +152,86 @@
             return True
         if self.framing == "raw":
             drawn = self.injector.draw(fault.name, self.connection)
-            return self.draws.setdefault(fault.name, drawn < fault.chance)
+            return self.connection_draws.setdefault(fault.name, drawn < fault.chance)
         return self.injector.draw(fault.name, self.connection, self.message_count) < fault.chance
 
-    def _pass_on(self, now: float, message: Message, actions: list[FaultAction]) -> None:
-        fate = MessageFate(message.raw)
+    def _process_message(self, now: float, message: Message, actions: list[FaultAction]) -> None:
+        effects = MessageEffects(message.raw)
         for fault in self._injected_faults(now, message):
-            self._apply(fault, message, fate)
-        if fate.interruption:
-            self._interrupt(now + fate.delay, fate.interruption, fate.raw, actions)
+            self._apply(fault, message, effects)
+        if effects.interruption:
+            self._interrupt(now + effects.delay, effects.interruption, effects.raw, actions)
             return
-        if fate.is_swapped and not self.swapped:
-            self.swapped = fate.raw
+        if effects.is_reordered and not self.reordered:
+            self.reordered = effects.raw
             return
-        self._emit(now + fate.delay, fate.raw * fate.copies, actions)
-        swapped = self.swapped
-        self.swapped = b""
-        self._emit(now, swapped, actions)
+        self._emit(now + effects.delay, effects.raw * effects.copies, actions)
+        reordered = self.reordered
+        self.reordered = b""
+        self._emit(now, reordered, actions)
 
-    def _apply(self, fault: Fault, message: Message, fate: MessageFate) -> None:
+    def _apply(self, fault: Fault, message: Message, effects: MessageEffects) -> None:
         match fault.kind:
-            case Kind.DELAY:
-                fate.delay += self._drawn_delay(fault)
-            case Kind.THROTTLE:
+            case FaultKind.DELAY:
+                effects.delay += self._drawn_delay(fault)
+            case FaultKind.THROTTLE:
                 self.rate = fault.rate
-            case Kind.DROP:
-                fate.copies = 0
-            case Kind.DUPLICATE:
-                fate.copies = 2
-            case Kind.REORDER:
-                fate.is_swapped = True
-            case Kind.CORRUPT:
-                fate.raw = corrupt(fate.raw, self._place(fault), fault.bytes)
-            case Kind.REWRITE:
-                changed = Message(fate.raw, message.fields)
-                fate.raw = rewrite(self.framing, changed, fault.set_field, fault.to)
-            case Kind.STALL | Kind.HANG | Kind.CUT | Kind.HALF_CLOSE:
-                fate.interruption = fate.interruption or fault
+            case FaultKind.DROP:
+                effects.copies = 0
+            case FaultKind.DUPLICATE:
+                effects.copies = 2
+            case FaultKind.REORDER:
+                effects.is_reordered = True
+            case FaultKind.CORRUPT:
+                effects.raw = corrupt(effects.raw, self._position(fault), fault.bytes)
+            case FaultKind.REWRITE:
+                changed = Message(effects.raw, message.fields)
+                effects.raw = rewrite(self.framing, changed, fault.set_field, fault.to)
+            case FaultKind.STALL | FaultKind.HANG | FaultKind.CUT | FaultKind.HALF_CLOSE:
+                effects.interruption = effects.interruption or fault
 
     def _drawn_delay(self, fault: Fault) -> float:
         self.added_delay += fault.growth
         drawn = self.injector.draw(fault.name, self.connection, self.message_count, "jitter")
         return fault.duration + self.added_delay + fault.jitter * drawn
 
-    def _place(self, fault: Fault) -> int:
+    def _position(self, fault: Fault) -> int:
         """Where in the message a fault is injected: at its byte of the stream, or so far inside."""
         return fault.byte - self.offset if fault.byte is not None else fault.inside or 0
 
     def _interrupt(self, now: float, fault: Fault, raw: bytes, actions: list[FaultAction]) -> None:
         """Part of a message, then a standstill or an end."""
-        place = min(self._place(fault), len(raw))
-        self._emit(now, raw[:place], actions)
+        position = min(self._position(fault), len(raw))
+        self._emit(now, raw[:position], actions)
         match fault.kind:
-            case Kind.STALL:
-                self.clear_at = max(self.clear_at, now) + fault.duration
-                self._emit(now, raw[place:], actions)
-            case Kind.HANG:
-                self.is_over = True
-            case Kind.HALF_CLOSE:
-                self._finish(now, What.END, actions)
+            case FaultKind.STALL:
+                self.last_action_at = max(self.last_action_at, now) + fault.duration
+                self._emit(now, raw[position:], actions)
+            case FaultKind.HANG:
+                self.is_finished = True
+            case FaultKind.HALF_CLOSE:
+                self._finish(now, ActionKind.END, actions)
             case _:
-                self._finish(now, What.RESET if fault.how == "reset" else What.CLOSE, actions)
+                self._finish(now, ActionKind.RESET if fault.how == "reset" else ActionKind.CLOSE, actions)
 
     def _emit(self, at: float, data: bytes, actions: list[FaultAction]) -> None:
         """Hand bytes on, not before the time given and not before what went ahead."""
         if not data:
             return
-        self.clear_at = max(self.clear_at, at)
-        size = max(int(self.rate * SLICE), 1) if self.rate else len(data)
+        self.last_action_at = max(self.last_action_at, at)
+        size = max(int(self.rate * THROTTLE_SLICE), 1) if self.rate else len(data)
         for start in range(0, len(data), size):
             piece = data[start : start + size]
-            self.clear_at += len(piece) / self.rate if self.rate else 0.0
-            actions.append(FaultAction(self.clear_at, What.DATA, piece))
+            self.last_action_at += len(piece) / self.rate if self.rate else 0.0
+            actions.append(FaultAction(self.last_action_at, ActionKind.DATA, piece))
 
-    def _finish(self, at: float, what: What, actions: list[FaultAction]) -> None:
-        self.is_over = True
-        self.clear_at = max(self.clear_at, at)
-        actions.append(FaultAction(self.clear_at, what))
+    def _finish(self, at: float, kind: ActionKind, actions: list[FaultAction]) -> None:
+        self.is_finished = True
+        self.last_action_at = max(self.last_action_at, at)
+        actions.append(FaultAction(self.last_action_at, kind))
 
 
-def corrupt(raw: bytes, place: int, count: int) -> bytes:
+def corrupt(raw: bytes, position: int, count: int) -> bytes:
     """Flip bits in so many bytes from a place on."""
-    corrupted = bytes(byte ^ FLIPPED_BITS for byte in raw[place : place + count])
-    return raw[:place] + corrupted + raw[place + len(corrupted) :]
+    corrupted = bytes(byte ^ CORRUPTION_MASK for byte in raw[position : position + count])
+    return raw[:position] + corrupted + raw[position + len(corrupted) :]
--- a/weldbend/testbed/faults/messages.py
+++ b/weldbend/testbed/faults/messages.py
@@ -18,11 +18,11 @@
 from weldbend.thrift.errors import InvalidMessageError
 from weldbend.thrift.framing import LENGTH
 
-LONGEST = 1 << 19  # bytes of one message
-BREAK = b"\r\n"
-BODY_DIGITS = 6  # of the length of a line's body
-SHORT_LINE = 2  # words of undo, ping and top: word and name
-FULL_LINE = 4  # words of do and of an answer: word, name (or the reverse), fields and length
+MAX_MESSAGE_SIZE = 1 << 19  # bytes of one message
+LINE_END = b"\r\n"
+MAX_LENGTH_DIGITS = 6  # of the length of a line's body
+SHORT_LINE_TOKENS = 2  # words of undo, ping and top: word and name
+FULL_LINE_TOKENS = 4  # words of do and of an answer: word, name (or the reverse), fields and length
 
 Fields = dict[str, str]
 
@@ -53,8 +53,8 @@
 
     def __init__(self, framing: str) -> None:
         self.framing = framing
-        self.ring = Ring(LONGEST)
-        self.is_lost = False  # what follows cannot be cut any more
+        self.ring = Ring(MAX_MESSAGE_SIZE)
+        self.is_unparsable = False  # what follows cannot be cut any more
 
     def feed(self, data: bytes) -> Iterator[Message]:
         """Bytes that came; yields the messages that they complete."""
@@ -63,16 +63,16 @@
             rest = rest[self.ring.write(rest) :]
             yield from self._split()
             if not self.ring.free():  # a message longer than any: pass on what there is
-                self.is_lost = True
+                self.is_unparsable = True
 
     def _split(self) -> Iterator[Message]:
         while len(self.ring):
-            if self.is_lost or self.framing == "raw":
+            if self.is_unparsable or self.framing == "raw":
                 yield Message(self.ring.read(len(self.ring)))
                 return
             length = LENGTHS[self.framing](self.ring)
             if length < 0:
-                self.is_lost = True
+                self.is_unparsable = True
             elif not length or length > len(self.ring):
                 return
             else:
@@ -89,21 +89,21 @@
     if len(ring) < LENGTH.size:
         return 0
     (length,) = LENGTH.unpack(ring.peek(LENGTH.size))
-    return LENGTH.size + length if 0 < length <= LONGEST - LENGTH.size else -1
+    return LENGTH.size + length if 0 < length <= MAX_MESSAGE_SIZE - LENGTH.size else -1
 
 
 def line_length(ring: Ring) -> int:
     """The same for a command or an answer of the line protocol."""
-    end = ring.find(BREAK, 0, LONGEST_LINE)
+    end = ring.find(LINE_END, 0, LONGEST_LINE)
     if end < 0:
         return -1 if len(ring) >= LONGEST_LINE else 0
     tokens = ring.peek(end).split(b" ")
-    if len(tokens) == SHORT_LINE:
-        return end + len(BREAK)
+    if len(tokens) == SHORT_LINE_TOKENS:
+        return end + len(LINE_END)
     body = tokens[-1]
-    if not body.isdigit() or len(body) > BODY_DIGITS:
+    if not body.isdigit() or len(body) > MAX_LENGTH_DIGITS:
         return -1
-    return end + len(BREAK) + int(body) + len(BREAK)
+    return end + len(LINE_END) + int(body) + len(LINE_END)
 
 
 def event_length(ring: Ring) -> int:
@@ -151,10 +151,10 @@
 
 def read_line(raw: bytes) -> Fields | None:
     """`id` and `word` of a command or an answer, its `length`, and its fields."""
-    tokens = raw.partition(BREAK)[0].decode("latin-1").split(" ")
-    if len(tokens) == SHORT_LINE:
+    tokens = raw.partition(LINE_END)[0].decode("latin-1").split(" ")
+    if len(tokens) == SHORT_LINE_TOKENS:
         return {"word": tokens[0], "id": tokens[1]}
-    if len(tokens) != FULL_LINE:
+    if len(tokens) != FULL_LINE_TOKENS:
         return None
     first, second, fields, length = tokens
     word, name = (first, second) if first == "do" else (second, first)
@@ -236,9 +236,9 @@
 
 def rewrite_line(message: Message, name: str, to: str | None) -> bytes:
     """A command or an answer with another `id`, `word` (of an answer), `length` or field."""
-    line, _, rest = message.raw.partition(BREAK)
+    line, _, rest = message.raw.partition(LINE_END)
     tokens = line.decode("latin-1").split(" ")
-    if len(tokens) != FULL_LINE:
+    if len(tokens) != FULL_LINE_TOKENS:
         return message.raw
     is_command = tokens[0] == "do"
     if name == "id" and to is not None:
@@ -246,9 +246,9 @@
     elif name == "word" and to is not None and not is_command:
         tokens[1] = to
     elif name == "length" and to is not None:  # shorter, and complete: the body is cut to fit
-        body = rest[: min(int(to), len(rest) - len(BREAK))]
+        body = rest[: min(int(to), len(rest) - len(LINE_END))]
         tokens[3] = str(len(body))
-        rest = body + BREAK
+        rest = body + LINE_END
     else:
         fields = split_pairs(tokens[2])
         if to is None:
@@ -256,7 +256,7 @@
         else:
             fields[name] = to
         tokens[2] = format_fields(fields)
-    return " ".join(tokens).encode("latin-1") + BREAK + rest
+    return " ".join(tokens).encode("latin-1") + LINE_END + rest
 
 
 def rewrite_event(message: Message, name: str, to: str | None) -> bytes:
--- a/weldbend/testbed/faults/plan.py
+++ b/weldbend/testbed/faults/plan.py
@@ -31,14 +31,14 @@
 )
 
 UNBOUNDED = 1_000_000_000  # a count that no run reaches
-HOUR = 3600.0  # seconds; the longest time that a key states
+MAX_DURATION = 3600.0  # seconds; the longest time that a key states
 MAX_CORRUPTED = 1 << 20  # bytes
-FIELD = re.compile(r"([\w.]{1,40})\s*=\s*(.{0,200})")
+FIELD_PATTERN = re.compile(r"([\w.]{1,40})\s*=\s*(.{0,200})")
 
-__all__ = ["Direction", "Fault", "InvalidPlanError", "Kind", "Plan", "parse_plan", "read_plan"]
+__all__ = ["Direction", "Fault", "FaultKind", "InvalidPlanError", "Plan", "parse_plan", "read_plan"]
 
 
-class Kind(Enum):
+class FaultKind(Enum):
     """What a fault does."""
 
     DELAY = "delay"  # what comes is handed on later: `for`, `jitter` drawn on top, `growth` more each time
@@ -54,14 +54,19 @@
     REWRITE = "rewrite"  # a field is set (`to`), or left out where `to` is absent: it still parses
 
 
-MESSAGE_KINDS = (Kind.DROP, Kind.DUPLICATE, Kind.REORDER, Kind.REWRITE)  # those that need message boundaries
+MESSAGE_KINDS = (
+    FaultKind.DROP,
+    FaultKind.DUPLICATE,
+    FaultKind.REORDER,
+    FaultKind.REWRITE,
+)  # those that need message boundaries
 
 
 class Direction(Enum):
     """Seen from who connected: `there` to the server, `back` from it."""
 
-    THERE = "there"
-    BACK = "back"
+    TO_SERVER = "there"
+    TO_CLIENT = "back"
 
 
 @dataclass(frozen=True, slots=True)
@@ -69,8 +74,8 @@
     """Times in seconds, places in bytes; zero or None where a trigger is not given."""
 
     name: str
-    kind: Kind
-    direction: Direction = Direction.BACK
+    kind: FaultKind
+    direction: Direction = Direction.TO_CLIENT
     after: float = 0.0
     byte: int | None = None  # of the stream, from 0: injected with the first byte there
     message: int = 0
@@ -119,23 +124,23 @@
 
 def name_and_value(text: str) -> tuple[str, str]:
     """A check of texts such as `seqid=3`."""
-    if not (match := FIELD.fullmatch(text)):
+    if not (match := FIELD_PATTERN.fullmatch(text)):
         raise InvalidFieldError(text)
     return match[1], match[2]
 
 
 KEYS: KeyTable = {
-    "kind": ("kind", one_of(Kind)),
+    "kind": ("kind", one_of(FaultKind)),
     "direction": ("direction", one_of(Direction)),
-    "after": ("after", duration_between(0.0, HOUR)),
+    "after": ("after", duration_between(0.0, MAX_DURATION)),
     "byte": ("byte", integer_between(0, UNBOUNDED)),
     "message": ("message", integer_between(1, UNBOUNDED)),
     "connection": ("connection", integer_between(1, UNBOUNDED)),
     "field": ("field", name_and_value),
     "chance": ("chance", fraction),
     "times": ("times", integer_between(1, UNBOUNDED)),
-    "for": ("duration", duration_between(0.0, HOUR)),
-    "jitter": ("jitter", duration_between(0.0, HOUR)),
+    "for": ("duration", duration_between(0.0, MAX_DURATION)),
+    "jitter": ("jitter", duration_between(0.0, MAX_DURATION)),
     "growth": ("growth", duration_between(0.0, 60.0)),
     "rate": ("rate", integer_between(1, UNBOUNDED)),
     "how": ("how", choice("reset", "close")),
@@ -145,17 +150,17 @@
     "to": ("to", str),
 }
 KINDS_OF_KEY = {  # for keys that only some kinds have
-    "for": (Kind.DELAY, Kind.STALL),
-    "jitter": (Kind.DELAY,),
-    "growth": (Kind.DELAY,),
-    "rate": (Kind.THROTTLE,),
-    "how": (Kind.CUT,),
-    "inside": (Kind.CUT, Kind.HALF_CLOSE, Kind.HANG, Kind.STALL, Kind.CORRUPT),
-    "bytes": (Kind.CORRUPT,),
-    "set": (Kind.REWRITE,),
-    "to": (Kind.REWRITE,),
+    "for": (FaultKind.DELAY, FaultKind.STALL),
+    "jitter": (FaultKind.DELAY,),
+    "growth": (FaultKind.DELAY,),
+    "rate": (FaultKind.THROTTLE,),
+    "how": (FaultKind.CUT,),
+    "inside": (FaultKind.CUT, FaultKind.HALF_CLOSE, FaultKind.HANG, FaultKind.STALL, FaultKind.CORRUPT),
+    "bytes": (FaultKind.CORRUPT,),
+    "set": (FaultKind.REWRITE,),
+    "to": (FaultKind.REWRITE,),
 }
-REQUIRED_KEYS = {Kind.STALL: ("for",), Kind.THROTTLE: ("rate",), Kind.REWRITE: ("set",)}
+REQUIRED_KEYS = {FaultKind.STALL: ("for",), FaultKind.THROTTLE: ("rate",), FaultKind.REWRITE: ("set",)}
 
 
 def read_plan(path: str, framing: str) -> Plan:
@@ -177,7 +182,7 @@
             raise InvalidPlanError(f"{path}:", f"key '{name}' stands before any fault")
         location = f"{path}: [{name}]"
         fault = parse_fault(name, section, location)
-        if FRAMINGS[framing][fault.direction is Direction.BACK] == "raw" and fault.requires_messages():
+        if FRAMINGS[framing][fault.direction is Direction.TO_CLIENT] == "raw" and fault.requires_messages():
             raise InvalidPlanError(location, f"needs messages, but {fault.direction.value} is raw bytes")
         faults.append(fault)
     if not faults:
@@ -196,7 +201,7 @@
     for key in REQUIRED_KEYS.get(fault.kind, ()):
         if key not in section:
             raise InvalidPlanError(location, f"{fault.kind.value} lacks '{key}'")
-    if fault.kind is Kind.DELAY and not (fault.duration or fault.jitter or fault.growth):
+    if fault.kind is FaultKind.DELAY and not (fault.duration or fault.jitter or fault.growth):
         raise InvalidPlanError(location, "delay lacks 'for', 'jitter' or 'growth'")
     if fault.byte is not None and (fault.message or fault.field):
         raise InvalidPlanError(location, "byte and message or field exclude each other")
--- a/weldbend/testbed/faults/proxy.py
+++ b/weldbend/testbed/faults/proxy.py
@@ -16,20 +16,20 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from weldbend.testbed.faults.engine import FaultAction, Injector, What
+from weldbend.testbed.faults.engine import ActionKind, FaultAction, Injector
 from weldbend.testbed.faults.plan import Direction
 from weldbend.testbed.reactor import Reactor
 
-MAX_WAITING = 1 << 20  # bytes that wait in one direction, beyond which its sender is read no further
-DUE_EARLY = 0.0005  # seconds before its time at which an action counts as due
-DIAL_TIMEOUT = 5  # seconds
+MAX_QUEUED_BYTES = 1 << 20  # bytes that wait in one direction, beyond which its sender is read no further
+EARLY_TOLERANCE = 0.0005  # seconds before its time at which an action counts as due
+CONNECT_TIMEOUT = 5  # seconds
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, of no time
 
 
 class ActionStream(Protocol):
     """Turns the bytes of one direction into actions towards its receiver."""
 
-    clear_at: float  # when all actions so far are done
+    last_action_at: float  # when all actions so far are done
 
     def feed(self, now: float, data: bytes) -> list[FaultAction]:
         """Bytes that came."""
@@ -39,21 +39,21 @@
 
 
 @implementer(IPushProducer, IHalfCloseableProtocol)
-class Side(Connection):
-    """One of the two sockets of a pair; what comes here leaves at `other`."""
+class ProxySide(Connection):
+    """One of the two sockets of a pair; what comes here leaves at `peer`."""
 
     transport: Any = None  # Twisted's interfaces have no types here
 
     def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
-        self.other: Side | None = None
+        self.peer: ProxySide | None = None
         self.stream: ActionStream | None = None  # what happens to bytes that come here
         self.actions: deque[FaultAction] = deque()  # towards this side
-        self.early: list[bytes] = []  # what came before the other side was up
-        self.waiting = 0  # bytes of the actions
+        self.received_early: list[bytes] = []  # what came before the other side was up
+        self.queued_bytes = 0  # bytes of the actions
         self.is_scheduled = False  # the next action
         self.is_full = False  # the socket accepts no more for now
-        self.is_lost = False
+        self.is_closed = False
         self.is_read_closed = False
 
     def connectionMade(self) -> None:
@@ -61,12 +61,12 @@
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
 
-    def join(self, other: "Side", stream: ActionStream) -> None:
+    def join(self, peer: "ProxySide", stream: ActionStream) -> None:
         """The other side is up: what came so far goes there."""
-        self.other = other
+        self.peer = peer
         self.stream = stream
-        early = self.early
-        self.early = []
+        early = self.received_early
+        self.received_early = []
         for data in early:
             self.dataReceived(data)
         if self.is_read_closed:
@@ -74,39 +74,39 @@
 
     def dataReceived(self, data: bytes) -> None:
         """Pass bytes on."""
-        if self.other and self.stream:
-            self.other.schedule(self.stream.feed(time.monotonic(), data))
-            self.other.limit_sender()
+        if self.peer and self.stream:
+            self.peer.schedule(self.stream.feed(time.monotonic(), data))
+            self.peer.limit_sender()
         else:
-            self.early.append(data)
+            self.received_early.append(data)
 
     def readConnectionLost(self) -> None:
         """The sender has shut down its side."""
         self.is_read_closed = True
-        if self.other and self.stream:
-            self.other.schedule(self.stream.end(time.monotonic()))
+        if self.peer and self.stream:
+            self.peer.schedule(self.stream.end(time.monotonic()))
 
     def writeConnectionLost(self) -> None:
         """Nothing: this side was shut down on purpose."""
 
     def is_open(self) -> bool:
         """Whether the socket is connected."""
-        return not self.is_lost and self.transport is not None
+        return not self.is_closed and self.transport is not None
 
     # Towards this side.
 
     def schedule(self, actions: list[FaultAction]) -> None:
         """Carry out actions, each at its time and after those before."""
         self.actions.extend(actions)
-        self.waiting += sum(len(action.data) for action in actions)
+        self.queued_bytes += sum(len(action.data) for action in actions)
         self._perform_due()
 
     def _perform_due(self) -> None:
         """All that is due, in order, while the socket accepts it; then one delayed call for the next."""
         now = time.monotonic()
-        while self.actions and self._accepts() and self.actions[0].at <= now + DUE_EARLY:
+        while self.actions and self._accepts() and self.actions[0].at <= now + EARLY_TOLERANCE:
             action = self.actions.popleft()
-            self.waiting -= len(action.data)
+            self.queued_bytes -= len(action.data)
             self._perform(action)
         if self.actions and self._accepts() and not self.is_scheduled:
             self.is_scheduled = True
@@ -114,7 +114,7 @@
         self.limit_sender()
 
     def _accepts(self) -> bool:
-        return not (self.is_lost or self.is_full)
+        return not (self.is_closed or self.is_full)
 
     def _perform_scheduled(self) -> None:
         self.is_scheduled = False
@@ -122,19 +122,19 @@
 
     def _perform(self, action: FaultAction) -> None:
         transport = self.transport
-        match action.what:
-            case What.DATA:
+        match action.kind:
+            case ActionKind.DATA:
                 transport.write(action.data)
-            case What.END:
+            case ActionKind.END:
                 transport.loseWriteConnection()
-            case What.RESET:
+            case ActionKind.RESET:
                 self.reset()
-                if self.other:
-                    self.other.reset()
-            case What.CLOSE:
+                if self.peer:
+                    self.peer.reset()
+            case ActionKind.CLOSE:
                 self.close()
-                if self.other:
-                    self.other.close()
+                if self.peer:
+                    self.peer.close()
 
     def reset(self) -> None:
         """End the connection with a reset."""
@@ -152,9 +152,9 @@
 
     def limit_sender(self) -> None:
         """Read no further from the sender while too much waits here."""
-        if self.other and self.other.is_open() and not self.other.is_read_closed:
-            sender = self.other.transport
-            if self.waiting > MAX_WAITING:
+        if self.peer and self.peer.is_open() and not self.peer.is_read_closed:
+            sender = self.peer.transport
+            if self.queued_bytes > MAX_QUEUED_BYTES:
                 sender.pauseProducing()
             else:
                 sender.resumeProducing()
@@ -174,9 +174,9 @@
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """This side is closed: the other follows, once it has what was in transit."""
-        self.is_lost = True
-        if self.other and not self.other.is_lost and self.stream and not self.is_read_closed:
-            self.other.schedule([FaultAction(self.stream.clear_at, What.CLOSE)])
+        self.is_closed = True
+        if self.peer and not self.peer.is_closed and self.stream and not self.is_read_closed:
+            self.peer.schedule([FaultAction(self.stream.last_action_at, ActionKind.CLOSE)])
 
 
 class ServerConnector(ClientFactory):
@@ -184,21 +184,21 @@
 
     noisy = False
 
-    def __init__(self, proxy: "Proxy", near: Side, number: int) -> None:
+    def __init__(self, proxy: "Proxy", client_side: ProxySide, number: int) -> None:
         self.proxy = proxy
-        self.near = near
+        self.client_side = client_side
         self.number = number
 
-    def buildProtocol(self, addr: IAddress | None) -> Side:
+    def buildProtocol(self, addr: IAddress | None) -> ProxySide:
         """The far side is up; the pair is joined in the next iteration, when its transport is."""
-        far = Side(self.proxy.reactor)
-        self.proxy.reactor.callLater(0, self.proxy.join_sides, self.near, far, self.number)
-        return far
+        server_side = ProxySide(self.proxy.reactor)
+        self.proxy.reactor.callLater(0, self.proxy.join_sides, self.client_side, server_side, self.number)
+        return server_side
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
         """Nobody accepts: the near side is closed."""
-        if self.near.transport:
-            self.near.transport.loseConnection()
+        if self.client_side.transport:
+            self.client_side.transport.loseConnection()
 
 
 class Proxy(Factory):
@@ -213,22 +213,22 @@
         self.port = port
         self.connection_count = 0
 
-    def buildProtocol(self, addr: IAddress | None) -> Side:
+    def buildProtocol(self, addr: IAddress | None) -> ProxySide:
         """The near side of a pair."""
         self.connection_count += 1
-        near = Side(self.reactor)
-        connector = ServerConnector(self, near, self.connection_count)
-        self.reactor.connectTCP(self.host, self.port, connector, timeout=DIAL_TIMEOUT)
-        return near
+        client_side = ProxySide(self.reactor)
+        connector = ServerConnector(self, client_side, self.connection_count)
+        self.reactor.connectTCP(self.host, self.port, connector, timeout=CONNECT_TIMEOUT)
+        return client_side
 
-    def join_sides(self, near: Side, far: Side, number: int) -> None:
+    def join_sides(self, client_side: ProxySide, server_side: ProxySide, number: int) -> None:
         """Both sides are up: pass on what came and what comes."""
         now = time.monotonic()
-        there = self.injector.stream(number, Direction.THERE, now)
-        back = self.injector.stream(number, Direction.BACK, now)
-        near.other = far
-        far.other = near
-        near.join(far, there)
-        far.join(near, back)
-        if near.is_lost and far.transport:
-            far.transport.loseConnection()
+        there = self.injector.stream(number, Direction.TO_SERVER, now)
+        back = self.injector.stream(number, Direction.TO_CLIENT, now)
+        client_side.peer = server_side
+        server_side.peer = client_side
+        client_side.join(server_side, there)
+        server_side.join(client_side, back)
+        if client_side.is_closed and server_side.transport:
+            server_side.transport.loseConnection()
--- a/weldbend/testbed/faults/socket_faults.py
+++ b/weldbend/testbed/faults/socket_faults.py
@@ -21,38 +21,38 @@
 import time
 from typing import TYPE_CHECKING, Any
 
-from weldbend.testbed.faults.call_faults import SHORT, Call, CallFaults, draw_plan, error_name
+from weldbend.testbed.faults.call_faults import SHORT_TRANSFER, Call, CallFaults, draw_plan, error_name
 
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer
 
-SHORT_FRACTION = 3  # a short transfer moves one part in so many
-SHORT_READ = 64  # bytes that a short read brings at most
+SHORT_TRANSFER_DIVISOR = 3  # a short transfer moves one part in so many
+SHORT_READ_SIZE = 64  # bytes that a short read brings at most
 REAL_SOCKET = socket.socket
 REAL_EPOLL = select.epoll
 REAL_READ = os.read
-IN_PROCESS = "process"  # the side of a call that is for no connection
+PROCESS_SIDE = "process"  # the side of a call that is for no connection
 
 
 class CallInjector:
     """Decides each call, and writes down what was injected.
 
     Attributes:
-        is_listening: whether a client has come; before, only connects, transfers and waits fail.
+        has_accepted: whether a client has come; before, only connects, transfers and waits fail.
     """
 
     def __init__(self, faults: CallFaults, record: int) -> None:
         self.faults = faults
         self.record = record
-        self.began = time.monotonic()
-        self.is_listening = False
+        self.started_at = time.monotonic()
+        self.has_accepted = False
 
     def draw(self, call: Call, side: str) -> int | None:
         """How this call fails; None for not at all."""
-        if not self.is_listening and call in (Call.SOCKET, Call.WATCH, Call.ACCEPT):
+        if not self.has_accepted and call in (Call.SOCKET, Call.EPOLL_CTL, Call.ACCEPT):
             return None
         now = time.monotonic()
-        number = self.faults.draw(call, now - self.began)
+        number = self.faults.draw(call, now - self.started_at)
         if number is not None:
             self.write({"at": now, "call": call.value, "error": error_name(number), "side": side})
         return number
@@ -62,13 +62,13 @@
         if number := self.draw(call, side):
             raise OSError(number, os.strerror(number))
 
-    def transfer(self, call: Call, side: str, size: int) -> int:
+    def transfer_size(self, call: Call, side: str, size: int) -> int:
         """How many of `size` bytes this call may move; raises OSError where it fails."""
         number = self.draw(call, side)
         if number:
             raise OSError(number, os.strerror(number))
-        part = min(size, SHORT_READ) if call is Call.RECEIVE else size // SHORT_FRACTION
-        return max(part, 1) if number == SHORT and size else size
+        part = min(size, SHORT_READ_SIZE) if call is Call.RECEIVE else size // SHORT_TRANSFER_DIVISOR
+        return max(part, 1) if number == SHORT_TRANSFER and size else size
 
     def write(self, line: dict[str, Any]) -> None:
         """Add a line to the record."""
@@ -77,7 +77,7 @@
     def write_totals(self) -> None:
         """Count the calls that were made."""
         totals = {call.value: count for call, count in self.faults.calls.items()}
-        self.write({"calls": totals, "seconds": time.monotonic() - self.began})
+        self.write({"calls": totals, "seconds": time.monotonic() - self.started_at})
 
 
 def socket_type(injector: CallInjector) -> type[socket.socket]:
@@ -94,7 +94,7 @@
 
         def accept(self) -> tuple[socket.socket, Any]:
             injector.check(Call.ACCEPT, "listening")
-            injector.is_listening = True
+            injector.has_accepted = True
             return super().accept()
 
         def connect_ex(self, address: Any) -> int:  # noqa: ANN401  # as the socket's own
@@ -106,11 +106,11 @@
             return super().getsockopt(level, name, *size)
 
         def recv(self, size: int, flags: int = 0) -> bytes:
-            return super().recv(injector.transfer(Call.RECEIVE, self.side, size), flags)
+            return super().recv(injector.transfer_size(Call.RECEIVE, self.side, size), flags)
 
         def send(self, data: "ReadableBuffer", flags: int = 0) -> int:
             view = memoryview(data)
-            return super().send(view[: injector.transfer(Call.SEND, self.side, len(view))], flags)
+            return super().send(view[: injector.transfer_size(Call.SEND, self.side, len(view))], flags)
 
     return FailingSocket
 
@@ -125,12 +125,12 @@
 
     def poll(self, *args: Any) -> list[tuple[int, int]]:  # noqa: ANN401  # as the set's own
         """Wait."""
-        self.injector.check(Call.WAIT, IN_PROCESS)
+        self.injector.check(Call.EPOLL_WAIT, PROCESS_SIDE)
         return self.epoll.poll(*args)
 
     def register(self, *args: Any) -> None:  # noqa: ANN401  # as the set's own
         """Watch a descriptor."""
-        self.injector.check(Call.WATCH, IN_PROCESS)
+        self.injector.check(Call.EPOLL_CTL, PROCESS_SIDE)
         self.epoll.register(*args)
 
     def __getattr__(self, name: str) -> Any:  # noqa: ANN401  # any member of an epoll set
@@ -142,7 +142,7 @@
 
     def read(fd: int, size: int) -> bytes:
         if stat.S_ISSOCK(os.fstat(fd).st_mode):  # an idle connection wakes
-            size = injector.transfer(Call.RECEIVE, "accepted", size)
+            size = injector.transfer_size(Call.RECEIVE, "accepted", size)
         return REAL_READ(fd, size)
 
     replaced: Any = socket
--- a/weldbend/testbed/faults/socket_trial.py
+++ b/weldbend/testbed/faults/socket_trial.py
@@ -51,7 +51,7 @@
 LAUNCHER = "weldbend.testbed.faults.socket_faults"
 # Seconds of each part of a trial.
 FIRST_LOAD = 1.5
-QUIET = 1.2
+IDLE_TIME = 1.2
 SECOND_LOAD = 1.0
 STOP_AFTER = 0.6  # seconds of the second load until SIGTERM; the front accepts for 0.7 s from then on
 FAULTY_SECONDS = 5.5  # over which faults are spread: start, loads and shutdown
@@ -60,12 +60,14 @@
 IDLE_CLIENTS = 12
 NEW_CLIENTS = 3  # that connect while nothing is open, and during the shutdown
 IDLE_TIMEOUT = 4.0  # seconds without a call after which a front may be about to close a connection
-STIR_AFTER = 0.1  # seconds from the beginning of these phases
+RECONNECT_DELAY = 0.1  # seconds from the beginning of these phases
 DEDUPLICATION_WINDOW = 3.0  # seconds, as the emulated site's settings state it for orders
-OVERLAP = 0.05  # seconds within which the end of an older attempt may reach the emulated cache
-MAX_WAITS = 4000  # waits a second, on the average of a trial: a front that spins makes ten times as many
+OVERLAP_SLACK = 0.05  # seconds within which the end of an older attempt may reach the emulated cache
+MAX_WAITS_PER_SECOND = (
+    4000  # waits a second, on the average of a trial: a front that spins makes ten times as many
+)
 END_TIMEOUT = 12.0  # seconds from SIGTERM until a front counts as hanging
-BREAKING = {  # what a record line says of a fault that may end a connection
+CONNECTION_FAULTS = {  # what a record line says of a fault that may end a connection
     (call.value, error_name(number)) for call, number in ALL_FAULTS if ends_connection(call, number)
 }
 
@@ -85,17 +87,17 @@
     in_flight: dict[str, list["AuditedConnection"]] = field(default_factory=dict)
     first_sent: dict[str, float] = field(default_factory=dict)
 
-    def sent(self, command: Command, connection: "AuditedConnection") -> None:
+    def on_attempt_sent(self, command: Command, connection: "AuditedConnection") -> None:
         """An attempt has come."""
         now = time.monotonic()
         for older in self.in_flight.setdefault(command.name, []):
-            self.reactor.callLater(OVERLAP, self._check_ended, command.name, older)
+            self.reactor.callLater(OVERLAP_SLACK, self._check_ended, command.name, older)
         self.in_flight[command.name].append(connection)
         key = command.fields.get("uniq")
         if key and now > self.first_sent.setdefault(key, now) + DEDUPLICATION_WINDOW:
             self.violations.append(f"effect asked for again beyond its window: {key}")
 
-    def ended(self, name: str, connection: "AuditedConnection") -> None:
+    def on_attempt_ended(self, name: str, connection: "AuditedConnection") -> None:
         """An attempt was answered, cancelled, or its connection has ended."""
         if connection in self.in_flight.get(name, []):
             self.in_flight[name].remove(connection)
@@ -115,20 +117,20 @@
     def handle(self, command: Command) -> None:
         """Report attempts and cancellations."""
         if command.word == "do":
-            self.audit.sent(command, self)
+            self.audit.on_attempt_sent(command, self)
         super().handle(command)
         if command.word == "undo":
-            self.audit.ended(command.name, self)
+            self.audit.on_attempt_ended(command.name, self)
 
     def write(self, data: bytes) -> None:
         """Report answers; each begins with the request's id."""
-        self.audit.ended(data.partition(b" ")[0].decode(), self)
+        self.audit.on_attempt_ended(data.partition(b" ")[0].decode(), self)
         super().write(data)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Report the end of all that is in flight here."""
         for name in list(self.pending):
-            self.audit.ended(name, self)
+            self.audit.on_attempt_ended(name, self)
         super().connectionLost(reason)
 
 
@@ -171,9 +173,9 @@
     def connectionMade(self) -> None:
         """Ask for the first time."""
         self.clients.connected.append(self)
-        self.ask(1)
+        self.send_probe(1)
 
-    def ask(self, seqid: int) -> None:
+    def send_probe(self, seqid: int) -> None:
         """Ask for a health check."""
         if self.transport:
             self.requested_at = time.monotonic()
@@ -188,7 +190,7 @@
         """Count the end of the connection, where it was neither this client's nor for its idleness."""
         self.clients.connected.remove(self)
         is_idle = time.monotonic() > self.requested_at + IDLE_TIMEOUT
-        if not (self.clients.is_over or is_idle):
+        if not (self.clients.is_finished or is_idle):
             self.clients.counts["ended"] += 1
 
 
@@ -200,7 +202,7 @@
     def __init__(self) -> None:
         self.connected: list[IdleClient] = []
         self.counts: Counter[str] = Counter()
-        self.is_over = False
+        self.is_finished = False
 
     def buildProtocol(self, addr: IAddress | None) -> IdleClient:
         """A connection is up."""
@@ -209,11 +211,11 @@
     def send_again(self) -> None:
         """Have all ask for the second time."""
         for client in list(self.connected):
-            client.ask(2)
+            client.send_probe(2)
 
     def close(self) -> None:
         """End all connections."""
-        self.is_over = True
+        self.is_finished = True
         for client in list(self.connected):
             client.transport.loseConnection()
 
@@ -241,7 +243,7 @@
         self.loads: list[Load] = []
         self.idle_clients = IdleClients()
         self.late_clients = IdleClients()  # whose connections the front may close, as it ends
-        self.moments: dict[str, float] = {}  # when each phase began
+        self.phase_starts: dict[str, float] = {}  # when each phase began
         self.exit_code: int | None = None
         self.process: Any = None
         self.address = ""
@@ -256,19 +258,19 @@
         self.process = self.reactor.spawnProcess(protocol, sys.executable, command, env=None)
 
     def _begin(self, phase: str) -> None:
-        self.moments[phase] = time.monotonic()
+        self.phase_starts[phase] = time.monotonic()
 
     def _ready(self) -> None:
         self._connect(self.idle_clients, IDLE_CLIENTS)
         self._begin("load")
-        self._play(FIRST_LOAD, self._rest)
+        self._play(FIRST_LOAD, self._start_idle_phase)
 
     def _connect(self, clients: IdleClients, count: int) -> None:
         host, _, port = self.address.rpartition(":")
         for _ in range(count):
             self.reactor.connectTCP(host, int(port), clients, timeout=5)
 
-    def _stir(self, clients: IdleClients) -> None:
+    def _force_reconnections(self, clients: IdleClients) -> None:
         """Have the front accept, connect to the bus and read it anew: else it makes few calls now."""
         self._connect(clients, NEW_CLIENTS)
         for reader in list(self.site.bus.readers):
@@ -280,12 +282,12 @@
         self.loads.append(load)
         load.start()
 
-    def _rest(self) -> None:
+    def _start_idle_phase(self) -> None:
         self._begin("idle")
-        self.reactor.callLater(STIR_AFTER, self._stir, self.idle_clients)
-        self.reactor.callLater(QUIET, self._go_on)
+        self.reactor.callLater(RECONNECT_DELAY, self._force_reconnections, self.idle_clients)
+        self.reactor.callLater(IDLE_TIME, self._resume_load)
 
-    def _go_on(self) -> None:
+    def _resume_load(self) -> None:
         self._begin("load again")
         self.idle_clients.send_again()
         self._play(SECOND_LOAD, self.idle_clients.close)
@@ -295,10 +297,10 @@
         self._begin("shutdown")
         if self.process.pid:
             self.process.signalProcess("TERM")
-        self.reactor.callLater(STIR_AFTER, self._stir, self.late_clients)
-        self.reactor.callLater(END_TIMEOUT, self._give_up)
+        self.reactor.callLater(RECONNECT_DELAY, self._force_reconnections, self.late_clients)
+        self.reactor.callLater(END_TIMEOUT, self._kill_hung_front)
 
-    def _give_up(self) -> None:
+    def _kill_hung_front(self) -> None:
         if self.exit_code is None:
             self.site.audit.violations.append("the front did not end")
             self.process.signalProcess("KILL")
@@ -328,18 +330,18 @@
         }
 
     def _phase(self, moment: float) -> str:
-        return max((at, phase) for phase, at in self.moments.items() if at <= moment)[1]
+        return max((at, phase) for phase, at in self.phase_starts.items() if at <= moment)[1]
 
     def _violations(
         self, injected: list[dict[str, Any]], counts: Counter[str], totals: dict[str, Any]
     ) -> list[str]:
-        breaking = [line for line in injected if (line["call"], line["error"]) in BREAKING]
+        breaking = [line for line in injected if (line["call"], line["error"]) in CONNECTION_FAULTS]
         at_clients = sum(line["side"] != "connected" for line in breaking)
         ended = counts["connections lost"] + self.idle_clients.counts["ended"]
         probes = self.idle_clients.counts
         late_probes = self.late_clients.counts
         errors = self.log.read_text(errors="replace").count("internal error at")
-        waits = totals["calls"].get(Call.WAIT.value, 0) / max(totals["seconds"], 1.0)
+        waits = totals["calls"].get(Call.EPOLL_WAIT.value, 0) / max(totals["seconds"], 1.0)
         rules = {
             "exit code": self.exit_code != 0,
             "requests without an answer": counts["unanswered"] > 0 or counts["not asked"] > 0,
@@ -351,7 +353,7 @@
             "probes without an answer": probes["asked"] - probes["answered"] > probes["ended"],
             "late probes without an answer": late_probes["asked"] - late_probes["answered"] > at_clients,
             f"{errors} internal errors": errors > 0,
-            f"{waits:.0f} waits a second": waits > MAX_WAITS,
+            f"{waits:.0f} waits a second": waits > MAX_WAITS_PER_SECOND,
             "no load": counts["fulfilled"] == 0,
         }
         return [rule for rule, is_violated in rules.items() if is_violated]
--- a/weldbend/testbed/fleet/relay_network.py
+++ b/weldbend/testbed/fleet/relay_network.py
@@ -12,9 +12,9 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from weldbend.testbed.emulator.emulated_site import LOOPBACK
-from weldbend.testbed.faults.engine import FaultAction, Injector, What
+from weldbend.testbed.faults.engine import ActionKind, FaultAction, Injector
 from weldbend.testbed.faults.plan import Plan
-from weldbend.testbed.faults.proxy import Proxy, Side
+from weldbend.testbed.faults.proxy import Proxy, ProxySide
 from weldbend.testbed.fleet.plan_player import Paths
 from weldbend.testbed.reactor import ProcessReactor
 
@@ -80,21 +80,21 @@
     def __init__(self, network: RelayNetwork, path: Path, now: float) -> None:
         self.network = network
         self.path = path
-        self.clear_at = now
+        self.last_action_at = now
         self.waiting: deque[FaultAction] = deque()
-        self.side: Side | None = None  # what is released goes to its other side
+        self.side: ProxySide | None = None  # what is released goes to its other side
 
     def feed(self, now: float, data: bytes) -> list[FaultAction]:
         """Bytes that came."""
-        return self._pass_on(now, What.DATA, data)
+        return self._pass_on(now, ActionKind.DATA, data)
 
     def end(self, now: float) -> list[FaultAction]:
         """The sender has shut down its side."""
-        return self._pass_on(now, What.END, b"")
+        return self._pass_on(now, ActionKind.END, b"")
 
-    def _pass_on(self, now: float, what: What, data: bytes) -> list[FaultAction]:
-        self.clear_at = max(self.clear_at, now + self.network.delay.get(self.path, 0.0))
-        action = FaultAction(self.clear_at, what, data)
+    def _pass_on(self, now: float, kind: ActionKind, data: bytes) -> list[FaultAction]:
+        self.last_action_at = max(self.last_action_at, now + self.network.delay.get(self.path, 0.0))
+        action = FaultAction(self.last_action_at, kind, data)
         if self.network.is_open(self.path) and not self.waiting:
             return [action]
         self.waiting.append(action)
@@ -104,8 +104,8 @@
         """Send what has waited."""
         waiting = list(self.waiting)
         self.waiting = deque()
-        if waiting and self.side and self.side.other:
-            self.side.other.schedule(waiting)
+        if waiting and self.side and self.side.peer:
+            self.side.peer.schedule(waiting)
 
 
 class LinkRelay(Proxy):
@@ -117,17 +117,17 @@
         self.network = network
         self.path = path
 
-    def join_sides(self, near: Side, far: Side, number: int) -> None:
+    def join_sides(self, client_side: ProxySide, server_side: ProxySide, number: int) -> None:
         """Both sides are up: pass on what came and what comes."""
         now = time.monotonic()
         there = LinkStream(self.network, self.path, now)
         back = LinkStream(self.network, self.path[::-1], now)
-        for stream, side in ((there, near), (back, far)):
+        for stream, side in ((there, client_side), (back, server_side)):
             stream.side = side
             self.network.link_streams[stream.path].append(stream)
-        near.other = far
-        far.other = near
-        near.join(far, there)
-        far.join(near, back)
-        if near.is_lost and far.transport:  # it went before there was another side to tell
-            far.transport.loseConnection()
+        client_side.peer = server_side
+        server_side.peer = client_side
+        client_side.join(server_side, there)
+        server_side.join(client_side, back)
+        if client_side.is_closed and server_side.transport:  # it went before there was another side to tell
+            server_side.transport.loseConnection()
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -22,7 +22,7 @@
 from weldbend.testbed.simulation.network import Path as NetworkPath
 from weldbend.testbed.simulation.run import Run
 from weldbend.testbed.simulation.settings import BUS_HOST, RunSettings, front_host
-from weldbend.testbed.simulation.virtual_clock import STEADY_CLOCK_AHEAD, VirtualClock
+from weldbend.testbed.simulation.virtual_clock import STEADY_CLOCK_OFFSET, VirtualClock
 
 FLEET_PORT = 7400
 KEY = "0badcafe " + "5a" * 32 + "\n"  # of the messages between fronts, in the testbed only
@@ -325,7 +325,7 @@
         """What fronts differ on at the end, where all was calm for long enough."""
         if not self.settings.has_fleet:
             return []
-        now = self.events.now + STEADY_CLOCK_AHEAD
+        now = self.events.now + STEADY_CLOCK_OFFSET
         nodes = self.nodes()
         errors = audit(AuditedFleet(nodes, now, in_transit=IN_TRANSIT))
         for name in sorted({name for node in nodes.values() for name in node.copies.items}):
--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -14,13 +14,13 @@
 from weldbend.testbed.simulation.audit_records import (
     Attempt,
     CacheStart,
-    Effect,
+    Idempotency,
     Purge,
     RequestRecord,
     Rule,
     Rules,
+    SlowStartRule,
     Violation,
-    WarmUpRule,
 )
 from weldbend.testbed.simulation.observer import ConnectionEvent, ObservedMessage, RequestRead
 from weldbend.testbed.simulation.slow_start_audit import SlowStartAudit
@@ -30,9 +30,9 @@
 CLOSED_SLACK = 0.1  # seconds after its client's end or cancellation in which an attempt may still begin
 DEADLINE_SLACK = 0.15  # seconds that a cache may be told beyond what the client has left
 # Seconds before a front's close within which a request crosses it: its client sends it again.
-CROSSING = 0.05
+CLOSE_CROSSING_WINDOW = 0.05
 
-__all__ = ["Auditor", "Effect", "Rule", "Rules", "Violation", "WarmUpRule"]
+__all__ = ["Auditor", "Idempotency", "Rule", "Rules", "SlowStartRule", "Violation"]
 
 
 class Auditor:
@@ -41,18 +41,18 @@
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
         self.requests: dict[tuple[str, str], RequestRecord] = {}  # by front and the request's id
-        self.by_call: dict[tuple[int, int], RequestRecord] = {}  # by link and seqid
+        self.requests_by_call: dict[tuple[int, int], RequestRecord] = {}  # by link and seqid
         # Requests with an attempt in flight on a link.
         self.in_flight: dict[int, set[tuple[str, str]]] = defaultdict(set)
-        self.by_link: dict[int, list[RequestRecord]] = defaultdict(list)
+        self.requests_by_link: dict[int, list[RequestRecord]] = defaultdict(list)
         self.ended_links: set[int] = set()  # clients' connections that one side has ended
         self.down_fronts: set[str] = set()
-        self.slow_starts = SlowStartAudit(rules)
+        self.slow_start_audit = SlowStartAudit(rules)
         self.draining: dict[str, float] = {}  # uid -> when the event bus published it
         self.purges: list[Purge] = []
-        self.copies_given: dict[tuple[str, str], int] = {}  # by cache and request: when the copy was made
+        self.copy_times_ms: dict[tuple[str, str], int] = {}  # by cache and request: when the copy was made
         self.violations: list[Violation] = []
-        self.counts = self.slow_starts.counts
+        self.counts = self.slow_start_audit.counts
         # (since, until) for which nothing could reach a front.
         self.unreachable_spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
 
@@ -62,9 +62,9 @@
         """An event of the bus, at a moment of the run that is `unix` seconds by the clock of the caches."""
         for target in event.get("topology", {}).get("targets", ()):
             if target["state"] == "up" and target["boot_ms"]:
-                began = at - (unix - target["boot_ms"] / 1000)
-                start = CacheStart(at, began, target["capacity_hint"], target["model"])
-                self.slow_starts.starts[target["uid"]] = start
+                started_at = at - (unix - target["boot_ms"] / 1000)
+                start = CacheStart(at, started_at, target["capacity_hint"], target["model"])
+                self.slow_start_audit.starts[target["uid"]] = start
             if target["state"] == "up":
                 self.draining.pop(target["uid"], None)
             else:
@@ -72,13 +72,13 @@
         if ban := event.get("ban"):
             self.purges.append(Purge(at, ban.get("url"), ban.get("tag", 0), int(at * 1000)))
 
-    def on_copy_given(self, cache: str, request: str, made_ms: int | None) -> None:
+    def on_copy_served(self, cache: str, request: str, made_ms: int | None) -> None:
         """A cache has executed an attempt, with a copy made at a virtual millisecond; None without one.
 
         What the answer says of it (`born`) may be changed on its way, and is a stamp of a clock that steps.
         """
         if made_ms is not None:
-            self.copies_given[cache, request] = made_ms
+            self.copy_times_ms[cache, request] = made_ms
 
     def on_front_killed(self, front: str) -> None:
         """A front died: what it had not answered is excused."""
@@ -103,12 +103,12 @@
             if name == front and not request.answers and request.deadline > since:
                 request.answer_by = max(request.answer_by, until)
 
-    def known_since(self, front: str, announced: float) -> float:
-        """When a front could first know what was announced at a moment."""
+    def earliest_notice(self, front: str, published_at: float) -> float:
+        """When a front could first know what was published at a moment."""
         for since, until in sorted(self.unreachable_spans[front]):
-            if since <= announced < until:
-                announced = until
-        return announced
+            if since <= published_at < until:
+                published_at = until
+        return published_at
 
     # What crosses the sockets.
 
@@ -118,10 +118,10 @@
             case Process() as call:
                 self._on_request(observed, call)
             case GiveUp(seqid):
-                if request := self.by_call.get((observed.link, seqid)):
+                if request := self.requests_by_call.get((observed.link, seqid)):
                     self._on_cancelled(observed.at, request)
             case RequestRead(seqid):
-                if request := self.by_call.get((observed.link, seqid)):
+                if request := self.requests_by_call.get((observed.link, seqid)):
                     request.is_read = True
             case ClientAnswer() as answer:
                 self._on_client_answer(observed, answer)
@@ -156,22 +156,22 @@
             seqid=call.seqid,
             received=observed.at,
             deadline=observed.at + int(fields["wait"]) / 1000,
-            work=float(fields["kb"]) / self.rules.flow,
+            work=float(fields["kb"]) / self.rules.flow_kb_per_second,
         )
         request.answer_by = request.deadline
         request.excuse = "its front was down" if observed.front in self.down_fronts else ""
-        request.has_crossed = observed.link in self.ended_links
-        self.slow_starts.on_request(request.request_class, request.work)
+        request.has_crossed_close = observed.link in self.ended_links
+        self.slow_start_audit.on_request(request.request_class, request.work)
         self.requests[observed.front, request.name] = request
-        self.by_call[observed.link, call.seqid] = request
-        self.by_link[observed.link].append(request)
+        self.requests_by_call[observed.link, call.seqid] = request
+        self.requests_by_link[observed.link].append(request)
         self.counts["downloads"] += 1
 
     def _on_client_answer(self, observed: ObservedMessage, answer: ClientAnswer) -> None:
         if answer.outcome == "probe":
             return
         at = observed.at
-        request = self.by_call.get((observed.link, answer.seqid))
+        request = self.requests_by_call.get((observed.link, answer.seqid))
         if request is None:
             self._add_violation(Rule.ONE_ANSWER, f"seqid {answer.seqid}", at, "an answer to no request")
             return
@@ -187,8 +187,8 @@
                 Rule.ONE_ANSWER, request, at, f"{answer.outcome} after its deadline {request.deadline:.4f}"
             )
         executed = [attempt for attempt in request.attempts if attempt.is_possibly_executed()]
-        effect = self.rules.effects[request.request_class]
-        if answer.outcome == "throttled" and executed and effect is Effect.AT_MOST_ONCE:
+        idempotency = self.rules.idempotency_by_class[request.request_class]
+        if answer.outcome == "throttled" and executed and idempotency is Idempotency.AT_MOST_ONCE:
             self._add_violation(Rule.NO_DOUBLE_EFFECT, request, at, f"rejected, despite {executed[0]}")
         if answer.outcome == "fulfilled" and not answer.fields.get("ok304"):
             self._check_purges(at, request, observed.front)
@@ -200,14 +200,16 @@
             return
         for purge in self.purges:
             is_hit = purge.key == request.key if purge.key else purge.group == request.group
-            in_effect = self.known_since(front, purge.announced) + self.rules.purge + SLACK
-            is_late = attempt.at > in_effect
+            enforced_from = (
+                self.earliest_notice(front, purge.published_at) + self.rules.max_purge_delay + SLACK
+            )
+            is_late = attempt.at > enforced_from
             if is_hit and is_late and attempt.made_ms is not None and attempt.made_ms < purge.issued_ms:
                 self._add_violation(
                     Rule.PURGES,
                     request,
                     at,
-                    f"purge published at {purge.announced:.4f}",
+                    f"purge published at {purge.published_at:.4f}",
                     f"copy made at {attempt.made_ms / 1000:.3f} served by {attempt}",
                 )
 
@@ -230,8 +232,8 @@
         self._check_effects(observed.at, request)
         self._check_drains(attempt, request, observed.front)
         for uid in {attempt.cache: None, attempt.source: None}:
-            if uid in self.slow_starts.starts:
-                self._check_warm_up(observed, request, uid)
+            if uid in self.slow_start_audit.starts:
+                self._check_slow_start(observed, request, uid)
         request.attempts.append(attempt)
         self.in_flight[observed.link].add((observed.front, request.name))
 
@@ -251,11 +253,11 @@
         executed = [attempt for attempt in request.attempts if attempt.is_possibly_executed()]
         if not executed:
             return
-        effect = self.rules.effects[request.request_class]
-        if effect is Effect.AT_MOST_ONCE:
+        idempotency = self.rules.idempotency_by_class[request.request_class]
+        if idempotency is Idempotency.AT_MOST_ONCE:
             self._add_violation(Rule.NO_DOUBLE_EFFECT, request, at, f"retried, despite {executed[0]}")
-        if effect is Effect.DEDUPLICATED:
-            window = self.rules.windows[request.request_class]
+        if idempotency is Idempotency.DEDUPLICATED:
+            window = self.rules.deduplication_windows[request.request_class]
             if at > executed[0].at + window + SLACK:
                 self._add_violation(
                     Rule.NO_DOUBLE_EFFECT, request, at, f"retried past the window of {executed[0]}"
@@ -266,45 +268,45 @@
         for uid, role in ((attempt.cache, "cache"), (attempt.source, "source")):
             if uid not in self.draining:
                 continue
-            announced = self.draining[uid]
-            if at > self.known_since(front, announced) + self.rules.drain + SLACK:
+            published_at = self.draining[uid]
+            if at > self.earliest_notice(front, published_at) + self.rules.max_drain_delay + SLACK:
                 self._add_violation(
-                    Rule.DRAINS, request, at, f"{uid} draining since {announced:.4f}", f"attempt as {role}"
+                    Rule.DRAINS, request, at, f"{uid} draining since {published_at:.4f}", f"attempt as {role}"
                 )
 
-    def _check_warm_up(self, observed: ObservedMessage, request: RequestRecord, uid: str) -> None:
-        start = self.slow_starts.starts[uid]
-        known = self.known_since(observed.front, start.announced) + self.rules.start
-        is_notified = observed.at >= known
-        broken = self.slow_starts.on_attempt(observed.at, uid, request.request_class, is_notified)
-        if broken:
-            rule, proof = broken
-            self._add_violation(rule, request, observed.at, f"{uid} began at {start.began:.4f}", proof)
+    def _check_slow_start(self, observed: ObservedMessage, request: RequestRecord, uid: str) -> None:
+        start = self.slow_start_audit.starts[uid]
+        notified_at = self.earliest_notice(observed.front, start.published_at) + self.rules.max_start_delay
+        is_notified = observed.at >= notified_at
+        violation = self.slow_start_audit.on_attempt(observed.at, uid, request.request_class, is_notified)
+        if violation:
+            rule, proof = violation
+            self._add_violation(rule, request, observed.at, f"{uid} began at {start.started_at:.4f}", proof)
 
     def _check_client(self, attempt: Attempt, request: RequestRecord) -> None:
         """Nothing begins for a client that has closed or cancelled."""
-        if request.left is None:
+        if request.abandoned_at is None:
             return
         self.counts["attempts for clients just gone"] += 1
-        if attempt.at > request.left + CLOSED_SLACK:
+        if attempt.at > request.abandoned_at + CLOSED_SLACK:
             self._add_violation(
                 Rule.CLIENT_CLOSED,
                 request,
                 attempt.at,
-                f"its client left at {request.left:.4f}",
+                f"its client left at {request.abandoned_at:.4f}",
                 f"attempt at {attempt.cache}",
             )
 
-    def _check_deadline(self, at: float, request: RequestRecord, told: float) -> None:
+    def _check_deadline(self, at: float, request: RequestRecord, attempt_timeout: float) -> None:
         """A cache is told no more time than the client has left."""
         remaining = request.deadline - at
         self.counts["deadlines told late"] += at > request.received + DEADLINE_SLACK
-        if told > remaining + DEADLINE_SLACK:
+        if attempt_timeout > remaining + DEADLINE_SLACK:
             self._add_violation(
                 Rule.DEADLINE,
                 request,
                 at,
-                f"{told:.3f} s told, {remaining:.3f} s left",
+                f"{attempt_timeout:.3f} s told, {remaining:.3f} s left",
                 f"of {request.received:.4f}",
             )
 
@@ -313,19 +315,19 @@
         if request is None:
             return
         for attempt in self._end_attempts(request, observed, answer.status):
-            attempt.made_ms = self.copies_given.get((observed.peer, answer.name))
+            attempt.made_ms = self.copy_times_ms.get((observed.peer, answer.name))
 
     def _on_cancelled(self, at: float, request: RequestRecord) -> None:
         """A client waits for a request no more."""
         self.counts["requests left open by clients"] += request.is_awaited()
-        if request.left is None:
-            request.left = at
+        if request.abandoned_at is None:
+            request.abandoned_at = at
 
     def _on_ended_by_client(self, observed: ObservedMessage) -> None:
         """A client closes or resets its connection: it waits for nothing on it."""
         if observed.link not in self.ended_links:
             self.ended_links.add(observed.link)
-            for request in self.by_link[observed.link]:
+            for request in self.requests_by_link[observed.link]:
                 self._on_cancelled(observed.at, request)
 
     def _on_ended_by_front(self, observed: ObservedMessage) -> None:
@@ -334,13 +336,13 @@
             return
         self.ended_links.add(observed.link)
         self.counts["connections ended by fronts"] += 1
-        for request in self.by_link[observed.link]:
+        for request in self.requests_by_link[observed.link]:
             if request.is_awaited():
                 self._check_close(observed.at, request)
 
     def _check_close(self, at: float, request: RequestRecord) -> None:
-        if not request.is_read and at <= request.received + CROSSING:
-            request.has_crossed = True
+        if not request.is_read and at <= request.received + CLOSE_CROSSING_WINDOW:
+            request.has_crossed_close = True
             self.counts["requests that crossed a close"] += 1
             return
         state = "read" if request.is_read else "unread"
--- a/weldbend/testbed/simulation/clock_steps.py
+++ b/weldbend/testbed/simulation/clock_steps.py
@@ -12,8 +12,8 @@
 
 SMALLEST_STEP = 0.2  # seconds
 LARGEST_STEP = 3600.0  # seconds
-FIRST_STEP = 0.4  # seconds after the start
-WRONG_FROM_START = 0.3  # fraction of the runs in which a front's clock is wrong from the start
+EARLIEST_STEP = 0.4  # seconds after the start
+INITIAL_STEP_FRACTION = 0.3  # fraction of the runs in which a front's clock is wrong from the start
 
 
 class ClockSteps:
@@ -29,10 +29,10 @@
         settings = self.context.settings
         if not settings.clock_steps:
             return
-        if self.rng.random() < WRONG_FROM_START:
+        if self.rng.random() < INITIAL_STEP_FRACTION:
             self.step([self._draw_front()], self._draw_size())
         for _ in range(self.rng.randint(0, settings.clock_steps)):
-            at = self.rng.uniform(FIRST_STEP, settings.seconds - 1.0)
+            at = self.rng.uniform(EARLIEST_STEP, settings.seconds - 1.0)
             self._schedule_step(at, self._draw_clocks(), self._draw_size())
 
     def _schedule_step(self, at: float, clocks: list[str], size: float) -> None:
--- a/weldbend/testbed/simulation/datagrams.py
+++ b/weldbend/testbed/simulation/datagrams.py
@@ -4,7 +4,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from weldbend.testbed.simulation.network import DUPLICATION, Address, AddressTakenError
+from weldbend.testbed.simulation.network import DEFAULT_DUPLICATION, Address, AddressTakenError
 
 if TYPE_CHECKING:  # for annotations only: a machine opens these ports
     from weldbend.testbed.simulation.machine import Machine
@@ -33,9 +33,9 @@
         network.record_bytes(f"datagram {self.machine.host}>{to[0]}:{to[1]}", data)
         if not network.is_open(*path) or network.random.random() < network.datagram_loss.get(path, 0.0):
             return
-        is_duplicated = network.random.random() < network.datagram_duplication.get(path, DUPLICATION)
+        is_duplicated = network.random.random() < network.datagram_duplication.get(path, DEFAULT_DUPLICATION)
         for _ in range(1 + is_duplicated):
-            latency = network.latency()
+            latency = network.draw_latency()
             delay = latency + network.extra_delay.get(path, 0.0) * (0.5 + network.random.random())
             network.events.schedule(delay, lambda: self._arrive(data, to))
 
--- a/weldbend/testbed/simulation/front_shutdowns.py
+++ b/weldbend/testbed/simulation/front_shutdowns.py
@@ -8,10 +8,10 @@
 from weldbend.testbed.simulation.machine import Machine
 from weldbend.testbed.simulation.site import RunContext, SimulatedSite
 
-LONGEST_WAIT = 3.0  # seconds: the most of the longest deadline that passes before SIGKILL
+MAX_SHUTDOWN_WAIT = 3.0  # seconds: the most of the longest deadline that passes before SIGKILL
 KILL_MARGIN = 0.7  # seconds from there on to SIGKILL
-DOWN_FOR = 0.3  # seconds from SIGKILL to the next start
-FIRST_SHUTDOWN = 1.0  # seconds after the start of the run
+RESTART_DELAY = 0.3  # seconds from SIGKILL to the next start
+EARLIEST_SHUTDOWN = 1.0  # seconds after the start of the run
 
 
 class FrontShutdowns:
@@ -24,7 +24,9 @@
 
     def schedule(self) -> None:
         """Schedule the shutdown of a run."""
-        at = self.random.uniform(FIRST_SHUTDOWN, max(self.context.settings.seconds - 1.0, FIRST_SHUTDOWN))
+        at = self.random.uniform(
+            EARLIEST_SHUTDOWN, max(self.context.settings.seconds - 1.0, EARLIEST_SHUTDOWN)
+        )
         self.site.events.schedule(at, lambda: self.shut_down(self.random.choice(sorted(self.site.fronts))))
 
     def shut_down(self, number: int) -> None:
@@ -35,8 +37,8 @@
         self.context.log.add(f"front {number} is told to stop")
         self.context.auditor.on_front_stopping(machine.name)
         machine.run_guarded(front.terminate)
-        longest = max(kind.deadline_after for kind in front.site.settings.classes.values())
-        kill_after = min(longest, LONGEST_WAIT) + KILL_MARGIN
+        max_deadline = max(kind.deadline_after for kind in front.site.settings.classes.values())
+        kill_after = min(max_deadline, MAX_SHUTDOWN_WAIT) + KILL_MARGIN
         self.site.events.schedule(kill_after, lambda: self._kill(number, machine))
 
     def _kill(self, number: int, machine: Machine) -> None:
@@ -45,4 +47,4 @@
         if machine.is_alive:
             self.context.auditor.counts["fronts killed at the end of a shutdown"] += 1
             machine.kill()
-        self.site.events.schedule(DOWN_FOR, lambda: self.site.start_front(number))
+        self.site.events.schedule(RESTART_DELAY, lambda: self.site.start_front(number))
--- a/weldbend/testbed/simulation/leaving_clients.py
+++ b/weldbend/testbed/simulation/leaving_clients.py
@@ -6,15 +6,15 @@
 if TYPE_CHECKING:  # for annotations only: the workload makes these clients leave
     from weldbend.testbed.simulation.workload import ClientConnection, Workload
 
-CANCELLED = 0.04  # fraction of the requests that are cancelled if their answer takes long enough
-AT_ONCE = 0.5  # fraction of the cancellations that come within SHORT
-SHORT = 0.02  # seconds
-LONG = 1.5  # seconds
+CANCELLED_FRACTION = 0.04  # fraction of the requests that are cancelled if their answer takes long enough
+EARLY_CANCELLATION_FRACTION = 0.5  # fraction of the cancellations that come within SHORT_DELAY
+SHORT_DELAY = 0.02  # seconds
+LONG_DELAY = 1.5  # seconds
 REQUESTS_PER_CLOSE = 40.0  # requests sent, in the mean, until a client closes one connection
-BURST = 0.3  # fraction of the closes that come right after a burst
+BURST_FRACTION = 0.3  # fraction of the closes that come right after a burst
 BURST_SIZE = 6  # requests
-RESET = 0.5  # fraction of the closes that reset the connection
-FIRST_CLOSE = 0.6  # seconds after the start
+RESET_FRACTION = 0.5  # fraction of the closes that reset the connection
+EARLIEST_CLOSE = 0.6  # seconds after the start
 
 
 class LeavingClients:
@@ -29,27 +29,29 @@
         settings = self.workload.context.settings
         if not settings.rate:
             return
-        at = FIRST_CLOSE
+        at = EARLIEST_CLOSE
         while (at := at + self.random.expovariate(settings.rate / REQUESTS_PER_CLOSE)) < settings.seconds:
-            self.workload.events.schedule(at, self._leave)
+            self.workload.events.schedule(at, self._disconnect_client)
 
     def draw_cancellation(self) -> float | None:
         """Seconds after which a request is cancelled; None where it is not."""
-        if self.random.random() >= CANCELLED:
+        if self.random.random() >= CANCELLED_FRACTION:
             return None
-        return self.random.uniform(0.0, SHORT if self.random.random() < AT_ONCE else LONG)
+        return self.random.uniform(
+            0.0, SHORT_DELAY if self.random.random() < EARLY_CANCELLATION_FRACTION else LONG_DELAY
+        )
 
-    def _leave(self) -> None:
+    def _disconnect_client(self) -> None:
         ready = self.workload.ready_connections()
         if not ready:
             return
         connection = self.random.choice(ready)
-        if self.random.random() < BURST:
+        if self.random.random() < BURST_FRACTION:
             for _ in range(BURST_SIZE):
                 self._send_one(connection)
-        is_reset = self.random.random() < RESET
-        delay = self.random.uniform(0.0, SHORT)
-        self.workload.machine.callLater(delay, connection.leave, is_reset)
+        is_reset = self.random.random() < RESET_FRACTION
+        delay = self.random.uniform(0.0, SHORT_DELAY)
+        self.workload.machine.callLater(delay, connection.disconnect, is_reset)
 
     def _send_one(self, connection: "ClientConnection") -> None:
         rank = self.random.randint(1, self.workload.context.settings.objects)
--- a/weldbend/testbed/simulation/machine.py
+++ b/weldbend/testbed/simulation/machine.py
@@ -100,16 +100,20 @@
     def arrive(self) -> None:
         """The request has reached the host that is dialled, if the network lets it."""
         network = self.network
-        here = self.machine.host
-        there = self.connector.destination.host
+        source_host = self.machine.host
+        destination_host = self.connector.destination.host
         port = self.connector.destination.port
-        is_reachable = not {here, there} & network.unreachable_hosts
-        if not (is_reachable and network.is_open(here, there) and network.is_open(there, here)):
+        is_reachable = not {source_host, destination_host} & network.unreachable_hosts
+        if not (
+            is_reachable
+            and network.is_open(source_host, destination_host)
+            and network.is_open(destination_host, source_host)
+        ):
             self.machine.callLater(self.timeout, self._fail, TwistedTimeoutError)
             return
-        listening = network.ports.get((there, port))
+        listening = network.ports.get((destination_host, port))
         if listening is None:
-            self.machine.callLater(network.latency(), self._fail, TwistedConnectionRefusedError)
+            self.machine.callLater(network.draw_latency(), self._fail, TwistedConnectionRefusedError)
         elif listening.is_paused:
             listening.backlog.append(lambda: self._accept(listening))
         else:
@@ -123,37 +127,37 @@
     def _accept(self, listening: ListeningPort) -> None:
         if self.connector.is_cancelled or not self.machine.is_alive:
             return
-        near = Transport(self.machine, self.connector.destination.host)
-        far = Transport(listening.machine, self.machine.host)
-        near.peer = far
-        far.peer = near
-        self.network.on_connection(near, far)
-        self.connector.transport = near
+        connecting_end = Transport(self.machine, self.connector.destination.host)
+        accepting_end = Transport(listening.machine, self.machine.host)
+        connecting_end.peer = accepting_end
+        accepting_end.peer = connecting_end
+        self.network.on_connection(connecting_end, accepting_end)
+        self.connector.transport = connecting_end
         if listening.machine.is_frozen:  # its system accepts; the process notices when it goes on
-            listening.machine.deferred.append(lambda: self._serve_or_abort(listening, far))
-        elif not self._serve(listening, far):
-            self.machine.callLater(self.network.latency(), self._fail, TwistedConnectionRefusedError)
+            listening.machine.deferred_calls.append(lambda: self._serve_or_abort(listening, accepting_end))
+        elif not self._serve(listening, accepting_end):
+            self.machine.callLater(self.network.draw_latency(), self._fail, TwistedConnectionRefusedError)
             return
-        self.machine.callLater(self.network.latency(), self._start_client, near)
+        self.machine.callLater(self.network.draw_latency(), self._start_client, connecting_end)
 
-    def _serve_or_abort(self, listening: ListeningPort, far: Transport) -> None:
-        if not self._serve(listening, far):
-            far.abortConnection()
+    def _serve_or_abort(self, listening: ListeningPort, accepting_end: Transport) -> None:
+        if not self._serve(listening, accepting_end):
+            accepting_end.abortConnection()
 
-    def _serve(self, listening: ListeningPort, far: Transport) -> bool:
+    def _serve(self, listening: ListeningPort, accepting_end: Transport) -> bool:
         """Start the server's end; false where its factory makes no protocol."""
         client = IPv4Address("TCP", self.machine.host, 0)
         protocol: Any = listening.factory.buildProtocol(client)  # type: ignore[arg-type]  # IAddress
         if protocol is not None:
-            far.start(protocol)
+            accepting_end.start(protocol)
         return protocol is not None
 
-    def _start_client(self, near: Transport) -> None:
+    def _start_client(self, connecting_end: Transport) -> None:
         protocol: Any = None if self.connector.is_cancelled else self.factory.buildProtocol(None)
         if protocol is None:
-            near.abortConnection()
+            connecting_end.abortConnection()
         else:
-            near.start(protocol)
+            connecting_end.start(protocol)
 
 
 class ErrorRecorder:
@@ -187,7 +191,7 @@
         self.is_alive = True
         self.is_stopped = False
         self.is_frozen = False
-        self.deferred: list[Callable[[], object]] = []  # what became due while it was frozen
+        self.deferred_calls: list[Callable[[], object]] = []  # what became due while it was frozen
 
     # IReactorTime, IReactorTCP, IReactorUDP and what else a front calls on its reactor.
 
@@ -221,7 +225,7 @@
         connector = Connector(host, port)
         factory.startedConnecting(connector)  # type: ignore[arg-type]  # IConnector
         attempt = ConnectionAttempt(self, connector, factory, timeout)
-        self.network.events.schedule(self.network.latency(), attempt.arrive)
+        self.network.events.schedule(self.network.draw_latency(), attempt.arrive)
         return connector
 
     def listenUDP(
@@ -245,7 +249,7 @@
     def run_guarded(self, call: Callable[..., object], *args: object, **kwargs: object) -> None:
         """Call as this process: later where it is frozen, never where it is dead."""
         if self.is_frozen:
-            self.deferred.append(lambda: self.run_guarded(call, *args, **kwargs))
+            self.deferred_calls.append(lambda: self.run_guarded(call, *args, **kwargs))
         elif self.is_alive:
             with ErrorRecorder(self):
                 call(*args, **kwargs)
@@ -257,9 +261,9 @@
     def thaw(self) -> None:
         """Run what became due meanwhile, in its order, and then read what the sockets hold."""
         self.is_frozen = False
-        deferred = self.deferred
-        self.deferred = []
-        for call in deferred:
+        deferred_calls = self.deferred_calls
+        self.deferred_calls = []
+        for call in deferred_calls:
             call()
         for transport in list(self.transports):
             transport.deliver()
@@ -272,4 +276,4 @@
         for address in [a for a, port in self.network.datagram_ports.items() if port.machine is self]:
             del self.network.datagram_ports[address]
         for transport in list(self.transports):
-            transport.vanish()
+            transport.close_with_process()
--- a/weldbend/testbed/simulation/network.py
+++ b/weldbend/testbed/simulation/network.py
@@ -22,9 +22,9 @@
 Address = tuple[str, int]
 Path = tuple[str, str]
 
-LEAST_LATENCY = 0.0002  # seconds of one trip
+MIN_LATENCY = 0.0002  # seconds of one trip
 LATENCY_SPREAD = 0.0008  # seconds on top, drawn evenly
-DUPLICATION = 0.01  # probability that a datagram arrives twice, where a path sets none
+DEFAULT_DUPLICATION = 0.01  # probability that a datagram arrives twice, where a path sets none
 
 
 class AddressTakenError(UserError):
@@ -48,7 +48,9 @@
         self.extra_delay: dict[Path, float] = {}  # seconds on top of the latency
         self.datagram_loss: dict[Path, float] = {}  # probability that a datagram is lost
         self.datagram_duplication: dict[Path, float] = {}  # probability that it arrives twice
-        self.on_connection: Callable[[Transport, Transport], None] = lambda near, far: None
+        self.on_connection: Callable[[Transport, Transport], None] = (
+            lambda connecting_end, accepting_end: None
+        )
         self.errors: list[str] = []  # exceptions out of protocols; a real reactor would log them
         self.connection_numbers = itertools.count(1)
         self._digest = hashlib.sha256()
@@ -61,9 +63,9 @@
         """Digest of all bytes sent so far on every connection and in every datagram, with their times."""
         return self._digest.hexdigest()
 
-    def latency(self) -> float:
+    def draw_latency(self) -> float:
         """Seconds of one trip, drawn anew."""
-        return LEAST_LATENCY + LATENCY_SPREAD * self.random.random()
+        return MIN_LATENCY + LATENCY_SPREAD * self.random.random()
 
     def is_open(self, sender: str, receiver: str) -> bool:
         """Whether bytes pass from one host to another."""
--- a/weldbend/testbed/simulation/observation.py
+++ b/weldbend/testbed/simulation/observation.py
@@ -30,27 +30,27 @@
         self.injector = injector
         self.link_count = 0
 
-    def on_connection(self, near: Transport, far: Transport) -> None:
-        """A connection that comes up; `near` dialled `far`."""
+    def on_connection(self, connecting_end: Transport, accepting_end: Transport) -> None:
+        """A connection that comes up; `connecting_end` dialled `accepting_end`."""
         self.link_count += 1
         link = self.link_count
         front_names = {machine.host: machine.name for machine, _ in self.site.fronts.values()}
-        near_host = near.machine.host
-        far_host = far.machine.host
-        if near_host == CLIENT_HOST:
-            front = front_names[far_host]
+        connecting_host = connecting_end.machine.host
+        accepting_host = accepting_end.machine.host
+        if connecting_host == CLIENT_HOST:
+            front = front_names[accepting_host]
             peer = "clients"
-            front_end = far
-            near_traffic = Traffic.CLIENT_CALLS
-            far_traffic = Traffic.CLIENT_ANSWERS
-        elif near_host in front_names and far_host in self.site.uid_at:
-            front = front_names[near_host]
-            peer = self.site.uid_at[far_host]
-            front_end = near
-            near_traffic = Traffic.CACHE_COMMANDS
-            far_traffic = Traffic.CACHE_ANSWERS
+            front_transport = accepting_end
+            connecting_traffic = Traffic.CLIENT_CALLS
+            accepting_traffic = Traffic.CLIENT_ANSWERS
+        elif connecting_host in front_names and accepting_host in self.site.uid_by_host:
+            front = front_names[connecting_host]
+            peer = self.site.uid_by_host[accepting_host]
+            front_transport = connecting_end
+            connecting_traffic = Traffic.CACHE_COMMANDS
+            accepting_traffic = Traffic.CACHE_ANSWERS
             now = self.context.network.events.now
-            far.fault_stream = self.injector.stream(link, Direction.BACK, now)
+            accepting_end.fault_stream = self.injector.stream(link, Direction.TO_CLIENT, now)
         else:
             return
 
@@ -58,23 +58,25 @@
             now = self.context.network.events.now
             self._add(ObservedMessage(now, link, front, peer, message))
 
-        near.tap = Tap(near_traffic, observe)
-        far.tap = Tap(far_traffic, observe)
-        front_end.on_close = lambda: observe(ConnectionEvent.CLOSED)
-        if near_host == CLIENT_HOST:
-            self._observe_client(near, far, observe)
+        connecting_end.tap = Tap(connecting_traffic, observe)
+        accepting_end.tap = Tap(accepting_traffic, observe)
+        front_transport.on_close = lambda: observe(ConnectionEvent.CLOSED)
+        if connecting_host == CLIENT_HOST:
+            self._observe_client(connecting_end, accepting_end, observe)
 
     @staticmethod
-    def _observe_client(near: Transport, far: Transport, observe: Callable[[Message], None]) -> None:
+    def _observe_client(
+        connecting_end: Transport, accepting_end: Transport, observe: Callable[[Message], None]
+    ) -> None:
         """Observe which side ends a client's connection, and what the front's process has read of it."""
 
         def on_read(message: Message) -> None:
             if isinstance(message, Process):
                 observe(RequestRead(message.seqid))
 
-        near.on_end = lambda: observe(ConnectionEvent.CLIENT_ENDED)
-        far.on_end = lambda: observe(ConnectionEvent.FRONT_ENDED)
-        far.read_tap = Tap(Traffic.CLIENT_CALLS, on_read)
+        connecting_end.on_end = lambda: observe(ConnectionEvent.CLIENT_ENDED)
+        accepting_end.on_end = lambda: observe(ConnectionEvent.FRONT_ENDED)
+        accepting_end.read_tap = Tap(Traffic.CLIENT_CALLS, on_read)
 
     def _add(self, observed: ObservedMessage) -> None:
         self.context.log.add(f"{observed.link} {observed.front} {observed.peer} {observed.message!r:.300}")
--- a/weldbend/testbed/simulation/observer.py
+++ b/weldbend/testbed/simulation/observer.py
@@ -19,9 +19,9 @@
 from weldbend.thrift.framing import next_frame
 from weldbend.thrift.messages import GiveUp, InvalidCall, Probe, Process, read_call
 
-LONGEST_MESSAGE = 1 << 20  # bytes
+MAX_MESSAGE_SIZE = 1 << 20  # bytes
 
-UNREADABLE = (
+PARSE_ERRORS = (
     InvalidMessageError,
     InvalidFrameError,
     InvalidAnswerError,
@@ -72,12 +72,12 @@
 
 
 def _client_calls(ring: Ring) -> Iterator[Message]:
-    while data := next_frame(ring, LONGEST_MESSAGE):
+    while data := next_frame(ring, MAX_MESSAGE_SIZE):
         yield read_call(data)
 
 
 def _client_answers(ring: Ring) -> Iterator[Message]:
-    while data := next_frame(ring, LONGEST_MESSAGE):
+    while data := next_frame(ring, MAX_MESSAGE_SIZE):
         yield client_calls.read_answer(data)
 
 
@@ -87,7 +87,7 @@
 
 
 def message_reader(traffic: Traffic, ring: Ring) -> Callable[[], Iterator[Message]]:
-    """A function that yields the messages that are complete in a ring; it raises one of UNREADABLE."""
+    """A function that yields the messages that are complete in a ring; it raises one of PARSE_ERRORS."""
     match traffic:
         case Traffic.CLIENT_CALLS:
             return partial(_client_calls, ring)
@@ -105,7 +105,7 @@
     def __init__(self, traffic: Traffic, on_message: Callable[[Message], None]) -> None:
         self.on_message = on_message
         self.is_unreadable = False
-        self._ring = Ring(LONGEST_MESSAGE)
+        self._ring = Ring(MAX_MESSAGE_SIZE)
         self._read = message_reader(traffic, self._ring)
 
     def __call__(self, data: bytes) -> None:
@@ -121,6 +121,6 @@
         """The next message, None where there is none yet; UNREADABLE once where there can be no more."""
         try:
             return next(messages, None)
-        except UNREADABLE:
+        except PARSE_ERRORS:
             self.is_unreadable = True
             return ConnectionEvent.UNREADABLE
--- a/weldbend/testbed/simulation/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -18,7 +18,7 @@
 from weldbend.testbed.simulation.site import RunContext, SimulatedSite
 from weldbend.testbed.simulation.site_faults import SiteFaults
 from weldbend.testbed.simulation.virtual_clock import VirtualClock
-from weldbend.testbed.simulation.workload import CONNECTIONS, Workload
+from weldbend.testbed.simulation.workload import CONNECTIONS_PER_FRONT, Workload
 
 
 @dataclass
@@ -66,7 +66,7 @@
 
     def create_front(self, machine: Machine, site: Site) -> Front:
         """A front that is not started yet."""
-        clock = VirtualClock(self.network, stepped=lambda: self.site.unix_steps[machine.name])
+        clock = VirtualClock(self.network, unix_step=lambda: self.site.unix_steps[machine.name])
         return Front(machine, site, clock=clock)
 
     def step_clocks(self) -> None:
@@ -88,7 +88,7 @@
         self.step_clocks()
         for number in self.workload.connections:
             self.site.start_front(number)
-            for _ in range(CONNECTIONS):
+            for _ in range(CONNECTIONS_PER_FRONT):
                 self.workload.connect(number)
         self.workload.schedule()
         self.schedule_faults()
--- a/weldbend/testbed/simulation/seed_search.py
+++ b/weldbend/testbed/simulation/seed_search.py
@@ -40,7 +40,7 @@
 
 
 def _report(task: tuple[int, RunSettings]) -> SeedReport:
-    begun = time.perf_counter()
+    started = time.perf_counter()
     result = play(*task)
     return SeedReport(
         seed=result.seed,
@@ -49,7 +49,7 @@
         errors=[*result.errors, *result.divergences],
         counts=result.counts,
         injected=result.injected,
-        seconds=time.perf_counter() - begun,
+        seconds=time.perf_counter() - started,
     )
 
 
--- a/weldbend/testbed/simulation/settings.py
+++ b/weldbend/testbed/simulation/settings.py
@@ -4,7 +4,7 @@
 from random import Random
 
 from weldbend.testbed.faults.plan import Plan, parse_plan
-from weldbend.testbed.simulation.auditor import Effect, Rules, WarmUpRule
+from weldbend.testbed.simulation.auditor import Idempotency, Rules, SlowStartRule
 
 EDIT_CLASS = {
     "deadline_us": 4000000,
@@ -17,9 +17,13 @@
 }
 CLIENT_TIMEOUTS = {"photo": 6.0, "order": 9.0, "edit": 4.0}  # seconds that a client waits, by request class
 RULES = Rules(
-    effects={"photo": Effect.IDEMPOTENT, "order": Effect.DEDUPLICATED, "edit": Effect.AT_MOST_ONCE},
-    windows={"photo": 5.0, "order": 3.0, "edit": 1.0},
-    warm_ups={"box": WarmUpRule(0.2, 10.0, 2.0), "parent": WarmUpRule(0.1, 20.0, 2.0)},
+    idempotency_by_class={
+        "photo": Idempotency.IDEMPOTENT,
+        "order": Idempotency.DEDUPLICATED,
+        "edit": Idempotency.AT_MOST_ONCE,
+    },
+    deduplication_windows={"photo": 5.0, "order": 3.0, "edit": 1.0},
+    slow_start_rules={"box": SlowStartRule(0.2, 10.0, 2.0), "parent": SlowStartRule(0.1, 20.0, 2.0)},
 )
 # Of each kind of fault on a connection, the values of its keys that are drawn from.
 CONNECTION_FAULTS: dict[str, dict[str, tuple[str, ...]]] = {
--- a/weldbend/testbed/simulation/site.py
+++ b/weldbend/testbed/simulation/site.py
@@ -34,9 +34,9 @@
 SERVICE_TIMES = {
     "origin": 0.02
 }  # seconds of a cache's own work for an answer; writes take five times as long
-SERVICE_TIME = 0.002  # of the others
+DEFAULT_SERVICE_TIME = 0.002  # of the others
 MEDIAN_SIZE = 6000  # bytes of a part
-OPEN_CAP = 400  # requests in flight to a cache at most
+MAX_IN_FLIGHT_REQUESTS = 400  # requests in flight to a cache at most
 
 
 class NoEpollSet:
@@ -90,7 +90,7 @@
         # Seconds by which the Unix clocks of fronts, bus and caches have been stepped, by name.
         self.unix_steps = defaultdict[str, float](float)
         self.targets: dict[str, dict[str, Any]] = {}  # the endpoint list, by uid
-        self.uid_at: dict[str, str] = {}  # by host
+        self.uid_by_host: dict[str, str] = {}  # by host
         self.down_caches: set[str] = set()  # those that will be back
         self.fronts: dict[int, tuple[Machine, Front]] = {}
         settings = context.settings
@@ -109,13 +109,13 @@
         settings = self.context.settings
         machine = self.machines[uid] = Machine(self.network, uid, host)
         capacity = {"box": settings.edge_capacity, "parent": 4 * settings.edge_capacity, "origin": 0}[kind]
-        cache = EmulatedCache(uid, kind, capacity, SERVICE_TIMES.get(kind, SERVICE_TIME))
+        cache = EmulatedCache(uid, kind, capacity, SERVICE_TIMES.get(kind, DEFAULT_SERVICE_TIME))
         self.caches.caches[uid] = cache
         if kind == "box":
             self.caches.links[uid] = Link(*EDGE_LINK)
 
         def on_executed(name: str, answer: TimedAnswer) -> None:
-            self.context.auditor.on_copy_given(uid, name, answer.made_ms)
+            self.context.auditor.on_copy_served(uid, name, answer.made_ms)
 
         server = CacheServer(
             machine, self.caches, cache, lambda: self.events.now, lambda: self.unix(CACHE_CLOCK), on_executed
@@ -130,7 +130,7 @@
             endpoint=f"{host}:{CACHE_PORT}",
             capacity_hint=settings.weight,
         )
-        self.uid_at[host] = uid
+        self.uid_by_host[host] = uid
 
     def restart_cache(self, uid: str) -> None:
         """A cache dies and is back, empty, half a second later; the endpoint list states its start."""
@@ -228,7 +228,7 @@
             bus=f"{BUS_HOST}:{BUS_PORT}",
             name=machine.name,
             seed=f"{self.context.seed}/{number}/{self.events.now}",
-            open_cap=OPEN_CAP,
+            open_cap=MAX_IN_FLIGHT_REQUESTS,
         )
         document = json.loads(text)
         document["known"] = {"offset": self.bus.events[-1]["offset"], "batch": self.bus.events}
--- a/weldbend/testbed/simulation/site_faults.py
+++ b/weldbend/testbed/simulation/site_faults.py
@@ -7,11 +7,11 @@
 from weldbend.testbed.simulation.settings import PURGE_GROUPS
 from weldbend.testbed.simulation.site import RunContext, SimulatedSite
 
-ONE_OBJECT = 0.7  # fraction of the purges that name one object; the others name a group
+OBJECT_PURGE_FRACTION = 0.7  # fraction of the purges that name one object; the others name a group
 PURGED_GROUP = 1
-RESET_ORIGIN = 0.5  # fraction of the resets that are of the origin's connections
-VANISHED_FOR = 1.0  # seconds
-FRONT_DOWN_FOR = 0.4  # seconds
+ORIGIN_RESET_FRACTION = 0.5  # fraction of the resets that are of the origin's connections
+UNREACHABLE_TIME = 1.0  # seconds
+FRONT_RESTART_DELAY = 0.4  # seconds
 
 
 class SiteFaults:
@@ -56,7 +56,7 @@
         key = objects.key_of(rng.randint(1, 6))
         stamp = site.unix_ms()
         purged_ms = int(self.context.network.events.now * 1000)
-        if rng.random() < ONE_OBJECT:
+        if rng.random() < OBJECT_PURGE_FRACTION:
             site.publish(ban={"url": key, "ts": stamp})
             keys = {key}
         else:
@@ -73,13 +73,13 @@
             host = self.site.machines[uid].host
             self.context.log.add(f"{uid} vanishes")
             network.unreachable_hosts.add(host)
-            network.events.schedule(VANISHED_FOR, lambda: network.unreachable_hosts.discard(host))
+            network.events.schedule(UNREACHABLE_TIME, lambda: network.unreachable_hosts.discard(host))
 
     def reset(self) -> None:
         """All connections of a cache are reset, with what is in flight on them."""
         uid = (
             "o1"
-            if self.context.rng.random() < RESET_ORIGIN
+            if self.context.rng.random() < ORIGIN_RESET_FRACTION
             else self.site.draw_cache("box", "parent") or "o1"
         )
         self.context.log.add(f"connections of {uid} are reset")
@@ -89,7 +89,7 @@
     def kill_front(self) -> None:
         """A front is killed and started again."""
         number = self.context.rng.choice(sorted(self.site.fronts))
-        self.site.kill_front(number, FRONT_DOWN_FOR)
+        self.site.kill_front(number, FRONT_RESTART_DELAY)
 
     def break_bus(self) -> None:
         """The event bus breaks off in the middle of an event for all its readers."""
--- a/weldbend/testbed/simulation/transports.py
+++ b/weldbend/testbed/simulation/transports.py
@@ -15,13 +15,13 @@
 from twisted.internet.protocol import Protocol
 from twisted.python.failure import Failure
 
-from weldbend.testbed.faults.engine import FaultAction, Stream, What
+from weldbend.testbed.faults.engine import ActionKind, FaultAction, Stream
 
 if TYPE_CHECKING:  # for annotations only: a machine makes these transports
     from weldbend.testbed.simulation.machine import Machine
 
-WINDOW = 1 << 17  # bytes in transit or unread, beyond which a sender is paused
-SINGLE_PIECE = 0.7  # probability that the rest of a write arrives in one piece
+SEND_WINDOW = 1 << 17  # bytes in transit or unread, beyond which a sender is paused
+SINGLE_PIECE_PROBABILITY = 0.7  # probability that the rest of a write arrives in one piece
 
 
 class Producer(typing.Protocol):
@@ -50,10 +50,10 @@
         self.is_closed = False
         self.is_write_closed = False
         self.is_producer_paused = False
-        self.arrived: deque[bytes | None] = deque()  # pieces that are unread
+        self.received_pieces: deque[bytes | None] = deque()  # pieces that are unread
         self.unread = 0  # bytes in transit to this end, or unread
         self.last_arrival = 0.0  # when the last piece in transit arrives
-        self.delayed: list[bytes | None] = []  # pieces held up on a path that is blocked
+        self.delayed_pieces: list[bytes | None] = []  # pieces held up on a path that is blocked
         self.tap: Callable[[bytes], None] | None = None  # sees what this end sends
         self.read_tap: Callable[[bytes], None] | None = None  # sees what the protocol of this end reads
         self.fault_stream: Stream | None = None  # what an injector does to it first
@@ -163,10 +163,10 @@
         random = self.network.random
         peer.unread += len(data)
         while data:
-            size = len(data) if random.random() < SINGLE_PIECE else random.randint(1, len(data))
+            size = len(data) if random.random() < SINGLE_PIECE_PROBABILITY else random.randint(1, len(data))
             self._send_piece(data[:size])
             data = data[size:]
-        if peer.unread > WINDOW and self.producer and not self.is_producer_paused:
+        if peer.unread > SEND_WINDOW and self.producer and not self.is_producer_paused:
             self.is_producer_paused = True
             self.producer.pauseProducing()
 
@@ -175,8 +175,8 @@
         assert peer
         events = self.network.events
         extra = self.network.extra_delay.get((self.machine.host, self.peer_host), 0.0)
-        peer.last_arrival = max(peer.last_arrival, events.now + self.network.latency() + extra)
-        events.schedule(peer.last_arrival - events.now, lambda: peer.arrive(piece))
+        peer.last_arrival = max(peer.last_arrival, events.now + self.network.draw_latency() + extra)
+        events.schedule(peer.last_arrival - events.now, lambda: peer.receive_piece(piece))
 
     def schedule_fault_actions(self, actions: list[FaultAction]) -> None:
         """Do at its time each thing that an injector makes of bytes written here."""
@@ -191,15 +191,15 @@
     def _perform(self, action: FaultAction) -> None:
         if self.is_closed or not self.peer or self.peer.is_closed:
             return
-        match action.what:
-            case What.DATA:
+        match action.kind:
+            case ActionKind.DATA:
                 self._send(action.data)
-            case What.END:
+            case ActionKind.END:
                 self._send_piece(None)
-            case What.RESET:
+            case ActionKind.RESET:
                 self.peer.abortConnection()
                 self.abortConnection()
-            case What.CLOSE:
+            case ActionKind.CLOSE:
                 self._send_piece(None)
                 self.machine.callLater(0, self.close, ConnectionDone)
 
@@ -207,19 +207,19 @@
         peer = self.peer
         if peer and not peer.is_closed and self.network.is_open(self.machine.host, self.peer_host):
             self.network.events.schedule(
-                self.network.latency(), lambda: peer.machine.run_guarded(peer.close, ConnectionLost)
+                self.network.draw_latency(), lambda: peer.machine.run_guarded(peer.close, ConnectionLost)
             )
 
     # What the network and the machine do.
 
-    def vanish(self) -> None:
+    def close_with_process(self) -> None:
         """The process of this end is gone: its protocol is not notified, the other end is reset."""
         if not self.is_closed:
             self._report_end()
             self._reset_peer()
             self.is_closed = True
 
-    def arrive(self, piece: bytes | None) -> None:
+    def receive_piece(self, piece: bytes | None) -> None:
         """A piece comes in from the network."""
         if self.is_closed:
             if piece and self.peer and not self.peer.is_closed:  # nobody is there any more
@@ -228,26 +228,30 @@
         unreachable = self.network.unreachable_hosts
         if self.machine.host in unreachable or self.peer_host in unreachable:
             return
-        if self.delayed or not self.network.is_open(self.peer_host, self.machine.host):
-            self.delayed.append(piece)
+        if self.delayed_pieces or not self.network.is_open(self.peer_host, self.machine.host):
+            self.delayed_pieces.append(piece)
             return
-        self.arrived.append(piece)
+        self.received_pieces.append(piece)
         self.deliver()
 
     def deliver_delayed(self) -> None:
         """Let in what a blocked path held up, where it is open again."""
-        if self.delayed and self.network.is_open(self.peer_host, self.machine.host):
-            delayed = self.delayed
-            self.delayed = []
+        if self.delayed_pieces and self.network.is_open(self.peer_host, self.machine.host):
+            delayed = self.delayed_pieces
+            self.delayed_pieces = []
             for piece in delayed:
-                self.arrive(piece)
+                self.receive_piece(piece)
 
     def deliver(self) -> None:
         """Give the protocol what has arrived, as long as it reads."""
         if self.machine.is_frozen:
             return
-        while self.arrived and not (self.is_reading_paused or self.is_closed) and self.protocol is not None:
-            piece = self.arrived.popleft()
+        while (
+            self.received_pieces
+            and not (self.is_reading_paused or self.is_closed)
+            and self.protocol is not None
+        ):
+            piece = self.received_pieces.popleft()
             if piece is None:
                 self._deliver_end()
                 return
@@ -259,10 +263,10 @@
 
     def _resume_sender(self) -> None:
         sender = self.peer
-        if sender and sender.is_producer_paused and self.unread < WINDOW // 2:
+        if sender and sender.is_producer_paused and self.unread < SEND_WINDOW // 2:
             sender.is_producer_paused = False
             if sender.producer:
-                sender.machine.callLater(self.network.latency(), sender.resume_producer)
+                sender.machine.callLater(self.network.draw_latency(), sender.resume_producer)
 
     def resume_producer(self) -> None:
         """Let the producer of this end go on, unless it was paused again."""
--- a/weldbend/testbed/simulation/virtual_clock.py
+++ b/weldbend/testbed/simulation/virtual_clock.py
@@ -5,13 +5,13 @@
 from weldbend.front.clock import Clock
 from weldbend.testbed.simulation.network import VirtualNetwork
 
-STEADY_CLOCK_AHEAD = 1.0  # seconds of the steady clock at the virtual start
+STEADY_CLOCK_OFFSET = 1.0  # seconds of the steady clock at the virtual start
 
 
 class VirtualClock(Clock):
     """The clocks of one front: the Unix clock may be set apart, the steady one may run too fast or slow.
 
-    `stepped` returns the seconds by which the Unix clock of its machine has been stepped so far.
+    `unix_step` returns the seconds by which the Unix clock of its machine has been stepped so far.
     """
 
     def __init__(
@@ -19,23 +19,23 @@
         network: VirtualNetwork,
         offset: float = 0.0,
         drift: float = 0.0,
-        stepped: Callable[[], float] = lambda: 0.0,
+        unix_step: Callable[[], float] = lambda: 0.0,
     ) -> None:
         self.network = network
         self.offset = offset  # seconds by which the Unix clock is ahead
         self.drift = drift  # fraction by which both clocks run too fast
-        self.stepped = stepped
+        self.unix_step = unix_step
         self.start = network.events.now
 
     def now(self) -> float:  # type: ignore[override]  # static in Clock, where it needs no state
         """Seconds of the steady clock."""
         now = self.network.events.now
-        return now + STEADY_CLOCK_AHEAD + self.drift * (now - self.start)
+        return now + STEADY_CLOCK_OFFSET + self.drift * (now - self.start)
 
     def unix(self) -> float:  # type: ignore[override]  # static in Clock, where it needs no state
         """Seconds of the Unix clock."""
         events = self.network.events
-        return events.unix() + self.offset + self.stepped() + self.drift * (events.now - self.start)
+        return events.unix() + self.offset + self.unix_step() + self.drift * (events.now - self.start)
 
     def random_bytes(self, size: int) -> bytes:  # type: ignore[override]  # static in Clock, where it needs no state
         """Bytes at random, from the seed of the run."""
--- a/weldbend/testbed/simulation/workload.py
+++ b/weldbend/testbed/simulation/workload.py
@@ -26,12 +26,12 @@
 )
 from weldbend.testbed.simulation.site import RunContext
 
-CONNECTIONS = 3  # to each front
-MAX_OPEN = 30  # requests of one connection that have no answer yet
+CONNECTIONS_PER_FRONT = 3  # to each front
+MAX_OPEN_REQUESTS = 30  # requests of one connection that have no answer yet
 RECONNECT_AFTER = 0.2  # seconds
 FIRST_ARRIVAL = 0.3  # seconds after the start
 # Seconds before the end of its connection within which a request may not have been read: it is sent again.
-CROSSED_CLOSE = 0.05
+CLOSE_CROSSING_WINDOW = 0.05
 RING_SIZE = 1 << 21  # bytes of answers that a client buffers
 BODY = b"x" * 100
 
@@ -49,17 +49,17 @@
         self.ring = Ring(RING_SIZE)
         self.open: dict[int, Fields] = {}  # requests without an answer, by seqid
         self.seqid = 0
-        self.is_up = False
+        self.is_connected = False
         self.last_sent = 0.0
 
     def connectionMade(self) -> None:
         """The front has accepted."""
-        self.is_up = True
+        self.is_connected = True
         self.workload.connections[self.front].append(self)
 
     def is_ready(self) -> bool:
         """Whether it may send a further request."""
-        return self.is_up and len(self.open) < MAX_OPEN
+        return self.is_connected and len(self.open) < MAX_OPEN_REQUESTS
 
     def send(self, fields: Fields) -> int:
         """Send one request; returns its sequence id."""
@@ -70,16 +70,16 @@
             self.transport.write(client_calls.process(self.seqid, fields, BODY))
         return self.seqid
 
-    def give_up(self, seqid: int) -> None:
+    def cancel(self, seqid: int) -> None:
         """Cancel a request, unless it has its answer."""
-        if self.is_up and seqid in self.open:
+        if self.is_connected and seqid in self.open:
             del self.open[seqid]
             self.transport.write(client_calls.give_up(seqid))
 
-    def leave(self, is_reset: bool) -> None:
+    def disconnect(self, is_reset: bool) -> None:
         """Close or reset, with all that is open."""
-        if self.is_up:
-            self.is_up = False
+        if self.is_connected:
+            self.is_connected = False
             self.open.clear()
             (self.transport.abortConnection if is_reset else self.transport.loseConnection)()
 
@@ -93,8 +93,8 @@
     def connectionLost(self, reason: Failure | None = None) -> None:
         """Send again what may not have been read, and connect anew."""
         workload = self.workload
-        self.is_up = False
-        if self.seqid in self.open and workload.events.now < self.last_sent + CROSSED_CLOSE:
+        self.is_connected = False
+        if self.seqid in self.open and workload.events.now < self.last_sent + CLOSE_CROSSING_WINDOW:
             workload.machine.callLater(0.0, workload.send_to, self.front, self.open[self.seqid])
         self.open.clear()
         if self in workload.connections[self.front]:
@@ -130,7 +130,7 @@
             number: [] for number in range(1, context.settings.fronts + 1)
         }
         self.request_count = 0
-        self.leaving = LeavingClients(self, context.seed)
+        self.leaving_clients = LeavingClients(self, context.seed)
 
     def connect(self, front: int) -> None:
         """Open one connection to a front."""
@@ -152,7 +152,7 @@
             else:
                 request_class = "photo"
             self._schedule_request(at, request_class, rank)
-        self.leaving.schedule()
+        self.leaving_clients.schedule()
 
     def _schedule_request(self, at: float, request_class: str, rank: int) -> None:
         self.events.schedule(at, lambda: self.send(self.request_fields(request_class, rank)))
@@ -188,9 +188,9 @@
             return
         connection = self.context.rng.choice(ready)
         seqid = connection.send(fields)
-        cancel_after = self.leaving.draw_cancellation()
+        cancel_after = self.leaving_clients.draw_cancellation()
         if cancel_after is not None:
-            self.machine.callLater(cancel_after, connection.give_up, seqid)
+            self.machine.callLater(cancel_after, connection.cancel, seqid)
 
     def send_to(self, front: int, fields: Fields) -> None:
         """Send a request to one front."""
