--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -7,87 +7,95 @@
 import pytest
 from fronts import TARGETS, FrontHarness, give_up, listing, process, target
 
-WORDS = ("DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST")
-SLACK = 0.058  # what the rules allow past an expiry
-STEP = 0.3  # the longest standstill of the front
+ANSWER_STATUSES = ("DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST")
+DEADLINE_SLACK = 0.058  # what the rules allow past an expiry
+MAX_STEP = 0.3  # the longest standstill of the front
 
 
-class Walk:
+class RandomWalk:
     """Random steps of clients, caches, machines, the bus and the clock, from one seed."""
 
     def __init__(self, seed):
-        self.chance, self.harness = random.Random(seed), FrontHarness(max_streams=4)
-        self.owed = {}  # number of a download -> client, and the moment after which an answer is late
-        self.left, self.answered, self.closed = set(), set(), set()
+        self.rng, self.harness = random.Random(seed), FrontHarness(max_streams=4)
+        self.expected_answers = {}  # request number -> client index and latest answer time
+        self.cancelled, self.answered, self.unavailable = set(), set(), set()
         self.number = self.offset = 1
-        self.members = [self.harness.connect_client() for _ in range(3)]
+        self.clients = [self.harness.connect_client() for _ in range(3)]
 
     def now(self):
         return self.harness.reactor.seconds()
 
-    def links(self):
-        return [link for link in self.harness.caches.values() if not link.is_lost]
+    def connections(self):
+        return [connection for connection in self.harness.caches.values() if not connection.is_lost]
 
-    def ask(self):
+    def request(self):
         self.number += 1
-        wait = self.chance.choice((0.3, 1.0, 3.0))
-        client = self.chance.randrange(3)
-        kind = {"class": "order", "once": f"a{self.number}"} if self.chance.random() < 0.3 else {}
-        key = f"{self.chance.randrange(9):016x}"
-        until = math.inf if self.members[client].writer.is_paused else self.now() + wait + SLACK
-        self.owed[self.number] = client, until
-        self.harness.send(self.members[client], process(self.number, key=key, wait=str(wait * 1000), **kind))
+        wait = self.rng.choice((0.3, 1.0, 3.0))
+        client = self.rng.randrange(3)
+        fields = {"class": "order", "once": f"a{self.number}"} if self.rng.random() < 0.3 else {}
+        key = f"{self.rng.randrange(9):016x}"
+        latest = math.inf if self.clients[client].writer.is_paused else self.now() + wait + DEADLINE_SLACK
+        self.expected_answers[self.number] = client, latest
+        self.harness.send(
+            self.clients[client], process(self.number, key=key, wait=str(wait * 1000), **fields)
+        )
 
     def give_up(self):
-        if self.owed:
-            number = self.chance.choice(list(self.owed))
-            self.left.add(number)
-            self.harness.send(self.members[self.owed.pop(number)[0]], give_up(number))
+        if self.expected_answers:
+            number = self.rng.choice(list(self.expected_answers))
+            self.cancelled.add(number)
+            self.harness.send(self.clients[self.expected_answers.pop(number)[0]], give_up(number))
 
     def answer(self):
-        busy = [link for link in self.links() if link.in_flight]
+        busy = [connection for connection in self.connections() if connection.in_flight]
         if busy:
-            link = self.chance.choice(busy)
-            name = self.chance.choice(list(link.in_flight))
-            word = self.chance.choice(WORDS)
-            body = b"x" * self.chance.choice((0, 5, 90_000)) if word == "DONE" else b""
-            link.dataReceived(b"%b %b - %d\r\n%b\r\n" % (name.encode(), word.encode(), len(body), body))
+            connection = self.rng.choice(busy)
+            name = self.rng.choice(list(connection.in_flight))
+            status = self.rng.choice(ANSWER_STATUSES)
+            body = b"x" * self.rng.choice((0, 5, 90_000)) if status == "DONE" else b""
+            connection.dataReceived(
+                b"%b %b - %d\r\n%b\r\n" % (name.encode(), status.encode(), len(body), body)
+            )
             self.harness.advance()
 
-    def machine(self):
-        if self.links() and self.chance.random() < 0.5:
-            self.chance.choice(self.links()).transport.loseConnection()
-        self.harness.fail_connects() if self.chance.random() < 0.2 else self.harness.complete_connects()
+    def change_connections(self):
+        if self.connections() and self.rng.random() < 0.5:
+            self.rng.choice(self.connections()).transport.loseConnection()
+        self.harness.fail_connects() if self.rng.random() < 0.2 else self.harness.complete_connects()
 
-    def reader(self):
+    def change_reading(self):
         """One that reads nothing for a while can be told nothing, nor be heard."""
-        at = self.chance.randrange(3)
-        if self.chance.random() < 0.3:
-            self.members[at].pauseProducing()
-            self.owed |= {n: (at, math.inf) for n, (client, _) in self.owed.items() if client == at}
+        index = self.rng.randrange(3)
+        if self.rng.random() < 0.3:
+            self.clients[index].pauseProducing()
+            self.expected_answers |= {
+                request_id: (index, math.inf)
+                for request_id, (client, _) in self.expected_answers.items()
+                if client == index
+            }
         else:
-            self.members[at].resumeProducing()
+            self.clients[index].resumeProducing()
 
-    def bus(self):
+    def publish_event(self):
         self.offset += 1
-        if self.chance.random() < 0.4:
-            ban = {"tag": 3} if self.chance.random() < 0.2 else {"url": f"{self.chance.randrange(9):016x}"}
+        if self.rng.random() < 0.4:
+            purge = {"tag": 3} if self.rng.random() < 0.2 else {"url": f"{self.rng.randrange(9):016x}"}
             self.harness.deliver_event(
-                {"offset": self.offset, "ban": ban | {"ts": self.harness.unix() * 1000}}
+                {"offset": self.offset, "ban": purge | {"ts": self.harness.unix() * 1000}}
             )
             return
-        held = self.chance.choice(TARGETS)
-        boot = self.chance.choice((0, self.harness.unix() * 1000))
-        state = self.chance.choice(("up", "up", "draining", "removed"))
-        port = int(held["endpoint"].partition(":")[2])
-        changed = target(held["uid"], held["model"], held["az"], port, state, boot)
-        self.closed = self.closed - {held["uid"]} | ({held["uid"]} if state != "up" else set())
+        record = self.rng.choice(TARGETS)
+        started = self.rng.choice((0, self.harness.unix() * 1000))
+        state = self.rng.choice(("up", "up", "draining", "removed"))
+        port = int(record["endpoint"].partition(":")[2])
+        changed = target(record["uid"], record["model"], record["az"], port, state, started)
+        self.unavailable = self.unavailable - {record["uid"]} | ({record["uid"]} if state != "up" else set())
         self.harness.deliver_event(listing(self.offset, changed))
 
-    def clock(self):
-        self.harness.advance(self.chance.choice((0.001, 0.02, STEP)))
+    def advance_clock(self):
+        self.harness.advance(self.rng.choice((0.001, 0.02, MAX_STEP)))
 
-    def check(self):
+    def check_answers(self):
         """Every answer is the first and in time, no pull goes where the list says no, and no two are out."""
         self.harness.record_output()
         for line in self.harness.trace:
@@ -95,36 +103,39 @@
                 number = int(line.split()[3])
                 assert number not in self.answered, f"a second answer: {line}"
                 self.answered.add(number)
-                late = number in self.owed and self.now() > self.owed.pop(number)[1] + STEP
+                late = (
+                    number in self.expected_answers
+                    and self.now() > self.expected_answers.pop(number)[1] + MAX_STEP
+                )
                 assert not late, f"late: {line}"
             elif " < do " in line:
                 source = re.search(r"from=(\w+)", line)
-                assert not {line.partition("/")[0], source and source[1]} & self.closed, line
-        out = [name for link in self.links() for name in link.in_flight]
-        assert len(out) == len(set(out)), "two pulls of one download are out"
+                assert not {line.partition("/")[0], source and source[1]} & self.unavailable, line
+        in_flight = [name for connection in self.connections() for name in connection.in_flight]
+        assert len(in_flight) == len(set(in_flight)), "two pulls of one download are out"
         self.harness.trace.clear()
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_one_answer_each_whatever_comes(seed):
-    walk = Walk(seed)
-    steps = [walk.ask] * 6 + [walk.answer] * 8 + [walk.machine] * 2 + [walk.clock] * 4
-    steps += [walk.give_up, walk.reader, walk.bus]
+def test_each_request_gets_one_answer_under_random_events(seed):
+    walk = RandomWalk(seed)
+    steps = [walk.request] * 6 + [walk.answer] * 8 + [walk.change_connections] * 2 + [walk.advance_clock] * 4
+    steps += [walk.give_up, walk.change_reading, walk.publish_event]
     for _ in range(500):
-        walk.chance.choice(steps)()
-        walk.check()
-    for client in walk.members:
+        walk.rng.choice(steps)()
+        walk.check_answers()
+    for client in walk.clients:
         client.resumeProducing()
     for _ in range(40):
         walk.harness.advance(0.1)
-        for client in walk.members:
+        for client in walk.clients:
             client.resumeProducing()
-        walk.check()
-    door = walk.harness.front
-    assert not walk.owed, walk.owed
+        walk.check_answers()
+    front = walk.harness.front
+    assert not walk.expected_answers, walk.expected_answers
     assert (
-        not door.dispatcher.requests
+        not front.dispatcher.requests
         and not walk.harness.counts["internal errors"]
-        and door.gateway.unsent_bytes == 0
+        and front.gateway.unsent_bytes == 0
     )
-    assert not door.dispatcher.router.requests and len(walk.answered) > 50
+    assert not front.dispatcher.router.requests and len(walk.answered) > 50
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -56,7 +56,7 @@
     return isinstance(node, ast.If) and "TYPE_CHECKING" in ast.unparse(node.test)
 
 
-def imported(nodes: list[ast.stmt], inside_function: bool = False) -> Iterator[tuple[str, bool]]:
+def imported_modules(nodes: list[ast.stmt], inside_function: bool = False) -> Iterator[tuple[str, bool]]:
     """Modules of weldbend that the statements import, and whether that waits for a call."""
     for node in nodes:
         if is_for_type_checkers(node):
@@ -71,52 +71,52 @@
         yield from ((name, inside_function) for name in names if name.split(".")[0] == "weldbend")
         is_function = inside_function or isinstance(node, ast.FunctionDef)
         for field in ("body", "orelse", "handlers", "finalbody"):
-            yield from imported(getattr(node, field, []), is_function)
+            yield from imported_modules(getattr(node, field, []), is_function)
 
 
 def imports_of(module: str) -> list[tuple[str, bool]]:
-    return list(imported(ast.parse(MODULES[module].read_text("utf-8")).body))
+    return list(imported_modules(ast.parse(MODULES[module].read_text("utf-8")).body))
 
 
-def package(module: str) -> str:
+def package_of(module: str) -> str:
     return module.split(".")[1] if "." in module else ""
 
 
-@pytest.mark.parametrize("name", sorted({package(module) for module in MODULES} - {""}))
-def test_a_package_imports_only_what_its_layer_may(name):
+@pytest.mark.parametrize("name", sorted({package_of(module) for module in MODULES} - {""}))
+def test_a_package_imports_only_what_its_layer_allows(name):
     found = {
-        package(other)
+        package_of(other)
         for module in MODULES
-        if package(module) == name
+        if package_of(module) == name
         for other, _ in imports_of(module)
-        if package(other) not in (name, "")
+        if package_of(other) not in (name, "")
     }
     assert found <= MAY_IMPORT[name], f"{name} must not import {sorted(found - MAY_IMPORT[name])}"
 
 
-def test_no_modules_import_each_other_in_a_circle_while_loading():
+def test_modules_have_no_import_cycles_while_loading():
     graph = {
-        module: {other for other, waits in imports_of(module) if not waits and other != module}
+        module: {other for other, is_deferred in imports_of(module) if not is_deferred and other != module}
         for module in MODULES
     }
     try:
         order = list(TopologicalSorter(graph).static_order())
-    except CycleError as circle:
-        pytest.fail(f"import circle: {' -> '.join(circle.args[1])}")
+    except CycleError as error:
+        pytest.fail(f"import cycle: {' -> '.join(error.args[1])}")
     assert set(order) >= set(MODULES)
 
 
-def test_the_search_for_circles_would_notice_one():
+def test_an_import_cycle_is_detected():
     with pytest.raises(CycleError):
         list(TopologicalSorter({"one": {"two"}, "two": {"one"}}).static_order())
 
 
-def test_a_front_loads_no_fleet_no_testbed_and_none_of_their_libraries():
+def test_a_front_loads_neither_fleet_nor_testbed_nor_their_libraries():
     code = "import sys, weldbend.front.server, weldbend.cli; print('\\n'.join(sys.modules))"
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, timeout=60, cwd=ROOT, check=True
     )
-    loaded = done.stdout.split()
+    loaded = result.stdout.split()
     assert "weldbend.routing.router" in loaded
     unwanted = [name for name in loaded if name.startswith(NOT_IN_A_FRONT)]
     unwanted += [name for name in loaded if name.split(".")[0] in LIBRARIES_NOT_IN_A_FRONT]
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -14,13 +14,13 @@
 
 SEEDS = range(1, 9)  # within so many the sabotage is caught by both rules
 SETTINGS = RunSettings(seconds=6.0, faults=8, clock_steps=4)
-QUIET = RunSettings(seconds=9.0, faults=0, connection_faults=0, clock_steps=0, rate=90.0)
+SETTINGS_WITHOUT_FAULTS = RunSettings(seconds=9.0, faults=0, connection_faults=0, clock_steps=0, rate=90.0)
 HOUR = 3600.0
-REWRITTEN_BORN = 49  # a seed whose drawn faults rewrite `born` in answers
+SEED_REWRITING_BORN = 49  # a seed whose drawn faults rewrite `born` in answers
 
 
-def test_the_auditor_goes_by_what_caches_gave_out_and_not_by_a_stamp_changed_on_its_way():
-    run = Run(REWRITTEN_BORN, RunSettings())
+def test_the_auditor_uses_timestamps_as_caches_sent_them_not_as_rewritten_on_the_way():
+    run = Run(SEED_REWRITING_BORN, RunSettings())
     result = run.play()
     assert any("rewrite" in name for name in result.injected)
     assert any('born": "1"' in line or "'born': '1'" in line for line in result.log)
@@ -31,11 +31,11 @@
     for seed in SEEDS:
         result = Run(seed, SETTINGS).play()
         assert not result.violations and not result.errors, (seed, result.violations, result.errors)
-        owed = result.counts["downloads"] - result.counts["requests left open by clients"]
-        assert result.counts["fulfilled"] > 0.9 * owed > 200, seed
+        expected_answers = result.counts["downloads"] - result.counts["requests left open by clients"]
+        assert result.counts["fulfilled"] > 0.9 * expected_answers > 200, seed
 
 
-def dates_by_the_unix_clock_of_the_moment(monkeypatch):
+def date_by_current_unix_clock(monkeypatch):
     handle = EndpointUpdates.handle
 
     def handle_by_unix_clock(self, sequenced, receipt):
@@ -53,17 +53,17 @@
     monkeypatch.setattr(RemoteTimestamps, "estimate_purge_time", estimate_purge_time)
 
 
-def test_a_front_that_dates_by_the_unix_clock_of_the_moment_is_caught_by_both_rules(monkeypatch):
-    dates_by_the_unix_clock_of_the_moment(monkeypatch)
-    broken = {violation.rule for seed in SEEDS for violation in Run(seed, SETTINGS).play().violations}
-    assert {"cold not pushed over", "purges kept"} <= broken
+def test_dating_events_by_the_current_unix_clock_violates_both_rules(monkeypatch):
+    date_by_current_unix_clock(monkeypatch)
+    violated = {violation.rule for seed in SEEDS for violation in Run(seed, SETTINGS).play().violations}
+    assert {"cold not pushed over", "purges kept"} <= violated
 
 
-def test_steps_of_clocks_leave_the_drawn_load_and_the_other_faults_as_they_are():
-    quiet = Run(3, replace(SETTINGS, clock_steps=0)).play()
+def test_clock_steps_leave_the_random_load_and_the_other_faults_unchanged():
+    unstepped = Run(3, replace(SETTINGS, clock_steps=0)).play()
     stepped = Run(3, SETTINGS).play()
     assert any("are stepped by" in line for line in stepped.log)
-    assert quiet.counts["downloads"] == stepped.counts["downloads"]
+    assert unstepped.counts["downloads"] == stepped.counts["downloads"]
 
 
 # What a front missed: told after a reconnect, a restart of the bus, and a reload that names another bus.
@@ -71,13 +71,13 @@
 OTHER_PORT = BUS_PORT + 1
 
 
-def missed(run):
+def publish_missed_events(run):
     """A cache starts cold, and all of one group is purged."""
     run.site.restart_cache("e1")
     run.site.publish(ban={"tag": PURGED_GROUP, "ts": run.site.unix_ms()})
 
 
-def cut_off(run):
+def disconnect_bus(run):
     run.network.unreachable_hosts.add(BUS_HOST)
     run.events.schedule(1.5, lambda: run.network.unreachable_hosts.discard(BUS_HOST))
 
@@ -86,43 +86,43 @@
     previous = run.site.bus
     previous.reactor.kill()
 
-    def start_again():
+    def restart():
         machine = Machine(run.network, "bus", BUS_HOST)
         run.site.bus = EventBusServer(machine, [])
         run.site.bus.events = previous.events
         machine.listenTCP(BUS_PORT, run.site.bus)
 
-    run.events.schedule(1.0, start_again)
+    run.events.schedule(1.0, restart)
 
 
 def reload_with_another_bus(run):
     """The old bus tells nothing any more; the front is told of the new one a second later."""
     run.site.bus.readers.clear()
 
-    def name_it():
+    def switch_bus():
         run.site.bus.reactor.listenTCP(OTHER_PORT, run.site.bus)
         for _, front in run.site.fronts.values():
             front.bus.move(f"{BUS_HOST}:{OTHER_PORT}")
 
-    run.events.schedule(1.0, name_it)
+    run.events.schedule(1.0, switch_bus)
 
 
-def broken_rules(out_of_touch, step, seed):
-    run = Run(seed, QUIET)
-    begun, told = 1.6, 4.2  # the last second in which all fronts are told again
+def violated_rules(start_outage, step, seed):
+    run = Run(seed, SETTINGS_WITHOUT_FAULTS)
+    outage_start, outage_end = 1.6, 4.2  # the last second in which all fronts are told again
     run.events.schedule(1.5, lambda: run.clock_steps.step(["n1", "n2", "n3"], step))
-    run.events.schedule(begun, lambda: out_of_touch(run))
-    run.events.schedule(begun + 0.2, lambda: missed(run))
+    run.events.schedule(outage_start, lambda: start_outage(run))
+    run.events.schedule(outage_start + 0.2, lambda: publish_missed_events(run))
     for name in ("n1", "n2", "n3"):
-        run.auditor.on_front_unreachable(name, begun, told, False)
+        run.auditor.on_front_unreachable(name, outage_start, outage_end, False)
     result = run.play()
     assert not result.errors and result.counts["fulfilled"] > 200
     return {violation.rule for violation in result.violations}
 
 
-@pytest.mark.parametrize("out_of_touch", [cut_off, restart_bus, reload_with_another_bus])
-def test_what_was_missed_is_dated_by_what_was_seen(out_of_touch, monkeypatch):
+@pytest.mark.parametrize("start_outage", [disconnect_bus, restart_bus, reload_with_another_bus])
+def test_events_missed_during_an_outage_are_dated_correctly(start_outage, monkeypatch):
     for step, seed in ((HOUR, 1), (-HOUR, 2)):
-        assert broken_rules(out_of_touch, step, seed) == set(), (step, seed)
-    dates_by_the_unix_clock_of_the_moment(monkeypatch)
-    assert any(broken_rules(out_of_touch, HOUR, seed) for seed in (1, 2))
+        assert violated_rules(start_outage, step, seed) == set(), (step, seed)
+    date_by_current_unix_clock(monkeypatch)
+    assert any(violated_rules(start_outage, HOUR, seed) for seed in (1, 2))
--- a/tests/test_decision_work.py
+++ b/tests/test_decision_work.py
@@ -27,7 +27,7 @@
 from weldbend.routing.router import Router
 from weldbend.routing.settings import Role
 
-SMALL, LARGE = 100, 3200
+FEW_CACHES, MANY_CACHES = 100, 3200
 ROLES = (Role.EDGE,) * 7 + (Role.PARENT,) * 2 + (Role.ORIGIN,)
 
 
@@ -45,13 +45,13 @@
     def __init__(self, caches, **site):
         self.router = Router(7, replace(SITE, classes={"photo": request_class()}, **site))
         self.now = 1.0
-        self.endpoints = [endpoint(n, 10.0 * SMALL / caches) for n in range(caches)]
+        self.endpoints = [endpoint(n, 10.0 * FEW_CACHES / caches) for n in range(caches)]
         self.handle(EndpointsListed(ListScope.COMPLETE, tuple(self.endpoints)))
 
     def handle(self, *events):
         return self.router.handle(self.now, events)
 
-    def play(self, number, results):
+    def play_request(self, number, results):
         """A request whose attempts end so, one after the other."""
         self.now += 0.02
         actions = self.handle(
@@ -64,26 +64,26 @@
             ended = AttemptEnded(f"r{number}", attempt, result, 0.1, is_served, FillHint.NONE, 0.1, None)
             actions = self.handle(ended)
 
-    def lines(self, play):
+    def count_lines(self, call):
         """Lines that the decisions run, each turn of a loop counted."""
-        counted = 0
+        line_count = 0
 
         def trace(frame, event, argument):
-            nonlocal counted
+            nonlocal line_count
             if "routing" not in frame.f_code.co_filename:
                 return None
-            counted += 1
+            line_count += 1
             return trace
 
         before = sys.gettrace()
         sys.settrace(trace)
         try:
-            play()
+            call()
         finally:
             sys.settrace(before)
-        return counted
+        return line_count
 
-    def limit_all(self, limit):
+    def set_limits(self, limit):
         for cache in self.router.caches.values():
             cache.concurrency.limit = limit
 
@@ -94,7 +94,7 @@
     AttemptResult.ERROR,
     AttemptResult.RESET,
 )
-ENDS = {
+RESULTS_BY_OUTCOME = {
     "served": (SERVED,),
     "filled": (MISS, MISS, SERVED),
     "failed": (ERROR, ERROR, ERROR),
@@ -102,74 +102,77 @@
 }
 
 
-def requests_cost(caches, results, **site):
+def lines_per_request(caches, results, **options):
     """Lines for a request, once all that such requests lead to has happened before."""
-    held = Site(caches, **site)
+    site = Site(caches, **options)
     for number in range(30):
-        held.play(number, results)
-    return held.lines(lambda: [held.play(100 + number, results) for number in range(10)]) / 10
+        site.play_request(number, results)
+    return site.count_lines(lambda: [site.play_request(100 + number, results) for number in range(10)]) / 10
 
 
 @pytest.mark.parametrize("weighted", (True, False))
-@pytest.mark.parametrize("ends", ENDS)
-def test_the_work_of_a_request_does_not_grow_with_the_caches(ends, weighted):
-    small, large = (requests_cost(size, ENDS[ends], weighted=weighted) for size in (SMALL, LARGE))
+@pytest.mark.parametrize("outcome", RESULTS_BY_OUTCOME)
+def test_the_work_of_a_request_does_not_grow_with_the_number_of_caches(outcome, weighted):
+    small, large = (
+        lines_per_request(size, RESULTS_BY_OUTCOME[outcome], weighted=weighted)
+        for size in (FEW_CACHES, MANY_CACHES)
+    )
     assert large < 2.5 * small, (small, large)
 
 
 def test_the_work_of_a_request_stays_bounded_where_every_cache_is_over_its_limit():
     costs = []
-    for size in (SMALL, LARGE):
+    for size in (FEW_CACHES, MANY_CACHES):
         site = Site(size)
-        site.limit_all(0.0)
-        costs.append(site.lines(lambda site=site: site.play(1, ())))
+        site.set_limits(0.0)
+        costs.append(site.count_lines(lambda site=site: site.play_request(1, ())))
     assert costs[1] < 2.5 * costs[0], costs
 
 
-def test_the_work_of_a_request_stays_bounded_where_no_parent_is_trusted():
+def test_the_work_of_a_request_stays_bounded_where_no_cache_is_trusted():
     """From the size on at which each role has more caches than one request may try."""
     costs = []
-    for size in (4 * SMALL, LARGE):
+    for size in (4 * FEW_CACHES, MANY_CACHES):
         site = Site(size)
         for cache in site.router.caches.values():
             for _ in range(20):
                 cache.handle(Outcome.FAILURE)
-        costs.append(site.lines(lambda site=site: site.play(1, (MISS, MISS, SERVED))))
+        costs.append(site.count_lines(lambda site=site: site.play_request(1, (MISS, MISS, SERVED))))
     assert costs[1] < 2.5 * costs[0], costs
 
 
-@pytest.mark.parametrize("what", ("drains", "peers know more", "started anew", "another weight"))
-def test_a_change_of_one_cache_costs_the_same_among_many(what):
+@pytest.mark.parametrize("change", ("drains", "peers report removal", "restarts", "changes weight"))
+def test_a_change_of_one_cache_costs_the_same_among_many(change):
     costs = []
-    for size in (SMALL, LARGE):
+    for size in (FEW_CACHES, MANY_CACHES):
         site = Site(size)
         number = 10
         event = {
             "drains": EndpointsListed(ListScope.CHANGES, (endpoint(number, state=EndpointState.DRAINING),)),
-            "peers know more": PeerKnowledge(number, EndpointState.REMOVED, None),
-            "started anew": EndpointsListed(ListScope.CHANGES, (endpoint(number, started=0.5),)),
-            "another weight": EndpointsListed(ListScope.CHANGES, (endpoint(number, weight=77.0),)),
-        }[what]
-        costs.append(site.lines(lambda site=site, event=event: site.handle(event)))
+            "peers report removal": PeerKnowledge(number, EndpointState.REMOVED, None),
+            "restarts": EndpointsListed(ListScope.CHANGES, (endpoint(number, started=0.5),)),
+            "changes weight": EndpointsListed(ListScope.CHANGES, (endpoint(number, weight=77.0),)),
+        }[change]
+        costs.append(site.count_lines(lambda site=site, event=event: site.handle(event)))
     assert costs[1] < 2 * costs[0], costs
 
 
-def test_a_request_tries_the_first_caches_by_rank_and_no_more():
+def test_a_request_tries_a_bounded_number_of_caches_in_order_of_rank():
     """All are over their limits but the one that is ranked last of those that it may try, then the next."""
-    for place, is_found in ((0, True), (MAX_CHOICES - 1, True), (MAX_CHOICES, False)):
+    for index, is_found in ((0, True), (MAX_CHOICES - 1, True), (MAX_CHOICES, False)):
         site = Site(400)
         edges = list(site.router.context.ready[Role.EDGE].ranked("k1 0"))
-        site.limit_all(0.0)
-        edges[place].concurrency.limit = 9.0
-        site.play(1, ())
+        site.set_limits(0.0)
+        edges[index].concurrency.limit = 9.0
+        site.play_request(1, ())
         request = site.router.requests.get("r1")
         sent_to = [attempt.cache for attempt in request.attempts] if request else []
-        assert sent_to == ([edges[place]] if is_found else [])
+        assert sent_to == ([edges[index]] if is_found else [])
 
 
 STATES = st.sampled_from(EndpointState)
 NUMBERS = st.integers(0, 29)
-SPANS = st.sampled_from((0.0, 0.05, 0.1, 0.3, 1.0, 2.9, 7.0, 30.0))
+WAITS = st.sampled_from((0.0, 0.05, 0.1, 0.3, 1.0, 2.9, 7.0, 30.0))
 STEPS = st.one_of(
     st.tuples(
         st.just("list"), NUMBERS, STATES, st.sampled_from((1.0, 3.0)), st.sampled_from((None, -2.0, 5.0))
@@ -182,7 +185,7 @@
     st.tuples(st.just("break"), NUMBERS, st.booleans()),
     st.tuples(st.just("open"), NUMBERS),
     st.tuples(st.just("zone"), st.sampled_from(("z", "y"))),
-    st.tuples(st.just("wait"), SPANS),
+    st.tuples(st.just("wait"), WAITS),
 )
 
 
@@ -194,12 +197,12 @@
     match kind:
         case "list":
             number, state, weight, started = details
-            moment = None if started is None else site.now + started
-            held = endpoint(number, weight, state=state, started=moment)
-            site.handle(EndpointsListed(ListScope.CHANGES, (held,)))
+            start_time = None if started is None else site.now + started
+            record = endpoint(number, weight, state=state, started=start_time)
+            site.handle(EndpointsListed(ListScope.CHANGES, (record,)))
         case "complete":
-            named = tuple(endpoint(n) for n in range(30) if n % 7 != details[0] % 7)
-            site.handle(EndpointsListed(ListScope.COMPLETE, named))
+            records = tuple(endpoint(n) for n in range(30) if n % 7 != details[0] % 7)
+            site.handle(EndpointsListed(ListScope.COMPLETE, records))
         case "peers":
             number, state, started = details
             site.handle(PeerKnowledge(number, state, None if started is None else site.now))
@@ -211,24 +214,24 @@
         case "open":
             site.handle(ConnectionOpened(details[0]))
         case "zone":
-            changed = replace(
+            changed_settings = replace(
                 site.router.context.settings, zone=details[0], hub="h" if details[0] == "z" else "g"
             )
-            site.handle(SettingsChanged(changed))
+            site.handle(SettingsChanged(changed_settings))
         case "wait":
             site.now += details[0]
             site.handle()
 
 
-def check_sums(site):
+def check_group_sums(site):
     """What is kept by changes is what going through all caches gives."""
     context, now = site.router.context, site.now
     for role, group in context.ready.items():
-        near = role is not Role.EDGE or context.settings.zone == "z"
+        is_local = role is not Role.EDGE or context.settings.zone == "z"
         ready = [
-            c
-            for c in site.router.caches.values()
-            if c.role is role and c.state is EndpointState.READY and near
+            candidate
+            for candidate in site.router.caches.values()
+            if candidate.role is role and candidate.state is EndpointState.READY and is_local
         ]
         assert set(group) == set(ready)
         assert group.weights == {cache.id: cache.weight for cache in ready}
@@ -238,8 +241,8 @@
         assert group.timely.total(now) == sum(limit.timely.total(now) for limit in limits)
         assert group.late.total(now) == sum(limit.late.total(now) for limit in limits)
         most_late = group.most_late()
-        most = max((limit.late.total(now) for limit in limits), default=0.0)
-        assert (most_late.late.total(now) if most_late else 0.0) == most
+        most_late_total = max((limit.late.total(now) for limit in limits), default=0.0)
+        assert (most_late.late.total(now) if most_late else 0.0) == most_late_total
         assert group.warming.count(now) == sum(not cache.is_warm() for cache in ready)
     parents = [cache for cache in context.ready[Role.PARENT] if cache.zone == context.settings.hub]
     assert set(context.hub_parents) == set(parents)
@@ -248,8 +251,8 @@
 
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(st.lists(STEPS, max_size=40))
-def test_sums_kept_by_changes_are_those_over_all_caches(steps):
+def test_incremental_group_sums_equal_sums_over_all_caches(steps):
     site = Site(30)
     for step in steps:
         play_step(site, step)
-        check_sums(site)
+        check_group_sums(site)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -24,7 +24,7 @@
 from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 
 
-def test_second_request_keeps_at_the_edge_and_leaves_no_copy():
+def test_a_second_request_is_cached_at_the_edge_without_a_copy_at_the_parent():
     front = RouterHarness()
     for name in "abc":
         front.fill(name, now=front.now + 1)
@@ -41,7 +41,7 @@
     """)
 
 
-def test_failed_parent_passes_to_the_next_then_the_origin():
+def test_a_failed_fill_moves_to_the_next_parent_and_then_to_the_origin():
     front = RouterHarness()
     front.request("a", now=1)
     front.end_attempt("a", AttemptResult.MISS)
@@ -55,7 +55,7 @@
     """)
 
 
-def test_no_download_is_lost():
+def test_a_request_at_its_deadline_is_throttled_and_its_attempt_cancelled():
     front = RouterHarness()
     front.request("a", now=1, deadline=1.6)
     front.fire_timer("a", "end", now=1.596)
@@ -68,8 +68,8 @@
     """)
 
 
-def test_no_effect_twice():
-    kinds = {
+def test_a_possibly_executed_request_is_retried_only_as_its_class_allows():
+    classes = {
         "pay": request_class("pay", idempotency=Idempotency.NON_IDEMPOTENT),
         "order": request_class("order", idempotency=Idempotency.DEDUPLICATED, deduplication_window=1.0),
         "near": request_class(
@@ -77,9 +77,9 @@
         ),
     }
     front = RouterHarness(
-        (endpoint(1, cell=1), endpoint(2, cell=2), CACHES[-1]), classes=kinds, edge_overload_factor=9.0
+        (endpoint(1, cell=1), endpoint(2, cell=2), CACHES[-1]), classes=classes, edge_overload_factor=9.0
     )
-    for name in kinds:
+    for name in classes:
         front.request(f"{name}-ran", now=1, type=name)
         front.end_attempt(f"{name}-ran", AttemptResult.RESET)
         front.request(f"{name}-not", type=name)
@@ -104,7 +104,7 @@
     """)
 
 
-def test_never_two_pulls_out_where_a_site_forbids_it():
+def test_without_hedging_a_slow_attempt_is_cancelled_before_the_next_one():
     front = RouterHarness(allows_hedging=False)
     front.request("a", now=1)
     front.fire_timer("a", now=3)
@@ -117,9 +117,9 @@
     """)
 
 
-def test_draining_and_gone_caches_get_nothing():
+def test_draining_and_removed_caches_receive_no_attempts():
     front = RouterHarness()
-    gone = front.router.caches[11]
+    removed = front.router.caches[11]
     front.update_endpoints(
         endpoint(1, state=EndpointState.DRAINING), endpoint(11, Role.PARENT, "h", EndpointState.REMOVED)
     )
@@ -129,7 +129,7 @@
     request = front.router.requests["k"]
     front.router.context.post(front.router.admission, Attempt(request, front.router.caches[1]))
     front.handle(1.1, RequestCancelled("nobody"))
-    front.router.context.post(front.router.admission, Attempt(request, front.router.caches[2], gone))
+    front.router.context.post(front.router.admission, Attempt(request, front.router.caches[2], removed))
     front.handle(1.2, RequestCancelled("nobody"))
     front.assert_trace("""
         1.00 k: 2 lookup rank 0
@@ -145,7 +145,7 @@
     """)
 
 
-def test_cold_cache_gets_its_share_and_no_more():
+def test_a_cold_cache_receives_no_more_than_its_quota():
     front = RouterHarness((endpoint(1, started=2.0), CACHES[-1]))
     for n in range(10):
         front.request(f"d{n}", f"k{n}", now=3 + n / 100)
@@ -163,7 +163,7 @@
     """)
 
 
-def test_mass_restart_goes_by_what_warm_caches_bore():
+def test_after_a_mass_restart_the_quota_follows_the_load_of_warm_caches():
     front = RouterHarness((endpoint(1), endpoint(2), CACHES[-1]), weighted=False)
     for n in range(60):
         front.request(f"d{n}", f"k{n}", now=1 + n / 30)
@@ -188,7 +188,7 @@
     """)
 
 
-def test_cache_that_could_not_be_reached_is_taken_for_just_started():
+def test_an_unreachable_cache_is_treated_as_just_started():
     front = RouterHarness(CACHES[:1] + CACHES[-1:], edge_overload_factor=1.0)
     for n, result in enumerate((AttemptResult.UNREACHABLE, *[AttemptResult.SERVED] * 5)):
         front.request(f"d{n}", f"k{n}", now=1 + n / 10)
@@ -205,10 +205,10 @@
     """)
 
 
-def test_cache_that_is_reached_soon_after_a_break_did_not_start_anew():
+def test_a_cache_reached_soon_after_a_broken_connection_has_not_restarted():
     """However many pulls the connection held, it is one piece of evidence; what is spoilt is none."""
     front = RouterHarness(CACHES[:1] + CACHES[-1:], edge_overload_factor=9.0)
-    cache, parts = front.router.caches[1], []
+    cache, fractions = front.router.caches[1], []
     for n in range(4):
         front.request(f"d{n}", f"k{n}", now=1)
     for n in range(4):
@@ -219,12 +219,13 @@
         (1.5, ConnectionOpened(1)),
     ):
         front.handle(now, event)
-        parts.append(cache.slow_start.capacity_fraction())
+        fractions.append(cache.slow_start.capacity_fraction())
     front.end_attempt("d0", AttemptResult.UNREACHABLE, now=2.0)
     front.handle(2.1, ConnectionOpened(1))
     assert cache.failures.total(1.4) == 2 and cache.concurrency.limit > 5
     front.trace.append(
-        "parts " + " ".join(f"{part:.2f}" for part in (*parts, cache.slow_start.capacity_fraction()))
+        "parts "
+        + " ".join(f"{fraction:.2f}" for fraction in (*fractions, cache.slow_start.capacity_fraction()))
     )
     front.assert_trace("""
         1.00 d0: 1 lookup rank 0
@@ -240,7 +241,7 @@
     """)
 
 
-def answered(front, count=40):
+def answer_requests(front, count=40):
     """Have the edges answer so often that, within a doubt's time, more would have come."""
     for n in range(count):
         front.request(f"w{n}", f"w{n}", now=n / count)
@@ -248,9 +249,9 @@
     front.trace.clear()
 
 
-def test_silent_connection_is_doubted_once_and_speaks_of_nothing_else():
+def test_only_attempts_on_a_silent_connection_are_cancelled_early():
     front = RouterHarness(CACHES[:2], allows_hedging=False)
-    answered(front, 100)
+    answer_requests(front, 100)
     for n in range(4):
         front.request(f"d{n}", f"k{n}", now=1)
     for n in range(4):
@@ -270,10 +271,10 @@
     """)
 
 
-def test_silence_says_nothing_where_no_answer_was_due():
+def test_a_silent_connection_is_no_evidence_if_no_answers_were_expected():
     """A front that asks a cache once in a while would call off all that is slow, and ask again for it."""
     front = RouterHarness(CACHES[:2], allows_hedging=False)
-    answered(front, 4)
+    answer_requests(front, 4)
     front.request("d", "k0", now=1)
     front.handle(2, TimerFired("slow:d:0", True))
     front.assert_trace("1.00 d: 2 lookup rank 0")
@@ -286,10 +287,10 @@
     """)
 
 
-def test_parents_together_get_no_more_than_a_share_of_all_their_links():
+def test_the_combined_parent_limit_shrinks_with_the_number_of_fronts():
     """Two hundred fronts with a limit for each of eight parents had ten times in flight what these bear."""
     parents = tuple(endpoint(30 + n, Role.PARENT, "h") for n in range(8))
-    most = {}
+    sent = {}
     for fronts in (2, 200):
         front = RouterHarness(
             (CACHES[0], *parents, CACHES[-1]), fronts=fronts, hub_fronts=fronts, zone_fronts=2
@@ -299,17 +300,17 @@
             front.request(f"d{n}", f"k{n}", now=1)
             if f"d{n}" in front.attempts:
                 front.end_attempt(f"d{n}", AttemptResult.MISS)
-        most[fronts] = sum(" if cached" in line for line in front.trace)
-        assert front.router.context.parents_in_flight == most[fronts]
-    assert most == {2: 60, 200: 3}
+        sent[fronts] = sum(" if cached" in line for line in front.trace)
+        assert front.router.context.parents_in_flight == sent[fronts]
+    assert sent == {2: 60, 200: 3}
 
 
-def test_parents_that_are_late_in_turn_cut_the_limit_of_all():
+def test_late_answers_of_several_parents_reduce_the_combined_limit():
     """None of them answers often enough to this front to cut its own limit."""
     parents = tuple(endpoint(30 + n, Role.PARENT, "h") for n in range(8))
     front = RouterHarness((CACHES[0], *parents, CACHES[-1]), fronts=200, hub_fronts=200, zone_fronts=2)
     front.router.context.random.seed_number = 3
-    before = front.router.context.parent_limit.limit()
+    limit_before = front.router.context.parent_limit.limit()
     for n in range(12):
         front.request(f"d{n}", f"p{n}", now=1 + n / 5)
         front.end_attempt(f"d{n}", AttemptResult.MISS)
@@ -317,10 +318,10 @@
             front.end_attempt(f"d{n}", AttemptResult.SERVED, duration=9.0)
     limits = {cache.concurrency.limit for cache in front.router.caches.values() if cache.role is Role.PARENT}
     assert len(limits) == 1, "no parent had a crowd of its own"
-    assert front.router.context.parent_limit.limit() < 0.4 * before
+    assert front.router.context.parent_limit.limit() < 0.4 * limit_before
 
 
-def test_when_no_edge_is_left_a_parent_is_asked_for_what_it_holds_before_the_origin_has_to():
+def test_without_edges_a_parent_lookup_precedes_a_fill_from_the_origin():
     edges = tuple(endpoint(n, state=EndpointState.DRAINING) for n in (1, 2))
     front = RouterHarness(edges + CACHES[2:3] + CACHES[-1:], allows_bypass=True)
     front.router.caches[21].concurrency.limit = 0.8  # room for one, and a chance of one in 25 for another
@@ -338,16 +339,18 @@
     """)
 
 
-def test_download_that_no_cache_can_use_is_given_up_and_speaks_against_none():
+def test_a_request_that_fails_at_every_cache_counts_against_none_of_them():
     front = RouterHarness()
     front.router.admission.requests.add(1, 100)
-    for name, last in (("bad", AttemptResult.ERROR), ("good", AttemptResult.SERVED)):
+    for name, last_result in (("bad", AttemptResult.ERROR), ("good", AttemptResult.SERVED)):
         front.request(name, "k", now=1)
         front.end_attempt(name, AttemptResult.ERROR)
         front.end_attempt(name, AttemptResult.ERROR)
-        front.end_attempt(name, last)
-    marks = {c.id: c.failures.total(1) for c in front.router.caches.values() if c.failures.total(1)}
-    assert marks == {1: 1, 2: 1}
+        front.end_attempt(name, last_result)
+    failures = {
+        cache.id: cache.failures.total(1) for cache in front.router.caches.values() if cache.failures.total(1)
+    }
+    assert failures == {1: 1, 2: 1}
     front.assert_trace("""
         1.00 bad: 1 lookup rank 0
         1.00 bad: 2 lookup rank 0
@@ -359,18 +362,25 @@
     """)
 
 
-def test_budget_below_one_pull_goes_by_turns_begun_at_random():
-    sends = []
+def test_a_budget_below_one_attempt_is_spent_in_turns_with_random_offsets():
+    send_times = []
     for seed in range(6):
         front = RouterHarness((endpoint(1, started=0.0), CACHES[-1]), zone_fronts=60)
         front.router.context.random.seed_number = 7919 * seed
         for n in range(120):
             front.request(f"d{n}", f"k{n}", now=n / 20)
-        sends.append(" ".join(line.split()[0] for line in front.trace if "fill" in line))
-    assert sends == ["1.75 5.75", "3.90", "4.50", "3.05", "2.90", "3.45"]  # 1.3 each is its share by then
-
-
-def test_marked_repeat_is_no_second_wish():
+        send_times.append(" ".join(line.split()[0] for line in front.trace if "fill" in line))
+    assert send_times == [
+        "1.75 5.75",
+        "3.90",
+        "4.50",
+        "3.05",
+        "2.90",
+        "3.45",
+    ]  # 1.3 each is its share by then
+
+
+def test_a_request_marked_as_a_repeat_does_not_count_as_a_second_request():
     front = RouterHarness()
     front.fill("a", now=1)
     front.request("b", now=2, repeat=True)
@@ -382,7 +392,7 @@
     """)
 
 
-def test_purged_copies_do_not_answer():
+def test_attempts_after_a_purge_limit_the_age_of_copies():
     front = RouterHarness()
     front.handle(1, ObjectsPurged("k", 0, 0.2), ObjectsPurged(None, 3, 0.5))
     front.request("a", "k", now=1.5)
@@ -395,7 +405,7 @@
     """)
 
 
-def test_silent_cache_is_left_before_its_pulls_run_out():
+def test_slow_attempts_are_hedged_at_another_cache_before_their_deadlines():
     front = RouterHarness((endpoint(1), CACHES[-1]))
     front.update_endpoints(endpoint(2), now=0.1)
     for n in range(4):
@@ -416,7 +426,7 @@
     """)
 
 
-def test_fetches_go_under_the_origins_limit_and_pass_to_another_parent_while_it_is_strained():
+def test_fills_stay_within_the_origin_limit_and_can_move_to_another_parent():
     front = RouterHarness()
     for n in range(30):
         front.request(f"c{n}", f"k{n}", now=1)
@@ -446,20 +456,20 @@
     """)
 
 
-def test_late_fetch_through_a_slow_parent_says_nothing_of_the_origin():
+def test_late_fills_through_a_slow_parent_do_not_reduce_the_origin_limit():
     limits = {}
     for slow in ("parent", "origin"):
         front = RouterHarness(CACHES[:3] + CACHES[-1:])
         for n in range(40):
             front.request(f"d{n}", f"k{n}", now=1 + n / 10)
             while f"d{n}" in front.router.requests:
-                last, fetch = front.trace[-1], bool(n % 2)
-                missed = "lookup" in last or ("if cached" in last and fetch)
-                late = "from 11" in last and (slow == "parent" or fetch)
+                last_line, needs_fill = front.trace[-1], bool(n % 2)
+                is_miss = "lookup" in last_line or ("if cached" in last_line and needs_fill)
+                is_late = "from 11" in last_line and (slow == "parent" or needs_fill)
                 front.end_attempt(
                     f"d{n}",
-                    AttemptResult.MISS if missed else AttemptResult.SERVED,
-                    duration=9.0 if late else 0.1,
+                    AttemptResult.MISS if is_miss else AttemptResult.SERVED,
+                    duration=9.0 if is_late else 0.1,
                 )
         limits[slow] = (
             f"{front.router.caches[11].concurrency.limit:.1f} {front.router.caches[21].concurrency.limit:.1f}"
@@ -467,7 +477,7 @@
     assert limits == {"parent": "0.7 12.0", "origin": "9.5 0.5"}
 
 
-def test_large_objects_cut_no_limit_but_a_crowd_does():
+def test_a_few_large_objects_keep_the_limit_and_many_late_answers_reduce_it():
     front = RouterHarness(CACHES[:1])
     limits = []
     for n in range(60):
@@ -478,7 +488,7 @@
     assert limits[28::6] == ["9.5", "5.7", "2.0", "0.7", "0.5", "0.5"]
 
 
-def test_jam_does_not_pass_for_larger_objects():
+def test_congestion_is_not_mistaken_for_larger_objects():
     front = RouterHarness(CACHES[:1])
     for n in range(300):
         front.request(f"d{n}", f"k{n}", now=1 + n / 20)
@@ -488,9 +498,9 @@
     assert f"{context.statistics.mean_work(context.settings.classes['photo']):.1f}" == "0.2"
 
 
-def test_limit_below_one_is_a_chance_and_grows_by_one_for_a_location():
+def test_a_limit_below_one_is_a_probability_and_grows_by_one_per_zone():
     """With headroom, 0.39 is free, and a twentieth of the rest: 168 of 400 are expected."""
-    shown = []
+    limits = []
     for seed in range(10):
         front = RouterHarness(CACHES[:1], zone_fronts=20)
         front.router.context.random.seed_number = seed
@@ -500,11 +510,11 @@
             front.request(f"d{n}", f"k{n}", now=n / 20)
             if f"d{n}" in front.attempts:
                 front.end_attempt(f"d{n}", AttemptResult.SERVED)
-                shown.append(f"{edge.concurrency.limit:.2f}")
-    assert 150 < len(shown) < 186 and set(shown) == {"0.35"}
+                limits.append(f"{edge.concurrency.limit:.2f}")
+    assert 150 < len(limits) < 186 and set(limits) == {"0.35"}
 
 
-def test_patience_goes_by_what_is_pulled_from_and_not_under_the_target_time():
+def test_attempt_timeouts_depend_on_the_source_and_are_at_least_the_latency_objective():
     front, delays = RouterHarness(), []
     for n in range(40):
         events = [RequestReceived(f"d{n}", f"k{n}", 0, 3, "photo", 0.0, False, 99.0)]
@@ -513,19 +523,30 @@
             if n > 20
             else [AttemptResult.SERVED]
         ):
-            took = 2.0 if attempt else 0.01
+            duration = 2.0 if attempt else 0.01
             events.append(
                 AttemptEnded(
-                    f"d{n}", attempt, result, took, result is AttemptResult.SERVED, FillHint.NONE, 0.0, None
+                    f"d{n}",
+                    attempt,
+                    result,
+                    duration,
+                    result is AttemptResult.SERVED,
+                    FillHint.NONE,
+                    0.0,
+                    None,
                 )
             )
         for event in events:
-            acts = front.router.handle(1 + n / 10, [event])
-            delays += [f"{a.delay:.1f}" for a in acts if isinstance(a, SetTimer) and "slow" in a.token]
+            actions = front.router.handle(1 + n / 10, [event])
+            delays += [
+                f"{action.delay:.1f}"
+                for action in actions
+                if isinstance(action, SetTimer) and "slow" in action.token
+            ]
     assert delays[-3:] == ["0.5", "1.2", "4.8"]
 
 
-def test_warm_caches_bore_what_they_fulfilled():
+def test_served_requests_count_as_load_of_warm_caches():
     front = RouterHarness(weighted=False)
     for n in range(100):
         front.fill(f"d{n}", f"k{n}", now=1 + n / 10)
@@ -536,7 +557,7 @@
     ]
 
 
-def test_full_edge_spills_then_throttles_at_once():
+def test_requests_beyond_the_limits_of_all_edges_are_throttled_at_once():
     front = RouterHarness(CACHES[:2], weighted=False)
     for n in range(40):
         front.request(f"d{n}", f"k{n}", now=1)
@@ -548,14 +569,14 @@
     """)
 
 
-def test_failing_edge_is_passed_by_and_tried_again():
+def test_a_failing_edge_is_avoided_and_retried_later():
     front = RouterHarness(CACHES)
     for n in range(30):
         front.request(f"d{n}", f"k{n}", now=1 + n / 10)
         for _ in range(3):
             if f"d{n}" in front.router.requests:
-                bad = front.trace[-1].split()[2] == "1"
-                front.end_attempt(f"d{n}", AttemptResult.ERROR if bad else AttemptResult.SERVED)
+                is_failing = front.trace[-1].split()[2] == "1"
+                front.end_attempt(f"d{n}", AttemptResult.ERROR if is_failing else AttemptResult.SERVED)
     attempts = [line.split()[2] for line in front.trace if "lookup" in line]
     assert attempts.count("1") <= 6, attempts
     front.trace = []
@@ -565,17 +586,17 @@
     assert any(line.split()[2] == "1" for line in front.trace)
 
 
-def test_slow_edge_loses_its_work_before_it_fails():
+def test_a_slow_edge_receives_less_work_before_it_fails():
     front = RouterHarness()
     for n in range(40):
         front.request(f"d{n}", f"k{n}", now=1 + n / 10)
-        slow = front.trace[-1].split()[2] == "1"
-        front.end_attempt(f"d{n}", AttemptResult.SERVED, duration=4.0 if slow else 0.1)
+        is_slow = front.trace[-1].split()[2] == "1"
+        front.end_attempt(f"d{n}", AttemptResult.SERVED, duration=4.0 if is_slow else 0.1)
     attempts = [line.split()[2] for line in front.trace]
     assert attempts[:20].count("1") > attempts[20:].count("1") <= 2, attempts
 
 
-def test_fronts_agree_on_the_hash_whatever_their_seed():
+def test_fronts_with_different_seeds_choose_the_same_caches():
     one, other = RouterHarness(), RouterHarness()
     other.router.context.random.seed_number = 99
     for n in range(12):
@@ -584,7 +605,7 @@
     assert one.trace == other.trace
 
 
-def test_list_that_must_be_asked_is_asked_again():
+def test_the_endpoint_list_is_requested_again_when_its_timer_fires():
     front = RouterHarness(subscribes=True)
     front.handle(2, TimerFired("watch"))
     front.assert_trace("""
@@ -593,24 +614,24 @@
     """)
 
 
-def test_front_with_more_to_do_than_time_throttles_at_once_and_keeps_what_benefits_most():
+def test_an_overloaded_front_throttles_at_once_and_keeps_requests_of_high_priority():
     """Late turns are told as they come: a part of what is asked then pulls nothing, and is told to wait."""
-    kinds = {"photo": request_class(), "order": request_class("order", priority_weight=3.0)}
-    front, shown = RouterHarness(classes=kinds), []
-    for late in (0.01, 0.04, 0.1, 0.2, 0.0):
-        taken = dict.fromkeys(kinds, 0)
+    classes = {"photo": request_class(), "order": request_class("order", priority_weight=3.0)}
+    front, accepted_lines = RouterHarness(classes=classes), []
+    for lag in (0.01, 0.04, 0.1, 0.2, 0.0):
+        accepted = dict.fromkeys(classes, 0)
         for _ in range(20):
-            front.handle(front.now + 0.1, LoopLagMeasured(late))
+            front.handle(front.now + 0.1, LoopLagMeasured(lag))
         for n in range(100):
-            for kind in kinds:
-                name = f"{kind} {late} {n}"
-                front.request(name, type=kind)
+            for class_name in classes:
+                name = f"{class_name} {lag} {n}"
+                front.request(name, type=class_name)
                 if name in front.router.requests:
-                    taken[kind] += 1
+                    accepted[class_name] += 1
                     front.end_attempt(name, AttemptResult.SERVED)
-        shown.append(f"{late} late: {taken['photo']} photos, {taken['order']} orders")
+        accepted_lines.append(f"{lag} late: {accepted['photo']} photos, {accepted['order']} orders")
     assert {line.split(": ")[1] for line in front.trace if "thr" in line} == {"throttled, wait 1.0"}
-    front.trace = shown
+    front.trace = accepted_lines
     front.assert_trace("""
         0.01 late: 100 photos, 100 orders
         0.04 late: 100 photos, 100 orders
@@ -620,7 +641,7 @@
     """)
 
 
-def test_what_peers_know_of_a_cache_makes_it_stricter_and_never_looser():
+def test_peer_knowledge_of_a_cache_only_makes_its_state_stricter():
     front = RouterHarness()
     caches = front.router.caches
     front.handle(
@@ -643,49 +664,49 @@
     assert caches[1].state is EndpointState.READY, "the own list, read as far, says so"
 
 
-def many_parents(**site):
+def front_with_many_parents(**site):
     """A front among two hundred, with eight parents."""
     parents = tuple(endpoint(30 + n, Role.PARENT, "h") for n in range(8))
     return RouterHarness((CACHES[0], *parents, CACHES[-1]), fronts=200, hub_fronts=200, zone_fronts=2, **site)
 
 
-def test_one_parent_that_is_late_cuts_its_own_limit_and_not_that_of_all():
-    front = many_parents()
-    before = front.router.context.parent_limit.limit()
-    late = front.router.caches[30]
+def test_one_late_parent_reduces_its_own_limit_but_not_the_combined_one():
+    front = front_with_many_parents()
+    limit_before = front.router.context.parent_limit.limit()
+    late_parent = front.router.caches[30]
     for n in range(12):
         front.router.context.now = 1 + n / 10
-        late.handle(Outcome.LATE)
-    assert late.concurrency.decreased_at > 0
-    assert front.router.context.parent_limit.limit() == before
+        late_parent.handle(Outcome.LATE)
+    assert late_parent.concurrency.decreased_at > 0
+    assert front.router.context.parent_limit.limit() == limit_before
 
 
-def test_the_limit_of_all_parents_grows_back_by_answers_in_time():
-    front = many_parents()
-    tier = front.router.context.parent_limit
-    tier.fraction = 0.2
+def test_timely_answers_restore_the_combined_parent_limit():
+    front = front_with_many_parents()
+    parent_limit = front.router.context.parent_limit
+    parent_limit.fraction = 0.2
     for n in range(40):
         front.router.context.now = 1 + n
         front.router.caches[30 + n % 8].handle(Outcome.SUCCESS)
-    assert tier.fraction > 0.5
+    assert parent_limit.fraction > 0.5
 
 
-def test_what_a_restarted_parent_had_out_counts_no_longer_against_all():
-    front = many_parents()
+def test_attempts_at_a_parent_before_its_restart_leave_the_combined_limit():
+    front = front_with_many_parents()
     front.request("d", "k", now=1)
     front.end_attempt("d", AttemptResult.MISS)
     assert "if cached" in front.trace[-1] and front.router.context.parents_in_flight == 1
-    at = front.router.requests["d"].attempts[-1].source
-    front.update_endpoints(endpoint(at.id, Role.PARENT, "h", started=1.5), now=2)
+    parent = front.router.requests["d"].attempts[-1].source
+    front.update_endpoints(endpoint(parent.id, Role.PARENT, "h", started=1.5), now=2)
     assert front.router.context.parents_in_flight == 0
     front.end_attempt("d", AttemptResult.RESET, now=2.1)
     assert front.router.context.parents_in_flight == 0, "its end is not counted a second time"
 
 
-def test_no_repeat_after_a_window_that_the_first_pulls_own_time_out_has_passed():
+def test_a_request_is_not_repeated_after_its_deduplication_window():
     """The first pull is doubted after its target time, half a second: a mark of 0.3 s is forgotten."""
     for window, attempts in ((0.3, 1), (3.0, 2)):
-        kinds = {
+        classes = {
             "order": request_class(
                 "order",
                 idempotency=Idempotency.DEDUPLICATED,
@@ -693,7 +714,7 @@
                 latency_objective=0.5,
             )
         }
-        front = RouterHarness(classes=kinds)
+        front = RouterHarness(classes=classes)
         front.request("a", now=1, type="order")
         for now in (1.6, 2.3):
             front.fire_timer("a", now=now)
@@ -701,7 +722,7 @@
         assert sum(" lookup " in line or " fill " in line for line in front.trace) == attempts, front.trace
 
 
-def test_changed_facts_hold_for_what_comes_and_what_was_sent_counts_on():
+def test_changed_settings_apply_to_new_requests_and_sent_work_still_counts():
     """A content type goes and one comes, a window and a number of fronts change, downloads are open."""
     front = RouterHarness((endpoint(1, started=2.0), CACHES[-1]))
     for n in range(9):
--- a/tests/test_half_open.py
+++ b/tests/test_half_open.py
@@ -9,7 +9,7 @@
 from weldbend.routing.reports import health_counts
 
 FRONTS = "abcd"
-KINDS = {f"e{number}": "EDGE" for number in range(1, 7)}
+ROLES = {f"e{number}": "EDGE" for number in range(1, 7)}
 
 
 def report(writer, *outcomes):
@@ -18,10 +18,10 @@
 
 def tick(detector, now, *reports):
     zones = dict.fromkeys(FRONTS, "u")
-    return detector.tick(now, {"e1": list(reports)}, KINDS, zones, set(FRONTS) - {detector.name})
+    return detector.tick(now, {"e1": list(reports)}, ROLES, zones, set(FRONTS) - {detector.name})
 
 
-def half_open(name):
+def half_open_detector(name):
     """A front's detector with one cache that has just become half-open, and its ejection record."""
     detector = OutlierDetector(name)
     tick(detector, 0.0, report("a", 1.0, 8.0), report("b", 1.0, 8.0))
@@ -30,7 +30,7 @@
     return detector, detector.records["e1"]
 
 
-def failing_front():
+def front_with_failures():
     """A front that remembers nothing but failures of cache 1."""
     front = RouterHarness()
     cache = front.router.caches[1]
@@ -39,22 +39,22 @@
     return front, cache
 
 
-def is_tried(cache):
+def is_ever_trusted(cache):
     return any(cache.is_trusted(1.0) for _ in range(100))
 
 
-def test_a_probe_that_is_due_is_sent_whatever_is_remembered():
-    front, cache = failing_front()
+def test_a_required_probe_is_sent_despite_remembered_failures():
+    front, cache = front_with_failures()
     front.handle(1.0, EjectionUpdate(1, 0.5, is_probe=True))
-    assert not is_tried(cache), "the first round is passed on, as its front remembers failures"
+    assert not is_ever_trusted(cache), "the first round is passed on, as its front remembers failures"
     front.handle(6.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True))
-    assert is_tried(cache)
+    assert is_ever_trusted(cache)
     front.handle(11.0, EjectionUpdate(1, 0.0))
-    assert not is_tried(cache)
+    assert not is_ever_trusted(cache)
 
 
-def test_a_probe_is_judged_by_what_came_since_it_began_and_misses_speak_well():
-    front, cache = failing_front()
+def test_a_probe_is_judged_by_outcomes_since_its_start_and_misses_count_as_successes():
+    front, cache = front_with_failures()
     front.handle(1.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True), EjectionUpdate(2, 0.0))
     assert health_counts(front.router, 1.0)[1] == (0.0, 0.0)
     for name in "abcdefgh":  # half of them go to cache 1
@@ -65,8 +65,8 @@
     assert health_counts(front.router, front.now)[1][1] == 30.0
 
 
-def test_a_round_that_brings_nothing_binds_the_next_front_to_send():
-    detector, record = half_open("a")
+def test_after_a_round_without_outcomes_the_next_front_must_probe():
+    detector, record = half_open_detector("a")
     assert not record.must_probe
     tick(detector, 2.0 + HALF_OPEN_SECONDS)
     assert record.must_probe and record.round == 2
@@ -75,17 +75,17 @@
     assert record.state is EjectionState.RECOVERING and not record.must_probe
 
 
-def test_a_front_follows_those_that_have_seen_more_of_the_probe():
+def test_a_front_adopts_the_result_of_fronts_whose_probe_round_began_earlier():
     """Their rounds began earlier: what they send already is no longer news of the prober of this round."""
     for name in FRONTS:
-        detector, record = half_open(name)
+        detector, record = half_open_detector(name)
         for step, writer in enumerate("abcd"):
             tick(detector, 3.0 + step / 2, report(writer, 2.0, 0.0))
             tick(detector, 3.1 + step / 2, report(writer, 3.0, 0.0))
         assert record.state is EjectionState.RECOVERING, name
 
 
-def test_all_fronts_report_on_a_cache_that_comes_back_and_one_probes_it():
-    detectors = [half_open(name)[0] for name in FRONTS]
+def test_all_fronts_report_on_a_half_open_cache_and_one_probes_it():
+    detectors = [half_open_detector(name)[0] for name in FRONTS]
     assert all(detector.recovering_caches() == {"e1"} for detector in detectors)
     assert sum(detector.probed == {"e1"} for detector in detectors) == 1
--- a/tests/test_installation.py
+++ b/tests/test_installation.py
@@ -16,39 +16,39 @@
 from weldbend.installation.values import format_duration
 
 
-def written(tmp_path, text):
+def write_file(tmp_path, text):
     path = tmp_path / "weldbend.ini"
     path.write_bytes(text if isinstance(text, bytes) else text.encode())
     return str(path)
 
 
-def test_what_is_shipped_is_what_holds_without_it():
-    held = read_installation("deploy/weldbend.ini")
+def test_the_shipped_file_equals_the_defaults():
+    shipped = read_installation("deploy/weldbend.ini")
     assert (
-        held.sections
+        shipped.sections
         == read_installation(None).sections
         == {"clients": ConnectionSettings(), "fleet": Fleet(), "limits": LimitSettings()}
     )
-    assert len(held.settings) == sum(len(section.keys) for section in SECTIONS.values())
+    assert len(shipped.settings) == sum(len(section.keys) for section in SECTIONS.values())
 
 
-def test_each_key_sets_what_it_names_and_says_where_it_comes_from(tmp_path):
-    path = written(
+def test_each_key_sets_its_setting_and_is_shown_with_its_origin(tmp_path):
+    path = write_file(
         tmp_path,
         "[clients]\nidle = 2 min  # comment\nfirst-call=1500ms\n"
         "park-after = 0 s\nmost = auto\nwake-batch = 7\n",
     )
-    held = read_installation(path)
-    assert held.sections["clients"] == ConnectionSettings(
+    installation = read_installation(path)
+    assert installation.sections["clients"] == ConnectionSettings(
         idle_timeout=120.0, request_timeout=1.5, pool_after=0.0, wake_batch=7
     )
-    told = {setting.key: (setting.value, setting.origin) for setting in held.settings}
-    assert told["idle"] == ("120 s", path) and told["close-batch"] == ("256", "default")
-    assert told["most"] == ("auto", path) and format_duration(0.25) == "250 ms"
+    shown = {setting.key: (setting.value, setting.origin) for setting in installation.settings}
+    assert shown["idle"] == ("120 s", path) and shown["close-batch"] == ("256", "default")
+    assert shown["most"] == ("auto", path) and format_duration(0.25) == "250 ms"
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "message"),
     [
         ("[clients]\nidle = 5\n", "[clients] idle: '5' lacks its unit"),
         ("[clients]\nidle = 5 parsec\n", "[clients] idle: unit 'parsec' is none of"),
@@ -69,45 +69,45 @@
         (b"#" * (1 << 20) + b"\n#", "more than"),
     ],
 )
-def test_what_cannot_be_used_is_one_clear_line(tmp_path, text, told):
-    with pytest.raises(InstallationError) as wrong:
-        read_installation(written(tmp_path, text))
-    assert told in str(wrong.value) and "\n" not in str(wrong.value)
+def test_an_invalid_value_is_reported_in_one_line(tmp_path, text, message):
+    with pytest.raises(InstallationError) as error:
+        read_installation(write_file(tmp_path, text))
+    assert message in str(error.value) and "\n" not in str(error.value)
 
 
-def run(*words):
-    command = [sys.executable, "-m", "weldbend", *words]
+def run(*arguments):
+    command = [sys.executable, "-m", "weldbend", *arguments]
     return subprocess.run(command, capture_output=True, text=True, timeout=30)
 
 
-def test_check_shows_what_holds_and_from_where_and_fails_in_one_line(tmp_path):
+def test_check_prints_settings_with_their_origin_and_errors_in_one_line(tmp_path):
     site = tmp_path / "front.json"
     site.write_text(configuration())
-    path = written(tmp_path, "[clients]\nmost = 100\n")
-    done = run("check", "--config", str(site), "--installation", path)
-    assert done.returncode == 0 and f"[clients] most = 100  ({path})" in done.stdout
-    assert "connections: 100 of clients" in done.stdout and "idle = 4.5 s  (default)" in done.stdout
-    for other in (written(tmp_path, "[clients]\nmost = no\n"), str(tmp_path / "none.ini")):
-        done = run("serve", "--config", str(site), "--installation", other)
-        assert done.returncode == 1 and done.stderr.count("\n") == 1 and "installation" in done.stderr
+    installation = write_file(tmp_path, "[clients]\nmost = 100\n")
+    result = run("check", "--config", str(site), "--installation", installation)
+    assert result.returncode == 0 and f"[clients] most = 100  ({installation})" in result.stdout
+    assert "connections: 100 of clients" in result.stdout and "idle = 4.5 s  (default)" in result.stdout
+    for invalid in (write_file(tmp_path, "[clients]\nmost = no\n"), str(tmp_path / "none.ini")):
+        result = run("serve", "--config", str(site), "--installation", invalid)
+        assert result.returncode == 1 and result.stderr.count("\n") == 1 and "installation" in result.stderr
 
 
-def test_a_front_loads_neither_laboratory_nor_file_reader_and_logs_objects(tmp_path):
+def test_a_front_loads_neither_testbed_nor_file_reader_and_logs_objects(tmp_path):
     code = (
         "import sys; from loguru import logger; from weldbend import logs; import weldbend.front.server\n"
         "logs.start('info', 'json'); logger.bind(most=3, level='x').info('told {}', {'a': 1})\n"
         "print(sorted(m for m in sys.modules if m.split('.')[0] in ('configobj', 'hdrh', 'numpy', 'h2')\n"
         " or m.startswith(('weldbend.testbed', 'weldbend.installation'))))"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
-    assert done.stdout.strip() == "[]", done.stdout
-    (line,) = done.stderr.splitlines()
-    held = json.loads(line)
-    assert held["message"] == "told {'a': 1}" and held["most"] == 3 and held["level"] == "INFO"
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
+    assert result.stdout.strip() == "[]", result.stdout
+    (line,) = result.stderr.splitlines()
+    entry = json.loads(line)
+    assert entry["message"] == "told {'a': 1}" and entry["most"] == 3 and entry["level"] == "INFO"
 
 
 @pytest.mark.parametrize(
-    ("text", "wrong"),
+    ("text", "message"),
     [
         ("peers = n1@127.0.0.1:7401", "peers without listen"),
         ("listen = 127.0.0.1:7401", "listen without keys"),
@@ -120,8 +120,8 @@
         ("outbox = 70000", "two of the longest messages"),
     ],
 )
-def test_a_wrong_fleet_is_one_line(tmp_path, text, wrong):
-    held = "" if "without" in wrong or "listen" in text else "listen = 127.0.0.1:7400\nkeys = k\n"
-    with pytest.raises(InstallationError) as said:
-        read_installation(written(tmp_path, f"[fleet]\n{held}{text}\n"))
-    assert wrong in str(said.value) and "[fleet]" in str(said.value) and "\n" not in str(said.value)
+def test_an_invalid_fleet_section_is_reported_in_one_line(tmp_path, text, message):
+    listen = "" if "without" in message or "listen" in text else "listen = 127.0.0.1:7400\nkeys = k\n"
+    with pytest.raises(InstallationError) as error:
+        read_installation(write_file(tmp_path, f"[fleet]\n{listen}{text}\n"))
+    assert message in str(error.value) and "[fleet]" in str(error.value) and "\n" not in str(error.value)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -40,8 +40,8 @@
         (folder / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
     environment = os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}  # the small suite needs no plugins
     command = [sys.executable, str(SCRIPT)]
-    done = subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True)
-    return done.returncode, done.stdout
+    result = subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True)
+    return result.returncode, result.stdout
 
 
 def test_listed_tests_are_deselected_and_printed(tmp_path):
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -19,12 +19,12 @@
 from weldbend.idle_connections.timer_wheel import TimerWheel
 from weldbend.invariants import anomalies
 
-LOOKED = 0.25  # seconds between two looks
+CHECK_INTERVAL = 0.25  # seconds between two looks
 
 
-def parked(count, calls=1, **held):
+def harness_with_parked_clients(count, calls=1, **settings):
     """A front with so many parked clients that asked one probe, and one place for each."""
-    harness = FrontHarness(parking=True, **held)
+    harness = FrontHarness(parking=True, **settings)
     harness.front.listener.max_connections = 10_000
     for _ in range(count):
         harness.connect_client().dataReceived(b"".join(probe(n + 1) for n in range(calls)))
@@ -41,7 +41,7 @@
     state = ConnectionState(
         is_busy=False, has_partial_request=False, request_count=1, last_active=10.0, request_started=0.0
     )
-    for when, change, action in [
+    for now, change, action in [
         (10.4, {}, ConnectionAction.KEEP),
         (10.6, {}, ConnectionAction.MOVE_TO_POOL),
         (10.6, {"is_busy": True}, ConnectionAction.KEEP),
@@ -57,12 +57,12 @@
             ConnectionAction.CLOSE_INCOMPLETE,
         ),
     ]:
-        assert policy.decide(limits, replace(state, **change), when) is action, (when, change)
+        assert policy.decide(limits, replace(state, **change), now) is action, (now, change)
     assert (
         policy.decide(replace(limits, pool_after=0.0), state, 14.4, active_connections=9999)
         is ConnectionAction.KEEP
     )
-    assert [policy.decide(limits, state, 10.2, live) for live in (256, 257)] == [
+    assert [policy.decide(limits, state, 10.2, active_connections) for active_connections in (256, 257)] == [
         ConnectionAction.KEEP,
         ConnectionAction.MOVE_TO_POOL,
     ]
@@ -70,8 +70,8 @@
 
 
 def test_the_order_of_evictions_and_when_accepting_is_paused():
-    shown = [(0, 1.0), (2, 0.5), (1, 0.9), (0, 0.2), (1, 9.99)]
-    assert sorted(shown, key=lambda one: policy.eviction_order(*one, 10.0)) == [
+    connections = [(0, 1.0), (2, 0.5), (1, 0.9), (0, 0.2), (1, 9.99)]
+    assert sorted(connections, key=lambda connection: policy.eviction_order(*connection, 10.0)) == [
         (0, 0.2), (0, 1.0), (1, 0.9), (2, 0.5), (1, 9.99),
     ]  # fmt: skip
     assert [policy.eviction_count(n, 32) for n in (0, 31, 32, 40)] == [0, 0, 2, 2] and policy.eviction_count(
@@ -82,9 +82,9 @@
 
 def test_a_wake_batch_grows_after_short_iterations_and_halves_after_long_ones():
     sizer, now, sizes = WakeBatchSizer(16), 0.0, []
-    for took in [0.001] * 8 + [0.02] * 3 + [0.005] + [0.001]:
+    for duration in [0.001] * 8 + [0.02] * 3 + [0.005] + [0.001]:
         sizes.append(sizer.next_size(now, 1000))
-        now += took
+        now += duration
     assert sizes == [4, 5, 6, 7, 8, 9, 10, 11, 12, 6, 3, 1, 1]
     assert sizer.next_size(now, 1) == 1 and sizer.next_size(now + 99.0, 1000) == 2  # a pause is no long turn
 
@@ -94,20 +94,20 @@
 def test_the_timer_wheel_returns_what_is_due_and_nothing_else(steps):
     """Against a model, a dictionary of when each falls due: none is late by more than a bucket."""
     wheel, model, now = TimerWheel(9.0, 0.5), {}, 0.0
-    for slot, ahead, take in steps:
+    for slot, delay, is_addition in steps:
         if slot in model:
             assert slot in wheel and wheel.remove(slot)
             del model[slot]
-        elif take:
-            wheel.schedule(slot, now + ahead, now)
-            model[slot] = now + ahead
+        elif is_addition:
+            wheel.schedule(slot, now + delay, now)
+            model[slot] = now + delay
         else:
             now += 0.4
-            for found in wheel.pop_due(now, 5):
-                assert model.pop(found) <= now
-            while found := wheel.pop_due(now, 5):
-                for one in found:
-                    assert model.pop(one) <= now
+            for popped in wheel.pop_due(now, 5):
+                assert model.pop(popped) <= now
+            while popped := wheel.pop_due(now, 5):
+                for slot_due in popped:
+                    assert model.pop(slot_due) <= now
             assert all(due > now - 0.5 for due in model.values())
         assert len(wheel) == len(model) and sorted(wheel.in_order()) == sorted(model)
         order = [int(model[slot] / 0.5) for slot in wheel.in_order()]
@@ -134,21 +134,25 @@
     assert order == [9, 8, 7, 19, 6, 5, 4, 18, 3, 2, 1, 17, 0, 16, 15, 14, 13, 12, 11, 10]
 
 
-def test_an_idle_connection_in_the_pool_is_closed_when_an_active_one_would_have_been():
+def test_a_pooled_connection_has_the_same_idle_timeouts_as_an_active_one():
     harness = FrontHarness(parking=True)
     harness.connect_client()
     harness.send(harness.connect_client(), probe(1))
-    before, gone = anomalies["idle clients without a call"], {}
+    anomalies_before, closed_at = anomalies["idle clients without a call"], {}
     for quarter in range(1, 24):
-        harness.advance(LOOKED)
-        for place in harness.epoll_set.closed:
-            gone.setdefault(place, quarter / 4)
-    assert 2.0 < gone[0] <= 2.5 and 4.5 < gone[1] <= 5.0 and not harness.front.listener.connection_count()
-    assert anomalies["idle clients without a call"] == before + 1
+        harness.advance(CHECK_INTERVAL)
+        for client_index in harness.epoll_set.closed:
+            closed_at.setdefault(client_index, quarter / 4)
+    assert (
+        2.0 < closed_at[0] <= 2.5
+        and 4.5 < closed_at[1] <= 5.0
+        and not harness.front.listener.connection_count()
+    )
+    assert anomalies["idle clients without a call"] == anomalies_before + 1
 
 
 def test_a_woken_connection_continues_with_its_record():
-    harness = parked(1)
+    harness = harness_with_parked_clients(1)
     harness.deliver(0, process(2))
     harness.advance()
     client = harness.clients[0][0]
@@ -157,31 +161,33 @@
     harness.answer("e2", 2, "DONE", "-", b"photo")
     assert harness.trace[-1] == "client 0 < 2 process: 'photo'"
     for _ in range(3):
-        harness.advance(LOOKED)
+        harness.advance(CHECK_INTERVAL)
     assert harness.front.listener.idle_count() == 1 and client.is_lost
 
 
 def test_all_idle_connections_wake_at_once_and_each_gets_its_one_answer():
     """The first are pulled; what lay too long is throttled at once with a time, whoever is busy goes on."""
-    count, harness = 600, parked(600, open_cap=10_000)
+    count, harness = 600, harness_with_parked_clients(600, open_cap=10_000)
     busy = harness.connect_client()
     harness.send(busy, process(1, id="ffffffffffffffff"))
     harness.complete_connects()
-    for place in range(count):
-        harness.epoll_set.deliver(place, process(2, id=f"{place:016x}", key=f"{place:016x}"))
-    lot, sizes = harness.front.listener.idle_pool, []
-    wake = lot.wake_batch
-
-    def turn():
-        before = lot.count()
-        wake()
-        sizes.append(before - lot.count())
+    for client_index in range(count):
+        harness.epoll_set.deliver(
+            client_index, process(2, id=f"{client_index:016x}", key=f"{client_index:016x}")
+        )
+    idle_pool, sizes = harness.front.listener.idle_pool, []
+    wake_batch = idle_pool.wake_batch
+
+    def timed_wake():
+        before = idle_pool.count()
+        wake_batch()
+        sizes.append(before - idle_pool.count())
         harness.reactor.rightNow += 0.004  # a turn takes so long
 
-    lot.wake_batch = turn
-    lot.doRead()
+    idle_pool.wake_batch = timed_wake
+    idle_pool.doRead()
     harness.advance()
-    assert max(sizes) <= harness.front.site.client_settings.wake_batch and lot.max_wake_delay > 0.3
+    assert max(sizes) <= harness.front.site.client_settings.wake_batch and idle_pool.max_wake_delay > 0.3
     throttled = [line for line in harness.trace if "throttled {'after': '1000'}" in line]
     assert len({line.split()[1] for line in throttled}) == len(throttled) > count // 2
     for _ in range(4):
@@ -194,10 +200,10 @@
     assert not harness.dispatcher.requests
 
 
-def test_the_time_that_a_request_was_unread_counts_towards_its_deadline():
-    harness = parked(40)
-    for place in range(40):
-        harness.epoll_set.deliver(place, process(2, id=f"{place:016x}", wait="1000"))
+def test_the_time_a_request_stays_unread_counts_towards_its_deadline():
+    harness = harness_with_parked_clients(40)
+    for client_index in range(40):
+        harness.epoll_set.deliver(client_index, process(2, id=f"{client_index:016x}", wait="1000"))
     harness.front.listener.idle_pool.doRead()
     begun = harness.front.clock.now()
     for _ in range(6):
@@ -205,19 +211,19 @@
     assert {request.deadline for request in harness.dispatcher.requests.by_id.values()} == {begun + 1.0}
 
 
-def test_bytes_arrive_in_the_iteration_in_which_the_connection_is_closed_as_idle():
-    harness = parked(1)
+def test_bytes_that_arrive_as_the_idle_timeout_expires_keep_the_connection_open():
+    harness = harness_with_parked_clients(1)
     harness.advance(3.0)
     harness.epoll_set.deliver(0, process(2))
     harness.epoll_set.reported.update(harness.epoll_set.pending)  # the system has not told of it yet
     for _ in range(4):
-        harness.advance(LOOKED)
+        harness.advance(CHECK_INTERVAL)
     assert not harness.epoll_set.closed and harness.clients[0][0].open_requests
 
 
 @pytest.mark.parametrize("end", [ConnectionResetError(104, "reset"), b""])
-def test_a_peer_ends_or_resets_an_idle_connection(end):
-    harness = parked(2)
+def test_an_idle_connection_that_its_peer_ends_or_resets_is_closed(end):
+    harness = harness_with_parked_clients(2)
     harness.epoll_set.deliver(0, end)
     harness.front.listener.idle_pool.doRead()
     assert (
@@ -227,8 +233,8 @@
     )
 
 
-def test_a_connection_is_reported_readable_without_bytes():
-    harness = parked(1)
+def test_a_readable_event_without_bytes_leaves_the_connection_idle():
+    harness = harness_with_parked_clients(1)
     harness.epoll_set.pending[5] = []
     harness.front.listener.idle_pool.doRead()
     del harness.epoll_set.pending[5]
@@ -238,36 +244,36 @@
     assert harness.trace == ["client 0 < 2 probe: good True"]
 
 
-def test_half_a_frame_wakes_a_connection_and_nothing_follows():
-    harness = parked(1)
+def test_a_connection_woken_by_half_a_frame_is_closed_if_nothing_follows():
+    harness = harness_with_parked_clients(1)
     harness.deliver(0, process(2)[:40])
     client = harness.clients[0][0]
     for _ in range(7):
-        harness.advance(LOOKED)
+        harness.advance(CHECK_INTERVAL)
     assert list(harness.front.listener.clients) == [client] and not client.transport.disconnecting
     for _ in range(3):
-        harness.advance(LOOKED)
+        harness.advance(CHECK_INTERVAL)
     assert client.transport.disconnecting and not harness.front.listener.connection_count()
 
 
-def test_the_descriptor_of_a_connection_that_ended_while_queued_is_reused():
-    harness = parked(2)
-    lot = harness.front.listener.idle_pool
+def test_the_descriptor_of_a_connection_closed_while_queued_can_be_reused():
+    harness = harness_with_parked_clients(2)
+    idle_pool = harness.front.listener.idle_pool
     first = harness.epoll_set.deliver(0, probe(2))
-    assert lot.queue_readable() == 1 and lot.table.waking_count == 1
-    lot.close(first)
+    assert idle_pool.queue_readable() == 1 and idle_pool.table.waking_count == 1
+    idle_pool.close(first)
     harness.send(harness.connect_client(), probe(1))
     for _ in range(3):
-        harness.advance(LOOKED)
-    assert harness.epoll_set.client_indexes[first] == 2 and lot.count() == 2
+        harness.advance(CHECK_INTERVAL)
+    assert harness.epoll_set.client_indexes[first] == 2 and idle_pool.count() == 2
     harness.trace.clear()
     harness.deliver(2, probe(2))
     harness.advance()
-    assert harness.trace == ["client 2 < 2 probe: good True"] and lot.count() == 1
+    assert harness.trace == ["client 2 < 2 probe: good True"] and idle_pool.count() == 1
 
 
 def test_a_shutdown_with_thousands_of_idle_connections_ends_in_time_and_answers_those_that_wake():
-    harness = parked(2000)
+    harness = harness_with_parked_clients(2000)
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
     harness.front.terminate()
@@ -279,18 +285,18 @@
         if "00000000000000aa" in harness.caches[uid, number].in_flight:
             harness.answer(uid, 0xAA, "DONE", "-", b"two", number)
     harness.advance(0.41)
-    turns = 0
+    iterations = 0
     while not harness.reactor.hasStopped:
         before = len(harness.epoll_set.closed)
         harness.advance(0.02)
         assert len(harness.epoll_set.closed) - before <= 10 * harness.front.site.client_settings.close_batch
-        turns += 1
-    assert turns < 30 and sorted(harness.epoll_set.closed) == [n for n in range(2000) if n != 7]
+        iterations += 1
+    assert iterations < 30 and sorted(harness.epoll_set.closed) == [n for n in range(2000) if n != 7]
     assert {"client 2000 < 1 process: 'one'", "client 7 < 2 process: 'two'"} <= set(harness.trace)
 
 
 def test_a_reload_with_thousands_of_idle_connections_moves_the_bus_and_keeps_them():
-    harness = parked(2000)
+    harness = harness_with_parked_clients(2000)
     harness.front.read_new_site = lambda: replace(harness.front.site, bus_address="127.0.0.1:9999")
     harness.front.reload()
     harness.advance()
@@ -301,32 +307,32 @@
 
 
 def test_at_the_connection_limit_idle_connections_are_evicted_for_regular_clients():
-    harness = parked(64)
-    listener, port = harness.front.listener, []
+    harness = harness_with_parked_clients(64)
+    listener, paused = harness.front.listener, []
     listener.max_connections = 64
     for _ in range(30):
-        usual = harness.connect_client()
-        port.append(listener.is_paused)
-        harness.send(usual, process(1, id=f"{random.Random(len(port)).getrandbits(64):016x}"))
-        assert listener.connection_count() <= 64 and usual in listener.clients and usual.open_requests
-    assert not any(port) and len(harness.epoll_set.closed) >= 26
+        client = harness.connect_client()
+        paused.append(listener.is_paused)
+        harness.send(client, process(1, id=f"{random.Random(len(paused)).getrandbits(64):016x}"))
+        assert listener.connection_count() <= 64 and client in listener.clients and client.open_requests
+    assert not any(paused) and len(harness.epoll_set.closed) >= 26
     assert sorted(harness.epoll_set.closed) == list(
         range(len(harness.epoll_set.closed))
     )  # the longest idle went first
 
 
-def test_a_hundred_wakes_and_returns_to_the_pool_leave_nothing_behind():
-    harness = parked(3)
+def test_a_hundred_wakes_and_returns_to_the_pool_leak_no_state():
+    harness = harness_with_parked_clients(3)
     table, sizes = harness.front.listener.idle_pool.table, []
     for number in range(2, 102):
         harness.deliver(1, probe(number))
         for _ in range(4):
-            harness.advance(LOOKED / 2)
+            harness.advance(CHECK_INTERVAL / 2)
         if number % 3 == 0:  # the others must not fall due meanwhile
-            for place in (0, 2):
-                harness.deliver(place, probe(number))
+            for client_index in (0, 2):
+                harness.deliver(client_index, probe(number))
         for _ in range(3):
-            harness.advance(LOOKED)
+            harness.advance(CHECK_INTERVAL)
         wheels = [len(wheel.next) for wheel in table.wheels]
         sizes.append(
             (len(table.states), wheels, len(table.long_idle_queue), len(harness.front.listener.checks))
@@ -336,7 +342,7 @@
 
 
 def test_closing_many_expired_connections_is_spread_over_iterations():
-    harness = parked(700, client_settings=ConnectionSettings(close_batch=50))
+    harness = harness_with_parked_clients(700, client_settings=ConnectionSettings(close_batch=50))
     closed = []
     for _ in range(2000):
         before = len(harness.epoll_set.closed)
@@ -346,7 +352,7 @@
 
 
 def test_a_fault_in_handling_first_bytes_ends_that_connection_only(monkeypatch):
-    harness = parked(2)
+    harness = harness_with_parked_clients(2)
     monkeypatch.setattr(
         "weldbend.clients.connection.next_frame", lambda *_: (_ for _ in ()).throw(RuntimeError("fault"))
     )
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -25,22 +25,22 @@
 
 
 def read_calls(chunks):
-    ring, found = Ring(1 << 16), []
+    ring, calls = Ring(1 << 16), []
     for chunk in chunks:
         ring.write(chunk)
         while (data := framing.next_frame(ring, 1 << 15)) is not None:
-            found.append(messages.read_call(data))
-    return found, len(ring)
+            calls.append(messages.read_call(data))
+    return calls, len(ring)
 
 
 def read_answers(chunks):
     ring = Ring(1 << 16)
-    parser, found = answers.AnswerParser(ring), []
+    parser, read = answers.AnswerParser(ring), []
     for chunk in chunks:
         ring.write(chunk)
         while answer := parser.next():
-            found.append(answer)
-    return found, len(ring)
+            read.append(answer)
+    return read, len(ring)
 
 
 def read_stream(chunks):
@@ -52,30 +52,30 @@
     ("read", "data", "count"),
     [(read_calls, CALLS, 4), (read_answers, ANSWERS, 3), (read_stream, STREAM, 3)],
 )
-def test_every_split_reads_the_same(read, data, count):
-    whole, left = read([data])
-    assert len(whole) == count and not left
-    for at in range(1, len(data)):
-        assert read([data[:at], data[at:]]) == (whole, 0), at
-    assert read([data[at : at + 1] for at in range(len(data))]) == (whole, 0)
+def test_any_split_of_the_input_gives_the_same_messages(read, data, count):
+    whole, unread = read([data])
+    assert len(whole) == count and not unread
+    for split in range(1, len(data)):
+        assert read([data[:split], data[split:]]) == (whole, 0), split
+    assert read([data[split : split + 1] for split in range(len(data))]) == (whole, 0)
 
 
-def test_what_is_read():
-    (first, left, live, _), _ = read_calls([CALLS])
+def test_messages_are_read_with_their_fields():
+    (first, give_up_call, probe_call, _), _ = read_calls([CALLS])
     assert (first.seqid, first.body, first.fields["key"], first.fields["got"]) == (
         1,
         b"abc",
         KEY,
         "4be0c1927d55a6f3",
     )
-    assert (left, live) == (messages.GiveUp(1), messages.Probe(2))
-    (done, lack, keep), _ = read_answers([ANSWERS])
+    assert (give_up_call, probe_call) == (messages.GiveUp(1), messages.Probe(2))
+    (done, miss, keep_alive), _ = read_answers([ANSWERS])
     assert (done.name, done.fields, done.body) == (
         "a1",
         {"ver": "ab", "born": "17", "detail": "h"},
         b"\r\nx\n",
     )
-    assert (lack.status, lack.fields, keep.fields) == ("LACK", {}, {"use": "util:0.5;x1:2"})
+    assert (miss.status, miss.fields, keep_alive.fields) == ("LACK", {}, {"use": "util:0.5;x1:2"})
     assert read_stream([STREAM])[0] == [("41", "one"), ("42", "two\nlines"), ("43", "x")]
 
 
@@ -92,68 +92,68 @@
         b"x" * (answers.LONGEST_LINE + 1),
     ],
 )
-def test_no_answer(line):
+def test_a_malformed_answer_is_an_error(line):
     with pytest.raises(answers.InvalidAnswerError):
         read_answers([line])
 
 
-def test_no_frame_and_no_message():
+def test_invalid_frames_and_messages_are_errors():
     for length in (0, -1, 1 << 15 | 1, 2**31 - 1):
         with pytest.raises(InvalidFrameError):
             read_calls([struct.pack(">i", length)])
-    good = process(1)[4:]
-    wrong = {
-        "old version": b"\x00" + good[1:],
-        "name too long": good[:4] + struct.pack(">i", 1 << 30) + good[8:],
-        "cut in its head": good[:10],
+    valid = process(1)[4:]
+    invalid = {
+        "old version": b"\x00" + valid[1:],
+        "name too long": valid[:4] + struct.pack(">i", 1 << 30) + valid[8:],
+        "cut in its head": valid[:10],
         "a oneway that is cut": give_up(1)[4:-4],
     }
-    for data in wrong.values():
+    for data in invalid.values():
         with pytest.raises(InvalidMessageError):
             messages.read_call(data)
 
 
-def test_calls_that_can_be_answered_though_wrong():
-    deep = b"".join(binary.field(binary.STRUCT, 1, b"") for _ in range(40)) + b"\x00" * 41
-    many = binary.field(binary.MAP, 1, bytes((11, 11)) + struct.pack(">i", 1 << 30))
+def test_an_invalid_call_with_a_readable_header_keeps_its_number_and_reason():
+    deep_nesting = b"".join(binary.field(binary.STRUCT, 1, b"") for _ in range(40)) + b"\x00" * 41
+    many_elements = binary.field(binary.MAP, 1, bytes((11, 11)) + struct.pack(">i", 1 << 30))
     calls = {
         "unknown method 'fetch'": message(binary.CALL, "fetch", 7),
         "message kind 4": message(binary.ONEWAY, "process", 7),
         "process without fields": message(binary.CALL, "process", 7),
-        "nested too deep": message(binary.CALL, "process", 7, deep),
-        f"{1 << 30} elements": message(binary.CALL, "process", 7, many),
+        "nested too deep": message(binary.CALL, "process", 7, deep_nesting),
+        f"{1 << 30} elements": message(binary.CALL, "process", 7, many_elements),
         "a map of kinds (8, 11)": message(
             binary.CALL, "process", 7, binary.field(binary.MAP, 1, bytes((8, 11)) + b"\0\0\0\1" + b"\0" * 8)
         ),
         "1 bytes after the message": framing.frame(message(binary.CALL, "probe", 7)[4:] + b"x"),
     }
-    for why, call in calls.items():
-        read = messages.read_call(call[4:])
-        assert (read.seqid, read.reason) == (7, why)
+    for reason, call in calls.items():
+        invalid_call = messages.read_call(call[4:])
+        assert (invalid_call.seqid, invalid_call.reason) == (7, reason)
 
 
-def test_random_bytes_are_errors_at_most():
-    chance = random.Random(5)
+def test_random_bytes_cause_no_other_error():
+    rng = random.Random(5)
     for _ in range(3000):
         data = bytearray(process(1, b"abc")[4:])
-        for _ in range(chance.randrange(1, 4)):
-            data[chance.randrange(len(data))] = chance.randrange(256)
+        for _ in range(rng.randrange(1, 4)):
+            data[rng.randrange(len(data))] = rng.randrange(256)
         with suppress(InvalidMessageError):
             messages.read_call(bytes(data))
         line = bytearray(ANSWERS)
-        line[chance.randrange(len(line))] = chance.randrange(256)
+        line[rng.randrange(len(line))] = rng.randrange(256)
         with suppress(answers.InvalidAnswerError):
             read_answers([bytes(line)])
 
 
-def test_stream_is_bounded():
+def test_overlong_stream_lines_and_events_are_errors():
     for data in (b"data: " + b"x" * 2000, b"data: xxxxxxxxxxxxxxxxxxxxxxxx\n" * 60):
         with pytest.raises(InvalidStreamError):
             read_stream([data])
 
 
-def test_events():
-    held = {
+def test_bus_events_are_read_and_validated():
+    valid_record = {
         "uid": "s-1",
         "endpoint": "127.0.0.1:7",
         "az": "z",
@@ -161,7 +161,9 @@
         "state": "up",
         "capacity_hint": 4,
     }
-    text = str({"offset": 4, "topology": {"rev": 1, "all": False, "targets": [held]}}).replace("'", '"')
+    text = str({"offset": 4, "topology": {"rev": 1, "all": False, "targets": [valid_record]}}).replace(
+        "'", '"'
+    )
     read = read_event(text.replace("False", "true"))
     assert (
         isinstance(read.event, EndpointListUpdate)
@@ -170,9 +172,9 @@
     )
     assert read_event('{"offset":5,"ban":{"url":"ab","ts":1500}}').event == Purge("ab", 0, 1.5)
     assert read_event('{"offset":6,"ban":{"tag":17,"ts":1500}}').event == Purge(None, 17, 1.5)
-    nan = '{"offset":7,"ban":{"tag":17,"ts":NaN}}'
-    for bad in (
-        nan,
+    purge_with_nan = '{"offset":7,"ban":{"tag":17,"ts":NaN}}'
+    for invalid in (
+        purge_with_nan,
         "{",
         "[]",
         "7",
@@ -182,7 +184,7 @@
         "[" * 9999,
     ):
         with pytest.raises(InvalidEventError):
-            read_event(bad)
+            read_event(invalid)
     violations = (
         {"endpoint": "127.0.0.1:99999"},
         {"endpoint": "cache.example:7"},
@@ -190,25 +192,27 @@
         {"uid": "a b,c=d"},
         {"state": "new"},
     )
-    for wrong in violations:  # one bad entry hides no other
-        bad = held | wrong
-        raw = str({"offset": 4, "topology": {"rev": 1, "all": 0, "targets": [bad, held]}}).replace("'", '"')
+    for violation in violations:  # one bad entry hides no other
+        invalid = valid_record | violation
+        raw = str(
+            {"offset": 4, "topology": {"rev": 1, "all": 0, "targets": [invalid, valid_record]}}
+        ).replace("'", '"')
         assert [record.port for record in read_event(raw).event.records] == [7]
 
 
-def test_ring_against_a_plain_list_of_bytes():
-    chance, ring, plain = random.Random(3), Ring(10_000), b""
+def test_the_ring_behaves_like_plain_bytes():
+    rng, ring, expected = random.Random(3), Ring(10_000), b""
     for _ in range(4000):
-        if chance.random() < 0.5:
-            data = chance.randbytes(chance.randrange(3000))
-            taken = ring.write(data)
-            plain += data[:taken]
-            assert taken == len(data) or ring.free() == 0
+        if rng.random() < 0.5:
+            data = rng.randbytes(rng.randrange(3000))
+            written = ring.write(data)
+            expected += data[:written]
+            assert written == len(data) or ring.free() == 0
         else:
-            count = chance.randrange(len(plain) + 1)
-            assert ring.read(count) == plain[:count]
-            plain = plain[count:]
-        start = chance.randrange(len(plain) + 1)
-        assert len(ring) == len(plain) and ring.find(b"\n\r", start, 9000) == plain[:9000].find(
+            count = rng.randrange(len(expected) + 1)
+            assert ring.read(count) == expected[:count]
+            expected = expected[count:]
+        start = rng.randrange(len(expected) + 1)
+        assert len(ring) == len(expected) and ring.find(b"\n\r", start, 9000) == expected[:9000].find(
             b"\n\r", start
         )
--- a/tests/test_remote_timestamps.py
+++ b/tests/test_remote_timestamps.py
@@ -28,15 +28,15 @@
 NOW = 500.0  # monotonic seconds
 UNIX = 1_700_000_000.0  # the true Unix time then
 HOUR = 3600.0
-LONG = 20.0  # seconds after which a test gives up
+TIMEOUT = 20.0  # seconds after which a test gives up
 
 
-def timestamps(wrong_by=0.0, is_confirmed=False):
+def timestamps(clock_error=0.0, is_confirmed=False):
     """What a front has whose Unix clock is ahead by so many seconds."""
-    made = RemoteTimestamps()
-    made.set_unix_offset(UNIX + wrong_by - NOW)
-    made.is_confirmed = is_confirmed
-    return made
+    remote_timestamps = RemoteTimestamps()
+    remote_timestamps.set_unix_offset(UNIX + clock_error - NOW)
+    remote_timestamps.is_confirmed = is_confirmed
+    return remote_timestamps
 
 
 LIVE = Receipt(NOW, NOW - 0.7, is_replay=False)
@@ -47,27 +47,25 @@
 # What is told live.
 
 
-def test_a_prompt_stamp_is_believed_to_the_millisecond():
+def test_a_prompt_timestamp_is_used_exactly():
     age = 0.03125  # exact in binary, so that no sum is rounded
     assert timestamps().estimate_start(UNIX - age, LIVE) == StartInterval(NOW - age, NOW - age)
     assert timestamps().estimate_purge_time(UNIX - age, LIVE) == NOW - age
 
 
-@pytest.mark.parametrize("wrong_by", [-HOUR, -0.2, 0.2, 7.0, HOUR])
+@pytest.mark.parametrize("clock_error", [-HOUR, -0.2, 0.2, 7.0, HOUR])
 @pytest.mark.parametrize("is_confirmed", [False, True])
-def test_a_stamp_that_does_not_fit_its_arrival_leaves_a_cold_cache_and_old_copies_purged(
-    wrong_by, is_confirmed
-):
+def test_an_implausible_timestamp_gives_a_cold_cache_and_a_purge_at_its_arrival(clock_error, is_confirmed):
     """Whether this front's clock was wrong at its start, or the other machine's is by now."""
-    held = timestamps(wrong_by, is_confirmed)
-    assert held.estimate_purge_time(UNIX, LIVE) == NOW
-    dated = held.estimate_start(UNIX, LIVE)
-    assert dated.latest == NOW and dated.earliest <= NOW
+    remote_timestamps = timestamps(clock_error, is_confirmed)
+    assert remote_timestamps.estimate_purge_time(UNIX, LIVE) == NOW
+    interval = remote_timestamps.estimate_start(UNIX, LIVE)
+    assert interval.latest == NOW and interval.earliest <= NOW
 
 
-def test_what_is_told_late_is_not_dated_in_the_future_and_spares_connections_made_since():
-    dated = timestamps(is_confirmed=True).estimate_start(UNIX - 5.0, LIVE)
-    assert dated == StartInterval(NOW - 5.0, NOW)
+def test_a_late_event_is_not_dated_in_the_future_nor_before_the_last_catch_up():
+    interval = timestamps(is_confirmed=True).estimate_start(UNIX - 5.0, LIVE)
+    assert interval == StartInterval(NOW - 5.0, NOW)
     assert timestamps(is_confirmed=True).estimate_start(UNIX + 9.0, LIVE) == StartInterval(
         LIVE.caught_up_at, NOW
     )
@@ -76,7 +74,7 @@
 # What was missed.
 
 
-def test_what_was_missed_is_dated_by_its_stamp_once_another_clock_agreed():
+def test_a_missed_start_is_dated_by_its_timestamp_once_the_clock_is_confirmed():
     assert timestamps(is_confirmed=True).estimate_start(UNIX - 3.0, MISSED).latest == NOW - 3.0
     assert timestamps().estimate_start(UNIX - 3.0, MISSED).latest == NOW
     assert (
@@ -84,68 +82,74 @@
     ), "it was not listed then"
 
 
-def test_a_missed_purge_counts_from_its_arrival_unless_very_much_was_missed():
-    held = timestamps(is_confirmed=True)
-    assert held.estimate_purge_time(UNIX - 3.0, MISSED) == NOW
-    assert held.estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW - 30.0
-    assert held.estimate_purge_time(UNIX - HOUR, LONG_MISSED) == NOW, "older than the last event before it"
+def test_a_missed_purge_counts_from_its_arrival_except_after_a_long_outage():
+    confirmed = timestamps(is_confirmed=True)
+    assert confirmed.estimate_purge_time(UNIX - 3.0, MISSED) == NOW
+    assert confirmed.estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW - 30.0
+    assert (
+        confirmed.estimate_purge_time(UNIX - HOUR, LONG_MISSED) == NOW
+    ), "older than the last event before it"
     assert timestamps().estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW
 
 
 # The first reading.
 
 
-def known(*stamped):
+def receipts_of(*aged_events):
     """Events in the order of the bus: starts and purges, by their ages in seconds."""
-    raw = [
+    events = [
         {"offset": n, "ban": {"tag": n, "ts": (UNIX - age) * 1000}}
         if kind == "purge"
         else listing(n, target(f"e{n}", boot=(UNIX - age) * 1000))
-        for n, (kind, age) in enumerate(stamped, 1)
+        for n, (kind, age) in enumerate(aged_events, 1)
     ]
-    return receipts_of_known_events([parse_event(each) for each in raw], NOW)
+    return receipts_of_known_events([parse_event(event) for event in events], NOW)
 
 
-def test_a_first_reading_believes_the_younger_of_two_ages():
-    first, second, third = known(("start", 100.0), ("purge", 60.0), ("start", 4.0))
-    held = timestamps()
-    assert held.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
-    assert held.estimate_start(UNIX - 4.0, third).latest == NOW, "nothing stamped later: cold"
-    assert held.estimate_purge_time(UNIX - 60.0, second) == NOW
-    ahead = timestamps(HOUR)
-    assert ahead.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
-    behind = timestamps(-HOUR)
-    assert behind.estimate_start(UNIX - 100.0, first).latest == NOW
-    stepped_back = known(("start", 10.0), ("start", HOUR))[1]
-    assert held.estimate_start(UNIX - HOUR, stepped_back).latest == NOW, "its clock ran backwards"
+def test_the_first_read_uses_the_lower_of_two_estimated_ages():
+    first, second, third = receipts_of(("start", 100.0), ("purge", 60.0), ("start", 4.0))
+    accurate = timestamps()
+    assert accurate.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
+    assert accurate.estimate_start(UNIX - 4.0, third).latest == NOW, "nothing stamped later: cold"
+    assert accurate.estimate_purge_time(UNIX - 60.0, second) == NOW
+    fast = timestamps(HOUR)
+    assert fast.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
+    slow = timestamps(-HOUR)
+    assert slow.estimate_start(UNIX - 100.0, first).latest == NOW
+    stepped_back = receipts_of(("start", 10.0), ("start", HOUR))[1]
+    assert accurate.estimate_start(UNIX - HOUR, stepped_back).latest == NOW, "its clock ran backwards"
 
 
-def test_a_first_reading_is_believed_once_another_clock_agreed():
-    receipt = known(("start", 100.0))[0]
+def test_the_first_read_uses_start_timestamps_once_the_clock_is_confirmed():
+    receipt = receipts_of(("start", 100.0))[0]
     assert (
         timestamps(is_confirmed=True).estimate_purge_time(UNIX - 5.0, Receipt(NOW)) == NOW
     ), "its clock may be stepped"
     assert timestamps(is_confirmed=True).estimate_start(UNIX - 100.0, receipt).latest == NOW - 100.0
 
 
-@pytest.mark.parametrize("wrong_by", [-HOUR, -1.0, 1.0, HOUR])
-def test_a_wrong_clock_is_not_confirmed_by_fresh_stamps_nor_one_that_is_ahead_by_old_ones(wrong_by):
-    held = timestamps(wrong_by)
-    assert not held.confirm(UNIX, NOW)
-    if wrong_by > 0:
-        assert not any(held.confirm(UNIX - age, NOW) for age in (0.1, 1.0, HOUR, 2 * HOUR))
-    assert not held.is_confirmed
+@pytest.mark.parametrize("clock_error", [-HOUR, -1.0, 1.0, HOUR])
+def test_a_wrong_clock_is_not_confirmed_by_fresh_timestamps_nor_a_fast_one_by_old_timestamps(clock_error):
+    remote_timestamps = timestamps(clock_error)
+    assert not remote_timestamps.confirm(UNIX, NOW)
+    if clock_error > 0:
+        assert not any(remote_timestamps.confirm(UNIX - age, NOW) for age in (0.1, 1.0, HOUR, 2 * HOUR))
+    assert not remote_timestamps.is_confirmed
 
 
 def test_a_right_clock_is_confirmed_once():
-    held = timestamps(MAX_CLOCK_DIFFERENCE / 2)
-    assert held.confirm(UNIX, NOW) and held.is_confirmed and not held.confirm(UNIX, NOW)
+    remote_timestamps = timestamps(MAX_CLOCK_DIFFERENCE / 2)
+    assert (
+        remote_timestamps.confirm(UNIX, NOW)
+        and remote_timestamps.is_confirmed
+        and not remote_timestamps.confirm(UNIX, NOW)
+    )
 
 
 # Whether it is told live.
 
 
-def test_a_stream_is_live_once_it_was_quiet_and_until_it_is_lost():
+def test_a_stream_is_live_after_a_quiet_period_until_its_connection_is_lost():
     progress = StreamProgress()
     progress.connecting()
     progress.connected(0.9)
@@ -165,7 +169,7 @@
     assert progress.receipt(13.0).is_replay, "it was held up on its way, or this process stood still"
 
 
-def test_a_stream_that_begins_long_after_its_answer_had_nothing_to_tell():
+def test_a_stream_whose_first_event_comes_long_after_its_response_had_no_backlog():
     progress = StreamProgress()
     progress.connecting()
     progress.connected(1.0)
@@ -182,9 +186,9 @@
     def __init__(self, age):
         super().__init__()
         self.front.context.timestamps.is_confirmed = False
-        boot = (self.unix() - age) * 1000
+        start = (self.unix() - age) * 1000
         self.dispatcher.endpoints.handle(
-            parse_event(listing(2, target("e9", boot=boot))), Receipt(self.front.clock.now())
+            parse_event(listing(2, target("e9", boot=start))), Receipt(self.front.clock.now())
         )
         self.advance()
 
@@ -193,7 +197,7 @@
         return self.front.clock.now() - cache.started
 
 
-def test_a_cache_of_the_first_list_is_cold_until_a_copy_shows_that_this_clock_is_right():
+def test_a_cache_of_the_first_list_is_cold_until_a_copy_confirms_the_clock():
     harness = UnconfirmedFrontHarness(100.0)
     assert harness.age() == pytest.approx(0.0)
     harness.dispatcher.endpoints.observe_copy("x")
@@ -205,7 +209,7 @@
     assert harness.age() == pytest.approx(100.0)
 
 
-def test_one_that_still_warms_up_is_dated_again_only_before_much_was_sent_to_it():
+def test_a_warming_cache_is_redated_only_before_much_work_was_sent_to_it():
     for wait, age in ((0.2, 3.2), (1.0, 1.0)):
         harness = UnconfirmedFrontHarness(3.0)
         harness.advance(wait)
@@ -217,63 +221,63 @@
 # A real process.
 
 
-def accepted(server):
+def accept(server):
     connection = server.accept()[0]
-    connection.settimeout(LONG)
+    connection.settimeout(TIMEOUT)
     return connection
 
 
-def oldest_allowed(cache):
+def serve_and_read_age_limit(cache):
     """Serve the next request with a copy that is made now; the age limit that it came with, None for none."""
     line = cache.readline()
     name = line.split()[1]
     assert cache.readline() == b"\r\n"
-    oldest = re.search(rb"oldest=([\d.]+)", line)
+    age_limit = re.search(rb"oldest=([\d.]+)", line)
     cache.write(b"%b DONE born=%d,ver=1 2\r\nok\r\n" % (name, int(time.time() * 1000)))
     cache.flush()
-    return float(oldest[1]) if oldest else None
+    return float(age_limit[1]) if age_limit else None
 
 
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
-def test_a_purge_after_a_step_of_this_process_s_clock_bounds_the_age_of_copies(tmp_path, step):
+def test_a_purge_after_a_clock_step_of_the_front_limits_the_age_of_copies(tmp_path, step):
     with socket.create_server(("127.0.0.1", 0)) as cache, socket.create_server(("127.0.0.1", 0)) as bus:
-        with socket.create_server(("127.0.0.1", 0)) as spare:
-            address = spare.getsockname()
+        with socket.create_server(("127.0.0.1", 0)) as unused:
+            address = unused.getsockname()
         path = tmp_path / "front.json"
-        held = configuration(
+        site = configuration(
             targets=(target("e1", port=cache.getsockname()[1]) | {"capacity_hint": 1000},),
             listen=f"127.0.0.1:{address[1]}",
             bus=f"127.0.0.1:{bus.getsockname()[1]}",
         )
-        path.write_text(held)
+        path.write_text(site)
         command = [sys.executable, "-m", "weldbend.testbed.stepped_clock", str(step)]
         front = subprocess.Popen(
             [*command, "serve", "--config", str(path)], stderr=subprocess.PIPE, text=True
         )
         try:
-            cache.settimeout(LONG)
-            bus.settimeout(LONG)
-            stream = accepted(bus)
+            cache.settimeout(TIMEOUT)
+            bus.settimeout(TIMEOUT)
+            stream = accept(bus)
             stream.recv(4096)
             stream.sendall(b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: here\n")
             assert any("serves on" in line for line in front.stderr)
-            with socket.create_connection(address, LONG) as client:
+            with socket.create_connection(address, TIMEOUT) as client:
                 client.sendall(process(1))
-                link = accepted(cache).makefile("rwb")
-                assert oldest_allowed(link) is None
+                requests = accept(cache).makefile("rwb")
+                assert serve_and_read_age_limit(requests) is None
                 front.send_signal(signal.SIGUSR1)
                 assert any(STEPPED in line for line in front.stderr)
                 event = {"offset": 99, "ban": {"url": KEY, "ts": int(time.time() * 1000)}}
-                begun = time.monotonic()
+                published = time.monotonic()
                 stream.sendall(b": here\nid: 99\ndata: %b\n\n" % json.dumps(event).encode())
                 limit = None
                 number = 1
                 while limit is None:  # the event goes over another connection than the requests
                     number += 1
                     client.sendall(process(number))
-                    limit = oldest_allowed(link)
-                assert 0 < limit <= (time.monotonic() - begun + MAX_LIVE_DELAY) * 1000
+                    limit = serve_and_read_age_limit(requests)
+                assert 0 < limit <= (time.monotonic() - published + MAX_LIVE_DELAY) * 1000
         finally:
             front.kill()
-            front.wait(LONG)
+            front.wait(TIMEOUT)
             front.stderr.close()
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -18,15 +18,15 @@
 """
 
 
-def talk(text):
+def run_session(text):
     out, err = io.StringIO(), io.StringIO()
     return serve(io.StringIO(text), out, err), out.getvalue(), err.getvalue()
 
 
-def test_conversation():
-    asked = "sync 2000000\nfor 3\ncall t/a ab 0 photo 3 - 0 640 8000000\nover_to_you\n"
-    missed = "sync 2002000\nfor 3\nreport_back t/a 0 1 9 1000 0 - - -\nover_to_you\n"
-    code, out, err = talk(START + asked + missed)
+def test_a_request_is_looked_up_at_another_cache_after_a_miss():
+    request = "sync 2000000\nfor 3\ncall t/a ab 0 photo 3 - 0 640 8000000\nover_to_you\n"
+    miss = "sync 2002000\nfor 3\nreport_back t/a 0 1 9 1000 0 - - -\nover_to_you\n"
+    code, out, err = run_session(START + request + miss)
     assert (code, err) == (0, "")
     assert out.splitlines() == [
         "finished",
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "error"),
     [
         ("sync x\n", "line 1: not a whole number: 'x'"),
         (START + "sync 2\nfor 3\nbogus 1\n", "line 10: unknown event 'bogus'"),
@@ -47,6 +47,6 @@
         (START + "sync 2\nfor 3\n", "line 9: input ended inside a batch"),
     ],
 )
-def test_malformed_input_is_named(text, told):
-    code, _, err = talk(text)
-    assert (code, err.strip()) == (1, told)
+def test_malformed_input_is_reported_with_its_line(text, error):
+    code, _, err = run_session(text)
+    assert (code, err.strip()) == (1, error)
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -13,7 +13,7 @@
 SLACK = 0.15  # seconds that a cache may be told beyond what the client has left
 
 
-def told(harness, number):
+def sent_budget(harness, number):
     """Seconds that the first command of a request told its cache."""
     lines = [line for line in harness.trace if f"do {number:016x}" in line]
     return int(re.search(r"budget=(\d+)", lines[0])[1]) / 1000
@@ -31,7 +31,7 @@
     return harness, client
 
 
-def block(client):
+def block_reading(client):
     """Let a client read no answers, with so many that its calls wait."""
     client.pauseProducing()
     for seqid in (101, 102):
@@ -43,22 +43,22 @@
         harness.advance(0.1)
 
 
-def test_what_lay_in_the_ring_counts_from_when_it_was_read():
+def test_requests_buffered_in_the_ring_count_from_when_they_were_read():
     harness, client = running_harness()
-    block(client)
+    block_reading(client)
     harness.send(client, process(2))
     pass_time(harness, 2.0)
     harness.send(client, process(3))
     pass_time(harness, 1.0)
     client.resumeProducing()
     harness.advance()
-    assert 2.85 <= told(harness, 2) <= 3.0 + SLACK
-    assert 4.85 <= told(harness, 3) <= 5.0 + SLACK
+    assert 2.85 <= sent_budget(harness, 2) <= 3.0 + SLACK
+    assert 4.85 <= sent_budget(harness, 3) <= 5.0 + SLACK
 
 
-def test_what_lay_in_the_socket_counts_from_when_reading_was_paused():
+def test_requests_left_in_the_socket_count_from_when_reading_was_paused():
     harness, client = running_harness()
-    block(client)
+    block_reading(client)
     filler = process(2, body=bytes(40_000))
     while not client.is_read_paused:
         harness.send(client, filler)
@@ -67,36 +67,36 @@
     client.incoming.skip(len(client.incoming))
     client.resumeProducing()
     harness.send(client, process(3))
-    assert 3.85 <= told(harness, 3) <= 4.0 + SLACK
+    assert 3.85 <= sent_budget(harness, 3) <= 4.0 + SLACK
 
 
-def test_a_full_read_leaves_the_moment_for_what_is_read_after_it():
+def test_after_a_full_read_the_next_read_keeps_the_earlier_arrival_time():
     harness, client = running_harness()
     harness.reactor.rightNow += 1.5
     data = process(2, body=bytes(40_000)) + process(3, body=bytes(40_000))
     client.dataReceived(data[:READ_SIZE])
     pass_time(harness, 0.3)
     harness.send(client, data[READ_SIZE:])
-    assert 3.9 <= told(harness, 3) <= 4.2 + SLACK
+    assert 3.9 <= sent_budget(harness, 3) <= 4.2 + SLACK
     harness.send(client, process(4))
-    assert told(harness, 4) == 6.0, "the last read had emptied the socket"
+    assert sent_budget(harness, 4) == 6.0, "the last read had emptied the socket"
 
 
 @pytest.mark.parametrize("timers_first", [True, False])
-def test_what_came_while_the_process_stood_still_counts_from_its_beginning(timers_first):
+def test_requests_that_arrived_during_a_process_pause_count_from_its_start(timers_first):
     harness, client = running_harness()
     harness.reactor.rightNow += 1.5
     if timers_first:
         harness.front.gateway._run_maintenance()
     client.dataReceived(process(2))
     harness.advance()
-    assert 4.35 <= told(harness, 2) <= 4.5 + SLACK
+    assert 4.35 <= sent_budget(harness, 2) <= 4.5 + SLACK
     pass_time(harness, 0.3)
     harness.send(client, process(3))
-    assert told(harness, 3) == 6.0, "what comes later has all its time"
+    assert sent_budget(harness, 3) == 6.0, "what comes later has all its time"
 
 
-def test_a_standstill_is_noticed_between_two_beats():
+def test_a_process_pause_is_detected_between_two_heartbeats():
     detector = ProcessPauseDetector(10.0)
     assert not detector.record_heartbeat(10.11) and detector.earliest_arrival(10.2) == 10.2
     assert detector.earliest_arrival(10.5) == 10.11, "read before the timers"
@@ -105,7 +105,7 @@
     assert detector.earliest_arrival(10.6) == 10.6
 
 
-def test_arrival_times_keep_a_bounded_number_of_reads_and_err_to_the_earlier():
+def test_arrival_times_keep_a_bounded_number_of_reads_and_round_to_the_earlier_one():
     times = ArrivalTimes()
     for number in range(2 * MAX_MARKS):
         times.add(1, float(number))
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -38,13 +38,13 @@
 ROOT = Path(__file__).parent.parent
 DATA = ROOT / "tests" / "data" / "wire"
 
-CALLS = {
+CALL_CLASSES = {
     "process": thrift.Process,
     "giveUp": thrift.GiveUp,
     "probe": thrift.Probe,
     "wrong": thrift.InvalidCall,
 }
-BETWEEN_FRONTS = {
+FLEET_MESSAGE_CLASSES = {
     "probe": messages.Probe,
     "ack": messages.Ack,
     "ask": messages.IndirectProbe,
@@ -61,8 +61,8 @@
     "piece": messages.SnapshotChunk,
     "refusal": messages.SnapshotRefusal,
 }
-ON_LINKS = ("hello", "have", "delta", "want", "piece", "refusal")
-ON_THE_BUS = {"list": events.EndpointListUpdate, "purge": events.Purge}
+CONNECTION_MESSAGES = ("hello", "have", "delta", "want", "piece", "refusal")
+BUS_EVENT_CLASSES = {"list": events.EndpointListUpdate, "purge": events.Purge}
 
 
 def recorded(file):
@@ -73,27 +73,27 @@
     return [pytest.param(case, id=case["name"]) for case in recorded(file)]
 
 
-def plain(value):
+def to_json(value):
     """A value as JSON can hold it: fields in their order, without their names."""
     if isinstance(value, Enum):
         return value.value
     if isinstance(value, bytes):
         return value.hex()
     if isinstance(value, msgspec.Struct):
-        return plain(msgspec.structs.astuple(value))
+        return to_json(msgspec.structs.astuple(value))
     if dataclasses.is_dataclass(value):
-        return plain(dataclasses.astuple(value))
+        return to_json(dataclasses.astuple(value))
     if isinstance(value, dict):
-        return [[plain(key), plain(held)] for key, held in value.items()]
+        return [[to_json(key), to_json(item)] for key, item in value.items()]
     if isinstance(value, list | tuple):
-        return [plain(held) for held in value]
+        return [to_json(item) for item in value]
     return value
 
 
-def ring(data):
-    held = Ring(1 << 20)
-    assert held.write(data) == len(data)
-    return held
+def filled_ring(data):
+    ring = Ring(1 << 20)
+    assert ring.write(data) == len(data)
+    return ring
 
 
 def call_bytes(case):
@@ -105,118 +105,118 @@
 
 
 @pytest.mark.parametrize("case", cases("thrift_calls.json"))
-def test_a_recorded_call_is_read_and_written_as_it_was(case):
-    data = ring(bytes.fromhex(case["hex"]))
-    held = thrift.read_call(next_frame(data, 1 << 20))
+def test_a_recorded_call_is_read_and_written_unchanged(case):
+    data = filled_ring(bytes.fromhex(case["hex"]))
+    call = thrift.read_call(next_frame(data, 1 << 20))
     assert not len(data)
-    assert type(held) is CALLS[case["as"]]
-    assert plain(held) == case["values"]
+    assert type(call) is CALL_CLASSES[case["as"]]
+    assert to_json(call) == case["values"]
     assert call_bytes(case).hex() == case["hex"]
 
 
 def answer_bytes(case):
-    given = case["given"]
+    values = case["given"]
     match case["as"]:
         case "answer":
-            name, seqid, body, fields, good = given
+            name, seqid, body, fields, good = values
             return thrift.answer(name, seqid, bytes.fromhex(body), dict(fields), good)
         case "overloaded":
-            return thrift.overloaded(given[0], dict(given[1]))
+            return thrift.overloaded(values[0], dict(values[1]))
         case "internal":
-            return thrift.internal(given[0])
-    return thrift.application_exception(thrift.InvalidCall(*given))
+            return thrift.internal(values[0])
+    return thrift.application_exception(thrift.InvalidCall(*values))
 
 
 @pytest.mark.parametrize("case", cases("thrift_answers.json"))
-def test_an_answer_to_a_client_has_its_recorded_bytes_and_is_read_as_it_was(case):
+def test_an_answer_to_a_client_has_its_recorded_bytes_and_values(case):
     assert answer_bytes(case).hex() == case["hex"]
-    (heard,) = calls.read_answers(ring(bytes.fromhex(case["hex"])))
-    assert plain(heard) == case["values"]
+    (answer,) = calls.read_answers(filled_ring(bytes.fromhex(case["hex"])))
+    assert to_json(answer) == case["values"]
 
 
-def command_bytes(word, name, fields, body):
-    if word == "do":
+def command_bytes(command, name, fields, body):
+    if command == "do":
         return line_commands.do(name, dict(fields), bytes.fromhex(body))
-    return {"undo": line_commands.undo, "ping": line_commands.ping, "top": line_commands.top}[word](name)
+    return {"undo": line_commands.undo, "ping": line_commands.ping, "top": line_commands.top}[command](name)
 
 
 @pytest.mark.parametrize("case", cases("line_commands.json"))
-def test_a_command_to_a_cache_has_its_recorded_bytes_and_is_read_as_it_was(case):
+def test_a_command_to_a_cache_has_its_recorded_bytes_and_values(case):
     assert command_bytes(*case["values"]).hex() == case["hex"]
-    (held,) = commands.Parser(ring(bytes.fromhex(case["hex"]))).all()
-    assert plain(held) == case["values"]
+    (command,) = commands.Parser(filled_ring(bytes.fromhex(case["hex"]))).all()
+    assert to_json(command) == case["values"]
 
 
 @pytest.mark.parametrize("case", cases("line_answers.json"))
-def test_a_recorded_answer_of_a_cache_is_read_as_it_was(case):
-    data = ring(bytes.fromhex(case["hex"]))
-    held = line_answers.AnswerParser(data).next()
+def test_a_recorded_answer_of_a_cache_gives_its_recorded_values(case):
+    data = filled_ring(bytes.fromhex(case["hex"]))
+    answer = line_answers.AnswerParser(data).next()
     assert not len(data)
-    assert plain(held) == case["values"]
+    assert to_json(answer) == case["values"]
 
 
 @pytest.mark.parametrize("case", cases("bus_events.json"))
-def test_a_recorded_event_of_the_bus_is_read_as_it_was(case):
-    held = events.read_event(case["text"])
-    assert type(held.event) is ON_THE_BUS[case["as"]]
-    assert plain(held) == case["values"]
+def test_a_recorded_bus_event_gives_its_recorded_values(case):
+    event = events.read_event(case["text"])
+    assert type(event.event) is BUS_EVENT_CLASSES[case["as"]]
+    assert to_json(event) == case["values"]
 
 
 @pytest.mark.parametrize("case", cases("bus_streams.json"))
-def test_a_recorded_stream_of_the_bus_gives_its_messages_in_any_split(case):
+def test_a_recorded_bus_stream_gives_its_messages_in_any_split(case):
     data = bytes.fromhex(case["hex"])
     for size in (1, 7, len(data)):
-        parser, found = sse.Parser(), []
-        for at in range(0, len(data), size):
-            found += parser.feed(data[at : at + size])
-        assert plain(found) == case["values"]
+        parser, received = sse.Parser(), []
+        for start in range(0, len(data), size):
+            received += parser.feed(data[start : start + size])
+        assert to_json(received) == case["values"]
 
 
 @pytest.mark.parametrize("case", cases("fleet_messages.json"))
-def test_a_recorded_message_between_fronts_is_read_and_written_as_it_was(case):
+def test_a_recorded_message_between_fronts_is_read_and_written_unchanged(case):
     data = bytes.fromhex(case["hex"])
-    read = messages.read_connection_message if case["as"] in ON_LINKS else messages.read_datagram
-    held = read(data)
-    assert type(held) is BETWEEN_FRONTS[case["as"]]
-    assert plain(held) == case["values"]
-    assert messages.encode(held).hex() == case["hex"]
+    read = messages.read_connection_message if case["as"] in CONNECTION_MESSAGES else messages.read_datagram
+    message = read(data)
+    assert type(message) is FLEET_MESSAGE_CLASSES[case["as"]]
+    assert to_json(message) == case["values"]
+    assert messages.encode(message).hex() == case["hex"]
 
 
 KEYS = "00112233 " + "0f" * 32 + "\n# the second opens only\n44556677 " + "a5" * 32 + "\n"
 
 
 @pytest.mark.parametrize("case", cases("sealed.json"))
-def test_an_authenticated_message_has_its_recorded_bytes_and_is_verified_as_it_was(case):
+def test_an_authenticated_message_has_its_recorded_bytes_and_is_verified(case):
     fleet, sender, to, epoch, number, link = case["header"]
     body, session = bytes.fromhex(case["body"]), bytes.fromhex(case["session"])
     authenticator = authentication.MessageAuthenticator(fleet, sender, epoch, authentication.read_keys(KEYS))
     authenticator.number = number - 1
     assert authenticator.authenticate(to, body, link, session).hex() == case["hex"]
-    opened = authentication.MessageAuthenticator(fleet, to, 1, authentication.read_keys(KEYS)).verify(
+    verified = authentication.MessageAuthenticator(fleet, to, 1, authentication.read_keys(KEYS)).verify(
         bytes.fromhex(case["hex"]), link, session
     )
-    assert plain(opened.header) == case["header"]
-    assert opened.body == body
+    assert to_json(verified.header) == case["header"]
+    assert verified.body == body
 
 
 @pytest.mark.parametrize("case", cases("items.json"))
-def test_a_recorded_item_is_taken_and_passed_on_as_it_was(case):
+def test_a_recorded_item_is_stored_and_passed_on_unchanged(case):
     (op,) = messages.read_connection_message(bytes.fromhex(case["hex"])).operations
-    assert plain(op) == case["values"]
-    copies = ReplicatedStore("n9", 5)
-    assert plain(copies.apply(op, 100.0)) == case["change"]
-    assert messages.encode(messages.Delta(copies.changes_after({}, 100.0, 10))).hex() == case["hex"]
-    ((ops, _, last),) = copies.snapshot_chunks("", 100.0, 10)
-    assert last and messages.encode(messages.Delta(ops)).hex() == case["snapshot"]
-    assert f"{copies.digest(100.0):012x}" == case["digest"]
+    assert to_json(op) == case["values"]
+    store = ReplicatedStore("n9", 5)
+    assert to_json(store.apply(op, 100.0)) == case["change"]
+    assert messages.encode(messages.Delta(store.changes_after({}, 100.0, 10))).hex() == case["hex"]
+    ((ops, _, is_last),) = store.snapshot_chunks("", 100.0, 10)
+    assert is_last and messages.encode(messages.Delta(ops)).hex() == case["snapshot"]
+    assert f"{store.digest(100.0):012x}" == case["digest"]
 
 
 def test_every_message_between_fronts_and_every_kind_of_item_is_recorded():
-    assert {case["as"] for case in recorded("fleet_messages.json")} == set(BETWEEN_FRONTS)
+    assert {case["as"] for case in recorded("fleet_messages.json")} == set(FLEET_MESSAGE_CLASSES)
     assert {case["change"][0] for case in recorded("items.json")} == set(ITEM_KINDS)
 
 
-class Held:
+class FrozenTimers:
     """Timers that stand still."""
 
     def now(self):
@@ -226,14 +226,16 @@
         return None
 
 
-def control(folder):
+def admin_server(folder):
     """The control port of a front that has heard of its peers and of some items."""
     (folder / "keys").write_text(KEYS)
     peers = tuple(Peer(f"n{n}", f"127.0.0.{n}", 7400, "upper") for n in (2, 3, 4))
-    terms = FleetSettings(
+    settings = FleetSettings(
         listen="127.0.0.1:7400", fleet="north", zone="upper", key_file=str(folder / "keys"), peers=peers
     )
-    fleet = Fleet(Runtime(None, Held(), bytes), "n1", terms, lambda change: None, 1_700_000_000_000)
+    fleet = Fleet(
+        Runtime(None, FrozenTimers(), bytes), "n1", settings, lambda change: None, 1_700_000_000_000
+    )
     for case in recorded("sealed.json"):
         if not case["header"][5]:  # not of a link; one of them is meant for another, and dropped
             fleet.datagrams.datagramReceived(bytes.fromhex(case["hex"]), ("127.0.0.2", 7400))
@@ -243,46 +245,48 @@
     return AdminServer(fleet, {})
 
 
-def test_questions_at_the_control_port_get_their_recorded_answers(tmp_path):
-    asked = control(tmp_path).buildProtocol(None)
-    wire = StringTransport()
-    asked.makeConnection(wire)
+def test_queries_at_the_admin_port_get_their_recorded_answers(tmp_path):
+    connection = admin_server(tmp_path).buildProtocol(None)
+    transport = StringTransport()
+    connection.makeConnection(transport)
     for case in recorded("control.json"):
-        wire.clear()
-        asked.dataReceived(case["asked"].encode() + b"\n")
-        assert wire.value().decode() == case["answer"] + "\n", case["name"]
+        transport.clear()
+        connection.dataReceived(case["asked"].encode() + b"\n")
+        assert transport.value().decode() == case["answer"] + "\n", case["name"]
 
 
 @pytest.mark.parametrize("case", cases("fleet_commands.json"))
-def test_a_fleet_command_shows_a_recorded_answer_as_it_did(case, monkeypatch):
-    (told,) = (held["answer"] for held in recorded("control.json") if held["name"] == case["told"])
-    questions = []
+def test_a_fleet_command_prints_its_recorded_output(case, monkeypatch):
+    (recorded_answer,) = (
+        exchange["answer"] for exchange in recorded("control.json") if exchange["name"] == case["told"]
+    )
+    queries = []
 
-    def answer(where, **question):
-        questions.append([where, question])
-        return json.loads(told)["ok"]
+    def record_query(address, **query):
+        queries.append([address, query])
+        return json.loads(recorded_answer)["ok"]
 
-    monkeypatch.setattr(cli, cli.ask.__name__, answer)
-    done = CliRunner().invoke(cli.fleet, case["arguments"])
-    assert [done.exit_code, done.output, questions] == [case["exit"], case["output"], case["questions"]]
+    monkeypatch.setattr(cli, cli.ask.__name__, record_query)
+    result = CliRunner().invoke(cli.fleet, case["arguments"])
+    assert [result.exit_code, result.output, queries] == [case["exit"], case["output"], case["questions"]]
 
 
 @pytest.mark.parametrize("case", cases("installations.json"))
 def test_an_installation_file_gives_its_recorded_settings(case):
-    held = build(parse(str(ROOT / case["file"])), "FILE")
-    assert plain(held) == case["values"]
+    installation = build(parse(str(ROOT / case["file"])), "FILE")
+    assert to_json(installation) == case["values"]
 
 
 @pytest.mark.parametrize("case", cases("plans.json"))
 def test_a_plan_gives_its_recorded_events(case):
     path = str(ROOT / case["file"])
-    held = faults.read_plan(path, case["framing"]) if case["framing"] else fleets.read_plan(path)
-    assert plain(held) == case["values"]
+    plan = faults.read_plan(path, case["framing"]) if case["framing"] else fleets.read_plan(path)
+    assert to_json(plan) == case["values"]
 
 
-def test_the_example_configuration_gives_its_recorded_facts():
+def test_the_example_configuration_gives_its_recorded_values():
     case = recorded("configuration.json")
-    held = read_site((ROOT / case["file"]).read_text("utf-8"))
-    found = [held.name, held.host, held.port, held.seed]
-    found += [held.bus_address, held.bus_offset, held.known_events, held.roles]
-    assert plain([*found, held.cache_limits, held.settings]) == case["values"]
+    site = read_site((ROOT / case["file"]).read_text("utf-8"))
+    values = [site.name, site.host, site.port, site.seed]
+    values += [site.bus_address, site.bus_offset, site.known_events, site.roles]
+    assert to_json([*values, site.cache_limits, site.settings]) == case["values"]
