--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""Fleets of real `serve` processes, started and struck by `weldbend lab fleet --lines`."""
+"""Fleets of real `serve` processes, started and disturbed through `weldbend lab fleet --lines`."""
 
 import contextlib
 import json
@@ -12,7 +12,7 @@
 
 
 class Fleet:
-    """Some fronts of one fleet, each a process of its own."""
+    """A fleet of fronts, each of them a separate process."""
 
     def __init__(self, folder, count=3, **options):
         self.folder, self.names = Path(folder), [f"n{n}" for n in range(1, count + 1)]
@@ -26,7 +26,7 @@
         self.controls, self.fronts = addresses["controls"], addresses["fronts"]
 
     def send_command(self, command, fronts="all", **fields):
-        """One event; returns once it has begun."""
+        """Send one command to the lab and wait until the lab reports that it was carried out."""
         self.lab.stdin.write(
             json.dumps({"do": command, **({"who": fronts} if fronts else {}), **fields}) + "\n"
         )
@@ -44,7 +44,7 @@
         self.send_command("start", " ".join(names or self.names))
 
     def kill(self, name, signal="KILL"):
-        """Gone when this returns, but for a mere stop."""
+        """Send a signal to a front; after KILL or TERM, wait until the front no longer answers."""
         self.send_command("signal", name, name=signal)
         if signal in ("KILL", "TERM"):
             self.wait_until(lambda: not self.is_reachable(name))
@@ -71,7 +71,7 @@
         return self.query(name, ask="status")
 
     def member_states(self, name):
-        """How one front sees the others, as a short line."""
+        """Return the states of the other members as one front sees them, such as `n2:alive n3:dead`."""
         return " ".join(
             f"{member['name']}:{member['state'].lower()}" for member in self.status(name)["members"]
         )
@@ -102,7 +102,7 @@
         raise AssertionError(f"condition not met in time: {last!r}; {member_states}\n{logs}")
 
     def has_converged(self, *names):
-        """They see each other alive, have caught up, and hold the same."""
+        """Return whether the fronts see each other alive, have caught up, and hold the same state."""
         return not differences({name: self.status(name) for name in names or self.names})
 
     def stop(self):
--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -1,4 +1,4 @@
-"""Fronts for tests: the decisions alone, and the whole door with stand-ins for client, cache and bus."""
+"""Test harnesses: a router alone, and a whole front in memory with its clients, caches and event bus."""
 
 import re
 from dataclasses import replace
@@ -85,7 +85,7 @@
 
 
 class RouterHarness:
-    """Feeds a Router and keeps a printed line for each pull and each final answer."""
+    """Passes events to a Router and records a line for each attempt, cancellation and final answer."""
 
     def __init__(self, caches=CACHES, **site):
         self.router, self.now, self.trace, self.attempts = Router(7, replace(SITE, **site)), 0.0, [], {}
@@ -134,7 +134,7 @@
         self.handle(self.now if now is None else now, TimerFired(token))
 
     def fill(self, name, key="k", now=None):
-        """A download that misses at its edge, and at a parent asked for what it holds, and is then filled."""
+        """Play a request that misses at its edge and in a parent's cached copies, and is then filled."""
         self.request(name, key, now)
         self.end_attempt(name, AttemptResult.MISS)
         if "if cached" in self.trace[-1]:
@@ -171,7 +171,7 @@
 
 
 def answer_text(data):
-    """One answer as a client reads it, in a line."""
+    """Return the line that a trace shows for an answer to a client."""
     answer = client_calls.read_answer(data)
     match answer.outcome:
         case "exception":
@@ -186,10 +186,10 @@
 
 
 class Transport(StringTransport):
-    """A connection kept in memory; paused, it takes no more, as a full socket does."""
+    """A connection in memory. A paused one models a full socket: it accepts no more data."""
 
     full = False
-    left = 0  # bytes that had left when the reactor had not yet come to them
+    left = 0  # bytes that the last direct call of doWrite sent, before the reactor
 
     def doWrite(self):
         self.left = len(self.value())
@@ -202,7 +202,7 @@
         self.protocol.connectionLost(Failure(ConnectionDone()))
 
     abortConnection = loseConnection
-    loseWriteConnection = loseConnection  # a client in memory closes as soon as it hears of the end
+    loseWriteConnection = loseConnection  # a client in memory closes at once when the front closes its side
 
     def take_written(self):
         data = self.value()
@@ -211,7 +211,10 @@
 
 
 class InMemoryEpollSet:
-    """Parked connections in memory; numbers stand for descriptors, the lowest free one as the system does."""
+    """An epoll set in memory for parked connections.
+
+    A new connection gets the lowest free number as its descriptor, as in the operating system.
+    """
 
     def __init__(self, harness):
         self.harness, self.client_indexes, self.pending, self.reported, self.closed = (
@@ -241,7 +244,7 @@
         return transport
 
     def deliver(self, client_index, data):
-        """Something comes on a parked connection: bytes, an end (empty) or an error."""
+        """Make bytes, an end of stream (empty) or an error available on a parked connection."""
         fd = next(fd for fd, index in self.client_indexes.items() if index == client_index)
         self.pending.setdefault(fd, []).append(data)
         return fd
@@ -275,9 +278,9 @@
 
 
 class FrontHarness:
-    """A whole front in memory, with its clock in the test's hands, and a printed line for each message.
+    """A whole front in memory whose clock the test controls; `trace` has a line for each message sent.
 
-    With `parking`, idle clients are parked as in service, on a stand-in for their descriptors.
+    With `parking`, idle clients are parked in an epoll set in memory.
     """
 
     transport = Transport
@@ -298,7 +301,7 @@
         self.front.start()
         self.front.context.timestamps.confirm(self.unix(), self.front.clock.now())
         self.front.open()
-        self.front.listener.port.doRead = lambda: None  # nobody waits to be accepted
+        self.front.listener.port.doRead = lambda: None  # no connection waits to be accepted
         self.advance()
 
     @property
@@ -313,7 +316,7 @@
         return 1000.0 + self.reactor.seconds()
 
     def bus_receipt(self):
-        """How events of the bus come: after an hour out of touch, so that each may be old."""
+        """Return the receipt of a bus event after an outage of an hour, so that the event may be old."""
         now = self.front.clock.now()
         return Receipt(now, caught_up_at=now - 3600.0)
 
@@ -324,7 +327,7 @@
         self.record_output()
 
     def record_output(self):
-        """Print what the front has written since."""
+        """Add what the front has written since the last call to the trace."""
         for number, (client, _) in enumerate(self.clients):
             if client.transport:
                 self.record_answers(number, client.transport)
@@ -347,14 +350,14 @@
         return client
 
     def attach_transport(self, client, client_index):
-        """A transport for a client, which from now on is the one at this index."""
+        """Return a new transport for a client, which becomes the client at this index."""
         transport = Transport()
         transport.protocol, transport.client_index = client, client_index
         self.clients[client_index] = client, self.clients[client_index][1]
         return transport
 
     def deliver(self, client_index, *frames):
-        """Bytes for a parked client; they are noted at once, and woken in their turn."""
+        """Make bytes available for a parked client and let the idle pool queue it for waking."""
         fd = self.epoll_set.deliver(client_index, b"".join(frames))
         self.front.listener.idle_pool.doRead()
         return fd
@@ -364,7 +367,7 @@
         self.advance()
 
     def pending_connects(self):
-        """Dials to caches that wait to come up, with the names of the caches."""
+        """Return the pending connections to caches, each with the name of its cache."""
         dispatcher = self.dispatcher
         return [
             (dispatcher.names.uids[n], connector)
@@ -373,7 +376,7 @@
         ]
 
     def complete_connects(self):
-        """Complete all pending connects."""
+        """Establish all pending connections to caches."""
         for uid, connector in self.pending_connects():
             connection = connector.buildProtocol(None)
             connection.transport = Transport()
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -1,4 +1,4 @@
-"""Whatever comes in whatever order: each download has one answer in time, and nothing is left behind."""
+"""Random sequences of events: each request gets one answer in time, and no state remains at the end."""
 
 import math
 import random
@@ -8,12 +8,12 @@
 from fronts import TARGETS, FrontHarness, give_up, listing, process, target
 
 ANSWER_STATUSES = ("DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST")
-DEADLINE_SLACK = 0.058  # what the rules allow past an expiry
-MAX_STEP = 0.3  # the longest standstill of the front
+DEADLINE_SLACK = 0.058  # seconds by which the rules allow an answer to be late
+MAX_STEP = 0.3  # seconds of the longest pause of the front
 
 
 class RandomWalk:
-    """Random steps of clients, caches, machines, the bus and the clock, from one seed."""
+    """Random steps of clients, caches, connections, the event bus and the clock, drawn from one seed."""
 
     def __init__(self, seed):
         self.rng, self.harness = random.Random(seed), FrontHarness(max_streams=4)
@@ -64,7 +64,7 @@
         self.harness.fail_connects() if self.rng.random() < 0.2 else self.harness.complete_connects()
 
     def change_reading(self):
-        """One that reads nothing for a while can be told nothing, nor be heard."""
+        """Pause or resume the reading of one client; while it is paused, its answers have no deadline."""
         index = self.rng.randrange(3)
         if self.rng.random() < 0.3:
             self.clients[index].pauseProducing()
@@ -96,7 +96,11 @@
         self.harness.advance(self.rng.choice((0.001, 0.02, MAX_STEP)))
 
     def check_answers(self):
-        """Every answer is the first and in time, no pull goes where the list says no, and no two are out."""
+        """Check the trace since the last step.
+
+        Each answer is the first for its request and in time, no attempt uses a cache that is listed as
+        unavailable, and no request has two attempts in flight.
+        """
         self.harness.record_output()
         for line in self.harness.trace:
             if line.startswith("client"):
@@ -112,7 +116,7 @@
                 source = re.search(r"from=(\w+)", line)
                 assert not {line.partition("/")[0], source and source[1]} & self.unavailable, line
         in_flight = [name for connection in self.connections() for name in connection.in_flight]
-        assert len(in_flight) == len(set(in_flight)), "two pulls of one download are out"
+        assert len(in_flight) == len(set(in_flight)), "two attempts for one request are in flight"
         self.harness.trace.clear()
 
 
--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,7 +1,7 @@
-"""The layers of docs/architecture.md: who may import whom, no circles, and what a front loads.
+"""The layers of docs/architecture.md: allowed imports, no import cycles, and the modules a front loads.
 
-Imports for type checkers alone do not count. An import inside a function counts for the layers, since it
-makes one package need another, and not for the circles, since it cannot fail while loading.
+Imports for type checkers only are ignored. An import inside a function counts for the layers, because it
+makes one package depend on another, but not for cycles, because it cannot fail while modules are loaded.
 """
 
 import ast
@@ -57,7 +57,7 @@
 
 
 def imported_modules(nodes: list[ast.stmt], inside_function: bool = False) -> Iterator[tuple[str, bool]]:
-    """Modules of weldbend that the statements import, and whether that waits for a call."""
+    """Yield the modules of weldbend that statements import, and whether the import is inside a function."""
     for node in nodes:
         if is_for_type_checkers(node):
             continue
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Virtual runs in which Unix clocks are stepped and stamps are changed on their way: the rules hold."""
+"""Virtual runs with steps of Unix clocks and with timestamps rewritten on the way: no rule is violated."""
 
 from dataclasses import replace
 
@@ -12,11 +12,11 @@
 from weldbend.testbed.simulation.settings import BUS_HOST, BUS_PORT, RunSettings
 from weldbend.testbed.simulation.site_faults import PURGED_GROUP
 
-SEEDS = range(1, 9)  # within so many the sabotage is caught by both rules
+SEEDS = range(1, 9)  # enough for the wrong dating below to violate both rules
 SETTINGS = RunSettings(seconds=6.0, faults=8, clock_steps=4)
 SETTINGS_WITHOUT_FAULTS = RunSettings(seconds=9.0, faults=0, connection_faults=0, clock_steps=0, rate=90.0)
 HOUR = 3600.0
-SEED_REWRITING_BORN = 49  # a seed whose drawn faults rewrite `born` in answers
+SEED_REWRITING_BORN = 49  # a seed whose random faults rewrite `born` in answers
 
 
 def test_the_auditor_uses_timestamps_as_caches_sent_them_not_as_rewritten_on_the_way():
@@ -36,6 +36,7 @@
 
 
 def date_by_current_unix_clock(monkeypatch):
+    """Patch the front to date events by its current Unix clock, which may have been stepped."""
     handle = EndpointUpdates.handle
 
     def handle_by_unix_clock(self, sequenced, receipt):
@@ -66,13 +67,13 @@
     assert unstepped.counts["downloads"] == stepped.counts["downloads"]
 
 
-# What a front missed: told after a reconnect, a restart of the bus, and a reload that names another bus.
+# Events missed during an outage: a reconnect, a restart of the bus, and a reload that names another bus.
 
 OTHER_PORT = BUS_PORT + 1
 
 
 def publish_missed_events(run):
-    """A cache starts cold, and all of one group is purged."""
+    """Restart a cache without copies, and purge all objects of one group."""
     run.site.restart_cache("e1")
     run.site.publish(ban={"tag": PURGED_GROUP, "ts": run.site.unix_ms()})
 
@@ -96,7 +97,7 @@
 
 
 def reload_with_another_bus(run):
-    """The old bus tells nothing any more; the front is told of the new one a second later."""
+    """Stop the old bus from sending; a second later, all fronts move to a new address of the bus."""
     run.site.bus.readers.clear()
 
     def switch_bus():
@@ -108,8 +109,9 @@
 
 
 def violated_rules(start_outage, step, seed):
+    """Return the rules violated in a run in which the clocks are stepped and an outage begins at once."""
     run = Run(seed, SETTINGS_WITHOUT_FAULTS)
-    outage_start, outage_end = 1.6, 4.2  # the last second in which all fronts are told again
+    outage_start, outage_end = 1.6, 4.2  # seconds; all fronts have caught up by then
     run.events.schedule(1.5, lambda: run.clock_steps.step(["n1", "n2", "n3"], step))
     run.events.schedule(outage_start, lambda: start_outage(run))
     run.events.schedule(outage_start + 0.2, lambda: publish_missed_events(run))
--- a/tests/test_decision_work.py
+++ b/tests/test_decision_work.py
@@ -1,4 +1,4 @@
-"""The work of a request, an answer or a change of one cache does not grow with the caches that exist."""
+"""The work for a request, an answer or a change of one cache does not grow with the number of caches."""
 
 import sys
 from dataclasses import replace
@@ -40,7 +40,7 @@
 
 
 class Site:
-    """A router with so many caches, that bear as much together whatever their number."""
+    """A router with a number of caches whose combined capacity does not depend on that number."""
 
     def __init__(self, caches, **site):
         self.router = Router(7, replace(SITE, classes={"photo": request_class()}, **site))
@@ -52,7 +52,7 @@
         return self.router.handle(self.now, events)
 
     def play_request(self, number, results):
-        """A request whose attempts end so, one after the other."""
+        """Play a request whose attempts end with these results, one after the other."""
         self.now += 0.02
         actions = self.handle(
             RequestReceived(f"r{number}", f"k{number}", 0, 3, "photo", 0.0, False, self.now + 6)
@@ -65,7 +65,7 @@
             actions = self.handle(ended)
 
     def count_lines(self, call):
-        """Lines that the decisions run, each turn of a loop counted."""
+        """Return the number of lines of the routing package that a call executes, with repetitions."""
         line_count = 0
 
         def trace(frame, event, argument):
@@ -103,7 +103,7 @@
 
 
 def lines_per_request(caches, results, **options):
-    """Lines for a request, once all that such requests lead to has happened before."""
+    """Return the number of lines executed per request, after warm-up with such requests."""
     site = Site(caches, **options)
     for number in range(30):
         site.play_request(number, results)
@@ -130,7 +130,7 @@
 
 
 def test_the_work_of_a_request_stays_bounded_where_no_cache_is_trusted():
-    """From the size on at which each role has more caches than one request may try."""
+    """The smaller number of caches is one at which each role has more caches than one request may try."""
     costs = []
     for size in (4 * FEW_CACHES, MANY_CACHES):
         site = Site(size)
@@ -158,7 +158,7 @@
 
 
 def test_a_request_tries_a_bounded_number_of_caches_in_order_of_rank():
-    """All are over their limits but the one that is ranked last of those that it may try, then the next."""
+    """Only one edge has free capacity: the first by rank, the last that may be tried, or the one after it."""
     for index, is_found in ((0, True), (MAX_CHOICES - 1, True), (MAX_CHOICES, False)):
         site = Site(400)
         edges = list(site.router.context.ready[Role.EDGE].ranked("k1 0"))
@@ -190,7 +190,7 @@
 
 
 def play_step(site, step):
-    """One change of those that `STEPS` draws."""
+    """Apply one change drawn from `STEPS`."""
     kind, *details = step
     caches = site.router.caches
     cache = caches.get(details[0])
@@ -224,7 +224,7 @@
 
 
 def check_group_sums(site):
-    """What is kept by changes is what going through all caches gives."""
+    """Check that sums maintained incrementally equal sums computed over all caches."""
     context, now = site.router.context, site.now
     for role, group in context.ready.items():
         is_local = role is not Role.EDGE or context.settings.zone == "z"
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""What the module decides, as short traces."""
+"""Decisions of the router, compared with recorded traces of the actions it returns."""
 
 from dataclasses import replace
 
@@ -69,6 +69,7 @@
 
 
 def test_a_possibly_executed_request_is_retried_only_as_its_class_allows():
+    """Requests named `-ran` may have executed (reset); those named `-not` have not (unreachable)."""
     classes = {
         "pay": request_class("pay", idempotency=Idempotency.NON_IDEMPOTENT),
         "order": request_class("order", idempotency=Idempotency.DEDUPLICATED, deduplication_window=1.0),
@@ -206,7 +207,10 @@
 
 
 def test_a_cache_reached_soon_after_a_broken_connection_has_not_restarted():
-    """However many pulls the connection held, it is one piece of evidence; what is spoilt is none."""
+    """A broken connection counts as one piece of evidence, however many attempts were in flight on it.
+
+    A malformed answer is no evidence of a restart.
+    """
     front = RouterHarness(CACHES[:1] + CACHES[-1:], edge_overload_factor=9.0)
     cache, fractions = front.router.caches[1], []
     for n in range(4):
@@ -224,7 +228,7 @@
     front.handle(2.1, ConnectionOpened(1))
     assert cache.failures.total(1.4) == 2 and cache.concurrency.limit > 5
     front.trace.append(
-        "parts "
+        "capacity "
         + " ".join(f"{fraction:.2f}" for fraction in (*fractions, cache.slow_start.capacity_fraction()))
     )
     front.assert_trace("""
@@ -237,12 +241,15 @@
         1.20 d2: 1 lookup rank 0
         1.20 d3: 1 lookup rank 0
         2.00 d0: 1 fill from 21 rank 0
-        parts 1.00 0.22 1.00 0.21
+        capacity 1.00 0.22 1.00 0.21
     """)
 
 
 def answer_requests(front, count=40):
-    """Have the edges answer so often that, within a doubt's time, more would have come."""
+    """Let the edges answer `count` requests within a second.
+
+    With a high count, answers are expected within an attempt's timeout, and their absence is evidence.
+    """
     for n in range(count):
         front.request(f"w{n}", f"w{n}", now=n / count)
         front.end_attempt(f"w{n}", AttemptResult.SERVED)
@@ -272,7 +279,7 @@
 
 
 def test_a_silent_connection_is_no_evidence_if_no_answers_were_expected():
-    """A front that asks a cache once in a while would call off all that is slow, and ask again for it."""
+    """Guards against a front with few requests that cancels and repeats every slow attempt."""
     front = RouterHarness(CACHES[:2], allows_hedging=False)
     answer_requests(front, 4)
     front.request("d", "k0", now=1)
@@ -288,7 +295,11 @@
 
 
 def test_the_combined_parent_limit_shrinks_with_the_number_of_fronts():
-    """Two hundred fronts with a limit for each of eight parents had ten times in flight what these bear."""
+    """Guards against many fronts overloading the parents together.
+
+    With a separate limit for each of eight parents, two hundred fronts had ten times as many attempts in
+    flight as the parents can handle.
+    """
     parents = tuple(endpoint(30 + n, Role.PARENT, "h") for n in range(8))
     sent = {}
     for fronts in (2, 200):
@@ -306,7 +317,7 @@
 
 
 def test_late_answers_of_several_parents_reduce_the_combined_limit():
-    """None of them answers often enough to this front to cut its own limit."""
+    """Each parent sends this front too few answers to reduce its own limit."""
     parents = tuple(endpoint(30 + n, Role.PARENT, "h") for n in range(8))
     front = RouterHarness((CACHES[0], *parents, CACHES[-1]), fronts=200, hub_fronts=200, zone_fronts=2)
     front.router.context.random.seed_number = 3
@@ -317,14 +328,16 @@
         if "if cached" in front.trace[-1]:
             front.end_attempt(f"d{n}", AttemptResult.SERVED, duration=9.0)
     limits = {cache.concurrency.limit for cache in front.router.caches.values() if cache.role is Role.PARENT}
-    assert len(limits) == 1, "no parent had a crowd of its own"
+    assert len(limits) == 1, "the limit of a single parent has changed"
     assert front.router.context.parent_limit.limit() < 0.4 * limit_before
 
 
 def test_without_edges_a_parent_lookup_precedes_a_fill_from_the_origin():
     edges = tuple(endpoint(n, state=EndpointState.DRAINING) for n in (1, 2))
     front = RouterHarness(edges + CACHES[2:3] + CACHES[-1:], allows_bypass=True)
-    front.router.caches[21].concurrency.limit = 0.8  # room for one, and a chance of one in 25 for another
+    front.router.caches[
+        21
+    ].concurrency.limit = 0.8  # capacity for one request, and a chance of 1 in 25 for another
     for n in range(3):
         front.request(f"d{n}", f"k{n}", now=1)
     front.end_attempt("d0", AttemptResult.SERVED)
@@ -377,7 +390,7 @@
         "3.05",
         "2.90",
         "3.45",
-    ]  # 1.3 each is its share by then
+    ]  # times of attempts; the expected number is 1.3 for each seed
 
 
 def test_a_request_marked_as_a_repeat_does_not_count_as_a_second_request():
@@ -499,7 +512,11 @@
 
 
 def test_a_limit_below_one_is_a_probability_and_grows_by_one_per_zone():
-    """With headroom, 0.39 is free, and a twentieth of the rest: 168 of 400 are expected."""
+    """Expect 168 of 400 requests to be admitted.
+
+    With headroom for the densest class, the free capacity is 0.3 * 1.3 = 0.39. A twentieth of the rest is
+    added for the other fronts of the zone: 0.39 + 0.61 / 20 = 0.42.
+    """
     limits = []
     for seed in range(10):
         front = RouterHarness(CACHES[:1], zone_fronts=20)
@@ -615,7 +632,7 @@
 
 
 def test_an_overloaded_front_throttles_at_once_and_keeps_requests_of_high_priority():
-    """Late turns are told as they come: a part of what is asked then pulls nothing, and is told to wait."""
+    """Above a certain lag of the event loop, a part of the requests is throttled without an attempt."""
     classes = {"photo": request_class(), "order": request_class("order", priority_weight=3.0)}
     front, accepted_lines = RouterHarness(classes=classes), []
     for lag in (0.01, 0.04, 0.1, 0.2, 0.0):
@@ -629,15 +646,15 @@
                 if name in front.router.requests:
                     accepted[class_name] += 1
                     front.end_attempt(name, AttemptResult.SERVED)
-        accepted_lines.append(f"{lag} late: {accepted['photo']} photos, {accepted['order']} orders")
+        accepted_lines.append(f"{lag} s lag: {accepted['photo']} photos, {accepted['order']} orders")
     assert {line.split(": ")[1] for line in front.trace if "thr" in line} == {"throttled, wait 1.0"}
     front.trace = accepted_lines
     front.assert_trace("""
-        0.01 late: 100 photos, 100 orders
-        0.04 late: 100 photos, 100 orders
-        0.1 late: 0 photos, 70 orders
-        0.2 late: 0 photos, 0 orders
-        0.0 late: 100 photos, 100 orders
+        0.01 s lag: 100 photos, 100 orders
+        0.04 s lag: 100 photos, 100 orders
+        0.1 s lag: 0 photos, 70 orders
+        0.2 s lag: 0 photos, 0 orders
+        0.0 s lag: 100 photos, 100 orders
     """)
 
 
@@ -657,15 +674,17 @@
         front.request(name, name, now=1.2)
     assert {line.split()[2] for line in front.trace} == {"2"}
     front.handle(2, PeerKnowledge(2, None, 1.9))
-    assert caches[2].slow_start.capacity_fraction() < 1, "a start that the own list has not told"
+    assert (
+        caches[2].slow_start.capacity_fraction() < 1
+    ), "a start that the front's own endpoint list does not contain"
     front.handle(2, PeerKnowledge(2, None, 0.5))
     assert caches[2].started == 1.9
     front.update_endpoints(endpoint(1), now=3)
-    assert caches[1].state is EndpointState.READY, "the own list, read as far, says so"
+    assert caches[1].state is EndpointState.READY, "the own list, which is as recent, lists it as ready"
 
 
 def front_with_many_parents(**site):
-    """A front among two hundred, with eight parents."""
+    """Return the harness of one of two hundred fronts that share eight parents."""
     parents = tuple(endpoint(30 + n, Role.PARENT, "h") for n in range(8))
     return RouterHarness((CACHES[0], *parents, CACHES[-1]), fronts=200, hub_fronts=200, zone_fronts=2, **site)
 
@@ -700,11 +719,14 @@
     front.update_endpoints(endpoint(parent.id, Role.PARENT, "h", started=1.5), now=2)
     assert front.router.context.parents_in_flight == 0
     front.end_attempt("d", AttemptResult.RESET, now=2.1)
-    assert front.router.context.parents_in_flight == 0, "its end is not counted a second time"
+    assert front.router.context.parents_in_flight == 0, "the end of an attempt must not be counted twice"
 
 
 def test_a_request_is_not_repeated_after_its_deduplication_window():
-    """The first pull is doubted after its target time, half a second: a mark of 0.3 s is forgotten."""
+    """The first attempt times out after the latency objective of 0.5 s.
+
+    A deduplication window of 0.3 s has then expired, one of 3 s has not.
+    """
     for window, attempts in ((0.3, 1), (3.0, 2)):
         classes = {
             "order": request_class(
@@ -723,11 +745,11 @@
 
 
 def test_changed_settings_apply_to_new_requests_and_sent_work_still_counts():
-    """A content type goes and one comes, a window and a number of fronts change, downloads are open."""
+    """One content type replaces another while requests are open; a window and the number of fronts change."""
     front = RouterHarness((endpoint(1, started=2.0), CACHES[-1]))
     for n in range(9):
         front.request(f"d{n}", f"k{n}", now=3 + n / 100)
-    assert len(front.attempts) == 8, "the share of a cold cache is used up"
+    assert len(front.attempts) == 8, "the quota of the cold cache is used up"
     settings = replace(
         SITE,
         classes={"clip": request_class("clip", latency_objective=0.2)},
@@ -740,15 +762,15 @@
     for n in range(8):
         front.request(f"new{n}", f"new{n}", now=3.5, type="clip")
     sent = [name for name in front.attempts if "new" in name]
-    assert len(sent) == 4, "of 4.8 in the new window, 4.0 were sent before"
-    front.end_attempt("d0", AttemptResult.SERVED, now=3.6)  # of the type that is gone
+    assert len(sent) == 4, "4.0 of the 4.8 allowed in the new window were sent before the change"
+    front.end_attempt("d0", AttemptResult.SERVED, now=3.6)  # a request of the removed type
     front.request("late", "k", now=6.7, type="clip")
     assert "late" in front.attempts and set(front.router.context.settings.classes) == {"clip"}
     front.handle(7.0, SettingsChanged(SITE))
     assert {name for name, _ in front.router.context.statistics.answer_sums} == {
         "photo",
         "clip",
-    }, "one of each is still open"
+    }, "requests of both types are still open"
     for name in ("late", *sent, *(f"d{n}" for n in range(1, 8))):
         front.end_attempt(name, AttemptResult.SERVED, now=7.1)
     front.handle(7.2, SettingsChanged(settings))
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,8 +1,8 @@
-"""Guards against a renaming that reaches names which leave the process.
+"""Guards against a renaming that changes names visible outside the process.
 
-`data/external_names.txt` lists fields, keys, commands and counters that other programs, stored data and
-operators depend on. Each has to be in the code: as a string or part of one, or as the name of a function or
-field that is written out under its own name.
+`data/external_names.txt` lists fields, keys, commands and counters on which other programs, stored data and
+operators depend. Each of them must be in the code: as a string, as a part of one, or as the name of a
+function or field that is written out under its own name.
 """
 
 import ast
@@ -20,13 +20,13 @@
 
 
 def documentation(tree: ast.AST) -> set[int]:
-    """Identities of the nodes of strings that stand alone, which are docstrings."""
+    """Return the identities of the nodes of docstrings, which are strings that form a whole statement."""
     statements = [node for node in ast.walk(tree) if isinstance(node, ast.Expr)]
     return {id(statement.value) for statement in statements if isinstance(statement.value, ast.Constant)}
 
 
 def code_words(tree: ast.AST) -> Iterator[str]:
-    """Yield each identifier and each string of a module, but for its docstrings."""
+    """Yield each identifier and each string of a module, except docstrings."""
     skipped = documentation(tree)
     for node in ast.walk(tree):
         if isinstance(node, ast.Constant) and id(node) not in skipped:
@@ -41,9 +41,9 @@
 
 
 def missing_names(names: list[str], words: set[str]) -> list[str]:
-    """The names that are no word of the code and no part of one that holds more than an identifier.
+    """Return the names that are neither an identifier or string of the code nor a part of a longer text.
 
-    Click makes a command's name from that of its function, with dashes.
+    Click derives the name of a command from that of its function, with dashes for underscores.
     """
     texts = "\n".join(word for word in words if not word.isidentifier())
     return [n for n in names if n not in words and n not in texts and n.replace("-", "_") not in words]
--- a/tests/test_half_open.py
+++ b/tests/test_half_open.py
@@ -1,4 +1,4 @@
-"""A half-open cache: the front that probes it sends in the end, reports, and all fronts follow."""
+"""Half-open caches: one front must eventually probe, and the others adopt what it reports."""
 
 from fronts import RouterHarness
 
@@ -22,7 +22,7 @@
 
 
 def half_open_detector(name):
-    """A front's detector with one cache that has just become half-open, and its ejection record."""
+    """Return a detector with one cache that has just become half-open, and that cache's ejection record."""
     detector = OutlierDetector(name)
     tick(detector, 0.0, report("a", 1.0, 8.0), report("b", 1.0, 8.0))
     tick(detector, 2.0)
@@ -31,7 +31,7 @@
 
 
 def front_with_failures():
-    """A front that remembers nothing but failures of cache 1."""
+    """Return a front whose only remembered outcomes of cache 1 are failures, and that cache."""
     front = RouterHarness()
     cache = front.router.caches[1]
     for _ in range(30):
@@ -46,7 +46,7 @@
 def test_a_required_probe_is_sent_despite_remembered_failures():
     front, cache = front_with_failures()
     front.handle(1.0, EjectionUpdate(1, 0.5, is_probe=True))
-    assert not is_ever_trusted(cache), "the first round is passed on, as its front remembers failures"
+    assert not is_ever_trusted(cache), "in the first round, a front that remembers failures does not probe"
     front.handle(6.0, EjectionUpdate(1, 0.5, is_probe=True, must_probe=True))
     assert is_ever_trusted(cache)
     front.handle(11.0, EjectionUpdate(1, 0.0))
@@ -60,7 +60,7 @@
     for name in "abcdefgh":  # half of them go to cache 1
         front.fill(name, now=front.now + 0.1)
     good, failed = health_counts(front.router, front.now)[1]
-    assert good >= 3 and failed == 0, "its copies are gone, and it answers"
+    assert good >= 3 and failed == 0, "the cache has lost its copies but answers"
     front.handle(front.now, EjectionUpdate(1, 1.0))
     assert health_counts(front.router, front.now)[1][1] == 30.0
 
@@ -75,8 +75,11 @@
     assert record.state is EjectionState.RECOVERING and not record.must_probe
 
 
-def test_a_front_adopts_the_result_of_fronts_whose_probe_round_began_earlier():
-    """Their rounds began earlier: what they send already is no longer news of the prober of this round."""
+def test_good_answers_of_fronts_that_left_the_half_open_state_earlier_count():
+    """The other fronts have ended the half-open state and already send to the cache.
+
+    The prober of this round then has nothing new to report, so the good answers of all fronts count.
+    """
     for name in FRONTS:
         detector, record = half_open_detector(name)
         for step, writer in enumerate("abcd"):
--- a/tests/test_installation.py
+++ b/tests/test_installation.py
@@ -1,4 +1,4 @@
-"""The installation file: what is wrong with it is one line with section and key, and nothing else holds."""
+"""The installation file: its settings, and errors in it, which are one line with section and key."""
 
 import json
 import subprocess
@@ -95,7 +95,7 @@
 def test_a_front_loads_neither_testbed_nor_file_reader_and_logs_objects(tmp_path):
     code = (
         "import sys; from loguru import logger; from weldbend import logs; import weldbend.front.server\n"
-        "logs.start('info', 'json'); logger.bind(most=3, level='x').info('told {}', {'a': 1})\n"
+        "logs.start('info', 'json'); logger.bind(most=3, level='x').info('received {}', {'a': 1})\n"
         "print(sorted(m for m in sys.modules if m.split('.')[0] in ('configobj', 'hdrh', 'numpy', 'h2')\n"
         " or m.startswith(('weldbend.testbed', 'weldbend.installation'))))"
     )
@@ -103,7 +103,7 @@
     assert result.stdout.strip() == "[]", result.stdout
     (line,) = result.stderr.splitlines()
     entry = json.loads(line)
-    assert entry["message"] == "told {'a': 1}" and entry["most"] == 3 and entry["level"] == "INFO"
+    assert entry["message"] == "received {'a': 1}" and entry["most"] == 3 and entry["level"] == "INFO"
 
 
 @pytest.mark.parametrize(
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Guards against a list of known failures that hides more than it names, or that outlives a repaired test."""
+"""Guards against a list of known failures that hides other failures, or that still lists a repaired test."""
 
 import importlib.util
 import os
@@ -34,7 +34,7 @@
 
 
 def run(folder, *lines):
-    """Run the script on a small suite, with these lines as its list; return exit status and output."""
+    """Run the script on a small suite with a list of these lines; return the exit status and the output."""
     (folder / "test_suite.py").write_text(SUITE)
     if lines:
         (folder / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
--- a/tests/test_open_cap.py
+++ b/tests/test_open_cap.py
@@ -1,4 +1,4 @@
-"""Requests beyond the bound of open ones are told to wait, and counted."""
+"""Requests beyond the limit of open requests (`open_cap`) are throttled and counted."""
 
 from fronts import FrontHarness, process
 
--- a/tests/test_parking.py
+++ b/tests/test_parking.py
@@ -1,4 +1,4 @@
-"""Idle connections: which move to the pool, wake and are closed, and each edge case by its name."""
+"""Idle connections: when they move to the pool, wake and are closed, with one test for each edge case."""
 
 import random
 from dataclasses import replace
@@ -19,11 +19,11 @@
 from weldbend.idle_connections.timer_wheel import TimerWheel
 from weldbend.invariants import anomalies
 
-CHECK_INTERVAL = 0.25  # seconds between two looks
+CHECK_INTERVAL = 0.25  # seconds between two checks
 
 
 def harness_with_parked_clients(count, calls=1, **settings):
-    """A front with so many parked clients that asked one probe, and one place for each."""
+    """Return the harness of a front with `count` parked clients, each of which has sent `calls` probes."""
     harness = FrontHarness(parking=True, **settings)
     harness.front.listener.max_connections = 10_000
     for _ in range(count):
@@ -86,13 +86,15 @@
         sizes.append(sizer.next_size(now, 1000))
         now += duration
     assert sizes == [4, 5, 6, 7, 8, 9, 10, 11, 12, 6, 3, 1, 1]
-    assert sizer.next_size(now, 1) == 1 and sizer.next_size(now + 99.0, 1000) == 2  # a pause is no long turn
+    assert (
+        sizer.next_size(now, 1) == 1 and sizer.next_size(now + 99.0, 1000) == 2
+    )  # a pause is not a long iteration
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(st.tuples(st.integers(0, 40), st.floats(0, 9), st.booleans()), max_size=120))
 def test_the_timer_wheel_returns_what_is_due_and_nothing_else(steps):
-    """Against a model, a dictionary of when each falls due: none is late by more than a bucket."""
+    """Compare with a model, a dictionary of due times; no slot is returned later than by one bucket."""
     wheel, model, now = TimerWheel(9.0, 0.5), {}, 0.0
     for slot, delay, is_addition in steps:
         if slot in model:
@@ -166,7 +168,10 @@
 
 
 def test_all_idle_connections_wake_at_once_and_each_gets_its_one_answer():
-    """The first are pulled; what lay too long is throttled at once with a time, whoever is busy goes on."""
+    """The first requests are sent to caches, those that waited too long are throttled with a retry time.
+
+    The request of a client that was already active is served.
+    """
     count, harness = 600, harness_with_parked_clients(600, open_cap=10_000)
     busy = harness.connect_client()
     harness.send(busy, process(1, id="ffffffffffffffff"))
@@ -182,7 +187,7 @@
         before = idle_pool.count()
         wake_batch()
         sizes.append(before - idle_pool.count())
-        harness.reactor.rightNow += 0.004  # a turn takes so long
+        harness.reactor.rightNow += 0.004  # seconds that an iteration takes
 
     idle_pool.wake_batch = timed_wake
     idle_pool.doRead()
@@ -215,7 +220,7 @@
     harness = harness_with_parked_clients(1)
     harness.advance(3.0)
     harness.epoll_set.deliver(0, process(2))
-    harness.epoll_set.reported.update(harness.epoll_set.pending)  # the system has not told of it yet
+    harness.epoll_set.reported.update(harness.epoll_set.pending)  # the system has not reported them yet
     for _ in range(4):
         harness.advance(CHECK_INTERVAL)
     assert not harness.epoll_set.closed and harness.clients[0][0].open_requests
@@ -318,7 +323,7 @@
     assert not any(paused) and len(harness.epoll_set.closed) >= 26
     assert sorted(harness.epoll_set.closed) == list(
         range(len(harness.epoll_set.closed))
-    )  # the longest idle went first
+    )  # the longest idle connections were closed first
 
 
 def test_a_hundred_wakes_and_returns_to_the_pool_leak_no_state():
@@ -328,7 +333,7 @@
         harness.deliver(1, probe(number))
         for _ in range(4):
             harness.advance(CHECK_INTERVAL / 2)
-        if number % 3 == 0:  # the others must not fall due meanwhile
+        if number % 3 == 0:  # keeps the other connections from reaching their idle timeout
             for client_index in (0, 2):
                 harness.deliver(client_index, probe(number))
         for _ in range(3):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers: the same whatever the split, bounded, and never more than an error for bad bytes."""
+"""Parsers: results do not depend on how input is split, lengths are bounded, and bad bytes give an error."""
 
 import random
 import struct
@@ -192,7 +192,7 @@
         {"uid": "a b,c=d"},
         {"state": "new"},
     )
-    for violation in violations:  # one bad entry hides no other
+    for violation in violations:  # an invalid record does not affect the others
         invalid = valid_record | violation
         raw = str(
             {"offset": 4, "topology": {"rev": 1, "all": 0, "targets": [invalid, valid_record]}}
--- a/tests/test_plan_caches.py
+++ b/tests/test_plan_caches.py
@@ -1,4 +1,4 @@
-"""Plans of fleets that name a cache which the site does not have, or a group that cannot be."""
+"""Fleet plans that name a cache that the site does not have, or an invalid purge group."""
 
 import pytest
 from click.testing import CliRunner
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,6 +1,6 @@
-"""What twenty and thirty fronts that share nothing send to one cold edge or parent, added up.
+"""The combined load of 20 or 30 fronts that share no state on one cold edge or parent.
 
-Chance passes only as far as twice the root of the budget, in calls, and two more.
+Random variation may exceed the budget by twice its square root plus two, in attempts.
 """
 
 import math
@@ -28,7 +28,7 @@
 
 
 class Fleet:
-    """Fronts around one machine that starts at STARTED; each hears of it in its own time."""
+    """Fronts around one cache that starts at START_TIME; each front is notified at a random later time."""
 
     def __init__(self, count, role, weight, seed=1, skewed=False):
         self.role, self.weight, self.rng = role, weight, random.Random(seed)
@@ -61,7 +61,7 @@
         self.routers = [self.start(now) for _ in self.routers]
 
     def play(self, since, until, rate):
-        """So many downloads a second and front on the mean, each fulfilled at once or thrown away."""
+        """Play `rate` requests per second and front on average, each served at once or rejected."""
         for step in range(round(since / STEP), round(until / STEP)):
             now = step * STEP
             for n, router in enumerate(self.routers):
@@ -87,7 +87,7 @@
             actions = router.handle(now, [ended])
 
     def budget_use(self):
-        """By how much the calls of the worst window passed what counts as chance, as a share of that."""
+        """Return the highest ratio, over all windows, of attempts to the budget plus its random variation."""
         highest = 0.0
         for window_end in self.sent_at:
             age = window_end - START_TIME
@@ -103,7 +103,7 @@
 @pytest.mark.parametrize("role", [Role.EDGE, Role.PARENT], ids=["edge", "parent"])
 @pytest.mark.parametrize("count", [20, 30])
 def test_fronts_together_stay_within_the_budget_of_a_cold_cache(count, role, skewed):
-    """However late each hears of the start: also where a front's share is a small part of one call."""
+    """The budget holds however late a front is notified, also if its quota is a fraction of one attempt."""
     sent_counts = []
     for weight in (1.0, 4.0, 20.0):
         fleet = Fleet(count, role, weight, skewed=skewed)
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -1,4 +1,4 @@
-"""The ranking of caches for an object: alike at every front, by weight, stable, and with few draws."""
+"""The ranking of caches for an object: equal at all fronts, by weight, stable, and with few random draws."""
 
 import math
 import random
@@ -15,7 +15,7 @@
 
 
 def random_weights(size, seed=1):
-    """Weights of so many caches, of four sizes, by number."""
+    """Return the weights of `size` caches by cache number, drawn from four values."""
     rng = random.Random(seed)
     return {rng.getrandbits(32): rng.choice((0.5, 1.0, 2.0, 4.0)) for _ in range(size)}
 
@@ -36,7 +36,7 @@
 
 
 def chi_square_excess(counts, expected):
-    """How many standard deviations a chi-square lies above its mean."""
+    """Return by how many standard deviations the chi-square of the counts exceeds its mean."""
     degrees_of_freedom = len(expected) - 1
     chi_square = sum((counts.get(key, 0) - mean) ** 2 / mean for key, mean in expected.items())
     return (chi_square - degrees_of_freedom) / math.sqrt(2 * degrees_of_freedom)
@@ -77,7 +77,7 @@
 
 @pytest.mark.parametrize("size", (25, 400))
 def test_first_and_second_choices_are_proportional_to_weight(size):
-    """As in plain rendezvous hashing, the second goes by weight among those that are left."""
+    """As in plain rendezvous hashing, the second choice is proportional to weight among the other caches."""
     weights, count = random_weights(size), 10_000
     ranking, total = ranking_of(weights), sum(weights.values())
     pairs = [tuple(islice(ranking.ranked(name), 2)) for name in object_names(count)]
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("size", (25, 100, 400))
 def test_few_objects_move_when_a_cache_joins_or_leaves(size):
-    """At most those of its share twice: its own, and as many between its bucket and the others."""
+    """About twice the cache's share moves: its own objects, and as many between its bucket and the others."""
     weights, count = random_weights(size), 3000
     ranking, total = ranking_of(weights), sum(weights.values())
     before, moved, expected_share = first_choices(ranking, count), 0, 0.0
@@ -115,11 +115,11 @@
         after = first_choices(ranking, count)
         ranking.change(cache, weights[cache])
         changed = [(old, new) for old, new in zip(before, after, strict=True) if old != new]
-        assert all(old in siblings for old, _ in changed), "what lies in other buckets stays"
+        assert all(old in siblings for old, _ in changed), "objects of other buckets must not move"
         moved += len(changed)
         expected_share += count * weights[cache] / total
     assert 0.8 * expected_share < moved < 2.2 * expected_share
-    assert first_choices(ranking, count) == before, "a cache that returns gets back what it had"
+    assert first_choices(ranking, count) == before, "a cache that returns is assigned its previous objects"
 
 
 def test_a_change_of_weight_moves_its_difference_and_little_more():
@@ -133,7 +133,10 @@
 
 
 def test_a_choice_draws_random_numbers_for_few_of_many_caches(monkeypatch):
-    """Plain rendezvous hashing draws for each; here for those of a bucket, and one number for each bucket."""
+    """Plain rendezvous hashing draws a number for each cache.
+
+    This ranking draws one number for each bucket and one for each cache of the chosen bucket.
+    """
     draws, original = [], rendezvous.arrival_time
     monkeypatch.setattr(rendezvous, "arrival_time", lambda *key: draws.append(key) or original(*key))
     costs = {}
@@ -146,7 +149,7 @@
 
 
 def test_any_weight_allowed_in_an_endpoint_list_is_ranked():
-    """The list admits all that is finite and over 0; sums of the greatest are not finite."""
+    """Endpoint lists allow any finite weight above 0; sums of the greatest weights are not finite."""
     weights = {1: 1.7e308, 2: 1.7e308, 3: 5e-324, 4: 1.0} | {n: 1.7e308 for n in range(10, 1200)}
     ranking = ranking_of(weights)
     assert sorted(ranking.ranked("k 0")) == sorted(weights) and math.isfinite(ranking.weight())
--- a/tests/test_remote_timestamps.py
+++ b/tests/test_remote_timestamps.py
@@ -1,4 +1,4 @@
-"""Stamps of other machines on the front's clock: the model, and a process whose Unix clock steps."""
+"""Timestamps of other machines on the front's clock: the model, and a process whose Unix clock is stepped."""
 
 import json
 import math
@@ -26,13 +26,13 @@
 from weldbend.testbed.stepped_clock import STEPPED
 
 NOW = 500.0  # monotonic seconds
-UNIX = 1_700_000_000.0  # the true Unix time then
+UNIX = 1_700_000_000.0  # the true Unix time at NOW
 HOUR = 3600.0
-TIMEOUT = 20.0  # seconds after which a test gives up
+TIMEOUT = 20.0  # seconds after which a test fails
 
 
 def timestamps(clock_error=0.0, is_confirmed=False):
-    """What a front has whose Unix clock is ahead by so many seconds."""
+    """Return the timestamps of a front whose Unix clock is ahead by `clock_error` seconds."""
     remote_timestamps = RemoteTimestamps()
     remote_timestamps.set_unix_offset(UNIX + clock_error - NOW)
     remote_timestamps.is_confirmed = is_confirmed
@@ -44,7 +44,7 @@
 LONG_MISSED = Receipt(NOW, NOW - SHORT_OUTAGE - 50.0)
 
 
-# What is told live.
+# Events received live.
 
 
 def test_a_prompt_timestamp_is_used_exactly():
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("clock_error", [-HOUR, -0.2, 0.2, 7.0, HOUR])
 @pytest.mark.parametrize("is_confirmed", [False, True])
 def test_an_implausible_timestamp_gives_a_cold_cache_and_a_purge_at_its_arrival(clock_error, is_confirmed):
-    """Whether this front's clock was wrong at its start, or the other machine's is by now."""
+    """Either this front's clock was wrong at its start, or the other machine's clock is wrong now."""
     remote_timestamps = timestamps(clock_error, is_confirmed)
     assert remote_timestamps.estimate_purge_time(UNIX, LIVE) == NOW
     interval = remote_timestamps.estimate_start(UNIX, LIVE)
@@ -71,7 +71,7 @@
     )
 
 
-# What was missed.
+# Events missed during an outage.
 
 
 def test_a_missed_start_is_dated_by_its_timestamp_once_the_clock_is_confirmed():
@@ -79,7 +79,7 @@
     assert timestamps().estimate_start(UNIX - 3.0, MISSED).latest == NOW
     assert (
         timestamps(is_confirmed=True).estimate_start(UNIX - 9.0, MISSED).latest == NOW
-    ), "it was not listed then"
+    ), "a start before the outage would have been listed before it"
 
 
 def test_a_missed_purge_counts_from_its_arrival_except_after_a_long_outage():
@@ -88,15 +88,15 @@
     assert confirmed.estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW - 30.0
     assert (
         confirmed.estimate_purge_time(UNIX - HOUR, LONG_MISSED) == NOW
-    ), "older than the last event before it"
+    ), "the timestamp is older than the last event before the outage"
     assert timestamps().estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW
 
 
-# The first reading.
+# Events of the first read.
 
 
 def receipts_of(*aged_events):
-    """Events in the order of the bus: starts and purges, by their ages in seconds."""
+    """Return the receipts of starts and purges that have these ages in seconds, in the order of the bus."""
     events = [
         {"offset": n, "ban": {"tag": n, "ts": (UNIX - age) * 1000}}
         if kind == "purge"
@@ -110,21 +110,25 @@
     first, second, third = receipts_of(("start", 100.0), ("purge", 60.0), ("start", 4.0))
     accurate = timestamps()
     assert accurate.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
-    assert accurate.estimate_start(UNIX - 4.0, third).latest == NOW, "nothing stamped later: cold"
+    assert (
+        accurate.estimate_start(UNIX - 4.0, third).latest == NOW
+    ), "no later timestamp is known, so the cache counts as cold"
     assert accurate.estimate_purge_time(UNIX - 60.0, second) == NOW
     fast = timestamps(HOUR)
     assert fast.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
     slow = timestamps(-HOUR)
     assert slow.estimate_start(UNIX - 100.0, first).latest == NOW
     stepped_back = receipts_of(("start", 10.0), ("start", HOUR))[1]
-    assert accurate.estimate_start(UNIX - HOUR, stepped_back).latest == NOW, "its clock ran backwards"
+    assert (
+        accurate.estimate_start(UNIX - HOUR, stepped_back).latest == NOW
+    ), "the clock of the other machine was set back"
 
 
 def test_the_first_read_uses_start_timestamps_once_the_clock_is_confirmed():
     receipt = receipts_of(("start", 100.0))[0]
     assert (
         timestamps(is_confirmed=True).estimate_purge_time(UNIX - 5.0, Receipt(NOW)) == NOW
-    ), "its clock may be stepped"
+    ), "the clock of the other machine may have been stepped"
     assert timestamps(is_confirmed=True).estimate_start(UNIX - 100.0, receipt).latest == NOW - 100.0
 
 
@@ -146,7 +150,7 @@
     )
 
 
-# Whether it is told live.
+# Whether the stream is live.
 
 
 def test_a_stream_is_live_after_a_quiet_period_until_its_connection_is_lost():
@@ -156,17 +160,17 @@
     progress.received(1.0)
     assert progress.receipt(1.0) == Receipt(1.0, -math.inf)
     progress.received(1.0 + CATCH_UP_GAP / 2)
-    assert progress.receipt(1.1).is_first_read, "still telling what was missed"
+    assert progress.receipt(1.1).is_first_read, "the stream still sends missed events"
     progress.received(2.0)
     assert progress.receipt(2.0) == Receipt(2.0, 1.0 + CATCH_UP_GAP / 2, is_replay=False)
     progress.connecting()
     progress.connecting()
     progress.received(7.0)
-    assert progress.receipt(7.0) == Receipt(7.0, 2.0), "missed since the last connection"
+    assert progress.receipt(7.0) == Receipt(7.0, 2.0), "the event was missed since the last connection"
     progress.received(8.0)
     assert progress.receipt(8.0) == Receipt(8.0, 7.0, is_replay=False)
     progress.received(13.0)
-    assert progress.receipt(13.0).is_replay, "it was held up on its way, or this process stood still"
+    assert progress.receipt(13.0).is_replay, "the event was delayed on the way, or this process was paused"
 
 
 def test_a_stream_whose_first_event_comes_long_after_its_response_had_no_backlog():
@@ -181,7 +185,10 @@
 
 
 class UnconfirmedFrontHarness(FrontHarness):
-    """One that has read its first list, of a cache that started long ago, and knows of no other clock."""
+    """A front that has read its first list and whose clock no other clock has confirmed.
+
+    The list has a cache `e9` that started `age` seconds ago.
+    """
 
     def __init__(self, age):
         super().__init__()
@@ -228,7 +235,7 @@
 
 
 def serve_and_read_age_limit(cache):
-    """Serve the next request with a copy that is made now; the age limit that it came with, None for none."""
+    """Answer the next request with a new copy; return the request's age limit in ms, or None."""
     line = cache.readline()
     name = line.split()[1]
     assert cache.readline() == b"\r\n"
@@ -272,7 +279,7 @@
                 stream.sendall(b": here\nid: 99\ndata: %b\n\n" % json.dumps(event).encode())
                 limit = None
                 number = 1
-                while limit is None:  # the event goes over another connection than the requests
+                while limit is None:  # the event uses another connection than the requests
                     number += 1
                     client.sendall(process(number))
                     limit = serve_and_read_age_limit(requests)
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""One short conversation through the adapter, and malformed ones."""
+"""A short session of the simulation host, and malformed input."""
 
 import io
 import json
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -1,4 +1,4 @@
-"""A cache is told no more time than the client has left, wherever the request's bytes lay meanwhile."""
+"""The time budget sent to a cache is at most the client's remaining time, wherever the request waited."""
 
 import re
 
@@ -10,17 +10,17 @@
 from weldbend.front.standstill import ProcessPauseDetector
 from weldbend.thrift import messages
 
-SLACK = 0.15  # seconds that a cache may be told beyond what the client has left
+SLACK = 0.15  # seconds by which the budget may exceed the client's remaining time
 
 
 def sent_budget(harness, number):
-    """Seconds that the first command of a request told its cache."""
+    """Return the time budget, in seconds, in the first command for a request."""
     lines = [line for line in harness.trace if f"do {number:016x}" in line]
     return int(re.search(r"budget=(\d+)", lines[0])[1]) / 1000
 
 
 def running_harness():
-    """A front that has one connection to its cache, and whose timers have run for a while."""
+    """Return a front that has a connection to a cache and whose timers have run for a while, and a client."""
     harness = FrontHarness()
     for _ in range(5):
         harness.advance(0.1)
@@ -32,7 +32,7 @@
 
 
 def block_reading(client):
-    """Let a client read no answers, with so many that its calls wait."""
+    """Let a client stop reading, with so many answers unsent that the front pauses reading its calls."""
     client.pauseProducing()
     for seqid in (101, 102):
         client.writer.write(messages.answer("process", seqid, bytes(240_000), {}, True))
@@ -79,7 +79,7 @@
     harness.send(client, data[READ_SIZE:])
     assert 3.9 <= sent_budget(harness, 3) <= 4.2 + SLACK
     harness.send(client, process(4))
-    assert sent_budget(harness, 4) == 6.0, "the last read had emptied the socket"
+    assert sent_budget(harness, 4) == 6.0, "the last read emptied the socket, so the request arrived after it"
 
 
 @pytest.mark.parametrize("timers_first", [True, False])
@@ -93,7 +93,7 @@
     assert 4.35 <= sent_budget(harness, 2) <= 4.5 + SLACK
     pass_time(harness, 0.3)
     harness.send(client, process(3))
-    assert sent_budget(harness, 3) == 6.0, "what comes later has all its time"
+    assert sent_budget(harness, 3) == 6.0, "a request that arrives after the pause has its full time"
 
 
 def test_a_process_pause_is_detected_between_two_heartbeats():
