--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -23,7 +23,7 @@
             stdin=subprocess.PIPE, stdout=subprocess.PIPE, text=True,
         )  # fmt: skip
         addresses = json.loads(self.lab.stdout.readline())
-        self.controls, self.fronts = addresses["controls"], addresses["fronts"]
+        self.control_addresses, self.fronts = addresses["controls"], addresses["fronts"]
 
     def send_command(self, command, fronts="all", **fields):
         """Send one command to the lab and wait until the lab reports that it was carried out."""
@@ -56,7 +56,7 @@
             return False
 
     def query(self, name, **question):
-        host, _, port = self.controls[name].rpartition(":")
+        host, _, port = self.control_addresses[name].rpartition(":")
         with (
             socket.create_connection((host, int(port)), timeout=2.0) as connection,
             connection.makefile("rwb") as lines,
--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -102,11 +102,11 @@
         match action:
             case SendAttempt():
                 self.attempts[action.id] = self.attempts.get(action.id, 0) + 1
-                fill = "lookup" if action.source in (None, action.cache) else f"fill from {action.source}"
-                fill += " if cached" * action.only_if_cached
+                source = "lookup" if action.source in (None, action.cache) else f"fill from {action.source}"
+                source += " if cached" * action.only_if_cached
                 age = f" age {action.max_age:.3f}" if action.max_age else ""
-                leave = " leave-no-copy" if action.leave_no_copy else ""
-                return f"{action.id}: {action.cache} {fill} rank {action.rank}{leave}{age}"
+                no_copy = " leave-no-copy" if action.leave_no_copy else ""
+                return f"{action.id}: {action.cache} {source} rank {action.rank}{no_copy}{age}"
             case CancelAttempt(name, attempt):
                 return f"{name}: cancel attempt {attempt}"
             case RejectRequest(name, wait):
@@ -114,7 +114,7 @@
             case FailRequest(name):
                 return f"{name}: abandoned"
             case WatchEndpoints():
-                return "watch"
+                return "watch endpoints"
 
     def update_endpoints(self, *endpoints, scope=ListScope.CHANGES, now=None):
         self.handle(self.now if now is None else now, EndpointsListed(scope, endpoints))
@@ -371,8 +371,8 @@
         dispatcher = self.dispatcher
         return [
             (dispatcher.names.uids[n], connector)
-            for n, lane in dispatcher.pool.endpoints.items()
-            for connector in lane.connecting
+            for n, cache in dispatcher.pool.endpoints.items()
+            for connector in cache.connecting
         ]
 
     def complete_connects(self):
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -206,7 +206,7 @@
     """)
 
 
-def test_a_cache_reached_soon_after_a_broken_connection_has_not_restarted():
+def test_a_cache_reached_soon_after_a_broken_connection_counts_as_not_restarted():
     """A broken connection counts as one piece of evidence, however many attempts were in flight on it.
 
     A malformed answer is no evidence of a restart.
@@ -353,6 +353,7 @@
 
 
 def test_a_request_that_fails_at_every_cache_counts_against_none_of_them():
+    """Errors count as failures of their caches only if another attempt for the request is served."""
     front = RouterHarness()
     front.router.admission.requests.add(1, 100)
     for name, last_result in (("bad", AttemptResult.ERROR), ("good", AttemptResult.SERVED)):
@@ -383,6 +384,7 @@
         for n in range(120):
             front.request(f"d{n}", f"k{n}", now=n / 20)
         send_times.append(" ".join(line.split()[0] for line in front.trace if "fill" in line))
+    # The times of attempts for each seed; the expected number of attempts is 1.3.
     assert send_times == [
         "1.75 5.75",
         "3.90",
@@ -390,7 +392,7 @@
         "3.05",
         "2.90",
         "3.45",
-    ]  # times of attempts; the expected number is 1.3 for each seed
+    ]
 
 
 def test_a_request_marked_as_a_repeat_does_not_count_as_a_second_request():
@@ -626,8 +628,8 @@
     front = RouterHarness(subscribes=True)
     front.handle(2, TimerFired("watch"))
     front.assert_trace("""
-        0.00 watch
-        2.00 watch
+        0.00 watch endpoints
+        2.00 watch endpoints
     """)
 
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -105,8 +105,8 @@
     invalid = {
         "old version": b"\x00" + valid[1:],
         "name too long": valid[:4] + struct.pack(">i", 1 << 30) + valid[8:],
-        "cut in its head": valid[:10],
-        "a oneway that is cut": give_up(1)[4:-4],
+        "truncated header": valid[:10],
+        "truncated oneway call": give_up(1)[4:-4],
     }
     for data in invalid.values():
         with pytest.raises(InvalidMessageError):
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -40,9 +40,8 @@
         self.cold = replace(endpoint(11, role, "z" if role is Role.EDGE else "h"), weight=weight)
         self.other_endpoints = (endpoint(21, Role.ORIGIN, "h"), *(endpoint(n) for n in range(1, edges)))
         activity = [40.0 if skewed and n < count // 10 else 1.0 for n in range(count)]
-        self.rates = [
-            count * part / sum(activity) for part in activity
-        ]  # relative to the mean rate of a front
+        # Rates relative to the mean rate of a front.
+        self.rates = [count * part / sum(activity) for part in activity]
         self.notified_at = [START_TIME + 3.0 * self.rng.random() for _ in range(count)]
         self.sent_at, self.request_count = [], 0
         self.routers = [self.start(0.0) for _ in range(count)]
--- a/tests/test_wire_formats.py
+++ b/tests/test_wire_formats.py
@@ -182,7 +182,7 @@
     assert messages.encode(message).hex() == case["hex"]
 
 
-KEYS = "00112233 " + "0f" * 32 + "\n# the second opens only\n44556677 " + "a5" * 32 + "\n"
+KEYS = "00112233 " + "0f" * 32 + "\n# the second key only verifies messages\n44556677 " + "a5" * 32 + "\n"
 
 
 @pytest.mark.parametrize("case", cases("sealed.json"))
