--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -23,7 +23,7 @@
     return serve(io.StringIO(text), out, err), out.getvalue(), err.getvalue()
 
 
-def test_a_request_is_looked_up_at_another_cache_after_a_miss():
+def test_a_request_is_filled_from_the_origin_after_a_miss():
     request = "sync 2000000\nfor 3\ncall t/a ab 0 photo 3 - 0 640 8000000\nover_to_you\n"
     miss = "sync 2002000\nfor 3\nreport_back t/a 0 1 9 1000 0 - - -\nover_to_you\n"
     code, out, err = run_session(START + request + miss)
