--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""Guards against a list of known failures that hides more than it names, or that outlives a repaired test."""
+"""Guards against a list of known failures that hides other failures, or that still lists a repaired test."""
 
 import importlib.util
 import os
@@ -34,14 +34,14 @@
 
 
 def run(folder, *lines):
-    """Run the script on a small suite, with these lines as its list; return exit status and output."""
+    """Run the script on a small suite with a list of these lines; return the exit status and the output."""
     (folder / "test_suite.py").write_text(SUITE)
     if lines:
         (folder / "KNOWN-RED.txt").write_text("\n".join(lines) + "\n")
     environment = os.environ | {"PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"}  # the small suite needs no plugins
     command = [sys.executable, str(SCRIPT)]
-    done = subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True)
-    return done.returncode, done.stdout
+    result = subprocess.run(command, cwd=folder, env=environment, capture_output=True, text=True)
+    return result.returncode, result.stdout
 
 
 def test_listed_tests_are_deselected_and_printed(tmp_path):
