--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -14,7 +14,7 @@
     def __init__(self):
         self.lines, self.waiting, self.now = [], [], 0.0
 
-    def later(self, delay, call):
+    def call_later(self, delay, call):
         self.waiting.append((self.now + delay, len(self.waiting), call))
 
     def __getattr__(self, name):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -347,24 +347,24 @@
 @pytest.mark.parametrize("demand", ["even", "skewed", "moving", "wandering"])
 def test_a_partition_leaves_nobody_worse_off_than_fixed_quotas(demand):
     leases, fixed = (used(kind, demand, faults=SPLIT) for kind in ("leases", "fixed"))
-    assert leases.utilisation() >= 0.97 * fixed.utilisation() and leases.worst() <= 200
+    assert leases.utilisation() >= 0.97 * fixed.utilisation() and leases.max_in_window() <= 200
 
 
 def test_counts_by_gossip_are_over_and_a_central_counter_falls_with_its_link():
-    assert used("gossip", "even").worst() > 1.05 * 200
+    assert used("gossip", "even").max_in_window() > 1.05 * 200
     central = used("central", "even", faults=((6.0, "split", 20.0),)).utilisation(8.0)
     assert central < 0.7 * used("leases", "even", faults=((6.0, "split", 20.0),)).utilisation(8.0)
 
 
 def test_clocks_that_drift_more_than_is_stated_are_what_the_bound_says():
     within = [
-        QuotaExperiment(seed, QuotaSettings(most=60.0, demand="wandering")).play().worst()
+        QuotaExperiment(seed, QuotaSettings(most=60.0, demand="wandering")).play().max_in_window()
         for seed in range(1, 6)
     ]
     beyond = [
-        QuotaExperiment(seed, QuotaSettings(most=60.0, demand="wandering", beyond=0.3, seconds=60.0))
+        QuotaExperiment(seed, QuotaSettings(most=60.0, demand="wandering", excess_drift=0.3, seconds=60.0))
         .play()
-        .worst()
+        .max_in_window()
         for seed in range(1, 6)
     ]
     assert max(within) <= 60
@@ -375,7 +375,7 @@
     run = QuotaExperiment(
         1, QuotaSettings(fronts=200, most=1.0, rate=100.0, demand="even", seconds=8.0)
     ).play()
-    assert run.worst() == 1 and len(run.admitted) >= 2, "one front at a time gathers all of it"
+    assert run.max_in_window() == 1 and len(run.admitted) >= 2, "one front at a time gathers all of it"
 
 
 def test_all_started_at_once_hold_nothing_until_the_oldest_lease_would_have_ended():
@@ -384,19 +384,21 @@
         run.fronts[number].is_up = False
         run.start(number, 2)
     run.play()
-    assert min(run.admitted) >= run.settings.times.recovery * 0.98 and run.worst() <= 60
+    assert min(run.admitted) >= run.settings.times.recovery * 0.98 and run.max_in_window() <= 60
 
 
 def test_a_lender_that_dies_and_returns_does_not_spend_what_is_still_granted():
     settings = QuotaSettings(seconds=14.0, faults=tuple((at, "kill", 0.3) for at in (4.0, 6.0, 8.0, 10.0)))
-    assert max(QuotaExperiment(seed, settings).play().worst() for seed in range(1, 9)) <= settings.most
+    assert (
+        max(QuotaExperiment(seed, settings).play().max_in_window() for seed in range(1, 9)) <= settings.most
+    )
 
 
 def test_a_process_frozen_past_its_lease_reads_the_clock_before_it_spends():
     run = QuotaExperiment(1, QuotaSettings(demand="skewed", seconds=14.0))
     run.events.schedule(6.0, lambda: setattr(run.fronts[0], "frozen_until", 9.5))
     run.play()
-    assert run.worst() <= 60
+    assert run.max_in_window() <= 60
     assert run.fronts[0].limits.counts["leases acquired"] > 0
 
 
@@ -404,7 +406,7 @@
     run = QuotaExperiment(1, QuotaSettings(most=2.0, rate=20.0, demand="even"))
     for at, step in ((8.0, 10.0), (16.0, -10.0)):
         run.events.schedule(at, lambda step=step: run.clock_steps.update({1: step, 3: -step}))
-    assert run.play().worst() <= 2 and len(run.admitted) > 8
+    assert run.play().max_in_window() <= 2 and len(run.admitted) > 8
 
 
 def test_the_drawn_shapes_cover_demands_and_faults():
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -15,7 +15,7 @@
     unlisted_starts,
 )
 from weldbend.fleet.settings import LimitSettings
-from weldbend.testbed.fleet.simulated_fleet import QUICK, FleetRun, FleetRunSettings
+from weldbend.testbed.fleet.simulated_fleet import QUICK_FLEET_SETTINGS, FleetRun, FleetRunSettings
 from weldbend.testbed.simulation.auditor import Auditor
 
 WELL, FAILING = (9.0, 0.0), (1.0, 8.0)
@@ -186,7 +186,7 @@
         "orders": 0.0,
         "edits": 0.0,
     }
-    terms = QUICK.__class__(
+    terms = QUICK_FLEET_SETTINGS.__class__(
         probe_interval=0.2,
         probe_timeout=0.08,
         isolation_timeout=1.5,
@@ -264,7 +264,7 @@
 
 def test_strict_rates_hold_for_the_whole_fleet_and_a_partition():
     limits = LimitSettings(leased_rates=(("photo", 30.0),), slow_start=False)
-    terms = QUICK.__class__(
+    terms = QUICK_FLEET_SETTINGS.__class__(
         probe_interval=0.2,
         probe_timeout=0.08,
         isolation_timeout=1.5,
--- a/weldbend/testbed/commands/fleet.py
+++ b/weldbend/testbed/commands/fleet.py
@@ -52,9 +52,9 @@
 def run_lines(options: FleetOptions) -> None:
     """Carry out the lines of standard input."""
     from weldbend.testbed.fleet.line_commands import run_line_commands
-    from weldbend.testbed.fleet.plan import names
+    from weldbend.testbed.fleet.plan import parse_names
 
-    zones = names(options.zones)
+    zones = parse_names(options.zones)
     reactor.callWhenRunning(run_line_commands, reactor, options.fronts, options.seed, zones, options.folder)
     reactor.run()
 
@@ -80,7 +80,7 @@
 
         silence_fronts()
         return plan_runner.play_simulated(plan, options.seed, path)
-    run = plan_runner.RealRun(reactor, plan, options.seed, path)
+    run = plan_runner.ProcessRun(reactor, plan, options.seed, path)
     reactor.callWhenRunning(run.start)
     reactor.run()
     return run.is_clean
--- a/weldbend/testbed/fleet/auditor.py
+++ b/weldbend/testbed/fleet/auditor.py
@@ -15,10 +15,17 @@
 from weldbend.fleet.replicated_store import ReplicatedStore
 
 # Seconds for which an item of a kind is kept.
-KEEP = {"purge": 60.0, "drain": 600.0, "start": 120.0, "keyed": 30.0, "evidence": 20.0, "setting": 1e12}
-FIGURES = ("evidence",)  # kinds of which each writer's own latest value counts
-EDGE = 1.5  # seconds before an item's end within which fronts may differ: ages grow on the way
-ENDING = 3.0  # seconds about the end of a change within which its item is not compared
+ITEM_LIFETIMES = {
+    "purge": 60.0,
+    "drain": 600.0,
+    "start": 120.0,
+    "keyed": 30.0,
+    "evidence": 20.0,
+    "setting": 1e12,
+}
+LATEST_VALUE_KINDS = ("evidence",)  # kinds of which each writer's own latest value counts
+EXPIRY_MARGIN = 1.5  # seconds before an item's end within which fronts may differ: ages grow on the way
+EXPIRY_SKIP_WINDOW = 3.0  # seconds about the end of a change within which its item is not compared
 CONFLICT = "!"  # in place of the group of a keyed item that two groups have claimed
 
 Value = tuple[Any, ...]  # of a change, as it is replicated: a kind's own figures and texts
@@ -37,15 +44,15 @@
         """Whether its process lives."""
 
     @property
-    def members(self) -> Membership:
+    def membership(self) -> Membership:
         """What it believes of the others."""
 
     @property
-    def copies(self) -> ReplicatedStore:
+    def store(self) -> ReplicatedStore:
         """Its replicas."""
 
     @property
-    def exchange(self) -> AntiEntropy:
+    def anti_entropy(self) -> AntiEntropy:
         """How it keeps them alike."""
 
 
@@ -55,9 +62,9 @@
 
     name: str
     is_up: bool
-    members: Membership
-    copies: ReplicatedStore
-    exchange: AntiEntropy
+    membership: Membership
+    store: ReplicatedStore
+    anti_entropy: AntiEntropy
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,13 +123,13 @@
 def _membership_errors(fleet: AuditedFleet) -> list[str]:
     errors = []
     for node in fleet.running():
-        for name, member in sorted(node.members.members.items()):
+        for name, member in sorted(node.membership.members.items()):
             peer = fleet.nodes[name]
             if peer.is_up and member.state is not State.ALIVE:
                 errors.append(f"{node.name} holds {name} for {member.state.name}, which is up")
-            if peer.is_up and member.epoch != peer.members.epoch:
+            if peer.is_up and member.epoch != peer.membership.epoch:
                 errors.append(f"{node.name} knows another run of {name}")
-        if not node.exchange.is_caught_up:
+        if not node.anti_entropy.is_caught_up:
             errors.append(f"{node.name} has not caught up")
     return errors
 
@@ -134,25 +141,25 @@
     for change in fleet.published:
         name = change.kind, change.key
         published[name].append((change.at, change.value))
-        if change.writer.is_up and fleet.now < change.at + KEEP[change.kind] - EDGE:
+        if change.writer.is_up and fleet.now < change.at + ITEM_LIFETIMES[change.kind] - EXPIRY_MARGIN:
             retained[name].append(change.value)
     errors = []
     for name, changes in sorted(published.items()):
-        keep = KEEP[name[0]]
-        if any(abs(fleet.now - at - keep) <= ENDING for at, _ in changes):
+        keep = ITEM_LIFETIMES[name[0]]
+        if any(abs(fleet.now - at - keep) <= EXPIRY_SKIP_WINDOW for at, _ in changes):
             continue
-        if any(fleet.now < at + keep - EDGE for at, _ in changes):
+        if any(fleet.now < at + keep - EXPIRY_MARGIN for at, _ in changes):
             errors += _value_errors(fleet, name, [value for _, value in changes], retained[name])
         else:
-            errors += _outlived(fleet, name)
+            errors += _expired_item_errors(fleet, name)
     return errors
 
 
-def _outlived(fleet: AuditedFleet, name: ItemName) -> list[str]:
+def _expired_item_errors(fleet: AuditedFleet, name: ItemName) -> list[str]:
     errors = []
     for node in fleet.running():
-        item = node.copies.items.get(name)
-        if item and fleet.now < item.written_at + KEEP[name[0]]:
+        item = node.store.items.get(name)
+        if item and fleet.now < item.written_at + ITEM_LIFETIMES[name[0]]:
             errors.append(f"{name[0]} {name[1]} outlived its time at {node.name}")
     return errors
 
@@ -163,7 +170,7 @@
     """Errors of an item that all must hold: of all its changes, and of those that may not be lost."""
     kind, key = name
     errors = []
-    items = {node.name: node.copies.items.get(name) for node in fleet.running()}
+    items = {node.name: node.store.items.get(name) for node in fleet.running()}
     values = {front: item.value if item else None for front, item in items.items()}
     if len(set(values.values())) > 1:
         errors.append(f"{kind} {key} differs: {values}")
@@ -180,15 +187,15 @@
     """Errors of figures of which each writer's latest counts: a later run's must not lose to an earlier's."""
     latest: dict[ItemName, Published] = {}
     for change in sorted(fleet.published, key=lambda change: change.at):
-        if change.epoch and change.kind in FIGURES:
+        if change.epoch and change.kind in LATEST_VALUE_KINDS:
             latest[change.kind, change.key] = change
     errors = []
     for (kind, key), change in sorted(latest.items()):
-        is_live = fleet.now < change.at + KEEP[kind] - EDGE
-        if not (is_live and change.writer.is_up and change.epoch == change.writer.members.epoch):
+        is_live = fleet.now < change.at + ITEM_LIFETIMES[kind] - EXPIRY_MARGIN
+        if not (is_live and change.writer.is_up and change.epoch == change.writer.membership.epoch):
             continue
         for node in fleet.running():
-            item = node.copies.items.get((kind, key))
+            item = node.store.items.get((kind, key))
             if item is None or item.value != change.value:
                 held = item.value if item else None
                 errors.append(f"{kind} {key} at {node.name} is {held}, its writer's latest is {change.value}")
@@ -198,8 +205,8 @@
 def _log_errors(fleet: AuditedFleet) -> list[str]:
     errors = []
     running = fleet.running()
-    for run in {run for node in running for run in node.copies.logs}:
-        numbers = {node.name: node.copies.last_number(run) for node in running}
+    for run in {run for node in running for run in node.store.logs}:
+        numbers = {node.name: node.store.last_number(run) for node in running}
         if max(numbers.values()) - min(numbers.values()) > fleet.in_transit:
             errors.append(f"changes of {run} are counted differently: {numbers}")
     return errors
--- a/weldbend/testbed/fleet/clock_steps.py
+++ b/weldbend/testbed/fleet/clock_steps.py
@@ -8,10 +8,10 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
 
-LEAST_STEP = 0.2  # seconds
-MOST_STEP = 3600.0  # seconds
+MIN_STEP = 0.2  # seconds
+MAX_STEP = 3600.0  # seconds
 SCOPES = ("one", "all", "opposite")
-RESTARTED = 0.5  # fraction of the steps after which a front whose clock was stepped starts again
+RESTART_FRACTION = 0.5  # fraction of the steps after which a front whose clock was stepped starts again
 SEED_FACTOR = 104_729  # makes the seed of the steps another one than that of the run
 
 
@@ -45,12 +45,12 @@
         seconds = {front: seconds[front]}
     elif scope == "opposite":
         seconds = {front: abs(by) * (1 if front % 2 else -1) for front, by in seconds.items()}
-    is_restarted = rng.random() < RESTARTED
+    is_restarted = rng.random() < RESTART_FRACTION
     front = rng.choice(sorted(seconds))
     return ClockStep(at, seconds, front if is_restarted else None)
 
 
 def _draw_seconds(rng: random.Random) -> float:
     """A step of either sign; each order of magnitude is as likely as another."""
-    size = math.exp(rng.uniform(math.log(LEAST_STEP), math.log(MOST_STEP)))
+    size = math.exp(rng.uniform(math.log(MIN_STEP), math.log(MAX_STEP)))
     return size * rng.choice((-1, 1))
--- a/weldbend/testbed/fleet/control_query.py
+++ b/weldbend/testbed/fleet/control_query.py
@@ -11,7 +11,7 @@
 
 CONNECT_TIMEOUT = 2  # seconds
 ANSWER_TIMEOUT = 3.0  # seconds, from the question on
-LONGEST_ANSWER = 1 << 24  # bytes
+MAX_ANSWER_BYTES = 1 << 24  # bytes
 
 Answer = dict[str, Any]  # a JSON object
 
@@ -21,7 +21,7 @@
 
     transport: Any = None  # Twisted's interfaces have no types here
     delimiter = b"\n"
-    MAX_LENGTH = LONGEST_ANSWER
+    MAX_LENGTH = MAX_ANSWER_BYTES
 
     def __init__(self, question: dict[str, object], on_answer: Callable[[Answer], None]) -> None:
         self.question = question
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -21,17 +21,23 @@
 CHANGES = ("purge", "drain", "start", "keyed", "evidence", "setting")  # kinds of items
 
 STARTED_BY = 1.0  # seconds until all nodes have started
-LONGEST_FAULT = 12.0  # seconds
-LAST_CHANGES = 8.0  # seconds before the end without changes
-LOSSY = 0.4  # probability that a datagram to a node on a lossy path is lost
-MILLISECONDS = 1000  # in a second
-STEPPED_START = 10_000_000  # milliseconds of all Unix clocks at the start of a run in which they are stepped
-RESTARTED_AFTER = 0.5  # seconds for which a node is down whose clock was stepped
-FIRST_STEP = 2.0  # seconds after the start
-FIGURE = "all"  # subject of the figure that each node publishes every second, where clocks are stepped
+MAX_FAULT_DURATION = 12.0  # seconds
+CHANGE_FREE_PERIOD = 8.0  # seconds before the end without changes
+LOSSY_PATH_LOSS = 0.4  # probability that a datagram to a node on a lossy path is lost
+MS_PER_SECOND = 1000  # in a second
+STEPPED_RUN_START_MS = (
+    10_000_000  # milliseconds of all Unix clocks at the start of a run in which they are stepped
+)
+RESTART_DELAY = 0.5  # seconds for which a node is down whose clock was stepped
+FIRST_STEP_AT = 2.0  # seconds after the start
+FIGURE_SUBJECT = (
+    "all"  # subject of the figure that each node publishes every second, where clocks are stepped
+)
 FIGURE_INTERVAL = 1.0  # seconds
-OLDER_CLOCK = 0.3  # fraction of killed nodes that return with a smaller epoch
-READS_DATAGRAMS_FIRST = 0.5  # fraction of thawed nodes that read their sockets before they notice the freeze
+OLDER_EPOCH_FRACTION = 0.3  # fraction of killed nodes that return with a smaller epoch
+DATAGRAMS_FIRST_FRACTION = (
+    0.5  # fraction of thawed nodes that read their sockets before they notice the freeze
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,17 +85,19 @@
         """Digest of the log."""
         return hashlib.sha256("\n".join(self.log).encode()).hexdigest()
 
-    def _add_line(self, text: str) -> None:
+    def _add_log_line(self, text: str) -> None:
         self.log.append(f"{self.events.now:.3f} {text}")
 
     def _log_transitions(self, node: Node) -> None:
-        for name, before, state, why in node.members.drain_changes():
-            self._add_line(f"{node.name}: {name} {before.name} -> {state.name} ({why})")
+        for name, before, state, why in node.membership.drain_changes():
+            self._add_log_line(f"{node.name}: {name} {before.name} -> {state.name} ({why})")
 
     def unix_ms(self, name: str) -> int:
         """Milliseconds of a node's Unix clock."""
-        ahead = self.clock_offsets[name] * MILLISECONDS + STEPPED_START * bool(self.settings.clock_steps)
-        return int(self.events.now * MILLISECONDS + ahead)
+        ahead = self.clock_offsets[name] * MS_PER_SECOND + STEPPED_RUN_START_MS * bool(
+            self.settings.clock_steps
+        )
+        return int(self.events.now * MS_PER_SECOND + ahead)
 
     # What happens to nodes.
 
@@ -97,35 +105,35 @@
         """Step the Unix clocks of some nodes, and have one of them die and start again."""
         for place, seconds in step.seconds.items():
             self.clock_offsets[self.names[place]] += seconds
-        self._add_line(f"clocks are stepped {dict(step.seconds)}")
+        self._add_log_line(f"clocks are stepped {dict(step.seconds)}")
         if step.restarted is not None:
             name = self.names[step.restarted]
             self.kill(name)
-            self._start_after(RESTARTED_AFTER, name)
+            self._start_after(RESTART_DELAY, name)
 
-    def start(self, name: str, is_older: bool = False) -> None:
-        """Start a node that is down; `is_older`: with a smaller epoch than before."""
+    def start(self, name: str, has_older_epoch: bool = False) -> None:
+        """Start a node that is down; `has_older_epoch`: with a smaller epoch than before."""
         if name in self.nodes and self.nodes[name].is_up:
             return  # another fault brought it back already
         epoch = max(1, int(1000 + self.unix_ms(name)))
-        if is_older:
+        if has_older_epoch:
             epoch = max(1, self.nodes[name].epoch - 7)
         node = self.nodes[name] = Node(self.network, name, epoch)
-        self._add_line(f"start {name}")
+        self._add_log_line(f"start {name}")
         node.tick()
 
     def kill(self, name: str) -> None:
         """Kill a node that is up."""
         if (node := self.nodes.get(name)) and node.is_up:
             node.is_up = False
-            self._add_line(f"kill {name}")
+            self._add_log_line(f"kill {name}")
             self.network.drop_links_of(name)
 
     def freeze(self, name: str, seconds: float) -> None:
         """Let a node run nothing for a time."""
         node = self.nodes[name]
         node.frozen_until = self.events.now + seconds
-        self._add_line(f"freeze {name} {seconds:.1f}")
+        self._add_log_line(f"freeze {name} {seconds:.1f}")
         self.events.schedule(seconds + 1e-6, lambda: self._thaw(node))
 
     def _thaw(self, node: Node) -> None:
@@ -133,9 +141,11 @@
             return
         deferred = node.deferred
         node.deferred = []
-        if self.rng.random() < READS_DATAGRAMS_FIRST:
+        if self.rng.random() < DATAGRAMS_FIRST_FRACTION:
             now = self.events.now
-            for send in resume_after_pause(node.members, node.exchange, now) or node.members.advance(now):
+            for send in resume_after_pause(
+                node.membership, node.anti_entropy, now
+            ) or node.membership.advance(now):
                 self.network.send_datagram(node, send)
         for call in deferred:
             call()
@@ -145,14 +155,14 @@
         paths = {(a, b) for a in side for b in self.names if b not in side}
         paths |= {(b, a) for a, b in paths} if is_two_way else set()
         self.network.blocked_paths |= paths
-        self._add_line(f"split {sorted(side)} {seconds:.1f} {'both' if is_two_way else 'one way'}")
+        self._add_log_line(f"split {sorted(side)} {seconds:.1f} {'both' if is_two_way else 'one way'}")
         self.events.schedule(seconds, lambda: self._heal(paths))
 
     def _heal(self, paths: set[Path]) -> None:
         self.network.blocked_paths -= paths
-        self._add_line("heal")
+        self._add_log_line("heal")
 
-    def _set_for(self, seconds: float, by_path: dict[Path, float], values: dict[Path, float]) -> None:
+    def _degrade_for(self, seconds: float, by_path: dict[Path, float], values: dict[Path, float]) -> None:
         """Set the delay or loss of paths for a time."""
         by_path |= values
 
@@ -168,7 +178,7 @@
         network = self.network
         kind = rng.choice(self.settings.kinds)
         name = rng.choice(self.names)
-        seconds = rng.uniform(1.0, LONGEST_FAULT)
+        seconds = rng.uniform(1.0, MAX_FAULT_DURATION)
         self.faults.append(kind)
         match kind:
             case "split" | "one-way":
@@ -176,17 +186,17 @@
                 self.split(side, seconds, kind == "split")
             case "kill":
                 self.kill(name)
-                is_older = rng.random() < OLDER_CLOCK
-                self.events.schedule(seconds, lambda: self.start(name, is_older))
+                has_older_epoch = rng.random() < OLDER_EPOCH_FRACTION
+                self.events.schedule(seconds, lambda: self.start(name, has_older_epoch))
             case "freeze":
                 if self.nodes[name].is_up:
                     self.freeze(name, seconds)
             case "slow":
                 delays = {(name, other): rng.uniform(0.1, 1.0) for other in self.names}
-                self._set_for(seconds, network.extra_delay, delays)
+                self._degrade_for(seconds, network.extra_delay, delays)
             case "lossy":
-                losses = {(other, name): LOSSY for other in self.names}
-                self._set_for(seconds, network.datagram_loss, losses)
+                losses = {(other, name): LOSSY_PATH_LOSS for other in self.names}
+                self._degrade_for(seconds, network.datagram_loss, losses)
             case "restart-all":
                 for each in self.names:
                     self.kill(each)
@@ -197,7 +207,7 @@
     def _start_after(self, seconds: float, name: str) -> None:
         self.events.schedule(seconds, lambda: self.start(name))
 
-    def _publish_any(self) -> None:
+    def _publish_random_change(self) -> None:
         """One change of some node, of any kind."""
         rng = self.rng
         name = rng.choice(self.names)
@@ -223,7 +233,7 @@
             self._publish(node, kind, key, value)
 
     def _publish(self, node: Node, kind: str, key: str, value: Value) -> None:
-        change = Published(self.events.now, kind, key, value, node, node.members.epoch)
+        change = Published(self.events.now, kind, key, value, node, node.membership.epoch)
         self.published.append(change)
         node.publish(kind, key, *value)
 
@@ -231,10 +241,10 @@
         """Each node's figure of this second, as fronts publish their demand."""
         for node in self.nodes.values():
             if node.is_running():
-                node.figures += 1
-                value = (node.copies.epoch, node.figures, 1.0, 0.0)
-                self._publish(node, "evidence", f"{FIGURE}|{node.name}", value)
-        if self.events.now < self.settings.seconds - LAST_CHANGES:
+                node.figure_count += 1
+                value = (node.store.epoch, node.figure_count, 1.0, 0.0)
+                self._publish(node, "evidence", f"{FIGURE_SUBJECT}|{node.name}", value)
+        if self.events.now < self.settings.seconds - CHANGE_FREE_PERIOD:
             self.events.schedule(FIGURE_INTERVAL, self._publish_figures)
 
     # The run.
@@ -253,15 +263,17 @@
         for name in self.names:
             self._start_after(rng.random() * 0.5, name)
         self.events.run(STARTED_BY)
-        last = max(settings.seconds - settings.calm - LONGEST_FAULT, 3.0)
+        last = max(settings.seconds - settings.calm - MAX_FAULT_DURATION, 3.0)
         for _ in range(settings.faults):
             self.events.schedule(rng.uniform(2.0, last), self.inject_fault)
-        for step in draw_steps(self.seed, settings.fronts, settings.clock_steps, FIRST_STEP, last):
+        for step in draw_steps(self.seed, settings.fronts, settings.clock_steps, FIRST_STEP_AT, last):
             self._schedule_step(step)
         if settings.clock_steps:
             self._publish_figures()
         changes = int(settings.rate * (settings.seconds - 2 * settings.fleet.summary_interval))
         for _ in range(changes):
-            self.events.schedule(rng.uniform(0.0, settings.seconds - LAST_CHANGES), self._publish_any)
+            self.events.schedule(
+                rng.uniform(0.0, settings.seconds - CHANGE_FREE_PERIOD), self._publish_random_change
+            )
         self.events.run(settings.seconds)
         return self
--- a/weldbend/testbed/fleet/lease_model.py
+++ b/weldbend/testbed/fleet/lease_model.py
@@ -48,7 +48,7 @@
 
     epoch: int
     number: int  # of its last request for a lease
-    quiet: float  # ticks until it may lend, after a start
+    quiet_ticks: float  # ticks until it may lend, after a start
     granted: tuple[tuple[LeaseRequestId, Lease], ...]
     acquired: tuple[tuple[str, Lease], ...]
     requested: tuple[tuple[str, PendingRequest], ...]
@@ -85,7 +85,7 @@
         """The state with a further message in transit."""
         return self._replace(messages=self.messages | {message})
 
-    def using(self, what: str) -> "State":
+    def with_budget_spent(self, what: str) -> "State":
         """The state with one less of something in its budget."""
         return self._replace(budget=self.budget._replace(**{what: getattr(self.budget, what) - 1}))
 
@@ -118,7 +118,7 @@
 
     def open_ledger(self, number: int, front: Front) -> LeaseLedger:
         """A ledger with what a front has recorded."""
-        ledger = self.ledger(self.scope.own[number], self.scope.times, front.epoch, front.quiet)
+        ledger = self.ledger(self.scope.own[number], self.scope.times, front.epoch, front.quiet_ticks)
         ledger.last_number = front.number
         ledger.granted = dict(front.granted)
         ledger.leased = dict(front.acquired)
@@ -139,7 +139,7 @@
             requested=tuple(sorted(ledger.pending.items(), key=lambda entry: entry[0])),
         )
 
-    def first(self) -> State:
+    def initial_state(self) -> State:
         """All fronts have just started, and hold what they own."""
         scope = self.scope
         budget = Budget(scope.asks, scope.deaths, scope.doubles, scope.skips, scope.backs)
@@ -151,12 +151,12 @@
         """All that can happen next."""
         yield "tick", self._tick(state, None)
         for number in range(len(state.fronts)) if state.budget.skips else ():
-            yield f"tick, but not for {number}", self._tick(state, number).using("skips")
+            yield f"tick, but not for {number}", self._tick(state, number).with_budget_spent("skips")
         for message in sorted(state.messages):
             yield f"comes: {message}", self._deliver(state, message, True)
             if state.budget.doubles:
                 again = self._deliver(state, message, False)
-                yield f"comes, and will again: {message}", again.using("doubles")
+                yield f"comes, and will again: {message}", again.with_budget_spent("doubles")
         for number, front in enumerate(state.fronts):
             yield from self._steps_of_front(state, number, front)
 
@@ -169,19 +169,22 @@
             yield from self._requests(state, number, front)
         if state.budget.deaths and (front.granted or front.acquired or front.requested or front.spent):
             fresh = Front(front.epoch + 1, 0, self.scope.times.recovery, (), (), (), ())
-            yield f"{number} dies and starts again", state.with_front(number, fresh).using("deaths")
+            yield (
+                f"{number} dies and starts again",
+                state.with_front(number, fresh).with_budget_spent("deaths"),
+            )
         if state.budget.backs:
             yield from self._releases(state, number, front)
 
     def _tick(self, state: State, skipped: int | None) -> State:
         fronts = tuple(
-            front if number == skipped else self._older(number, front)
+            front if number == skipped else self._age_front(number, front)
             for number, front in enumerate(state.fronts)
         )
         spent = tuple(age + 1 for age in state.spent if age + 1 < self.window)
         return state._replace(fronts=fronts, spent=spent)
 
-    def _older(self, number: int, front: Front) -> Front:
+    def _age_front(self, number: int, front: Front) -> Front:
         """One tick later by its own clock."""
         granted = tuple(
             (to, Lease(loan.parts, loan.end - 1, 0, loan.is_ending)) for to, loan in front.granted
@@ -191,8 +194,8 @@
             (of, PendingRequest(one.number, one.parts, one.sent_at - 1)) for of, one in front.requested
         )
         spent = tuple(age + 1 for age in front.spent if age + 1 < self.window)
-        quiet = max(front.quiet - 1, 0)
-        aged = Front(front.epoch, front.number, quiet, granted, acquired, requested, spent)
+        quiet_ticks = max(front.quiet_ticks - 1, 0)
+        aged = Front(front.epoch, front.number, quiet_ticks, granted, acquired, requested, spent)
         return self.record(aged, self.open_ledger(number, aged))
 
     def _requests(self, state: State, number: int, front: Front) -> Iterator[Step]:
@@ -203,7 +206,7 @@
                 request = ledger.request(0, str(other), parts)
                 message = Message("ask", number, other, front.epoch, request, parts)
                 following = state.with_front(number, self.record(front, ledger)).with_message(message)
-                yield f"{number} asks {other} for {parts}", following.using("asks")
+                yield f"{number} asks {other} for {parts}", following.with_budget_spent("asks")
 
     def _releases(self, state: State, number: int, front: Front) -> Iterator[Step]:
         for lender, _ in front.acquired:
@@ -211,7 +214,7 @@
             if request := ledger.release(0, lender):
                 message = Message("back", number, int(lender), front.epoch, request, not front.spent)
                 following = state.with_front(number, self.record(front, ledger)).with_message(message)
-                yield f"{number} gives {request} back to {lender}", following.using("backs")
+                yield f"{number} gives {request} back to {lender}", following.with_budget_spent("backs")
 
     def _deliver(self, state: State, message: Message, is_last: bool) -> State:
         messages = state.messages - {message} if is_last else state.messages
@@ -234,7 +237,7 @@
 
         `on_depth` gets each depth, and the number of states so far.
         """
-        first = self.first()
+        first = self.initial_state()
         reached: dict[State, tuple[State | None, str]] = {first: (None, "")}
         frontier = [first]
         depth = 0
--- a/weldbend/testbed/fleet/line_commands.py
+++ b/weldbend/testbed/fleet/line_commands.py
@@ -14,12 +14,12 @@
 from weldbend.testbed.faults.plan import InvalidPlanError
 from weldbend.testbed.fleet.plan import parse_event
 from weldbend.testbed.fleet.plan_player import Player
-from weldbend.testbed.fleet.plan_runner import show
+from weldbend.testbed.fleet.plan_runner import print_json
 from weldbend.testbed.fleet.processes import FleetSite, FleetSiteSettings
 from weldbend.testbed.reactor import ProcessReactor
 
-UNTIL_HEALED = "3600 s"  # how long an event without `for` lasts, if it is not ended before
-STOP_AFTER = 0.1  # seconds from the end of the fronts until the reactor stops
+DEFAULT_DURATION = "3600 s"  # how long an event without `for` lasts, if it is not ended before
+REACTOR_STOP_DELAY = 0.1  # seconds from the end of the fronts until the reactor stops
 
 
 class LineCommands(LineOnlyReceiver):
@@ -41,9 +41,9 @@
             command = json.loads(line)
             self._perform(command)
         except (InvalidPlanError, ValueError, KeyError, TypeError) as error:
-            show({"wrong": f"{type(error).__name__}: {error}"})
+            print_json({"wrong": f"{type(error).__name__}: {error}"})
         else:
-            show({"done": command})
+            print_json({"done": command})
 
     def _perform(self, command: dict[str, Any]) -> None:
         site = self.site
@@ -65,7 +65,7 @@
                 self._write_installations(command)
             case _:
                 fronts = site.settings.site.fronts
-                section = {"for": UNTIL_HEALED} | command
+                section = {"for": DEFAULT_DURATION} | command
                 event = parse_event("told", section, fronts, "line:")
                 event.check_cache(site.cache_uids(), "line:")
                 self.player.begin(event)
@@ -90,13 +90,13 @@
     """Carry out the lines on standard input; the first line out says where everything is."""
     place = Path(folder or tempfile.mkdtemp(prefix="weldbend-fleet-"))
     settings = FleetSiteSettings(SiteSettings(fronts=fronts), zones, folder=place)
-    site = FleetSite(reactor, settings, seed, show)
+    site = FleetSite(reactor, settings, seed, print_json)
 
     def on_end() -> None:
         site.end_all()
-        reactor.callLater(STOP_AFTER, reactor.stop)
+        reactor.callLater(REACTOR_STOP_DELAY, reactor.stop)
 
-    show(
+    print_json(
         {
             "folder": str(place),
             "fronts": {f"n{number}": site.addresses[number] for number in site.numbers},
--- a/weldbend/testbed/fleet/model_network.py
+++ b/weldbend/testbed/fleet/model_network.py
@@ -26,13 +26,13 @@
 Pair = tuple[str, ...]  # the two names of a link, in order
 
 KEEPALIVE = 3.0  # seconds after which a link that carries nothing breaks
-LEAST_LATENCY = 0.001  # seconds of one trip
+MIN_LATENCY = 0.001  # seconds of one trip
 LATENCY_SPREAD = 0.01  # seconds on top, drawn evenly
-DUPLICATION = 0.01  # probability that a datagram arrives twice
+DUPLICATION_PROBABILITY = 0.01  # probability that a datagram arrives twice
 SOCKET_BUFFER = 64  # datagrams that the socket of a frozen process keeps
-OVERHEAD = 80  # bytes of headers and authentication of a message
-TICK = 0.1  # seconds between two ticks of a node
-BUSY_TICK = 0.05  # the same, while it fetches a snapshot or has something due
+MESSAGE_OVERHEAD = 80  # bytes of headers and authentication of a message
+TICK_INTERVAL = 0.1  # seconds between two ticks of a node
+BUSY_TICK_INTERVAL = 0.05  # the same, while it fetches a snapshot or has something due
 
 
 class Node:
@@ -46,14 +46,14 @@
         now = self.events.now
         settings = network.settings.fleet
         seed = network.rng.randrange(1 << 30)
-        self.members = Membership(name, epoch, settings, network.names, seed, now)
-        self.copies = ReplicatedStore(name, epoch, settings.retained_operations)
+        self.membership = Membership(name, epoch, settings, network.names, seed, now)
+        self.store = ReplicatedStore(name, epoch, settings.retained_operations)
         self.changes: list[Change] = []
-        self.exchange = AntiEntropy(self.copies, settings, seed + 1, self.changes.append, now)
+        self.anti_entropy = AntiEntropy(self.store, settings, seed + 1, self.changes.append, now)
         self.frozen_until = -math.inf
         self.deferred: list[Callable[[], None]] = []  # what comes while it is frozen
         self.is_up = True
-        self.figures = 0  # published in this run
+        self.figure_count = 0  # published in this run
 
     def is_frozen(self) -> bool:
         """Whether it runs nothing at the moment."""
@@ -63,14 +63,14 @@
         """Whether it is up and not frozen."""
         return self.is_up and not self.is_frozen()
 
-    def follow_own_epoch(self) -> None:
+    def sync_store_epoch(self) -> None:
         """Have the replica go by the membership's epoch, which others may have raised.
 
         Where no clocks are stepped the nodes are of earlier versions, which go on writing under their first
         epoch: what a run behind a later one writes has to be joined as well.
         """
-        if self.network.settings.clock_steps and self.copies.epoch != self.members.epoch:
-            self.copies.set_epoch(self.members.epoch)
+        if self.network.settings.clock_steps and self.store.epoch != self.membership.epoch:
+            self.store.set_epoch(self.membership.epoch)
 
     def tick(self) -> None:
         """Do what is due, and schedule the next tick."""
@@ -79,27 +79,28 @@
         if not self.is_frozen():
             now = self.events.now
             for send in [
-                *resume_after_pause(self.members, self.exchange, now),
-                *self.members.advance(now),
+                *resume_after_pause(self.membership, self.anti_entropy, now),
+                *self.membership.advance(now),
             ]:
                 self.network.send_datagram(self, send)
             self.network.update_links(self)
-            self.send(self.exchange.tick(now))
+            self.send(self.anti_entropy.tick(now))
             self.network.on_step(self)
         is_busy = (
-            self.exchange.transfer or self.exchange.next_due(self.events.now) <= self.events.now + BUSY_TICK
+            self.anti_entropy.transfer
+            or self.anti_entropy.next_due(self.events.now) <= self.events.now + BUSY_TICK_INTERVAL
         )
-        self.events.schedule(BUSY_TICK if is_busy else TICK, self.tick)
+        self.events.schedule(BUSY_TICK_INTERVAL if is_busy else TICK_INTERVAL, self.tick)
 
     def send(self, messages: list[PeerMessage]) -> None:
         """Send messages over links."""
         for message in messages:
-            self.network.send_linked(self, message)
+            self.network.send_over_link(self, message)
 
     def publish(self, kind: str, key: str, *value: int | float | str) -> None:
         """Make a change, if it runs."""
         if self.is_running():
-            self.send(self.exchange.write(self.events.now, kind, key, *value))
+            self.send(self.anti_entropy.write(self.events.now, kind, key, *value))
 
 
 class ModelNetwork:
@@ -134,7 +135,7 @@
         return (sender, receiver) not in self.blocked_paths
 
     def _latency(self) -> float:
-        return LEAST_LATENCY + self.rng.random() * LATENCY_SPREAD
+        return MIN_LATENCY + self.rng.random() * LATENCY_SPREAD
 
     # Datagrams.
 
@@ -144,12 +145,12 @@
         data = m.encode(send.body)
         self.record_bytes(f"datagram {path[0]}>{path[1]}", data)
         self.counts["datagrams"] += 1
-        self.counts["datagram bytes"] += len(data) + OVERHEAD
+        self.counts["datagram bytes"] += len(data) + MESSAGE_OVERHEAD
         loss = max(self.settings.loss, self.datagram_loss.get(path, 0.0))
         if not self.is_open(*path) or self.rng.random() < loss:
             return
-        epoch = node.members.epoch  # as it is authenticated when it is sent
-        is_duplicated = self.rng.random() < DUPLICATION
+        epoch = node.membership.epoch  # as it is authenticated when it is sent
+        is_duplicated = self.rng.random() < DUPLICATION_PROBABILITY
         for _ in range(1 + is_duplicated):
             latency = self._latency()
             delay = latency + self.extra_delay.get(path, 0.0) * (0.5 + self.rng.random())
@@ -163,9 +164,9 @@
             if len(node.deferred) < SOCKET_BUFFER:
                 node.deferred.append(lambda: self._arrive(path, epoch, body))
             return
-        for send in node.members.receive(self.events.now, path[0], epoch, body):
+        for send in node.membership.receive(self.events.now, path[0], epoch, body):
             self.send_datagram(node, send)
-        node.follow_own_epoch()
+        node.sync_store_epoch()
         self.on_step(node)
 
     # Links.
@@ -180,7 +181,7 @@
             elif other and self._is_reachable(node, other) and not other.is_frozen():
                 self.links[pair] = self.last_bytes[pair] = self.events.now
                 for one, two in ((node, other), (other, node)):
-                    one.send(one.exchange.peer_connected(two.name, self.events.now))
+                    one.send(one.anti_entropy.peer_connected(two.name, self.events.now))
 
     def _is_reachable(self, node: Node, other: Node) -> bool:
         return other.is_up and self.is_open(node.name, other.name) and self.is_open(other.name, node.name)
@@ -199,14 +200,14 @@
         for one, two in (pair, pair[::-1]):
             node = self.nodes.get(one)
             if node and node.is_up:
-                node.send(node.exchange.peer_disconnected(two, self.events.now))
+                node.send(node.anti_entropy.peer_disconnected(two, self.events.now))
 
     def drop_links_of(self, name: str) -> None:
         """All links of a node break."""
         for pair in [pair for pair in self.links if name in pair]:
             self.drop_link(pair)
 
-    def send_linked(self, node: Node, message: PeerMessage) -> None:
+    def send_over_link(self, node: Node, message: PeerMessage) -> None:
         """Send a message over the link to its receiver, if there is one."""
         path = node.name, message.to
         pair = tuple(sorted(path))
@@ -215,7 +216,7 @@
             return
         data = m.encode(message.body)
         self.record_bytes(f"link {path[0]}>{path[1]}", data)
-        size = len(data) + OVERHEAD
+        size = len(data) + MESSAGE_OVERHEAD
         self.counts["link messages"] += 1
         self.counts["link bytes"] += size
         self.counts["snapshot bytes"] += size * isinstance(message.body, m.SnapshotChunk)
@@ -223,14 +224,14 @@
         at = max(self.events.now + delay, self.last_arrival.get(path, 0.0))
         self.last_arrival[path] = at
         body = m.read_connection_message(data)
-        self.events.schedule(at - self.events.now, lambda: self._arrive_linked(pair, since, path, body))
+        self.events.schedule(at - self.events.now, lambda: self._arrive_over_link(pair, since, path, body))
 
-    def _arrive_linked(self, pair: Pair, since: float, path: Path, body: m.ConnectionMessage) -> None:
+    def _arrive_over_link(self, pair: Pair, since: float, path: Path, body: m.ConnectionMessage) -> None:
         node = self.nodes.get(path[1])
         if self.links.get(pair) != since or not self.is_open(*path) or node is None or not node.is_up:
             return
         if node.is_frozen():
-            node.deferred.append(lambda: self._arrive_linked(pair, since, path, body))
+            node.deferred.append(lambda: self._arrive_over_link(pair, since, path, body))
             return
         self.last_bytes[pair] = self.events.now
-        node.send(node.exchange.handle(self.events.now, path[0], body))
+        node.send(node.anti_entropy.handle(self.events.now, path[0], body))
--- a/weldbend/testbed/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -33,14 +33,14 @@
 )
 
 MAX_FRONTS = 64
-HOUR = 3600.0  # seconds; the longest time that a key states
+MAX_DURATION = 3600.0  # seconds; the longest time that a key states
 
 Side = tuple[int, ...]  # fronts by number
 
-__all__ = ["Do", "FleetEvent", "FleetPlan", "InvalidPlanError", "parse_event", "parse_plan", "read_plan"]
+__all__ = ["Action", "FleetEvent", "FleetPlan", "InvalidPlanError", "parse_event", "parse_plan", "read_plan"]
 
 
-class Do(StrEnum):
+class Action(StrEnum):
     """What an event does."""
 
     SPLIT = "split"  # the sides do not reach each other
@@ -59,22 +59,22 @@
     PURGE = "purge"  # of the group `what`
 
 
-REQUIRED_KEYS: dict[Do, tuple[str, ...]] = {  # beside `at` and `who`
-    Do.SPLIT: ("for",),
-    Do.ONE_WAY: ("for",),
-    Do.FLAP: ("for", "every"),
-    Do.SLOW: ("for", "by"),
-    Do.LOSSY: ("for", "share"),
-    Do.DOUBLE: ("for", "share"),
-    Do.KILL: ("for",),
-    Do.STOP: ("for",),
-    Do.APART: ("by",),
-    Do.NO_BUS: ("for",),
+REQUIRED_KEYS: dict[Action, tuple[str, ...]] = {  # beside `at` and `who`
+    Action.SPLIT: ("for",),
+    Action.ONE_WAY: ("for",),
+    Action.FLAP: ("for", "every"),
+    Action.SLOW: ("for", "by"),
+    Action.LOSSY: ("for", "share"),
+    Action.DOUBLE: ("for", "share"),
+    Action.KILL: ("for",),
+    Action.STOP: ("for",),
+    Action.APART: ("by",),
+    Action.NO_BUS: ("for",),
 }
-WITH_SIDES = (Do.SPLIT, Do.ONE_WAY, Do.FLAP)
-OF_A_CACHE = (Do.DRAIN, Do.UP)
-OF_THE_SITE = (*OF_A_CACHE, Do.PURGE)
-GROUP = re.compile("[0-9]{1,3}")  # the number of a group
+PARTITION_ACTIONS = (Action.SPLIT, Action.ONE_WAY, Action.FLAP)
+CACHE_ACTIONS = (Action.DRAIN, Action.UP)
+SITE_ACTIONS = (*CACHE_ACTIONS, Action.PURGE)
+GROUP_NUMBER = re.compile("[0-9]{1,3}")  # the number of a group
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,7 +103,7 @@
         Raises:
             InvalidPlanError: It is not.
         """
-        if self.do in OF_A_CACHE and self.what not in uids:
+        if self.do in CACHE_ACTIONS and self.what not in uids:
             raise InvalidPlanError(location, f"{self.what!r:.20} is none of {', '.join(uids)}", "what")
 
 
@@ -128,24 +128,24 @@
             event.check_cache(uids, f"{path}: [{event.name}]")
 
 
-def names(text: str) -> tuple[str, ...]:
+def parse_names(text: str) -> tuple[str, ...]:
     """Names between commas."""
     return tuple(name.strip() for name in text.split(",") if name.strip())
 
 
-FLEET: KeyTable = {
+FLEET_KEYS: KeyTable = {
     "fronts": ("fronts", integer_between(1, MAX_FRONTS)),
     "seconds": ("seconds", float_between(1, 3600)),
     "calm": ("calm", duration_between(1.0, 600.0)),
     "rate": ("rate", float_between(0, 2000)),
-    "zones": ("zones", names),
+    "zones": ("zones", parse_names),
 }
-KEYS: KeyTable = {
-    "at": ("at", duration_between(0.0, HOUR)),
-    "do": ("do", choice(*Do)),
+EVENT_KEYS: KeyTable = {
+    "at": ("at", duration_between(0.0, MAX_DURATION)),
+    "do": ("do", choice(*Action)),
     "who": ("who", str),
-    "for": ("duration", duration_between(0.0, HOUR)),
-    "by": ("by", duration_between(0.001, HOUR)),
+    "for": ("duration", duration_between(0.0, MAX_DURATION)),
+    "by": ("by", duration_between(0.001, MAX_DURATION)),
     "share": ("fraction", fraction),
     "every": ("every", duration_between(0.05, 600.0)),
     "how": ("how", choice("back", "forward")),
@@ -167,7 +167,7 @@
     for name, section in sections.items():
         if not isinstance(section, Mapping):
             raise InvalidPlanError(f"{path}:", f"key '{name}' stands before any section")
-    plan = FleetPlan(**read_values(sections.get("fleet", {}), FLEET, f"{path}: [fleet]"))
+    plan = FleetPlan(**read_values(sections.get("fleet", {}), FLEET_KEYS, f"{path}: [fleet]"))
     events = tuple(
         parse_event(name, section, plan.fronts, f"{path}: [{name}]")
         for name, section in sections.items()
@@ -179,7 +179,7 @@
 
 def parse_event(name: str, section: Section, fronts: int, location: str) -> FleetEvent:
     """An event from its section; raises InvalidPlanError for the first thing wrong."""
-    values = read_values(section, KEYS, location)
+    values = read_values(section, EVENT_KEYS, location)
     do = values.get("do")
     if do is None:
         raise InvalidPlanError(location, "lacks 'do'")
@@ -187,13 +187,13 @@
         if key not in section:
             raise InvalidPlanError(location, f"{do} lacks '{key}'")
     who = values.pop("who", "")
-    if do in OF_THE_SITE:
+    if do in SITE_ACTIONS:
         if who or not values.get("what"):
             raise InvalidPlanError(location, f"{do} is of the site: it has 'what', and no 'who'")
-        if do == Do.PURGE and not GROUP.fullmatch(values["what"]):
+        if do == Action.PURGE and not GROUP_NUMBER.fullmatch(values["what"]):
             raise InvalidPlanError(location, f"{values['what']!r:.20} is no group from 0 to 999", "what")
     else:
-        values["sides"] = parse_sides(who, fronts, do in WITH_SIDES, location)
+        values["sides"] = parse_sides(who, fronts, do in PARTITION_ACTIONS, location)
     values.setdefault("at", 0.0)
     return FleetEvent(name, **values)
 
--- a/weldbend/testbed/fleet/plan_player.py
+++ b/weldbend/testbed/fleet/plan_player.py
@@ -4,18 +4,18 @@
 from itertools import permutations
 from typing import Protocol
 
-from weldbend.testbed.fleet.plan import Do, FleetEvent, FleetPlan
+from weldbend.testbed.fleet.plan import Action, FleetEvent, FleetPlan
 
 Paths = set[tuple[int, int]]  # (from, to), fronts by number
 
-RESTART_AFTER = 0.2  # seconds from the end of a front until it starts with another clock
-MOST_FRONTS = 1000  # above any number of a front
+CLOCK_RESTART_DELAY = 0.2  # seconds from the end of a front until it starts with another clock
+FRONT_NUMBER_LIMIT = 1000  # above any number of a front
 
 
 class Backend(Protocol):
     """What can be done to a fleet; times are in seconds."""
 
-    def later(self, delay: float, call: Callable[[], object]) -> object:
+    def call_later(self, delay: float, call: Callable[[], object]) -> object:
         """Call after a delay."""
 
     def block(self, paths: Paths) -> None:
@@ -64,72 +64,72 @@
             self._schedule(event)
 
     def _schedule(self, event: FleetEvent) -> None:
-        self.backend.later(event.at, lambda: self.begin(event))
+        self.backend.call_later(event.at, lambda: self.begin(event))
 
     def begin(self, event: FleetEvent) -> None:
         """Begin one event now; what it does ends by itself after its time."""
         self._report(event, "begins")
         match event.do:
-            case Do.SPLIT | Do.ONE_WAY | Do.FLAP:
+            case Action.SPLIT | Action.ONE_WAY | Action.FLAP:
                 self._partition(event)
-            case Do.SLOW | Do.LOSSY | Do.DOUBLE:
+            case Action.SLOW | Action.LOSSY | Action.DOUBLE:
                 self._degrade(event)
-            case Do.DRAIN | Do.UP | Do.PURGE:
+            case Action.DRAIN | Action.UP | Action.PURGE:
                 self._publish(event)
             case _:
                 for number in event.fronts:
                     self._act_on_front(event, number)
         if event.duration:
-            self.backend.later(event.duration, lambda: self._report(event, "ends"))
+            self.backend.call_later(event.duration, lambda: self._report(event, "ends"))
 
     def _partition(self, event: FleetEvent) -> None:
         paths = {(a, b) for side, other in permutations(event.sides, 2) for a in side for b in other}
         match event.do:
-            case Do.SPLIT:
+            case Action.SPLIT:
                 self._block_for(paths, event.duration)
-            case Do.ONE_WAY:
+            case Action.ONE_WAY:
                 first = set(event.sides[0])
                 self._block_for({path for path in paths if path[0] in first}, event.duration)
-            case Do.FLAP:
+            case Action.FLAP:
                 for cycle in range(int(event.duration / event.every / 2) + 1):
                     begin = 2 * cycle * event.every
-                    self.backend.later(begin, lambda: self._block_for(paths, event.every))
+                    self.backend.call_later(begin, lambda: self._block_for(paths, event.every))
 
     def _block_for(self, paths: Paths, duration: float) -> None:
         self.backend.block(paths)
-        self.backend.later(duration, lambda: self.backend.unblock(paths))
+        self.backend.call_later(duration, lambda: self.backend.unblock(paths))
 
     def _degrade(self, event: FleetEvent) -> None:
-        others = {number for number in range(1, MOST_FRONTS) if number not in event.fronts}
+        others = {number for number in range(1, FRONT_NUMBER_LIMIT) if number not in event.fronts}
         paths = {(a, b) for a in event.fronts for b in others}
-        amount = event.by if event.do == Do.SLOW else event.fraction
+        amount = event.by if event.do == Action.SLOW else event.fraction
         self.backend.degrade(paths, event.do, amount)
-        self.backend.later(event.duration, lambda: self.backend.degrade(paths, event.do, 0.0))
+        self.backend.call_later(event.duration, lambda: self.backend.degrade(paths, event.do, 0.0))
 
     def _publish(self, event: FleetEvent) -> None:
         match event.do:
-            case Do.DRAIN:
+            case Action.DRAIN:
                 self.backend.publish_cache_state(event.what, "draining")
-            case Do.UP:
+            case Action.UP:
                 self.backend.publish_cache_state(event.what, "up")
-            case Do.PURGE:
+            case Action.PURGE:
                 self.backend.publish_purge(int(event.what))
 
     def _act_on_front(self, event: FleetEvent, number: int) -> None:
         backend = self.backend
         match event.do:
-            case Do.KILL:
+            case Action.KILL:
                 backend.kill(number)
-                backend.later(event.duration, lambda: backend.start(number))
-            case Do.APART:
+                backend.call_later(event.duration, lambda: backend.start(number))
+            case Action.APART:
                 backend.kill(number)
                 offset = event.by if event.how == "forward" else -event.by
-                backend.later(RESTART_AFTER, lambda: backend.start(number, offset))
-            case Do.STOP:
+                backend.call_later(CLOCK_RESTART_DELAY, lambda: backend.start(number, offset))
+            case Action.STOP:
                 backend.suspend(number, event.duration)
-            case Do.RESTART:
+            case Action.RESTART:
                 backend.restart(number)
-            case Do.NO_BUS:
+            case Action.NO_BUS:
                 backend.isolate_from_bus(number, event.duration)
 
     def _report(self, event: FleetEvent, phase: str) -> None:
--- a/weldbend/testbed/fleet/plan_runner.py
+++ b/weldbend/testbed/fleet/plan_runner.py
@@ -11,14 +11,14 @@
 from weldbend.testbed.reactor import ProcessReactor
 
 # Fronts are compared again where they differ: items end while one front is queried after the other.
-COMPARE_AGAIN = 0.5  # seconds
-COMPARISONS = 12  # at most
+COMPARISON_INTERVAL = 0.5  # seconds
+MAX_COMPARISONS = 12  # at most
 LOAD_MARGIN = 1.0  # seconds before the end of a plan at which its load ends
-STOP_AFTER = 0.3  # seconds from the end of the fronts until the reactor stops
-LEAST_RATE = 0.1  # requests a second
+REACTOR_STOP_DELAY = 0.3  # seconds from the end of the fronts until the reactor stops
+MIN_RATE = 0.1  # requests a second
 
 
-def show(document: dict[str, object]) -> None:
+def print_json(document: dict[str, object]) -> None:
     """Print one line of JSON."""
     print(json.dumps(document), flush=True)
 
@@ -32,7 +32,7 @@
     settings = FleetRunSettings(
         fronts=plan.fronts,
         seconds=plan.seconds,
-        rate=max(plan.rate, LEAST_RATE),
+        rate=max(plan.rate, MIN_RATE),
         faults=0,
         fleet_faults=0,
         zones=plan.zones,
@@ -40,15 +40,15 @@
     )
     run = FleetRun(seed, settings)
     plan.check_caches(run.site.targets, path)
-    run.on_event = lambda event: show({"at": round(run.events.now, 3)} | event)
+    run.on_event = lambda event: print_json({"at": round(run.events.now, 3)} | event)
     Player(run).play(plan)
     result = run.play()
     problems = [*map(str, result.violations), *result.errors, *result.divergences]
-    show({"verdict": problems or "clean", "counts": result.counts, "digest": result.digest()[:16]})
+    print_json({"verdict": problems or "clean", "counts": result.counts, "digest": result.digest()[:16]})
     return not problems
 
 
-class RealRun:
+class ProcessRun:
     """A plan played with real processes, and a load on them; stops the reactor at the end."""
 
     def __init__(self, reactor: ProcessReactor, plan: FleetPlan, seed: int, path: str) -> None:
@@ -61,9 +61,9 @@
         self.plan = plan
         self.seed = seed
         settings = FleetSiteSettings(SiteSettings(fronts=plan.fronts), plan.zones)
-        self.site = FleetSite(reactor, settings, seed, show)
+        self.site = FleetSite(reactor, settings, seed, print_json)
         plan.check_caches(self.site.cache_uids(), path)
-        self.missing = plan.fronts  # fronts that are not ready yet
+        self.pending_fronts = plan.fronts  # fronts that are not ready yet
         self.is_clean = False
         self.load: Load | None = None
 
@@ -74,12 +74,12 @@
             self.site.start(number)
 
     def _on_ready(self, number: int) -> None:
-        self.missing -= 1
-        if self.missing:
+        self.pending_fronts -= 1
+        if self.pending_fronts:
             return
         self.site.on_ready = lambda number: None
         Player(self.site).play(self.plan)
-        self.reactor.callLater(self.plan.seconds, self._compare, COMPARISONS)
+        self.reactor.callLater(self.plan.seconds, self._compare, MAX_COMPARISONS)
         if self.plan.rate:
             load = LoadPlan(rate=self.plan.rate, seconds=self.plan.seconds - LOAD_MARGIN, seed=self.seed)
             fronts = list(self.site.addresses.values())
@@ -87,14 +87,14 @@
             self.load.start()
 
     def _compare(self, comparisons: int) -> None:
-        self.site.compare_views(lambda differences: self._judge(differences, comparisons - 1))
+        self.site.compare_views(lambda differences: self._report_verdict(differences, comparisons - 1))
 
-    def _judge(self, differences: list[str], comparisons: int) -> None:
+    def _report_verdict(self, differences: list[str], comparisons: int) -> None:
         if differences and comparisons:
-            self.reactor.callLater(COMPARE_AGAIN, self._compare, comparisons)
+            self.reactor.callLater(COMPARISON_INTERVAL, self._compare, comparisons)
             return
         self.is_clean = not differences
         counts = dict(self.load.tally.counts) if self.load else {}
-        show({"verdict": differences or "clean", "counts": counts})
+        print_json({"verdict": differences or "clean", "counts": counts})
         self.site.end_all()
-        self.reactor.callLater(STOP_AFTER, self.reactor.stop)
+        self.reactor.callLater(REACTOR_STOP_DELAY, self.reactor.stop)
--- a/weldbend/testbed/fleet/process_benchmarks.py
+++ b/weldbend/testbed/fleet/process_benchmarks.py
@@ -20,11 +20,11 @@
 from weldbend.testbed.load.generator import Load, LoadPlan
 from weldbend.testbed.reactor import ProcessReactor
 
-SETTLING = 8.0  # seconds from the readiness of all fronts until a measurement
-STALL = 600.0  # seconds, longer than any measurement
-STOP_AFTER = 0.3  # seconds from the end of the fronts until the reactor stops
+SETTLING_TIME = 8.0  # seconds from the readiness of all fronts until a measurement
+STALL_DURATION = 600.0  # seconds, longer than any measurement
+REACTOR_STOP_DELAY = 0.3  # seconds from the end of the fronts until the reactor stops
 TIMEOUT = 600  # seconds of one measurement
-QUERIED = 10  # fronts at most that are queried
+MAX_QUERIED_FRONTS = 10  # fronts at most that are queried
 QUERY_PERIOD = 0.25  # seconds
 MEBIBYTE = 2**20
 
@@ -36,7 +36,7 @@
         self.reactor = reactor
         settings = FleetSiteSettings(SiteSettings(fronts=fronts), installation=installation)
         self.site = FleetSite(reactor, settings, 1, lambda event: None)
-        self.missing = fronts  # those that are not ready yet
+        self.pending_fronts = fronts  # those that are not ready yet
         self.report: dict[str, Any] = {}
 
     def start(self) -> None:
@@ -46,9 +46,9 @@
             self.site.start(number)
 
     def _on_ready(self, number: int) -> None:
-        self.missing -= 1
-        if not self.missing:
-            self.reactor.callLater(SETTLING, self.begin)
+        self.pending_fronts -= 1
+        if not self.pending_fronts:
+            self.reactor.callLater(SETTLING_TIME, self.begin)
 
     def begin(self) -> None:
         """Measure; calls `finish` at the end."""
@@ -58,7 +58,7 @@
         """End the fronts and the reactor."""
         self.report = report
         self.site.end_all()
-        self.reactor.callLater(STOP_AFTER, self.reactor.stop)
+        self.reactor.callLater(REACTOR_STOP_DELAY, self.reactor.stop)
 
 
 class Costs(Measurement):
@@ -76,19 +76,19 @@
         super().__init__(reactor, fronts, "" if has_fleet else QUICK_SETTINGS)
         self.rate = rate
         self.seconds = seconds
-        self.has_stalled = stalled  # the last front is stopped meanwhile
+        self.has_stalled_front = stalled  # the last front is stopped meanwhile
         self.before: dict[int, process_usage.Usage] = {}
-        self.begun = 0.0
+        self.started_at = 0.0
         if not has_fleet:
             for number in self.site.numbers:
                 self.site.installation_path(number).write_text("")
 
     def begin(self) -> None:
         """Put the load on."""
-        if self.has_stalled:
-            self.site.suspend(len(self.site.numbers), STALL)
+        if self.has_stalled_front:
+            self.site.suspend(len(self.site.numbers), STALL_DURATION)
         self.before = self._usages()
-        self.begun = time.monotonic()
+        self.started_at = time.monotonic()
         if self.rate:
             plan = LoadPlan(rate=self.rate, seconds=self.seconds, seed=1, orders=0.0)
             sizes = self.site.settings.site.sizes
@@ -101,8 +101,8 @@
 
     def _on_load_end(self, load: Load | None) -> None:
         after = self._usages()
-        seconds = time.monotonic() - self.begun
-        stalled = len(self.site.numbers) if self.has_stalled else None
+        seconds = time.monotonic() - self.started_at
+        stalled = len(self.site.numbers) if self.has_stalled_front else None
         without_load = [number for number in after if number not in (1, stalled)]
         cpu = [(after[n].cpu - self.before[n].cpu) / seconds for n in without_load]
         report = {
@@ -137,7 +137,7 @@
         self.reactor.callLater(40.0, self._end)
 
     def _query(self) -> None:
-        for number in list(self.site.numbers)[:QUERIED]:
+        for number in list(self.site.numbers)[:MAX_QUERIED_FRONTS]:
             if number != self.victim:
                 self._query_one(number)
         if not self.report:
@@ -159,7 +159,7 @@
         suspected = sorted(states["SUSPECT"] for states in self.seen.values() if "SUSPECT" in states)
         self.finish(
             {
-                "asked": min(QUERIED, self.victim - 1),
+                "asked": min(MAX_QUERIED_FRONTS, self.victim - 1),
                 "suspected first": round(suspected[0], 2) if suspected else None,
                 "known first": round(known[0], 2) if known else None,
                 "known to all asked": round(known[-1], 2) if known else None,
--- a/weldbend/testbed/fleet/processes.py
+++ b/weldbend/testbed/fleet/processes.py
@@ -22,11 +22,14 @@
 from weldbend.testbed.fleet.relay_network import DatagramRelay, LinkRelay, RelayNetwork
 from weldbend.testbed.reactor import ProcessReactor, ProcessTransport
 
-PORTS = 10_000, 30_000  # first and last that are tried: the system assigns later ones to outgoing connections
-PORTS_OF_A_PROCESS = 97  # by which the first ports that two processes try differ
+PORT_RANGE = (
+    10_000,
+    30_000,
+)  # first and last that are tried: the system assigns later ones to outgoing connections
+PORT_STRIDE = 97  # by which the first ports that two processes try differ
 BUS = 0  # the number that stands for the event bus among the fronts
-CHECK_END = 0.02  # seconds between two checks whether a front that was killed has ended
-CHECK_SHUTDOWN = 0.1  # seconds between two checks whether one that shuts down has ended
+END_CHECK_INTERVAL = 0.02  # seconds between two checks whether a front that was killed has ended
+SHUTDOWN_CHECK_INTERVAL = 0.1  # seconds between two checks whether one that shuts down has ended
 QUICK_SETTINGS = """interval = 200 ms
 timeout = 80 ms
 alone = 1500 ms
@@ -44,7 +47,7 @@
 
 
 class NoFreePortError(TestbedError):
-    """All of PORTS are in use."""
+    """All of PORT_RANGE are in use."""
 
     def __init__(self) -> None:
         super().__init__("no port is free")
@@ -79,7 +82,7 @@
         self.folder = self.site.folder
         self.bus = self.site.bus
         self.on_event = on_event
-        self.begun = time.monotonic()
+        self.started_at = time.monotonic()
         self.network = RelayNetwork(reactor, seed)
         self.assigned_ports = set[int]()
         self.numbers = range(1, settings.site.fronts + 1)
@@ -89,8 +92,8 @@
         self.configurations: dict[int, Path] = {}
         self.addresses: dict[int, str] = {}  # for clients
         self.suspended: set[int] = set()  # by SIGSTOP
-        self.ending: set[int] = set()  # those with a signal to end whose end is not noticed yet
-        self.is_over = False
+        self.terminating: set[int] = set()  # those with a signal to end whose end is not noticed yet
+        self.is_ended = False
         self.on_ready: Callable[[int], None] = lambda number: None
         reactor.addSystemEventTrigger("before", "shutdown", self.end_all)
         (self.folder / "keys").write_text("0badcafe " + "5a" * 32 + "\n")
@@ -105,8 +108,8 @@
         Guards against losing it before its front listens: it is none of those that the system assigns to
         outgoing connections. Harm: two testbeds at once may try the same; the later one takes the next.
         """
-        first, last = PORTS
-        begin = os.getpid() * PORTS_OF_A_PROCESS % (last - first)
+        first, last = PORT_RANGE
+        begin = os.getpid() * PORT_STRIDE % (last - first)
         for step in range(last - first):
             port = first + (begin + step) % (last - first)
             if port not in self.assigned_ports:
@@ -148,13 +151,13 @@
 
     # What a plan calls.
 
-    def later(self, delay: float, call: Callable[[], object]) -> object:
+    def call_later(self, delay: float, call: Callable[[], object]) -> object:
         """Call after so many seconds."""
         return self.reactor.callLater(delay, call)
 
     def report_event(self, **event: object) -> None:
         """Report something that happens, with the seconds since the start."""
-        self.on_event({"at": round(time.monotonic() - self.begun, 3)} | event)
+        self.on_event({"at": round(time.monotonic() - self.started_at, 3)} | event)
 
     def block(self, paths: Paths) -> None:
         """Let nothing pass on some paths."""
@@ -174,11 +177,11 @@
         Guards plans against a start before the end of the process is noticed, which would be ignored: one
         that has a signal to end is started again once it has ended.
         """
-        if self.is_over:
+        if self.is_ended:
             return
         if number in self.running:
-            if number in self.ending:
-                self.later(CHECK_END, lambda: self.start(number, clock_offset, program))
+            if number in self.terminating:
+                self.call_later(END_CHECK_INTERVAL, lambda: self.start(number, clock_offset, program))
             return
         log = (self.folder / f"n{number}.log").open("ab")
         command = [
@@ -199,7 +202,7 @@
     def _ended(self, number: int, code: int) -> None:
         self.running.pop(number, None)
         self.suspended.discard(number)
-        self.ending.discard(number)
+        self.terminating.discard(number)
         self.report_event(front=f"n{number}", ended=code)
 
     def signal(self, number: int, name: str) -> None:
@@ -207,7 +210,7 @@
         if process := self.running.get(number):
             process.signalProcess(getattr(signal, f"SIG{name}"))
             if name in ("KILL", "TERM"):
-                self.ending.add(number)
+                self.terminating.add(number)
 
     def kill(self, number: int) -> None:
         """Kill a front."""
@@ -217,7 +220,7 @@
         """Stop a front by SIGSTOP, for a time."""
         self.signal(number, "STOP")
         self.suspended.add(number)
-        self.later(duration, lambda: self._resume(number))
+        self.call_later(duration, lambda: self._resume(number))
 
     def _resume(self, number: int) -> None:
         if number in self.suspended:
@@ -227,11 +230,11 @@
     def restart(self, number: int) -> None:
         """Shut a front down by SIGTERM, and start it again once it has ended."""
         self.signal(number, "TERM")
-        self.later(CHECK_SHUTDOWN, lambda: self._start_again(number))
+        self.call_later(SHUTDOWN_CHECK_INTERVAL, lambda: self._start_when_ended(number))
 
-    def _start_again(self, number: int) -> None:
+    def _start_when_ended(self, number: int) -> None:
         if number in self.running:
-            self.later(CHECK_SHUTDOWN, lambda: self._start_again(number))
+            self.call_later(SHUTDOWN_CHECK_INTERVAL, lambda: self._start_when_ended(number))
         else:
             self.start(number)
 
@@ -239,7 +242,7 @@
         """Cut a front off its event bus, for a time."""
         paths = {(number, BUS), (BUS, number)}
         self.block(paths)
-        self.later(duration, lambda: self.unblock(paths))
+        self.call_later(duration, lambda: self.unblock(paths))
 
     def cache_uids(self) -> list[str]:
         """All caches of the site."""
@@ -278,7 +281,7 @@
 
     def end_all(self) -> None:
         """Kill all fronts; none is started any more."""
-        self.is_over = True
+        self.is_ended = True
         for number in list(self.running):
             self.signal(number, "CONT")
             self.signal(number, "KILL")
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -26,21 +26,21 @@
 DETECTION_TIME = 1.5  # seconds after which a view knows that a front is gone, or back
 FAULTS = ("split", "kill", "freeze", "slow", "one-way")
 
-SKEWED_MOST = 0.9  # fraction of a skewed demand that comes to the first front
-SKEWED_REST = 0.1  # and to all others together
+SKEWED_FIRST_FRACTION = 0.9  # fraction of a skewed demand that comes to the first front
+SKEWED_OTHERS_FRACTION = 0.1  # and to all others together
 STEADY_START = 100.0  # of all steady clocks, in seconds
 UNIX_START = 1000.0  # of all Unix clocks, in seconds
-OVERHEAD = 80  # bytes of headers and authentication of a message
-LEAST_LATENCY = 0.001  # seconds of one trip
+MESSAGE_OVERHEAD = 80  # bytes of headers and authentication of a message
+MIN_LATENCY = 0.001  # seconds of one trip
 LATENCY_SPREAD = 0.01  # seconds on top, drawn evenly
-DUPLICATION = 0.01  # probability that a message arrives twice
-SLOW = 1.5  # seconds on top, at most, while the network is slow
-TICK = 0.05  # seconds between two ticks of a front
+DUPLICATION_PROBABILITY = 0.01  # probability that a message arrives twice
+MAX_SLOW_DELAY = 1.5  # seconds on top, at most, while the network is slow
+TICK_INTERVAL = 0.05  # seconds between two ticks of a front
 MANY_FRONTS = 50  # more than these tick half as often
-GOSSIP_CHANCE = 0.1  # probability that a tick gossips: twice a second
+GOSSIP_PROBABILITY = 0.1  # probability that a tick gossips: twice a second
 RESUME_MARGIN = 1e-6  # seconds after the end of a freeze at which what has waited is done
-RESTARTED_AFTER = 0.3  # seconds for which a front is down whose clock was stepped
-FIRST_STEP = 1.0  # seconds after the start
+RESTART_DELAY = 0.3  # seconds for which a front is down whose clock was stepped
+FIRST_STEP_AT = 1.0  # seconds after the start
 TOLERANCE = 1e-9  # of rounding, by which a window may be over the limit
 
 
@@ -56,12 +56,12 @@
     rate: float = 90.0  # requests of all clients together
     faults: tuple[tuple[float, str, float], ...] = ()  # when, what, how long
     drift: float = 0.01  # fraction by which clocks may run too fast or too slow, as stated
-    beyond: float = 0.0  # by which they drift more than is stated
+    excess_drift: float = 0.0  # by which they drift more than is stated
     loss: float = 0.02  # probability that a message is lost
     steps: tuple[ClockStep, ...] = ()  # of the fronts' Unix clocks
     times: LeaseTimes = field(default_factory=lambda: LeaseTimes(1.0, 1.0, 0.01))
 
-    def demand_of(self, number: int, at: float) -> float:
+    def demand_at(self, number: int, at: float) -> float:
         """Requests a second that come to a front at a moment."""
         count = self.fronts
         total = self.rate
@@ -69,7 +69,9 @@
             case "even":
                 return total / count
             case "skewed":
-                return total * (SKEWED_MOST if number == 0 else SKEWED_REST / (count - 1))
+                return total * (
+                    SKEWED_FIRST_FRACTION if number == 0 else SKEWED_OTHERS_FRACTION / (count - 1)
+                )
             case "moving":  # all of it moves on each second
                 return total if int(at) % count == number else 0.0
             case "wandering":  # all of it moves on each ten seconds
@@ -142,14 +144,14 @@
 
     def __init__(self, experiment: "QuotaExperiment", number: int, epoch: int, is_restarted: bool) -> None:
         super().__init__(experiment, number, epoch, is_restarted)
-        self.others: dict[str, float] = {}  # what each has last sent
+        self.reported_counts: dict[str, float] = {}  # what each has last sent
         self.admitted: deque[float] = deque()  # when, within the last window
 
     def admit(self, now: float) -> bool:
         """Admit while all together are known to be below the limit."""
         while self.admitted and self.admitted[0] <= now - self.experiment.settings.times.window:
             self.admitted.popleft()
-        if len(self.admitted) + sum(self.others.values()) + 1 > self.rate.limit:
+        if len(self.admitted) + sum(self.reported_counts.values()) + 1 > self.rate.limit:
             return False
         self.admitted.append(now)
         return True
@@ -161,12 +163,12 @@
     def admit(self, now: float) -> bool:
         """Admit what the first front admits."""
         experiment = self.experiment
-        keeper = experiment.fronts[0]
+        counting_front = experiment.fronts[0]
         is_reached = experiment.is_open(self.number, 0) and experiment.is_open(0, self.number)
-        if not (keeper.is_up and is_reached and not keeper.is_frozen()):
+        if not (counting_front.is_up and is_reached and not counting_front.is_frozen()):
             return False
-        keeper.rate.set_allowance(PARTS_PER_LIMIT, 0, 0.0)
-        return keeper.rate.try_admit(experiment.clock(0))
+        counting_front.rate.set_allowance(PARTS_PER_LIMIT, 0, 0.0)
+        return counting_front.rate.try_admit(experiment.clock(0))
 
 
 class OracleFront(Front):
@@ -196,10 +198,10 @@
         self.rng = random.Random(seed)
         self.events = EventQueue()
         self.names = [f"n{number}" for number in range(settings.fronts)]
-        drift = settings.drift + settings.beyond
-        self.pace = [1.0 + self.rng.choice((-1, 1)) * drift * self.rng.random() for _ in self.names]
-        if settings.beyond:
-            self.pace = [1.0 + (drift if n % 2 else -drift) for n in range(settings.fronts)]
+        drift = settings.drift + settings.excess_drift
+        self.clock_rates = [1.0 + self.rng.choice((-1, 1)) * drift * self.rng.random() for _ in self.names]
+        if settings.excess_drift:
+            self.clock_rates = [1.0 + (drift if n % 2 else -drift) for n in range(settings.fronts)]
         self.admitted: list[float] = []  # when, by true time
         self.blocked_paths: set[tuple[int, int]] = set()
         self.extra_delay = 0.0  # seconds, at most
@@ -211,7 +213,7 @@
 
     def clock(self, number: int) -> float:
         """The steady clock of a front."""
-        return STEADY_START + self.events.now * self.pace[number]
+        return STEADY_START + self.events.now * self.clock_rates[number]
 
     def unix(self, number: int) -> float:
         """The Unix clock of a front."""
@@ -226,12 +228,12 @@
     def _send(self, front: Front, sends: list[Send]) -> None:
         for send in sends:
             self.message_count += 1
-            self.byte_count += len(m.encode(send.body)) + OVERHEAD
+            self.byte_count += len(m.encode(send.body)) + MESSAGE_OVERHEAD
             to = int(send.to[1:])
             if not self.is_open(front.number, to) or self.rng.random() < self.settings.loss:
                 continue
-            for _ in range(1 + (self.rng.random() < DUPLICATION)):
-                delay = LEAST_LATENCY + LATENCY_SPREAD * self.rng.random()
+            for _ in range(1 + (self.rng.random() < DUPLICATION_PROBABILITY)):
+                delay = MIN_LATENCY + LATENCY_SPREAD * self.rng.random()
                 self._deliver_after(delay + self.extra_delay * self.rng.random(), front, to, send.body)
 
     def _deliver_after(self, delay: float, sender: Front, to: int, body: m.Datagram) -> None:
@@ -260,23 +262,23 @@
                 self._gossip(front)
             elif self.settings.kind == "leases":
                 others = (n for n in range(self.settings.fronts) if n != number)
-                alive = [f"n{n}" for n in others if self._is_seen(n)]
+                alive = [f"n{n}" for n in others if self._is_believed_alive(n)]
                 self._send(front, front.limits.tick(self.clock(number), alive))
-        tick = TICK if self.settings.fronts <= MANY_FRONTS else 2 * TICK
+        tick = TICK_INTERVAL if self.settings.fronts <= MANY_FRONTS else 2 * TICK_INTERVAL
         self.events.schedule(tick, lambda: self._tick(number))
 
-    def _is_seen(self, number: int) -> bool:
+    def _is_believed_alive(self, number: int) -> bool:
         """Whether the others do not know yet that a front does not answer."""
         now = self.events.now
         return now - self.unresponsive.get(number, now) < DETECTION_TIME
 
     def _gossip(self, front: GossipFront) -> None:
-        if self.rng.random() > GOSSIP_CHANCE:
+        if self.rng.random() > GOSSIP_PROBABILITY:
             return
         for other in self.fronts:
             if other is not front and self.is_open(front.number, other.number):
                 self.message_count += 1
-                delay = LEAST_LATENCY + LATENCY_SPREAD * self.rng.random() + self.extra_delay
+                delay = MIN_LATENCY + LATENCY_SPREAD * self.rng.random() + self.extra_delay
                 self._gossip_after(delay, front, other)
 
     def _gossip_after(self, delay: float, front: GossipFront, other: Front) -> None:
@@ -284,7 +286,7 @@
 
         def arrive() -> None:
             if isinstance(other, GossipFront):
-                other.others[front.name] = amount
+                other.reported_counts[front.name] = amount
 
         self.events.schedule(delay, arrive)
 
@@ -304,7 +306,7 @@
         for number in range(settings.fronts):
             at = 0.0
             while (at := at + rng.expovariate(settings.rate)) < settings.seconds:
-                if rng.random() < settings.demand_of(number, at) / settings.rate:
+                if rng.random() < settings.demand_at(number, at) / settings.rate:
                     self._schedule(at, self._request, number)
 
     def _schedule(self, delay: float, call: Callable[..., object], *args: object) -> None:
@@ -325,7 +327,7 @@
                 self.unresponsive[number] = self.events.now
                 self.events.schedule(duration, lambda: self.unresponsive.pop(number, None))
             case "slow":
-                self._set_extra_delay(SLOW)
+                self._set_extra_delay(MAX_SLOW_DELAY)
                 self._schedule(duration, self._set_extra_delay, 0.0)
 
     def _set_extra_delay(self, seconds: float) -> None:
@@ -346,7 +348,7 @@
         if step.restarted is not None and self.fronts[step.restarted].is_up:
             front = self.fronts[step.restarted]
             front.is_up = False
-            self._schedule(RESTARTED_AFTER, self.start, step.restarted, front.epoch + 1)
+            self._schedule(RESTART_DELAY, self.start, step.restarted, front.epoch + 1)
 
     def start(self, number: int, epoch: int) -> None:
         """Start a front that is down."""
@@ -368,7 +370,7 @@
 
     # What it came to.
 
-    def worst(self, window: float | None = None) -> int:
+    def max_in_window(self, window: float | None = None) -> int:
         """The most that was admitted in any window; None is the limit's own."""
         span = window or self.settings.times.window
         most = 0
@@ -400,7 +402,7 @@
         demand=demand,
         faults=drawn,
         seconds=seconds,
-        steps=draw_steps(seed, fronts, steps, FIRST_STEP, seconds),
+        steps=draw_steps(seed, fronts, steps, FIRST_STEP_AT, seconds),
     )
 
 
@@ -410,7 +412,9 @@
     worst = 0.0
     for seed in seeds:
         settings = draw_settings(seed, steps=steps)
-        fraction = QuotaExperiment(seed, settings).play().worst() / (settings.most * settings.times.window)
+        fraction = QuotaExperiment(seed, settings).play().max_in_window() / (
+            settings.most * settings.times.window
+        )
         worst = max(worst, fraction)
         if fraction > 1 + TOLERANCE:
             over.append(seed)
--- a/weldbend/testbed/fleet/simulated_benchmarks.py
+++ b/weldbend/testbed/fleet/simulated_benchmarks.py
@@ -9,13 +9,13 @@
 
 SPANS = (1.0, 5.0, 10.0, 30.0)  # seconds after a restart
 RESTART_AT = 40.0  # seconds
-FRONT_DOWN_FOR = 0.4  # seconds
-QUIET: dict[str, Any] = {"faults": 0, "fleet_faults": 0, "calm": 0.0, "orders": 0.0, "edits": 0.0}
+FRONT_DOWNTIME = 0.4  # seconds
+FAULT_FREE: dict[str, Any] = {"faults": 0, "fleet_faults": 0, "calm": 0.0, "orders": 0.0, "edits": 0.0}
 
 KILLED_AT = 50.0  # seconds
 SETTLED_AT = 20.0  # seconds after which a member that is declared dead is a false death
 FREEZES_UNTIL = 85.0  # seconds
-RETURNS_AT = 40.0  # seconds at which a newcomer starts
+NEWCOMER_START_AT = 40.0  # seconds at which a newcomer starts
 PURGES = 1000
 WATCH_PERIOD = 0.05  # seconds
 
@@ -35,7 +35,7 @@
     For each span after it: requests sent and served, the fraction of lookups at edges that hit, and fills.
     """
     settings = FleetRunSettings(
-        **QUIET,
+        **FAULT_FREE,
         fronts=fronts,
         rate=25.0 * fronts,
         seconds=RESTART_AT + 32.0,
@@ -55,7 +55,7 @@
 
     def schedule_kill(number: int) -> None:
         at = RESTART_AT - 0.6 * number
-        run.events.schedule(at, lambda: run.site.kill_front(number, FRONT_DOWN_FOR))
+        run.events.schedule(at, lambda: run.site.kill_front(number, FRONT_DOWNTIME))
 
     def schedule_restart(uid: str) -> None:
         run.events.schedule(RESTART_AT - 1.0, lambda: run.site.restart_cache(uid))
@@ -92,7 +92,7 @@
 ) -> float:
     """The fraction of lookups at edges that hit, over the second half of a run, at one rate of all fronts."""
     settings = FleetRunSettings(
-        **QUIET,
+        **FAULT_FREE,
         fronts=fronts,
         rate=rate,
         seconds=seconds,
@@ -181,17 +181,17 @@
 
     def watch() -> None:
         node = fleet.nodes["n4"]
-        if node.is_up and node.exchange.is_caught_up and not caught_up:
-            caught_up.append(fleet.events.now - RETURNS_AT)
+        if node.is_up and node.anti_entropy.is_caught_up and not caught_up:
+            caught_up.append(fleet.events.now - NEWCOMER_START_AT)
         fleet.events.schedule(WATCH_PERIOD, watch)
 
     fleet.events.schedule(5.0, fill)
     fleet.events.schedule(30.0, lambda: fleet.kill("n4"))
-    fleet.events.schedule(RETURNS_AT, lambda: fleet.start("n4"))
-    fleet.events.schedule(RETURNS_AT + 0.01, watch)
+    fleet.events.schedule(NEWCOMER_START_AT, lambda: fleet.start("n4"))
+    fleet.events.schedule(NEWCOMER_START_AT + 0.01, watch)
     fleet.run()
     return {
-        "items": len(fleet.nodes["n4"].copies.items),
+        "items": len(fleet.nodes["n4"].store.items),
         "seconds": round(caught_up[0], 2) if caught_up else -1.0,
         "snapshot bytes": fleet.counts["snapshot bytes"],
     }
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -25,17 +25,19 @@
 from weldbend.testbed.simulation.virtual_clock import STEADY_CLOCK_AHEAD, VirtualClock
 
 FLEET_PORT = 7400
-KEY = "0badcafe " + "5a" * 32 + "\n"  # of the messages between fronts, in the testbed only
+KEY_FILE_CONTENT = "0badcafe " + "5a" * 32 + "\n"  # of the messages between fronts, in the testbed only
 FLEET_FAULTS = ("split", "one_way", "freeze", "slow", "lossy", "bus_cut", "all")
-IN_TRANSIT = 8  # changes of one front that others may lack at the end: each front makes some every second
-QUICK = FleetSettings(
+MAX_CHANGES_IN_TRANSIT = (
+    8  # changes of one front that others may lack at the end: each front makes some every second
+)
+QUICK_FLEET_SETTINGS = FleetSettings(
     probe_interval=0.2, probe_timeout=0.08, isolation_timeout=1.5, pause_threshold=0.5, summary_interval=0.3
 )
-RECONNECT = 2.5  # seconds after a cut of the event bus until a front has surely read what it missed
-SHUTDOWN = 4.0  # seconds that a graceful shutdown may take
-RESTARTED_AFTER = 0.4  # seconds for which a front is down whose clock was stepped
+RECONNECT_TIME = 2.5  # seconds after a cut of the event bus until a front has surely read what it missed
+SHUTDOWN_TIME = 4.0  # seconds that a graceful shutdown may take
+RESTART_DELAY = 0.4  # seconds for which a front is down whose clock was stepped
 FIRST_FAULT = 1.0  # seconds after the start
-ENDING = 3.0  # seconds before the end of an item within which fronts may differ on it
+EXPIRY_MARGIN = 3.0  # seconds before the end of an item within which fronts may differ on it
 TRANSIT_TIME = 2.0  # seconds after a change within which fronts may differ on it
 
 FrontPaths = set[tuple[int, int]]  # (from, to), fronts by number
@@ -45,7 +47,7 @@
     """One file with a key for all runs of this process."""
     path = Path(tempfile.gettempdir(), f"weldbend-lab-{os.getuid()}.keys")
     if not path.exists():
-        path.write_text(KEY)
+        path.write_text(KEY_FILE_CONTENT)
     return str(path)
 
 
@@ -68,7 +70,7 @@
     clock_offset: float = 0.0  # seconds by which Unix clocks may be set apart
     fleet_clock_steps: int = 0  # of the fronts' Unix clocks, besides all other faults
     drift: float = 0.0  # fraction by which clocks may run too fast or too slow
-    fleet: FleetSettings = QUICK
+    fleet: FleetSettings = QUICK_FLEET_SETTINGS
     has_fleet: bool = True  # false: the same run without a fleet
     zones: tuple[str, ...] = ()  # of the fronts in turn; none: all are of one zone
 
@@ -123,7 +125,7 @@
 
     # What a plan calls.
 
-    def later(self, delay: float, call: Callable[[], object]) -> object:
+    def call_later(self, delay: float, call: Callable[[], object]) -> object:
         """Call after so many seconds."""
         return self.events.schedule(delay, call)
 
@@ -167,7 +169,7 @@
         machine, front = self.site.fronts[number]
         if machine.is_alive:
             front.terminate()
-            self.events.schedule(SHUTDOWN, lambda: self.start(number))
+            self.events.schedule(SHUTDOWN_TIME, lambda: self.start(number))
 
     def start(self, number: int, clock_offset: float = 0.0) -> None:
         """Start a front that does not run, with its Unix clock ahead by so many seconds."""
@@ -231,7 +233,7 @@
         shown = {numbers[place]: round(seconds, 3) for place, seconds in step.seconds.items()}
         self.log.add(f"clocks are stepped: {shown}")
         if step.restarted is not None:
-            self.site.kill_front(numbers[step.restarted], RESTARTED_AFTER)
+            self.site.kill_front(numbers[step.restarted], RESTART_DELAY)
 
     def _schedule_fault(self, at: float, kind: str, duration: float, is_partitioned: bool) -> None:
         self.events.schedule(at, lambda: self.inject(kind, duration, is_partitioned))
@@ -283,7 +285,7 @@
         if is_partitioned or not self.settings.has_fleet or len(numbers) == len(self.site.fronts):
             now = self.events.now
             for number in numbers:
-                self.auditor.on_front_unreachable(f"n{number}", now, now + duration + RECONNECT, False)
+                self.auditor.on_front_unreachable(f"n{number}", now, now + duration + RECONNECT_TIME, False)
 
     def _block_for(self, paths: set[NetworkPath], duration: float) -> None:
         self.network.blocked_paths |= paths
@@ -327,11 +329,13 @@
             return []
         now = self.events.now + STEADY_CLOCK_AHEAD
         nodes = self.nodes()
-        errors = audit(AuditedFleet(nodes, now, in_transit=IN_TRANSIT))
-        for name in sorted({name for node in nodes.values() for name in node.copies.items}):
-            items = {front: node.copies.items.get(name) for front, node in nodes.items()}
+        errors = audit(AuditedFleet(nodes, now, in_transit=MAX_CHANGES_IN_TRANSIT))
+        for name in sorted({name for node in nodes.values() for name in node.store.items}):
+            items = {front: node.store.items.get(name) for front, node in nodes.items()}
             keep = ITEM_KINDS[name[0]].lifetime
-            is_retained = any(item and now < item.written_at + keep - ENDING for item in items.values())
+            is_retained = any(
+                item and now < item.written_at + keep - EXPIRY_MARGIN for item in items.values()
+            )
             is_in_transit = any(item and now < item.written_at + TRANSIT_TIME for item in items.values())
             values = {front: item.value if item else None for front, item in items.items()}
             if is_retained and not is_in_transit and len(set(values.values())) > 1:
