--- a/tests/test_admin_errors.py
+++ b/tests/test_admin_errors.py
@@ -1,4 +1,4 @@
-"""What the admin port answers to questions that it cannot answer: one line, without class names."""
+"""Error answers of the admin port to invalid questions: one line, without names of exception classes."""
 
 import builtins
 import json
--- a/tests/test_binding_rules.py
+++ b/tests/test_binding_rules.py
@@ -1,6 +1,6 @@
-"""The auditor's rules on gone clients, closed connections, deadlines and calls to cold caches.
+"""The auditor's rules on disconnected clients, closed connections, deadlines and calls to cold caches.
 
-Each is reached by the runs, and each catches a copy of the front that breaks it.
+The simulated runs exercise each rule, and a sabotaged front that breaks a rule must be detected.
 """
 
 from collections import Counter
@@ -84,4 +84,4 @@
         if found:
             assert found[0].proof and rule in str(found[0])
             return
-    raise AssertionError(f"{sabotage.__name__} was not caught within {len(SEEDS)} seeds")
+    raise AssertionError(f"{sabotage.__name__} was not detected within {len(SEEDS)} seeds")
--- a/tests/test_failing_calls_fleet.py
+++ b/tests/test_failing_calls_fleet.py
@@ -1,4 +1,8 @@
-"""System calls that fail under the fleet's ports: a datagram or some time is lost, never port or peer."""
+"""System calls that fail in the fleet's ports.
+
+A failed call may lose a datagram or delay a connection, but must not leave the port closed or the peer
+unconnected.
+"""
 
 import errno
 from collections import Counter
@@ -19,7 +23,7 @@
 
 
 class FleetReactor(MemoryReactorClock):
-    """Real UDP ports on loopback, TCP in memory; what raises is drawn from `errors`."""
+    """A reactor with real UDP ports on loopback and TCP in memory; connects fail with `errors` first."""
 
     errors = ()
 
@@ -35,7 +39,7 @@
 
 
 class FailingSocket:
-    """A UDP socket whose calls fail with these errors first."""
+    """A UDP socket whose first calls fail with the given error numbers."""
 
     def __init__(self, opened, **errors):
         self.opened, self.errors = opened, errors
@@ -57,7 +61,7 @@
 
 
 class PassThroughAuthenticator:
-    """In place of the authentication: a message is its own proof."""
+    """An authenticator that accepts each message and adds nothing to it."""
 
     name = "a"
 
@@ -104,7 +108,7 @@
 
 
 def test_a_port_closed_by_a_read_error_is_reopened(datagram_port, runtime):
-    """As the reactor does it: what `doRead` raises closes the port."""
+    """The test closes the port itself, as the reactor does when `doRead` raises."""
     for reopenings in (1, 2):
         address, closed_port = datagram_port.own_peer.port, datagram_port.port
         closed_port.socket = FailingSocket(closed_port.socket, recvfrom=[errno.ENOMEM])
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,7 @@
-"""The fault injector: plans that are checked, faults that depend on the seed alone, and sockets between."""
+"""The fault injector: validation of plans, effect and trigger of each fault, and injection between sockets.
+
+The injected faults must depend on the plan and the seed alone, not on how the bytes arrive.
+"""
 
 import json
 import random
@@ -193,7 +196,7 @@
         tool = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
         try:
             host, _, listening = json.loads(tool.stdout.readline())["listening"].partition(":")
-            for _ in range(2):  # the same on every connection
+            for _ in range(2):  # each connection gets the same fault
                 with socket.create_connection((host, int(listening)), 20) as client:
                     client.sendall(process(1) + process(2))
                     connection, _ = server.accept()
@@ -203,7 +206,7 @@
                         received += connection.recv(1 << 16)
                     connection.sendall(b"".join(ANSWERS[:3]))
                     assert client.makefile("rb").read() == ANSWERS[0] + ANSWERS[1][:9]
-                    client.sendall(process(3))  # the other direction goes on
+                    client.sendall(process(3))  # the other direction stays open
                     assert connection.recv(1 << 16) == process(3)
                     connection.close()
             injections = [json.loads(tool.stdout.readline()) for _ in range(2)]
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,8 @@
-"""A fleet's cores, each failure by name; and whole fleets from one integer."""
+"""Components of a fleet in memory, without sockets, and model fleets whose faults a seed determines.
+
+The tests guard against forged or replayed messages, false death declarations, and replicas that do not
+converge after messages were lost, duplicated or reordered and after fronts were restarted or paused.
+"""
 
 import random
 import subprocess
@@ -70,7 +74,7 @@
         changed[index] ^= 1
         with pytest.raises(AuthenticationError):
             b.verify(bytes(changed))
-    assert b.verify(data).body == b"hello", "what was tampered with took no number"
+    assert b.verify(data).body == b"hello", "a tampered message must not use up its sequence number"
     a, b = authenticator_pair()
     assert rejection_cause(a, a.authenticate("b", b"x")) == "reflected"
     assert rejection_cause(b, a.authenticate("c", b"x")) == "meant for another"
@@ -152,7 +156,7 @@
 
 
 class MembershipNetwork:
-    """Memberships of a few fronts with a wire in the test's hands."""
+    """Memberships of a few fronts on a network without delay, on which a test can block paths."""
 
     def __init__(self, *names, fleet_settings=None):
         self.now, self.settings = 0.0, fleet_settings or FleetSettings()
@@ -257,21 +261,18 @@
     network.run(12)
     a = network.fronts["a"]
     before = a.members["c"].rank()
-    a.apply_update(
-        m.MemberUpdate("c", 10**9, 0, int(State.DEAD), "b"), network.now
-    )  # another start, by hearsay
-    a.apply_update(
-        m.MemberUpdate("c", 100, MAX_INCARNATION_LEAP + 9, int(State.DEAD), "b"), network.now
-    )  # a leap of its incarnation
+    # another epoch, reported by a third member
+    a.apply_update(m.MemberUpdate("c", 10**9, 0, int(State.DEAD), "b"), network.now)
+    # too large an increase of its incarnation
+    a.apply_update(m.MemberUpdate("c", 100, MAX_INCARNATION_LEAP + 9, int(State.DEAD), "b"), network.now)
     a.apply_update(m.MemberUpdate("nobody", 1, 0, int(State.ALIVE), "b"), network.now)
     assert a.members["c"].rank() == before
     a.raise_epoch(1 << 52, network.now)
     assert a.epoch == 100
     for counter in ("leaps of an incarnation", "rumours of nobody", "leaps of an epoch"):
         assert a.counts[counter] == 1
-    a.apply_update(
-        m.MemberUpdate("c", 100, before[1], int(State.DEAD), "b"), network.now
-    )  # within the format: it refutes
+    # a valid update, which c refutes
+    a.apply_update(m.MemberUpdate("c", 100, before[1], int(State.DEAD), "b"), network.now)
     network.run(30)
     assert network.state("a", "c") is State.ALIVE
 
@@ -308,7 +309,7 @@
     stopped_at = network.now
     while network.state("a", "c") is not State.DEAD:
         network.run(network.now + 0.5)
-        assert network.now < stopped_at + 12, "as long as a suspicion that nobody confirms"
+        assert network.now < stopped_at + 12, "an unconfirmed suspicion would take as long"
     assert network.now - stopped_at > network.settings.suspicion_timeout(3, 1)
 
 
@@ -335,7 +336,7 @@
     assert notifications == 1
 
 
-# Links.
+# Topology and outboxes.
 
 
 @pytest.mark.parametrize("count", [2, 3, 12, 13, 50, 200])
@@ -358,13 +359,15 @@
     assert outbox.put(b"h" * 30, Priority.COMPARISON) and outbox.put(b"H" * 30, Priority.COMPARISON)
     assert outbox.put(b"s" * 40, Priority.SNAPSHOT) and outbox.put(b"c" * 30, Priority.CHANGE)
     assert outbox.put(b"p" * 60, Priority.CRITICAL) and outbox.size <= 100
-    assert outbox.put(b"q" * 60, Priority.CRITICAL), "the newest of its kind holds more than the oldest"
+    assert outbox.put(
+        b"q" * 60, Priority.CRITICAL
+    ), "a newer message replaces the oldest one of the same priority"
     assert not outbox.put(b"c" * 80, Priority.CHANGE)
     assert outbox.pop() == b"q" * 60
     assert dict(outbox.dropped) == {"COMPARISON": 2, "SNAPSHOT": 1, "CHANGE": 2, "CRITICAL": 1}
 
 
-# Copies.
+# Replicated items.
 
 KEYED_VALUES = st.tuples(st.sampled_from(["", "!", "z:u", "c:1"]), st.integers(0, 3))
 CHANGES = st.one_of(
@@ -389,7 +392,7 @@
     rng.shuffle(arriving)
     for op in arriving:
         reader.apply(op, 2.0)
-    for writer in writers:  # what was lost is found by comparing, as changes or as a snapshot
+    for writer in writers:  # anti-entropy transfers lost changes, one by one or as a snapshot
         for _ in range(40):
             missing = writer.changes_after(reader.vector(), 3.0, 7)
             if missing is None:
@@ -402,7 +405,7 @@
                 for op in missing:
                     reader.apply(op, 3.0)
         else:
-            raise AssertionError("comparing never ended")
+            raise AssertionError("anti-entropy did not terminate")
     model = {}
     for _, (kind, key, value) in changes:
         model.setdefault((kind, key), []).append(value)
@@ -415,7 +418,7 @@
 @settings(max_examples=60, derandomize=True)
 @given(data=st.data())
 def test_merges_are_commutative_associative_and_idempotent(kind, data):
-    own_figure = st.tuples(st.integers(0, 3), st.integers(0, 3), st.just(1.0))  # a writer's own latest word
+    own_figure = st.tuples(st.integers(0, 3), st.integers(0, 3), st.just(1.0))  # the writer's latest figure
     values = {
         "purge": st.tuples(st.integers(0, 5)), "start": st.tuples(st.integers(0, 5)),
         "bus": st.tuples(st.integers(0, 5)),
@@ -434,13 +437,15 @@
 def test_a_peer_can_tighten_a_drain_and_never_loosen_it():
     store = ReplicatedStore("a", 1)
     store.write(0.0, "drain", "x", 5, 1)
-    assert store.apply(m.Operation("b", 1, 1, "drain", "x", [4, 0], 0.0), 1.0) is None, "an older list"
+    assert (
+        store.apply(m.Operation("b", 1, 1, "drain", "x", [4, 0], 0.0), 1.0) is None
+    ), "a drain from an older list"
     assert store.items["drain", "x"].value == (5, 1)
     assert store.apply(m.Operation("b", 1, 2, "drain", "x", [5, 2], 0.0), 1.0).value == (5, 2)
     assert store.apply(m.Operation("b", 1, 3, "purge", "nothing", [1], 0.0), 1.0) is None
     assert (
         store.apply(m.Operation("b", 1, 4, "evidence", "x|c", [1, 1, 1.0, 0.0], 0.0), 1.0) is None
-    ), "another's word"
+    ), "evidence under the name of another writer"
     assert store.counts["invalid changes"] == 2
     assert store.vector()["b/1"] == 4
 
@@ -472,7 +477,7 @@
     first_donor = requests[0].to
     (first_chunk,) = donors[first_donor].handle(0.2, "a", requests[0].body)
     assert receiver.handle(0.3, first_donor, first_chunk.body) == [] and not receiver.is_caught_up
-    (second_request,) = receiver.peer_disconnected(first_donor, 0.4)  # it dies in the middle
+    (second_request,) = receiver.peer_disconnected(first_donor, 0.4)  # the donor dies during the transfer
     assert second_request.to != first_donor and second_request.body.after == first_chunk.body.after != ""
     sends = donors[second_request.to].handle(0.5, "a", second_request.body)
     now = 0.5
@@ -487,7 +492,7 @@
 
 
 def donors_and_receiver(retained_operations=16, names="bc", **changed_settings):
-    """Some donors that have caught up, with 700 items, and one that lacks all of it."""
+    """Return donors that have caught up, with 700 items each, an empty receiver and its snapshot request."""
     fleet_settings = FleetSettings(
         retained_operations=retained_operations, **{"peer_rate": 10_000_000, **changed_settings}
     )
@@ -519,7 +524,7 @@
     (first_chunk,) = donors[request.to].handle(0.2, "a", request.body)
     receiver.handle(0.3, request.to, first_chunk.body)
     (second_request,) = receiver.peer_disconnected(request.to, 0.4)
-    # only the second one has this change, and its key lies in what the first one sent
+    # only the second donor has this change, and the first one already sent that key range
     donors[second_request.to].store.apply(m.Operation("w", 1, 701, "purge", "k:0000x", [9], 0.0), 0.4)
     sends = donors[second_request.to].handle(0.5, "a", second_request.body)
     while sends:
@@ -528,7 +533,7 @@
             send for send in donors[second_request.to].tick(0.6) if isinstance(send.body, m.SnapshotChunk)
         ]
     assert ("purge", "k:0000x") not in receiver.store.items
-    assert receiver.store.vector() == {"w/1": 700}, "so that the next comparison finds it missing"
+    assert receiver.store.vector() == {"w/1": 700}, "the next summary must show the change as missing"
 
 
 def test_a_snapshot_completes_after_the_loss_of_successive_donors():
@@ -618,7 +623,7 @@
     assert isinstance(refusal.body, m.SnapshotRefusal) and refusal.body.reason == "not caught up"
 
 
-# Whole fleets from one integer.
+# Model fleets from a seed.
 
 SMALL = ModelSettings(
     fleet=FleetSettings(retained_operations=16, min_suspicion=1.5, suspicion_spread=2.0), faults=5, rate=5.0
@@ -685,30 +690,32 @@
 
 
 SABOTAGE = {
-    "a drain is loosened by any later word": patch_merge("drain", lambda a, b: b),
-    "the loosest drain holds": patch_merge("drain", min),
-    "the oldest purge holds": patch_merge("purge", min),
-    "two groups of a keyed download are one": patch_merge("keyed", lambda a, b: b),
-    "words of an earlier run are not joined": lambda mp: mp.setattr(
+    "the latest drain replaces a stricter one": patch_merge("drain", lambda a, b: b),
+    "the least strict drain is kept": patch_merge("drain", min),
+    "the oldest purge is kept": patch_merge("purge", min),
+    "two deduplication groups of one key are not merged": patch_merge("keyed", lambda a, b: b),
+    "changes of an earlier epoch are not merged": lambda mp: mp.setattr(
         ReplicatedStore, "apply", apply_only_the_newest_epoch(ReplicatedStore.apply)
     ),
-    "a gap in the numbers is passed over": patch(ReplicatedStore, "log_operation", log_without_gap_check),
-    "what is missing is never sent": patch(
+    "a gap in the operation numbers is ignored": patch(
+        ReplicatedStore, "log_operation", log_without_gap_check
+    ),
+    "missing changes are never sent": patch(
         ReplicatedStore, "changes_after", lambda self, vector, now, most: []
     ),
-    "a snapshot is counted and not loaded": patch(
+    "a snapshot is counted but not loaded": patch(
         ReplicatedStore, "load_snapshot", lambda self, ops, now: []
     ),
-    "an older epoch is taken for the newer": lambda mp: mp.setattr(
+    "an older epoch is accepted as the newer one": lambda mp: mp.setattr(
         Membership, "receive", accept_any_epoch(Membership.receive)
     ),
-    "an update of one's own death is not refuted": patch(Membership, "refute", lambda self, update: None),
-    "an own epoch is never raised": patch(Membership, "raise_epoch", lambda self, epoch, now: None),
-    "one that caught up never says so": patch(AntiEntropy, "set_caught_up", lambda self, now: None),
+    "a front does not refute its own death": patch(Membership, "refute", lambda self, update: None),
+    "a front never raises its epoch": patch(Membership, "raise_epoch", lambda self, epoch, now: None),
+    "a front never marks itself as caught up": patch(AntiEntropy, "set_caught_up", lambda self, now: None),
 }
 
 
-FIRST_SEEDS = {"a gap in the numbers is passed over": 17}  # seeds before it do not reach such a gap
+FIRST_SEEDS = {"a gap in the operation numbers is ignored": 17}  # earlier seeds produce no such gap
 
 
 @pytest.mark.parametrize("name", sorted(SABOTAGE))
@@ -723,14 +730,14 @@
         tried_seeds.append(seed)
         if violations:
             return
-    raise AssertionError(f"{name}: not caught by seeds {tried_seeds}")
+    raise AssertionError(f"{name}: not detected with seeds {tried_seeds}")
 
 
-# Between a front and its fleet.
+# The adapter between a front and its fleet.
 
 
 class FrontWithPeer:
-    """A stage with a fleet beside it, into which peers' changes are handed."""
+    """A front in memory with a fleet adapter, to which a test applies changes of a peer."""
 
     def __init__(self, folder):
         (folder / "keys").write_text("0badcafe " + "5a" * 32)
@@ -768,11 +775,11 @@
 def test_a_peer_drain_applies_only_from_a_list_newer_than_the_own(tmp_path):
     front = FrontWithPeer(tmp_path)
     front.apply_peer_change("drain", "e1", 5, 1)
-    assert front.state_name("e1") == "READY", "its own bus has read as far"
+    assert front.state_name("e1") == "READY", "its own bus has delivered that list already"
     front.apply_peer_change("drain", "e1", 9, 1)
     assert front.state_name("e1") == "DRAINING"
     front.apply_peer_change("drain", "e2", UNREACHABLE_OFFSET, 2)
-    assert front.state_name("e2") == "READY", "no bus reaches that number"
+    assert front.state_name("e2") == "READY", "no event bus can have that offset"
 
 
 def test_a_purge_of_a_non_numeric_group_is_rejected(tmp_path):
@@ -795,7 +802,8 @@
     front.apply_peer_change("start", "e1", stamp)
     cache, started = front.cache("e1"), front.cache("e1").started
     cache.successes.add(front.harness.front.clock.now())
-    front.harness.unix = lambda: 1000.25 + front.harness.reactor.seconds()  # the clock is set
+    # the Unix clock is stepped by 0.25 s
+    front.harness.unix = lambda: 1000.25 + front.harness.reactor.seconds()
     front.adapter.cache_states.apply("e1")
     front.harness.deliver_event(listing(10, target("e1", port=1, boot=stamp)))
     assert cache.started == started and cache.successes.total(front.harness.front.clock.now()) == 1
@@ -803,21 +811,23 @@
 
 def test_a_peer_state_is_applied_only_if_stricter():
     assert stricter_state(None, 5) is None
-    assert stricter_state((6, 0), 5) is None, "up loosens nothing"
+    assert stricter_state((6, 0), 5) is None, "the state up does not cancel a drain"
     assert [stricter_state((n, 2), 5) for n in (4, 5, 6, UNREACHABLE_OFFSET)] == [None, None, "removed", None]
 
 
 def test_peer_purges_are_bounded_in_rate_and_effective_time():
     limiter = PeerPurgeLimiter()
     assert limiter.effective_from(90.0, 1.0, 100.0) == 90.0
-    assert limiter.effective_from(500.0, 1.0, 100.0) == 100.0, "a moment in the future is cut to now"
+    assert (
+        limiter.effective_from(500.0, 1.0, 100.0) == 100.0
+    ), "a time in the future is limited to the present"
     effective_times = [limiter.effective_from(90.0, 2.0, 100.0) for _ in range(MAX_PURGES_PER_SECOND + 50)]
     assert effective_times.count(None) == 50
     assert limiter.effective_from(90.0, 3.0, 100.0) == 90.0
     assert limiter.anomalies == 51
 
 
-# The platform.
+# A front without a fleet.
 
 
 def test_a_front_without_a_fleet_imports_no_fleet_module():
--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -1,4 +1,8 @@
-"""Fleets whose wall clocks are stepped: epochs, moments of others, slots of leases, and virtual fleets."""
+"""Fleets whose wall clocks are stepped: epochs, times reported by peers, lease slots and simulated fleets.
+
+The tests guard against components that time events by the wall clock: after a step, a front would use an
+epoch below an earlier one, misdate purges and cache starts, or end bans and leases at a wrong time.
+"""
 
 import math
 
@@ -31,7 +35,7 @@
 
 
 class MembershipNode:
-    """Membership, store and authenticator of one front, which follow each other as in service."""
+    """Membership and authenticator of one front, which share one epoch as they do in a running front."""
 
     def __init__(self, name, names, epoch, now):
         self.name, self.names = name, names
@@ -60,7 +64,7 @@
 
 
 class MembershipNetwork:
-    """Some fronts on a network without loss or delay."""
+    """Membership nodes on a network without loss or delay."""
 
     def __init__(self, *names, epoch=10_000_000):
         self.now = 0.0
@@ -79,7 +83,7 @@
 def test_a_front_restarted_with_a_clock_behind_all_its_runs_adopts_a_later_epoch(step):
     network = MembershipNetwork(*"abc")
     epoch = 10_000_000
-    for _ in range(5):  # more runs than others remember the numbers of
+    for _ in range(5):  # more runs than the others keep sequence numbers of
         network.run(network.now + 6.0)
         epoch += 6000
         network.fronts["c"].restart(epoch, network.now)
@@ -104,7 +108,7 @@
 
 
 class FleetFront:
-    """A front in memory with a fleet beside it, whose Unix clock is in the test's hands."""
+    """A front in memory with a fleet adapter, whose Unix clock a test can step."""
 
     def __init__(self, folder):
         (folder / "keys").write_text("0badcafe " + "5a" * 32)
@@ -124,7 +128,7 @@
         return self.harness.front.clock.now()
 
     def apply_peer_change(self, kind, key, *value, age=0.0, writer="n2"):
-        """A change of another front comes, `age` seconds after it was written."""
+        """Apply a change of another front, `age` seconds after it was written."""
         self.number += 1
         op = m.Operation(writer, 9, self.number, kind, key, list(value), age)
         if change := self.fleet.store.apply(op, self.now()):
@@ -135,7 +139,8 @@
 def test_all_components_of_a_front_adopt_a_raised_epoch(tmp_path):
     front = FleetFront(tmp_path)
     later_epoch = front.fleet.membership.epoch + 5000
-    front.apply_peer_change("need", "parents|n1", later_epoch, 3, 9.0, writer="n1")  # of an earlier run
+    # written by an earlier run of n1
+    front.apply_peer_change("need", "parents|n1", later_epoch, 3, 9.0, writer="n1")
     front.fleet.membership.raise_epoch(later_epoch, front.now())
     front.fleet.tick()
     assert front.fleet.authenticator.epoch == front.fleet.store.epoch == later_epoch + 1
@@ -144,14 +149,14 @@
     assert front.fleet.store.items["need", "parents|n1"].value[2] == 2.0
 
 
-# Moments that others speak of.
+# Times reported by peers.
 
 
 STEPS = [0.2, 7.0, HOUR, -0.2, -7.0, -HOUR]
 
 
 def record_purge_ages(front):
-    """Ages of the purges that come to the decisions from now on."""
+    """Return a list to which the age of each purge is appended that is posted from now on."""
     ages = []
     post = front.harness.dispatcher.post
     front.harness.dispatcher.post = lambda event, first=False: (
@@ -176,13 +181,13 @@
     stamp = int(front.harness.unix() * 1000)
     front.harness.deliver_event({"offset": 6, "ban": {"url": KEY, "ts": stamp}})
     front.adapter.purges.publish(Purge(KEY, 0, stamp / 1000))
-    front.fleet.store.items.clear()  # it has lasted its time
+    front.fleet.store.items.clear()  # the replicated purge has expired
     front.harness.advance(70.0)
     ages = record_purge_ages(front)
     front.apply_peer_change("purge", f"k:{KEY}", stamp)
     assert ages == [] and front.adapter.counts["peer purges replayed"] == 1
     front.apply_peer_change("purge", f"k:{KEY}", stamp + 5)
-    assert ages == [pytest.approx(0.0)], "another one of the same object"
+    assert ages == [pytest.approx(0.0)], "a new purge of the same object is applied"
 
 
 @pytest.mark.parametrize("step", STEPS)
@@ -196,7 +201,7 @@
     assert (reported.stamp, reported.interval.latest) == (stamp / 1000, pytest.approx(started))
     front.offset = -step
     front.harness.advance(2.0)
-    front.apply_peer_change("start", "e1", stamp)  # another peer has read of it now
+    front.apply_peer_change("start", "e1", stamp)  # another peer reports the same start
     front.harness.deliver_event(listing(10, target("e1", port=1, boot=stamp)))
     cache = front.harness.dispatcher.router.caches[registry.numbers["e1"]]
     assert cache.started == pytest.approx(started)
@@ -210,9 +215,8 @@
     front.apply_peer_change("keyed", "once", "c:1", int(front.harness.unix() * 1000))
     front.harness.advance(2.0)
     front.offset = step
-    front.apply_peer_change(
-        "keyed", "once", "c:1", int((front.harness.unix() + step) * 1000), writer="n3"
-    )  # a repeat
+    # a repeated attempt
+    front.apply_peer_change("keyed", "once", "c:1", int((front.harness.unix() + step) * 1000), writer="n3")
     front.harness.advance(0.5)
     item = front.fleet.store.items["keyed", "once"]
     execution = executions._possible_execution(item, front.now())
@@ -278,7 +282,7 @@
     assert cache.started == before
 
 
-# Whole fleets from one integer, with clocks that are stepped.
+# Fleets from a seed, with stepped clocks.
 
 STEPPED_CLOCKS = ModelSettings(clock_steps=4)
 
@@ -309,7 +313,7 @@
 
 
 def wall_clock(self, number):
-    """A front's wall clock, which stands still where it was stepped back."""
+    """Return a front's wall clock, which stops after a backward step until it reaches its former value."""
     highest = self.__dict__.setdefault("highest", {})
     highest[number] = max(highest.get(number, 0.0), self.unix(number))
     return highest[number]
@@ -325,12 +329,12 @@
     "one behind": {1: -HOUR},
     "one a little ahead": {1: 7.0},
     "all behind": {0: -HOUR, 1: -7.0, 2: -HOUR, 3: -0.2},
-    "opposite ways": {0: -HOUR, 1: HOUR, 2: -7.0, 3: -0.2},
+    "opposite directions": {0: -HOUR, 1: HOUR, 2: -7.0, 3: -0.2},
 }
 
 
 def run_with_blocked_bus(offsets):
-    """A fleet of which the second front learns of a purge and a restarted cache by its peers alone."""
+    """Run a fleet whose second front learns of a purge and a restarted cache only from its peers."""
     settings = FleetRunSettings(faults=0, fleet_faults=0, orders=0.1, rate=80.0, seconds=12.0, calm=0.0)
     run = FleetRun(1, settings)
 
@@ -338,7 +342,7 @@
         run.site.publish(ban={"tag": 1, "ts": run.site.unix_ms()})
 
     for at, call in (
-        (2.0, lambda: run.block_bus({2}, 12.0)),  # until after the load
+        (2.0, lambda: run.block_bus({2}, 12.0)),  # longer than the load
         (2.5, lambda: run.apply_clock_step(ClockStep(2.5, offsets))),
         (3.5, publish_purge),
         (4.0, lambda: run.site.publish_state("e1", "draining")),
@@ -355,7 +359,7 @@
 
 
 def apply_by_wall_clock(self, change):
-    """As `PurgeExchange.apply`, by the wall clock."""
+    """Apply a purge as `PurgeExchange.apply` does, with its age taken from the wall clock."""
     age = self.dispatcher.clock.unix() - change.value[0] / 1000
     self.dispatcher.post(ObjectsPurged(None, int(change.key.removeprefix("g:")), max(age, 0.0)))
 
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -1,4 +1,8 @@
-"""Fleets of whole fronts on a virtual clock, each failure by name; the auditor sees sockets and bus only."""
+"""Fleets of complete fronts on a virtual clock, with one kind of failure per test.
+
+The auditor checks the rules from the traffic of the sockets and the event bus alone. The tests guard against
+drains and purges that a front misses while its bus, its peers or its process are down.
+"""
 
 import pytest
 from loguru import logger
@@ -21,7 +25,7 @@
 
 
 def run(*scheduled, seed=1, **changed_settings):
-    """A run in which the pairs of `happens` (seconds, call of the run) happen, and nothing else."""
+    """Return a finished run in which only the `scheduled` pairs (seconds, call with the run) take place."""
     fleet_run = FleetRun(
         seed, FleetRunSettings(**NO_FAULTS | {"seconds": 12.0, "calm": 0.0} | changed_settings)
     )
@@ -83,9 +87,8 @@
     without = FleetRun(
         1, FleetRunSettings(**NO_FAULTS | {"seconds": 12.0, "rate": 60.0, "calm": 0.0, "has_fleet": False})
     )
-    without.auditor.on_front_unreachable = (
-        lambda *held: None
-    )  # what the bus told counts as told, as on the platform
+    # without a fleet, the auditor expects a front to know of each event when the bus published it
+    without.auditor.on_front_unreachable = lambda *arguments: None
     for at, call in scheduled:
         without.events.schedule(at, lambda call=call: call(without))
     assert {violation.rule for violation in without.play().violations} == {"drains kept", "purges kept"}
@@ -96,9 +99,8 @@
         fleet_run.site.targets["e1"] |= {"boot_ms": int(fleet_run.events.unix() * 1000)}
         fleet_run.site.publish_state("e1", "up")
 
-    def exempt_cut_off_fronts(
-        fleet_run,
-    ):  # neither by its bus nor by its peers, until its bus is dialled again
+    def exempt_cut_off_fronts(fleet_run):
+        # until their bus connections are open again, these fronts get no events from the bus or from peers
         for number in (3, 4):
             fleet_run.auditor.on_front_unreachable(f"n{number}", 2.0, 7.0, False)
 
@@ -110,7 +112,9 @@
     for number in fleet_run.site.fronts:
         dispatcher = fleet_run.site.fronts[number][1].dispatcher
         cache = dispatcher.router.caches[dispatcher.names.numbers["e1"]]
-        assert cache.state.name == "READY" and cache.started is not None, "the newer list holds for all"
+        assert (
+            cache.state.name == "READY" and cache.started is not None
+        ), "the newer list applies at every front"
 
 
 def test_half_of_the_fleet_paused_for_30_s_declares_no_member_dead():
@@ -126,9 +130,8 @@
 
 def test_a_resumed_front_reads_missed_events_before_it_sends():
     def delay_bus(fleet_run):
-        fleet_run.network.extra_delay[("10.0.2.1", "10.0.0.1")] = (
-            0.1  # its bus comes a moment after its clients do
-        )
+        # events of the bus arrive 0.1 s after the requests of clients
+        fleet_run.network.extra_delay[("10.0.2.1", "10.0.0.1")] = 0.1
 
     pause = (2.0, lambda m: m.freeze(1, 6.0))
     fleet_run = run((1.9, delay_bus), pause, (4.0, drain("e1")), (4.0, drain("e2")), rate=60.0)
@@ -136,11 +139,11 @@
     after = [
         line for line in fleet_run.log.lines if " n1 e1 Command" in line and float(line.split()[0]) > 8.0
     ]
-    assert not after, "nothing went to a cache that was drained while it stood still"
+    assert not after, "no command may go to a cache that was drained during the pause"
 
 
 def send_order(fleet_run, number, idempotency_key, is_repeat=True):
-    """One order at one front; its id."""
+    """Send one order to a front and return the id of the request."""
     fleet_run.workload.request_count += 1
     fields = fleet_run.workload.request_fields("order", 1) | {
         "id": f"{fleet_run.workload.request_count:016x}",
@@ -164,7 +167,9 @@
     assert violated_rules(fleet_run) == []
     assert fleet_adapter(fleet_run, 2).counts["requests possibly executed elsewhere"] == 1
     last = [answer.outcome for _, answer in fleet_run.auditor.requests["n3", request_ids[2]].answers]
-    assert last == ["abandoned"], "its window was over, and the first may have run"
+    assert last == [
+        "abandoned"
+    ], "the deduplication window was over, and the first attempt may have been executed"
     assert not fleet_run.auditor.requests["n3", request_ids[2]].attempts
 
 
@@ -180,7 +185,7 @@
     assert violated_rules(fleet_run) == []
     for number in (1, 2, 3):
         fleet = fleet_adapter(fleet_run, number).fleet
-        assert fleet.membership.members["n4"].state is State.ALIVE, "it answers probes"
+        assert fleet.membership.members["n4"].state is State.ALIVE, "a member that answers probes is alive"
         assert ("purge", "g:1") in fleet.store.items
         assert all(
             connection.outbox.size <= fleet.settings.outbox_capacity
--- a/tests/test_fleet_operation.py
+++ b/tests/test_fleet_operation.py
@@ -1,4 +1,4 @@
-"""What operators and plans meet at a fleet: limits of clients, the admin port, reloads, wrong plans."""
+"""Limits on the request rate of clients that the fronts of a fleet share."""
 
 from types import SimpleNamespace
 
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -1,4 +1,4 @@
-"""Plans of what happens to a fleet: checked as a whole, played the same by real and virtual ones."""
+"""Plans of faults and events for a fleet: their validation, their schedule and a repeatable simulated run."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 class RecordingBackend:
-    """A backend that records what it is asked for, in the order of time."""
+    """A backend that records the calls of the player in chronological order."""
 
     def __init__(self):
         self.calls, self.scheduled, self.now = [], [], 0.0
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -1,4 +1,8 @@
-"""Several fronts as processes of one fleet, with faults between them. Waits have a bound."""
+"""Fleets of front processes with faults in the network between them; each wait has a time limit.
+
+The tests guard against fronts that do not converge after processes were killed, paused or restarted, after
+the network was split and after keys or clocks were changed.
+"""
 
 import json
 import time
@@ -52,9 +56,9 @@
         lambda: "n3:dead" in fleet.member_states("n1") and "n3:dead" in fleet.member_states("n2")
     )
     fleet.wait_until(lambda: fleet.status("n3")["sight"] == "ALONE")
-    assert "dead" not in fleet.member_states("n3"), "a front that hears nobody judges nobody"
+    assert "dead" not in fleet.member_states("n3"), "an isolated front must not declare members dead"
     fleet.send_command("no-bus", "n1 n2")
-    publish_purge(fleet, "00000000000000aa")  # told to the smaller side only
+    publish_purge(fleet, "00000000000000aa")  # published on the smaller side only
     fleet.wait_until(lambda: "k:00000000000000aa" in fleet.state_entries("n3", "purge"))
     assert not fleet.state_entries("n2", "purge")
     fleet.send_command("heal")
@@ -64,7 +68,7 @@
 
 
 def test_a_front_that_receives_nothing_declares_no_member_dead(fleet):
-    fleet.send_command("one-way", "n1 n2 | n3")  # n3 hears nothing, and is heard
+    fleet.send_command("one-way", "n1 n2 | n3")  # n3 receives nothing, but the others receive its messages
     fleet.wait_until(lambda: fleet.status("n3")["sight"] == "ALONE")
     time.sleep(2.0)
     assert "dead" not in fleet.member_states("n3")
@@ -148,7 +152,7 @@
 
 
 def test_a_start_command_sent_before_an_exit_is_noticed_is_executed(fleet):
-    """Both in one write to the laboratory: it reads the start before it can hear of the end."""
+    """Both commands are sent in one write, so the lab reads the start before it notices the exit."""
     commands = [{"do": "kill", "who": "n1"}, {"do": "start", "who": "n1"}]
     epoch_before = fleet.status("n1")["epoch"]
     fleet.lab.stdin.write("".join(json.dumps(command) + "\n" for command in commands))
--- a/tests/test_fleet_reload.py
+++ b/tests/test_fleet_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP in a fleet: rates of request classes that an installation file has anew, changes or drops."""
+"""Reload of a fleet's settings (SIGHUP): rates of request classes that are added, changed or removed."""
 
 from dataclasses import replace
 
@@ -11,7 +11,7 @@
 RUN_SETTINGS = FleetRunSettings(
     faults=0, fleet_faults=0, rate=60.0, seconds=24.0, calm=0.0, orders=0.0, edits=0.0, fronts=3
 )
-CLASS_RATE = 12.0  # requests a second of all fronts, where some 60 come
+CLASS_RATE = 12.0  # requests per second of all fronts; clients send about 60
 
 
 @pytest.fixture(autouse=True)
@@ -20,7 +20,7 @@
 
 
 def run_with_reloads(*changes):
-    """A run in which all fronts read files with these limits anew, at these seconds."""
+    """Run a fleet whose fronts reload these limits at these seconds; return the times of first attempts."""
     run = FleetRun(5, RUN_SETTINGS)
 
     def reload(limits):
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -1,4 +1,8 @@
-"""What fronts know together: possible executions, health reports on caches, popularity of objects."""
+"""Knowledge that fronts share: possible executions of requests, health reports on caches, popularity.
+
+The tests guard against a second execution of a deduplicated request, and against peers whose reports would
+have too large an effect.
+"""
 
 import math
 
@@ -71,16 +75,16 @@
 
 
 def test_a_first_attempt_is_dated_by_the_earlier_plausible_time():
-    value = ("c:1", 99_000)  # at 99 s of the writer's Unix clock
+    value = ("c:1", 99_000)  # the first attempt, at 99 s of the writer's Unix clock
     assert idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=101.0) == PossibleExecution(
         "", 1, 10.0
-    ), "told again since"
+    ), "the item was written again after the first attempt"
     assert (
         idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=95.0).sent == 11.0
-    ), "a clock ahead makes no window longer"
+    ), "a clock that is ahead does not make the window longer"
     assert (
         idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=500.0).sent == 11.0
-    ), "one minutes behind is not heeded"
+    ), "a clock that is minutes behind is ignored"
     assert idempotency.possible_execution(("!", 99_000), 11.0, 12.0, 101.0).zone == "!"
     assert idempotency.possible_execution(("z:upper", 99_000), 11.0, 12.0, 101.0).zone == "upper"
     assert idempotency.deduplication_group(DeduplicationScope.ALL, "z", 4) == ""
@@ -93,11 +97,11 @@
     )
     assert not unknown.may_exist(True, {}, [alive], 10.0)
     assert unknown.may_exist(False, {}, [alive], 10.0), "not caught up"
-    assert unknown.may_exist(True, {"b": 9.0}, [alive], 10.0), "its link was lost a second ago"
+    assert unknown.may_exist(True, {"b": 9.0}, [alive], 10.0), "its connection was lost a second ago"
     assert not unknown.may_exist(True, {"b": 6.0}, [alive], 10.0)
     dead = Member("b", epoch=5, state=State.DEAD, since=8.0, received_at=4.0)
     assert unknown.may_exist(True, {}, [dead], 10.0) and not unknown.may_exist(True, {}, [dead], 12.0)
-    assert not unknown.may_exist(True, {}, [Member("c")], 10.0), "one never heard of"
+    assert not unknown.may_exist(True, {}, [Member("c")], 10.0), "a member that never sent a message"
 
 
 # Health reports on caches.
@@ -150,11 +154,11 @@
         ("e1", (9.0, 2.0)),
         ("*", (14.0, 2.0)),
     ]
-    assert reporter.due_reports(2.0, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)}) == [], "no news"
+    assert reporter.due_reports(2.0, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)}) == [], "nothing has changed"
     assert reporter.due_reports(4.5, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)})[0] == (
         "e1",
         (9.0, 2.0),
-    ), "said again"
+    ), "the report is repeated"
     assert ("e1", (9.0, 0.0)) in reporter.due_reports(5.0, {"e1": (9.0, 0.0)})
     assert reporter.due_reports(9.0, {"e1": (9.0, 0.0)}) == []
 
@@ -205,7 +209,7 @@
         slots.add(object_hash)
     assert slots.omitted == 10
     _, text = slots.tick(5.0)
-    assert len(text) <= 2048, "the codec's bound on one text"
+    assert len(text) <= 2048, "the limit of the message format on one text"
     counts = PopularityCounts()
     for invalid_text in (
         "not base85 \x01",
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,4 +1,8 @@
-"""Limits shared by leases: never exceeded, whatever networks, clocks and processes do, and seldom idle."""
+"""Limits that the fronts of a fleet share by leases or by demand.
+
+A leased limit must never be exceeded under faults of networks, processes and clocks (within the stated
+drift), and little of it may stay unused.
+"""
 
 from dataclasses import replace
 from fractions import Fraction
@@ -45,7 +49,7 @@
     return LeaseLedger(own, LEASE_TIMES, 1, **options)
 
 
-# One ledger.
+# The ledger of one front.
 
 
 @settings(max_examples=60, derandomize=True)
@@ -70,7 +74,7 @@
     assert borrower.accept_grant(10.9, "a", grant) and borrower.available(10.9) == 30
     assert (
         borrower.available(11.95) == 30 and borrower.available(11.97) == 0
-    ), "it counts from its asking, and shorter"
+    ), "the borrower's term starts at its request and is shortened by the drift"
     assert lender.retained(13.4) == 70 and lender.retained(13.43) == 100
 
 
@@ -86,10 +90,8 @@
     assert lender.grant(0.5, LeaseRequestId("b", 1, 1), 30, 0) == replace(first, spare=0)
     assert lender.retained(0.5) == 70
     lender.grant(1.0, LeaseRequestId("b", 1, 2), 40, 0)
-    assert lender.retained(1.0) == 60, "a later request takes the place of the one before"
-    assert (
-        lender.grant(1.1, LeaseRequestId("b", 1, 1), 30, 0).parts == 0
-    ), "and one that comes late is refused"
+    assert lender.retained(1.0) == 60, "a later request replaces the one before"
+    assert lender.grant(1.1, LeaseRequestId("b", 1, 1), 30, 0).parts == 0, "an outdated request is refused"
 
 
 def test_a_reduced_lease_keeps_its_former_size_until_its_former_end():
@@ -99,7 +101,7 @@
     assert lender.retained(3.01) == 60 and lender.retained(3.03) == 90 and lender.retained(4.03) == 100
     lender.grant(4.1, LeaseRequestId("b", 1, 3), 20, 0)
     lender.grant(4.2, LeaseRequestId("b", 1, 4), 20, 0)
-    assert lender.retained(4.2) == 80, "what it has already is no more than that"
+    assert lender.retained(4.2) == 80, "a renewal of the same size takes no further parts"
 
 
 @pytest.mark.parametrize("received_at", [1.97, 30.0])
@@ -141,10 +143,10 @@
     assert borrower.release(0.2, "a") == 0
     lender.grant(2.0, LeaseRequestId("b", 1, 2), 30, 0)
     lender.accept_release(2.1, LeaseRequestId("b", 1, 2), unspent=True)
-    assert lender.retained(2.1) == 100, "of which nothing was spent"
+    assert lender.retained(2.1) == 100, "an unspent lease returns at once"
 
 
-# All orders of events.
+# Exhaustive search over the orders of events.
 
 
 def test_no_order_of_messages_crashes_ticks_and_expiries_exceeds_the_limit():
@@ -256,10 +258,12 @@
     sabotaged = LeaseModel(scope, ledger_class).explore()
     assert sabotaged.trace and sabotaged.trace[-1].endswith("spends"), sabotaged
     unmodified = LeaseModel(scope).explore()
-    assert not unmodified.trace and unmodified.is_complete, "and the book as it is holds in the same scope"
+    assert (
+        not unmodified.trace and unmodified.is_complete
+    ), "the unmodified ledger keeps the limit in the same scope"
 
 
-# What is requested, reserved and granted.
+# The policy: requested, reserved and granted parts.
 
 
 FIRST_SLOT = TimeSlot(1, 0.0)
@@ -280,8 +284,10 @@
 def test_idle_parts_are_granted_and_parts_for_own_demand_are_not():
     idle, busy = policy_with_demand(0), policy_with_demand(9)
     assert grantable(idle, "b", 60, 100, 0.0, 1) == 60
-    assert grantable(busy, "b", 60, 100, 0.0, 1) == 40, "nine attempts, and three less by chance"
-    assert grantable(busy, "b", 60, 100, 95.0, 1) == 5, "what it has spent is spent"
+    assert (
+        grantable(busy, "b", 60, 100, 0.0, 1) == 40
+    ), "nine attempts less their random variation of three are reserved"
+    assert grantable(busy, "b", 60, 100, 95.0, 1) == 5, "parts that were used are not granted"
 
 
 def test_false_requests_get_only_idle_parts_and_for_no_longer_than_a_term():
@@ -290,9 +296,11 @@
         0.0, LeaseRequestId("liar", 1, 1), grantable(owner, "liar", PARTS_PER_LIMIT, 100, 0.0, 1), 0.0
     ).parts
     assert granted <= 40 and ledger.retained(0.0) >= 60
-    for step in range(20):  # now it needs all of it itself
+    for step in range(20):  # now the owner needs all of its parts
         owner.observe(0.1 + step / 10, Usage(0.0, 130.0, 10.0))
-    assert grantable(owner, "liar", PARTS_PER_LIMIT, 100, 0.0, 1, leased=granted) == 0, "nothing is renewed"
+    assert (
+        grantable(owner, "liar", PARTS_PER_LIMIT, 100, 0.0, 1, leased=granted) == 0
+    ), "the lease is not renewed"
     assert ledger.retained(LEASE_TIMES.recovery) == 100
 
 
@@ -306,7 +314,7 @@
             grantable(policy_a, "b", 50, 100, 0.0, slot),
             grantable(policy_b, "a", 50, 100, 0.0, slot),
         )
-        assert sorted((a_lends, b_lends)) == [0, 50], "one of both, never both and never none"
+        assert sorted((a_lends, b_lends)) == [0, 50], "exactly one of the two lends"
         assert (a_lends > 0) == (rank("limit", slot, "b") > rank("limit", slot, "a"))
 
 
@@ -322,7 +330,7 @@
     assert sorted(plan.lender for plan in policy.plan(1.4, ledger, ["b", "c"], FIRST_SLOT)) == [
         "b",
         "c",
-    ], "renewed"
+    ], "both leases are renewed"
     policy.demand_until = 1.4
     policy.observe(1.5, Usage(0.0, 50.0, 10.0))
     assert {type(plan) for plan in policy.plan(1.5, ledger, ["b", "c"], FIRST_SLOT)} == {PlannedRelease}
@@ -340,7 +348,7 @@
     ]
 
 
-# Many fronts, their network and clocks.
+# Many fronts with their network and clocks.
 
 
 def test_fleets_with_faults_never_exceed_the_limit_and_nearly_reach_it():
@@ -386,14 +394,14 @@
         for seed in range(1, 6)
     ]
     assert max(within) <= 60
-    assert 60 < max(beyond) <= 120, "over, by no more than what is lent at most"
+    assert 60 < max(beyond) <= 120, "the excess is at most the parts that can be leased"
 
 
 def test_two_hundred_fronts_share_a_limit_of_one_attempt():
     run = QuotaExperiment(
         1, QuotaSettings(fronts=200, most=1.0, rate=100.0, demand="even", seconds=8.0)
     ).play()
-    assert run.worst() == 1 and len(run.admitted) >= 2, "one front at a time gathers all of it"
+    assert run.worst() == 1 and len(run.admitted) >= 2, "one front at a time gathers all parts of an attempt"
 
 
 def test_fronts_started_at_once_admit_nothing_until_the_oldest_lease_would_have_ended():
@@ -446,12 +454,12 @@
         for front in demands
     ]
     assert fractions == [0.9, 0.08, 0.02]
-    assert demand_fraction("a", 0.0, {}, ["b"]) == 0.5, "nothing said yet: an equal share"
+    assert demand_fraction("a", 0.0, {}, ["b"]) == 0.5, "without figures, each front has an equal share"
     assert demand_fraction("a", 0.0, {"b": PeerFigure(0.1, 50.0)}, ["b"]) == FLOOR / 2
+    assert demand_fraction("a", 9.0, {"b": PeerFigure(99.0, 1.0)}, ["b"]) == 0.5, "an old figure is ignored"
     assert (
-        demand_fraction("a", 9.0, {"b": PeerFigure(99.0, 1.0)}, ["b"]) == 0.5
-    ), "an old word counts for nothing"
-    assert demand_fraction("a", 9.0, {"b": PeerFigure(0.1, 9.0)}, []) == 1.0, "alone in its view"
+        demand_fraction("a", 9.0, {"b": PeerFigure(0.1, 9.0)}, []) == 1.0
+    ), "the only front in its view has the whole limit"
 
 
 def test_the_demand_estimate_is_a_running_mean():
--- a/tests/test_relay_network.py
+++ b/tests/test_relay_network.py
@@ -1,11 +1,12 @@
-"""Relays between the fronts of a real fleet: what ends on one side ends on the other."""
+"""Relays between the fronts of a fleet of processes: a connection lost on one side is closed on the other."""
 
 import subprocess
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# Connects to a relay, resets that before the far side is up, and waits for the far side to be closed.
+# Connects to a relay, resets that connection before the far one is established, and waits until the far one
+# is closed.
 SCRIPT = """
 import socket, struct
 from twisted.internet import reactor
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -1,4 +1,8 @@
-"""Ejections by a fleet: who brings one about, how it ends, and how a cache recovers."""
+"""Ejections of caches and bans of clients by a fleet: the evidence they need, their end and the recovery.
+
+The tests guard against ejections by a single front or by fronts with faulty networks, and against the
+ejection of so many caches that the rest would be overloaded.
+"""
 
 import pytest
 from loguru import logger
@@ -40,11 +44,11 @@
 def test_an_ejection_needs_a_majority_of_the_fronts_with_evidence():
     assert not assess(
         a=FAILING, b=HEALTHY, c=FAILING, d=HEALTHY
-    ).is_outlier, "two halves that contradict eject nothing"
+    ).is_outlier, "half of the reporters are not a majority"
     assert assess(a=FAILING, b=FAILING, c=HEALTHY).reporters == ("a", "b")
     assert not assess(
         a=FAILING, b=(0.5, 1.0), c=HEALTHY, d=HEALTHY
-    ).is_outlier, "who tried once does not know"
+    ).is_outlier, "a reporter with too few attempts does not count"
 
 
 def test_reports_of_a_front_with_a_faulty_network_do_not_count():
@@ -89,7 +93,7 @@
     tick_all(3.0, e1=reports(**{prober: (1.0, 8.0)}))
     assert (
         tick_all(3.5, e1=reports(**{prober: (1.0, 8.0)})) == half_open
-    ), "what it holds from before is no outcome"
+    ), "failures from before the probe are not its result"
     ramp = tick_all(4.0, e1=reports(**{prober: (4.0, 7.0)}))
     assert set(ramp.values()) == {outlier_detection.RAMP_START}
     assert {round(part, 2) for part in tick_all(6.0).values()} == {0.55}
@@ -126,7 +130,7 @@
 def test_no_more_than_a_third_of_the_caches_of_a_kind_are_ejected():
     detector = OutlierDetector("a")
     fractions = tick(detector, 0.0, **{uid: reports(a=FAILING, b=FAILING) for uid in KINDS})
-    assert len(fractions) == 2, "all failing at once is the site's trouble, not six caches'"
+    assert len(fractions) == 2, "if all caches fail at once, the cause is not in single caches"
     assert [(change.cache, change.before, change.after) for change in detector.pop_changes()] == [
         (u, EjectionState.ADMITTED, EjectionState.EJECTED) for u in ("e1", "e2")
     ]
@@ -136,13 +140,13 @@
     assert banned_clients({"10.0.0.9": [ClientBan("a", 5.0)]}, 600.0, 6.0) == {}
     assert (
         banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("a", 9.0)]}, 600.0, 10.0) == {}
-    ), "one front, twice"
+    ), "two reports of one front"
     assert banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("b", 9.0)]}, 600.0, 10.0) == {
         "10.0.0.9": 609.0
     }
     assert (
         banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("b", 95.0)]}, 600.0, 100.0) == {}
-    ), "too far apart"
+    ), "reports too far apart in time"
     assert banned_clients({"10.0.0.9": [ClientBan("a", 5.0), ClientBan("b", 9.0)]}, 600.0, 610.0) == {}
 
 
@@ -155,7 +159,7 @@
     assert starts(a=5.0, b=17.0, c=16.0) == {"e1": 17.0}
 
 
-# In whole fronts.
+# Simulated fleets.
 
 
 @pytest.fixture(autouse=True)
@@ -164,7 +168,7 @@
 
 
 class FailingCaches:
-    """Makes some caches fail all they are asked, from some hosts or all, for a time."""
+    """A fault that makes the caches in `uids` fail all commands."""
 
     def __init__(self, run):
         self.run, self.uids = run, set()
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -1,4 +1,7 @@
-"""The deterministic simulation: exact repeats, a front that keeps the rules, sabotage that is caught."""
+"""The deterministic simulation: repeatable runs, and an auditor that detects sabotaged fronts.
+
+An unmodified front must break no rule, and each sabotage must break the rule that guards against it.
+"""
 
 import os
 import subprocess
@@ -18,7 +21,7 @@
 from weldbend.testbed.simulation.settings import RunSettings
 from weldbend.thrift.messages import Process
 
-SEEDS = range(1, 9)  # within so many every sabotage is caught
+SEEDS = range(1, 9)  # each sabotage is detected with one of these seeds
 SETTINGS = RunSettings(seconds=6.0, faults=8, orders=0.1, edits=0.15)
 
 
@@ -195,4 +198,4 @@
         if found:
             assert found[0].proof and rule in str(found[0])
             return
-    raise AssertionError(f"{sabotage.__name__} was not caught within {len(SEEDS)} seeds")
+    raise AssertionError(f"{sabotage.__name__} was not detected within {len(SEEDS)} seeds")
