--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -124,15 +124,15 @@
 
 def test_triggers_by_byte_field_connection_time_and_count():
     data = b"".join(ANSWERS)
-    cut = play(injector(framing="raw", x={"kind": "cut", "byte": "100"}), [data[:60], data[60:]])
-    assert joined(cut) == data[:100] and cut[-1].what is What.RESET
+    cut_stream = play(injector(framing="raw", x={"kind": "cut", "byte": "100"}), [data[:60], data[60:]])
+    assert joined(cut_stream) == data[:100] and cut_stream[-1].what is What.RESET
     fault_injector = injector(x={"kind": "drop", "field": "seqid=3"})
     assert joined(play(fault_injector, ANSWERS)) == b"".join(ANSWERS[:2] + ANSWERS[3:])
     assert [(s.message, s.offset) for s in fault_injector.injections] == [(3, len(ANSWERS[0]) * 2)]
     fault_injector = injector(x={"kind": "drop", "connection": "2", "times": "1"})
     assert not [d for d in fault_injector.stream(1, Direction.BACK, 0.0).feed(0.0, ANSWERS[0]) if not d.data]
-    other = fault_injector.stream(2, Direction.BACK, 0.0)
-    assert not other.feed(0.0, ANSWERS[0]) and other.feed(0.0, ANSWERS[1])
+    second_stream = fault_injector.stream(2, Direction.BACK, 0.0)
+    assert not second_stream.feed(0.0, ANSWERS[0]) and second_stream.feed(0.0, ANSWERS[1])
     delayed = injector(x={"kind": "drop", "after": "1 s"}).stream(1, Direction.BACK, 0.0)
     assert delayed.feed(0.9, ANSWERS[0]) and not delayed.feed(1.1, ANSWERS[1])
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -590,8 +590,8 @@
         name: AntiEntropy(ReplicatedStore(name, 1), FleetSettings(), 1, lambda _: None, 0.0) for name in "ab"
     }
     exchanges["b"].set_caught_up(0.0)
-    for one, other in ("ab", "ba"):
-        exchanges[one].peer_connected(other, 0.0)
+    for sender, receiver in ("ab", "ba"):
+        exchanges[sender].peer_connected(receiver, 0.0)
     exchanges["b"].handle(0.1, "a", exchanges["a"].next_summary("b", 0.1).body)
     stale_summary = exchanges["b"].next_summary("a", 0.1).body
     exchanges["a"].handle(0.2, "b", stale_summary)
--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -352,9 +352,9 @@
     return run.play()
 
 
-@pytest.mark.parametrize("scope", sorted(CLOCK_STEPS))
-def test_a_front_with_a_stepped_clock_applies_peer_changes(scope):
-    result = run_with_blocked_bus(CLOCK_STEPS[scope])
+@pytest.mark.parametrize("step_name", sorted(CLOCK_STEPS))
+def test_a_front_with_a_stepped_clock_applies_peer_changes(step_name):
+    result = run_with_blocked_bus(CLOCK_STEPS[step_name])
     assert result.violations == [] and result.errors == [] and result.divergences == []
 
 
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -26,8 +26,8 @@
 ZONES = {"a": "u", "b": "u", "c": "l", "d": "l"}
 
 
-def reports(whole=(50.0, 0.0), **records):
-    return [HealthReport(name, True, 0.5, record, tuple(map(sum, zip(whole, record, strict=True))))
+def reports(other_caches=(50.0, 0.0), **records):
+    return [HealthReport(name, True, 0.5, record, tuple(map(sum, zip(other_caches, record, strict=True))))
             for name, record in records.items()]  # fmt: skip
 
 
@@ -52,7 +52,7 @@
 
 
 def test_reports_of_a_front_with_a_faulty_network_do_not_count():
-    mixed_reports = [*reports(whole=(2.0, 40.0), a=FAILING, b=FAILING), *reports(c=HEALTHY)]
+    mixed_reports = [*reports(other_caches=(2.0, 40.0), a=FAILING, b=FAILING), *reports(c=HEALTHY)]
     assert not assess_outlier(mixed_reports, ZONES, "u").is_outlier
 
 
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -194,8 +194,10 @@
 def test_the_auditor_detects_each_sabotage(monkeypatch, sabotage, rule):
     sabotage(monkeypatch)
     for seed in SEEDS:
-        found = [violation for violation in Run(seed, SETTINGS).play().violations if violation.rule == rule]
-        if found:
-            assert found[0].proof and rule in str(found[0])
+        violations = [
+            violation for violation in Run(seed, SETTINGS).play().violations if violation.rule == rule
+        ]
+        if violations:
+            assert violations[0].proof and rule in str(violations[0])
             return
     raise AssertionError(f"{sabotage.__name__} was not detected within {len(SEEDS)} seeds")
