--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -153,7 +153,7 @@
     return fields["id"]
 
 
-def test_an_order_repeated_at_another_front_10_ms_after_its_front_was_killed_runs_once():
+def test_an_order_repeated_at_another_front_10_ms_after_its_front_was_killed_runs_at_most_once():
     idempotency_key, request_ids = "ab" * 16, []
 
     def send_first(fleet_run):
--- a/tests/test_verdicts.py
+++ b/tests/test_verdicts.py
@@ -227,8 +227,8 @@
     assert attempts_with <= attempts_without, (attempts_with, attempts_without)
     counts_by_front = [
         front_counts
-        for fleet_run in with_.site.fronts.values()
-        for front_counts in [fleet_run[1].fleet_adapter.quota_service.counts]
+        for entry in with_.site.fronts.values()
+        for front_counts in [entry[1].fleet_adapter.quota_service.counts]
     ]
     assert all(counts["ejection state: ejected"] >= 1 for counts in counts_by_front)
     assert all(counts["ejection state: recovering"] >= 1 for counts in counts_by_front)
