--- a/tests/test_fleet_operation.py
+++ b/tests/test_fleet_operation.py
@@ -1,11 +1,11 @@
-"""What operators and plans meet at a fleet: limits of clients, the admin port, reloads, wrong plans."""
+"""Limits on the request rate of clients that the fronts of a fleet share."""
 
 from types import SimpleNamespace
 
 from weldbend.fleet.client_limits import MAX_PUBLISHED_CLIENTS, ClientRateLimit
 
 
-def test_of_clients_with_equal_rates_the_same_are_published_in_every_process():
+def test_clients_with_equal_rates_are_published_in_a_fixed_order():
     published = []
     context = SimpleNamespace(
         limits=SimpleNamespace(client_rate=1.0),
--- a/tests/test_patient_reactor.py
+++ b/tests/test_patient_reactor.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from weldbend.front.patient_reactor import RETRY_AFTER, RetryingEPollReactor
+from weldbend.front.retrying_reactor import RETRY_AFTER, RetryingEPollReactor
 
 
 class Selectable:
--- a/tests/test_relay_network.py
+++ b/tests/test_relay_network.py
@@ -1,11 +1,12 @@
-"""Relays between the fronts of a real fleet: what ends on one side ends on the other."""
+"""Relays between the fronts of a fleet of processes: a connection lost on one side is closed on the other."""
 
 import subprocess
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# Connects to a relay, resets that before the far side is up, and waits for the far side to be closed.
+# Connects to a relay, resets that connection before the far one is established, and waits until the far one
+# is closed.
 SCRIPT = """
 import socket, struct
 from twisted.internet import reactor
@@ -30,8 +31,8 @@
 """
 
 
-def test_the_far_side_is_closed_where_the_near_one_is_lost_before_it_is_up():
-    done = subprocess.run(
+def test_the_far_connection_closes_if_the_near_one_is_reset_before_it_is_established():
+    completed = subprocess.run(
         [sys.executable, "-c", SCRIPT], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert done.stdout == "far side closed\n", done.stderr
+    assert completed.stdout == "far side closed\n", completed.stderr
--- a/tests/test_time_left.py
+++ b/tests/test_time_left.py
@@ -7,7 +7,7 @@
 
 from weldbend.clients.arrival_times import MAX_MARKS, ArrivalTimes
 from weldbend.clients.connection import READ_SIZE
-from weldbend.front.standstill import ProcessPauseDetector
+from weldbend.front.process_pause import ProcessPauseDetector
 from weldbend.thrift import messages
 
 SLACK = 0.15  # seconds by which the budget may exceed the client's remaining time
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -20,6 +20,7 @@
 from weldbend.fleet.cache_states import CacheStates
 from weldbend.fleet.execution_exchange import ExecutionExchange
 from weldbend.fleet.health_exchange import HealthExchange
+from weldbend.fleet.pause_hold import PauseHold
 from weldbend.fleet.popularity_exchange import PopularityExchange
 from weldbend.fleet.purges import PurgeExchange
 from weldbend.fleet.quota_service import QuotaService
@@ -27,7 +28,6 @@
 from weldbend.fleet.runtime import Runtime
 from weldbend.fleet.service import Fleet, FleetConfigurationError
 from weldbend.fleet.settings import FleetSettings
-from weldbend.fleet.standstill_hold import StandstillHold
 from weldbend.routing.events import PossibleExecution
 from weldbend.routing.random_source import RandomSource
 
@@ -73,7 +73,7 @@
         self.executions = ExecutionExchange(dispatcher, self.fleet, self.counts)
         self.popularity = PopularityExchange(dispatcher, self.fleet)
         self.health = HealthExchange(dispatcher, self.fleet)
-        self.hold = StandstillHold(self.fleet)
+        self.hold = PauseHold(self.fleet)
         self.admin_server = AdminServer(self.fleet, self.quota_service.admin_handlers())
 
     # Start, stop, reload.
--- a/weldbend/fleet/standstill_hold.py
+++ b/weldbend/fleet/pause_hold.py
@@ -9,7 +9,7 @@
 SETTLE_TIME = 0.02  # seconds to wait for messages that directly follow the first one from either source
 
 
-class StandstillHold:
+class PauseHold:
     """A delay of all decisions after a pause of this process, however long the pause was.
 
     It prevents requests to caches that were drained during the pause, and answers with objects that were
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -7,7 +7,7 @@
 from weldbend.clients.request import ClientRequest
 from weldbend.front.context import FrontContext
 from weldbend.front.dispatcher import Dispatcher
-from weldbend.front.standstill import HEARTBEAT_INTERVAL, ProcessPauseDetector
+from weldbend.front.process_pause import HEARTBEAT_INTERVAL, ProcessPauseDetector
 
 MAINTENANCE_INTERVAL = HEARTBEAT_INTERVAL  # seconds between two maintenance rounds of client connections
 CATCH_UP_POLLS = 4  # polls of the sockets until all bytes received during a process pause are read
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -282,7 +282,7 @@
     # Imported here because these modules install a reactor, which only a serving process needs.
     from twisted.internet.main import installReactor
 
-    from weldbend.front.patient_reactor import RetryingEPollReactor
+    from weldbend.front.retrying_reactor import RetryingEPollReactor
 
     installReactor(RetryingEPollReactor())  # type: ignore[no-untyped-call]  # Twisted's
     from twisted.internet import reactor
