--- a/tests/test_bus_connects.py
+++ b/tests/test_bus_connects.py
@@ -7,18 +7,18 @@
 from weldbend.event_bus.reader import MAX_RETRY_DELAY, SILENCE_TIMEOUT, BusReader
 
 
-class LostConnects:
+class UnansweredAgent:
     """An agent whose requests never end, as where epoll_ctl failed when the connection came up."""
 
     def __init__(self):
-        self.count = 0
+        self.request_count = 0
 
     def request(self, method, url, headers):
-        self.count += 1
-        return Deferred(canceller=self.refuse)
+        self.request_count += 1
+        return Deferred(canceller=self.raise_not_connecting)
 
     @staticmethod
-    def refuse(deferred):
+    def raise_not_connecting(deferred):
         raise NotConnectingError("injected")
 
 
@@ -32,16 +32,16 @@
         return timer
 
 
-def test_a_connect_that_is_lost_track_of_is_given_up_for_silence_and_made_again():
+def test_a_bus_connect_that_reports_no_result_is_retried_after_the_silence_timeout():
     """Found by seed 39 of the trials: no retry ever followed, and SIGTERM did not end the front."""
     reactor = MemoryReactorClock()
     reader = BusReader(reactor, Timers(reactor), "127.0.0.1:1", 0, lambda event: None)
-    reader.agent = LostConnects()
+    reader.agent = UnansweredAgent()
     reader.start()
-    for expected in (2, 3):
+    for expected_count in (2, 3):
         reactor.advance(SILENCE_TIMEOUT)
         reactor.advance(MAX_RETRY_DELAY)
-        assert reader.agent.count == expected
+        assert reader.agent.request_count == expected_count
     reader.stop()
     reactor.advance(10)
-    assert reader.agent.count == 3
+    assert reader.agent.request_count == 3
--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -30,7 +30,7 @@
 )
 
 
-class Socket(StringTransport):
+class InMemoryConnection(StringTransport):
     """A connection in memory; as with a real one, its end is reported in a later iteration."""
 
     def __init__(self, reactor, protocol):
@@ -49,7 +49,7 @@
     abortConnection = loseConnection
 
 
-class EndpointsByNumber(dict):
+class LookupOnlyEndpoints(dict):
     """The listed caches: they may be looked up, but work over all of them is an error."""
 
     def __iter__(self):
@@ -58,7 +58,7 @@
     keys = values = items = __iter__
 
 
-class Caches:
+class PoolHarness:
     """A pool and the caches that it connects to; what became of each attempt, by its name."""
 
     def __init__(self, count=3, **changes):
@@ -66,16 +66,16 @@
         timers = Timers(self.reactor, SimpleNamespace(now=self.reactor.seconds))
         limits = replace(LIMITS, **changes)
         self.pool = CachePool(self.reactor, timers, limits, lambda cache, answer: True, lambda cache: None)
-        self.known = []  # all endpoints that there ever were
-        self.up, self.attempts, self.outcomes = [], {}, {}
+        self.all_endpoints = []  # all endpoints that there ever were
+        self.connections, self.attempts, self.outcomes = [], {}, {}
         for cache in range(1, count + 1):
-            self.list(cache)
+            self.add_endpoint(cache)
 
-    def list(self, cache, port=1):
+    def add_endpoint(self, cache, port=1):
         self.pool.update_endpoint(cache, f"127.0.0.{cache}", port, -math.inf, True)
-        self.known += [e for e in [self.pool.endpoints[cache]] if e not in self.known]
+        self.all_endpoints += [e for e in [self.pool.endpoints[cache]] if e not in self.all_endpoints]
 
-    def turn(self, seconds=0.0):
+    def advance(self, seconds=0.0):
         self.reactor.advance(seconds)
         for _ in range(6):
             self.reactor.advance(0)
@@ -86,263 +86,269 @@
 
         self.attempts[name] = Attempt(name, cache, None, "key", 0, lambda: b"do\r\n", end)
         self.pool.send(self.attempts[name])
-        self.turn()
+        self.advance()
 
-    def dials(self):
-        return [dial for endpoint in self.known for dial in endpoint.connecting]
+    def pending_connects(self):
+        return [connector for endpoint in self.all_endpoints for connector in endpoint.connecting]
 
-    def connect(self):
-        for dial in self.dials():
-            connection = dial.buildProtocol(None)
-            connection.transport = Socket(self.reactor, connection)
-            self.up.append(connection)
+    def complete_connects(self):
+        for connector in self.pending_connects():
+            connection = connector.buildProtocol(None)
+            connection.transport = InMemoryConnection(self.reactor, connection)
+            self.connections.append(connection)
             connection.connectionMade()
-        self.turn()
+        self.advance()
 
     def answer(self, name):
         connection = self.attempts[name].connection
         connection.dataReceived(b"%b DONE - 0\r\n\r\n" % name.encode())
-        self.turn()
+        self.advance()
 
     def serve(self, cache, name):
         """Send an attempt, let what it needs come up, and answer it."""
         self.send(cache, name)
-        self.connect()
+        self.complete_connects()
         self.answer(name)
 
-    def connected(self):
+    def connected_caches(self):
         """The caches to which connections are up, one after another."""
-        return sorted(c.owner.cache for c in self.up if not c.is_lost)
+        return sorted(c.owner.cache for c in self.connections if not c.is_lost)
 
-    def held(self):
+    def descriptor_count(self):
         """How many descriptors connections hold, counted one by one."""
-        return len(self.dials()) + sum(not connection.is_lost for connection in self.up)
+        return len(self.pending_connects()) + sum(not connection.is_lost for connection in self.connections)
 
 
-def test_at_the_bound_the_connection_that_is_idle_for_longest_makes_way():
-    caches = Caches()
-    caches.serve(1, "a")
-    caches.serve(2, "b")
-    caches.serve(1, "c")  # now cache 2 is the one not used for longest
-    caches.send(3, "d")
-    assert caches.connected() == [1] and len(caches.dials()) == 1
-    caches.connect()
-    caches.answer("d")
-    assert caches.connected() == [1, 3] and set(caches.outcomes.values()) == {"DONE"}
+def test_at_the_limit_the_connection_idle_for_longest_is_closed():
+    harness = PoolHarness()
+    harness.serve(1, "a")
+    harness.serve(2, "b")
+    harness.serve(1, "c")  # now cache 2 is the one not used for longest
+    harness.send(3, "d")
+    assert harness.connected_caches() == [1] and len(harness.pending_connects()) == 1
+    harness.complete_connects()
+    harness.answer("d")
+    assert harness.connected_caches() == [1, 3] and set(harness.outcomes.values()) == {"DONE"}
 
 
-def test_a_connection_with_an_attempt_in_flight_never_makes_way_and_the_next_idle_one_does_at_once():
-    caches = Caches(4)
+def test_a_connection_with_an_attempt_in_flight_is_kept_and_the_next_idle_one_is_closed_at_once():
+    harness = PoolHarness(4)
     for cache, name in ((1, "a"), (2, "b")):
-        caches.send(cache, name)
-    caches.connect()
+        harness.send(cache, name)
+    harness.complete_connects()
     for cache, name in ((3, "c"), (4, "d")):
-        caches.send(cache, name)
-    caches.turn(0.2)
-    assert caches.connected() == [1, 2] and not caches.dials()
-    caches.answer("b")
-    assert caches.connected() == [1] and [dial.endpoint.cache for dial in caches.dials()] == [3]
-    caches.connect()
-    assert caches.connected() == [1, 3]
-    caches.answer("c")
-    caches.connect()
-    caches.answer("d")
-    assert "a" not in caches.outcomes and {caches.outcomes[name] for name in "bcd"} == {"DONE"}
-
-
-def test_who_gets_no_room_in_time_says_nothing_of_its_cache():
-    caches = Caches()
+        harness.send(cache, name)
+    harness.advance(0.2)
+    assert harness.connected_caches() == [1, 2] and not harness.pending_connects()
+    harness.answer("b")
+    assert harness.connected_caches() == [1] and [
+        connector.endpoint.cache for connector in harness.pending_connects()
+    ] == [3]
+    harness.complete_connects()
+    assert harness.connected_caches() == [1, 3]
+    harness.answer("c")
+    harness.complete_connects()
+    harness.answer("d")
+    assert "a" not in harness.outcomes and {harness.outcomes[name] for name in "bcd"} == {"DONE"}
+
+
+def test_an_attempt_that_gets_no_connection_in_time_is_no_evidence_against_its_cache():
+    harness = PoolHarness()
     for cache, name in ((1, "a"), (2, "b")):
-        caches.send(cache, name)
-    caches.connect()
-    caches.send(3, "c")
-    caches.turn(CONNECT_TIMEOUT - 0.1)
-    assert "c" not in caches.outcomes
-    caches.turn(0.2)
-    assert caches.outcomes["c"] is AttemptLoss.SUPERSEDED
-    caches.answer("a")  # nobody waits any more: nothing has to make way
-    assert caches.connected() == [1, 2]
-
-
-def test_a_turn_that_comes_late_leaves_its_cache_no_blame_either():
-    caches = Caches()
+        harness.send(cache, name)
+    harness.complete_connects()
+    harness.send(3, "c")
+    harness.advance(CONNECT_TIMEOUT - 0.1)
+    assert "c" not in harness.outcomes
+    harness.advance(0.2)
+    assert harness.outcomes["c"] is AttemptLoss.SUPERSEDED
+    harness.answer("a")  # nobody waits any more: nothing has to make way
+    assert harness.connected_caches() == [1, 2]
+
+
+def test_a_connect_permitted_too_late_is_no_evidence_against_its_cache():
+    harness = PoolHarness()
     for cache, name in ((1, "a"), (2, "b")):
-        caches.send(cache, name)
-    caches.connect()
-    caches.send(3, "c")
-    caches.turn(CONNECT_TIMEOUT - 0.1)
-    caches.answer("a")
-    assert len(caches.dials()) == 1
-    caches.turn(0.15)
-    assert caches.outcomes["c"] is AttemptLoss.SUPERSEDED
-
-
-def test_a_cache_that_refuses_has_its_attempts_end_as_unreachable_as_ever():
-    caches = Caches()
-    caches.serve(1, "a")
-    caches.serve(2, "b")
-    caches.send(3, "c")
-    caches.dials()[0].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
-    caches.turn()
-    assert caches.outcomes["c"] is AttemptLoss.UNREACHABLE
-    caches.serve(3, "d")
-    assert caches.outcomes["d"] == "DONE" and caches.held() == 2
-
-
-@pytest.mark.parametrize("crossing", ["a cancellation", "a health check", "a part of an answer"])
-def test_a_connection_on_which_something_is_on_its_way_does_not_make_way(crossing):
-    caches = Caches(max_connections=1)
-    caches.serve(1, "a")
-    if crossing == "a cancellation":
-        caches.send(1, "b")
-        caches.send(1, "c")
-        caches.turn(0.01)
-        caches.answer("c")
-        caches.pool.cancel(caches.attempts["b"])
-    elif crossing == "a health check":
-        assert caches.pool.send_health_check(1, "p1", wants_load=False)
+        harness.send(cache, name)
+    harness.complete_connects()
+    harness.send(3, "c")
+    harness.advance(CONNECT_TIMEOUT - 0.1)
+    harness.answer("a")
+    assert len(harness.pending_connects()) == 1
+    harness.advance(0.15)
+    assert harness.outcomes["c"] is AttemptLoss.SUPERSEDED
+
+
+def test_at_the_limit_a_refused_connect_ends_its_attempts_as_unreachable():
+    harness = PoolHarness()
+    harness.serve(1, "a")
+    harness.serve(2, "b")
+    harness.send(3, "c")
+    harness.pending_connects()[0].clientConnectionFailed(None, Failure(ConnectionRefusedError()))
+    harness.advance()
+    assert harness.outcomes["c"] is AttemptLoss.UNREACHABLE
+    harness.serve(3, "d")
+    assert harness.outcomes["d"] == "DONE" and harness.descriptor_count() == 2
+
+
+@pytest.mark.parametrize("in_transit", ["a cancellation", "a health check", "a part of an answer"])
+def test_a_connection_with_data_in_transit_is_not_closed_to_make_room(in_transit):
+    harness = PoolHarness(max_connections=1)
+    harness.serve(1, "a")
+    if in_transit == "a cancellation":
+        harness.send(1, "b")
+        harness.send(1, "c")
+        harness.advance(0.01)
+        harness.answer("c")
+        harness.pool.cancel(harness.attempts["b"])
+    elif in_transit == "a health check":
+        assert harness.pool.send_health_check(1, "p1", wants_load=False)
     else:
-        caches.up[0].dataReceived(b"a DONE")
-    caches.send(2, "d")
-    caches.turn(0.1)
-    assert caches.connected() == [1] and not caches.dials()
-    if crossing == "a part of an answer":
-        caches.up[0].dataReceived(b" - 0\r\n\r\n")
-        caches.turn()
+        harness.connections[0].dataReceived(b"a DONE")
+    harness.send(2, "d")
+    harness.advance(0.1)
+    assert harness.connected_caches() == [1] and not harness.pending_connects()
+    if in_transit == "a part of an answer":
+        harness.connections[0].dataReceived(b" - 0\r\n\r\n")
+        harness.advance()
     else:
-        caches.turn(CONNECT_TIMEOUT - 0.1)
-        assert caches.outcomes["d"] is AttemptLoss.SUPERSEDED
-        caches.send(2, "e")
-    assert caches.connected() == [] and len(caches.dials()) == 1
+        harness.advance(CONNECT_TIMEOUT - 0.1)
+        assert harness.outcomes["d"] is AttemptLoss.SUPERSEDED
+        harness.send(2, "e")
+    assert harness.connected_caches() == [] and len(harness.pending_connects()) == 1
 
 
-def test_one_that_has_just_come_up_carries_what_waits_for_it_before_it_may_make_way():
-    caches = Caches(max_connections=1)
-    caches.send(1, "a")
-    caches.send(2, "b")
-    caches.connect()
-    assert caches.connected() == [1] and caches.attempts["a"].connection
-    caches.answer("a")
-    caches.connect()
-    assert caches.connected() == [2] and caches.attempts["b"].connection
+def test_a_new_connection_carries_its_waiting_attempt_before_it_may_be_closed():
+    harness = PoolHarness(max_connections=1)
+    harness.send(1, "a")
+    harness.send(2, "b")
+    harness.complete_connects()
+    assert harness.connected_caches() == [1] and harness.attempts["a"].connection
+    harness.answer("a")
+    harness.complete_connects()
+    assert harness.connected_caches() == [2] and harness.attempts["b"].connection
 
 
-def test_room_is_given_in_turn_one_connection_to_each_cache():
-    caches = Caches(4, max_streams=1)
+def test_free_connections_are_granted_in_turn_one_to_each_cache():
+    harness = PoolHarness(4, max_streams=1)
     for cache, name in ((1, "a"), (2, "b"), (3, "c"), (3, "d"), (4, "e")):
-        caches.send(cache, name)
-    caches.connect()
-    caches.answer("a")
-    caches.answer("b")
-    caches.connect()
-    assert caches.connected() == [3, 4]
+        harness.send(cache, name)
+    harness.complete_connects()
+    harness.answer("a")
+    harness.answer("b")
+    harness.complete_connects()
+    assert harness.connected_caches() == [3, 4]
 
 
-def test_a_bound_that_the_settings_lower_or_raise_holds_from_then_on():
-    caches = Caches(4, max_connections=3)
+def test_a_changed_limit_applies_to_subsequent_connects():
+    harness = PoolHarness(4, max_connections=3)
     for cache, name in ((1, "a"), (2, "b"), (3, "c")):
-        caches.serve(cache, name)
-    caches.pool.limits = replace(caches.pool.limits, max_connections=2)
-    caches.serve(4, "d")
-    assert caches.connected() == [3, 4]
-    caches.pool.limits = replace(caches.pool.limits, max_connections=3)
-    caches.serve(1, "e")
-    assert caches.connected() == [1, 3, 4]
-
-
-def test_connections_to_removed_caches_count_until_they_are_closed_and_are_read_on():
-    caches = Caches()
-    caches.send(1, "a")
-    caches.connect()
-    caches.pool.pause_reading(True)
-    caches.pool.remove_endpoint(1)
-    assert caches.pool.connection_count() == 1
-    caches.up[0].dataReceived(b"a DONE - 0\r\n\r\n")
-    caches.pool.pause_reading(False)
-    caches.turn()
-    assert caches.outcomes["a"] == "DONE" and caches.pool.connection_count() == 0 == caches.held()
-
-
-def test_no_step_works_through_all_caches():
-    caches = Caches(50)
-    caches.pool.endpoints = EndpointsByNumber(caches.pool.endpoints)
+        harness.serve(cache, name)
+    harness.pool.limits = replace(harness.pool.limits, max_connections=2)
+    harness.serve(4, "d")
+    assert harness.connected_caches() == [3, 4]
+    harness.pool.limits = replace(harness.pool.limits, max_connections=3)
+    harness.serve(1, "e")
+    assert harness.connected_caches() == [1, 3, 4]
+
+
+def test_connections_to_removed_caches_are_counted_and_read_until_they_are_closed():
+    harness = PoolHarness()
+    harness.send(1, "a")
+    harness.complete_connects()
+    harness.pool.pause_reading(True)
+    harness.pool.remove_endpoint(1)
+    assert harness.pool.connection_count() == 1
+    harness.connections[0].dataReceived(b"a DONE - 0\r\n\r\n")
+    harness.pool.pause_reading(False)
+    harness.advance()
+    assert (
+        harness.outcomes["a"] == "DONE" and harness.pool.connection_count() == 0 == harness.descriptor_count()
+    )
+
+
+def test_no_operation_iterates_over_all_caches():
+    harness = PoolHarness(50)
+    harness.pool.endpoints = LookupOnlyEndpoints(harness.pool.endpoints)
     for cache in range(1, 20):
-        caches.serve(cache, f"a{cache}")
-    caches.send(20, "waits")
-    caches.pool.cancel_purged("other", 1)
-    caches.pool.cancel_concerning({3})
-    caches.pool.pause_reading(True)
-    caches.pool.pause_reading(False)
-    assert caches.pool.connection_count() == 2 and "waits" not in caches.outcomes
-    caches.pool.cancel_purged("key", 0)
-    assert caches.outcomes["waits"] is AttemptLoss.SUPERSEDED and not caches.pool.waiting_endpoints
+        harness.serve(cache, f"a{cache}")
+    harness.send(20, "waits")
+    harness.pool.cancel_purged("other", 1)
+    harness.pool.cancel_concerning({3})
+    harness.pool.pause_reading(True)
+    harness.pool.pause_reading(False)
+    assert harness.pool.connection_count() == 2 and "waits" not in harness.outcomes
+    harness.pool.cancel_purged("key", 0)
+    assert harness.outcomes["waits"] is AttemptLoss.SUPERSEDED and not harness.pool.waiting_endpoints
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_the_running_count_is_that_of_all_connections_whatever_happens(seed):
-    chance, caches = random.Random(seed), Caches(6, max_connections=3)
+def test_the_running_count_matches_the_number_of_connections_after_random_events(seed):
+    rng, harness = random.Random(seed), PoolHarness(6, max_connections=3)
     print(f"seed {seed}")
 
     def answer(name):
-        if caches.attempts[name].connection and not caches.attempts[name].is_over:
-            caches.answer(name)
+        if harness.attempts[name].connection and not harness.attempts[name].is_over:
+            harness.answer(name)
 
-    def lose():
-        for connection in [c for c in caches.up if not c.is_lost and chance.random() < 0.3]:
+    def lose_connections():
+        for connection in [c for c in harness.connections if not c.is_lost and rng.random() < 0.3]:
             connection.connectionLost(Failure(ConnectionDone()))
 
-    def refuse():
-        for dial in caches.dials():
-            dial.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
+    def refuse_connects():
+        for connector in harness.pending_connects():
+            connector.clientConnectionFailed(None, Failure(ConnectionRefusedError()))
 
-    def remove(cache):
-        caches.pool.remove_endpoint(cache)
-        for dial in [d for d in caches.dials() if d.endpoint.is_closed]:  # as the reactor does on disconnect
-            dial.clientConnectionFailed(None, Failure(ConnectionDone()))
+    def remove_endpoint(cache):
+        harness.pool.remove_endpoint(cache)
+        for connector in [
+            d for d in harness.pending_connects() if d.endpoint.is_closed
+        ]:  # as the reactor does on disconnect
+            connector.clientConnectionFailed(None, Failure(ConnectionDone()))
 
     for number in range(120):
-        cache, names = chance.randint(1, 6), list(caches.attempts) or ["none"]
-        name = chance.choice(names)
+        cache, names = rng.randint(1, 6), list(harness.attempts) or ["none"]
+        name = rng.choice(names)
         steps = [
-            *[lambda n=number, c=cache: caches.send(c, f"a{n}")] * 4,
-            *[caches.connect] * 3,
-            *[lambda n=name: n in caches.attempts and answer(n)] * 4,
-            lambda n=name: n in caches.attempts and caches.pool.cancel(caches.attempts[n]),
-            lambda c=cache: caches.pool.send_health_check(c, f"p{c}", wants_load=False),
-            lambda c=cache: remove(c),
-            lambda c=cache: caches.list(c, port=chance.randint(1, 2)),
-            lambda: caches.turn(chance.choice((0.05, 0.5, 16.0))),
-            lose,
-            refuse,
+            *[lambda n=number, c=cache: harness.send(c, f"a{n}")] * 4,
+            *[harness.complete_connects] * 3,
+            *[lambda n=name: n in harness.attempts and answer(n)] * 4,
+            lambda n=name: n in harness.attempts and harness.pool.cancel(harness.attempts[n]),
+            lambda c=cache: harness.pool.send_health_check(c, f"p{c}", wants_load=False),
+            lambda c=cache: remove_endpoint(c),
+            lambda c=cache: harness.add_endpoint(c, port=rng.randint(1, 2)),
+            lambda: harness.advance(rng.choice((0.05, 0.5, 16.0))),
+            lose_connections,
+            refuse_connects,
         ]
-        chance.choice(steps)()
-        caches.turn()
-        assert caches.pool.connection_count() == caches.held() <= 3
-    caches.turn(1.0)
-    refuse()
-    caches.turn(1.0)
-    ended = {name for name, attempt in caches.attempts.items() if attempt.is_over}
-    assert ended >= {name for name, attempt in caches.attempts.items() if attempt.connection is None}
-    assert not caches.pool.limiter.queue and not caches.pool.waiting_endpoints
-
-
-def test_a_close_to_make_way_is_no_evidence_against_its_cache():
+        rng.choice(steps)()
+        harness.advance()
+        assert harness.pool.connection_count() == harness.descriptor_count() <= 3
+    harness.advance(1.0)
+    refuse_connects()
+    harness.advance(1.0)
+    ended = {name for name, attempt in harness.attempts.items() if attempt.is_over}
+    assert ended >= {name for name, attempt in harness.attempts.items() if attempt.connection is None}
+    assert not harness.pool.limiter.queue and not harness.pool.waiting_endpoints
+
+
+def test_a_connection_closed_to_make_room_is_no_evidence_against_its_cache():
     harness = FrontHarness()
     pool = harness.dispatcher.pool
     pool.limits = replace(pool.limits, max_connections=1)
     for number in range(1, 13):
         harness.send(harness.connect_client(), process(number, key=f"{number:016x}"))
         harness.complete_connects()
-        uid, place = next(held for held, link in harness.caches.items() if link.in_flight)
-        harness.answer(uid, number, "DONE", "-", b"photo", number=place)
+        uid, index = next(key for key, connection in harness.caches.items() if connection.in_flight)
+        harness.answer(uid, number, "DONE", "-", b"photo", number=index)
     assert harness.counts["served"] == 12 and harness.counts["attempts"] == 12
     assert {uid for uid, _ in harness.caches} == {"e1", "e2"} and len(harness.caches) > 2
-    known = harness.dispatcher.router.caches.values()
-    assert all(cache.breaks.broken_at == -math.inf and cache.failure_rate() < 0.5 for cache in known)
+    caches = harness.dispatcher.router.caches.values()
+    assert all(cache.breaks.broken_at == -math.inf and cache.failure_rate() < 0.5 for cache in caches)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_a_virtual_site_at_the_bound_keeps_all_rules_and_rejects_few(monkeypatch, seed):
+def test_a_simulated_site_at_the_limit_keeps_all_rules_and_rejects_few_requests(monkeypatch, seed):
     """Seven caches, faults of all kinds, six connections for each front; before, a quarter was rejected."""
     monkeypatch.setattr(configuration, "CACHE_DESCRIPTORS", 6)
     result = Run(seed).play()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -26,20 +26,20 @@
 class FailingSocket:
     """A listening socket whose accept fails with these errors first; accepted connections are real."""
 
-    def __init__(self, listening, errors):
-        self.listening, self.errors, self.calls = listening, errors, 0
+    def __init__(self, listening_socket, errors):
+        self.listening_socket, self.errors, self.calls = listening_socket, errors, 0
 
     def accept(self):
         self.calls += 1
         if self.errors:
             raise OSError(self.errors.pop(0), "injected")
-        return self.listening.accept()
+        return self.listening_socket.accept()
 
     def __getattr__(self, name):
-        return getattr(self.listening, name)
+        return getattr(self.listening_socket, name)
 
 
-class Listening:
+class PortHarness:
     """A real Twisted port on loopback, a reactor in the test's hands, and one client that waits."""
 
     def __init__(self, errors, is_guarded=True):
@@ -49,16 +49,16 @@
         factory.buildProtocol = lambda addr: self.accepted.append(addr) or Protocol()
         self.port = tcp.Port(0, factory, interface="127.0.0.1", reactor=self.reactor)
         self.port.startListening()
-        self.socket = self.port.socket
-        self.port.socket = FailingSocket(self.socket, errors)
-        self.failing = self.port.socket
+        self.listening_socket = self.port.socket
+        self.port.socket = FailingSocket(self.listening_socket, errors)
+        self.failing_socket = self.port.socket
         self.guard = AcceptGuard(self.port, self.reactor.callLater) if is_guarded else None
-        self.client = socket.create_connection(self.socket.getsockname())
+        self.client = socket.create_connection(self.listening_socket.getsockname())
 
     def is_watched(self):
         return self.port in self.reactor.readers
 
-    def turn(self, seconds):
+    def advance(self, seconds):
         """Let time pass in steps of a millisecond; the port is ready while its client waits."""
         for _ in range(round(seconds * 1000)):
             if self.is_watched():
@@ -67,89 +67,98 @@
 
     def close(self):
         self.client.close()
-        self.socket.close()
+        self.listening_socket.close()
 
 
 @pytest.fixture
-def logged():
+def log_events():
     events = []
     globalLogPublisher.addObserver(events.append)
     yield events
     globalLogPublisher.removeObserver(events.append)
 
 
-@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL])
-def test_while_nothing_can_be_accepted_the_port_rests_and_the_client_waits(number, logged):
-    listening = Listening([number] * 20)
-    listening.turn(0.25)
-    calls = listening.failing.calls
-    assert not listening.accepted and 4 <= calls <= 8, calls  # without a pause it would be 250
-    listening.failing.errors.clear()
-    listening.turn(MAX_PAUSE + 0.01)
-    assert len(listening.accepted) == 1 and listening.is_watched() and listening.guard.consecutive_faults == 0
-    assert not [event for event in logged if event.get("isError")]
-    listening.close()
+@pytest.mark.parametrize(
+    "error_number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL]
+)
+def test_a_failing_accept_pauses_the_port_and_the_client_is_accepted_afterwards(error_number, log_events):
+    port_harness = PortHarness([error_number] * 20)
+    port_harness.advance(0.25)
+    calls = port_harness.failing_socket.calls
+    assert not port_harness.accepted and 4 <= calls <= 8, calls  # without a pause it would be 250
+    port_harness.failing_socket.errors.clear()
+    port_harness.advance(MAX_PAUSE + 0.01)
+    assert (
+        len(port_harness.accepted) == 1
+        and port_harness.is_watched()
+        and port_harness.guard.consecutive_faults == 0
+    )
+    assert not [event for event in log_events if event.get("isError")]
+    port_harness.close()
 
 
 @pytest.mark.parametrize(
-    "number", [errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH]
+    "error_number",
+    [errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH],
 )
-def test_a_connection_that_ended_before_it_was_accepted_costs_the_next_no_time(number, logged):
-    listening = Listening([number] * 3)
-    listening.turn(0.001)
-    assert len(listening.accepted) == 1 and listening.is_watched()
-    assert not [event for event in logged if event.get("isError")]
-    listening.close()
+def test_a_connection_aborted_before_accept_does_not_delay_the_next(error_number, log_events):
+    port_harness = PortHarness([error_number] * 3)
+    port_harness.advance(0.001)
+    assert len(port_harness.accepted) == 1 and port_harness.is_watched()
+    assert not [event for event in log_events if event.get("isError")]
+    port_harness.close()
 
 
-def test_very_many_such_ends_in_a_row_are_no_loop():
-    listening = Listening([errno.ECONNABORTED] * 40)
-    listening.turn(0.001)
-    assert listening.failing.calls == 16 and not listening.is_watched()
-    listening.turn(MIN_PAUSE + 0.2)
-    assert len(listening.accepted) == 1
-    listening.close()
+def test_many_aborted_connections_in_a_row_do_not_block_the_reactor():
+    port_harness = PortHarness([errno.ECONNABORTED] * 40)
+    port_harness.advance(0.001)
+    assert port_harness.failing_socket.calls == 16 and not port_harness.is_watched()
+    port_harness.advance(MIN_PAUSE + 0.2)
+    assert len(port_harness.accepted) == 1
+    port_harness.close()
 
 
-def test_a_port_that_cannot_be_watched_again_after_a_pause_rests_once_more():
+def test_a_port_that_cannot_be_registered_after_a_pause_pauses_again():
     """Found by seed 23 of the trials: one failed epoll_ctl, and the front never accepted again."""
-    listening = Listening([errno.ENFILE])
-    add_reader, failures = listening.reactor.addReader, [errno.ENOMEM, errno.ENOSPC]
+    port_harness = PortHarness([errno.ENFILE])
+    add_reader, failures = port_harness.reactor.addReader, [errno.ENOMEM, errno.ENOSPC]
 
     def refuse_twice(reader):
         if failures:
             raise OSError(failures.pop(), "injected")
         add_reader(reader)
 
-    listening.turn(0.002)
-    listening.reactor.addReader = refuse_twice
-    listening.turn(0.15)
-    assert not failures and len(listening.accepted) == 1
-    listening.close()
+    port_harness.advance(0.002)
+    port_harness.reactor.addReader = refuse_twice
+    port_harness.advance(0.15)
+    assert not failures and len(port_harness.accepted) == 1
+    port_harness.close()
 
 
-def test_the_clients_port_that_cannot_be_watched_again_rests_once_more():
+def test_the_client_port_that_cannot_be_registered_after_a_pause_pauses_again():
     harness = FrontHarness()
     listener = harness.front.listener
-    listening = Listening([errno.ENFILE], is_guarded=False)
-    listener.port, listener.port.factory = listening.port, listener
-    listener.accept_guard = AcceptGuard(listening.port, harness.reactor.callLater, listener.update_accepting)
-    listening.turn(0.001)
-    add_reader = listening.reactor.addReader
+    port_harness = PortHarness([errno.ENFILE], is_guarded=False)
+    listener.port, listener.port.factory = port_harness.port, listener
+    listener.accept_guard = AcceptGuard(
+        port_harness.port, harness.reactor.callLater, listener.update_accepting
+    )
+    port_harness.advance(0.001)
+    add_reader = port_harness.reactor.addReader
 
     def refuse_once(reader):
-        listening.reactor.addReader = add_reader
+        port_harness.reactor.addReader = add_reader
         raise OSError(errno.ENOMEM, "injected")
 
-    listening.reactor.addReader = refuse_once
+    port_harness.reactor.addReader = refuse_once
     harness.advance(MIN_PAUSE)
-    assert listener.is_paused and not listening.is_watched()
+    assert listener.is_paused and not port_harness.is_watched()
     harness.advance(MAX_PAUSE)
-    assert not listener.is_paused and listening.is_watched()
-    listening.close()
+    assert not listener.is_paused and port_harness.is_watched()
+    port_harness.close()
 
 
-def test_a_front_that_cannot_accept_does_not_end_over_those_that_wait():
+def test_a_front_that_cannot_accept_does_not_exit_while_clients_wait():
     """Found by seed 4 of the trials: three clients waited to be accepted, and the front ended."""
     harness, stopped = FrontHarness(), []
     harness.reactor.stop = lambda: stopped.append(True)
@@ -162,27 +171,27 @@
     assert stopped
 
 
-def test_a_client_that_cannot_be_watched_for_writing_gets_no_second_answer():
+def test_a_client_that_cannot_be_registered_for_writing_gets_no_second_answer():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
     harness.complete_connects()
-    write, ended = client.transport.write, []
+    write, aborts = client.transport.write, []
 
     def write_and_fail(data):
         write(data)
         raise OSError(errno.ENOMEM, "injected")
 
-    client.transport.write, client.transport.abortConnection = write_and_fail, lambda: ended.append(1)
+    client.transport.write, client.transport.abortConnection = write_and_fail, lambda: aborts.append(1)
     harness.answer("e2", 1, "DONE", "-", b"photo")
     harness.assert_trace("""
         e2/0 < do 0000000000000001 queue=photo,path=7f3a9c21e0b4d655,blk=0,budget=6000,mode=j 0
         client 0 < 1 process: 'photo'
     """)
-    assert ended
+    assert aborts
 
 
-def test_caches_that_cannot_be_watched_end_alone():
+def test_only_the_cache_connections_that_cannot_be_registered_are_aborted():
     """One of two connections fails to be read again, and one to be written to: the other is not concerned."""
     harness = FrontHarness()
     client = harness.connect_client()
@@ -190,56 +199,58 @@
     harness.complete_connects()
     assert len(harness.caches) == 2
     harness.dispatcher.pool.pause_reading(True)
-    broken, sound = harness.caches["e1", 0], harness.caches["e2", 0]
+    first, second = harness.caches["e1", 0], harness.caches["e2", 0]
 
     def refuse(*args):
         raise OSError(errno.ENOMEM, "injected")
 
-    broken.transport.resumeProducing = refuse
+    first.transport.resumeProducing = refuse
     harness.dispatcher.pool.pause_reading(False)
-    assert broken.is_aborted and not sound.is_aborted and not sound.is_read_paused
-    sound.transport.write = refuse
-    sound.write(b"ping p1\r\n")
-    assert sound.is_aborted
+    assert first.is_aborted and not second.is_aborted and not second.is_read_paused
+    second.transport.write = refuse
+    second.write(b"ping p1\r\n")
+    assert second.is_aborted
 
 
-def test_a_client_that_cannot_be_read_again_ends():
+def test_a_client_whose_reading_cannot_be_resumed_is_aborted():
     harness = FrontHarness()
-    client, ended = harness.connect_client(), []
+    client, aborts = harness.connect_client(), []
 
     def refuse():
         raise OSError(errno.ENOMEM, "injected")
 
-    client.transport.resumeProducing, client.transport.abortConnection = refuse, lambda: ended.append(1)
+    client.transport.resumeProducing, client.transport.abortConnection = refuse, lambda: aborts.append(1)
     client._pause_reading(True)
     client._pause_reading(False)
-    assert ended
+    assert aborts
 
 
-def test_a_front_that_cannot_accept_does_not_close_its_port_over_those_that_wait():
+def test_a_front_that_cannot_accept_keeps_its_port_open_while_clients_wait():
     harness = FrontHarness()
     listener = harness.front.listener
-    listening = Listening([errno.ENFILE], is_guarded=False)
-    listener.port = listening.port
+    port_harness = PortHarness([errno.ENFILE], is_guarded=False)
+    listener.port = port_harness.port
     listener.port.factory = listener
-    listener.accept_guard = AcceptGuard(listening.port, harness.reactor.callLater, listener.update_accepting)
+    listener.accept_guard = AcceptGuard(
+        port_harness.port, harness.reactor.callLater, listener.update_accepting
+    )
     assert not listener.stop() and listener.is_paused
-    assert not listener.stop() and listening.failing.calls == 1  # it rests
+    assert not listener.stop() and port_harness.failing_socket.calls == 1  # it rests
     harness.advance(MIN_PAUSE)
     assert not listener.stop() and listener.connection_count() == 1  # one has come
     assert listener.stop() and listener.port is None
-    listening.close()
+    port_harness.close()
 
 
-@pytest.mark.parametrize("number", [errno.EADDRINUSE, errno.ENOMEM, errno.ENOSPC])
-def test_a_front_whose_port_cannot_be_opened_says_so_and_ends(number):
+@pytest.mark.parametrize("error_number", [errno.EADDRINUSE, errno.ENOMEM, errno.ENOSPC])
+def test_a_front_whose_port_cannot_be_opened_exits(error_number):
     """It went on without a port where listen(2) or epoll_ctl failed, which Twisted does not translate."""
     reactor, stopped = MemoryReactorClock(), []
     front = Front(reactor, read_site(configuration()))
     front.clock.now = reactor.seconds
 
     def refuse(*args, **kwargs):
-        raise OSError(number, "injected")
+        raise OSError(error_number, "injected")
 
     reactor.listenTCP = refuse
     reactor.stop = lambda: stopped.append(True)
@@ -251,26 +262,26 @@
 # Idle connections.
 
 
-class Interrupted:
+class FailingEpoll:
     """An epoll set whose waits a signal interrupts, and that cannot watch more."""
 
     def __init__(self, epoll):
         self.epoll, self.errors = epoll, {}
 
-    def fail(self, name):
+    def raise_injected_error(self, name):
         if name in self.errors:
             raise OSError(self.errors[name], "injected")
 
     def poll(self, *args):
-        self.fail("poll")
+        self.raise_injected_error("poll")
         return self.epoll.poll(*args)
 
     def register(self, *args):
-        self.fail("register")
+        self.raise_injected_error("register")
         return self.epoll.register(*args)
 
     def modify(self, *args):
-        self.fail("modify")
+        self.raise_injected_error("modify")
         return self.epoll.modify(*args)
 
     def __getattr__(self, name):
@@ -280,9 +291,9 @@
 @pytest.fixture
 def pair():
     """A server transport on a connected socket, its reactor, and the client's end."""
-    with socket.create_server(("127.0.0.1", 0)) as listening:
-        client = socket.create_connection(listening.getsockname())
-        accepted, address = listening.accept()
+    with socket.create_server(("127.0.0.1", 0)) as listening_socket:
+        client = socket.create_connection(listening_socket.getsockname())
+        accepted, address = listening_socket.accept()
         accepted.setblocking(False)
         reactor = MemoryReactorClock()
         transport = tcp.Server(accepted, Protocol(), address, None, 0, reactor)
@@ -291,52 +302,52 @@
         client.close()
 
 
-def test_a_signal_during_a_poll_neither_ends_the_pool_nor_loses_what_is_ready(pair):
+def test_a_signal_during_a_poll_neither_raises_nor_loses_readable_connections(pair):
     transport, reactor, client = pair
-    idle = EpollSet(reactor)
-    idle.epoll = Interrupted(idle.epoll)
-    fd = idle.detach(transport)
+    idle_set = EpollSet(reactor)
+    idle_set.epoll = FailingEpoll(idle_set.epoll)
+    fd = idle_set.detach(transport)
     client.sendall(b"call")
-    idle.epoll.errors["poll"] = errno.EINTR
-    assert idle.poll_readable(9) == []
-    idle.epoll.errors.clear()
-    assert idle.poll_readable(9) == [fd] and idle.read(fd) == b"call"
-    idle.close(fd)
-    idle.close_set()
+    idle_set.epoll.errors["poll"] = errno.EINTR
+    assert idle_set.poll_readable(9) == []
+    idle_set.epoll.errors.clear()
+    assert idle_set.poll_readable(9) == [fd] and idle_set.read(fd) == b"call"
+    idle_set.close(fd)
+    idle_set.close_set()
 
 
 def test_a_signal_during_a_poll_for_hangups_is_no_error(pair):
     transport, reactor, client = pair
-    watcher, ended = HangupWatcher(reactor), []
-    watcher.watch(transport, lambda: ended.append(1))
-    watcher.epoll = Interrupted(watcher.epoll)
+    watcher, hangups = HangupWatcher(reactor), []
+    watcher.watch(transport, lambda: hangups.append(1))
+    watcher.epoll = FailingEpoll(watcher.epoll)
     client.close()
     watcher.epoll.errors["poll"] = errno.EINTR
     watcher.doRead()
     watcher.epoll.errors.clear()
     watcher.doRead()
-    assert ended == [1]
+    assert hangups == [1]
 
 
-@pytest.mark.parametrize("number", [errno.ENOSPC, errno.ENOMEM])
-def test_a_connection_that_the_idle_set_cannot_watch_stays_as_it_is(pair, number):
+@pytest.mark.parametrize("error_number", [errno.ENOSPC, errno.ENOMEM])
+def test_a_connection_that_the_idle_set_cannot_register_stays_with_the_reactor(pair, error_number):
     transport, reactor, client = pair
-    idle = EpollSet(reactor)
-    idle.epoll = Interrupted(idle.epoll)
-    idle.epoll.errors["register"] = number
-    assert idle.detach(transport) is None
+    idle_set = EpollSet(reactor)
+    idle_set.epoll = FailingEpoll(idle_set.epoll)
+    idle_set.epoll.errors["register"] = error_number
+    assert idle_set.detach(transport) is None
     assert transport.connected and transport in reactor.readers
     client.sendall(b"call")
     assert transport.socket.recv(9) == b"call"
     transport.socket.close()
 
 
-@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOMEM])
-def test_a_client_whose_end_cannot_be_watched_stays_connected(pair, number, monkeypatch):
+@pytest.mark.parametrize("error_number", [errno.EMFILE, errno.ENFILE, errno.ENOMEM])
+def test_a_client_whose_hangup_cannot_be_watched_stays_connected(pair, error_number, monkeypatch):
     transport, reactor, _ = pair
 
     def refuse():
-        raise OSError(number, "injected")
+        raise OSError(error_number, "injected")
 
     monkeypatch.setattr(epoll_set.select, "epoll", refuse)
     before = anomalies[epoll_set.UNWATCHED]
@@ -346,23 +357,23 @@
     transport.socket.close()
 
 
-def test_a_woken_connection_that_the_reactor_cannot_watch_is_closed_and_the_others_stay(pair):
+def test_a_reattached_connection_that_the_reactor_cannot_register_is_closed(pair):
     transport, reactor, client = pair
-    idle = EpollSet(reactor)
-    fd = idle.detach(transport)
+    idle_set = EpollSet(reactor)
+    fd = idle_set.detach(transport)
 
     def refuse(reader):
         raise OSError(errno.ENOSPC, "injected")
 
     reactor.addReader = refuse
     with pytest.raises(OSError, match="injected"):
-        idle.attach(fd, Protocol())
+        idle_set.attach(fd, Protocol())
     client.settimeout(5)
     assert client.recv(1) == b""
-    idle.close_set()
+    idle_set.close_set()
 
 
-def parked(count):
+def harness_with_parked_clients(count):
     harness = FrontHarness(parking=True)
     for _ in range(count):
         harness.connect_client().dataReceived(probe(1))
@@ -374,8 +385,8 @@
     return harness
 
 
-def test_one_idle_connection_that_cannot_be_woken_ends_alone():
-    harness = parked(3)
+def test_only_the_idle_connection_that_cannot_be_reattached_is_closed():
+    harness = harness_with_parked_clients(3)
     attach = harness.epoll_set.attach
 
     def attach_all_but_one(fd, protocol):
@@ -384,15 +395,15 @@
         return attach(fd, protocol)
 
     harness.epoll_set.attach = attach_all_but_one
-    for place in range(3):
-        harness.epoll_set.deliver(place, probe(2))
+    for client_index in range(3):
+        harness.epoll_set.deliver(client_index, probe(2))
     harness.front.listener.idle_pool.doRead()
     harness.advance(0.05)
     assert sorted(harness.trace) == [f"client {n} < 2 probe: good True" for n in (0, 2)]
 
 
-def test_one_idle_connection_that_cannot_be_watched_again_is_closed_alone():
-    harness = parked(2)
+def test_only_the_idle_connection_that_cannot_be_rearmed_is_closed():
+    harness = harness_with_parked_clients(2)
     harness.epoll_set.read = lambda fd: None  # reported readable, with nothing to read
 
     def refuse(fd):
@@ -404,34 +415,34 @@
     assert harness.epoll_set.closed == [0] and harness.front.listener.idle_count() == 1
 
 
-def test_what_the_upkeep_finds_readable_before_the_reactor_does_is_woken():
+def test_a_connection_that_upkeep_finds_readable_before_the_reactor_is_reattached():
     """Found by seed 19 of the trials: twelve idle clients' calls lay unread for over a second."""
-    harness = parked(2)
+    harness = harness_with_parked_clients(2)
     harness.epoll_set.deliver(0, probe(2))  # the reactor has not polled since
     harness.advance(0.11)  # a round of upkeep polls the set
     harness.advance()
     assert harness.trace == ["client 0 < 2 probe: good True"]
 
 
-def test_an_error_of_close_frees_the_descriptor_all_the_same(pair, monkeypatch):
+def test_an_error_of_close_still_frees_the_descriptor(pair, monkeypatch):
     transport, reactor, client = pair
-    idle = EpollSet(reactor)
-    fd = idle.detach(transport)
+    idle_set = EpollSet(reactor)
+    fd = idle_set.detach(transport)
     close = os.close
 
-    def interrupted(number):
-        close(number)
+    def interrupted(descriptor):
+        close(descriptor)
         raise OSError(errno.EINTR, "injected")
 
     monkeypatch.setattr(epoll_set.os, "close", interrupted)
-    idle.close(fd)
+    idle_set.close(fd)
     assert client.recv(1) == b""
-    idle.close_set()
+    idle_set.close_set()
 
 
 # Logs.
 
-LOGGING = """
+LOGGING_PROGRAM = """
 import os, sys
 from loguru import logger
 from weldbend import logs
@@ -452,22 +463,29 @@
 """
 
 
-@pytest.mark.parametrize("form", ["text", "json"])
-@pytest.mark.parametrize("behind", ["closed pipe", "full disk", "closed meanwhile", "closed before"])
-def test_what_is_behind_the_log_stops_nobody(form, behind):
-    command = f'exec "$0" -c "$1" {form} "{behind}"' + (" 2>&-" if behind == "closed before" else "")
-    done = subprocess.run(["sh", "-c", command, sys.executable, LOGGING], capture_output=True, timeout=60)
-    assert (done.returncode, done.stdout) == (0, b"goes on\n")
-
-
-def test_a_line_of_either_form_is_written_whole():
-    shown = subprocess.run(
-        [sys.executable, "-c", LOGGING, "json", "nothing"], capture_output=True, timeout=60, check=True
+@pytest.mark.parametrize("log_format", ["text", "json"])
+@pytest.mark.parametrize("log_target", ["closed pipe", "full disk", "closed meanwhile", "closed before"])
+def test_a_broken_log_target_does_not_stop_the_program(log_format, log_target):
+    command = f'exec "$0" -c "$1" {log_format} "{log_target}"' + (
+        " 2>&-" if log_target == "closed before" else ""
+    )
+    result = subprocess.run(
+        ["sh", "-c", command, sys.executable, LOGGING_PROGRAM], capture_output=True, timeout=60
+    )
+    assert (result.returncode, result.stdout) == (0, b"goes on\n")
+
+
+def test_json_log_lines_are_written_whole():
+    lines = subprocess.run(
+        [sys.executable, "-c", LOGGING_PROGRAM, "json", "nothing"],
+        capture_output=True,
+        timeout=60,
+        check=True,
     ).stderr.splitlines()
-    assert len(shown) == 200 and json.loads(shown[7])["message"] == "line 7 " + "x" * 100
+    assert len(lines) == 200 and json.loads(lines[7])["message"] == "line 7 " + "x" * 100
 
 
-def test_a_front_whose_log_breaks_serves_on_and_ends_as_told(tmp_path):
+def test_a_front_whose_log_reader_exits_keeps_serving_and_exits_on_sigterm(tmp_path):
     """What reads its log ends: probes are answered, a reload is survived, and SIGTERM ends it with 0."""
     with socket.create_server(("127.0.0.1", 0)) as spare:
         address = spare.getsockname()
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -6,7 +6,7 @@
 from weldbend.routing.events import LoopLagMeasured, RequestReceived
 
 
-def warmed_up_harness():
+def harness_with_cache_connection():
     """A front with a connection to its cache."""
     harness = FrontHarness()
     client = harness.connect_client()
@@ -16,7 +16,7 @@
     return harness, client
 
 
-def sent(harness, number):
+def sent_commands(harness, number):
     return [line for line in harness.trace if f"do {number:016x}" in line]
 
 
@@ -24,8 +24,8 @@
     return [line for line in harness.trace if line.startswith(f"client 0 < {seqid} ")]
 
 
-def test_the_deadline_of_one_request_sends_nothing_for_a_client_whose_end_is_read_next():
-    harness, client = warmed_up_harness()
+def test_a_deadline_of_one_request_starts_no_attempt_for_a_client_whose_close_is_read_next():
+    harness, client = harness_with_cache_connection()
     harness.send(client, process(2, wait="1000"))
     harness.answer("e2", 99, "FIT")  # so that the connection is used on
     other = harness.connect_client()
@@ -36,11 +36,13 @@
     harness.reactor.callLater(0, other.transport.loseConnection)  # what the next poll of the sockets brings
     harness.advance()
     assert len(answers(harness, 2)) == 1
-    assert not sent(harness, 3) and not harness.pending_connects(), "not even a connection is made for it"
+    assert (
+        not sent_commands(harness, 3) and not harness.pending_connects()
+    ), "not even a connection is made for it"
 
 
-def test_an_expired_request_is_answered_where_the_events_before_its_own_take_long(monkeypatch):
-    harness, client = warmed_up_harness()
+def test_an_expired_request_is_answered_when_earlier_events_take_long(monkeypatch):
+    harness, client = harness_with_cache_connection()
     harness.send(client, process(2, wait="1000"))
     events = harness.dispatcher.router.events
     dispatch = events.dispatch
@@ -54,11 +56,11 @@
     client.dataReceived(process(3) + process(4) + process(5))
     harness.advance()
     assert len(answers(harness, 2)) == 1
-    assert all(answers(harness, number) or sent(harness, number) for number in (3, 4, 5))
+    assert all(answers(harness, number) or sent_commands(harness, number) for number in (3, 4, 5))
 
 
-def test_a_long_batch_is_parted_so_that_ends_are_read_meanwhile(monkeypatch):
-    harness, _ = warmed_up_harness()
+def test_a_long_batch_is_split_so_that_closes_are_read_in_between(monkeypatch):
+    harness, _ = harness_with_cache_connection()
     clients = [harness.connect_client() for _ in range(8)]
     events = harness.dispatcher.router.events
     dispatch = events.dispatch
@@ -76,17 +78,17 @@
     for number, client in enumerate(clients, start=11):
         client.dataReceived(process(number))
     harness.advance()
-    assert not sent(harness, 18)
+    assert not sent_commands(harness, 18)
     sent_or_rejected = [
-        len(sent(harness, number)) + sum(f"< {number} throttled" in line for line in harness.trace)
+        len(sent_commands(harness, number)) + sum(f"< {number} throttled" in line for line in harness.trace)
         for number in range(11, 18)
     ]
     assert sent_or_rejected == [1] * 7, "the others lose nothing: each goes out or is rejected for the lag"
-    assert sent(harness, 11) and sent(harness, 12)
+    assert sent_commands(harness, 11) and sent_commands(harness, 12)
 
 
-def test_what_the_rest_of_a_long_batch_names_is_known_until_it_is_handled(monkeypatch):
-    harness, _ = warmed_up_harness()
+def test_requests_named_in_the_rest_of_a_long_batch_are_kept_until_it_is_handled(monkeypatch):
+    harness, _ = harness_with_cache_connection()
     clients = [harness.connect_client() for _ in range(8)]
     events = harness.dispatcher.router.events
     dispatch = events.dispatch
@@ -105,12 +107,12 @@
         client.dataReceived(process(number))
     harness.advance()
     assert harness.front.context.counters.counts["internal errors"] == 0
-    assert not any(sent(harness, number) for number in range(15, 19))
+    assert not any(sent_commands(harness, number) for number in range(15, 19))
     assert len(harness.dispatcher.requests.by_id) == 4, "nothing is kept of those that are over"
 
 
 def test_a_removed_cache_is_known_until_the_router_has_handled_its_removal(monkeypatch):
-    harness, client = warmed_up_harness()
+    harness, client = harness_with_cache_connection()
     events = harness.dispatcher.router.events
     dispatch = events.dispatch
     handled = []
@@ -131,8 +133,8 @@
     assert harness.front.context.counters.counts["internal errors"] == 0
 
 
-def test_the_lag_of_what_a_long_batch_left_counts_from_its_first_wait(monkeypatch):
-    harness, _ = warmed_up_harness()
+def test_the_lag_of_deferred_events_counts_from_the_start_of_their_wait(monkeypatch):
+    harness, _ = harness_with_cache_connection()
     clients = [harness.connect_client() for _ in range(8)]
     events = harness.dispatcher.router.events
     dispatch = events.dispatch
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -34,10 +34,10 @@
 
 def test_the_emulated_site_fills_caches_and_joins_fills_over_slow_links():
     caches, size = small_site(), Sizes().of(KEY, 0)
-    words = [caches.execute("e1", lookup_fields(), 0.0, 100.0).word]
+    answer_words = [caches.execute("e1", lookup_fields(), 0.0, 100.0).word]
     first = caches.execute("e1", lookup_fields(**{"from": "p1", "rank": "1", "mode": "j"}), 0.0, 100.0)
     second = caches.execute("e1", lookup_fields(**{"from": "p1", "mode": "j"}), 0.0, 100.0)
-    assert words == ["LACK"] and first.fields["detail"] == "o" and second.fields["detail"] == "j"
+    assert answer_words == ["LACK"] and first.fields["detail"] == "o" and second.fields["detail"] == "j"
     assert first.body == body(KEY, 0, size) and first.at > 0.01 + size / 1e6
     hit = caches.execute("e1", lookup_fields(), 9.0, 109.0)
     assert hit.fields["detail"] == "h" and hit.at < 9.01 and hit.fields["born"] == "100000"
@@ -51,34 +51,38 @@
 
 def test_a_write_with_an_idempotency_key_is_executed_once_in_the_emulated_site():
     caches = small_site()
-    for when in (0.0, 3.0, 20.0):
-        assert caches.execute("o1", lookup_fields(queue="order", uniq="ab"), when, when).word == "DONE"
+    for now in (0.0, 3.0, 20.0):
+        assert caches.execute("o1", lookup_fields(queue="order", uniq="ab"), now, now).word == "DONE"
     assert caches.caches["o1"].counts["effects"] == 2 and caches.caches["o1"].counts["repeats dropped"] == 1
 
 
 def test_beyond_the_capacity_the_lowest_rank_is_evicted_first():
     caches = small_site(capacity=100_000)
-    for rank, object_ in [("1", 1), *(("0", n) for n in range(2, 40)), *(("1", n) for n in range(40, 43))]:
-        asked = lookup_fields(path=key_of(object_), rank=rank, **{"from": "p1"})
-        caches.execute("e1", asked, float(object_), float(object_))
+    for rank, object_number in [
+        ("1", 1),
+        *(("0", n) for n in range(2, 40)),
+        *(("1", n) for n in range(40, 43)),
+    ]:
+        fields = lookup_fields(path=key_of(object_number), rank=rank, **{"from": "p1"})
+        caches.execute("e1", fields, float(object_number), float(object_number))
     cached = caches.caches["e1"].copies
     assert caches.caches["e1"].used == sum(c.size for c in cached.values()) <= 100_000
     assert (KEY, 0) in cached and (key_of(42), 0) in cached
 
 
 @given(st.integers(0, 1 << 32))
-def test_commands_are_read_in_any_split(seed):
+def test_commands_are_parsed_however_their_bytes_are_split(seed):
     rng = random.Random(seed)
     data = commands.do("a1", {"queue": "x", "blk": "0"}, b"two\r\nlines") + commands.undo("a1")
     data += commands.ping("t1") + commands.do("b2", {}, b"")
     ring = Ring(1 << 12)
-    parser, found = Parser(ring), []
+    parser, parsed = Parser(ring), []
     while data:
         cut = rng.randint(1, len(data))
         ring.write(data[:cut])
         data = data[cut:]
-        found += parser.all()
-    assert found == [
+        parsed += parser.all()
+    assert parsed == [
         Command("do", "a1", {"queue": "x", "blk": "0"}, b"two\r\nlines"),
         Command("undo", "a1", {}),
         Command("ping", "t1", {}),
@@ -87,10 +91,10 @@
     assert encode_answer("b2", "DONE", {"ver": "1"}, b"x") == b"b2 DONE ver=1 1\r\nx\r\n"
 
 
-@pytest.mark.parametrize("bad", [b"do a - 99999\r\n", b"do a - x\r\n", b"get\r\n", b"x" * 4096])
-def test_what_is_no_command_is_an_error(bad):
+@pytest.mark.parametrize("invalid_command", [b"do a - 99999\r\n", b"do a - x\r\n", b"get\r\n", b"x" * 4096])
+def test_an_invalid_command_is_an_error(invalid_command):
     ring = Ring(1 << 13)
-    ring.write(bad)
+    ring.write(invalid_command)
     with pytest.raises(InvalidCommandError):
         Parser(ring).next()
 
@@ -101,30 +105,30 @@
     assert 130 < len(plan.arrivals()) < 270 and all(0 < a.at < 4 for a in plan.arrivals())
 
 
-def lab(*words):
-    command = [sys.executable, "-m", "weldbend", "lab", *words]
+def lab(*arguments):
+    command = [sys.executable, "-m", "weldbend", "lab", *arguments]
     return subprocess.run(command, capture_output=True, text=True, timeout=120)
 
 
 def test_the_demo_requests_from_a_real_front(tmp_path):
     path = tmp_path / "demo.json"
-    done = lab("demo", "--rate", "40", "--seconds", "2", "--json", str(path))
-    assert done.returncode == 0, done.stderr
+    result = lab("demo", "--rate", "40", "--seconds", "2", "--json", str(path))
+    assert result.returncode == 0, result.stderr
     report = json.loads(path.read_text())
     counts = report["counts"]
     assert counts["fulfilled"] > 40 and counts["asked"] == counts["fulfilled"] + counts.get("throttled", 0)
     assert not counts.get("spoilt") and not counts["lost"] and not counts["unanswered"]
-    assert report["boxes"]["box asked"] >= counts["fulfilled"] * 0.9 and "p99, ms" in done.stdout
+    assert report["boxes"]["box asked"] >= counts["fulfilled"] * 0.9 and "p99, ms" in result.stdout
 
 
 def test_many_idle_connections_wake_at_once_in_a_real_front(tmp_path):
     path = tmp_path / "idle.json"
-    words = ("--connections", "600", "--pairs", "0", "--busy-rate", "20", "--json", str(path))
-    done = lab("idle", *words, "--wake", "1.0", "--wake-with", "photo")
-    assert done.returncode == 0, done.stderr
-    row, last = json.loads(path.read_text())["wakes"]
-    assert last["front"]["max_idle_connections"] >= 600 and not last["front"]["violations"]
-    woken, counts = row["woken"], row["busy"]["counts"]
+    options = ("--connections", "600", "--pairs", "0", "--busy-rate", "20", "--json", str(path))
+    result = lab("idle", *options, "--wake", "1.0", "--wake-with", "photo")
+    assert result.returncode == 0, result.stderr
+    wake, final = json.loads(path.read_text())["wakes"]
+    assert final["front"]["max_idle_connections"] >= 600 and not final["front"]["violations"]
+    woken, counts = wake["woken"], wake["busy"]["counts"]
     assert woken["woken"] == 600 and not woken["unanswered"] and not woken["closed"]
     outcomes = woken["outcomes"]
     assert outcomes["fulfilled"] + outcomes.get("throttled", 0) + outcomes.get("abandoned", 0) == 600
@@ -132,6 +136,6 @@
     assert not counts["lost"] and not counts["unanswered"] and counts["fulfilled"] > 100
 
 
-def test_load_goes_to_loopback_only():
-    done = lab("load", "--front", "10.0.0.1:80")
-    assert done.returncode == 1 and "loopback only" in done.stderr and done.stderr.count("\n") == 1
+def test_load_is_sent_to_loopback_only():
+    result = lab("load", "--front", "10.0.0.1:80")
+    assert result.returncode == 1 and "loopback only" in result.stderr and result.stderr.count("\n") == 1
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -15,38 +15,38 @@
 from weldbend.thrift import messages
 from weldbend.thrift.framing import next_frame
 
-LONG = 20.0  # seconds after which a test gives up
-PAUSE = 0.02  # seconds between two requests of one client
-MOST_OPEN = 25  # requests of one client without an answer
-CROSSING = 0.05  # seconds before the end of a connection in which a request crosses it and is sent again
+TIMEOUT = 20.0  # seconds after which a test gives up
+REQUEST_INTERVAL = 0.02  # seconds between two requests of one client
+MAX_OPEN_REQUESTS = 25  # requests of one client without an answer
+RACE_WINDOW = 0.05  # seconds before the end of a connection in which a request crosses it and is sent again
 
 
 def harness_with_deadlines(seconds):
     harness = FrontHarness()
-    for kind in harness.front.site.settings.classes.values():
-        object.__setattr__(kind, "deadline_after", seconds)
+    for request_class in harness.front.site.settings.classes.values():
+        object.__setattr__(request_class, "deadline_after", seconds)
     return harness
 
 
-@pytest.mark.parametrize("longest", [0.1, 0.3, 1.0, 3.0, 9.0])
-def test_requests_that_come_until_the_kill_are_answered_and_the_front_ends_before_it(longest):
-    harness = harness_with_deadlines(longest)
+@pytest.mark.parametrize("longest_deadline", [0.1, 0.3, 1.0, 3.0, 9.0])
+def test_requests_received_until_sigkill_are_answered_and_the_front_exits_before_it(longest_deadline):
+    harness = harness_with_deadlines(longest_deadline)
     client = harness.connect_client()
-    kill = min(longest, 3.0) + 0.7
+    kill_at = min(longest_deadline, 3.0) + 0.7
     harness.front.terminate()
     sent = 0
-    while not harness.reactor.hasStopped and harness.reactor.seconds() < kill + 1.0:
+    while not harness.reactor.hasStopped and harness.reactor.seconds() < kill_at + 1.0:
         if not client.transport.disconnecting:
             sent += 1
             harness.send(client, process(sent, wait="100"))
         harness.advance(0.01)
-    ended = harness.reactor.seconds()
+    stopped_at = harness.reactor.seconds()
     answered = {int(line.split()[3]) for line in harness.trace if line.startswith("client 0 <")}
     assert answered == set(range(1, sent + 1)) and sent > 20
-    assert ended < kill, "it has ended before it can be killed"
+    assert stopped_at < kill_at, "it has ended before it can be killed"
 
 
-def test_calls_that_lie_unhandled_behind_a_slow_reader_are_answered_at_the_last_moment():
+def test_calls_queued_behind_a_slow_reader_are_answered_at_the_end_of_the_shutdown():
     harness = harness_with_deadlines(0.3)
     client = harness.connect_client()
     client.pauseProducing()
@@ -69,44 +69,44 @@
     """)
 
 
-class Client(threading.Thread):
+class SendingClient(threading.Thread):
     """Sends requests on one connection until the other side ends it, and keeps what is answered."""
 
     def __init__(self, address, number):
         super().__init__()
         self.address, self.number = address, number
-        self.sent, self.answers, self.ended = {}, {}, 0.0
+        self.sent_at, self.answers, self.closed_at = {}, {}, 0.0
 
     def run(self):
         ring = Ring(1 << 20)
-        with socket.create_connection(self.address, LONG) as connection:
-            connection.settimeout(PAUSE)
-            while not self.ended:
-                seqid = len(self.sent) + 1
-                name = f"{self.number:08x}{seqid:08x}"
+        with socket.create_connection(self.address, TIMEOUT) as connection:
+            connection.settimeout(REQUEST_INTERVAL)
+            while not self.closed_at:
+                seqid = len(self.sent_at) + 1
+                request_id = f"{self.number:08x}{seqid:08x}"
                 try:
-                    if len(self.sent) - len(self.answers) < MOST_OPEN:
-                        connection.sendall(process(seqid, wait="300", id=name))
-                        self.sent[seqid] = time.monotonic()
+                    if len(self.sent_at) - len(self.answers) < MAX_OPEN_REQUESTS:
+                        connection.sendall(process(seqid, wait="300", id=request_id))
+                        self.sent_at[seqid] = time.monotonic()
                     ring.write(data := connection.recv(1 << 16))
                 except TimeoutError:
                     continue
                 except OSError:
                     data = b""
                 if not data:
-                    self.ended = time.monotonic()
+                    self.closed_at = time.monotonic()
                 while frame := next_frame(ring, 1 << 20):
                     text = answer_text(frame)
                     self.answers[int(text.split()[0])] = text
 
 
-def short_site(tmp_path, cache, bus, listen):
+def write_site_with_short_deadlines(tmp_path, cache, bus, listen):
     lanes = [lane | {"deadline_us": 300000, "goal_time_us": 200000} for lane in SETTINGS["lanes"]]
-    entry = target("e1", port=cache.getsockname()[1]) | {"capacity_hint": 1000}
+    cache_entry = target("e1", port=cache.getsockname()[1]) | {"capacity_hint": 1000}
     path = tmp_path / "front.json"
     path.write_text(
         emulated_configuration(
-            (entry,),
+            (cache_entry,),
             settings=SETTINGS | {"lanes": lanes},
             listen=f"127.0.0.1:{listen}",
             bus=f"127.0.0.1:{bus.getsockname()[1]}",
@@ -115,37 +115,41 @@
     return path
 
 
-def test_a_process_with_deadlines_of_300_ms_answers_until_it_ends_in_time(tmp_path):
+def test_a_process_with_deadlines_of_300_ms_answers_every_request_and_exits_in_time(tmp_path):
     """Its cache takes everything and answers nothing; clients send until their connections are ended."""
     with (
         socket.create_server(("127.0.0.1", 0), backlog=64) as cache,
         socket.create_server(("127.0.0.1", 0)) as bus,
-        socket.create_server(("127.0.0.1", 0)) as spare,
+        socket.create_server(("127.0.0.1", 0)) as port_reservation,
     ):
-        port = spare.getsockname()[1]
-        spare.close()
+        port = port_reservation.getsockname()[1]
+        port_reservation.close()
         command = [sys.executable, "-O", "-m", "weldbend", "serve", "--config"]
-        command.append(str(short_site(tmp_path, cache, bus, port)))
+        command.append(str(write_site_with_short_deadlines(tmp_path, cache, bus, port)))
         front = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
         try:
             assert any("serves on" in line for line in front.stderr)
-            clients = [Client(("127.0.0.1", port), number) for number in range(1, 4)]
+            clients = [SendingClient(("127.0.0.1", port), number) for number in range(1, 4)]
             for client in clients:
                 client.start()
             time.sleep(0.3)
-            told = time.monotonic()
+            terminated_at = time.monotonic()
             front.terminate()
-            front.wait(LONG)
-            took = time.monotonic() - told
+            front.wait(TIMEOUT)
+            duration = time.monotonic() - terminated_at
             for client in clients:
-                client.join(LONG)
+                client.join(TIMEOUT)
         finally:
             if front.poll() is None:
                 front.kill()
-            front.wait(LONG)
+            front.wait(TIMEOUT)
             front.stderr.close()
-    assert took < 1.0, "SIGKILL may come after the longest deadline and 0.7 s"
+    assert duration < 1.0, "SIGKILL may come after the longest deadline and 0.7 s"
     for client in clients:
-        owed = {seqid for seqid, at in client.sent.items() if at < client.ended - CROSSING}
-        assert client.ended > told + 0.6, "it was served up to the end"
-        assert len(owed) > 20 and owed <= set(client.answers), sorted(owed - set(client.answers))
+        due = {
+            seqid
+            for seqid, sending_time in client.sent_at.items()
+            if sending_time < client.closed_at - RACE_WINDOW
+        }
+        assert client.closed_at > terminated_at + 0.6, "it was served up to the end"
+        assert len(due) > 20 and due <= set(client.answers), sorted(due - set(client.answers))
--- a/tests/test_patient_reactor.py
+++ b/tests/test_patient_reactor.py
@@ -11,21 +11,21 @@
 class Selectable:
     """What a reactor watches: one end of a pair, and what was called on it."""
 
-    def __init__(self, end):
-        self.end, self.called, self.fileno = end, [], end.fileno
+    def __init__(self, connected_socket):
+        self.connected_socket, self.calls, self.fileno = connected_socket, [], connected_socket.fileno
 
     def doRead(self):
-        self.called.append("read")
-        self.end.recv(9)
+        self.calls.append("read")
+        self.connected_socket.recv(9)
 
     def doWrite(self):
-        self.called.append("write")
+        self.calls.append("write")
 
     def logPrefix(self):
         return "test"
 
     def connectionLost(self, reason):
-        self.called.append("lost")
+        self.calls.append("lost")
 
 
 class FailingPoller:
@@ -42,49 +42,49 @@
 
 
 @pytest.fixture
-def watched():
+def reactor_and_sockets():
     reactor = RetryingEPollReactor()
-    near, far = socket.socketpair()
-    near.setblocking(False)
-    yield reactor, Selectable(near), far
-    near.close()
-    far.close()
+    local_end, remote_end = socket.socketpair()
+    local_end.setblocking(False)
+    yield reactor, Selectable(local_end), remote_end
+    local_end.close()
+    remote_end.close()
     reactor._poller.close()
 
 
-def turn(reactor, seconds=RETRY_AFTER * 4):
-    end = reactor.seconds() + seconds
-    while reactor.seconds() < end:
+def run_reactor(reactor, seconds=RETRY_AFTER * 4):
+    stop_at = reactor.seconds() + seconds
+    while reactor.seconds() < stop_at:
         reactor.runUntilCurrent()
         reactor.doIteration(0.005)
 
 
-@pytest.mark.parametrize("number", [errno.ENOMEM, errno.ENOSPC])
-def test_what_cannot_be_watched_is_watched_as_soon_as_that_works(watched, number):
-    reactor, selectable, far = watched
-    reactor._poller = FailingPoller(reactor._poller, [number] * 3)
+@pytest.mark.parametrize("error_number", [errno.ENOMEM, errno.ENOSPC])
+def test_a_descriptor_that_epoll_rejects_is_registered_by_a_retry(reactor_and_sockets, error_number):
+    reactor, selectable, remote_end = reactor_and_sockets
+    reactor._poller = FailingPoller(reactor._poller, [error_number] * 3)
     reactor.addReader(selectable)
     reactor.addWriter(selectable)
-    far.sendall(b"bytes")
-    turn(reactor)
-    assert {"read", "write"} <= set(selectable.called) and "lost" not in selectable.called
+    remote_end.sendall(b"bytes")
+    run_reactor(reactor)
+    assert {"read", "write"} <= set(selectable.calls) and "lost" not in selectable.calls
     assert not (reactor.unwatched_readers or reactor.unwatched_writers)
 
 
-def test_what_is_no_longer_wanted_is_not_watched_later(watched):
-    reactor, selectable, far = watched
+def test_a_descriptor_removed_before_the_retry_is_not_registered(reactor_and_sockets):
+    reactor, selectable, remote_end = reactor_and_sockets
     reactor._poller = FailingPoller(reactor._poller, [errno.ENOMEM] * 2)
     reactor.addReader(selectable)
     reactor.addWriter(selectable)
     reactor.removeReader(selectable)
     reactor.removeWriter(selectable)
-    far.sendall(b"bytes")
-    turn(reactor)
-    assert selectable.called == []
+    remote_end.sendall(b"bytes")
+    run_reactor(reactor)
+    assert selectable.calls == []
 
 
-def test_other_errors_are_raised_as_ever(watched):
-    reactor, selectable, _ = watched
+def test_other_errors_of_epoll_are_raised(reactor_and_sockets):
+    reactor, selectable, _ = reactor_and_sockets
     reactor._poller = FailingPoller(reactor._poller, [errno.EBADF])
     with pytest.raises(OSError, match="injected"):
         reactor.addReader(selectable)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -15,27 +15,27 @@
 import pytest
 from fronts import answer_text, configuration, probe, process, target
 
-LONG = 20.0  # seconds after which a test gives up
+TIMEOUT = 20.0  # seconds after which a test gives up
 
 
-class Program:
+class FrontProcess:
     """A front in a process of its own."""
 
     def __init__(self, path, *options):
         command = [sys.executable, "-O", "-m", "weldbend", "serve", "--config", str(path), *options]
         self.process = subprocess.Popen(command, stderr=subprocess.PIPE, text=True)
-        self.told("serves on")
+        self.wait_for_log("serves on")
 
-    def told(self, text):
+    def wait_for_log(self, text):
         for line in self.process.stderr:
             if text in line:
                 return line
         raise AssertionError(f"ended without {text!r}")
 
-    def end(self):
+    def kill_and_wait(self):
         if self.process.poll() is None:
             self.process.kill()
-        self.process.wait(LONG)
+        self.process.wait(TIMEOUT)
         self.process.stderr.close()
 
 
@@ -43,7 +43,7 @@
 def site(tmp_path):
     """A configuration on free ports of loopback, and the cache that it names."""
     with socket.create_server(("127.0.0.1", 0)) as cache, socket.create_server(("127.0.0.1", 0)) as bus:
-        cache.settimeout(LONG)
+        cache.settimeout(TIMEOUT)
         with socket.create_server(("127.0.0.1", 0)) as spare:
             address = spare.getsockname()
         listen = f"127.0.0.1:{address[1]}"
@@ -58,17 +58,17 @@
         yield path, address, cache
 
 
-def ask(address, *frames):
-    with socket.create_connection(address, LONG) as client:
+def connect_and_send(address, *frames):
+    with socket.create_connection(address, TIMEOUT) as client:
         client.sendall(b"".join(frames))
         return client.makefile("rb")
 
 
-def heard(client):
+def read_answer(client):
     return answer_text(client.read(int.from_bytes(client.read(4))))
 
 
-def commands(stream, count):
+def read_commands(stream, count):
     """The next commands that a cache is given, by the names of their downloads."""
     names = []
     for _ in range(count):
@@ -77,57 +77,59 @@
     return names
 
 
-def test_told_to_stop_under_load_it_loses_nothing(site):
+def test_sigterm_under_load_loses_no_answer(site):
     path, address, cache = site
-    program = Program(path)
+    program = FrontProcess(path)
     try:
-        first = ask(address, process(1), process(2), probe(3))
-        assert heard(first) == "3 probe: good True"
+        first_client = connect_and_send(address, process(1), process(2), probe(3))
+        assert read_answer(first_client) == "3 probe: good True"
         program.process.send_signal(signal.SIGHUP)
-        program.told("new configuration")
+        program.wait_for_log("new configuration")
         path.write_text("{")
         program.process.send_signal(signal.SIGHUP)
-        program.told("the current one stays in use")
-        link = cache.accept()[0]
-        stream = link.makefile("rb")
-        assert commands(stream, 2) == [1, 2]
-        since = time.monotonic()
+        program.wait_for_log("the current one stays in use")
+        connection = cache.accept()[0]
+        stream = connection.makefile("rb")
+        assert read_commands(stream, 2) == [1, 2]
+        started_at = time.monotonic()
         program.process.send_signal(signal.SIGTERM)
-        program.told("shutdown requested")
-        second = ask(address, process(9), probe(1))
-        assert heard(second) == "1 probe: good False"
-        assert commands(stream, 1) == [9]
+        program.wait_for_log("shutdown requested")
+        second_client = connect_and_send(address, process(9), probe(1))
+        assert read_answer(second_client) == "1 probe: good False"
+        assert read_commands(stream, 1) == [9]
         body = b"x" * 200_000
         for number in (9, 2, 1):
-            link.sendall(b"%016x DONE - %d\r\n%b\r\n" % (number, len(body), body))
-        assert heard(second) == "9 process: '200000 bytes'"
-        assert {heard(first), heard(first)} == {f"{n} process: '200000 bytes'" for n in (1, 2)}
-        assert program.process.wait(LONG) == 0 and time.monotonic() - since >= 0.7
-        assert first.read() == second.read() == b""
-        for each in (first, second, link, stream):
-            each.close()
+            connection.sendall(b"%016x DONE - %d\r\n%b\r\n" % (number, len(body), body))
+        assert read_answer(second_client) == "9 process: '200000 bytes'"
+        assert {read_answer(first_client), read_answer(first_client)} == {
+            f"{n} process: '200000 bytes'" for n in (1, 2)
+        }
+        assert program.process.wait(TIMEOUT) == 0 and time.monotonic() - started_at >= 0.7
+        assert first_client.read() == second_client.read() == b""
+        for resource in (first_client, second_client, connection, stream):
+            resource.close()
     finally:
-        program.end()
+        program.kill_and_wait()
 
 
-def test_killed_it_starts_again_from_nothing(site):
+def test_a_killed_front_restarts_without_state(site):
     path, address, cache = site
     for _ in range(2):
-        program = Program(path)
+        program = FrontProcess(path)
         try:
-            client = ask(address, process(1))
-            link = cache.accept()[0]
-            stream = link.makefile("rb")
-            assert commands(stream, 1) == [1]
-            link.sendall(b"%016x DONE - 2\r\nok\r\n" % 1)
-            assert heard(client) == "1 process: 'ok'"
+            client = connect_and_send(address, process(1))
+            connection = cache.accept()[0]
+            stream = connection.makefile("rb")
+            assert read_commands(stream, 1) == [1]
+            connection.sendall(b"%016x DONE - 2\r\nok\r\n" % 1)
+            assert read_answer(client) == "1 process: 'ok'"
             program.process.kill()
-            program.process.wait(LONG)
+            program.process.wait(TIMEOUT)
             assert client.read() == b""
-            for each in (client, link, stream):
-                each.close()
+            for resource in (client, connection, stream):
+                resource.close()
         finally:
-            program.end()
+            program.kill_and_wait()
 
 
 def allow_a_minute_for_each_request(path):
@@ -142,94 +144,101 @@
     path.write_text(json.dumps(document))
 
 
-def test_within_its_limits_with_a_third_of_the_descriptors_and_readers_that_wait(site):
+def test_memory_and_descriptors_stay_within_limits_with_341_connections_and_slow_readers(site):
     """341 connections, two of which ask for all they may and read nothing until the last answer is given."""
     path, address, cache = site
     allow_a_minute_for_each_request(path)
-    program = Program(path)
+    program = FrontProcess(path)
     try:
-        clients = [ask(address, probe(1)) for _ in range(339)]
-        assert {heard(client) for client in clients} == {"1 probe: good True"}
-        asked = [
+        clients = [connect_and_send(address, probe(1)) for _ in range(339)]
+        assert {read_answer(client) for client in clients} == {"1 probe: good True"}
+        request_frames = [
             [process(n, key=f"{n:016x}", wait="60000") for n in range(32 * k + 1, 32 * k + 33)]
             for k in (0, 1)
         ]
-        slow = [ask(address, *frames) for frames in asked]
-        links = [cache.accept()[0] for _ in slow]
-        streams = [link.makefile("rb") for link in links]
+        slow = [connect_and_send(address, *frames) for frames in request_frames]
+        connections = [cache.accept()[0] for _ in slow]
+        streams = [connection.makefile("rb") for connection in connections]
         body = b"x" * 240_000
-        for link, names in [
-            (link, commands(stream, 32)) for link, stream in zip(links, streams, strict=True)
+        for connection, names in [
+            (connection, read_commands(stream, 32))
+            for connection, stream in zip(connections, streams, strict=True)
         ]:
             for number in names:
-                link.sendall(b"%016x DONE - %d\r\n%b\r\n" % (number, len(body), body))
-        number = f"/proc/{program.process.pid}"
-        for client, frames in zip(slow, asked, strict=True):
-            assert len({heard(client) for _ in frames}) == 32
-        assert len(list(Path(number, "fd").iterdir())) < 400
-        peak = re.search(r"VmHWM:\s+(\d+) kB", Path(number, "status").read_text())
+                connection.sendall(b"%016x DONE - %d\r\n%b\r\n" % (number, len(body), body))
+        process_directory = f"/proc/{program.process.pid}"
+        for client, frames in zip(slow, request_frames, strict=True):
+            assert len({read_answer(client) for _ in frames}) == 32
+        assert len(list(Path(process_directory, "fd").iterdir())) < 400
+        peak = re.search(r"VmHWM:\s+(\d+) kB", Path(process_directory, "status").read_text())
         assert int(peak[1]) < 150_000
-        for each in (*clients, *slow, *links, *streams):
-            each.close()
+        for resource in (*clients, *slow, *connections, *streams):
+            resource.close()
     finally:
-        program.end()
+        program.kill_and_wait()
 
 
-def test_what_it_cannot_start_from_is_one_line_and_an_exit(site, tmp_path):
+def test_an_unusable_configuration_or_port_ends_the_start_with_one_line_of_output(site, tmp_path):
     path, address, _ = site
     text = path.read_text()
-    wrong = {
+    unusable_files = {
         "cannot be read": None,
         "cannot be used": "{",
         "lacks 'bus'": text.replace('"bus"', '"buss"'),
         "lacks 'lanes'": text.replace('"lanes"', '"lanez"'),
     }
-    for told, held in wrong.items():
-        other = tmp_path / "other.json"
-        other.unlink(missing_ok=True)
-        if held is not None:
-            other.write_text(held)
-        command = [sys.executable, "-m", "weldbend", "serve", "--config", str(other)]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=LONG)
-        assert done.returncode != 0 and told in done.stderr and done.stderr.count("\n") == 1, done.stderr
+    for message, content in unusable_files.items():
+        other_path = tmp_path / "other.json"
+        other_path.unlink(missing_ok=True)
+        if content is not None:
+            other_path.write_text(content)
+        command = [sys.executable, "-m", "weldbend", "serve", "--config", str(other_path)]
+        result = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT)
+        assert (
+            result.returncode != 0 and message in result.stderr and result.stderr.count("\n") == 1
+        ), result.stderr
     with socket.create_server(address):
         command = [sys.executable, "-m", "weldbend", "serve", "--config", str(path)]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=LONG)
-        assert done.returncode == 1 and "cannot listen" in done.stderr
+        result = subprocess.run(command, capture_output=True, text=True, timeout=TIMEOUT)
+        assert result.returncode == 1 and "cannot listen" in result.stderr
 
 
-def test_parked_connections_wake_and_a_stop_with_hundreds_of_them_ends_in_time(site, tmp_path):
+def test_parked_connections_are_reattached_and_a_shutdown_with_hundreds_of_them_ends_in_time(site, tmp_path):
     """On real descriptors: released, adopted, given to others, reset while parked, and closed at the end."""
     path, address, cache = site
-    terms = tmp_path / "weldbend.ini"
-    terms.write_text("[clients]\nidle = 1 h\npark-after = 100 ms\n")
-    program = Program(path, "--installation", str(terms), "--log-form", "json")
+    installation_path = tmp_path / "weldbend.ini"
+    installation_path.write_text("[clients]\nidle = 1 h\npark-after = 100 ms\n")
+    program = FrontProcess(path, "--installation", str(installation_path), "--log-form", "json")
     try:
-        clients = [ask(address, probe(1)) for _ in range(300)]
-        assert {heard(client) for client in clients} == {"1 probe: good True"}
+        clients = [connect_and_send(address, probe(1)) for _ in range(300)]
+        assert {read_answer(client) for client in clients} == {"1 probe: good True"}
         descriptors = Path(f"/proc/{program.process.pid}/fd")
         time.sleep(0.5)  # parked or not, what follows holds; the log says that they were
         for client in clients[:100]:
             client.close()
-        again = [ask(address, probe(1)) for _ in range(100)]
-        assert {heard(client) for client in again} == {"1 probe: good True"}
+        new_clients = [connect_and_send(address, probe(1)) for _ in range(100)]
+        assert {read_answer(client) for client in new_clients} == {"1 probe: good True"}
         for client in clients[100:]:
             client.raw._sock.sendall(probe(2))
-        assert {heard(client) for client in clients[100:]} == {"2 probe: good True"}
+        assert {read_answer(client) for client in clients[100:]} == {"2 probe: good True"}
         clients[100].raw._sock.sendall(process(3))
-        link = cache.accept()[0]
-        stream = link.makefile("rb")
-        assert commands(stream, 1) == [3]
+        connection = cache.accept()[0]
+        stream = connection.makefile("rb")
+        assert read_commands(stream, 1) == [3]
         assert len(list(descriptors.iterdir())) < 340
-        since = time.monotonic()
+        started_at = time.monotonic()
         program.process.send_signal(signal.SIGTERM)
-        link.sendall(b"%016x DONE - 2\r\nok\r\n" % 3)
-        assert heard(clients[100]) == "3 process: 'ok'"
-        told = json.loads(program.told('"message": "counters'))
-        assert program.process.wait(LONG) == 0 and time.monotonic() - since < 3.4
-        assert told["idle_wakeups"] >= 200 and told["max_idle_connections"] >= 290 and not told["violations"]
-        assert all(client.read() == b"" for client in (*again, *clients[100:]))
-        for each in (*again, *clients[100:], link, stream):
-            each.close()
+        connection.sendall(b"%016x DONE - 2\r\nok\r\n" % 3)
+        assert read_answer(clients[100]) == "3 process: 'ok'"
+        counters = json.loads(program.wait_for_log('"message": "counters'))
+        assert program.process.wait(TIMEOUT) == 0 and time.monotonic() - started_at < 3.4
+        assert (
+            counters["idle_wakeups"] >= 200
+            and counters["max_idle_connections"] >= 290
+            and not counters["violations"]
+        )
+        assert all(client.read() == b"" for client in (*new_clients, *clients[100:]))
+        for resource in (*new_clients, *clients[100:], connection, stream):
+            resource.close()
     finally:
-        program.end()
+        program.kill_and_wait()
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -35,7 +35,7 @@
     busiest_fraction=0.2,
 )
 # Of each line, the last figure that holds it with 1,600 caches: by the operators' table.
-LAST_HELD = {
+LAST_ACCEPTED = {
     "CPU, s": {"cpu": 7.212},  # 1.4 x 5 + 0.02 + 0.12 x 1.6
     "calls in a front, thousands": {"calls": 1_400_000.0},  # 1.4 x 1,000
     "peak memory, MB": {"memory": 89_400_000},  # 1.5 x 50 + 8 + 4 x 1.6
@@ -46,20 +46,20 @@
 }
 
 
-@pytest.mark.parametrize("name", LAST_HELD)
-def test_a_line_of_the_table_is_held_up_to_its_bound_and_missed_beyond(name):
+@pytest.mark.parametrize("name", LAST_ACCEPTED)
+def test_a_figure_is_accepted_up_to_its_bound_and_rejected_beyond(name):
     large = replace(USUAL, caches=1600)
-    ((field, value),) = LAST_HELD[name].items()
-    beyond = value * (0.999 if name == "share served" else 1.001)
+    ((field, value),) = LAST_ACCEPTED[name].items()
+    rejected = value * (0.999 if name == "share served" else 1.001)
     assert not broken_bounds(USUAL, replace(large, **{field: value}), is_counted_only=False)
-    broken = broken_bounds(USUAL, replace(large, **{field: beyond}), is_counted_only=False)
-    assert [bound.name for bound in broken] == [name] and len(BOUNDS) == len(LAST_HELD)
-    assert bool(broken_bounds(USUAL, replace(large, **{field: beyond}), is_counted_only=True)) is (
+    broken = broken_bounds(USUAL, replace(large, **{field: rejected}), is_counted_only=False)
+    assert [bound.name for bound in broken] == [name] and len(BOUNDS) == len(LAST_ACCEPTED)
+    assert bool(broken_bounds(USUAL, replace(large, **{field: rejected}), is_counted_only=True)) is (
         name not in ("CPU, s", "peak memory, MB")
     )
 
 
-def test_the_capacity_of_all_caches_together_is_the_same_for_each_division():
+def test_the_total_capacity_of_all_caches_is_the_same_for_each_division():
     usual, large = ScalePlan().site_settings(), ScalePlan(division=16).site_settings()
     assert usual.edges + usual.parents == 100 and large.edges + large.parents == 1600
     for name in ("edge_capacity", "edge_rate", "cache_rate", "cache_weight", "cache_max_open"):
@@ -70,7 +70,7 @@
     assert ScalePlan(division=16).changes_per_second() == 16 * ScalePlan().changes_per_second()
 
 
-def test_evenness_is_told_by_the_edges_used_and_by_the_busiest_tenth():
+def test_evenness_is_measured_by_the_fraction_of_edges_used_and_by_the_busiest_tenth():
     assert (
         busiest_fraction([1] * 20) == 0.1
         and busiest_fraction([0] * 19 + [5]) == 1.0
@@ -80,21 +80,21 @@
 
 
 @pytest.mark.parametrize("served, status", [(0.9, 0), (0.5, 1)])
-def test_the_exit_status_tells_whether_a_line_was_missed(monkeypatch, served, status):
+def test_the_exit_status_is_1_if_a_bound_is_missed(monkeypatch, served, status):
     figures = {1: USUAL, 16: replace(USUAL, caches=1600, served=served)}
     monkeypatch.setattr(scale_command, "play", lambda plan: figures[plan.division])
-    done = CliRunner().invoke(scale_command.scale, [])
-    assert done.exit_code == status and ("missed: share served" in done.output) is bool(status)
-    assert "connections made" in done.output and "790.00" in done.output
+    result = CliRunner().invoke(scale_command.scale, [])
+    assert result.exit_code == status and ("missed: share served" in result.output) is bool(status)
+    assert "connections made" in result.output and "790.00" in result.output
 
 
-def test_a_small_site_and_sixteen_times_its_caches_with_real_fronts(tmp_path):
+def test_real_fronts_with_sixteen_times_the_caches_stay_within_the_counted_bounds(tmp_path):
     """Judged by what is counted alone, so that a slow machine gives the same verdict."""
     path = tmp_path / "scale.json"
     size = ("--caches", "12", "--factor", "16", "--rate", "10", "--seconds", "4")
     command = [sys.executable, "-m", "weldbend", "lab", "scale", *size, "--counted", "--json", str(path)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=120)
-    assert done.returncode == 0, done.stdout + done.stderr
+    result = subprocess.run(command, capture_output=True, text=True, timeout=120)
+    assert result.returncode == 0, result.stdout + result.stderr
     report = json.loads(path.read_text())
     usual, large = report["usual"], report["large"]
     assert (usual["caches"], large["caches"]) == (12, 192) and usual["requests"] == large["requests"] > 20
@@ -104,14 +104,14 @@
     assert large["list_bytes"] > 2 * usual["list_bytes"] > 0 and large["origin_bytes"] > 0
 
 
-def test_the_port_of_a_front_stays_its_own_until_the_front_listens():
+def test_the_port_of_a_front_is_reserved_until_the_front_listens():
     """One that is only looked up may be given to any other connection on this machine meanwhile."""
-    site = EmulatedSite(MemoryReactorClock(), SiteSettings(edges=1, parents=1, fronts=1))
-    _, address = site.configure(1)
+    emulated_site = EmulatedSite(MemoryReactorClock(), SiteSettings(edges=1, parents=1, fronts=1))
+    _, address = emulated_site.configure(1)
     host, port = address.split(":")
     assert int(port) < 32_768  # below those that the system gives out, to connects too
-    with socket.socket() as other, pytest.raises(OSError, match="in use"):
-        other.bind((host, int(port)))
+    with socket.socket() as other_socket, pytest.raises(OSError, match="in use"):
+        other_socket.bind((host, int(port)))
     with socket.socket() as front:
         front.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         front.bind((host, int(port)))
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -34,28 +34,28 @@
 )
 
 
-def test_a_plan_depends_on_its_seed_alone_and_as_many_seeds_as_faults_inject_each_in_all_of_the_time():
+def test_a_plan_depends_only_on_its_seed_and_consecutive_seeds_cover_every_fault_for_the_whole_run():
     assert draw_plan(7, 5.0) == draw_plan(7, 5.0) != draw_plan(8, 5.0)
     assert {seed_fault(seed) for seed in range(len(ALL_FAULTS))} == set(ALL_FAULTS)
-    own = draw_plan(7, 5.0)[:WINDOWS]
-    assert {(episode.call, episode.number) for episode in own} == {seed_fault(7)}
-    assert (own[0].since, own[-1].until) == (0.0, 5.0)
+    seed_episodes = draw_plan(7, 5.0)[:WINDOWS]
+    assert {(episode.call, episode.number) for episode in seed_episodes} == {seed_fault(7)}
+    assert (seed_episodes[0].since, seed_episodes[-1].until) == (0.0, 5.0)
 
 
-def test_calls_fail_between_two_moments_and_a_bounded_number_of_times():
+def test_calls_fail_only_during_an_episode_and_a_bounded_number_of_times():
     (episode,) = draw_plan(5, 5.0)[:1]
     episode.chance = 1.0
     faults = CallFaults([episode], random.Random(1))
-    inside = (episode.since + episode.until) / 2
-    assert faults.draw(Call.WAIT, inside) is None
-    drawn = [faults.draw(Call.ACCEPT, inside) for _ in range(100)]
+    during_episode = (episode.since + episode.until) / 2
+    assert faults.draw(Call.WAIT, during_episode) is None
+    drawn = [faults.draw(Call.ACCEPT, during_episode) for _ in range(100)]
     assert drawn == [errno.ENFILE] * drawn.count(errno.ENFILE) + [None] * drawn.count(None)
     assert 0 < drawn.count(errno.ENFILE) <= 40 and faults.calls[Call.ACCEPT] == 100
     episode.left = 9
     assert faults.draw(Call.ACCEPT, episode.until + 1.0) is None
 
 
-def test_errors_of_connect_are_this_machines_or_the_peers():
+def test_connect_errors_are_attributed_to_this_machine_or_to_the_peer():
     peers = {errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.ECONNREFUSED, errno.ECONNRESET}
     for call in (Call.SOCKET, Call.CONNECT, Call.CONNECT_RESULT, Call.WATCH):
         for number in ERRORS[call]:
@@ -72,7 +72,7 @@
     assert not ends_connection(Call.SEND, errno.ENOBUFS) and ends_connection(Call.SEND, errno.EPIPE)
 
 
-def attempts(clock, audit, *, ends_first):
+def record_two_attempts(clock, audit, *, ends_first):
     server = SimpleNamespace(cache=SimpleNamespace(open=0))
     first, second = (AuditedConnection(server, audit) for _ in range(2))
     command = SimpleNamespace(name="0000000000000001", fields={"uniq": "ab"})
@@ -86,18 +86,18 @@
 
 
 @pytest.mark.parametrize("ends_first", [True, False])
-def test_the_audit_sees_two_attempts_in_flight(ends_first):
+def test_the_audit_reports_two_attempts_in_flight(ends_first):
     clock = Clock()
     audit = AttemptAudit(clock)
-    attempts(clock, audit, ends_first=ends_first)
+    record_two_attempts(clock, audit, ends_first=ends_first)
     assert bool(audit.violations) is not ends_first
 
 
-def test_the_audit_sees_an_effect_that_is_asked_for_beyond_its_window(monkeypatch):
+def test_the_audit_reports_an_effect_requested_again_after_its_deduplication_window(monkeypatch):
     clock = Clock()
     monkeypatch.setattr("time.monotonic", clock.seconds)
     audit = AttemptAudit(clock)
-    command, second = attempts(clock, audit, ends_first=True)
+    command, second = record_two_attempts(clock, audit, ends_first=True)
     clock.advance(DEDUPLICATION_WINDOW)
     audit.ended(command.name, second)
     audit.sent(command, second)
@@ -107,12 +107,12 @@
 @pytest.mark.parametrize(
     "seed", [5, 12, 41], ids=["accept ENFILE", "connect ENETUNREACH", "epoll_wait EINTR"]
 )
-def test_a_front_whose_calls_fail_keeps_the_rules(seed):
+def test_a_front_whose_system_calls_fail_keeps_the_rules(seed):
     """Each seed injects the named fault from the start to the shutdown, and five more beside it."""
     command = [sys.executable, "-m", "weldbend.testbed.faults.socket_trial", "--seeds", str(seed)]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=120)
-    report = json.loads(done.stdout)
-    assert (done.returncode, report["violations"]) == (0, []), report
+    result = subprocess.run(command, capture_output=True, text=True, timeout=120)
+    report = json.loads(result.stdout)
+    assert (result.returncode, report["violations"]) == (0, []), report
     call, number = seed_fault(seed)
     name = f"{call.value} {errno.errorcode[number]}"
-    assert any(shown.startswith(name) for shown in report["injected"]), report["injected"]
+    assert any(description.startswith(name) for description in report["injected"]), report["injected"]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -32,11 +32,11 @@
 from weldbend.routing.events import AttemptEnded, AttemptResult, ConnectionOpened, LoopLagMeasured
 from weldbend.thrift import binary
 
-ORDER = "queue=order,path=7f3a9c21e0b4d655,blk=0,budget=6000,uniq=5c0f6e1a2b3d4c59,mode=j"
-DO = "queue=photo,path=7f3a9c21e0b4d655,blk=0"
+ORDER_COMMAND = "queue=order,path=7f3a9c21e0b4d655,blk=0,budget=6000,uniq=5c0f6e1a2b3d4c59,mode=j"
+PHOTO_COMMAND = "queue=photo,path=7f3a9c21e0b4d655,blk=0"
 
 
-def test_answers_in_any_order_and_the_held_copy():
+def test_answers_arrive_in_any_order_and_a_valid_client_copy_is_confirmed():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1), process(2, got="ab12"), probe(3))
@@ -45,15 +45,15 @@
     harness.answer("e2", 1, "DONE", "ver=x,born=17,use=util:0.5", b"photo")
     harness.assert_trace(f"""
         client 0 < 3 probe: good True
-        e2/0 < do 0000000000000001 {DO},budget=6000,mode=j 0
-        e2/0 < do 0000000000000002 {DO},budget=6000,rank=2,mode=j,seen=ab12 0
+        e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0
+        e2/0 < do 0000000000000002 {PHOTO_COMMAND},budget=6000,rank=2,mode=j,seen=ab12 0
         client 0 < 2 process: '' {{'ok304': '1'}}
         client 0 < 1 process: 'photo'
     """)
     assert not harness.dispatcher.requests
 
 
-def test_a_miss_is_filled_and_a_write_goes_to_the_origin_with_its_mark():
+def test_a_miss_is_filled_and_a_write_goes_to_the_origin_with_its_idempotency_key():
     harness = FrontHarness()
     order = {"class": "order", "once": "5c0f6e1a2b3d4c59"}
     harness.send(harness.connect_client(), process(1), process(2, b"two prints", **order))
@@ -65,17 +65,17 @@
     harness.answer("o1", 2, "BROKE")
     harness.complete_connects()
     harness.assert_trace(f"""
-        e2/0 < do 0000000000000001 {DO},budget=6000,mode=j 0
-        o1/0 < do 0000000000000002 {ORDER} 10
+        e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0
+        o1/0 < do 0000000000000002 {ORDER_COMMAND} 10
         o1/0 < two prints
-        e2/1 < do 0000000000000001 {DO},budget=6000,from=p1,rank=1,mode=j+h 0
-        e2/2 < do 0000000000000001 {DO},budget=6000,from=o1,mode=j 0
-        o1/1 < do 0000000000000002 {ORDER} 10
+        e2/1 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,from=p1,rank=1,mode=j+h 0
+        e2/2 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,from=o1,mode=j 0
+        o1/1 < do 0000000000000002 {ORDER_COMMAND} 10
         o1/1 < two prints
     """)
 
 
-def test_a_doubled_answer_is_not_taken_for_that_of_the_next_pull():
+def test_a_duplicate_answer_is_not_taken_for_that_of_the_next_attempt():
     """Else the second LACK would end the fill, and another would go out beside it."""
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1))
@@ -90,71 +90,71 @@
     harness.assert_trace("client 0 < 1 process: 'photo'")
 
 
-def test_a_pull_that_waits_for_its_connection_does_not_outlive_a_drain():
+def test_an_attempt_waiting_for_its_connection_is_cancelled_by_a_drain():
     """The drain counts from the first byte sent: the pull is told to have never run, and another goes out."""
     for change in (listing(2, target("e2", port=2, state="draining")), listing(2, *TARGETS[:1], whole=True)):
         harness = FrontHarness()
         harness.send(harness.connect_client(), process(1))
         harness.deliver_event(change)
         harness.complete_connects()
-        harness.assert_trace(f"e1/0 < do 0000000000000001 {DO},budget=6000,mode=j 0")
+        harness.assert_trace(f"e1/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0")
 
 
-def test_a_pull_that_waits_for_its_connection_does_not_outlive_a_purge():
+def test_an_attempt_waiting_for_its_connection_is_cancelled_by_a_purge():
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1))
     harness.advance(0.3)
     harness.deliver_event({"offset": 2, "ban": {"tag": 3, "ts": (harness.unix() - 0.1) * 1000}})
     harness.complete_connects()
-    harness.assert_trace(f"e2/0 < do 0000000000000001 {DO},budget=5700,oldest=99,mode=j 0")
+    harness.assert_trace(f"e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=5700,oldest=99,mode=j 0")
 
 
-def test_a_repeat_that_must_not_run_twice_is_decided_anew_after_a_wait():
+def test_a_write_is_not_repeated_after_the_deduplication_window_when_connecting_takes_long():
     """The mark is remembered for three seconds: a dial that takes 0.3 s must not carry a repeat past them."""
-    for left, sent in (("-0.2", 1), ("-0.5", 2)):
+    for offset, expected_commands in (("-0.2", 1), ("-0.5", 2)):
         harness = FrontHarness()
         harness.send(harness.connect_client(), process(1, once="ab", wait="9000", **{"class": "order"}))
         harness.complete_connects()
         harness.advance(0.1)
         harness.answer("o1", 99, "FIT")  # the connection lives
-        harness.advance(2.9 + float(left))
+        harness.advance(2.9 + float(offset))
         harness.caches["o1", 0].transport.loseConnection()  # it may have run
         harness.advance()
         harness.advance(0.3)
         harness.complete_connects()
         harness.advance()
-        assert sum("o1" in line for line in harness.trace) == sent, harness.trace
+        assert sum("o1" in line for line in harness.trace) == expected_commands, harness.trace
 
 
-def test_what_waited_for_a_cold_cache_is_decided_anew_and_does_not_come_in_one_burst():
+def test_requests_that_waited_for_a_cold_cache_are_routed_again_and_not_sent_in_one_burst():
     for boot, results in ((0, []), (1, [AttemptResult.SUPERSEDED])):
-        harness, told = FrontHarness(), []
+        harness, events = FrontHarness(), []
         harness.advance(2.0)  # a front that has itself just started takes less
         harness.deliver_event(listing(2, target("e2", port=2, boot=boot * harness.unix() * 1000)))
         post, queue = harness.dispatcher.queue.post, harness.dispatcher.queue
-        queue.post = lambda event, told=told, post=post: (told.append(event), post(event))
+        queue.post = lambda event, events=events, post=post: (events.append(event), post(event))
         harness.send(harness.connect_client(), process(1))
         harness.advance(0.3)
         harness.complete_connects()
-        assert [event.result for event in told if isinstance(event, AttemptEnded)] == results
+        assert [event.result for event in events if isinstance(event, AttemptEnded)] == results
         assert len(harness.trace) == 1 and "budget=5700" in harness.trace[0]
 
 
-def test_refused_and_silent_dials_prove_that_nothing_ran():
-    ended = []
+def test_refused_and_unanswered_connects_end_attempts_as_unreachable():
+    events = []
     for fail in (FrontHarness.fail_connects, lambda harness: harness.advance(0.41)):
         harness = FrontHarness()
-        note, post = ended.append, harness.dispatcher.queue.post
-        harness.dispatcher.queue.post = lambda event, note=note, post=post: (note(event), post(event))
+        record, post = events.append, harness.dispatcher.queue.post
+        harness.dispatcher.queue.post = lambda event, record=record, post=post: (record(event), post(event))
         harness.send(harness.connect_client(), process(1, once="ab", **{"class": "order"}))
         fail(harness)
-        assert [event.result for event in ended if isinstance(event, AttemptEnded)] == [
+        assert [event.result for event in events if isinstance(event, AttemptEnded)] == [
             AttemptResult.UNREACHABLE
         ]
-        ended.clear()
+        events.clear()
 
 
-def test_a_connection_that_breaks_may_have_run_its_pulls():
+def test_attempts_on_a_broken_connection_may_have_run_and_are_retried_elsewhere():
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
@@ -163,48 +163,48 @@
     harness.complete_connects()
     harness.answer("e1", 1, "DONE", "-", b"photo")
     harness.assert_trace(f"""
-        e2/0 < do 0000000000000001 {DO},budget=6000,mode=j 0
-        e1/0 < do 0000000000000001 {DO},budget=6000,mode=j 0
+        e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0
+        e1/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0
         client 0 < 1 process: 'photo'
     """)
 
 
-def test_a_connection_that_broke_under_a_pull_is_dialled_at_once_and_told_when_it_comes_up():
+def test_a_connection_that_broke_during_an_attempt_is_reopened_at_once_and_reported_when_open():
     """Whether its cache can be reached again tells a broken connection from a restart."""
-    harness, told = FrontHarness(), []
+    harness, events = FrontHarness(), []
     post, harness.dispatcher.queue.post = (
         harness.dispatcher.queue.post,
-        lambda event: (told.append(event), post(event)),
+        lambda event: (events.append(event), post(event)),
     )
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
-    link = harness.caches["e2", 0]
-    link.transport.loseConnection()
+    connection = harness.caches["e2", 0]
+    connection.transport.loseConnection()
     assert [name for name, _ in harness.pending_connects()] == ["e2"]
     harness.complete_connects()
-    reached = [
-        harness.dispatcher.names.uids[event.cache] for event in told if isinstance(event, ConnectionOpened)
+    opened_caches = [
+        harness.dispatcher.names.uids[event.cache] for event in events if isinstance(event, ConnectionOpened)
     ]
-    assert reached == ["e2", "e2"]
+    assert opened_caches == ["e2", "e2"]
 
 
-def test_a_dial_that_is_accepted_and_reset_is_made_again_and_says_nothing_against_its_cache():
-    harness, told = FrontHarness(), []
+def test_a_connect_that_is_accepted_and_reset_is_retried_before_its_cache_counts_as_unreachable():
+    harness, events = FrontHarness(), []
     post, harness.dispatcher.queue.post = (
         harness.dispatcher.queue.post,
-        lambda event: (told.append(event), post(event)),
+        lambda event: (events.append(event), post(event)),
     )
     harness.send(harness.connect_client(), process(1))
-    shown = []
+    lines = []
     for _ in range(6):
-        ((uid, dial),) = harness.pending_connects()
-        dial.clientConnectionFailed(None, Failure(ConnectError(errno.ECONNRESET, "reset")))
+        ((uid, connector),) = harness.pending_connects()
+        connector.clientConnectionFailed(None, Failure(ConnectError(errno.ECONNRESET, "reset")))
         harness.advance()
-        shown.append(f"{uid} {[event.result.name for event in told if isinstance(event, AttemptEnded)]}")
-    assert shown == ["e2 []"] * 4 + ["e2 ['UNREACHABLE']", "e1 ['UNREACHABLE']"]
+        lines.append(f"{uid} {[event.result.name for event in events if isinstance(event, AttemptEnded)]}")
+    assert lines == ["e2 []"] * 4 + ["e2 ['UNREACHABLE']", "e1 ['UNREACHABLE']"]
 
 
-def test_given_up_pulls_leave_no_trace_and_a_silent_connection_is_used_no_more():
+def test_cancelled_attempts_leave_no_state_and_a_silent_connection_is_not_used_again():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -213,27 +213,27 @@
     harness.complete_connects()
     harness.answer("e2", 2, "DONE", "-", b"photo", number=1)
     harness.assert_trace(f"""
-        e2/0 < do 0000000000000001 {DO},budget=6000,mode=j 0
+        e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0
         e2/0 < undo 0000000000000001
-        e2/1 < do 0000000000000002 {DO},budget=6000,rank=2,mode=j 0
+        e2/1 < do 0000000000000002 {PHOTO_COMMAND},budget=6000,rank=2,mode=j 0
         client 0 < 2 process: 'photo'
     """)
     assert harness.caches["e2", 0].transport.disconnecting and not harness.dispatcher.requests
 
 
-def test_an_undo_has_left_before_the_pull_that_takes_its_place_goes_out():
+def test_an_undo_is_written_before_the_attempt_that_replaces_the_cancelled_one():
     """Over two connections the reactor may write the pull first: for the cache, both would be out."""
-    harness, seen = FrontHarness(), []
+    harness, lengths = FrontHarness(), []
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
-    link, end = harness.caches["e2", 0], harness.dispatcher.attempts.end
-    harness.dispatcher.attempts.end = lambda *told: (seen.append(link.transport.left), end(*told))
-    while not seen:
+    connection, end = harness.caches["e2", 0], harness.dispatcher.attempts.end
+    harness.dispatcher.attempts.end = lambda *ended: (lengths.append(connection.transport.left), end(*ended))
+    while not lengths:
         harness.advance(0.3)
-    assert seen == [len(b"undo 0000000000000001\r\n")]
+    assert lengths == [len(b"undo 0000000000000001\r\n")]
 
 
-def test_a_late_answer_is_not_taken_for_the_pull_that_came_after():
+def test_a_late_answer_is_not_taken_for_that_of_a_later_attempt_with_the_same_id():
     harness = FrontHarness()
     client, other = harness.connect_client(), harness.connect_client()
     harness.send(client, process(7))
@@ -247,16 +247,16 @@
     harness.answer("e2", 7, "DONE", "-", b"of the first")
     harness.answer("e2", 7, "DONE", "-", b"of the second", number=1)
     harness.assert_trace(f"""
-        e2/0 < do 0000000000000007 {DO},budget=6000,mode=j 0
-        e2/0 < do 0000000000000008 {DO},budget=6000,rank=2,mode=j 0
+        e2/0 < do 0000000000000007 {PHOTO_COMMAND},budget=6000,mode=j 0
+        e2/0 < do 0000000000000008 {PHOTO_COMMAND},budget=6000,rank=2,mode=j 0
         client 1 < 8 process: 'eight'
         e2/0 < undo 0000000000000007
-        e2/1 < do 0000000000000007 {DO},budget=6000,rank=2,mode=j 0
+        e2/1 < do 0000000000000007 {PHOTO_COMMAND},budget=6000,rank=2,mode=j 0
         client 1 < 9 process: 'of the second'
     """)
 
 
-def test_one_answer_before_the_expiry_and_none_after():
+def test_one_answer_is_sent_before_the_deadline_and_none_after():
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1, wait="800"))
     harness.complete_connects()
@@ -264,14 +264,14 @@
     harness.answer("e2", 1, "DONE", "-", b"late")
     harness.advance(1)
     harness.assert_trace(f"""
-        e2/0 < do 0000000000000001 {DO},budget=800,mode=j 0
+        e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=800,mode=j 0
         client 0 < 1 throttled {{'after': '500'}}
         e2/0 < undo 0000000000000001
     """)
     assert not harness.dispatcher.requests
 
 
-def test_after_a_standstill_past_an_expiry_the_decisions_still_have_the_last_word():
+def test_after_a_pause_past_a_deadline_the_router_still_decides_the_answer():
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1, wait="800"))
     harness.complete_connects()
@@ -279,84 +279,84 @@
     assert "client 0 < 1 throttled {'after': '500'}" in harness.trace and not harness.dispatcher.requests
 
 
-def test_a_purge_of_this_moment_is_no_leave_for_any_age():
+def test_a_purge_in_the_current_millisecond_still_limits_the_age_of_copies():
     harness = FrontHarness()
     harness.deliver_event({"offset": 2, "ban": {"url": KEY, "ts": harness.unix() * 1000}})
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
-    harness.assert_trace(f"e2/0 < do 0000000000000001 {DO},budget=6000,oldest=1,mode=j 0")
+    harness.assert_trace(f"e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,oldest=1,mode=j 0")
 
 
-def test_what_is_given_up_before_it_went_out_never_ran():
-    harness, told = FrontHarness(), []
+def test_an_attempt_cancelled_before_it_was_sent_ends_as_superseded():
+    harness, events = FrontHarness(), []
     client = harness.connect_client()
     harness.send(client, process(1))
     post, harness.dispatcher.queue.post = (
         harness.dispatcher.queue.post,
-        lambda event: (told.append(event), post(event)),
+        lambda event: (events.append(event), post(event)),
     )
     harness.send(client, give_up(1))
     harness.complete_connects()
-    assert [event.result for event in told if isinstance(event, AttemptEnded)] == [AttemptResult.SUPERSEDED]
+    assert [event.result for event in events if isinstance(event, AttemptEnded)] == [AttemptResult.SUPERSEDED]
     harness.assert_trace("")
 
 
-def test_a_pull_decided_for_a_client_that_has_just_left_is_told_to_have_never_run():
-    harness, told = FrontHarness(), []
+def test_an_attempt_decided_while_its_client_cancels_ends_as_superseded():
+    harness, events = FrontHarness(), []
     post, harness.dispatcher.queue.post = (
         harness.dispatcher.queue.post,
-        lambda event: (told.append(event), post(event)),
+        lambda event: (events.append(event), post(event)),
     )
     client = harness.connect_client()
     harness.send(client, process(1))
     handle = harness.dispatcher.router.handle
 
-    def leaves_meanwhile(now, events):
+    def handle_while_the_client_cancels(now, events):
         harness.dispatcher.router.handle = handle
         actions = handle(now, events)
         client.dataReceived(give_up(2))
         return actions
 
-    harness.dispatcher.router.handle = leaves_meanwhile
+    harness.dispatcher.router.handle = handle_while_the_client_cancels
     harness.send(client, give_up(1), process(2))
-    results = [event.result for event in told if isinstance(event, AttemptEnded)]
+    results = [event.result for event in events if isinstance(event, AttemptEnded)]
     assert results == [AttemptResult.SUPERSEDED, AttemptResult.SUPERSEDED]
     assert not harness.dispatcher.requests and not harness.dispatcher.router.requests
 
 
-def test_the_decisions_are_told_when_turns_come_late_and_not_after_a_pause():
-    harness, told = FrontHarness(), []
+def test_the_router_is_told_the_loop_lag_when_iterations_are_late_and_not_after_a_pause():
+    harness, lines = FrontHarness(), []
     handle = harness.dispatcher.router.handle
 
-    def spy(now, events):
+    def record_events(now, events):
         for event in events:
-            told.append(
+            lines.append(
                 f"late {event.lag:.2f}" if isinstance(event, LoopLagMeasured) else type(event).__name__
             )
             yield from ()
         handle(now, [])
 
-    harness.dispatcher.router.handle = lambda now, events: list(spy(now, events))
+    harness.dispatcher.router.handle = lambda now, events: list(record_events(now, events))
     client = harness.connect_client()
-    for number, wait in ((1, 0.0), (2, 0.05), (3, 0.3)):
+    for number, delay in ((1, 0.0), (2, 0.05), (3, 0.3)):
         harness.advance(1.0)
         client.dataReceived(process(number))
-        harness.reactor.advance(wait)  # other sockets have their turn first
+        harness.reactor.advance(delay)  # other sockets have their turn first
         harness.advance()
-    assert told == ["RequestReceived", "late 0.05", "RequestReceived", "late 0.30", "RequestReceived"]
+    assert lines == ["RequestReceived", "late 0.05", "RequestReceived", "late 0.30", "RequestReceived"]
 
 
-def test_more_than_the_site_allows_open_is_throttled():
+def test_requests_beyond_the_open_cap_are_throttled():
     harness = FrontHarness(open_cap=2)
     harness.send(harness.connect_client(), process(1), process(2), process(3))
     harness.assert_trace("client 0 < 3 throttled {'after': '1000'}")
 
 
-def test_calls_that_no_download_can_be():
+def test_invalid_calls_are_rejected_with_an_exception():
     """Each is turned back, and nothing of it reaches the decisions; a fourth ends the connection."""
     harness = FrontHarness()
     order = {"class": "order"}
-    wrong = [
+    invalid_calls = [
         process(1, **{"class": "what"}),
         process(2, id="xyz 1"),
         process(3, key=None),
@@ -373,9 +373,9 @@
         process(14, kb="1e300"),
         process(15, id="00000000000000AB"),
     ]
-    for at in range(0, len(wrong), 3):
+    for start in range(0, len(invalid_calls), 3):
         client = harness.connect_client()
-        harness.send(client, *wrong[at : at + 3])
+        harness.send(client, *invalid_calls[start : start + 3])
         assert not client.transport.disconnecting
     harness.assert_trace("""
         client 0 < 1 exception 7: unknown content type
@@ -399,7 +399,7 @@
     assert client.transport.disconnecting and len(harness.trace) == 1
 
 
-CAST_OUT = {
+VIOLATIONS = {
     "a length of two gigabytes": (b"\x7f\xff\xff\xff",),
     "a message that is none": (b"\x00\x00\x00\x05abcde",),
     "one number twice": (process(1),),
@@ -410,11 +410,11 @@
 }
 
 
-@pytest.mark.parametrize("violations", CAST_OUT.values(), ids=CAST_OUT)
-def test_what_no_client_of_ours_does_ends_its_connection_and_is_never_fulfilled(violations):
+@pytest.mark.parametrize("violations", VIOLATIONS.values(), ids=VIOLATIONS)
+def test_a_protocol_violation_closes_the_connection_and_its_requests_are_never_fulfilled(violations):
     harness = FrontHarness()
-    client, usual = harness.connect_client(), harness.connect_client()
-    harness.send(usual, process(7, id="00000000000000aa"))
+    client, other_client = harness.connect_client(), harness.connect_client()
+    harness.send(other_client, process(7, id="00000000000000aa"))
     harness.send(client, process(1), *violations, process(3000))
     assert client.transport.disconnecting and not client.open_requests
     harness.complete_connects()
@@ -431,42 +431,42 @@
     )
 
 
-def test_a_usual_client_whose_withdrawals_are_read_with_their_calls_is_not_cast_out():
+def test_a_client_whose_cancellations_are_read_together_with_their_calls_stays_connected():
     """When this front is late, a call and its withdrawal come in one read."""
     harness = FrontHarness()
     client = harness.connect_client()
     for first in range(1, 200, 20):
-        left = [part for n in range(first, first + 19) for part in (process(n), give_up(n))]
-        harness.send(client, *left, process(first + 19))
+        cancelled_calls = [part for n in range(first, first + 19) for part in (process(n), give_up(n))]
+        harness.send(client, *cancelled_calls, process(first + 19))
         harness.send(client, give_up(first + 19))
     assert not client.transport.disconnecting and not client.open_requests
 
 
-def test_the_id_of_a_download_that_is_open_for_another_client():
+def test_the_id_of_an_open_request_of_another_client_is_rejected():
     harness = FrontHarness()
-    usual, other = harness.connect_client(), harness.connect_client()
-    harness.send(usual, process(1))
-    harness.send(other, process(9, id=f"{1:016x}", key="7f3a9c21e0b4d656"))
+    first, second = harness.connect_client(), harness.connect_client()
+    harness.send(first, process(1))
+    harness.send(second, process(9, id=f"{1:016x}", key="7f3a9c21e0b4d656"))
     harness.complete_connects()
     harness.answer("e2", 1, "DONE", "-", b"photo")
     harness.assert_trace(f"""
         client 1 < 9 exception 7: the id of an open download
-        e2/0 < do 0000000000000001 {DO},budget=6000,mode=j 0
+        e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0
         client 0 < 1 process: 'photo'
     """)
 
 
-def test_clients_that_say_nothing_stop_in_the_middle_or_stay_for_good():
+def test_idle_clients_and_clients_with_a_partial_call_are_disconnected():
     harness = FrontHarness()
-    silent, half, kept, busy = (harness.connect_client() for _ in range(4))
-    harness.send(half, process(1)[:50])
-    harness.send(kept, probe(1))
+    silent, partial, idle, busy = (harness.connect_client() for _ in range(4))
+    harness.send(partial, process(1)[:50])
+    harness.send(idle, probe(1))
     harness.send(busy, process(2))
-    gone = []
+    rows = []
     for quarter in range(1, 20):
         harness.advance(0.25)
-        gone.append([quarter / 4, *(c.transport.disconnecting for c in (silent, half, kept, busy))])
-    assert [next((line[0] for line in gone if line[at]), None) for at in (1, 2, 3, 4)] == [
+        rows.append([quarter / 4, *(c.transport.disconnecting for c in (silent, partial, idle, busy))])
+    assert [next((line[0] for line in rows if line[column]), None) for column in (1, 2, 3, 4)] == [
         2.25,
         2.25,
         4.75,
@@ -475,21 +475,21 @@
 
 
 @pytest.mark.parametrize("count", [1, 32])
-def test_a_client_that_closes_has_gone_and_nothing_more_is_begun_for_it(count):
+def test_no_attempt_starts_for_a_client_that_has_closed_its_connection(count):
     """What waits for a connection is taken back, what is out is called off."""
-    for up in (False, True):
+    for is_connected in (False, True):
         harness = FrontHarness()
         client = harness.connect_client()
         harness.send(client, *(process(n, once=f"a{n}", **{"class": "order"}) for n in range(1, count + 1)))
         harness.send(client, process(41)[:9])
-        while up and harness.pending_connects():
+        while is_connected and harness.pending_connects():
             harness.complete_connects()
         harness.trace.clear()
         client.transport.loseConnection()
         harness.advance()
         while harness.pending_connects():
             harness.complete_connects()
-        assert sorted(harness.trace) == [f"o1/0 < undo {n:016x}" for n in range(1, count + 1) if up]
+        assert sorted(harness.trace) == [f"o1/0 < undo {n:016x}" for n in range(1, count + 1) if is_connected]
         assert not (
             harness.dispatcher.requests
             or harness.dispatcher.requests.by_client_id
@@ -497,7 +497,7 @@
         )
 
 
-def test_a_slow_reader_is_heard_no_further_and_loses_nothing():
+def test_the_front_stops_reading_from_a_slow_reader_which_loses_no_answer():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, *(process(n, key=f"{n:016x}") for n in range(1, 6)))
@@ -523,7 +523,7 @@
     assert list(client.open_requests) == [6] and harness.front.gateway.unsent_bytes == 0
 
 
-def test_caches_are_read_no_further_while_too_much_waits_for_slow_readers():
+def test_reading_from_caches_pauses_while_too_much_is_buffered_for_slow_readers():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -536,7 +536,7 @@
     assert harness.trace[-1] == "client 0 < 1 process: 'photo'"
 
 
-def test_no_more_than_so_many_streams_on_a_connection_and_more_on_another():
+def test_attempts_beyond_the_streams_of_one_connection_use_another():
     harness = FrontHarness(max_streams=3)
     client = harness.connect_client()
     harness.send(client, *(process(n, **{"class": "order", "once": f"a{n}"}) for n in range(1, 33)))
@@ -549,10 +549,10 @@
     assert len(client.open_requests) == 32 and 33 in client.open_requests
 
 
-def test_nothing_is_kept_of_caches_clients_and_downloads_that_are_gone():
+def test_no_state_is_kept_of_removed_caches_closed_clients_and_ended_requests():
     """Names are ever new, on addresses used again: what is kept by one of them must end with it."""
 
-    def kept(harness):
+    def state_sizes(harness):
         dispatcher = harness.dispatcher
         router, timers = dispatcher.router, harness.front.timers
         endpoints = dispatcher.endpoints
@@ -562,35 +562,39 @@
         by_cache += (router.caches, ready - router.caches.keys())
         requests = dispatcher.requests
         by_request = (requests.by_id, requests.by_client_id, router.requests, harness.front.listener.clients)
-        return [len(held) for held in by_cache], [len(held) for held in by_request], len(timers.heap) < 200
+        return (
+            [len(items) for items in by_cache],
+            [len(items) for items in by_request],
+            len(timers.heap) < 200,
+        )
 
     harness = FrontHarness()
-    before = kept(harness)
-    last = "e2"
+    sizes_before = state_sizes(harness)
+    last_uid = "e2"
     for n in range(2, 202):
-        new = f"e{n + 1}"
+        new_uid = f"e{n + 1}"
         boot = harness.unix() * 1000
         if n % 2:
             harness.deliver_event(
-                listing(n, target(last, port=2, state="removed"), target(new, port=2, boot=boot))
+                listing(n, target(last_uid, port=2, state="removed"), target(new_uid, port=2, boot=boot))
             )
         else:
             harness.deliver_event(
-                listing(n, *TARGETS[:1], target(new, port=2, boot=boot), *TARGETS[2:], whole=True)
+                listing(n, *TARGETS[:1], target(new_uid, port=2, boot=boot), *TARGETS[2:], whole=True)
             )
-        last, client = new, harness.connect_client()
+        last_uid, client = new_uid, harness.connect_client()
         harness.send(client, process(n, key=f"{n:016x}"))
         harness.complete_connects()
-        uid, link = next((key, c) for key, c in harness.caches.items() if f"{n:016x}" in c.in_flight)
+        uid, connection = next((key, c) for key, c in harness.caches.items() if f"{n:016x}" in c.in_flight)
         harness.answer(uid[0], n, "DONE", "-", b"ok", number=uid[1])
         client.transport.loseConnection()
         harness.advance(0.05)
     harness.deliver_event(listing(202, *TARGETS, whole=True))
-    held = kept(harness)
-    assert held == before and held[0][0] == 4, (before, held)
+    sizes_after = state_sizes(harness)
+    assert sizes_after == sizes_before and sizes_after[0][0] == 4, (sizes_before, sizes_after)
 
 
-def test_a_new_cache_on_an_old_address_and_one_that_started_anew():
+def test_connections_to_a_replaced_or_restarted_cache_are_not_used_again():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -604,19 +608,19 @@
     assert harness.caches["e2", 0].transport.disconnecting
     harness.advance(1)
     harness.send(client, process(3))
-    old = harness.caches["e9", 0]
+    old_connection = harness.caches["e9", 0]
     harness.deliver_event(listing(3, target("e9", port=2, boot=(harness.unix() - 2) * 1000)))
-    assert not old.transport.disconnecting  # made after that start: it leads to the new process
+    assert not old_connection.transport.disconnecting  # made after that start: it leads to the new process
     harness.deliver_event(listing(4, target("e9", port=2, boot=harness.unix() * 1000)))
-    assert old.transport.disconnecting
+    assert old_connection.transport.disconnecting
     assert harness.trace[:3] == [
-        f"e2/0 < do 0000000000000001 {DO},budget=6000,mode=j 0",
-        f"e9/0 < do 0000000000000002 {DO},budget=6000,rank=2,mode=j 0",
+        f"e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0",
+        f"e9/0 < do 0000000000000002 {PHOTO_COMMAND},budget=6000,rank=2,mode=j 0",
         "client 0 < 1 process: 'finished'",
     ]
 
 
-def test_garbage_from_a_cache_ends_its_connection_and_an_unknown_answer_nothing():
+def test_a_malformed_answer_closes_the_cache_connection_and_an_unmatched_one_does_not():
     harness = FrontHarness()
     anomalies.clear()
     harness.send(harness.connect_client(), process(1))
@@ -626,26 +630,29 @@
     harness.caches["e2", 0].dataReceived(b"0000000000000001 DONE - 999999\r\n")
     harness.advance()
     harness.complete_connects()
-    assert harness.trace[-1] == f"e2/1 < do 0000000000000001 {DO},budget=6000,mode=j 0"
+    assert harness.trace[-1] == f"e2/1 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0"
     assert anomalies == {"unmatched cache answers": 1, "malformed answers from caches": 1}
 
 
-def test_a_pull_on_a_dropped_connection_has_ended_when_its_socket_is_closed_and_not_before():
+def test_an_attempt_on_an_aborted_connection_ends_only_when_the_socket_is_closed():
     """Told sooner, it may go out again while its cache still holds this one."""
-    harness, told = FrontHarness(), []
+    harness, states = FrontHarness(), []
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
-    link, end = harness.caches["e2", 0], harness.dispatcher.attempts.end
-    harness.dispatcher.attempts.end = lambda *ended: (told.append(link.transport.disconnecting), end(*ended))
-    abort, link.transport.abortConnection = link.transport.abortConnection, lambda: None
-    link.dataReceived(b"no answer\r\n")
+    connection, end = harness.caches["e2", 0], harness.dispatcher.attempts.end
+    harness.dispatcher.attempts.end = lambda *ended: (
+        states.append(connection.transport.disconnecting),
+        end(*ended),
+    )
+    abort, connection.transport.abortConnection = connection.transport.abortConnection, lambda: None
+    connection.dataReceived(b"no answer\r\n")
     harness.advance()
-    assert told == [] and not link.can_send("x")
+    assert states == [] and not connection.can_send("x")
     abort()
-    assert told == [True]
+    assert states == [True]
 
 
-def test_an_answer_that_stops_in_the_middle_ends_its_connection_with_all_that_is_out_on_it():
+def test_an_answer_that_stalls_ends_its_connection_and_all_attempts_on_it():
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1), process(2))
     harness.complete_connects()
@@ -657,14 +664,14 @@
     harness.advance(0.1)
     harness.complete_connects()
     harness.assert_trace(f"""
-        e2/0 < do 0000000000000001 {DO},budget=6000,mode=j 0
-        e2/0 < do 0000000000000002 {DO},budget=6000,rank=2,mode=j 0
-        e2/1 < do 0000000000000001 {DO},budget=5500,mode=j 0
-        e2/1 < do 0000000000000002 {DO},budget=5500,rank=2,mode=j 0
+        e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0
+        e2/0 < do 0000000000000002 {PHOTO_COMMAND},budget=6000,rank=2,mode=j 0
+        e2/1 < do 0000000000000001 {PHOTO_COMMAND},budget=5500,mode=j 0
+        e2/1 < do 0000000000000002 {PHOTO_COMMAND},budget=5500,rank=2,mode=j 0
     """)
 
 
-def test_a_connection_about_to_be_closed_as_idle_is_not_used():
+def test_a_cache_connection_near_its_idle_timeout_is_not_used():
     harness = FrontHarness(conn_idle_us=2_000_000)
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -677,27 +684,31 @@
     assert harness.trace[-1].startswith("e2/1 < do 0000000000000002")
 
 
-def test_a_fault_in_one_download_abandons_that_one():
+def test_an_exception_in_one_request_abandons_only_that_request():
     harness = FrontHarness()
     router = harness.dispatcher.router
-    inner = router.prefilter.handle
-    router.prefilter.handle = lambda request: 1 / 0 if request.received.part == 7 else inner(request)
+    original_handle = router.prefilter.handle
+    router.prefilter.handle = (
+        lambda request: 1 / 0 if request.received.part == 7 else original_handle(request)
+    )
     harness.send(harness.connect_client(), process(1, nth="7"), process(2))
     harness.complete_connects()
     harness.answer("e2", 2, "DONE", "-", b"photo")
     harness.assert_trace(f"""
         client 0 < 1 abandoned
-        e2/0 < do 0000000000000002 {DO},budget=6000,mode=j 0
+        e2/0 < do 0000000000000002 {PHOTO_COMMAND},budget=6000,mode=j 0
         client 0 < 2 process: 'photo'
     """)
     assert harness.counts["internal errors"] == 1 and not harness.dispatcher.requests
 
 
-def test_a_fault_at_the_door_leaves_the_connection_that_others_share(monkeypatch):
+def test_an_exception_in_the_gateway_leaves_the_shared_cache_connection_open(monkeypatch):
     harness = FrontHarness()
-    ended = request_codec.attempt_ended
+    attempt_ended = request_codec.attempt_ended
     monkeypatch.setattr(
-        request_codec, "attempt_ended", lambda name, *rest: 1 / 0 if name == "1" else ended(name, *rest)
+        request_codec,
+        "attempt_ended",
+        lambda name, *rest: 1 / 0 if name == "1" else attempt_ended(name, *rest),
     )
     dispatcher, perform = harness.dispatcher, harness.dispatcher.perform
     dispatcher.perform = lambda act: 1 / 0 if isinstance(act, SendAttempt) and act.id == "3" else perform(act)
@@ -714,25 +725,25 @@
     assert not harness.caches["e2", 0].is_lost and harness.counts["internal errors"] == 2
 
 
-def test_probes_of_caches():
+def test_health_checks_of_caches_report_their_load_or_that_they_are_unreachable():
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
-    dispatcher, told = harness.dispatcher, []
-    dispatcher.queue.post = told.append
+    dispatcher, results = harness.dispatcher, []
+    dispatcher.queue.post = results.append
     cache = dispatcher.names.number("e2")
     dispatcher.perform(SendHealthCheck(cache))
     dispatcher.perform(SendHealthCheck(dispatcher.names.number("e1")))
     harness.advance()
     harness.caches["e2", 0].dataReceived(b"p1 FIT use=util:0.61;inflight:7 0\r\n\r\n")
     assert harness.trace[-1] == "e2/0 < top p1"
-    assert [(note.result.name, note.load) for note in told] == [
+    assert [(event.result.name, event.load) for event in results] == [
         ("UNREACHABLE", None),
         ("SERVED", {"util": 0.61, "inflight": 7.0}),
     ]
 
 
-def test_told_to_stop_it_goes_on_taking_and_ends_when_all_is_answered():
+def test_a_front_that_shuts_down_accepts_requests_and_exits_when_all_are_answered():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -747,18 +758,18 @@
         harness.advance(0.03)
     assert harness.reactor.hasStopped
     harness.assert_trace(f"""
-        e2/0 < do 0000000000000001 {DO},budget=6000,mode=j 0
+        e2/0 < do 0000000000000001 {PHOTO_COMMAND},budget=6000,mode=j 0
         client 1 < 1 probe: good False
-        e2/0 < do 0000000000000002 {DO},budget=6000,rank=2,mode=j 0
+        e2/0 < do 0000000000000002 {PHOTO_COMMAND},budget=6000,rank=2,mode=j 0
         client 1 < 2 process: 'taken after'
         client 0 < 1 process: 'taken before'
     """)
 
 
-def test_told_to_stop_among_silent_clients_it_closes_none_on_which_a_request_may_be_on_its_way():
+def test_a_shutdown_closes_no_idle_connection_on_which_a_request_may_be_in_transit():
     harness = FrontHarness()
-    usual, silent = harness.connect_client(), [harness.connect_client()]
-    harness.send(usual, process(1))
+    active, silent = harness.connect_client(), [harness.connect_client()]
+    harness.send(active, process(1))
     harness.complete_connects()
     harness.front.terminate()
     harness.advance(0.68)
@@ -766,21 +777,21 @@
     for _ in range(3):
         silent.append(harness.connect_client())
         harness.advance(0.025)
-    assert not usual.transport.disconnecting and harness.front.listener.port is None
-    harness.send(usual, process(2))
+    assert not active.transport.disconnecting and harness.front.listener.port is None
+    harness.send(active, process(2))
     harness.answer("e2", 2, "DONE", "-", b"two")
     harness.advance(0.02)
     assert not harness.reactor.hasStopped
     for _ in range(6):
         harness.advance(0.03)
-    assert harness.reactor.hasStopped and all(client.transport.disconnecting for client in (usual, *silent))
+    assert harness.reactor.hasStopped and all(client.transport.disconnecting for client in (active, *silent))
     assert [line for line in harness.trace if "client" in line] == [
         "client 0 < 1 process: 'one'",
         "client 0 < 2 process: 'two'",
     ]
 
 
-def test_told_to_stop_it_answers_what_is_still_open_before_it_can_be_killed():
+def test_a_shutdown_answers_open_requests_before_the_process_can_be_killed():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1), process(2, once="ab", **{"class": "order", "wait": "9000"}))
@@ -804,145 +815,149 @@
     assert harness.reactor.hasStopped
 
 
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
+SSE_HEADER = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 
 
-def bus(harness, port=9092):
+def open_bus_connection(harness, port=9092):
     """The newest connection to a bus, brought up, and what was asked on it."""
-    factory = [made[2] for made in harness.reactor.tcpClients if made[1] == port][-1]
+    factory = [connect[2] for connect in harness.reactor.tcpClients if connect[1] == port][-1]
     connection, transport = factory.buildProtocol(None), FrontHarness.transport()
     connection.makeConnection(transport)
     transport.protocol = connection
-    asked = dict(line.split(": ") for line in transport.value().decode().splitlines()[1:] if line)
-    return connection, asked["Last-Event-Id"]
+    header_fields = dict(line.split(": ") for line in transport.value().decode().splitlines()[1:] if line)
+    return connection, header_fields["Last-Event-Id"]
 
 
-def told(raw):
+def sse_event(raw):
     return f"id: {raw['offset']}\ndata: {raw}\n\n".replace("'", '"').replace("False", "false").encode()
 
 
-def uids(harness):
+def endpoint_uids(harness):
     return " ".join(sorted(harness.dispatcher.names.uids[n] for n in harness.dispatcher.pool.endpoints))
 
 
-def test_the_bus_is_read_on_after_each_loss():
+def test_the_bus_is_read_from_the_last_event_id_after_each_lost_connection():
     harness = FrontHarness()
-    first, asked = bus(harness)
-    seen = [asked]
-    first.dataReceived(HEAD + told(listing(2, target("e7", port=7))) + b"id: 3\ndata: no event\n\n: hm\n\n")
+    first, last_event_id = open_bus_connection(harness)
+    last_event_ids = [last_event_id]
+    first.dataReceived(
+        SSE_HEADER + sse_event(listing(2, target("e7", port=7))) + b"id: 3\ndata: no event\n\n: hm\n\n"
+    )
     first.transport.loseConnection()
     harness.advance(0.06)
-    second, asked = bus(harness)
-    seen.append(asked)
+    second, last_event_id = open_bus_connection(harness)
+    last_event_ids.append(last_event_id)
     second.dataReceived(
-        HEAD + told(listing(3, target("e8", port=8))) + told(listing(4, target("e9", port=9)))
+        SSE_HEADER + sse_event(listing(3, target("e8", port=8))) + sse_event(listing(4, target("e9", port=9)))
     )
     harness.advance(1.9)  # not even a comment: the bus is silent
     harness.advance(1.0)
-    third, asked = bus(harness)
-    seen.append(asked)
+    third, last_event_id = open_bus_connection(harness)
+    last_event_ids.append(last_event_id)
     third.dataReceived(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
     harness.advance(1.1)
-    seen.append(bus(harness)[1])
-    assert seen == ["1", "3", "4", "4"] and uids(harness) == "e1 e2 e7 e9 o1 p1"
+    last_event_ids.append(open_bus_connection(harness)[1])
+    assert last_event_ids == ["1", "3", "4", "4"] and endpoint_uids(harness) == "e1 e2 e7 e9 o1 p1"
 
 
-def test_told_to_read_its_configuration_anew_it_goes_to_the_new_bus_at_once():
+def test_a_reload_switches_to_the_new_bus_at_once():
     """SIGHUP, several in a row, one while stopping: numbers go on, and the old bus is heard no more."""
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
-    old, asked = bus(harness)
-    seen = [asked]
-    old.dataReceived(HEAD + told(listing(2, target("e7", port=7))))
-    reading = harness.front.bus.attempt
+    old_connection, last_event_id = open_bus_connection(harness)
+    last_event_ids = [last_event_id]
+    old_connection.dataReceived(SSE_HEADER + sse_event(listing(2, target("e7", port=7))))
+    old_attempt = harness.front.bus.attempt
     for port in (9093, 9094, 9094):
         harness.front.read_new_site = lambda port=port: read_site(configuration(bus=f"127.0.0.1:{port}"))
         harness.front.reload()
-    reading.dataReceived(told(listing(3, target("e8", port=8))))
-    new, asked = bus(harness, 9094)
-    seen.append(asked)
+    old_attempt.dataReceived(sse_event(listing(3, target("e8", port=8))))
+    new_connection, last_event_id = open_bus_connection(harness, 9094)
+    last_event_ids.append(last_event_id)
     harness.front.terminate()
-    for wrong in ("{", configuration(bus="nowhere"), configuration().replace('"lanes"', '"lanez"')):
-        harness.front.read_new_site = lambda wrong=wrong: read_site(wrong)
+    for unusable in ("{", configuration(bus="nowhere"), configuration().replace('"lanes"', '"lanez"')):
+        harness.front.read_new_site = lambda unusable=unusable: read_site(unusable)
         harness.front.reload()
-    new.dataReceived(HEAD + told(listing(3, target("e9", port=9))))
+    new_connection.dataReceived(SSE_HEADER + sse_event(listing(3, target("e9", port=9))))
     harness.front.read_new_site = lambda: read_site(configuration(bus="127.0.0.1:9095"))
     harness.front.reload()
-    seen.append(bus(harness, 9095)[1])
+    last_event_ids.append(open_bus_connection(harness, 9095)[1])
     harness.advance(1.0)
     harness.answer("e2", 1, "DONE", "-", b"photo")
-    assert seen == ["1", "2", "3"] and uids(harness) == "e1 e2 e7 e9 o1 p1"
+    assert last_event_ids == ["1", "2", "3"] and endpoint_uids(harness) == "e1 e2 e7 e9 o1 p1"
     assert harness.trace[-1] == "client 0 < 1 process: 'photo'"
 
 
-def test_at_the_bound_of_descriptors_idle_clients_make_room_and_no_more_are_accepted():
+def test_at_the_connection_limit_idle_clients_are_closed_and_accepting_pauses():
     harness = FrontHarness()
-    listener, port = harness.front.listener, []
+    listener, port_calls = harness.front.listener, []
     listener.max_connections = 3
 
     class Port:
         def pauseProducing(self):
-            port.append("rest")
+            port_calls.append("rest")
 
         def resumeProducing(self):
-            port.append("accept")
+            port_calls.append("accept")
 
     listener.port = Port()
     busy, idle = harness.connect_client(), harness.connect_client()
     harness.send(busy, process(1))
     harness.advance(0.6)
-    late = harness.connect_client()
+    late_client = harness.connect_client()
     assert idle.transport.disconnecting and not busy.transport.disconnecting
-    harness.send(late, process(2))
+    harness.send(late_client, process(2))
     harness.send(harness.connect_client(), process(3))
     harness.complete_connects()
     harness.answer("e2", 1, "DONE", "-", b"photo")
     busy.transport.loseConnection()
-    assert port == ["rest", "accept"] and len(listener.clients) == 2
+    assert port_calls == ["rest", "accept"] and len(listener.clients) == 2
 
 
-def test_at_the_bound_those_go_first_that_said_nothing_or_asked_once_and_those_just_connected_last():
+def test_at_the_connection_limit_silent_clients_are_closed_first_and_new_ones_last():
     harness = FrontHarness()
-    listener, shown = harness.front.listener, []
+    listener, rows = harness.front.listener, []
     listener.port = None
-    once, usual, silent = harness.connect_client(), harness.connect_client(), harness.connect_client()
-    harness.send(once, probe(1))
-    harness.send(usual, probe(1), probe(2))
+    single_call, active, silent = harness.connect_client(), harness.connect_client(), harness.connect_client()
+    harness.send(single_call, probe(1))
+    harness.send(active, probe(1), probe(2))
     harness.advance(0.6)
-    fresh = harness.connect_client()
-    for most in (4, 3, 2, 1):
-        listener.max_connections = most
+    new_client = harness.connect_client()
+    for limit in (4, 3, 2, 1):
+        listener.max_connections = limit
         listener.evict_idle()
-        shown.append("".join(str(int(c.transport.disconnecting)) for c in (once, usual, silent, fresh)))
-    assert shown == ["0010", "1010", "1110", "1111"]
+        rows.append(
+            "".join(str(int(c.transport.disconnecting)) for c in (single_call, active, silent, new_client))
+        )
+    assert rows == ["0010", "1010", "1110", "1111"]
 
 
-def starting():
+def starting_front():
     """A front that has started and not yet opened its port."""
     reactor = MemoryReactorClock()
-    door = Front(reactor, read_site(configuration()))
-    door.listener.set_keepalive = lambda: None
-    door.clock.now = lambda: reactor.seconds() + 1.0
-    door.start()
-    return reactor, door
+    front = Front(reactor, read_site(configuration()))
+    front.listener.set_keepalive = lambda: None
+    front.clock.now = lambda: reactor.seconds() + 1.0
+    front.start()
+    return reactor, front
 
 
-def test_a_start_takes_no_download_before_the_bus_told_what_came_while_it_loaded():
-    reactor, door = starting()
-    assert not reactor.tcpServers and not door.gateway.is_serving()
-    door.bus.on_connected()
+def test_a_starting_front_opens_its_port_after_the_events_published_while_it_loaded():
+    reactor, front = starting_front()
+    assert not reactor.tcpServers and not front.gateway.is_serving()
+    front.bus.on_connected()
     reactor.advance(0.01)
     assert not reactor.tcpServers
-    told = parse_event({"offset": 9, "ban": {"url": KEY, "ts": 1}})
-    door.dispatcher.endpoints.handle(told, Receipt(door.clock.now()))
+    purge = parse_event({"offset": 9, "ban": {"url": KEY, "ts": 1}})
+    front.dispatcher.endpoints.handle(purge, Receipt(front.clock.now()))
     reactor.advance(0.02)
-    assert len(reactor.tcpServers) == 1 and door.gateway.is_serving()
-    assert KEY in door.dispatcher.router.admission.purges.purge_times
+    assert len(reactor.tcpServers) == 1 and front.gateway.is_serving()
+    assert KEY in front.dispatcher.router.admission.purges.purge_times
 
 
-def test_a_start_without_its_bus_waits_for_a_bounded_time_only():
-    reactor, door = starting()
+def test_a_start_without_its_bus_waits_for_a_bounded_time():
+    reactor, front = starting_front()
     reactor.advance(0.29)
     assert not reactor.tcpServers
     reactor.advance(0.02)
@@ -951,32 +966,32 @@
     assert len(reactor.tcpServers) == 1, "opened once"
 
 
-def test_an_answer_of_the_bus_is_told_before_what_it_holds():
+def test_a_bus_connection_is_reported_before_its_events():
     """What opens the port of a starting front."""
-    heard = []
+    calls = []
 
     class Response:
         code = 200
 
-        def deliverBody(self, reading):
-            heard.append("body")
+        def deliverBody(self, body_reader):
+            calls.append("body")
 
     reactor = MemoryReactorClock()
     timers = Timers(reactor, Clock())
-    reader = BusReader(reactor, timers, "127.0.0.1:9092", 0, heard.append, lambda: heard.append("answered"))
+    reader = BusReader(reactor, timers, "127.0.0.1:9092", 0, calls.append, lambda: calls.append("answered"))
     reader.start()
     reader.attempt.pending_request.cancel = lambda: None
     reader.attempt.response_received(Response())
-    assert heard == ["answered", "body"]
+    assert calls == ["answered", "body"]
     Response.code = 503
     reader.start()
     reader.attempt.pending_request.cancel = lambda: None
     reader.attempt.transport = None
     reader.attempt.response_received(Response())
-    assert heard.count("answered") == 1, "one that refuses has told nothing"
+    assert calls.count("answered") == 1, "one that refuses has told nothing"
 
 
-def test_a_client_whose_call_lay_unread_while_the_front_stood_still_is_not_closed_as_idle():
+def test_a_client_whose_call_was_unread_while_the_front_was_suspended_is_not_closed_as_idle():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.advance(0.2)
