--- a/tests/test_bus_connects.py
+++ b/tests/test_bus_connects.py
@@ -1,4 +1,7 @@
-"""Connects to the bus that fail in this machine: a retry always follows, and a stop never raises."""
+"""Guards against connects to the bus that never report a result, as after a failed epoll_ctl.
+
+Without a timeout, no retry follows; and cancelling such a connect raises, which must not abort a shutdown.
+"""
 
 from twisted.internet.defer import Deferred
 from twisted.internet.error import NotConnectingError
@@ -8,7 +11,7 @@
 
 
 class UnansweredAgent:
-    """An agent whose requests never end, as where epoll_ctl failed when the connection came up."""
+    """An HTTP agent whose requests never end, as if epoll_ctl had failed for the new connection."""
 
     def __init__(self):
         self.request_count = 0
@@ -23,6 +26,7 @@
 
 
 class Timers:
+    """Timers of the reactor; cancelling an expired timer has no effect."""
     def __init__(self, reactor):
         self.reactor = reactor
 
@@ -33,7 +37,7 @@
 
 
 def test_a_bus_connect_that_reports_no_result_is_retried_after_the_silence_timeout():
-    """Found by seed 39 of the trials: no retry ever followed, and SIGTERM did not end the front."""
+    """Without a retry, the front stays without the bus and ignores SIGTERM (seed 39 of the socket trials)."""
     reactor = MemoryReactorClock()
     reader = BusReader(reactor, Timers(reactor), "127.0.0.1:1", 0, lambda event: None)
     reader.agent = UnansweredAgent()
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The testbed: the emulated site alone, and with a real front under load."""
+"""Tests of the testbed: the emulated site alone, and with a real front under load."""
 
 import json
 import random
--- a/tests/test_patient_reactor.py
+++ b/tests/test_patient_reactor.py
@@ -1,4 +1,7 @@
-"""The reactor that waits where epoll_ctl fails, on a real pair of sockets."""
+"""Guards against descriptors that stay unwatched after epoll_ctl failed, on a real pair of sockets.
+
+epoll_ctl fails for a time, for example at the user's limit on watches; the reactor has to retry.
+"""
 
 import errno
 import socket
@@ -9,7 +12,7 @@
 
 
 class Selectable:
-    """What a reactor watches: one end of a pair, and what was called on it."""
+    """One end of a socket pair, which records the calls that the reactor makes."""
 
     def __init__(self, connected_socket):
         self.connected_socket, self.calls, self.fileno = connected_socket, [], connected_socket.fileno
@@ -29,6 +32,7 @@
 
 
 class FailingPoller:
+    """An epoll object whose first registrations fail with the given errors."""
     def __init__(self, poller, errors):
         self.poller, self.errors = poller, errors
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -1,4 +1,4 @@
-"""`weldbend lab scale`: what it plays, what it judges by, and a small comparison with real fronts."""
+"""Tests of `weldbend lab scale`: its plan, its bounds, and a small comparison with real fronts."""
 
 import json
 import socket
@@ -34,7 +34,7 @@
     edges_used=1.0,
     busiest_fraction=0.2,
 )
-# Of each line, the last figure that holds it with 1,600 caches: by the operators' table.
+# For each bound of the operators' table: the most extreme figure that it accepts with 1,600 caches.
 LAST_ACCEPTED = {
     "CPU, s": {"cpu": 7.212},  # 1.4 x 5 + 0.02 + 0.12 x 1.6
     "calls in a front, thousands": {"calls": 1_400_000.0},  # 1.4 x 1,000
@@ -89,7 +89,7 @@
 
 
 def test_real_fronts_with_sixteen_times_the_caches_stay_within_the_counted_bounds(tmp_path):
-    """Judged by what is counted alone, so that a slow machine gives the same verdict."""
+    """Only counted figures are judged (no times), so that a slow machine gives the same result."""
     path = tmp_path / "scale.json"
     size = ("--caches", "12", "--factor", "16", "--rate", "10", "--seconds", "4")
     command = [sys.executable, "-m", "weldbend", "lab", "scale", *size, "--counted", "--json", str(path)]
@@ -105,11 +105,11 @@
 
 
 def test_the_port_of_a_front_is_reserved_until_the_front_listens():
-    """One that is only looked up may be given to any other connection on this machine meanwhile."""
+    """A port that is only looked up may be assigned to another connection before the front binds it."""
     emulated_site = EmulatedSite(MemoryReactorClock(), SiteSettings(edges=1, parents=1, fronts=1))
     _, address = emulated_site.configure(1)
     host, port = address.split(":")
-    assert int(port) < 32_768  # below those that the system gives out, to connects too
+    assert int(port) < 32_768  # below the ephemeral ports, which the kernel also assigns to connects
     with socket.socket() as other_socket, pytest.raises(OSError, match="in use"):
         other_socket.bind((host, int(port)))
     with socket.socket() as front:
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -1,4 +1,4 @@
-"""The injector at the socket layer: its plans, its audit, and real fronts under it by a few seeds."""
+"""Tests of the socket fault injector: its plans, its audit, and real fronts that run under a few seeds."""
 
 import errno
 import json
@@ -108,7 +108,7 @@
     "seed", [5, 12, 41], ids=["accept ENFILE", "connect ENETUNREACH", "epoll_wait EINTR"]
 )
 def test_a_front_whose_system_calls_fail_keeps_the_rules(seed):
-    """Each seed injects the named fault from the start to the shutdown, and five more beside it."""
+    """Each seed injects the named fault from start to shutdown, and five others for part of the time."""
     command = [sys.executable, "-m", "weldbend.testbed.faults.socket_trial", "--seeds", str(seed)]
     result = subprocess.run(command, capture_output=True, text=True, timeout=120)
     report = json.loads(result.stdout)
