--- a/tests/test_bus_connects.py
+++ b/tests/test_bus_connects.py
@@ -27,6 +27,7 @@
 
 class Timers:
     """Timers of the reactor; cancelling an expired timer has no effect."""
+
     def __init__(self, reactor):
         self.reactor = reactor
 
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -1,4 +1,8 @@
-"""No attempt begins for a client whose end has come while this front was busy with others."""
+"""Guards against attempts for clients that have left while the front handled the requests of others.
+
+The close is still unread in the socket at that time. The event queue therefore handles long batches in
+parts, so that the reactor reads the sockets in between.
+"""
 
 from fronts import FrontHarness, give_up, listing, parse_event, process, target
 
@@ -7,7 +11,7 @@
 
 
 def harness_with_cache_connection():
-    """A front with a connection to its cache."""
+    """Return a front with an open connection to its cache, and a client."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -17,28 +21,30 @@
 
 
 def sent_commands(harness, number):
+    """Return the trace lines of the commands sent to caches for one request."""
     return [line for line in harness.trace if f"do {number:016x}" in line]
 
 
 def answers(harness, seqid):
+    """Return the trace lines of the answers to one request of the first client."""
     return [line for line in harness.trace if line.startswith(f"client 0 < {seqid} ")]
 
 
 def test_a_deadline_of_one_request_starts_no_attempt_for_a_client_whose_close_is_read_next():
     harness, client = harness_with_cache_connection()
     harness.send(client, process(2, wait="1000"))
-    harness.answer("e2", 99, "FIT")  # so that the connection is used on
+    harness.answer("e2", 99, "FIT")  # keeps the connection in use
     other = harness.connect_client()
     for _ in range(9):
         harness.advance(0.11)
     harness.reactor.rightNow += 0.02
     other.dataReceived(process(3))
-    harness.reactor.callLater(0, other.transport.loseConnection)  # what the next poll of the sockets brings
+    harness.reactor.callLater(0, other.transport.loseConnection)  # found by the next poll
     harness.advance()
     assert len(answers(harness, 2)) == 1
     assert (
         not sent_commands(harness, 3) and not harness.pending_connects()
-    ), "not even a connection is made for it"
+    ), "no connection is opened for it either"
 
 
 def test_an_expired_request_is_answered_when_earlier_events_take_long(monkeypatch):
@@ -83,7 +89,7 @@
         len(sent_commands(harness, number)) + sum(f"< {number} throttled" in line for line in harness.trace)
         for number in range(11, 18)
     ]
-    assert sent_or_rejected == [1] * 7, "the others lose nothing: each goes out or is rejected for the lag"
+    assert sent_or_rejected == [1] * 7, "each other request is sent, or rejected because of the lag"
     assert sent_commands(harness, 11) and sent_commands(harness, 12)
 
 
@@ -108,7 +114,7 @@
     harness.advance()
     assert harness.front.context.counters.counts["internal errors"] == 0
     assert not any(sent_commands(harness, number) for number in range(15, 19))
-    assert len(harness.dispatcher.requests.by_id) == 4, "nothing is kept of those that are over"
+    assert len(harness.dispatcher.requests.by_id) == 4, "no state is kept of cancelled requests"
 
 
 def test_a_removed_cache_is_known_until_the_router_has_handled_its_removal(monkeypatch):
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -1,4 +1,8 @@
-"""The end of a shutdown: clients send until SIGKILL, whatever the longest deadline, and all get an answer."""
+"""Guards against requests without an answer at the end of a shutdown, before SIGKILL.
+
+SIGKILL follows SIGTERM after the longest deadline of the site, at most 3 s, and 0.7 s more. Clients send
+requests until their connections end, and each of these requests has to be answered.
+"""
 
 import socket
 import subprocess
@@ -18,7 +22,7 @@
 TIMEOUT = 20.0  # seconds after which a test gives up
 REQUEST_INTERVAL = 0.02  # seconds between two requests of one client
 MAX_OPEN_REQUESTS = 25  # requests of one client without an answer
-RACE_WINDOW = 0.05  # seconds before the end of a connection in which a request crosses it and is sent again
+RACE_WINDOW = 0.05  # seconds; a request sent so shortly before the close may not arrive, and is sent again
 
 
 def harness_with_deadlines(seconds):
@@ -43,21 +47,21 @@
     stopped_at = harness.reactor.seconds()
     answered = {int(line.split()[3]) for line in harness.trace if line.startswith("client 0 <")}
     assert answered == set(range(1, sent + 1)) and sent > 20
-    assert stopped_at < kill_at, "it has ended before it can be killed"
+    assert stopped_at < kill_at, "the front has to exit before SIGKILL"
 
 
 def test_calls_queued_behind_a_slow_reader_are_answered_at_the_end_of_the_shutdown():
     harness = harness_with_deadlines(0.3)
     client = harness.connect_client()
     client.pauseProducing()
-    for seqid in (101, 102):  # the second waits for room in the ring
+    for seqid in (101, 102):  # the second answer does not fit into the ring buffer yet
         client.writer.write(messages.answer("process", seqid, bytes(240_000), {}, True))
     harness.send(client, process(1, wait="300"), process(2, wait="300"))
     assert not client.open_requests and len(client.incoming)
     harness.front.terminate()
     harness.advance(0.7)
     harness.advance(0.03)
-    assert not client.transport.disconnecting, "it has answers that wait"
+    assert not client.transport.disconnecting, "answers are still buffered for this client"
     client.resumeProducing()
     harness.advance(0.01)
     assert client.transport.disconnecting
@@ -70,7 +74,7 @@
 
 
 class SendingClient(threading.Thread):
-    """Sends requests on one connection until the other side ends it, and keeps what is answered."""
+    """A thread that sends requests on one connection until the front closes it, and records the answers."""
 
     def __init__(self, address, number):
         super().__init__()
@@ -116,7 +120,7 @@
 
 
 def test_a_process_with_deadlines_of_300_ms_answers_every_request_and_exits_in_time(tmp_path):
-    """Its cache takes everything and answers nothing; clients send until their connections are ended."""
+    """The only cache accepts connections and answers nothing; clients send until they are disconnected."""
     with (
         socket.create_server(("127.0.0.1", 0), backlog=64) as cache,
         socket.create_server(("127.0.0.1", 0)) as bus,
@@ -144,12 +148,12 @@
                 front.kill()
             front.wait(TIMEOUT)
             front.stderr.close()
-    assert duration < 1.0, "SIGKILL may come after the longest deadline and 0.7 s"
+    assert duration < 1.0, "SIGKILL may follow after the longest deadline and 0.7 s"
     for client in clients:
         due = {
             seqid
             for seqid, sending_time in client.sent_at.items()
             if sending_time < client.closed_at - RACE_WINDOW
         }
-        assert client.closed_at > terminated_at + 0.6, "it was served up to the end"
+        assert client.closed_at > terminated_at + 0.6, "the client was disconnected too early"
         assert len(due) > 20 and due <= set(client.answers), sorted(due - set(client.answers))
--- a/tests/test_local_faults.py
+++ b/tests/test_local_faults.py
@@ -1,4 +1,8 @@
-"""Faults of this machine say nothing about a cache: they cost no budget, no attempt and no trust."""
+"""Guards against caches that lose their reputation to faults of this machine.
+
+A connect that fails locally, for example for lack of descriptors, is no evidence about the cache. It uses
+neither an attempt nor retry budget, and is retried while the attempt waits.
+"""
 
 import errno
 
@@ -32,11 +36,11 @@
     is_cache_failure = result is AttemptResult.UNREACHABLE
     assert (cache.failures.total(front.now) > 0) == is_cache_failure
     assert (cache.breaks.broken_at > 0 or cache.breaks.unreachable_at >= 0) == is_cache_failure
-    assert front.trace[-1].split()[2] != first_cache  # this request passes it by in either case
+    assert front.trace[-1].split()[2] != first_cache  # in either case this request uses another cache next
 
 
 class FailingConnects:
-    """Has a front's connects fail in this machine, reported by Twisted or raised, while `errors` lasts."""
+    """Makes connects of a front fail with the given errors in turn, reported as by Twisted, or raised."""
 
     def __init__(self, harness, errors, is_raised=False):
         self.reactor, self.connect = harness.reactor, harness.reactor.connectTCP
@@ -57,7 +61,7 @@
 
 
 def record_attempt_results(harness):
-    """The results of attempts that the router is told from now on, and that of a request's end."""
+    """Start recording events for the router; return a function that returns the attempt results so far."""
     events, post = [], harness.dispatcher.queue.post
     harness.dispatcher.queue.post = lambda event: (events.append(event), post(event))
     return lambda: [event.result.name for event in events if isinstance(event, AttemptEnded)]
@@ -71,7 +75,7 @@
     errno.EADDRNOTAVAIL,
     errno.ENETUNREACH,
     errno.EINTR,
-    ConnectError(string=Failure(ConnectionDone())),  # what Twisted makes of EAGAIN
+    ConnectError(string=Failure(ConnectionDone())),  # Twisted's translation of EAGAIN
     OSError(errno.ENOSPC, "epoll_ctl"),
 ]
 
@@ -91,13 +95,13 @@
 
 
 def test_a_new_connection_that_cannot_be_registered_is_a_local_fault():
-    """Twisted makes the protocol, fails to watch the socket, and reports the end of what never opened."""
+    """Twisted builds the protocol, fails to register the socket, and reports a lost connection."""
     harness = FrontHarness()
     results = record_attempt_results(harness)
     harness.send(harness.connect_client(), process(1))
     ((_, connector),) = harness.pending_connects()
     connector.buildProtocol(None).connectionLost(Failure(OSError(errno.ENOMEM, "epoll_ctl")))
-    assert not harness.pending_connects()  # there is a backoff
+    assert not harness.pending_connects()  # the retry waits for its backoff
     for _ in range(45):
         harness.advance(0.01)
     assert results() == ["LOCAL_FAULT"]
@@ -127,7 +131,7 @@
 
 
 def test_without_any_connection_requests_are_answered_by_their_deadline_and_connects_are_bounded():
-    """Connects that never work: no cache is blamed, and their number is bounded by the backoff."""
+    """If every connect fails locally, no cache counts as failed, and the backoff bounds the connects."""
     harness = FrontHarness()
     results = record_attempt_results(harness)
     failing_connects = FailingConnects(harness, [errno.ENFILE] * 10_000)
@@ -141,9 +145,7 @@
     context = harness.dispatcher.router.context
     assert not any(cache.failures.total(context.now) for cache in context.caches.values())
     assert all(cache.breaks.broken_at < 0 for cache in context.caches.values())
-    max_connects_per_cache = (
-        1.5 / (MAX_DELAY / 2) + 4
-    )  # in the time of the requests, the first four waits being shorter
+    max_connects_per_cache = 1.5 / (MAX_DELAY / 2) + 4  # within 1.5 s; the first four delays are shorter
     assert failing_connects.connect_count < max_connects_per_cache * len(context.caches)
 
 
@@ -159,7 +161,7 @@
 
 
 def test_an_attempt_delayed_locally_past_the_answer_timeout_is_no_evidence_against_its_cache():
-    """Its cache was suspected as slow, though nothing had reached it."""
+    """Such a cache must not count as slow, because nothing has reached it."""
     harness = FrontHarness()
     results = record_attempt_results(harness)
     FailingConnects(harness, [errno.EMFILE] * 1000)
--- a/tests/test_patient_reactor.py
+++ b/tests/test_patient_reactor.py
@@ -33,6 +33,7 @@
 
 class FailingPoller:
     """An epoll object whose first registrations fail with the given errors."""
+
     def __init__(self, poller, errors):
         self.poller, self.errors = poller, errors
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,6 +1,7 @@
-"""The program itself, as an operator runs it: started, told to stop, killed, and started wrongly.
+"""Tests of the program as an operator runs it: start, shutdown, kill, and a start that fails.
 
-Client and cache are plain blocking sockets in this process; each step waits for what the step before causes.
+Client and cache are plain blocking sockets in this process. Each step waits for the effect of the
+previous one.
 """
 
 import json
@@ -19,7 +20,7 @@
 
 
 class FrontProcess:
-    """A front in a process of its own."""
+    """A front that runs as a separate process."""
 
     def __init__(self, path, *options):
         command = [sys.executable, "-O", "-m", "weldbend", "serve", "--config", str(path), *options]
@@ -27,10 +28,11 @@
         self.wait_for_log("serves on")
 
     def wait_for_log(self, text):
+        """Return the next log line that contains this text; fail if the process ends without one."""
         for line in self.process.stderr:
             if text in line:
                 return line
-        raise AssertionError(f"ended without {text!r}")
+        raise AssertionError(f"the front ended without logging {text!r}")
 
     def kill_and_wait(self):
         if self.process.poll() is None:
@@ -41,7 +43,7 @@
 
 @pytest.fixture
 def site(tmp_path):
-    """A configuration on free ports of loopback, and the cache that it names."""
+    """A configuration on free loopback ports, the front's address, and the socket of the cache it lists."""
     with socket.create_server(("127.0.0.1", 0)) as cache, socket.create_server(("127.0.0.1", 0)) as bus:
         cache.settimeout(TIMEOUT)
         with socket.create_server(("127.0.0.1", 0)) as spare:
@@ -59,6 +61,7 @@
 
 
 def connect_and_send(address, *frames):
+    """Send frames on a new connection, and return the stream of its answers."""
     with socket.create_connection(address, TIMEOUT) as client:
         client.sendall(b"".join(frames))
         return client.makefile("rb")
@@ -69,7 +72,7 @@
 
 
 def read_commands(stream, count):
-    """The next commands that a cache is given, by the names of their downloads."""
+    """Read the next commands that a cache receives, and return the ids of their requests."""
     names = []
     for _ in range(count):
         names.append(int(re.match(rb"do (\w{16}) .* 0\r\n", stream.readline())[1], 16))
@@ -145,7 +148,7 @@
 
 
 def test_memory_and_descriptors_stay_within_limits_with_341_connections_and_slow_readers(site):
-    """341 connections, two of which ask for all they may and read nothing until the last answer is given."""
+    """Of 341 connections, two send as many requests as allowed and read no answer until the last is sent."""
     path, address, cache = site
     allow_a_minute_for_each_request(path)
     program = FrontProcess(path)
@@ -204,7 +207,7 @@
 
 
 def test_parked_connections_are_reattached_and_a_shutdown_with_hundreds_of_them_ends_in_time(site, tmp_path):
-    """On real descriptors: released, adopted, given to others, reset while parked, and closed at the end."""
+    """Real descriptors are parked, reattached, reused by new connections, closed by clients and shut down."""
     path, address, cache = site
     installation_path = tmp_path / "weldbend.ini"
     installation_path.write_text("[clients]\nidle = 1 h\npark-after = 100 ms\n")
@@ -213,7 +216,7 @@
         clients = [connect_and_send(address, probe(1)) for _ in range(300)]
         assert {read_answer(client) for client in clients} == {"1 probe: good True"}
         descriptors = Path(f"/proc/{program.process.pid}/fd")
-        time.sleep(0.5)  # parked or not, what follows holds; the log says that they were
+        time.sleep(0.5)  # time to park them; the counters below show whether that happened
         for client in clients[:100]:
             client.close()
         new_clients = [connect_and_send(address, probe(1)) for _ in range(100)]
