--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -1,4 +1,8 @@
-"""The bound on connections to all caches: which make way, which never do, and who gets the room."""
+"""Guards the limit on connections to all caches: which are closed at the limit, and which are kept.
+
+A front with more caches than permitted connections closes idle connections to make room. It must not lose
+attempts in flight, starve a cache, or count its own closes and delays as failures of a cache.
+"""
 
 import math
 import random
@@ -31,7 +35,7 @@
 
 
 class InMemoryConnection(StringTransport):
-    """A connection in memory; as with a real one, its end is reported in a later iteration."""
+    """A connection in memory; like a real one, it reports its loss in a later reactor iteration."""
 
     def __init__(self, reactor, protocol):
         super().__init__()
@@ -50,23 +54,23 @@
 
 
 class LookupOnlyEndpoints(dict):
-    """The listed caches: they may be looked up, but work over all of them is an error."""
+    """The endpoints by number; iterating over them raises, because the work must not grow with the caches."""
 
     def __iter__(self):
-        raise AssertionError("work in proportion to all caches")
+        raise AssertionError("iterated over all caches")
 
     keys = values = items = __iter__
 
 
 class PoolHarness:
-    """A pool and the caches that it connects to; what became of each attempt, by its name."""
+    """A connection pool with caches in memory; it records the outcome of each attempt by name."""
 
     def __init__(self, count=3, **changes):
         self.reactor = MemoryReactorClock()
         timers = Timers(self.reactor, SimpleNamespace(now=self.reactor.seconds))
         limits = replace(LIMITS, **changes)
         self.pool = CachePool(self.reactor, timers, limits, lambda cache, answer: True, lambda cache: None)
-        self.all_endpoints = []  # all endpoints that there ever were
+        self.all_endpoints = []  # removed ones included
         self.connections, self.attempts, self.outcomes = [], {}, {}
         for cache in range(1, count + 1):
             self.add_endpoint(cache)
@@ -105,17 +109,17 @@
         self.advance()
 
     def serve(self, cache, name):
-        """Send an attempt, let what it needs come up, and answer it."""
+        """Send an attempt, complete the pending connects, and answer it."""
         self.send(cache, name)
         self.complete_connects()
         self.answer(name)
 
     def connected_caches(self):
-        """The caches to which connections are up, one after another."""
+        """Return the sorted cache numbers of all open connections."""
         return sorted(c.owner.cache for c in self.connections if not c.is_lost)
 
     def descriptor_count(self):
-        """How many descriptors connections hold, counted one by one."""
+        """Return the number of descriptors in use, counted from the connections themselves."""
         return len(self.pending_connects()) + sum(not connection.is_lost for connection in self.connections)
 
 
@@ -123,7 +127,7 @@
     harness = PoolHarness()
     harness.serve(1, "a")
     harness.serve(2, "b")
-    harness.serve(1, "c")  # now cache 2 is the one not used for longest
+    harness.serve(1, "c")  # now the connection to cache 2 is the one idle for longest
     harness.send(3, "d")
     assert harness.connected_caches() == [1] and len(harness.pending_connects()) == 1
     harness.complete_connects()
@@ -162,7 +166,7 @@
     assert "c" not in harness.outcomes
     harness.advance(0.2)
     assert harness.outcomes["c"] is AttemptLoss.SUPERSEDED
-    harness.answer("a")  # nobody waits any more: nothing has to make way
+    harness.answer("a")  # no attempt waits any more, so no connection has to be closed
     assert harness.connected_caches() == [1, 2]
 
 
@@ -301,9 +305,8 @@
 
     def remove_endpoint(cache):
         harness.pool.remove_endpoint(cache)
-        for connector in [
-            d for d in harness.pending_connects() if d.endpoint.is_closed
-        ]:  # as the reactor does on disconnect
+        # as the reactor does on disconnect
+        for connector in [d for d in harness.pending_connects() if d.endpoint.is_closed]:
             connector.clientConnectionFailed(None, Failure(ConnectionDone()))
 
     for number in range(120):
@@ -349,7 +352,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_simulated_site_at_the_limit_keeps_all_rules_and_rejects_few_requests(monkeypatch, seed):
-    """Seven caches, faults of all kinds, six connections for each front; before, a quarter was rejected."""
+    """Seven caches, faults of all kinds, six connections per front; without evictions a quarter is rejected."""
     monkeypatch.setattr(configuration, "CACHE_DESCRIPTORS", 6)
     result = Run(seed).play()
     assert not result.violations and not result.errors
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,8 @@
-"""System calls that fail around accepted connections, idle ones and logs: nothing spins, stops or is lost."""
+"""Guards against system calls that fail for accepted connections, idle connections and logs.
+
+An unhandled error of accept(2), epoll_ctl, epoll_wait, close(2) or a write to the log can make the front
+spin, stop accepting, exit, or lose clients other than the one concerned.
+"""
 
 import errno
 import json
@@ -24,7 +28,7 @@
 
 
 class FailingSocket:
-    """A listening socket whose accept fails with these errors first; accepted connections are real."""
+    """A listening socket whose first accepts fail with the given errors; accepted connections are real."""
 
     def __init__(self, listening_socket, errors):
         self.listening_socket, self.errors, self.calls = listening_socket, errors, 0
@@ -40,7 +44,7 @@
 
 
 class PortHarness:
-    """A real Twisted port on loopback, a reactor in the test's hands, and one client that waits."""
+    """A real Twisted port on loopback, a reactor that the test advances, and one client that connects."""
 
     def __init__(self, errors, is_guarded=True):
         self.reactor, self.accepted = MemoryReactorClock(), []
@@ -59,7 +63,7 @@
         return self.port in self.reactor.readers
 
     def advance(self, seconds):
-        """Let time pass in steps of a millisecond; the port is ready while its client waits."""
+        """Advance the clock in steps of a millisecond; while registered, the port is always readable."""
         for _ in range(round(seconds * 1000)):
             if self.is_watched():
                 self.port.doRead()
@@ -85,7 +89,7 @@
     port_harness = PortHarness([error_number] * 20)
     port_harness.advance(0.25)
     calls = port_harness.failing_socket.calls
-    assert not port_harness.accepted and 4 <= calls <= 8, calls  # without a pause it would be 250
+    assert not port_harness.accepted and 4 <= calls <= 8, calls  # without a pause there would be 250
     port_harness.failing_socket.errors.clear()
     port_harness.advance(MAX_PAUSE + 0.01)
     assert (
@@ -119,7 +123,7 @@
 
 
 def test_a_port_that_cannot_be_registered_after_a_pause_pauses_again():
-    """Found by seed 23 of the trials: one failed epoll_ctl, and the front never accepted again."""
+    """Without a retry, one failed epoll_ctl ends accepting for good (seed 23 of the socket trials)."""
     port_harness = PortHarness([errno.ENFILE])
     add_reader, failures = port_harness.reactor.addReader, [errno.ENOMEM, errno.ENOSPC]
 
@@ -159,10 +163,10 @@
 
 
 def test_a_front_that_cannot_accept_does_not_exit_while_clients_wait():
-    """Found by seed 4 of the trials: three clients waited to be accepted, and the front ended."""
+    """Otherwise clients in the kernel's queue get no answer (three in seed 4 of the socket trials)."""
     harness, stopped = FrontHarness(), []
     harness.reactor.stop = lambda: stopped.append(True)
-    harness.front.listener.stop = lambda: False  # accepting fails at present
+    harness.front.listener.stop = lambda: False  # accepting fails for now
     harness.front.terminate()
     harness.advance(0.8)
     assert not stopped
@@ -192,7 +196,7 @@
 
 
 def test_only_the_cache_connections_that_cannot_be_registered_are_aborted():
-    """One of two connections fails to be read again, and one to be written to: the other is not concerned."""
+    """Resuming reads fails on one of two connections, and writing on the other; each is aborted alone."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1), process(2, key="a" * 16), process(3, key="5" * 16))
@@ -235,16 +239,16 @@
         port_harness.port, harness.reactor.callLater, listener.update_accepting
     )
     assert not listener.stop() and listener.is_paused
-    assert not listener.stop() and port_harness.failing_socket.calls == 1  # it rests
+    assert not listener.stop() and port_harness.failing_socket.calls == 1  # accepting is paused
     harness.advance(MIN_PAUSE)
-    assert not listener.stop() and listener.connection_count() == 1  # one has come
+    assert not listener.stop() and listener.connection_count() == 1  # the client is accepted
     assert listener.stop() and listener.port is None
     port_harness.close()
 
 
 @pytest.mark.parametrize("error_number", [errno.EADDRINUSE, errno.ENOMEM, errno.ENOSPC])
 def test_a_front_whose_port_cannot_be_opened_exits(error_number):
-    """It went on without a port where listen(2) or epoll_ctl failed, which Twisted does not translate."""
+    """Twisted does not translate errors of listen(2) and epoll_ctl; the front must not run without a port."""
     reactor, stopped = MemoryReactorClock(), []
     front = Front(reactor, read_site(configuration()))
     front.clock.now = reactor.seconds
@@ -263,7 +267,7 @@
 
 
 class FailingEpoll:
-    """An epoll set whose waits a signal interrupts, and that cannot watch more."""
+    """An epoll object whose calls fail with the given errors, by name of the method."""
 
     def __init__(self, epoll):
         self.epoll, self.errors = epoll, {}
@@ -290,7 +294,7 @@
 
 @pytest.fixture
 def pair():
-    """A server transport on a connected socket, its reactor, and the client's end."""
+    """A server transport on a connected socket, its reactor, and the client's socket."""
     with socket.create_server(("127.0.0.1", 0)) as listening_socket:
         client = socket.create_connection(listening_socket.getsockname())
         accepted, address = listening_socket.accept()
@@ -374,6 +378,7 @@
 
 
 def harness_with_parked_clients(count):
+    """Return a front in memory whose clients, this many, are parked as idle."""
     harness = FrontHarness(parking=True)
     for _ in range(count):
         harness.connect_client().dataReceived(probe(1))
@@ -416,7 +421,7 @@
 
 
 def test_a_connection_that_upkeep_finds_readable_before_the_reactor_is_reattached():
-    """Found by seed 19 of the trials: twelve idle clients' calls lay unread for over a second."""
+    """Otherwise calls stay unread, of twelve clients for over a second in seed 19 of the socket trials."""
     harness = harness_with_parked_clients(2)
     harness.epoll_set.deliver(0, probe(2))  # the reactor has not polled since
     harness.advance(0.11)  # a round of upkeep polls the set
@@ -447,15 +452,15 @@
 from loguru import logger
 from weldbend import logs
 
-form, behind = sys.argv[1:]
-if behind == "closed pipe":
+log_format, log_target = sys.argv[1:]
+if log_target == "closed pipe":
     reading, writing = os.pipe()
     os.dup2(writing, 2)
     os.close(reading)
-elif behind == "full disk":
+elif log_target == "full disk":
     os.dup2(os.open("/dev/full", os.O_WRONLY), 2)
-logs.start("info", form)
-if behind == "closed meanwhile":
+logs.start("info", log_format)
+if log_target == "closed meanwhile":
     sys.stderr.close()
 for number in range(200):
     logger.info("line {} {}", number, "x" * 100)
@@ -486,7 +491,7 @@
 
 
 def test_a_front_whose_log_reader_exits_keeps_serving_and_exits_on_sigterm(tmp_path):
-    """What reads its log ends: probes are answered, a reload is survived, and SIGTERM ends it with 0."""
+    """With its log pipe closed, the front answers probes, reloads, and exits with status 0 on SIGTERM."""
     with socket.create_server(("127.0.0.1", 0)) as spare:
         address = spare.getsockname()
     path = tmp_path / "front.json"
@@ -500,7 +505,7 @@
         with socket.create_connection(address, 20) as client:
             stream = client.makefile("rb")
             for number in (1, 2):
-                front.send_signal(signal.SIGHUP)  # logs, as the bus that cannot be reached does
+                front.send_signal(signal.SIGHUP)  # logs a line; the unreachable bus causes others
                 client.sendall(probe(number))
                 answer = answer_text(stream.read(int.from_bytes(stream.read(4))))
                 assert answer == f"{number} probe: good True"
