--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -352,7 +352,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_simulated_site_at_the_limit_keeps_all_rules_and_rejects_few_requests(monkeypatch, seed):
-    """Seven caches, faults of all kinds, six connections per front; without evictions a quarter is rejected."""
+    """Seven caches, faults of all kinds, 6 connections per front; without evictions a quarter is rejected."""
     monkeypatch.setattr(configuration, "CACHE_DESCRIPTORS", 6)
     result = Run(seed).play()
     assert not result.violations and not result.errors
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,7 +1,8 @@
-"""Whatever ends something while something is still owed, on real sockets, with the crossing forced.
+"""Guards against lost answers and needless attempts when a client, cache, reload or shutdown interferes.
 
-The front is stopped by the system (SIGSTOP) while the other side acts, so that it finds both at once; or a
-side holds back bytes, or reads nothing. Each wait is for what the step before causes.
+Such faults occur when a close, cancellation or signal arrives together with other input. On real sockets this
+is forced by stopping the front with SIGSTOP while the other side acts, so that it finds both at once, or by a
+side that holds back bytes or reads nothing. Each wait is for the effect of the previous step.
 """
 
 import os
@@ -38,7 +39,10 @@
 
 @pytest.fixture
 def front_with_long_latency_objective(site):
-    """A front that doubts no pull before its expiry, six seconds on: whatever is undone, its client left."""
+    """A front that hedges or abandons no attempt before the deadline of 6 s.
+
+    An `undo` at the cache therefore means that the client cancelled or left.
+    """
     path, address, cache = site
     path.write_text(re.sub(r'"goal_time_us": 500000\b', '"goal_time_us": 9000000', path.read_text()))
     program = FrontProcess(path)
@@ -47,7 +51,7 @@
 
 
 class SuspendedProcess:
-    """The front stands still meanwhile, as on a machine that is held up."""
+    """A context in which the front's process is stopped, as on an overloaded machine."""
 
     def __init__(self, program):
         self.process = program.process
@@ -77,7 +81,7 @@
 
 
 def open_idle_cache_connection(address, cache):
-    """A connection to the cache that is up, with nothing out on it."""
+    """Return a cache connection of the front, and its stream, with no attempt in flight."""
     with connect_and_send(address, process(90)) as first:
         connection, stream = accept_cache_connection(cache)
         assert read_commands(stream, 1) == [90]
@@ -87,21 +91,21 @@
 
 
 def assert_a_request_is_served(address, connection, stream):
-    """Ask until a request gets through to the cache: right after a standstill the front may throttle it."""
+    """Send requests until one reaches the cache; right after a suspension the front may throttle them."""
     for number in range(200, 300):
         with connect_and_send(address, process(number)) as answers:
             if select.select([connection, answers], [], [], TIMEOUT)[0] == [connection]:
-                assert read_commands(stream, 1) == [number], "something else came before"
+                assert read_commands(stream, 1) == [number], "the cache received another request first"
                 connection.sendall(cache_answer(number))
                 assert read_answer(answers) == f"{number} process: 'ok'"
                 return
             assert "throttled" in read_answer(answers)
-    raise AssertionError("all were throttled")
+    raise AssertionError("all requests were throttled")
 
 
 @pytest.mark.parametrize("departure", ["closes", "resets", "cancels"])
 def test_a_client_that_left_while_the_front_was_suspended_causes_no_attempt(running_front, departure):
-    """Its request and its leaving are read one after the other: nothing may go out between."""
+    """Request and close (or cancellation) are read one after the other; no attempt may start in between."""
     program, address, cache = running_front
     connection, stream = open_idle_cache_connection(address, cache)
     client = connect(address)
@@ -117,7 +121,7 @@
 
 
 def test_a_client_that_left_while_its_request_waited_for_a_connect_causes_no_attempt(running_front):
-    """Connect and close are noticed in the same look at the sockets."""
+    """The completed connect and the client's close are found by the same poll of the sockets."""
     program, address, cache = running_front
     leaving_client = connect(address)
     leaving_client.sendall(process(1))
@@ -125,19 +129,19 @@
     assert read_commands(stream, 1) == [1]
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     with SuspendedProcess(program):
-        connection.close()  # what was out may go out again, over a connection that must come up first
+        connection.close()  # the attempt may be repeated, once a new connection is open
         stream.close()
         leaving_client.close()
     next_answers = connect_and_send(address, process(2))
     connection, stream = accept_cache_connection(cache)
     if select.select([connection], [], [], 1.0)[0]:
-        assert read_commands(stream, 1) == [2]  # and 1 was not sent anew
+        assert read_commands(stream, 1) == [2]  # request 1 was not repeated
     for resource in (next_answers, connection, stream):
         resource.close()
 
 
 def connect_slow_reader(address, *frames):
-    """A client whose answers stay with the system, and then with the front."""
+    """Connect a client that reads no answers; they fill its receive buffer, and then the front's buffers."""
     slow = socket.socket()
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.settimeout(TIMEOUT)
@@ -147,7 +151,10 @@
 
 
 def deliver_to_front(address, connection, stream, data):
-    """Have the front take what a cache sends: the answer to a later request comes right behind it."""
+    """Send data from a cache, and wait until the front has read it.
+
+    The data is followed by the answer to one more request, whose client receives it only afterwards.
+    """
     with connect_and_send(address, process(95, key=f"{95:016x}")) as other_answers:
         assert read_commands(stream, 1) == [95]
         connection.sendall(data + cache_answer(95))
@@ -155,17 +162,17 @@
 
 
 def slow_reader_with_pending_answers(address, cache):
-    """A client that reads nothing, so that answers wait for it, with request 50 out at the cache."""
+    """Connect a client that reads nothing and has buffered answers; its request 50 is open at the cache."""
     slow = connect_slow_reader(address, *(process(n, key=f"{n:016x}") for n in range(1, 32)), process(50))
     connection, stream = accept_cache_connection(cache)
     assert read_commands(stream, 32) == [*range(1, 32), 50]
-    connection.sendall(cache_answer(1, LARGE_BODY))  # a stream is free for what comes last
+    connection.sendall(cache_answer(1, LARGE_BODY))  # frees a stream for the last request
     deliver_to_front(address, connection, stream, b"".join(cache_answer(n, LARGE_BODY) for n in range(2, 32)))
     return slow, connection, stream
 
 
 def read_until_undo(stream, number):
-    """Reads on until this pull is given up; others may be as well."""
+    """Read commands until the `undo` of this attempt; others may be cancelled before it."""
     while line := stream.readline():
         if line == b"undo %016x\r\n" % number:
             return True
@@ -181,13 +188,13 @@
     buffer = slow.makefile("rb")
     assert {read_answer(buffer) for _ in range(31)} == {f"{n} process: '200000 bytes'" for n in range(1, 32)}
     slow.sendall(process(52))
-    assert read_commands(stream, 1) == [52]  # and 51 was never sent
+    assert read_commands(stream, 1) == [52]  # request 51 was never sent
     for resource in (slow, buffer, connection, stream):
         resource.close()
 
 
 def test_a_close_is_detected_while_the_front_does_not_read_from_the_client(front_with_long_latency_objective):
-    """As much has come as the front takes in while answers wait for its client, and then the end."""
+    """The client has sent as much as the front accepts while its answers are buffered, and then closes."""
     _, address, cache = front_with_long_latency_objective
     slow, connection, stream = slow_reader_with_pending_answers(address, cache)
     started_at = time.monotonic()
@@ -201,14 +208,14 @@
 
 
 def test_closing_a_connection_with_unread_bytes_does_not_reset_answers_in_transit(running_front):
-    """An answer is still on its way to a slow reader when it is cast out in the middle of what it sends."""
+    """A slow reader violates the protocol and is disconnected while an answer is in transit to it."""
     _, address, cache = running_front
     slow = connect_slow_reader(address, process(1))
     connection, stream = accept_cache_connection(cache)
     assert read_commands(stream, 1) == [1]
     deliver_to_front(address, connection, stream, cache_answer(1, LARGE_BODY))
     slow.sendall(b"\xff" * 300_000)
-    for _ in range(2):  # by the second, the front has read and thrown away what lay there
+    for _ in range(2):  # by the second answer, the front has read and discarded these bytes
         with connect_and_send(address, probe(7)) as other_answers:
             assert read_answer(other_answers) == "7 probe: good True"
     with slow.makefile("rb") as answers:
@@ -224,7 +231,7 @@
         client.sendall(b"\xff" * 100)
         assert answers.read() == b""
         started_at = time.monotonic()
-        with pytest.raises(OSError):  # closed at last, a send is reset
+        with pytest.raises(OSError):  # after the close, a send is reset
             while time.monotonic() - started_at < TIMEOUT:
                 client.sendall(b"x")
                 time.sleep(0.02)
@@ -232,16 +239,14 @@
 
 
 def test_a_request_accepted_by_the_kernel_while_the_front_shuts_down_is_answered(running_front):
-    """The port is closed 0.7 s after SIGTERM; the connection is made before, and found after that."""
+    """The port closes 0.7 s after SIGTERM; the connection is made before that, and accepted afterwards."""
     program, address, cache = running_front
     connection, stream = open_idle_cache_connection(address, cache)
     program.process.send_signal(signal.SIGTERM)
     program.wait_for_log("shutdown requested")
     with SuspendedProcess(program):
-        client = connect_and_send(
-            address, process(1, **{"class": "none"})
-        )  # its answer hangs on nothing else
-        time.sleep(0.8)  # by now it is time to close the port
+        client = connect_and_send(address, process(1, **{"class": "none"}))  # answered without a cache
+        time.sleep(0.8)  # the port is due to be closed by now
     assert read_answer(client) == "1 exception 7: unknown content type" and client.read() == b""
     assert program.process.wait(TIMEOUT) == 0
     for resource in (client, connection, stream):
@@ -265,7 +270,7 @@
         assert read_commands(stream, 1) == [2]
         connection.sendall(cache_answer(2))
         assert read_answer(answers) == "2 process: 'ok'"
-        time.sleep(0.9)  # past the moment in which all that is quiet is closed
+        time.sleep(0.9)  # later than the close of all idle connections
         partial_client.sendall(frame[40:])
         assert read_commands(stream, 1) == [1]
         connection.sendall(cache_answer(1))
@@ -278,7 +283,7 @@
 
 
 def test_sigterm_before_the_first_endpoint_list_ends_the_front_cleanly(site):
-    """The bus takes the connection and says nothing; the port is not open yet."""
+    """The bus accepts the connection and sends nothing; the front's port is not open yet."""
     path, _, _ = site
     with socket.create_server(("127.0.0.1", 0)) as bus:
         bus.settimeout(TIMEOUT)
@@ -291,17 +296,17 @@
 
 
 def open_for_writing(pipe, reader):
-    """The pipe, once its reader has opened it."""
+    """Open a named pipe for writing as soon as its reader, a front, has opened it."""
     started_at = time.monotonic()
     while reader.poll() is None and time.monotonic() < started_at + TIMEOUT:
         with suppress(OSError):
             return open(os.open(pipe, os.O_WRONLY | os.O_NONBLOCK), "w")
         time.sleep(0.002)
-    raise AssertionError(f"nobody reads; the front ended with {reader.poll()}")
+    raise AssertionError(f"the front did not open the pipe; its exit status is {reader.poll()}")
 
 
 def test_sighup_while_loading_neither_ends_the_front_nor_is_lost(site, tmp_path):
-    """The configuration is a pipe, so that the front is at it when the signal comes; then it has changed."""
+    """The configuration is a named pipe, so that the signal arrives during the load; then it has changed."""
     path, _, _ = site
     pipe = tmp_path / "pipe"
     os.mkfifo(pipe)
@@ -313,7 +318,7 @@
             with open_for_writing(pipe, front_process) as first_write:
                 front_process.send_signal(signal.SIGHUP)
                 pipe.rename(tmp_path / "read")
-                os.mkfifo(pipe)  # what is read the second time is another
+                os.mkfifo(pipe)  # the second load reads another pipe
                 first_write.write(path.read_text())
             new_bus = f'"bus": "127.0.0.1:{bus.getsockname()[1]}"'
             with open_for_writing(pipe, front_process) as second_write:
@@ -328,7 +333,10 @@
 
 
 def test_requests_are_served_while_idle_clients_use_all_descriptors_and_the_bus_is_down(site):
-    """Caches, the watch and waiting requests still get theirs, and the front neither spins nor casts out."""
+    """Caches, the bus and waiting requests still get descriptors.
+
+    The front neither spins nor disconnects a client with an open request.
+    """
     path, address, cache = site
     with socket.create_server(("127.0.0.1", 0)) as port_reservation:
         port = port_reservation.getsockname()[1]
@@ -347,11 +355,12 @@
             socket.create_server(("127.0.0.1", port)) as bus,
         ):
             bus.settimeout(TIMEOUT)
-            with bus.accept()[0]:  # the return of the bus is noticed, though descriptors were full
+            with bus.accept()[0]:  # the front reconnects although descriptors ran out
                 assert read_commands(stream, 1) == [2]
                 connection.sendall(cache_answer(2) + cache_answer(1))
                 assert read_answer(second_answers) == "2 process: 'ok'"
-                assert read_answer(first_answers) == "1 process: 'ok'"  # it was not put out for an idle one
+                # not disconnected in favour of idle clients
+                assert read_answer(first_answers) == "1 process: 'ok'"
         ticks = (
             sum(map(int, Path(f"/proc/{program.process.pid}/stat").read_text().split()[13:15])) - ticks_then
         )
@@ -363,11 +372,11 @@
         program.kill_and_wait()
 
 
-# The same on a virtual clock, where the crossing is a matter of the order of calls.
+# The same on a virtual clock, where the order of calls decides which of two events comes first.
 
 
 def test_an_answer_not_yet_read_when_its_connection_ends_is_delivered():
-    """Held back since slow readers hold too much: the cache has answered, and closes or resets."""
+    """The front pauses reads while slow readers fill its buffers; meanwhile the cache answers and closes."""
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1, once="ab", **{"class": "order"}))
     harness.complete_connects()
@@ -400,7 +409,7 @@
 
 
 def test_a_shutdown_takes_no_longer_than_the_deadlines_of_the_site_allow():
-    """SIGKILL comes 0.7 s after the longest of them, or after 3 s: a site with short ones is killed early."""
+    """SIGKILL follows 0.7 s after the longest deadline, or after 3.7 s: early where deadlines are short."""
     harness = FrontHarness()
     request_classes = harness.front.site.settings.classes.values()
     for request_class in request_classes:
@@ -410,16 +419,15 @@
     harness.complete_connects()
     harness.front.terminate()
     harness.advance(0.95)
-    harness.send(
-        harness.connect_client(), probe(7), process(2)[:50]
-    )  # half a call keeps it from ending in quiet
+    # a partial call prevents the exit of an idle front
+    harness.send(harness.connect_client(), probe(7), process(2)[:50])
     for _ in range(60):
         harness.advance(0.01)
     assert harness.reactor.hasStopped
 
 
 def test_a_waiting_request_is_sent_only_after_all_input_of_the_same_iteration_is_read():
-    """A connection comes up, and then its client's end is read: both had come before either was looked at."""
+    """A connect completes, then its client's close is read; both happened before the same poll."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -435,7 +443,7 @@
 
 
 def test_changed_settings_apply_to_new_requests_and_not_to_open_ones():
-    """One content type is renamed, the other may be repeated no more; each has one download open."""
+    """One class is renamed, the other becomes non-repeatable; each has one open request at the reload."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1), process(2, once="ab", **{"class": "order"}))
@@ -455,11 +463,11 @@
     harness.trace.clear()
     harness.answer("e2", 1, "DONE", "-", b"old name")
     for key in [key for key in harness.caches if key[0] == "o1"]:
-        harness.caches[key].transport.loseConnection()  # both orders may have run
+        harness.caches[key].transport.loseConnection()  # both writes may have been executed
     harness.advance()
     harness.complete_connects()
     orders = [line for line in harness.trace if "o1/" in line]
-    assert len(orders) == 1 and f"{2:016x}" in orders[0], harness.trace  # by the settings that it began under
+    assert len(orders) == 1 and f"{2:016x}" in orders[0], harness.trace  # by the settings at its start
     assert "client 0 < 5 abandoned" in harness.trace and "client 0 < 1 process: 'old name'" in harness.trace
 
 
@@ -481,25 +489,28 @@
 
 
 def test_a_cache_connection_that_accepts_no_data_is_aborted():
-    """Its cache hangs: what was written never leaves, and a close that waits for that would wait for good."""
+    """The cache hangs, so written bytes are never sent; a close that waits for them would never complete."""
     harness, calls = FrontHarness(), []
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
     harness.answer("e2", 1, "DONE", "-", b"photo")
     connection = harness.caches["e2", 0]
-    connection.transport.loseConnection = lambda: calls.append("asked")
-    connection.transport.abortConnection = lambda: calls.append("let go")
+    connection.transport.loseConnection = lambda: calls.append("close")
+    connection.transport.abortConnection = lambda: calls.append("abort")
     connection.drain()
     harness.advance(0.9)
-    assert calls == ["asked"]
+    assert calls == ["close"]
     harness.advance(0.2)
-    assert calls == ["asked", "let go"]
+    assert calls == ["close", "abort"]
 
 
-@pytest.mark.parametrize("interruption", ["the cache's close", "the expiry", "a withdrawal"])
+@pytest.mark.parametrize("interruption", ["the cache's close", "the deadline", "a cancellation"])
 @pytest.mark.parametrize("request_class", ["photo", "order", "print"])
 def test_an_answer_interrupted_between_two_pieces_is_not_delivered(interruption, request_class):
-    """Half an answer is none: what may be repeated is, what may not is abandoned, and nobody hears twice."""
+    """A partial answer counts as none.
+
+    The request is repeated if that is permitted, else abandoned, and no client gets a second answer.
+    """
     settings_text = (
         configuration().replace('"deduplicated"', '"at_most_once"')
         if request_class == "print"
@@ -517,7 +528,7 @@
     harness.trace.clear()
     if interruption == "the cache's close":
         connection.transport.loseConnection()
-    elif interruption == "the expiry":
+    elif interruption == "the deadline":
         harness.advance(2.1)
     else:
         client.dataReceived(give_up(1))
@@ -533,13 +544,13 @@
             (1, []) if request_class != "print" else (0, ["client 0 < 1 abandoned"])
         )
     else:
-        assert not commands and len(answers) == (interruption == "the expiry"), harness.trace
+        assert not commands and len(answers) == (interruption == "the deadline"), harness.trace
         assert not harness.dispatcher.requests
     assert (uid, index) in harness.caches and "process" not in str(answers)
 
 
 def test_a_reload_and_a_shutdown_while_many_clients_leave_at_once_end_cleanly():
-    """Some close, some withdraw, some were answered; then nothing is owed to anybody, and it ends."""
+    """Some clients close, some cancel, some were answered; afterwards nothing is open and the front exits."""
     harness = FrontHarness(max_streams=4)
     clients = [harness.connect_client() for _ in range(60)]
     for n, client in enumerate(clients, 1):
@@ -553,7 +564,7 @@
             harness.answer(uid, n, "DONE", "-", b"ok", number=index)
     for n, client in enumerate(clients, 1):
         if n % 2:
-            client.dataReceived(give_up(n))  # of some that are answered as well
+            client.dataReceived(give_up(n))  # including some already answered
         else:
             client.transport.loseConnection()
     harness.front.read_new_site = lambda: read_site(configuration(bus="127.0.0.1:9093", max_streams=4))
@@ -590,7 +601,7 @@
 
 
 def test_a_flood_of_data_after_the_close_is_cut_off(running_front):
-    """It is thrown away up to a bound, not for as long as it comes."""
+    """After the close, received data is discarded up to a limit only; then the connection is reset."""
     _, address, _ = running_front
     client = connect(address)
     with pytest.raises(OSError):
@@ -602,7 +613,7 @@
 
 
 def test_small_writes_are_sent_without_delay():
-    """The system would wait for more before it sends, and a reset would take along what it holds."""
+    """The kernel would delay small writes to merge them (Nagle), and a reset would discard them."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
