--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -123,7 +123,7 @@
 
 
 def test_a_port_that_cannot_be_registered_after_a_pause_pauses_again():
-    """Without a retry, one failed epoll_ctl ends accepting for good (seed 23 of the socket trials)."""
+    """Without a retry, one failed epoll_ctl ends accepting permanently (seed 23 of the socket trials)."""
     port_harness = PortHarness([errno.ENFILE])
     add_reader, failures = port_harness.reactor.addReader, [errno.ENOMEM, errno.ENOSPC]
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -1,4 +1,8 @@
-"""The whole front in memory: what it says to clients and caches, trap by trap, as short traces."""
+"""Tests of a whole front in memory: its messages to clients and caches in edge cases, as short traces.
+
+Guards against lost or second answers, repeated writes, state that is never freed, and violations of the
+protocol that arise when closes, purges, drains, reloads or slow peers coincide with open requests.
+"""
 
 import errno
 
@@ -76,7 +80,7 @@
 
 
 def test_a_duplicate_answer_is_not_taken_for_that_of_the_next_attempt():
-    """Else the second LACK would end the fill, and another would go out beside it."""
+    """Otherwise the second LACK would end the fill, and another attempt would be sent beside it."""
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
@@ -91,7 +95,7 @@
 
 
 def test_an_attempt_waiting_for_its_connection_is_cancelled_by_a_drain():
-    """The drain counts from the first byte sent: the pull is told to have never run, and another goes out."""
+    """A drain applies to attempts not yet sent: this one ends as not executed, and another one is sent."""
     for change in (listing(2, target("e2", port=2, state="draining")), listing(2, *TARGETS[:1], whole=True)):
         harness = FrontHarness()
         harness.send(harness.connect_client(), process(1))
@@ -110,15 +114,18 @@
 
 
 def test_a_write_is_not_repeated_after_the_deduplication_window_when_connecting_takes_long():
-    """The mark is remembered for three seconds: a dial that takes 0.3 s must not carry a repeat past them."""
+    """The origin remembers the idempotency key for 3 s.
+
+    A repeat that waits 0.3 s for its connection must not be sent after that time.
+    """
     for offset, expected_commands in (("-0.2", 1), ("-0.5", 2)):
         harness = FrontHarness()
         harness.send(harness.connect_client(), process(1, once="ab", wait="9000", **{"class": "order"}))
         harness.complete_connects()
         harness.advance(0.1)
-        harness.answer("o1", 99, "FIT")  # the connection lives
+        harness.answer("o1", 99, "FIT")  # shows that the connection works
         harness.advance(2.9 + float(offset))
-        harness.caches["o1", 0].transport.loseConnection()  # it may have run
+        harness.caches["o1", 0].transport.loseConnection()  # the write may have been executed
         harness.advance()
         harness.advance(0.3)
         harness.complete_connects()
@@ -129,7 +136,7 @@
 def test_requests_that_waited_for_a_cold_cache_are_routed_again_and_not_sent_in_one_burst():
     for boot, results in ((0, []), (1, [AttemptResult.SUPERSEDED])):
         harness, events = FrontHarness(), []
-        harness.advance(2.0)  # a front that has itself just started takes less
+        harness.advance(2.0)  # a front that has just started itself accepts less load
         harness.deliver_event(listing(2, target("e2", port=2, boot=boot * harness.unix() * 1000)))
         post, queue = harness.dispatcher.queue.post, harness.dispatcher.queue
         queue.post = lambda event, events=events, post=post: (events.append(event), post(event))
@@ -170,7 +177,7 @@
 
 
 def test_a_connection_that_broke_during_an_attempt_is_reopened_at_once_and_reported_when_open():
-    """Whether its cache can be reached again tells a broken connection from a restart."""
+    """Whether the cache can be reached again distinguishes a broken connection from a restart."""
     harness, events = FrontHarness(), []
     post, harness.dispatcher.queue.post = (
         harness.dispatcher.queue.post,
@@ -222,7 +229,7 @@
 
 
 def test_an_undo_is_written_before_the_attempt_that_replaces_the_cancelled_one():
-    """Over two connections the reactor may write the pull first: for the cache, both would be out."""
+    """On two connections, the reactor may write the new attempt first; for the cache, both would be open."""
     harness, lengths = FrontHarness(), []
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
@@ -240,7 +247,7 @@
     harness.send(other, process(8))
     harness.complete_connects()
     harness.advance(0.01)
-    harness.answer("e2", 8, "DONE", "-", b"eight")  # heard of since: the connection stays in use
+    harness.answer("e2", 8, "DONE", "-", b"eight")  # received data since: the connection stays in use
     harness.send(client, give_up(7))
     harness.send(other, process(9, id="0000000000000007"))
     harness.complete_connects()
@@ -341,7 +348,7 @@
     for number, delay in ((1, 0.0), (2, 0.05), (3, 0.3)):
         harness.advance(1.0)
         client.dataReceived(process(number))
-        harness.reactor.advance(delay)  # other sockets have their turn first
+        harness.reactor.advance(delay)  # other sockets are handled first
         harness.advance()
     assert lines == ["RequestReceived", "late 0.05", "RequestReceived", "late 0.30", "RequestReceived"]
 
@@ -353,7 +360,7 @@
 
 
 def test_invalid_calls_are_rejected_with_an_exception():
-    """Each is turned back, and nothing of it reaches the decisions; a fourth ends the connection."""
+    """Each is rejected before the router sees it; a fourth one on a connection closes it."""
     harness = FrontHarness()
     order = {"class": "order"}
     invalid_calls = [
@@ -401,12 +408,12 @@
 
 VIOLATIONS = {
     "a length of two gigabytes": (b"\x7f\xff\xff\xff",),
-    "a message that is none": (b"\x00\x00\x00\x05abcde",),
+    "an invalid message": (b"\x00\x00\x00\x05abcde",),
     "one number twice": (process(1),),
     "one id twice": (process(2, id=f"{1:016x}", key="7f3a9c21e0b4d656"),),
     "hundreds at once": tuple(process(n, key=f"{n:016x}") for n in range(2, 300)),
-    "hundreds withdrawn": tuple(part for n in range(2, 300) for part in (process(n), give_up(n))),
-    "again when turned back": tuple(process(n, key=None) for n in range(2, 1000)),
+    "hundreds cancelled": tuple(part for n in range(2, 300) for part in (process(n), give_up(n))),
+    "hundreds of rejected calls": tuple(process(n, key=None) for n in range(2, 1000)),
 }
 
 
@@ -432,7 +439,7 @@
 
 
 def test_a_client_whose_cancellations_are_read_together_with_their_calls_stays_connected():
-    """When this front is late, a call and its withdrawal come in one read."""
+    """When this front is late, it reads a call and its cancellation at once."""
     harness = FrontHarness()
     client = harness.connect_client()
     for first in range(1, 200, 20):
@@ -476,7 +483,7 @@
 
 @pytest.mark.parametrize("count", [1, 32])
 def test_no_attempt_starts_for_a_client_that_has_closed_its_connection(count):
-    """What waits for a connection is taken back, what is out is called off."""
+    """Attempts that wait for a connection are dropped, and attempts in flight are cancelled."""
     for is_connected in (False, True):
         harness = FrontHarness()
         client = harness.connect_client()
@@ -550,7 +557,7 @@
 
 
 def test_no_state_is_kept_of_removed_caches_closed_clients_and_ended_requests():
-    """Names are ever new, on addresses used again: what is kept by one of them must end with it."""
+    """Names are always new, and addresses are reused: state kept by name must be freed with its owner."""
 
     def state_sizes(harness):
         dispatcher = harness.dispatcher
@@ -610,7 +617,7 @@
     harness.send(client, process(3))
     old_connection = harness.caches["e9", 0]
     harness.deliver_event(listing(3, target("e9", port=2, boot=(harness.unix() - 2) * 1000)))
-    assert not old_connection.transport.disconnecting  # made after that start: it leads to the new process
+    assert not old_connection.transport.disconnecting  # opened after that start, so to the new process
     harness.deliver_event(listing(4, target("e9", port=2, boot=harness.unix() * 1000)))
     assert old_connection.transport.disconnecting
     assert harness.trace[:3] == [
@@ -635,7 +642,7 @@
 
 
 def test_an_attempt_on_an_aborted_connection_ends_only_when_the_socket_is_closed():
-    """Told sooner, it may go out again while its cache still holds this one."""
+    """If it ended sooner, it could be sent again while the cache still counts it as open."""
     harness, states = FrontHarness(), []
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
@@ -819,7 +826,7 @@
 
 
 def open_bus_connection(harness, port=9092):
-    """The newest connection to a bus, brought up, and what was asked on it."""
+    """Complete the newest connect to a bus; return the connection and the Last-Event-Id of its request."""
     factory = [connect[2] for connect in harness.reactor.tcpClients if connect[1] == port][-1]
     connection, transport = factory.buildProtocol(None), FrontHarness.transport()
     connection.makeConnection(transport)
@@ -850,7 +857,7 @@
     second.dataReceived(
         SSE_HEADER + sse_event(listing(3, target("e8", port=8))) + sse_event(listing(4, target("e9", port=9)))
     )
-    harness.advance(1.9)  # not even a comment: the bus is silent
+    harness.advance(1.9)  # not even a comment arrives: the bus is silent
     harness.advance(1.0)
     third, last_event_id = open_bus_connection(harness)
     last_event_ids.append(last_event_id)
@@ -861,7 +868,10 @@
 
 
 def test_a_reload_switches_to_the_new_bus_at_once():
-    """SIGHUP, several in a row, one while stopping: numbers go on, and the old bus is heard no more."""
+    """Several reloads in a row and one during a shutdown.
+
+    Event offsets continue across them, and events of the old bus are ignored.
+    """
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
@@ -896,10 +906,10 @@
 
     class Port:
         def pauseProducing(self):
-            port_calls.append("rest")
+            port_calls.append("pause")
 
         def resumeProducing(self):
-            port_calls.append("accept")
+            port_calls.append("resume")
 
     listener.port = Port()
     busy, idle = harness.connect_client(), harness.connect_client()
@@ -912,7 +922,7 @@
     harness.complete_connects()
     harness.answer("e2", 1, "DONE", "-", b"photo")
     busy.transport.loseConnection()
-    assert port_calls == ["rest", "accept"] and len(listener.clients) == 2
+    assert port_calls == ["pause", "resume"] and len(listener.clients) == 2
 
 
 def test_at_the_connection_limit_silent_clients_are_closed_first_and_new_ones_last():
@@ -934,7 +944,7 @@
 
 
 def starting_front():
-    """A front that has started and not yet opened its port."""
+    """Return the reactor and a front that has started but not yet opened its port."""
     reactor = MemoryReactorClock()
     front = Front(reactor, read_site(configuration()))
     front.listener.set_keepalive = lambda: None
@@ -963,11 +973,11 @@
     reactor.advance(0.02)
     assert len(reactor.tcpServers) == 1
     reactor.advance(1.0)
-    assert len(reactor.tcpServers) == 1, "opened once"
+    assert len(reactor.tcpServers) == 1, "the port is opened once only"
 
 
 def test_a_bus_connection_is_reported_before_its_events():
-    """What opens the port of a starting front."""
+    """The report of the connection opens the port of a starting front."""
     calls = []
 
     class Response:
@@ -988,14 +998,14 @@
     reader.attempt.pending_request.cancel = lambda: None
     reader.attempt.transport = None
     reader.attempt.response_received(Response())
-    assert calls.count("answered") == 1, "one that refuses has told nothing"
+    assert calls.count("answered") == 1, "a refused request is not reported as connected"
 
 
 def test_a_client_whose_call_was_unread_while_the_front_was_suspended_is_not_closed_as_idle():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.advance(0.2)
-    harness.reactor.advance(6.0)  # one jump: the process was stopped, timers come first
+    harness.reactor.advance(6.0)  # in one step, as when the process was stopped: timers run first
     harness.send(client, probe(1))
     harness.assert_trace("client 0 < 1 probe: good True")
     for _ in range(60):
