--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -51,7 +51,7 @@
 
 
 class SuspendedProcess:
-    """A context in which the front's process is stopped, as on an overloaded machine."""
+    """A context manager that suspends the front's process with SIGSTOP, as an overloaded machine may."""
 
     def __init__(self, program):
         self.process = program.process
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -378,7 +378,7 @@
 
 
 def harness_with_parked_clients(count):
-    """Return a front in memory whose clients, this many, are parked as idle."""
+    """Return a front in memory with the given number of clients, all of them parked as idle."""
     harness = FrontHarness(parking=True)
     for _ in range(count):
         harness.connect_client().dataReceived(probe(1))
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -22,7 +22,7 @@
 TIMEOUT = 20.0  # seconds after which a test gives up
 REQUEST_INTERVAL = 0.02  # seconds between two requests of one client
 MAX_OPEN_REQUESTS = 25  # requests of one client without an answer
-RACE_WINDOW = 0.05  # seconds; a request sent so shortly before the close may not arrive, and is sent again
+RACE_WINDOW = 0.05  # seconds before a close in which a request may be lost; a client would then resend it
 
 
 def harness_with_deadlines(seconds):
--- a/tests/test_local_faults.py
+++ b/tests/test_local_faults.py
@@ -1,4 +1,4 @@
-"""Guards against caches that lose their reputation to faults of this machine.
+"""Guards against counting faults of this machine as evidence against a cache.
 
 A connect that fails locally, for example for lack of descriptors, is no evidence about the cache. It uses
 neither an attempt nor retry budget, and is retried while the attempt waits.
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -89,7 +89,7 @@
 
 
 def test_real_fronts_with_sixteen_times_the_caches_stay_within_the_counted_bounds(tmp_path):
-    """Only counted figures are judged (no times), so that a slow machine gives the same result."""
+    """Only counts are judged, not CPU time or memory, so that a slow machine gives the same result."""
     path = tmp_path / "scale.json"
     size = ("--caches", "12", "--factor", "16", "--rate", "10", "--seconds", "4")
     command = [sys.executable, "-m", "weldbend", "lab", "scale", *size, "--counted", "--json", str(path)]
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -331,7 +331,7 @@
     assert not harness.dispatcher.requests and not harness.dispatcher.router.requests
 
 
-def test_the_router_is_told_the_loop_lag_when_iterations_are_late_and_not_after_a_pause():
+def test_the_loop_lag_is_reported_to_the_router_for_late_iterations_and_not_after_a_pause():
     harness, lines = FrontHarness(), []
     handle = harness.dispatcher.router.handle
 
@@ -360,7 +360,7 @@
 
 
 def test_invalid_calls_are_rejected_with_an_exception():
-    """Each is rejected before the router sees it; a fourth one on a connection closes it."""
+    """Each call is rejected before the router sees it; the fourth on one connection closes the connection."""
     harness = FrontHarness()
     order = {"class": "order"}
     invalid_calls = [
