--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,4 +1,8 @@
-"""System calls that fail around accepted connections, idle ones and logs: nothing spins, stops or is lost."""
+"""Guards against system calls that fail for accepted connections, idle connections and logs.
+
+An unhandled error of accept(2), epoll_ctl, epoll_wait, close(2) or a write to the log can make the front
+spin, stop accepting, exit, or lose clients other than the one concerned.
+"""
 
 import errno
 import json
@@ -24,23 +28,23 @@
 
 
 class FailingSocket:
-    """A listening socket whose accept fails with these errors first; accepted connections are real."""
+    """A listening socket whose first accepts fail with the given errors; accepted connections are real."""
 
-    def __init__(self, listening, errors):
-        self.listening, self.errors, self.calls = listening, errors, 0
+    def __init__(self, listening_socket, errors):
+        self.listening_socket, self.errors, self.calls = listening_socket, errors, 0
 
     def accept(self):
         self.calls += 1
         if self.errors:
             raise OSError(self.errors.pop(0), "injected")
-        return self.listening.accept()
+        return self.listening_socket.accept()
 
     def __getattr__(self, name):
-        return getattr(self.listening, name)
+        return getattr(self.listening_socket, name)
 
 
-class Listening:
-    """A real Twisted port on loopback, a reactor in the test's hands, and one client that waits."""
+class PortHarness:
+    """A real Twisted port on loopback, a reactor that the test advances, and one client that connects."""
 
     def __init__(self, errors, is_guarded=True):
         self.reactor, self.accepted = MemoryReactorClock(), []
@@ -49,17 +53,17 @@
         factory.buildProtocol = lambda addr: self.accepted.append(addr) or Protocol()
         self.port = tcp.Port(0, factory, interface="127.0.0.1", reactor=self.reactor)
         self.port.startListening()
-        self.socket = self.port.socket
-        self.port.socket = FailingSocket(self.socket, errors)
-        self.failing = self.port.socket
+        self.listening_socket = self.port.socket
+        self.port.socket = FailingSocket(self.listening_socket, errors)
+        self.failing_socket = self.port.socket
         self.guard = AcceptGuard(self.port, self.reactor.callLater) if is_guarded else None
-        self.client = socket.create_connection(self.socket.getsockname())
+        self.client = socket.create_connection(self.listening_socket.getsockname())
 
     def is_watched(self):
         return self.port in self.reactor.readers
 
-    def turn(self, seconds):
-        """Let time pass in steps of a millisecond; the port is ready while its client waits."""
+    def advance(self, seconds):
+        """Advance the clock in steps of a millisecond; while registered, the port is always readable."""
         for _ in range(round(seconds * 1000)):
             if self.is_watched():
                 self.port.doRead()
@@ -67,93 +71,102 @@
 
     def close(self):
         self.client.close()
-        self.socket.close()
+        self.listening_socket.close()
 
 
 @pytest.fixture
-def logged():
+def log_events():
     events = []
     globalLogPublisher.addObserver(events.append)
     yield events
     globalLogPublisher.removeObserver(events.append)
 
 
-@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL])
-def test_while_nothing_can_be_accepted_the_port_rests_and_the_client_waits(number, logged):
-    listening = Listening([number] * 20)
-    listening.turn(0.25)
-    calls = listening.failing.calls
-    assert not listening.accepted and 4 <= calls <= 8, calls  # without a pause it would be 250
-    listening.failing.errors.clear()
-    listening.turn(MAX_PAUSE + 0.01)
-    assert len(listening.accepted) == 1 and listening.is_watched() and listening.guard.consecutive_faults == 0
-    assert not [event for event in logged if event.get("isError")]
-    listening.close()
+@pytest.mark.parametrize(
+    "error_number", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EINVAL]
+)
+def test_a_failing_accept_pauses_the_port_and_the_client_is_accepted_afterwards(error_number, log_events):
+    port_harness = PortHarness([error_number] * 20)
+    port_harness.advance(0.25)
+    calls = port_harness.failing_socket.calls
+    assert not port_harness.accepted and 4 <= calls <= 8, calls  # without a pause there would be 250
+    port_harness.failing_socket.errors.clear()
+    port_harness.advance(MAX_PAUSE + 0.01)
+    assert (
+        len(port_harness.accepted) == 1
+        and port_harness.is_watched()
+        and port_harness.guard.consecutive_faults == 0
+    )
+    assert not [event for event in log_events if event.get("isError")]
+    port_harness.close()
 
 
 @pytest.mark.parametrize(
-    "number", [errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH]
+    "error_number",
+    [errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH],
 )
-def test_a_connection_that_ended_before_it_was_accepted_costs_the_next_no_time(number, logged):
-    listening = Listening([number] * 3)
-    listening.turn(0.001)
-    assert len(listening.accepted) == 1 and listening.is_watched()
-    assert not [event for event in logged if event.get("isError")]
-    listening.close()
+def test_a_connection_aborted_before_accept_does_not_delay_the_next(error_number, log_events):
+    port_harness = PortHarness([error_number] * 3)
+    port_harness.advance(0.001)
+    assert len(port_harness.accepted) == 1 and port_harness.is_watched()
+    assert not [event for event in log_events if event.get("isError")]
+    port_harness.close()
 
 
-def test_very_many_such_ends_in_a_row_are_no_loop():
-    listening = Listening([errno.ECONNABORTED] * 40)
-    listening.turn(0.001)
-    assert listening.failing.calls == 16 and not listening.is_watched()
-    listening.turn(MIN_PAUSE + 0.2)
-    assert len(listening.accepted) == 1
-    listening.close()
+def test_many_aborted_connections_in_a_row_do_not_block_the_reactor():
+    port_harness = PortHarness([errno.ECONNABORTED] * 40)
+    port_harness.advance(0.001)
+    assert port_harness.failing_socket.calls == 16 and not port_harness.is_watched()
+    port_harness.advance(MIN_PAUSE + 0.2)
+    assert len(port_harness.accepted) == 1
+    port_harness.close()
 
 
-def test_a_port_that_cannot_be_watched_again_after_a_pause_rests_once_more():
-    """Found by seed 23 of the trials: one failed epoll_ctl, and the front never accepted again."""
-    listening = Listening([errno.ENFILE])
-    add_reader, failures = listening.reactor.addReader, [errno.ENOMEM, errno.ENOSPC]
+def test_a_port_that_cannot_be_registered_after_a_pause_pauses_again():
+    """Without a retry, one failed epoll_ctl ends accepting permanently (seed 23 of the socket trials)."""
+    port_harness = PortHarness([errno.ENFILE])
+    add_reader, failures = port_harness.reactor.addReader, [errno.ENOMEM, errno.ENOSPC]
 
     def refuse_twice(reader):
         if failures:
             raise OSError(failures.pop(), "injected")
         add_reader(reader)
 
-    listening.turn(0.002)
-    listening.reactor.addReader = refuse_twice
-    listening.turn(0.15)
-    assert not failures and len(listening.accepted) == 1
-    listening.close()
+    port_harness.advance(0.002)
+    port_harness.reactor.addReader = refuse_twice
+    port_harness.advance(0.15)
+    assert not failures and len(port_harness.accepted) == 1
+    port_harness.close()
 
 
-def test_the_clients_port_that_cannot_be_watched_again_rests_once_more():
+def test_the_client_port_that_cannot_be_registered_after_a_pause_pauses_again():
     harness = FrontHarness()
     listener = harness.front.listener
-    listening = Listening([errno.ENFILE], is_guarded=False)
-    listener.port, listener.port.factory = listening.port, listener
-    listener.accept_guard = AcceptGuard(listening.port, harness.reactor.callLater, listener.update_accepting)
-    listening.turn(0.001)
-    add_reader = listening.reactor.addReader
+    port_harness = PortHarness([errno.ENFILE], is_guarded=False)
+    listener.port, listener.port.factory = port_harness.port, listener
+    listener.accept_guard = AcceptGuard(
+        port_harness.port, harness.reactor.callLater, listener.update_accepting
+    )
+    port_harness.advance(0.001)
+    add_reader = port_harness.reactor.addReader
 
     def refuse_once(reader):
-        listening.reactor.addReader = add_reader
+        port_harness.reactor.addReader = add_reader
         raise OSError(errno.ENOMEM, "injected")
 
-    listening.reactor.addReader = refuse_once
+    port_harness.reactor.addReader = refuse_once
     harness.advance(MIN_PAUSE)
-    assert listener.is_paused and not listening.is_watched()
+    assert listener.is_paused and not port_harness.is_watched()
     harness.advance(MAX_PAUSE)
-    assert not listener.is_paused and listening.is_watched()
-    listening.close()
+    assert not listener.is_paused and port_harness.is_watched()
+    port_harness.close()
 
 
-def test_a_front_that_cannot_accept_does_not_end_over_those_that_wait():
-    """Found by seed 4 of the trials: three clients waited to be accepted, and the front ended."""
+def test_a_front_that_cannot_accept_does_not_exit_while_clients_wait():
+    """Otherwise clients in the kernel's queue get no answer (three in seed 4 of the socket trials)."""
     harness, stopped = FrontHarness(), []
     harness.reactor.stop = lambda: stopped.append(True)
-    harness.front.listener.stop = lambda: False  # accepting fails at present
+    harness.front.listener.stop = lambda: False  # accepting fails for now
     harness.front.terminate()
     harness.advance(0.8)
     assert not stopped
@@ -162,84 +175,86 @@
     assert stopped
 
 
-def test_a_client_that_cannot_be_watched_for_writing_gets_no_second_answer():
+def test_a_client_that_cannot_be_registered_for_writing_gets_no_second_answer():
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
     harness.complete_connects()
-    write, ended = client.transport.write, []
+    write, aborts = client.transport.write, []
 
     def write_and_fail(data):
         write(data)
         raise OSError(errno.ENOMEM, "injected")
 
-    client.transport.write, client.transport.abortConnection = write_and_fail, lambda: ended.append(1)
+    client.transport.write, client.transport.abortConnection = write_and_fail, lambda: aborts.append(1)
     harness.answer("e2", 1, "DONE", "-", b"photo")
     harness.assert_trace("""
         e2/0 < do 0000000000000001 queue=photo,path=7f3a9c21e0b4d655,blk=0,budget=6000,mode=j 0
         client 0 < 1 process: 'photo'
     """)
-    assert ended
+    assert aborts
 
 
-def test_caches_that_cannot_be_watched_end_alone():
-    """One of two connections fails to be read again, and one to be written to: the other is not concerned."""
+def test_only_the_cache_connections_that_cannot_be_registered_are_aborted():
+    """Resuming reads fails on one of two connections, and writing on the other; each is aborted alone."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1), process(2, key="a" * 16), process(3, key="5" * 16))
     harness.complete_connects()
     assert len(harness.caches) == 2
     harness.dispatcher.pool.pause_reading(True)
-    broken, sound = harness.caches["e1", 0], harness.caches["e2", 0]
+    first, second = harness.caches["e1", 0], harness.caches["e2", 0]
 
     def refuse(*args):
         raise OSError(errno.ENOMEM, "injected")
 
-    broken.transport.resumeProducing = refuse
+    first.transport.resumeProducing = refuse
     harness.dispatcher.pool.pause_reading(False)
-    assert broken.is_aborted and not sound.is_aborted and not sound.is_read_paused
-    sound.transport.write = refuse
-    sound.write(b"ping p1\r\n")
-    assert sound.is_aborted
+    assert first.is_aborted and not second.is_aborted and not second.is_read_paused
+    second.transport.write = refuse
+    second.write(b"ping p1\r\n")
+    assert second.is_aborted
 
 
-def test_a_client_that_cannot_be_read_again_ends():
+def test_a_client_whose_reading_cannot_be_resumed_is_aborted():
     harness = FrontHarness()
-    client, ended = harness.connect_client(), []
+    client, aborts = harness.connect_client(), []
 
     def refuse():
         raise OSError(errno.ENOMEM, "injected")
 
-    client.transport.resumeProducing, client.transport.abortConnection = refuse, lambda: ended.append(1)
+    client.transport.resumeProducing, client.transport.abortConnection = refuse, lambda: aborts.append(1)
     client._pause_reading(True)
     client._pause_reading(False)
-    assert ended
+    assert aborts
 
 
-def test_a_front_that_cannot_accept_does_not_close_its_port_over_those_that_wait():
+def test_a_front_that_cannot_accept_keeps_its_port_open_while_clients_wait():
     harness = FrontHarness()
     listener = harness.front.listener
-    listening = Listening([errno.ENFILE], is_guarded=False)
-    listener.port = listening.port
+    port_harness = PortHarness([errno.ENFILE], is_guarded=False)
+    listener.port = port_harness.port
     listener.port.factory = listener
-    listener.accept_guard = AcceptGuard(listening.port, harness.reactor.callLater, listener.update_accepting)
+    listener.accept_guard = AcceptGuard(
+        port_harness.port, harness.reactor.callLater, listener.update_accepting
+    )
     assert not listener.stop() and listener.is_paused
-    assert not listener.stop() and listening.failing.calls == 1  # it rests
+    assert not listener.stop() and port_harness.failing_socket.calls == 1  # accepting is paused
     harness.advance(MIN_PAUSE)
-    assert not listener.stop() and listener.connection_count() == 1  # one has come
+    assert not listener.stop() and listener.connection_count() == 1  # the client is accepted
     assert listener.stop() and listener.port is None
-    listening.close()
+    port_harness.close()
 
 
-@pytest.mark.parametrize("number", [errno.EADDRINUSE, errno.ENOMEM, errno.ENOSPC])
-def test_a_front_whose_port_cannot_be_opened_says_so_and_ends(number):
-    """It went on without a port where listen(2) or epoll_ctl failed, which Twisted does not translate."""
+@pytest.mark.parametrize("error_number", [errno.EADDRINUSE, errno.ENOMEM, errno.ENOSPC])
+def test_a_front_whose_port_cannot_be_opened_exits(error_number):
+    """Twisted does not translate errors of listen(2) and epoll_ctl; the front must not run without a port."""
     reactor, stopped = MemoryReactorClock(), []
     front = Front(reactor, read_site(configuration()))
     front.clock.now = reactor.seconds
 
     def refuse(*args, **kwargs):
-        raise OSError(number, "injected")
+        raise OSError(error_number, "injected")
 
     reactor.listenTCP = refuse
     reactor.stop = lambda: stopped.append(True)
@@ -251,26 +266,26 @@
 # Idle connections.
 
 
-class Interrupted:
-    """An epoll set whose waits a signal interrupts, and that cannot watch more."""
+class FailingEpoll:
+    """An epoll object whose calls fail with the given errors, by name of the method."""
 
     def __init__(self, epoll):
         self.epoll, self.errors = epoll, {}
 
-    def fail(self, name):
+    def raise_injected_error(self, name):
         if name in self.errors:
             raise OSError(self.errors[name], "injected")
 
     def poll(self, *args):
-        self.fail("poll")
+        self.raise_injected_error("poll")
         return self.epoll.poll(*args)
 
     def register(self, *args):
-        self.fail("register")
+        self.raise_injected_error("register")
         return self.epoll.register(*args)
 
     def modify(self, *args):
-        self.fail("modify")
+        self.raise_injected_error("modify")
         return self.epoll.modify(*args)
 
     def __getattr__(self, name):
@@ -279,10 +294,10 @@
 
 @pytest.fixture
 def pair():
-    """A server transport on a connected socket, its reactor, and the client's end."""
-    with socket.create_server(("127.0.0.1", 0)) as listening:
-        client = socket.create_connection(listening.getsockname())
-        accepted, address = listening.accept()
+    """A server transport on a connected socket, its reactor, and the client's socket."""
+    with socket.create_server(("127.0.0.1", 0)) as listening_socket:
+        client = socket.create_connection(listening_socket.getsockname())
+        accepted, address = listening_socket.accept()
         accepted.setblocking(False)
         reactor = MemoryReactorClock()
         transport = tcp.Server(accepted, Protocol(), address, None, 0, reactor)
@@ -291,52 +306,52 @@
         client.close()
 
 
-def test_a_signal_during_a_poll_neither_ends_the_pool_nor_loses_what_is_ready(pair):
+def test_a_signal_during_a_poll_neither_raises_nor_loses_readable_connections(pair):
     transport, reactor, client = pair
-    idle = EpollSet(reactor)
-    idle.epoll = Interrupted(idle.epoll)
-    fd = idle.detach(transport)
+    idle_set = EpollSet(reactor)
+    idle_set.epoll = FailingEpoll(idle_set.epoll)
+    fd = idle_set.detach(transport)
     client.sendall(b"call")
-    idle.epoll.errors["poll"] = errno.EINTR
-    assert idle.poll_readable(9) == []
-    idle.epoll.errors.clear()
-    assert idle.poll_readable(9) == [fd] and idle.read(fd) == b"call"
-    idle.close(fd)
-    idle.close_set()
+    idle_set.epoll.errors["poll"] = errno.EINTR
+    assert idle_set.poll_readable(9) == []
+    idle_set.epoll.errors.clear()
+    assert idle_set.poll_readable(9) == [fd] and idle_set.read(fd) == b"call"
+    idle_set.close(fd)
+    idle_set.close_set()
 
 
 def test_a_signal_during_a_poll_for_hangups_is_no_error(pair):
     transport, reactor, client = pair
-    watcher, ended = HangupWatcher(reactor), []
-    watcher.watch(transport, lambda: ended.append(1))
-    watcher.epoll = Interrupted(watcher.epoll)
+    watcher, hangups = HangupWatcher(reactor), []
+    watcher.watch(transport, lambda: hangups.append(1))
+    watcher.epoll = FailingEpoll(watcher.epoll)
     client.close()
     watcher.epoll.errors["poll"] = errno.EINTR
     watcher.doRead()
     watcher.epoll.errors.clear()
     watcher.doRead()
-    assert ended == [1]
+    assert hangups == [1]
 
 
-@pytest.mark.parametrize("number", [errno.ENOSPC, errno.ENOMEM])
-def test_a_connection_that_the_idle_set_cannot_watch_stays_as_it_is(pair, number):
+@pytest.mark.parametrize("error_number", [errno.ENOSPC, errno.ENOMEM])
+def test_a_connection_that_the_idle_set_cannot_register_stays_with_the_reactor(pair, error_number):
     transport, reactor, client = pair
-    idle = EpollSet(reactor)
-    idle.epoll = Interrupted(idle.epoll)
-    idle.epoll.errors["register"] = number
-    assert idle.detach(transport) is None
+    idle_set = EpollSet(reactor)
+    idle_set.epoll = FailingEpoll(idle_set.epoll)
+    idle_set.epoll.errors["register"] = error_number
+    assert idle_set.detach(transport) is None
     assert transport.connected and transport in reactor.readers
     client.sendall(b"call")
     assert transport.socket.recv(9) == b"call"
     transport.socket.close()
 
 
-@pytest.mark.parametrize("number", [errno.EMFILE, errno.ENFILE, errno.ENOMEM])
-def test_a_client_whose_end_cannot_be_watched_stays_connected(pair, number, monkeypatch):
+@pytest.mark.parametrize("error_number", [errno.EMFILE, errno.ENFILE, errno.ENOMEM])
+def test_a_client_whose_hangup_cannot_be_watched_stays_connected(pair, error_number, monkeypatch):
     transport, reactor, _ = pair
 
     def refuse():
-        raise OSError(number, "injected")
+        raise OSError(error_number, "injected")
 
     monkeypatch.setattr(epoll_set.select, "epoll", refuse)
     before = anomalies[epoll_set.UNWATCHED_CLIENTS]
@@ -348,23 +363,24 @@
     transport.socket.close()
 
 
-def test_a_woken_connection_that_the_reactor_cannot_watch_is_closed_and_the_others_stay(pair):
+def test_a_reattached_connection_that_the_reactor_cannot_register_is_closed(pair):
     transport, reactor, client = pair
-    idle = EpollSet(reactor)
-    fd = idle.detach(transport)
+    idle_set = EpollSet(reactor)
+    fd = idle_set.detach(transport)
 
     def refuse(reader):
         raise OSError(errno.ENOSPC, "injected")
 
     reactor.addReader = refuse
     with pytest.raises(OSError, match="injected"):
-        idle.attach(fd, Protocol())
+        idle_set.attach(fd, Protocol())
     client.settimeout(5)
     assert client.recv(1) == b""
-    idle.close_set()
+    idle_set.close_set()
 
 
-def parked(count):
+def harness_with_parked_clients(count):
+    """Return a front in memory with the given number of clients, all of them parked as idle."""
     harness = FrontHarness(parking=True)
     for _ in range(count):
         harness.connect_client().dataReceived(probe(1))
@@ -376,8 +392,8 @@
     return harness
 
 
-def test_one_idle_connection_that_cannot_be_woken_ends_alone():
-    harness = parked(3)
+def test_only_the_idle_connection_that_cannot_be_reattached_is_closed():
+    harness = harness_with_parked_clients(3)
     attach = harness.epoll_set.attach
 
     def attach_all_but_one(fd, protocol):
@@ -386,15 +402,15 @@
         return attach(fd, protocol)
 
     harness.epoll_set.attach = attach_all_but_one
-    for place in range(3):
-        harness.epoll_set.deliver(place, probe(2))
+    for client_index in range(3):
+        harness.epoll_set.deliver(client_index, probe(2))
     harness.front.listener.idle_pool.doRead()
     harness.advance(0.05)
     assert sorted(harness.trace) == [f"client {n} < 2 probe: good True" for n in (0, 2)]
 
 
-def test_one_idle_connection_that_cannot_be_watched_again_is_closed_alone():
-    harness = parked(2)
+def test_only_the_idle_connection_that_cannot_be_rearmed_is_closed():
+    harness = harness_with_parked_clients(2)
     harness.epoll_set.read = lambda fd: None  # reported readable, with nothing to read
 
     def refuse(fd):
@@ -406,47 +422,47 @@
     assert harness.epoll_set.closed == [0] and harness.front.listener.idle_count() == 1
 
 
-def test_what_the_upkeep_finds_readable_before_the_reactor_does_is_woken():
-    """Found by seed 19 of the trials: twelve idle clients' calls lay unread for over a second."""
-    harness = parked(2)
+def test_a_connection_that_upkeep_finds_readable_before_the_reactor_is_reattached():
+    """Otherwise calls stay unread, of twelve clients for over a second in seed 19 of the socket trials."""
+    harness = harness_with_parked_clients(2)
     harness.epoll_set.deliver(0, probe(2))  # the reactor has not polled since
     harness.advance(0.11)  # a round of upkeep polls the set
     harness.advance()
     assert harness.trace == ["client 0 < 2 probe: good True"]
 
 
-def test_an_error_of_close_frees_the_descriptor_all_the_same(pair, monkeypatch):
+def test_an_error_of_close_still_frees_the_descriptor(pair, monkeypatch):
     transport, reactor, client = pair
-    idle = EpollSet(reactor)
-    fd = idle.detach(transport)
+    idle_set = EpollSet(reactor)
+    fd = idle_set.detach(transport)
     close = os.close
 
-    def interrupted(number):
-        close(number)
+    def interrupted(descriptor):
+        close(descriptor)
         raise OSError(errno.EINTR, "injected")
 
     monkeypatch.setattr(epoll_set.os, "close", interrupted)
-    idle.close(fd)
+    idle_set.close(fd)
     assert client.recv(1) == b""
-    idle.close_set()
+    idle_set.close_set()
 
 
 # Logs.
 
-LOGGING = """
+LOGGING_PROGRAM = """
 import os, sys
 from loguru import logger
 from weldbend import logs
 
-form, behind = sys.argv[1:]
-if behind == "closed pipe":
+log_format, log_target = sys.argv[1:]
+if log_target == "closed pipe":
     reading, writing = os.pipe()
     os.dup2(writing, 2)
     os.close(reading)
-elif behind == "full disk":
+elif log_target == "full disk":
     os.dup2(os.open("/dev/full", os.O_WRONLY), 2)
-logs.start("info", form)
-if behind == "closed meanwhile":
+logs.start("info", log_format)
+if log_target == "closed meanwhile":
     sys.stderr.close()
 for number in range(200):
     logger.info("line {} {}", number, "x" * 100)
@@ -454,23 +470,30 @@
 """
 
 
-@pytest.mark.parametrize("form", ["text", "json"])
-@pytest.mark.parametrize("behind", ["closed pipe", "full disk", "closed meanwhile", "closed before"])
-def test_what_is_behind_the_log_stops_nobody(form, behind):
-    command = f'exec "$0" -c "$1" {form} "{behind}"' + (" 2>&-" if behind == "closed before" else "")
-    done = subprocess.run(["sh", "-c", command, sys.executable, LOGGING], capture_output=True, timeout=60)
-    assert (done.returncode, done.stdout) == (0, b"goes on\n")
+@pytest.mark.parametrize("log_format", ["text", "json"])
+@pytest.mark.parametrize("log_target", ["closed pipe", "full disk", "closed meanwhile", "closed before"])
+def test_a_broken_log_target_does_not_stop_the_program(log_format, log_target):
+    command = f'exec "$0" -c "$1" {log_format} "{log_target}"' + (
+        " 2>&-" if log_target == "closed before" else ""
+    )
+    result = subprocess.run(
+        ["sh", "-c", command, sys.executable, LOGGING_PROGRAM], capture_output=True, timeout=60
+    )
+    assert (result.returncode, result.stdout) == (0, b"goes on\n")
 
 
-def test_a_line_of_either_form_is_written_whole():
-    shown = subprocess.run(
-        [sys.executable, "-c", LOGGING, "json", "nothing"], capture_output=True, timeout=60, check=True
+def test_json_log_lines_are_written_whole():
+    lines = subprocess.run(
+        [sys.executable, "-c", LOGGING_PROGRAM, "json", "nothing"],
+        capture_output=True,
+        timeout=60,
+        check=True,
     ).stderr.splitlines()
-    assert len(shown) == 200 and json.loads(shown[7])["message"] == "line 7 " + "x" * 100
+    assert len(lines) == 200 and json.loads(lines[7])["message"] == "line 7 " + "x" * 100
 
 
-def test_a_front_whose_log_breaks_serves_on_and_ends_as_told(tmp_path):
-    """What reads its log ends: probes are answered, a reload is survived, and SIGTERM ends it with 0."""
+def test_a_front_whose_log_reader_exits_keeps_serving_and_exits_on_sigterm(tmp_path):
+    """With its log pipe closed, the front answers probes, reloads, and exits with status 0 on SIGTERM."""
     with socket.create_server(("127.0.0.1", 0)) as spare:
         address = spare.getsockname()
     path = tmp_path / "front.json"
@@ -484,7 +507,7 @@
         with socket.create_connection(address, 20) as client:
             stream = client.makefile("rb")
             for number in (1, 2):
-                front.send_signal(signal.SIGHUP)  # logs, as the bus that cannot be reached does
+                front.send_signal(signal.SIGHUP)  # logs a line; the unreachable bus causes others
                 client.sendall(probe(number))
                 answer = answer_text(stream.read(int.from_bytes(stream.read(4))))
                 assert answer == f"{number} probe: good True"
