--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -46,12 +46,15 @@
         ({"f": {"kind": "delay"}}, "[f] delay lacks 'for', 'jitter' or 'growth'"),
         ({"f": {"kind": "stall", "for": "5"}}, "[f] for: '5' lacks its unit"),
         ({"f": {"kind": "cut", "chance": "1.5"}}, "[f] chance: 1.5 is not above 0 and at most 1"),
-        ({"f": {"kind": "cut", "rate": "5"}}, "[f] rate: means nothing for cut"),
+        ({"f": {"kind": "cut", "rate": "5"}}, "[f] rate: does not apply to cut"),
         ({"f": {"kind": "cut", "at": "5"}}, "[f] unknown key 'at'"),
-        ({"f": {"kind": "cut", "byte": "5", "message": "1"}}, "[f] byte and message or field exclude"),
+        (
+            {"f": {"kind": "cut", "byte": "5", "message": "1"}},
+            "[f] byte cannot be combined with message or field",
+        ),
         ({"f": {"kind": "rewrite"}}, "[f] rewrite lacks 'set'"),
-        ({"kind": "cut"}, "key 'kind' stands before any fault"),
-        ({}, "no fault"),
+        ({"kind": "cut"}, "key 'kind' is outside of a section"),
+        ({}, "plan has no faults"),
     ],
 )
 def test_a_plan_that_cannot_be_played_is_one_clear_line(held, told):
@@ -61,7 +64,7 @@
 
 
 def test_messages_are_no_triggers_where_there_are_only_bytes(tmp_path):
-    with pytest.raises(InvalidPlanError, match="needs messages, but there is raw bytes"):
+    with pytest.raises(InvalidPlanError, match="requires messages, but direction there is raw bytes"):
         parse_plan({"f": {"kind": "drop", "direction": "there"}}, "sse")
     path = tmp_path / "plan.ini"
     path.write_text("[one]\nkind = cut\nmessage = 2\n[two]\nkind = stall\nfor = 1 s\nfield = word=DONE\n")
--- a/weldbend/testbed/faults/__init__.py
+++ b/weldbend/testbed/faults/__init__.py
@@ -1,4 +1,4 @@
-"""The fault injector: sits between two sockets and injects into their traffic what a plan states, by seed."""
+"""Fault injector between two sockets: injects the faults of a plan into their traffic, by a seed."""
 
 from weldbend.testbed.faults.engine import Injector
 from weldbend.testbed.faults.plan import Direction, InvalidPlanError, Plan, parse_plan, read_plan
--- a/weldbend/testbed/faults/call_faults.py
+++ b/weldbend/testbed/faults/call_faults.py
@@ -1,7 +1,8 @@
-"""Which socket calls of a process fail, how, how often and when: drawn from a seed. No I/O.
+"""Failures of a process's socket calls, drawn from a seed. No I/O.
 
-A plan is a few episodes. In each, one call fails with one error, by chance and a bounded number of times,
-between two moments. What is drawn depends on the seed alone; which call it meets depends on the process.
+A plan consists of a few episodes. In an episode, one kind of call fails with one error, with a given
+probability and a bounded number of times, between two points in time. The plan depends on the seed alone;
+which individual calls fail also depends on the timing of the process.
 """
 
 import errno
@@ -11,7 +12,10 @@
 
 
 class Call(Enum):
-    """The calls that can fail. `CONNECT_RESULT` is what getsockopt tells of a connect that was under way."""
+    """System calls that can fail.
+
+    `CONNECT_RESULT` is the result of a pending connect, as getsockopt returns it.
+    """
 
     ACCEPT = "accept"
     SOCKET = "socket"
@@ -23,7 +27,7 @@
     EPOLL_CTL = "epoll_ctl"
 
 
-SHORT_TRANSFER = 0  # in place of an error number: the call moves a part of the bytes
+SHORT_TRANSFER = 0  # used in place of an error number: the call transfers only part of the bytes
 
 CONNECTION_FAILURES = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH)
 RESOURCE_EXHAUSTION = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -47,37 +51,38 @@
     Call.EPOLL_CTL: (errno.ENOSPC, errno.ENOMEM),
 }
 ALL_FAULTS = tuple((call, number) for call, numbers in ERRORS.items() for number in numbers)
-HARMLESS_TRANSFERS = frozenset({SHORT_TRANSFER, errno.EAGAIN, errno.ENOBUFS})  # of RECEIVE and SEND
-RANDOM_EPISODES = 5  # of a plan, drawn at random
-MIN_SEED_FAULT_CHANCE = 0.6  # with which the seed's own fault is injected at least, while it may be
-SEED_FAULT_WINDOWS = 10  # equal parts of the time, in each of which the seed's own fault is injected
-MIN_EPISODE = 0.05  # seconds of an episode at least
-MAX_EPISODE = 0.8  # and at most
-MAX_BREAKING_FAULTS = 3  # in one episode that ends connections
-MAX_HARMLESS_FAULTS = 40  # in one that does not
+# Results of RECEIVE and SEND that do not end the connection.
+HARMLESS_TRANSFERS = frozenset({SHORT_TRANSFER, errno.EAGAIN, errno.ENOBUFS})
+RANDOM_EPISODES = 5  # episodes with randomly drawn faults, in addition to those of the seed's own fault
+MIN_SEED_FAULT_CHANCE = 0.6  # minimum probability of the seed's own fault during its episodes
+SEED_FAULT_WINDOWS = 10  # equal parts of the run; each has an episode of the seed's own fault
+MIN_EPISODE = 0.05  # seconds; minimum duration of an episode
+MAX_EPISODE = 0.8  # seconds; maximum duration of an episode
+MAX_BREAKING_FAULTS = 3  # faults in an episode whose faults end connections
+MAX_HARMLESS_FAULTS = 40  # faults in any other episode
 
 
 def error_name(number: int) -> str:
-    """How reports name an error."""
+    """Return the name of an error number in reports."""
     return errno.errorcode[number] if number else "short"
 
 
 def ends_connection(call: Call, number: int) -> bool:
-    """Whether the connection that the call is for may end by it."""
+    """Return whether this failure of a call may end the connection that the call is for."""
     return call in (Call.RECEIVE, Call.SEND) and number not in HARMLESS_TRANSFERS
 
 
 @dataclass
 class Episode:
-    """One call that fails for a while.
+    """A period in which one kind of call fails.
 
     Attributes:
-        call: which.
-        error_number: how; an error number, or SHORT_TRANSFER.
-        since: when it begins, in seconds after the start.
-        until: when it ends.
-        chance: with which a call in that time fails.
-        remaining: how many calls may still fail.
+        call: the kind of call that fails.
+        error_number: error number with which the call fails, or SHORT_TRANSFER.
+        since: start of the episode, in seconds after the start of the process.
+        until: end of the episode, in seconds after the start of the process.
+        chance: probability that a call during the episode fails.
+        remaining: number of calls that may still fail.
     """
 
     call: Call
@@ -89,10 +94,11 @@
 
 
 def draw_plan(seed: int, seconds: float) -> list[Episode]:
-    """The episodes of a seed, spread over so many seconds.
+    """Draw the episodes of a seed, spread over a number of seconds.
 
-    Seeds go through all faults in turn, so as many seeds as there are faults inject each in every part of the
-    time; some others are drawn beside it.
+    Each seed has one fault of its own, injected in every window of the run, and a few random ones.
+    Consecutive seeds cycle through all faults, so len(ALL_FAULTS) consecutive seeds cover each fault in each
+    window.
     """
     rng = random.Random(f"socket calls {seed}")
     window = seconds / SEED_FAULT_WINDOWS
@@ -107,12 +113,12 @@
 
 
 def seed_fault(seed: int) -> tuple[Call, int]:
-    """The fault that a seed injects all the time."""
+    """Return the fault that a seed injects throughout the run."""
     return ALL_FAULTS[seed % len(ALL_FAULTS)]
 
 
 def draw_episode(rng: random.Random, fault: tuple[Call, int], since: float, until: float) -> Episode:
-    """An episode of a fault between two moments: how often, and by what chance."""
+    """Draw an episode of a fault between two points in time: its probability and its number of faults."""
     is_breaking = ends_connection(*fault)
     chance = rng.uniform(0.1, 0.5) if is_breaking else rng.choice((0.2, 0.5, 1.0))
     remaining = rng.randint(1, MAX_BREAKING_FAULTS if is_breaking else MAX_HARMLESS_FAULTS)
@@ -121,12 +127,12 @@
 
 @dataclass
 class CallFaults:
-    """A plan at work.
+    """Decides for each call of a running process whether it fails.
 
     Attributes:
-        episodes: those of the plan.
-        rng: what chance is drawn from.
-        calls: how often each call was made.
+        episodes: episodes of the plan.
+        rng: random generator for the decisions.
+        calls: number of calls made so far, by kind.
     """
 
     episodes: list[Episode]
@@ -134,11 +140,14 @@
     calls: dict[Call, int] = field(default_factory=lambda: dict.fromkeys(Call, 0))
 
     def draw(self, call: Call, now: float) -> int | None:
-        """How a call that is made now fails: an error number, SHORT_TRANSFER, or None for not at all.
+        """Decide how a call that is made now fails.
 
         Args:
-            call: the call.
-            now: seconds after the start.
+            call: the kind of call.
+            now: seconds since the start of the process.
+
+        Returns:
+            An error number, SHORT_TRANSFER, or None if the call does not fail.
         """
         self.calls[call] += 1
         for episode in self.episodes:
--- a/weldbend/testbed/faults/engine.py
+++ b/weldbend/testbed/faults/engine.py
@@ -1,8 +1,8 @@
-"""What a plan does to one direction of one connection: bytes in, fault actions out. No I/O, no own clock.
+"""Applies a fault plan to one direction of a connection: bytes in, fault actions out. No I/O, no clock.
 
-Which message a fault is injected into depends on plan, seed, connection and message alone, never on how the
-bytes were split on their way or how fast they came (the trigger `after` excepted): the same seed injects the
-same.
+Whether a fault is injected into a message depends only on the plan, the seed, the connection and the message,
+not on how the bytes were split or when they arrived (except for the trigger `after`). The same seed therefore
+injects the same faults.
 """
 
 import zlib
@@ -13,31 +13,31 @@
 from weldbend.testbed.faults.messages import Message, Splitter, rewrite
 from weldbend.testbed.faults.plan import FRAMINGS, Direction, Fault, FaultKind, Plan
 
-THROTTLE_SLICE = 0.02  # seconds of a throttled stream that are handed on in one piece
-CORRUPTION_MASK = 0x55  # of a byte that is corrupted
+THROTTLE_SLICE = 0.02  # seconds of a throttled stream that are forwarded as one piece
+CORRUPTION_MASK = 0x55  # bits that are flipped in a corrupted byte
 
 
 class ActionKind(Enum):
-    """What is to be done towards the receiver."""
+    """Kinds of actions on the receiver's side of a connection."""
 
     DATA = auto()
-    END = auto()  # shut down the writing side
-    RESET = auto()  # end both sides at once, as a process that died
-    CLOSE = auto()  # end both sides, after what was written
+    END = auto()  # half-close: send the end of the stream
+    RESET = auto()  # reset both sides at once, as when a process dies
+    CLOSE = auto()  # close both sides after sending what was written
 
 
 @dataclass(frozen=True, slots=True)
 class FaultAction:
-    """One thing to be done towards the receiver."""
+    """One action on the receiver's side of a connection."""
 
-    at: float  # seconds of the caller's clock; never before the action ahead of it
+    at: float  # seconds of the caller's clock; never earlier than the preceding action
     kind: ActionKind
     data: bytes = b""
 
 
 @dataclass(frozen=True, slots=True)
 class Injection:
-    """One fault at work; `offset` is where the message began in its stream."""
+    """Record of one injected fault; `offset` is the position in the stream at which the message began."""
 
     fault: str
     connection: int
@@ -48,23 +48,23 @@
 
 @dataclass
 class Injector:
-    """A plan at work over all connections of one run."""
+    """Applies a plan to all connections of a run and records what was injected."""
 
     plan: Plan
     seed: int
     injections: list[Injection] = field(default_factory=list)
-    injected: Counter[str] = field(default_factory=Counter)  # how often, by the fault's name
+    injected: Counter[str] = field(default_factory=Counter)  # number of injections, by name of the fault
 
     def stream(self, connection: int, direction: Direction, now: float) -> "Stream":
-        """One direction of a connection (numbered from 1) that has come up now."""
+        """Create the stream of one direction of a connection established now; connections count from 1."""
         return Stream(self, connection, direction, now)
 
     def draw(self, *labels: object) -> float:
-        """A figure from 0 to 1 that depends on the seed and these labels only."""
+        """Return a number from 0 to 1 that depends only on the seed and the labels."""
         return zlib.crc32("/".join(map(str, (self.seed, *labels))).encode()) / 2**32
 
     def inject(self, fault: Fault, stream: "Stream") -> bool:
-        """Count an injection into the present message; false where the fault's `times` are used up."""
+        """Record an injection into the current message; return False if the fault's `times` are used up."""
         if self.injected[fault.name] >= fault.times:
             return False
         self.injected[fault.name] += 1
@@ -78,17 +78,17 @@
 
 @dataclass
 class MessageEffects:
-    """What the faults that are injected into one message make of it."""
+    """Combined effects of the faults that are injected into one message."""
 
     raw: bytes
     delay: float = 0.0  # seconds
     copies: int = 1
-    is_reordered: bool = False  # it changes place with the next
-    interruption: Fault | None = None  # one that stops the stream within the message
+    is_reordered: bool = False  # the message is sent after the next one
+    interruption: Fault | None = None  # fault that interrupts the stream within the message
 
 
 class Stream:
-    """One direction of one connection."""
+    """Fault injection state of one direction of a connection."""
 
     def __init__(self, injector: Injector, connection: int, direction: Direction, now: float) -> None:
         self.injector = injector
@@ -102,19 +102,18 @@
         self.framing = FRAMINGS[injector.plan.framing][direction is Direction.TO_CLIENT]
         self.splitter = Splitter(self.framing)
         self.opened_at = now
-        self.last_action_at = now  # when all actions so far are done
+        self.last_action_at = now  # time of the last action so far
         self.message_count = 0
-        self.offset = 0  # bytes of the stream before the present message
-        self.rate = 0  # bytes a second; 0 for no bound
-        self.added_delay = 0.0  # seconds that growing delays have come to
-        self.reordered = b""  # a message that lets the next go first
+        self.offset = 0  # bytes of the stream before the current message
+        self.rate = 0  # bytes per second; 0 for unlimited
+        self.added_delay = 0.0  # accumulated seconds of faults with `growth`
+        self.reordered = b""  # message that is sent after the next one
         self.is_finished = False
-        self.connection_draws: dict[
-            str, bool
-        ] = {}  # on raw streams chance is drawn once a connection, by fault
+        # Random decisions by fault; on raw streams `chance` is drawn once per connection.
+        self.connection_draws: dict[str, bool] = {}
 
     def feed(self, now: float, data: bytes) -> list[FaultAction]:
-        """Bytes that came; what is to be done about them, and when."""
+        """Process received bytes; return the resulting actions with their times."""
         actions: list[FaultAction] = []
         for message in self.splitter.feed(data):
             if self.is_finished:
@@ -125,14 +124,14 @@
         return actions
 
     def end(self, now: float) -> list[FaultAction]:
-        """The sender has shut down its side: so is the receiver's, after all that went before."""
+        """Pass on the end of the sender's stream, after all earlier actions."""
         actions: list[FaultAction] = []
         if not self.is_finished:
             self._emit(now, self.reordered + self.splitter.rest(), actions)
             self._finish(now, ActionKind.END, actions)
         return actions
 
-    # One message.
+    # Processing of single messages.
 
     def _injected_faults(self, now: float, message: Message) -> list[Fault]:
         return [
@@ -196,11 +195,11 @@
         return fault.duration + self.added_delay + fault.jitter * drawn
 
     def _position(self, fault: Fault) -> int:
-        """Where in the message a fault is injected: at its byte of the stream, or so far inside."""
+        """Return the offset in the message at which a fault is injected, from its `byte` or its `inside`."""
         return fault.byte - self.offset if fault.byte is not None else fault.inside or 0
 
     def _interrupt(self, now: float, fault: Fault, raw: bytes, actions: list[FaultAction]) -> None:
-        """Part of a message, then a standstill or an end."""
+        """Send the first part of a message, then stall, hang or end the stream."""
         position = min(self._position(fault), len(raw))
         self._emit(now, raw[:position], actions)
         match fault.kind:
@@ -215,7 +214,7 @@
                 self._finish(now, ActionKind.RESET if fault.how == "reset" else ActionKind.CLOSE, actions)
 
     def _emit(self, at: float, data: bytes, actions: list[FaultAction]) -> None:
-        """Hand bytes on, not before the time given and not before what went ahead."""
+        """Append actions that forward bytes, at the earliest at the given time and after earlier actions."""
         if not data:
             return
         self.last_action_at = max(self.last_action_at, at)
@@ -232,6 +231,6 @@
 
 
 def corrupt(raw: bytes, position: int, count: int) -> bytes:
-    """Flip bits in so many bytes from a place on."""
+    """Return a message with bits flipped in `count` bytes from a position on."""
     corrupted = bytes(byte ^ CORRUPTION_MASK for byte in raw[position : position + count])
     return raw[:position] + corrupted + raw[position + len(corrupted) :]
--- a/weldbend/testbed/faults/messages.py
+++ b/weldbend/testbed/faults/messages.py
@@ -1,7 +1,7 @@
-"""What crosses a connection as complete messages: cut from the stream, read, and rewritten. No I/O.
+"""Splits the streams of a connection into messages, reads their fields and rewrites them. No I/O.
 
-The product's own readers say where a message ends and what its fields are. What they cannot read passes on
-unchanged, as one message: the injector must not repair or hide what is malformed already.
+Message boundaries and fields are determined by weldbend's own parsers. Bytes that cannot be parsed are passed
+on unchanged, as one message: the injector must not repair or hide malformed input.
 """
 
 import json
@@ -20,15 +20,15 @@
 
 MAX_MESSAGE_SIZE = 1 << 19  # bytes of one message
 LINE_END = b"\r\n"
-MAX_LENGTH_DIGITS = 6  # of the length of a line's body
-SHORT_LINE_TOKENS = 2  # words of undo, ping and top: word and name
-FULL_LINE_TOKENS = 4  # words of do and of an answer: word, name (or the reverse), fields and length
+MAX_LENGTH_DIGITS = 6  # digits of the body length at the end of a line
+SHORT_LINE_TOKENS = 2  # tokens of undo, ping and top: word and name
+FULL_LINE_TOKENS = 4  # tokens of do and of an answer: word, name (or the reverse), fields and length
 
 Fields = dict[str, str]
 
 
 class FieldNotFoundError(TestbedError):
-    """A field that a message does not have."""
+    """Raised for a field that a message does not have."""
 
     def __init__(self, field: str) -> None:
         self.field = field
@@ -37,32 +37,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """Its bytes as they came, and what was read of it; None where it could not be read."""
+    """A message: its original bytes, and its fields or None if it could not be parsed."""
 
     raw: bytes
     fields: Fields | None = None
 
     def has_field(self, name: str, value: str) -> bool:
-        """Whether it has a field of this value; `*` stands for any."""
+        """Return whether the message has a field with this value; `*` matches any value."""
         found = (self.fields or {}).get(name)
         return found is not None and value in ("*", found)
 
 
 class Splitter:
-    """Cuts a stream into messages; bytes of one that is not complete wait."""
+    """Splits a stream into messages and buffers the bytes of an incomplete one."""
 
     def __init__(self, framing: str) -> None:
         self.framing = framing
         self.ring = Ring(MAX_MESSAGE_SIZE)
-        self.is_unparsable = False  # what follows cannot be cut any more
+        self.is_unparsable = False  # the rest of the stream cannot be split
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Bytes that came; yields the messages that they complete."""
+        """Add received bytes; yield the messages that they complete."""
         rest = memoryview(data)
         while rest:
             rest = rest[self.ring.write(rest) :]
             yield from self._split()
-            if not self.ring.free():  # a message longer than any: pass on what there is
+            if not self.ring.free():  # longer than any message: pass on the buffered bytes
                 self.is_unparsable = True
 
     def _split(self) -> Iterator[Message]:
@@ -80,12 +80,12 @@
                 yield Message(raw, READERS[self.framing](raw))
 
     def rest(self) -> bytes:
-        """What waits for its end; it will not come."""
+        """Return the bytes of the incomplete message, when the stream has ended."""
         return self.ring.read(len(self.ring))
 
 
 def thrift_length(ring: Ring) -> int:
-    """Bytes of the message at the head; 0 if that is not known yet, -1 where it can be none."""
+    """Return the length of the message at the head; 0 if not known yet, -1 if it is no valid message."""
     if len(ring) < LENGTH.size:
         return 0
     (length,) = LENGTH.unpack(ring.peek(LENGTH.size))
@@ -93,7 +93,7 @@
 
 
 def line_length(ring: Ring) -> int:
-    """The same for a command or an answer of the line protocol."""
+    """Return the length of a command or an answer of the line protocol; 0 and -1 as in `thrift_length`."""
     end = ring.find(LINE_END, 0, LONGEST_LINE)
     if end < 0:
         return -1 if len(ring) >= LONGEST_LINE else 0
@@ -107,7 +107,7 @@
 
 
 def event_length(ring: Ring) -> int:
-    """The same for a server-sent event."""
+    """Return the length of a server-sent event; 0 if not known yet."""
     end = ring.find(b"\n\n", 0, len(ring))
     return end + 2 if end >= 0 else 0
 
@@ -121,7 +121,7 @@
 
 
 def read_thrift(raw: bytes) -> Fields | None:
-    """`name`, `seqid` and `kind` of a call or an answer, and the fields of its first map."""
+    """Return `message.name`, `seqid` and `message.kind` of a message, with the fields of its first map."""
     reader = Reader(raw[LENGTH.size :])
     try:
         head = reader.head()
@@ -132,7 +132,7 @@
 
 
 def first_map(reader: Reader) -> Fields | None:
-    """The first map of texts in a struct or the structs within; None where there is none."""
+    """Return the first map of strings in a struct or its nested structs; None if there is none."""
     for kind, _ in reader.fields():
         if kind == binary.MAP:
             return reader.text_map()
@@ -145,12 +145,12 @@
 
 
 def split_pairs(text: str) -> Fields:
-    """The fields of a line: `name=value` parted by commas, or `-` for none."""
+    """Parse the fields of a line: `name=value` separated by commas, or `-` for none."""
     return dict(pair.partition("=")[::2] for pair in text.split(",")) if text != "-" else {}
 
 
 def read_line(raw: bytes) -> Fields | None:
-    """`id` and `word` of a command or an answer, its `length`, and its fields."""
+    """Return `id` and `word` of a command or an answer, its `length`, and its fields."""
     tokens = raw.partition(LINE_END)[0].decode("latin-1").split(" ")
     if len(tokens) == SHORT_LINE_TOKENS:
         return {"word": tokens[0], "id": tokens[1]}
@@ -162,7 +162,7 @@
 
 
 def read_event(raw: bytes) -> Fields | None:
-    """The lines of an event, by name."""
+    """Return the lines of a server-sent event, by name."""
     fields = {}
     for line in raw.decode("utf-8", "replace").split("\n"):
         name, colon, value = line.partition(":")
@@ -180,9 +180,10 @@
 
 
 def rewrite(framing: str, message: Message, name: str, to: str | None) -> bytes:
-    """The message with one field set, or left out where `to` is None; unchanged where it has no such field.
+    """Return a message with one field set to `to`, or removed if `to` is None.
 
-    The result is complete and parses: lengths and frames fit again.
+    A message without this field is returned unchanged. The result is complete and can be parsed: lengths and
+    frames are adjusted.
     """
     if message.fields is None:
         return message.raw
@@ -193,10 +194,10 @@
 
 
 def rewrite_thrift(message: Message, name: str, to: str | None) -> bytes:
-    """A thrift message with another `seqid`, another `body`, or another field of its map."""
+    """Return a thrift message with its `seqid`, its `body`, or a field of its map replaced."""
     data = message.raw[LENGTH.size :]
     if name == "seqid" and to is not None:
-        at = 4 + len(binary.binary(Reader(data).head().name.encode()))  # after version, kind and name
+        at = 4 + len(binary.binary(Reader(data).head().name.encode()))  # offset after version, kind and name
         data = data[:at] + binary.i32(int(to)) + data[at + 4 :]
     elif name == "body":
         data = replace_body(data, (to or "").encode())
@@ -210,15 +211,15 @@
 
 
 def remove_entry(data: bytes, at: int, size: int) -> bytes:
-    """Leave out the entry of a map of texts that is at a place."""
+    """Remove the entry at a given offset from a map of strings."""
     types = bytes((binary.STRING, binary.STRING))
-    start = data.rfind(types, 0, at) + len(types)  # of the map's count
+    start = data.rfind(types, 0, at) + len(types)  # offset of the map's entry count
     count = struct.unpack(">i", data[start : start + 4])[0] - 1
     return data[:start] + binary.i32(count) + data[start + 4 : at] + data[at + size :]
 
 
 def replace_body(data: bytes, body: bytes) -> bytes:
-    """An answer with another body: shorter, or of another request."""
+    """Return an answer with its body replaced."""
     reader = Reader(data)
     reader.head()
     for kind, _ in reader.fields():
@@ -235,7 +236,7 @@
 
 
 def rewrite_line(message: Message, name: str, to: str | None) -> bytes:
-    """A command or an answer with another `id`, `word` (of an answer), `length` or field."""
+    """Return a command or an answer with `id`, `word` (answers only), `length` or a field replaced."""
     line, _, rest = message.raw.partition(LINE_END)
     tokens = line.decode("latin-1").split(" ")
     if len(tokens) != FULL_LINE_TOKENS:
@@ -245,7 +246,7 @@
         tokens[1 if is_command else 0] = to
     elif name == "word" and to is not None and not is_command:
         tokens[1] = to
-    elif name == "length" and to is not None:  # shorter, and complete: the body is cut to fit
+    elif name == "length" and to is not None:  # truncate the body, so that the message stays complete
         body = rest[: min(int(to), len(rest) - len(LINE_END))]
         tokens[3] = str(len(body))
         rest = body + LINE_END
@@ -260,7 +261,7 @@
 
 
 def rewrite_event(message: Message, name: str, to: str | None) -> bytes:
-    """A line of the event, or with `data.` before it a key of the object in its data."""
+    """Return an event with a line replaced, or a key of its JSON data if the name begins with `data.`."""
     top, _, path = name.partition(".")
     lines = []
     for line in message.raw.decode("utf-8", "replace").split("\n"):
@@ -276,7 +277,7 @@
 
 
 def set_key(document: dict[str, object], path: list[str], to: str | None) -> None:
-    """Set a key within a document to a JSON value, or leave it out; raises FieldNotFoundError."""
+    """Set a key within a document to a JSON value, or remove it; raises FieldNotFoundError."""
     for step in path[:-1]:
         inner = document[step]
         if not isinstance(inner, dict):
--- a/weldbend/testbed/faults/plan.py
+++ b/weldbend/testbed/faults/plan.py
@@ -1,4 +1,4 @@
-"""Plans of faults: an INI file, a section a fault, checked completely on load. No I/O but the file itself.
+"""Fault plans: INI files with one section per fault, validated on load. No I/O apart from reading the file.
 
     [answers stop in the middle]
     kind = cut
@@ -7,9 +7,10 @@
     message = 3
     inside = 20
 
-A fault is injected where all its triggers hold: `after` (time since the connection came up), `byte`,
-`message` (from 1, in its direction), `connection` (from 1), `field` (`name=value` of the message, value may
-be `*`), `chance` (drawn by seed for each chance it has). `times` bounds how often it is injected in all.
+A fault is injected when all its triggers match: `after` (time since the connection was established), `byte`
+(position in the stream), `message` (from 1, in its direction), `connection` (from 1), `field` (`name=value`
+of the message, the value may be `*`), `chance` (probability, drawn from the seed each time the other triggers
+match). `times` limits the total number of injections.
 """
 
 import re
@@ -30,28 +31,28 @@
     read_values,
 )
 
-UNBOUNDED = 1_000_000_000  # a count that no run reaches
-MAX_DURATION = 3600.0  # seconds; the longest time that a key states
-MAX_CORRUPTED = 1 << 20  # bytes
+UNBOUNDED = 1_000_000_000  # larger than any count that occurs in a run
+MAX_DURATION = 3600.0  # seconds; upper bound of times in a plan
+MAX_CORRUPTED = 1 << 20  # bytes; upper bound of the key `bytes`
 FIELD_PATTERN = re.compile(r"([\w.]{1,40})\s*=\s*(.{0,200})")
 
 __all__ = ["Direction", "Fault", "FaultKind", "InvalidPlanError", "Plan", "parse_plan", "read_plan"]
 
 
 class FaultKind(Enum):
-    """What a fault does."""
+    """Kinds of faults."""
 
-    DELAY = "delay"  # what comes is handed on later: `for`, `jitter` drawn on top, `growth` more each time
-    THROTTLE = "throttle"  # from here on at most `rate` bytes a second
-    STALL = "stall"  # nothing for `for`, then what had gathered
-    HANG = "hang"  # nothing ever more in this direction, the connection stays open
-    CUT = "cut"  # the connection ends for both sides: `how` is reset or close
-    HALF_CLOSE = "half-close"  # this direction is shut down, the other goes on
-    DROP = "drop"  # the message is left out
-    DUPLICATE = "duplicate"  # the message comes twice
-    REORDER = "reorder"  # the message changes place with the next
-    CORRUPT = "corrupt"  # `bytes` bytes are flipped, from `inside` on
-    REWRITE = "rewrite"  # a field is set (`to`), or left out where `to` is absent: it still parses
+    DELAY = "delay"  # forward later: by `for`, plus a random part of `jitter`, plus `growth` more each time
+    THROTTLE = "throttle"  # forward at most `rate` bytes per second from here on
+    STALL = "stall"  # forward nothing for the time `for`, then everything that has arrived
+    HANG = "hang"  # forward nothing more in this direction; the connection stays open
+    CUT = "cut"  # end the connection on both sides: `how` is reset or close
+    HALF_CLOSE = "half-close"  # end this direction; the other one stays open
+    DROP = "drop"  # drop the message
+    DUPLICATE = "duplicate"  # send the message twice
+    REORDER = "reorder"  # swap the message with the next one
+    CORRUPT = "corrupt"  # flip bits in `bytes` bytes, from `inside` on
+    REWRITE = "rewrite"  # set a field to `to`, or remove it without `to`; the message stays valid
 
 
 MESSAGE_KINDS = (
@@ -59,11 +60,11 @@
     FaultKind.DUPLICATE,
     FaultKind.REORDER,
     FaultKind.REWRITE,
-)  # those that need message boundaries
+)  # kinds that require message boundaries
 
 
 class Direction(Enum):
-    """Seen from who connected: `there` to the server, `back` from it."""
+    """Directions of a connection: `there` from client to server, `back` from server to client."""
 
     TO_SERVER = "there"
     TO_CLIENT = "back"
@@ -71,13 +72,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """Times in seconds, places in bytes; zero or None where a trigger is not given."""
+    """One fault of a plan. Times are in seconds, positions in bytes; an absent trigger is zero or None."""
 
     name: str
     kind: FaultKind
     direction: Direction = Direction.TO_CLIENT
     after: float = 0.0
-    byte: int | None = None  # of the stream, from 0: injected with the first byte there
+    byte: int | None = None  # position in the stream, from 0
     message: int = 0
     connection: int = 0
     field: tuple[str, str] | None = None
@@ -86,27 +87,27 @@
     duration: float = 0.0
     jitter: float = 0.0
     growth: float = 0.0
-    rate: int = 0  # bytes a second
+    rate: int = 0  # bytes per second
     how: str = "reset"
-    inside: int | None = None  # bytes of the message that still pass, or where corruption begins
+    inside: int | None = None  # bytes of the message that are still forwarded, or where corruption begins
     bytes: int = 1
     set_field: str = ""
     to: str | None = None
 
     def requires_messages(self) -> bool:
-        """Whether it can be injected only where the stream is cut into messages."""
+        """Return whether the fault requires a stream that is split into messages."""
         return bool(self.kind in MESSAGE_KINDS or self.message or self.field)
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Faults, and how streams are cut into messages: one of FRAMINGS."""
+    """A fault plan: its faults, and how streams are split into messages (a key of FRAMINGS)."""
 
     framing: str
     faults: tuple[Fault, ...]
 
 
-FRAMINGS = {  # how each direction is cut, there and back
+FRAMINGS = {  # framing of each direction: to the server, to the client
     "thrift": ("thrift", "thrift"),
     "lines": ("commands", "answers"),
     "sse": ("raw", "sse"),
@@ -115,15 +116,15 @@
 
 
 class InvalidFieldError(InvalidValueError):
-    """A value that is no `name=value`."""
+    """Raised for a value that is not of the form `name=value`."""
 
     def __init__(self, text: str) -> None:
         self.text = text
-        super().__init__(f"{text!r:.40} is no 'name=value'")
+        super().__init__(f"{text!r:.40} is not of the form 'name=value'")
 
 
 def name_and_value(text: str) -> tuple[str, str]:
-    """A check of texts such as `seqid=3`."""
+    """Split text such as `seqid=3` into name and value; raises InvalidFieldError."""
     if not (match := FIELD_PATTERN.fullmatch(text)):
         raise InvalidFieldError(text)
     return match[1], match[2]
@@ -149,7 +150,7 @@
     "set": ("set_field", str),
     "to": ("to", str),
 }
-KINDS_OF_KEY = {  # for keys that only some kinds have
+KINDS_OF_KEY = {  # kinds of faults that a key applies to; other keys apply to all
     "for": (FaultKind.DELAY, FaultKind.STALL),
     "jitter": (FaultKind.DELAY,),
     "growth": (FaultKind.DELAY,),
@@ -164,7 +165,7 @@
 
 
 def read_plan(path: str, framing: str) -> Plan:
-    """A plan from its file; raises InvalidPlanError."""
+    """Read a plan from a file; raises InvalidPlanError."""
     try:
         sections = parse(path)
     except InstallationError as error:
@@ -173,36 +174,38 @@
 
 
 def parse_plan(sections: Section, framing: str, path: str = "plan") -> Plan:
-    """A plan from its sections; raises InvalidPlanError for the first thing wrong."""
+    """Parse a plan from its sections; raises InvalidPlanError for the first problem."""
     if framing not in FRAMINGS:
         raise InvalidPlanError("", f"framing {framing!r:.20} is none of {', '.join(FRAMINGS)}")
     faults = []
     for name, section in sections.items():
         if not isinstance(section, Mapping):
-            raise InvalidPlanError(f"{path}:", f"key '{name}' stands before any fault")
+            raise InvalidPlanError(f"{path}:", f"key '{name}' is outside of a section")
         location = f"{path}: [{name}]"
         fault = parse_fault(name, section, location)
         if FRAMINGS[framing][fault.direction is Direction.TO_CLIENT] == "raw" and fault.requires_messages():
-            raise InvalidPlanError(location, f"needs messages, but {fault.direction.value} is raw bytes")
+            raise InvalidPlanError(
+                location, f"requires messages, but direction {fault.direction.value} is raw bytes"
+            )
         faults.append(fault)
     if not faults:
-        raise InvalidPlanError(f"{path}:", "no fault")
+        raise InvalidPlanError(f"{path}:", "plan has no faults")
     return Plan(framing, tuple(faults))
 
 
 def parse_fault(name: str, section: Section, location: str) -> Fault:
-    """A fault from its section; raises InvalidPlanError for the first thing wrong."""
+    """Parse a fault from its section; raises InvalidPlanError for the first problem."""
     if "kind" not in section:
         raise InvalidPlanError(location, "lacks 'kind'")
     fault = Fault(name, **read_values(section, KEYS, location))
     for key in section:
         if key in KINDS_OF_KEY and fault.kind not in KINDS_OF_KEY[key]:
-            raise InvalidPlanError(location, f"means nothing for {fault.kind.value}", key)
+            raise InvalidPlanError(location, f"does not apply to {fault.kind.value}", key)
     for key in REQUIRED_KEYS.get(fault.kind, ()):
         if key not in section:
             raise InvalidPlanError(location, f"{fault.kind.value} lacks '{key}'")
     if fault.kind is FaultKind.DELAY and not (fault.duration or fault.jitter or fault.growth):
         raise InvalidPlanError(location, "delay lacks 'for', 'jitter' or 'growth'")
     if fault.byte is not None and (fault.message or fault.field):
-        raise InvalidPlanError(location, "byte and message or field exclude each other")
+        raise InvalidPlanError(location, "byte cannot be combined with message or field")
     return fault
--- a/weldbend/testbed/faults/plan_keys.py
+++ b/weldbend/testbed/faults/plan_keys.py
@@ -1,7 +1,7 @@
-"""What plans of faults and plans of fleets share: checks of keys, and the error of a plan. No I/O.
+"""Validation of keys, shared by fault plans and fleet plans, and the error of an invalid plan. No I/O.
 
-A table of keys maps a key of the INI file to a field of the dataclass that it sets, and to the check that
-turns its text into the field's value.
+A key table maps a key of the INI file to the dataclass field that it sets, and to the check that converts its
+text into the value of the field.
 """
 
 from collections.abc import Callable, Mapping
@@ -17,10 +17,10 @@
 
 
 class InvalidPlanError(TestbedError):
-    """A plan that cannot be played.
+    """Raised for an invalid plan.
 
-    Its text is one line: `location` (the file, and the section in brackets), the key where the problem is one
-    of its value, and the problem.
+    Its message is one line: `location` (the file, and the section in brackets), the key if the problem
+    concerns the value of a key, and the problem.
     """
 
     def __init__(self, location: str, problem: str, key: str | None = None) -> None:
@@ -31,7 +31,7 @@
 
 
 class UnknownChoiceError(InvalidValueError):
-    """A value that is none of the words that a key allows."""
+    """Raised for a value that is not among the allowed values of a key."""
 
     def __init__(self, text: str, tokens: tuple[str, ...]) -> None:
         self.text = text
@@ -40,20 +40,20 @@
 
 
 class InvalidFractionError(InvalidValueError):
-    """A value that is no fraction above 0."""
+    """Raised for a value that is not a number above 0 and at most 1."""
 
     def __init__(self, text: str) -> None:
         self.text = text
         try:
             float(text)
         except ValueError:
-            super().__init__(f"{text!r:.40} is no number")
+            super().__init__(f"{text!r:.40} is not a number")
         else:
             super().__init__(f"{text} is not above 0 and at most 1")
 
 
 def one_of(kind: type[Enum]) -> Check:
-    """A check that the text is the value of a member; gives the member."""
+    """Return a check that converts the value of an enum member to the member."""
 
     def check(text: str) -> Enum:
         try:
@@ -65,7 +65,7 @@
 
 
 def choice(*tokens: str) -> Check:
-    """A check that the text is one of some words."""
+    """Return a check that the text is one of the given words."""
 
     def check(text: str) -> str:
         if text not in tokens:
@@ -76,7 +76,7 @@
 
 
 def fraction(text: str) -> float:
-    """A check of figures above 0 and at most 1."""
+    """Parse a number above 0 and at most 1; raises InvalidFractionError."""
     try:
         value = float(text)
     except ValueError:
@@ -87,7 +87,7 @@
 
 
 def read_values(section: Section, keys: KeyTable, location: str) -> dict[str, Any]:
-    """The fields that a section sets; raises InvalidPlanError for the first key that is wrong."""
+    """Return the fields that a section sets; raises InvalidPlanError for the first invalid key."""
     values = {}
     for key, text in section.items():
         if key not in keys:
--- a/weldbend/testbed/faults/proxy.py
+++ b/weldbend/testbed/faults/proxy.py
@@ -1,7 +1,7 @@
-"""The injector on sockets: accepts on one address, connects to another, and carries out fault actions.
+"""Proxy that forwards connections to another address and injects faults into their traffic.
 
-Each direction has one queue of actions and one delayed call for the next; a sender is read no further while
-too much of what it sent waits.
+Each direction has a queue of actions and one delayed call for the next action. Reading from a sender is
+paused while too many of its bytes are queued.
 """
 
 import socket
@@ -20,49 +20,49 @@
 from weldbend.testbed.faults.plan import Direction
 from weldbend.testbed.reactor import Reactor
 
-MAX_QUEUED_BYTES = 1 << 20  # bytes that wait in one direction, beyond which its sender is read no further
-EARLY_TOLERANCE = 0.0005  # seconds before its time at which an action counts as due
+MAX_QUEUED_BYTES = 1 << 20  # queued in one direction, above which reading from its sender is paused
+EARLY_TOLERANCE = 0.0005  # seconds; an action counts as due this long before its time
 CONNECT_TIMEOUT = 5  # seconds
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on, of no time
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER on with a timeout of 0: close sends a reset
 
 
 class ActionStream(Protocol):
-    """Turns the bytes of one direction into actions towards its receiver."""
+    """Turns the bytes of one direction into actions on the receiver's side."""
 
-    last_action_at: float  # when all actions so far are done
+    last_action_at: float  # time of the last action so far
 
     def feed(self, now: float, data: bytes) -> list[FaultAction]:
-        """Bytes that came."""
+        """Process received bytes; return the resulting actions."""
 
     def end(self, now: float) -> list[FaultAction]:
-        """The sender has shut down its side."""
+        """Process the end of the sender's stream; return the resulting actions."""
 
 
 @implementer(IPushProducer, IHalfCloseableProtocol)
 class ProxySide(Connection):
-    """One of the two sockets of a pair; what comes here leaves at `peer`."""
+    """One of the two connections of a proxied pair; received bytes are forwarded to `peer`."""
 
     transport: Any = None  # Twisted's interfaces have no types here
 
     def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
         self.peer: ProxySide | None = None
-        self.stream: ActionStream | None = None  # what happens to bytes that come here
-        self.actions: deque[FaultAction] = deque()  # towards this side
-        self.received_early: list[bytes] = []  # what came before the other side was up
-        self.queued_bytes = 0  # bytes of the actions
-        self.is_scheduled = False  # the next action
-        self.is_full = False  # the socket accepts no more for now
+        self.stream: ActionStream | None = None  # faults on bytes received here
+        self.actions: deque[FaultAction] = deque()  # queued actions on this side
+        self.received_early: list[bytes] = []  # bytes received before the other side was connected
+        self.queued_bytes = 0  # bytes of the queued actions
+        self.is_scheduled = False  # whether a delayed call for the next action is pending
+        self.is_full = False  # the socket's send buffer is full
         self.is_closed = False
         self.is_read_closed = False
 
     def connectionMade(self) -> None:
-        """The socket is up."""
+        """Register as the producer of the new connection."""
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
 
     def join(self, peer: "ProxySide", stream: ActionStream) -> None:
-        """The other side is up: what came so far goes there."""
+        """Connect to the other side, and forward what was received so far."""
         self.peer = peer
         self.stream = stream
         early = self.received_early
@@ -73,7 +73,7 @@
             self.readConnectionLost()
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass bytes on."""
+        """Forward received bytes, with faults."""
         if self.peer and self.stream:
             self.peer.schedule(self.stream.feed(time.monotonic(), data))
             self.peer.limit_sender()
@@ -81,28 +81,28 @@
             self.received_early.append(data)
 
     def readConnectionLost(self) -> None:
-        """The sender has shut down its side."""
+        """Forward the end of the sender's stream."""
         self.is_read_closed = True
         if self.peer and self.stream:
             self.peer.schedule(self.stream.end(time.monotonic()))
 
     def writeConnectionLost(self) -> None:
-        """Nothing: this side was shut down on purpose."""
+        """Ignore the event: this side was half-closed by an action."""
 
     def is_open(self) -> bool:
-        """Whether the socket is connected."""
+        """Return whether the socket is connected."""
         return not self.is_closed and self.transport is not None
 
-    # Towards this side.
+    # Sending to this side.
 
     def schedule(self, actions: list[FaultAction]) -> None:
-        """Carry out actions, each at its time and after those before."""
+        """Queue actions; each is performed at its time and after the preceding ones."""
         self.actions.extend(actions)
         self.queued_bytes += sum(len(action.data) for action in actions)
         self._perform_due()
 
     def _perform_due(self) -> None:
-        """All that is due, in order, while the socket accepts it; then one delayed call for the next."""
+        """Perform the due actions in order while the socket accepts data, then schedule the next one."""
         now = time.monotonic()
         while self.actions and self._accepts() and self.actions[0].at <= now + EARLY_TOLERANCE:
             action = self.actions.popleft()
@@ -137,21 +137,21 @@
                     self.peer.close()
 
     def reset(self) -> None:
-        """End the connection with a reset."""
+        """Reset the connection."""
         if self.is_open():
             transport = self.transport
             transport.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
             transport.abortConnection()
 
     def close(self) -> None:
-        """End the connection after what was written."""
+        """Close the connection after sending what was written."""
         if self.is_open():
             transport = self.transport
             transport.unregisterProducer()
             transport.loseConnection()
 
     def limit_sender(self) -> None:
-        """Read no further from the sender while too much waits here."""
+        """Pause reading from the sender while too many bytes are queued here."""
         if self.peer and self.peer.is_open() and not self.peer.is_read_closed:
             sender = self.peer.transport
             if self.queued_bytes > MAX_QUEUED_BYTES:
@@ -160,27 +160,27 @@
                 sender.resumeProducing()
 
     def pauseProducing(self) -> None:
-        """The socket's buffer is full."""
+        """Stop performing actions: the socket's send buffer is full."""
         self.is_full = True
 
     def resumeProducing(self) -> None:
-        """The socket's buffer has room again."""
+        """Continue with the queued actions: the socket's send buffer has room again."""
         self.is_full = False
         self._perform_due()
 
     def stopProducing(self) -> None:
-        """The socket takes no more."""
+        """Stop performing actions: the socket accepts no more data."""
         self.is_full = True
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """This side is closed: the other follows, once it has what was in transit."""
+        """Close the other side after the actions that are queued for it."""
         self.is_closed = True
         if self.peer and not self.peer.is_closed and self.stream and not self.is_read_closed:
             self.peer.schedule([FaultAction(self.stream.last_action_at, ActionKind.CLOSE)])
 
 
 class ServerConnector(ClientFactory):
-    """Connects the far side of one pair."""
+    """Connects the server side of one pair."""
 
     noisy = False
 
@@ -190,19 +190,19 @@
         self.number = number
 
     def buildProtocol(self, addr: IAddress | None) -> ProxySide:
-        """The far side is up; the pair is joined in the next iteration, when its transport is."""
+        """Create the server side; the pair is joined in the next iteration, when it has a transport."""
         server_side = ProxySide(self.proxy.reactor)
         self.proxy.reactor.callLater(0, self.proxy.join_sides, self.client_side, server_side, self.number)
         return server_side
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
-        """Nobody accepts: the near side is closed."""
+        """Close the client side, as the server does not accept the connection."""
         if self.client_side.transport:
             self.client_side.transport.loseConnection()
 
 
 class Proxy(Factory):
-    """Listens, and passes everything on to `host:port`, with faults on the way."""
+    """Accepts connections and forwards their traffic to `host:port`, with injected faults."""
 
     noisy = False
 
@@ -214,7 +214,7 @@
         self.connection_count = 0
 
     def buildProtocol(self, addr: IAddress | None) -> ProxySide:
-        """The near side of a pair."""
+        """Create the client side of a pair, and connect to the server."""
         self.connection_count += 1
         client_side = ProxySide(self.reactor)
         connector = ServerConnector(self, client_side, self.connection_count)
@@ -222,7 +222,7 @@
         return client_side
 
     def join_sides(self, client_side: ProxySide, server_side: ProxySide, number: int) -> None:
-        """Both sides are up: pass on what came and what comes."""
+        """Join both sides of a pair, and forward the bytes received so far."""
         now = time.monotonic()
         there = self.injector.stream(number, Direction.TO_SERVER, now)
         back = self.injector.stream(number, Direction.TO_CLIENT, now)
--- a/weldbend/testbed/faults/socket_faults.py
+++ b/weldbend/testbed/faults/socket_faults.py
@@ -1,11 +1,11 @@
-"""Runs weldbend with socket calls that fail by a seed: `python -m weldbend.testbed.faults.socket_faults`.
+"""Runs weldbend with socket calls that fail according to a seed.
 
     python -m weldbend.testbed.faults.socket_faults --seed 7 --seconds 5 --record FILE -- serve --config FILE
 
 The socket type, `select.epoll` and `os.read` are replaced in this process before Twisted is loaded; nothing
-is traced and no other process is concerned. What was injected is written to the record, a JSON line each,
-with the moment on the machine's monotonic clock; the last line counts the calls. The port is opened without
-faults: a front that cannot listen ends.
+is traced and no other process is affected. Each injected fault is written to the record as a JSON line with
+its time on the machine's monotonic clock; the last line contains the number of calls. Opening the listening
+port never fails, because a front that cannot listen exits.
 """
 
 import argparse
@@ -26,19 +26,20 @@
 if TYPE_CHECKING:
     from _typeshed import ReadableBuffer
 
-SHORT_TRANSFER_DIVISOR = 3  # a short transfer moves one part in so many
-SHORT_READ_SIZE = 64  # bytes that a short read brings at most
+SHORT_TRANSFER_DIVISOR = 3  # divisor of the number of bytes in a short send
+SHORT_READ_SIZE = 64  # bytes; maximum result of a short read
 REAL_SOCKET = socket.socket
 REAL_EPOLL = select.epoll
 REAL_READ = os.read
-PROCESS_SIDE = "process"  # the side of a call that is for no connection
+PROCESS_SIDE = "process"  # side of a call that belongs to no connection
 
 
 class CallInjector:
-    """Decides each call, and writes down what was injected.
+    """Decides for each call whether it fails, and records the injected faults.
 
     Attributes:
-        has_accepted: whether a client has come; before, only connects, transfers and waits fail.
+        has_accepted: whether a client's connection has been accepted; before that, only connects, transfers
+            and waits fail.
     """
 
     def __init__(self, faults: CallFaults, record: int) -> None:
@@ -48,7 +49,7 @@
         self.has_accepted = False
 
     def draw(self, call: Call, side: str) -> int | None:
-        """How this call fails; None for not at all."""
+        """Return how this call fails: an error number or SHORT_TRANSFER, or None if it does not fail."""
         if not self.has_accepted and call in (Call.SOCKET, Call.EPOLL_CTL, Call.ACCEPT):
             return None
         now = time.monotonic()
@@ -58,12 +59,12 @@
         return number
 
     def check(self, call: Call, side: str) -> None:
-        """Raise the error with which this call fails, if it does."""
+        """Raise OSError if this call fails."""
         if number := self.draw(call, side):
             raise OSError(number, os.strerror(number))
 
     def transfer_size(self, call: Call, side: str, size: int) -> int:
-        """How many of `size` bytes this call may move; raises OSError where it fails."""
+        """Return how many of `size` bytes this call may transfer; raises OSError if it fails."""
         number = self.draw(call, side)
         if number:
             raise OSError(number, os.strerror(number))
@@ -71,17 +72,17 @@
         return max(part, 1) if number == SHORT_TRANSFER and size else size
 
     def write(self, line: dict[str, Any]) -> None:
-        """Add a line to the record."""
+        """Append a line to the record."""
         os.write(self.record, (json.dumps(line) + "\n").encode())
 
     def write_totals(self) -> None:
-        """Count the calls that were made."""
+        """Append the number of calls made, by kind, to the record."""
         totals = {call.value: count for call, count in self.faults.calls.items()}
         self.write({"calls": totals, "seconds": time.monotonic() - self.started_at})
 
 
 def socket_type(injector: CallInjector) -> type[socket.socket]:
-    """The type of sockets whose calls fail as the injector decides."""
+    """Return a socket type whose calls fail as the injector decides."""
 
     class FailingSocket(REAL_SOCKET):
         def __init__(
@@ -116,7 +117,7 @@
 
 
 class FailingEpoll:
-    """An epoll set whose waits and registrations fail as the injector decides."""
+    """Epoll set whose waits and registrations fail as the injector decides."""
 
     injector: CallInjector
 
@@ -124,12 +125,12 @@
         self.epoll = REAL_EPOLL(*args)
 
     def poll(self, *args: Any) -> list[tuple[int, int]]:  # noqa: ANN401  # as the set's own
-        """Wait."""
+        """Wait for events."""
         self.injector.check(Call.EPOLL_WAIT, PROCESS_SIDE)
         return self.epoll.poll(*args)
 
     def register(self, *args: Any) -> None:  # noqa: ANN401  # as the set's own
-        """Watch a descriptor."""
+        """Register a descriptor."""
         self.injector.check(Call.EPOLL_CTL, PROCESS_SIDE)
         self.epoll.register(*args)
 
@@ -138,10 +139,10 @@
 
 
 def install(injector: CallInjector) -> None:
-    """Have the calls of this process fail from now on."""
+    """Replace the socket calls of this process by failing ones."""
 
     def read(fd: int, size: int) -> bytes:
-        if stat.S_ISSOCK(os.fstat(fd).st_mode):  # an idle connection wakes
+        if stat.S_ISSOCK(os.fstat(fd).st_mode):  # the read of an idle connection that wakes up
             size = injector.transfer_size(Call.RECEIVE, "accepted", size)
         return REAL_READ(fd, size)
 
@@ -155,12 +156,12 @@
 
 
 def main() -> None:
-    """Parse the command line, install the faults, and run weldbend with the rest of it."""
+    """Parse the command line, install the faults, and run weldbend with the remaining arguments."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, required=True)
-    parser.add_argument("--seconds", type=float, default=5.0, help="over which the faults are spread")
-    parser.add_argument("--record", required=True, help="file that what was injected is added to")
-    parser.add_argument("command", nargs="+", help="of weldbend, as in `-- serve --config FILE`")
+    parser.add_argument("--seconds", type=float, default=5.0, help="seconds over which the faults are spread")
+    parser.add_argument("--record", required=True, help="file to which the injected faults are appended")
+    parser.add_argument("command", nargs="+", help="command of weldbend, as in `-- serve --config FILE`")
     options = parser.parse_args()
     record = os.open(options.record, os.O_WRONLY | os.O_CREAT | os.O_APPEND, 0o644)
     faults = CallFaults(draw_plan(options.seed, options.seconds), random.Random(f"calls {options.seed}"))
@@ -168,7 +169,7 @@
     atexit.register(injector.write_totals)
     install(injector)
     sys.argv = ["weldbend", *options.command]
-    runpy.run_module("weldbend", run_name="__main__")  # loads Twisted, which takes the types that it finds
+    runpy.run_module("weldbend", run_name="__main__")  # loads Twisted, which uses the replaced types
 
 
 if __name__ == "__main__":
--- a/weldbend/testbed/faults/socket_trial.py
+++ b/weldbend/testbed/faults/socket_trial.py
@@ -1,17 +1,18 @@
-"""Runs one front whose socket calls fail by a seed, and audits it from outside.
+"""Runs a front with failing socket calls, drawn from a seed, and checks its external behaviour.
 
     python -m weldbend.testbed.faults.socket_trial --seeds 1..20
 
-Each trial has an emulated site, a front under `weldbend.testbed.faults.socket_faults`, load, a quiet time in
-which connections become idle, load again, and SIGTERM in the middle of that. The rules:
+Each trial consists of an emulated site, a front under `weldbend.testbed.faults.socket_faults`, a period of
+load, a pause in which connections become idle, and a second period of load during which the front gets
+SIGTERM. The rules:
 
-- each request has one final answer, before its client's time is over; only requests on client connections
-  that an injected fault ended have none;
-- no request has two attempts in flight, and no effect is asked for again beyond its deduplication window;
-- no client connection ends but by an injected fault;
-- the front ends with exit code 0, does not spin, and has no internal errors.
+- each request gets one final answer before its client's timeout; only requests on client connections that an
+  injected fault ended may get none;
+- no request has two attempts in flight, and no command is repeated after its deduplication window;
+- client connections end only because of injected faults;
+- the front exits with code 0, does not busy-loop, and has no internal errors.
 
-Prints a JSON line for each seed; exits with 1 where a rule was violated.
+Prints a JSON line for each seed; exits with 1 if a rule was violated.
 """
 
 import argparse
@@ -49,37 +50,37 @@
 from weldbend.testbed.reactor import ProcessReactor
 
 LAUNCHER = "weldbend.testbed.faults.socket_faults"
-# Seconds of each part of a trial.
+# Durations of the phases of a trial, in seconds.
 FIRST_LOAD = 1.5
 IDLE_TIME = 1.2
 SECOND_LOAD = 1.0
-STOP_AFTER = 0.6  # seconds of the second load until SIGTERM; the front accepts for 0.7 s from then on
-FAULTY_SECONDS = 5.5  # over which faults are spread: start, loads and shutdown
-RATE = 90.0  # requests a second
+STOP_AFTER = 0.6  # seconds from the start of the second load to SIGTERM; the front accepts for 0.7 s more
+FAULTY_SECONDS = 5.5  # seconds over which faults are spread: start, loads and shutdown
+RATE = 90.0  # requests per second
 ORDERS = 0.15  # fraction of requests that are orders
 IDLE_CLIENTS = 12
-NEW_CLIENTS = 3  # that connect while nothing is open, and during the shutdown
-IDLE_TIMEOUT = 4.0  # seconds without a call after which a front may be about to close a connection
-RECONNECT_DELAY = 0.1  # seconds from the beginning of these phases
+NEW_CLIENTS = 3  # clients that connect while no request is open, and during the shutdown
+IDLE_TIMEOUT = 4.0  # seconds without a call after which a front may close a connection
+RECONNECT_DELAY = 0.1  # seconds from the start of the idle phase and of the shutdown
 DEDUPLICATION_WINDOW = 3.0  # seconds, as the emulated site's settings state it for orders
-OVERLAP_SLACK = 0.05  # seconds within which the end of an older attempt may reach the emulated cache
-MAX_WAITS_PER_SECOND = (
-    4000  # waits a second, on the average of a trial: a front that spins makes ten times as many
-)
-END_TIMEOUT = 12.0  # seconds from SIGTERM until a front counts as hanging
-CONNECTION_FAULTS = {  # what a record line says of a fault that may end a connection
+OVERLAP_SLACK = 0.05  # seconds by which the end of an older attempt may reach the emulated cache late
+# Average over a trial; a front that busy-loops makes ten times as many.
+MAX_WAITS_PER_SECOND = 4000
+END_TIMEOUT = 12.0  # seconds from SIGTERM after which a front counts as hung
+CONNECTION_FAULTS = {  # call and error in record lines of faults that may end a connection
     (call.value, error_name(number)) for call, number in ALL_FAULTS if ends_connection(call, number)
 }
 
 
 @dataclass
 class AttemptAudit:
-    """What the emulated caches see of attempts.
+    """Checks the attempts that arrive at the emulated caches.
 
     Attributes:
-        violations: rules that were violated, in words.
-        in_flight: connections that each request is in flight on, by the request's id.
-        first_sent: when an idempotency key was sent first, by the key.
+        reactor: reactor for delayed checks.
+        violations: descriptions of the violated rules.
+        in_flight: connections on which a request has an attempt in flight, by the request's id.
+        first_sent: time of the first attempt with an idempotency key, by key.
     """
 
     reactor: ProcessReactor
@@ -88,7 +89,7 @@
     first_sent: dict[str, float] = field(default_factory=dict)
 
     def on_attempt_sent(self, command: Command, connection: "AuditedConnection") -> None:
-        """An attempt has come."""
+        """Record an attempt that has arrived, and check the rules."""
         now = time.monotonic()
         for older in self.in_flight.setdefault(command.name, []):
             self.reactor.callLater(OVERLAP_SLACK, self._check_ended, command.name, older)
@@ -98,7 +99,7 @@
             self.violations.append(f"effect asked for again beyond its window: {key}")
 
     def on_attempt_ended(self, name: str, connection: "AuditedConnection") -> None:
-        """An attempt was answered, cancelled, or its connection has ended."""
+        """Record the end of an attempt: it was answered or cancelled, or its connection has ended."""
         if connection in self.in_flight.get(name, []):
             self.in_flight[name].remove(connection)
 
@@ -108,7 +109,7 @@
 
 
 class AuditedConnection(CacheConnection):
-    """A connection to an emulated cache that reports to the audit."""
+    """Connection to an emulated cache that reports to the audit."""
 
     def __init__(self, server: CacheServer, audit: AttemptAudit) -> None:
         super().__init__(server)
@@ -123,31 +124,31 @@
             self.audit.on_attempt_ended(command.name, self)
 
     def write(self, data: bytes) -> None:
-        """Report answers; each begins with the request's id."""
+        """Report an answer; it begins with the request's id."""
         self.audit.on_attempt_ended(data.partition(b" ")[0].decode(), self)
         super().write(data)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Report the end of all that is in flight here."""
+        """Report the end of all attempts in flight on this connection."""
         for name in list(self.pending):
             self.audit.on_attempt_ended(name, self)
         super().connectionLost(reason)
 
 
 class AuditedServer(CacheServer):
-    """An emulated cache whose connections report to the audit."""
+    """Emulated cache whose connections report to the audit."""
 
     def __init__(self, reactor: ProcessReactor, site: "AuditedSite", cache: EmulatedCache) -> None:
         super().__init__(reactor, site.caches, cache)
         self.audit = site.audit
 
     def buildProtocol(self, addr: IAddress | None) -> AuditedConnection:
-        """A connection of the front."""
+        """Create the protocol for a connection from the front."""
         return AuditedConnection(self, self.audit)
 
 
 class AuditedSite(EmulatedSite):
-    """An emulated site whose caches report to the audit."""
+    """Emulated site whose caches report to the audit."""
 
     def __init__(self, reactor: ProcessReactor, settings: SiteSettings, folder: Path) -> None:
         self.audit = AttemptAudit(reactor)
@@ -161,7 +162,7 @@
 
 
 class IdleClient(Connection):
-    """A client that asks for a health check, is idle, and asks again."""
+    """Client that sends a health check, stays idle, and sends another."""
 
     transport: Any = None  # Twisted's interfaces have no types here
 
@@ -171,12 +172,12 @@
         self.requested_at = 0.0
 
     def connectionMade(self) -> None:
-        """Ask for the first time."""
+        """Send the first health check."""
         self.clients.connected.append(self)
         self.send_probe(1)
 
     def send_probe(self, seqid: int) -> None:
-        """Ask for a health check."""
+        """Send a health check."""
         if self.transport:
             self.requested_at = time.monotonic()
             self.clients.counts["asked"] += 1
@@ -187,7 +188,7 @@
         self.clients.counts["answered"] += len(list(client_calls.feed_answers(self.ring, data)))
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Count the end of the connection, where it was neither this client's nor for its idleness."""
+        """Count the end of the connection, unless this client or an idle timeout may have caused it."""
         self.clients.connected.remove(self)
         is_idle = time.monotonic() > self.requested_at + IDLE_TIMEOUT
         if not (self.clients.is_finished or is_idle):
@@ -195,7 +196,7 @@
 
 
 class IdleClients(ClientFactory):
-    """Some clients that are idle for a while."""
+    """Group of clients that stay idle between two health checks."""
 
     noisy = False
 
@@ -205,33 +206,33 @@
         self.is_finished = False
 
     def buildProtocol(self, addr: IAddress | None) -> IdleClient:
-        """A connection is up."""
+        """Create the protocol for a new connection."""
         return IdleClient(self)
 
     def send_again(self) -> None:
-        """Have all ask for the second time."""
+        """Send the second health check on all connections."""
         for client in list(self.connected):
             client.send_probe(2)
 
     def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         self.is_finished = True
         for client in list(self.connected):
             client.transport.loseConnection()
 
 
 class TrialLoad(Load):
-    """A load that ends as soon as all is answered or lost."""
+    """Load that ends as soon as each request is answered or lost."""
 
     def remove_client(self, client: LoadClient) -> None:
-        """A connection has ended: the last requests may have been lost with it."""
+        """Remove a disconnected client; finish the load if its lost requests were the last open ones."""
         super().remove_client(client)
         if self.begun:
             self._finish_if_answered()
 
 
 class Trial:
-    """One seed: its site, its front and its loads, one step after another."""
+    """Trial of one seed: its site, front and loads, run phase by phase."""
 
     def __init__(self, reactor: ProcessReactor, seed: int, folder: Path) -> None:
         self.reactor = reactor
@@ -242,14 +243,14 @@
         self.log = folder / "front.log"
         self.loads: list[Load] = []
         self.idle_clients = IdleClients()
-        self.late_clients = IdleClients()  # whose connections the front may close, as it ends
-        self.phase_starts: dict[str, float] = {}  # when each phase began
+        self.late_clients = IdleClients()  # clients whose connections the front may close while it shuts down
+        self.phase_starts: dict[str, float] = {}  # start time of each phase
         self.exit_code: int | None = None
         self.process: Any = None
         self.address = ""
 
     def start(self) -> None:
-        """Start the front; all else follows from its readiness."""
+        """Start the front; the other phases follow once it is ready."""
         path, self.address = self.site.configure(1)
         options = ["--seed", str(self.seed), "--seconds", str(FAULTY_SECONDS), "--record", str(self.record)]
         command = [sys.executable, "-O", "-m", LAUNCHER, *options, "--", "serve", "--config", str(path)]
@@ -271,7 +272,7 @@
             self.reactor.connectTCP(host, int(port), clients, timeout=5)
 
     def _force_reconnections(self, clients: IdleClients) -> None:
-        """Have the front accept, connect to the bus and read it anew: else it makes few calls now."""
+        """Make the front accept clients and reconnect to the bus, as it makes few other calls now."""
         self._connect(clients, NEW_CLIENTS)
         for reader in list(self.site.bus.readers):
             reader.transport.abortConnection()
@@ -310,10 +311,10 @@
         if self.reactor.running:
             self.reactor.stop()
 
-    # The report.
+    # Report.
 
     def report(self) -> dict[str, Any]:
-        """What was injected, what became of the load, and what violates the rules."""
+        """Return the injected faults, the results of the load, and the violated rules."""
         lines = [json.loads(line) for line in self.record.read_text().splitlines()]
         injected = [line for line in lines if "call" in line]
         totals = next((line for line in lines if "calls" in line), {"calls": {}, "seconds": 0.0})
@@ -360,7 +361,7 @@
 
 
 def run_seed(seed: int) -> bool:
-    """Run one trial in this process, and print its report; whether no rule was violated."""
+    """Run one trial in this process and print its report; return whether no rule was violated."""
     reactor = cast(ProcessReactor, installed_reactor)
     with tempfile.TemporaryDirectory(prefix="weldbend-sockets-") as folder:
         trial = Trial(reactor, seed, Path(folder))
@@ -374,9 +375,9 @@
 
 
 def main() -> None:
-    """Run one seed here, or several, each in a process of its own."""
+    """Run one seed in this process, or each of several in a process of its own."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
-    parser.add_argument("--seeds", required=True, help="one, or FIRST..LAST")
+    parser.add_argument("--seeds", required=True, help="one seed, or FIRST..LAST")
     first, _, last = parser.parse_args().seeds.partition("..")
     if not last:
         sys.exit(not run_seed(int(first)))
