--- a/weldbend/testbed/simulation/auditor.py
+++ b/weldbend/testbed/simulation/auditor.py
@@ -1,8 +1,9 @@
-"""The auditor: checks the rules from what crossed the sockets and what the event bus published only.
+"""Auditor of a run: checks the rules using only messages on sockets and events published by the event bus.
 
-It shares no code with the decisions. Checked are the rules of `audit_records.Rule`, those on caches that
-warm up in `slow_start_audit`. A front that is killed without notice owes no answer to what it had then, and
-one that the system suspends answers late what became due meanwhile; nothing else excuses a request.
+It shares no code with the routing decisions. It checks the rules of `audit_records.Rule`; those on caches in
+slow start are in `slow_start_audit`. A front that is killed without notice need not answer its open requests,
+and a front that is suspended may answer late the requests that became due meanwhile. There are no other
+exceptions.
 """
 
 from collections import defaultdict
@@ -26,40 +27,41 @@
 from weldbend.testbed.simulation.slow_start_audit import SlowStartAudit
 from weldbend.thrift.messages import GiveUp, Process
 
-SLACK = 0.05  # seconds that a time limit is longer on sockets
-CLOSED_SLACK = 0.1  # seconds after its client's end or cancellation in which an attempt may still begin
-DEADLINE_SLACK = 0.15  # seconds that a cache may be told beyond what the client has left
-# Seconds before a front's close within which a request crosses it: its client sends it again.
+SLACK = 0.05  # seconds of tolerance added to each time limit, as it is observed on sockets
+CLOSED_SLACK = 0.1  # seconds after a client's close or cancellation in which attempts may still start
+DEADLINE_SLACK = 0.15  # seconds by which a cache's timeout may exceed the client's remaining time
+# Seconds before a front's close within which a sent request may go unread; its client resends it.
 CLOSE_CROSSING_WINDOW = 0.05
 
 __all__ = ["Auditor", "Idempotency", "Rule", "Rules", "SlowStartRule", "Violation"]
 
 
 class Auditor:
-    """Receives messages and events in their order; `verdict` is called at the end."""
+    """Checks messages and events, received in order; `verdict` returns the violations at the end."""
 
     def __init__(self, rules: Rules) -> None:
         self.rules = rules
-        self.requests: dict[tuple[str, str], RequestRecord] = {}  # by front and the request's id
+        self.requests: dict[tuple[str, str], RequestRecord] = {}  # by front and request id
         self.requests_by_call: dict[tuple[int, int], RequestRecord] = {}  # by link and seqid
-        # Requests with an attempt in flight on a link.
+        # Keys in `requests` of those with an attempt in flight, by link.
         self.in_flight: dict[int, set[tuple[str, str]]] = defaultdict(set)
         self.requests_by_link: dict[int, list[RequestRecord]] = defaultdict(list)
-        self.ended_links: set[int] = set()  # clients' connections that one side has ended
+        self.ended_links: set[int] = set()  # client connections that one side has ended
         self.down_fronts: set[str] = set()
         self.slow_start_audit = SlowStartAudit(rules)
-        self.draining: dict[str, float] = {}  # uid -> when the event bus published it
+        self.draining: dict[str, float] = {}  # time of publication, by uid
         self.purges: list[Purge] = []
-        self.copy_times_ms: dict[tuple[str, str], int] = {}  # by cache and request: when the copy was made
+        # Virtual milliseconds at which a served copy was made, by cache and request.
+        self.copy_times_ms: dict[tuple[str, str], int] = {}
         self.violations: list[Violation] = []
         self.counts = self.slow_start_audit.counts
-        # (since, until) for which nothing could reach a front.
+        # Periods (since, until) in which no event could reach a front, by front.
         self.unreachable_spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
 
-    # What the event bus publishes, and what happens to fronts.
+    # Events of the bus and state changes of fronts.
 
     def on_bus_event(self, at: float, unix: float, event: dict[str, Any]) -> None:
-        """An event of the bus, at a moment of the run that is `unix` seconds by the clock of the caches."""
+        """Process an event published by the bus; `unix` is the current Unix time by the caches' clock."""
         for target in event.get("topology", {}).get("targets", ()):
             if target["state"] == "up" and target["boot_ms"]:
                 started_at = at - (unix - target["boot_ms"] / 1000)
@@ -73,47 +75,48 @@
             self.purges.append(Purge(at, ban.get("url"), ban.get("tag", 0), int(at * 1000)))
 
     def on_copy_served(self, cache: str, request: str, made_ms: int | None) -> None:
-        """A cache has executed an attempt, with a copy made at a virtual millisecond; None without one.
+        """Record that a cache executed an attempt, and when its copy was made; None without a copy.
 
-        What the answer says of it (`born`) may be changed on its way, and is a stamp of a clock that steps.
+        The timestamp in the answer (`born`) is not used, because faults may change it and the cache's clock
+        may step.
         """
         if made_ms is not None:
             self.copy_times_ms[cache, request] = made_ms
 
     def on_front_killed(self, front: str) -> None:
-        """A front died: what it had not answered is excused."""
+        """Excuse the unanswered requests of a front that was killed."""
         self.down_fronts.add(front)
         for (name, _), request in self.requests.items():
             if name == front and not request.answers:
                 request.excuse = request.excuse or "its front was killed"
 
     def on_front_stopping(self, front: str) -> None:
-        """A front is told to stop: it owes an answer to all that it takes until its connections end."""
+        """Count the open requests of a front that gets SIGTERM; it still has to answer them."""
         open_requests = [r for (name, _), r in self.requests.items() if name == front and r.is_awaited()]
         self.counts["requests open at a shutdown"] += len(open_requests)
 
     def on_front_started(self, front: str) -> None:
-        """A front is up."""
+        """Record that a front has started."""
         self.down_fronts.discard(front)
 
     def on_front_unreachable(self, front: str, since: float, until: float, is_frozen: bool) -> None:
-        """Nothing could be announced to a front for a time; frozen, it answers late what became due."""
+        """Record a period in which no event reached a front; if frozen, it may answer due requests late."""
         self.unreachable_spans[front].append((since, until))
         for (name, _), request in self.requests.items() if is_frozen else ():
             if name == front and not request.answers and request.deadline > since:
                 request.answer_by = max(request.answer_by, until)
 
     def earliest_notice(self, front: str, published_at: float) -> float:
-        """When a front could first know what was published at a moment."""
+        """Return the earliest time at which a front could receive an event published at a given time."""
         for since, until in sorted(self.unreachable_spans[front]):
             if since <= published_at < until:
                 published_at = until
         return published_at
 
-    # What crosses the sockets.
+    # Messages on sockets.
 
     def on_message(self, observed: ObservedMessage) -> None:
-        """One message, or the end of a connection."""
+        """Process a message or a connection event."""
         match observed.message:
             case Process() as call:
                 self._on_request(observed, call)
@@ -173,7 +176,7 @@
         at = observed.at
         request = self.requests_by_call.get((observed.link, answer.seqid))
         if request is None:
-            self._add_violation(Rule.ONE_ANSWER, f"seqid {answer.seqid}", at, "an answer to no request")
+            self._add_violation(Rule.ONE_ANSWER, f"seqid {answer.seqid}", at, "answer without a request")
             return
         self.counts[answer.outcome] += 1
         if request.answers:
@@ -196,7 +199,7 @@
     def _check_purges(self, at: float, request: RequestRecord, front: str) -> None:
         attempt = next((p for p in reversed(request.attempts) if p.outcome == "DONE"), None)
         if attempt is None:
-            self._add_violation(Rule.ONE_ANSWER, request, at, "served, though no cache had made it")
+            self._add_violation(Rule.ONE_ANSWER, request, at, "fulfilled, but no attempt ended with DONE")
             return
         for purge in self.purges:
             is_hit = purge.key == request.key if purge.key else purge.group == request.group
@@ -218,7 +221,7 @@
         request = self.requests.get((observed.front, command.name))
         if request is None:
             if command.word == "do":
-                self._add_violation(Rule.ONE_ANSWER, command.name, at, "an attempt of no client's request")
+                self._add_violation(Rule.ONE_ANSWER, command.name, at, "attempt without a client's request")
         elif command.word == "undo":
             self._end_attempts(request, observed, "undone")
         elif command.word == "do":
@@ -239,7 +242,7 @@
 
     @staticmethod
     def _end_attempts(request: RequestRecord, observed: ObservedMessage, outcome: str) -> list[Attempt]:
-        """End those in flight on a link; returns them."""
+        """Mark the request's attempts in flight on a link as ended, and return them."""
         ended = [a for a in request.attempts if a.ended is None and a.link == observed.link]
         for attempt in ended:
             attempt.ended = observed.at
@@ -281,10 +284,10 @@
         violation = self.slow_start_audit.on_attempt(observed.at, uid, request.request_class, is_notified)
         if violation:
             rule, proof = violation
-            self._add_violation(rule, request, observed.at, f"{uid} began at {start.started_at:.4f}", proof)
+            self._add_violation(rule, request, observed.at, f"{uid} started at {start.started_at:.4f}", proof)
 
     def _check_client(self, attempt: Attempt, request: RequestRecord) -> None:
-        """Nothing begins for a client that has closed or cancelled."""
+        """Check that no attempt starts after the client has closed or cancelled."""
         if request.abandoned_at is None:
             return
         self.counts["attempts for clients just gone"] += 1
@@ -298,7 +301,7 @@
             )
 
     def _check_deadline(self, at: float, request: RequestRecord, attempt_timeout: float) -> None:
-        """A cache is told no more time than the client has left."""
+        """Check that the timeout sent to a cache does not exceed the client's remaining time."""
         remaining = request.deadline - at
         self.counts["deadlines told late"] += at > request.received + DEADLINE_SLACK
         if attempt_timeout > remaining + DEADLINE_SLACK:
@@ -306,8 +309,8 @@
                 Rule.DEADLINE,
                 request,
                 at,
-                f"{attempt_timeout:.3f} s told, {remaining:.3f} s left",
-                f"of {request.received:.4f}",
+                f"{attempt_timeout:.3f} s timeout, {remaining:.3f} s left",
+                f"received at {request.received:.4f}",
             )
 
     def _on_cache_answer(self, observed: ObservedMessage, answer: Answer) -> None:
@@ -318,20 +321,20 @@
             attempt.made_ms = self.copy_times_ms.get((observed.peer, answer.name))
 
     def _on_cancelled(self, at: float, request: RequestRecord) -> None:
-        """A client waits for a request no more."""
+        """Record that a client no longer waits for a request."""
         self.counts["requests left open by clients"] += request.is_awaited()
         if request.abandoned_at is None:
             request.abandoned_at = at
 
     def _on_ended_by_client(self, observed: ObservedMessage) -> None:
-        """A client closes or resets its connection: it waits for nothing on it."""
+        """Process the close or reset of a connection by its client, which waits for no more answers."""
         if observed.link not in self.ended_links:
             self.ended_links.add(observed.link)
             for request in self.requests_by_link[observed.link]:
                 self._on_cancelled(observed.at, request)
 
     def _on_ended_by_front(self, observed: ObservedMessage) -> None:
-        """A front closes or resets a client's connection, on which nothing that it has taken may be open."""
+        """Check a client connection that its front closes or resets: no request on it may be unanswered."""
         if observed.link in self.ended_links:
             return
         self.ended_links.add(observed.link)
@@ -352,16 +355,16 @@
         request.excuse = "reported as closed"
 
     def _on_closed(self, observed: ObservedMessage) -> None:
-        """A connection has ended for the front: attempts on it are over."""
+        """End the attempts on a connection that has ended for its front."""
         for key in sorted(self.in_flight.pop(observed.link, ())):
             self._end_attempts(self.requests[key], observed, "reset")
 
     def verdict(self, end: float) -> list[Violation]:
-        """All violations, at the end of the run."""
+        """Check for unanswered requests at the end of the run, and return all violations."""
         for request in self.requests.values():
             if request.is_unanswered(SLACK, end):
                 proof = [f"received at {request.received:.4f}", *map(str, request.attempts)]
                 self._add_violation(
-                    Rule.ONE_ANSWER, request, request.deadline, "none before its deadline", *proof
+                    Rule.ONE_ANSWER, request, request.deadline, "no answer before its deadline", *proof
                 )
         return self.violations
--- a/weldbend/testbed/simulation/clock_steps.py
+++ b/weldbend/testbed/simulation/clock_steps.py
@@ -1,7 +1,7 @@
-"""Steps of Unix clocks in a simulated run: at one front, at all, at the bus or at the caches alone.
+"""Steps of Unix clocks in a simulated run: of one front, all fronts, the bus or the caches.
 
-They are drawn from numbers of their own, so that a seed's load and other faults are the same with and
-without them. The steady clocks run on.
+They are drawn from a random generator of their own, so that a seed's load and other faults are the same with
+and without them. The monotonic clocks are not affected.
 """
 
 import math
@@ -12,12 +12,12 @@
 
 SMALLEST_STEP = 0.2  # seconds
 LARGEST_STEP = 3600.0  # seconds
-EARLIEST_STEP = 0.4  # seconds after the start
-INITIAL_STEP_FRACTION = 0.3  # fraction of the runs in which a front's clock is wrong from the start
+EARLIEST_STEP = 0.4  # seconds after the start of the run
+INITIAL_STEP_FRACTION = 0.3  # fraction of the runs in which a front starts with a stepped clock
 
 
 class ClockSteps:
-    """Draws the steps of one run, and makes them in their time."""
+    """Draws the clock steps of a run and applies them at their times."""
 
     def __init__(self, context: RunContext, site: SimulatedSite) -> None:
         self.context = context
@@ -25,7 +25,7 @@
         self.rng = Random(f"clock steps of {context.seed}")
 
     def schedule(self) -> None:
-        """Schedule all steps of the run; called before the fronts start."""
+        """Schedule all steps of the run; to be called before the fronts start."""
         settings = self.context.settings
         if not settings.clock_steps:
             return
@@ -39,7 +39,7 @@
         self.context.network.events.schedule(at, lambda: self.step(clocks, size))
 
     def _draw_size(self) -> float:
-        """Seconds, as often small as large, ahead as often as back."""
+        """Draw a step in seconds: log-uniform in size, forward or backward with equal probability."""
         size = math.exp(self.rng.uniform(math.log(SMALLEST_STEP), math.log(LARGEST_STEP)))
         return size * self.rng.choice((-1, 1))
 
@@ -51,7 +51,7 @@
         return self.rng.choice(([self._draw_front()], all_fronts, [BUS_CLOCK], [CACHE_CLOCK]))
 
     def step(self, clocks: list[str], size: float) -> None:
-        """Step some Unix clocks by so many seconds."""
+        """Step some Unix clocks by a number of seconds."""
         self.context.log.add(f"Unix clocks of {clocks} are stepped by {size:.3f}")
         for clock in clocks:
             self.site.unix_steps[clock] += size
--- a/weldbend/testbed/simulation/datagrams.py
+++ b/weldbend/testbed/simulation/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams on the virtual network: lost, duplicated, delayed and reordered as the path has it."""
+"""Datagrams on the virtual network, with loss, duplication, delay and reordering by path."""
 
 from typing import TYPE_CHECKING
 
@@ -11,9 +11,9 @@
 
 
 class DatagramPort:
-    """A UDP port of one machine, and the transport of the protocol that receives there."""
+    """UDP port of a machine; also the transport of the protocol that receives on it."""
 
-    SOCKET_BUFFER = 64  # datagrams that the socket of a frozen process keeps
+    SOCKET_BUFFER = 64  # datagrams buffered while the process is frozen
 
     def __init__(self, machine: "Machine", host: str, port: int, protocol: DatagramProtocol) -> None:
         self.machine = machine
@@ -24,7 +24,7 @@
         if self.address in self.network.datagram_ports:
             raise AddressTakenError(self.address)
         self.network.datagram_ports[self.address] = self
-        protocol.transport = self  # type: ignore[assignment]  # it has what the protocols call
+        protocol.transport = self  # type: ignore[assignment]  # has the methods that the protocols call
 
     def write(self, data: bytes, to: Address) -> None:
         """Send one datagram."""
@@ -50,7 +50,7 @@
         machine.run_guarded(receiver.receive, data, (self.machine.host, self.address[1]))
 
     def receive(self, data: bytes, sender: Address) -> None:
-        """Hand a datagram to the protocol."""
+        """Deliver a datagram to the protocol."""
         self.buffered = 0
         self.protocol.datagramReceived(data, sender)
 
--- a/weldbend/testbed/simulation/event_queue.py
+++ b/weldbend/testbed/simulation/event_queue.py
@@ -1,4 +1,4 @@
-"""Virtual time: a queue of delayed calls, ordered by time and then by when they were scheduled."""
+"""Virtual time: a queue of delayed calls, ordered by time and then by order of scheduling."""
 
 import heapq
 import itertools
@@ -8,7 +8,7 @@
 
 
 class DelayedCall:
-    """One scheduled call, with the methods of Twisted's `IDelayedCall` that a front uses."""
+    """Scheduled call, with the methods of Twisted's `IDelayedCall` that a front uses."""
 
     __slots__ = ("call", "time")
 
@@ -17,20 +17,20 @@
         self.call = call
 
     def active(self) -> bool:
-        """Whether the call is still to come."""
+        """Return whether the call is still pending."""
         return self.call is not None
 
     def cancel(self) -> None:
-        """Make it never happen; its entry stays in the queue until its time."""
+        """Cancel the call; its entry stays in the queue until its time."""
         self.call = None
 
     def getTime(self) -> float:
-        """Virtual seconds at which it is due."""
+        """Return the virtual time in seconds at which the call is due."""
         return self.time
 
 
 class EventQueue:
-    """The clock and the event queue of one run. Times are seconds since the virtual start."""
+    """Clock and event queue of a run. Times are seconds since the virtual start."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -38,17 +38,17 @@
         self._heap: list[tuple[float, int, DelayedCall]] = []
 
     def unix(self) -> float:
-        """The virtual time in seconds of the Unix epoch."""
+        """Return the virtual time as Unix time in seconds."""
         return UNIX_START + self.now
 
     def schedule(self, delay: float, call: Callable[[], object]) -> DelayedCall:
-        """Call after `delay` seconds; a negative delay counts as none."""
+        """Schedule a call after `delay` seconds; a negative delay counts as 0."""
         delayed = DelayedCall(self.now + max(delay, 0.0), call)
         heapq.heappush(self._heap, (delayed.time, next(self._sequence), delayed))
         return delayed
 
     def run(self, until: float) -> None:
-        """Make every call that is due up to a moment, and advance the clock to it."""
+        """Run all calls due up to the time `until`, and advance the clock to it."""
         while self._heap and self._heap[0][0] <= until:
             self.now, _, delayed = heapq.heappop(self._heap)
             call = delayed.call
--- a/weldbend/testbed/simulation/front_shutdowns.py
+++ b/weldbend/testbed/simulation/front_shutdowns.py
@@ -1,6 +1,6 @@
-"""Planned restarts of fronts: SIGTERM, and SIGKILL as early as the platform may send it.
+"""Planned restarts of fronts: SIGTERM, then SIGKILL at the earliest time at which the platform may send it.
 
-Clients go on sending on open connections until then. Nothing that the front has taken is excused.
+Clients continue to send on open connections until then. No request that the front has accepted is excused.
 """
 
 from random import Random
@@ -8,14 +8,14 @@
 from weldbend.testbed.simulation.machine import Machine
 from weldbend.testbed.simulation.site import RunContext, SimulatedSite
 
-MAX_SHUTDOWN_WAIT = 3.0  # seconds: the most of the longest deadline that passes before SIGKILL
-KILL_MARGIN = 0.7  # seconds from there on to SIGKILL
+MAX_SHUTDOWN_WAIT = 3.0  # seconds; upper bound of the wait for the longest deadline
+KILL_MARGIN = 0.7  # seconds from the end of that wait to SIGKILL
 RESTART_DELAY = 0.3  # seconds from SIGKILL to the next start
 EARLIEST_SHUTDOWN = 1.0  # seconds after the start of the run
 
 
 class FrontShutdowns:
-    """Shuts one front of a run down, and starts it again."""
+    """Shuts down one front of a run and restarts it."""
 
     def __init__(self, context: RunContext, site: SimulatedSite) -> None:
         self.context = context
@@ -30,7 +30,7 @@
         self.site.events.schedule(at, lambda: self.shut_down(self.random.choice(sorted(self.site.fronts))))
 
     def shut_down(self, number: int) -> None:
-        """Send a front SIGTERM, and SIGKILL if it still runs when that may come."""
+        """Send a front SIGTERM, and SIGKILL if it still runs at the earliest time allowed for it."""
         machine, front = self.site.fronts[number]
         if not machine.is_alive:
             return
@@ -43,7 +43,7 @@
 
     def _kill(self, number: int, machine: Machine) -> None:
         if not machine.is_alive and not machine.is_stopped:
-            return  # another fault has killed it, and starts it again
+            return  # killed by another fault, which also restarts it
         if machine.is_alive:
             self.context.auditor.counts["fronts killed at the end of a shutdown"] += 1
             machine.kill()
--- a/weldbend/testbed/simulation/leaving_clients.py
+++ b/weldbend/testbed/simulation/leaving_clients.py
@@ -1,31 +1,31 @@
-"""Clients that leave: they cancel requests, close or reset connections, also right after a burst."""
+"""Clients that cancel requests, or close or reset connections, some right after a burst of requests."""
 
 from random import Random
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # for annotations only: the workload makes these clients leave
+if TYPE_CHECKING:  # for annotations only: the workload imports this module
     from weldbend.testbed.simulation.workload import ClientConnection, Workload
 
-CANCELLED_FRACTION = 0.04  # fraction of the requests that are cancelled if their answer takes long enough
-EARLY_CANCELLATION_FRACTION = 0.5  # fraction of the cancellations that come within SHORT_DELAY
-SHORT_DELAY = 0.02  # seconds
-LONG_DELAY = 1.5  # seconds
-REQUESTS_PER_CLOSE = 40.0  # requests sent, in the mean, until a client closes one connection
-BURST_FRACTION = 0.3  # fraction of the closes that come right after a burst
+CANCELLED_FRACTION = 0.04  # fraction of requests to cancel, unless answered before
+EARLY_CANCELLATION_FRACTION = 0.5  # fraction of cancellations within SHORT_DELAY
+SHORT_DELAY = 0.02  # seconds; maximum delay of early cancellations and of closes
+LONG_DELAY = 1.5  # seconds; maximum delay of other cancellations
+REQUESTS_PER_CLOSE = 40.0  # mean number of requests between two closes
+BURST_FRACTION = 0.3  # fraction of closes right after a burst
 BURST_SIZE = 6  # requests
-RESET_FRACTION = 0.5  # fraction of the closes that reset the connection
-EARLIEST_CLOSE = 0.6  # seconds after the start
+RESET_FRACTION = 0.5  # fraction of closes that reset the connection
+EARLIEST_CLOSE = 0.6  # seconds after the start of the run
 
 
 class LeavingClients:
-    """Draws which clients leave, from a generator of its own."""
+    """Draws cancellations and closes from a random generator of its own."""
 
     def __init__(self, workload: "Workload", seed: int) -> None:
         self.workload = workload
         self.random = Random(f"{seed} clients that leave")
 
     def schedule(self) -> None:
-        """Schedule the closes of a whole run."""
+        """Schedule all closes of a run."""
         settings = self.workload.context.settings
         if not settings.rate:
             return
@@ -34,7 +34,7 @@
             self.workload.events.schedule(at, self._disconnect_client)
 
     def draw_cancellation(self) -> float | None:
-        """Seconds after which a request is cancelled; None where it is not."""
+        """Draw the seconds after which a request is cancelled; None if it is not."""
         if self.random.random() >= CANCELLED_FRACTION:
             return None
         return self.random.uniform(
--- a/weldbend/testbed/simulation/machine.py
+++ b/weldbend/testbed/simulation/machine.py
@@ -1,6 +1,6 @@
-"""Virtual machines: each is the Twisted reactor of one process, in memory and repeatable.
+"""Virtual machines: each is a deterministic in-memory Twisted reactor of one process.
 
-A machine that is killed runs nothing any more, and its peers are notified as a real network would do it.
+A machine that is killed runs no more calls, and its peers see its connections reset, as on a real network.
 """
 
 from collections import deque
@@ -20,51 +20,51 @@
 
 
 class FakeSocket:
-    """A socket whose options have no effect."""
+    """Socket whose options have no effect."""
 
     def setsockopt(self, *_: object) -> None:
         """Accept any option."""
 
 
 class ListeningPort:
-    """A listening TCP port, with the members of Twisted's that a front uses."""
+    """Listening TCP port, with the members of Twisted's port that a front uses."""
 
     def __init__(self, machine: "Machine", host: str, port: int, factory: Factory) -> None:
         self.machine = machine
         self.address = (host, port)
         self.factory = factory
         self.is_paused = False
-        self.backlog = deque[Callable[[], None]]()  # connections to be accepted
+        self.backlog = deque[Callable[[], None]]()  # connections waiting to be accepted
         self.socket = FakeSocket()
         self.numberAccepts = 1
 
     def getHost(self) -> IPv4Address:
-        """The address that it listens on."""
+        """Return the address of the port."""
         return IPv4Address("TCP", *self.address)
 
     def pauseProducing(self) -> None:
-        """Accept no more for now."""
+        """Stop accepting connections."""
         self.is_paused = True
 
     def resumeProducing(self) -> None:
-        """Accept what has waited, and what comes."""
+        """Accept the waiting connections and new ones."""
         self.is_paused = False
         while self.backlog and not self.is_paused:
             self.backlog.popleft()()
 
     def doRead(self) -> None:
-        """Accept all that waits, paused or not."""
+        """Accept all waiting connections, even while paused."""
         while self.backlog:
             self.backlog.popleft()()
 
     def stopListening(self) -> None:
-        """Close the port; what waits is dropped."""
+        """Close the port and drop the waiting connections."""
         self.machine.network.ports.pop(self.address, None)
         self.backlog.clear()
 
 
 class Connector:
-    """An attempt to connect, and the connection that came of it."""
+    """Attempt to connect, and the resulting connection."""
 
     def __init__(self, host: str, port: int) -> None:
         self.is_cancelled = False
@@ -81,12 +81,12 @@
     stopConnecting = disconnect
 
     def getDestination(self) -> IPv4Address:
-        """The address that is dialled."""
+        """Return the address to connect to."""
         return self.destination
 
 
 class ConnectionAttempt:
-    """One `connectTCP`, step by step: the request arrives, is accepted, and the client's end comes up."""
+    """Steps of one `connectTCP`: the request arrives, is accepted, and the connecting end is started."""
 
     def __init__(
         self, machine: "Machine", connector: Connector, factory: ClientFactory, timeout: float
@@ -95,10 +95,10 @@
         self.network = machine.network
         self.connector = connector
         self.factory = factory
-        self.timeout = timeout  # seconds until an attempt that is not answered fails
+        self.timeout = timeout  # seconds after which an unanswered attempt fails
 
     def arrive(self) -> None:
-        """The request has reached the host that is dialled, if the network lets it."""
+        """Process the request at the destination host, if it is reachable."""
         network = self.network
         source_host = self.machine.host
         destination_host = self.connector.destination.host
@@ -133,7 +133,7 @@
         accepting_end.peer = connecting_end
         self.network.on_connection(connecting_end, accepting_end)
         self.connector.transport = connecting_end
-        if listening.machine.is_frozen:  # its system accepts; the process notices when it goes on
+        if listening.machine.is_frozen:  # the kernel accepts; the process continues when it is resumed
             listening.machine.deferred_calls.append(lambda: self._serve_or_abort(listening, accepting_end))
         elif not self._serve(listening, accepting_end):
             self.machine.callLater(self.network.draw_latency(), self._fail, TwistedConnectionRefusedError)
@@ -145,7 +145,7 @@
             accepting_end.abortConnection()
 
     def _serve(self, listening: ListeningPort, accepting_end: Transport) -> bool:
-        """Start the server's end; false where its factory makes no protocol."""
+        """Start the accepting end; return False if its factory makes no protocol."""
         client = IPv4Address("TCP", self.machine.host, 0)
         protocol: Any = listening.factory.buildProtocol(client)  # type: ignore[arg-type]  # IAddress
         if protocol is not None:
@@ -161,7 +161,7 @@
 
 
 class ErrorRecorder:
-    """Ends a call that raises, as a reactor does; the error becomes part of the run's result."""
+    """Context manager that catches exceptions, as a reactor does, and adds them to the run's errors."""
 
     def __init__(self, machine: "Machine") -> None:
         self.machine = machine
@@ -179,7 +179,7 @@
 
 
 class Machine:
-    """The reactor of one process. `host` is its address."""
+    """Reactor of one process; `host` is its address."""
 
     running = True
 
@@ -191,26 +191,26 @@
         self.is_alive = True
         self.is_stopped = False
         self.is_frozen = False
-        self.deferred_calls: list[Callable[[], object]] = []  # what became due while it was frozen
+        self.deferred_calls: list[Callable[[], object]] = []  # calls that became due while frozen
 
-    # IReactorTime, IReactorTCP, IReactorUDP and what else a front calls on its reactor.
+    # Methods of IReactorTime, IReactorTCP, IReactorUDP, and others that a front calls on its reactor.
 
     def seconds(self) -> float:
-        """The virtual time."""
+        """Return the virtual time in seconds."""
         return self.network.events.now
 
     def callLater(
         self, delay: float, call: Callable[..., object], *args: object, **kwargs: object
     ) -> DelayedCall:
-        """Call after so many seconds, if the machine is alive then."""
+        """Schedule a call after `delay` seconds; it is skipped if the machine is dead by then."""
         return self.network.events.schedule(delay, lambda: self.run_guarded(call, *args, **kwargs))
 
     def callFromThread(self, call: Callable[..., object], *args: object) -> None:
-        """Call in a later event; there are no threads."""
+        """Schedule a call as a later event; there are no threads."""
         self.callLater(0, call, *args)
 
     def listenTCP(self, port: int, factory: Factory, backlog: int = 50, interface: str = "") -> ListeningPort:
-        """Listen on a port; raises AddressTakenError where it is taken."""
+        """Listen on a TCP port; raises AddressTakenError if it is in use."""
         address = interface or self.host, port
         if address in self.network.ports:
             raise AddressTakenError(address)
@@ -221,7 +221,7 @@
     def connectTCP(
         self, host: str, port: int, factory: ClientFactory, timeout: float = 30, bindAddress: object = None
     ) -> Connector:
-        """Dial; the factory is notified of the outcome."""
+        """Connect to an address; the factory is notified of the outcome."""
         connector = Connector(host, port)
         factory.startedConnecting(connector)  # type: ignore[arg-type]  # IConnector
         attempt = ConnectionAttempt(self, connector, factory, timeout)
@@ -231,23 +231,23 @@
     def listenUDP(
         self, port: int, protocol: DatagramProtocol, interface: str = "", maxPacketSize: int = 8192
     ) -> DatagramPort:
-        """Receive datagrams on a port; raises AddressTakenError where it is taken."""
+        """Receive datagrams on a UDP port; raises AddressTakenError if it is in use."""
         return DatagramPort(self, interface or self.host, port, protocol)
 
     def addReader(self, reader: object) -> None:
-        """Nothing: there are no descriptors."""
+        """Do nothing: there are no descriptors."""
 
     removeReader = addReader
 
     def stop(self) -> None:
-        """The process ends by itself."""
+        """End the process, as its own decision."""
         self.is_stopped = True
         self.callLater(0, self.kill)
 
-    # What happens to the process.
+    # State of the process.
 
     def run_guarded(self, call: Callable[..., object], *args: object, **kwargs: object) -> None:
-        """Call as this process: later where it is frozen, never where it is dead."""
+        """Call a function as this process: deferred if it is frozen, skipped if it is dead."""
         if self.is_frozen:
             self.deferred_calls.append(lambda: self.run_guarded(call, *args, **kwargs))
         elif self.is_alive:
@@ -255,11 +255,11 @@
                 call(*args, **kwargs)
 
     def freeze(self) -> None:
-        """Run nothing any more (SIGSTOP); its sockets go on receiving."""
+        """Suspend the process (SIGSTOP); its sockets continue to receive."""
         self.is_frozen = True
 
     def thaw(self) -> None:
-        """Run what became due meanwhile, in its order, and then read what the sockets hold."""
+        """Resume the process: run the deferred calls in order, then deliver received data."""
         self.is_frozen = False
         deferred_calls = self.deferred_calls
         self.deferred_calls = []
@@ -269,7 +269,7 @@
             transport.deliver()
 
     def kill(self) -> None:
-        """The process dies: its ports close, its connections are reset."""
+        """Kill the process: its ports close and its connections are reset."""
         self.is_alive = False
         for address in [a for a, port in self.network.ports.items() if port.machine is self]:
             del self.network.ports[address]
--- a/weldbend/testbed/simulation/observation.py
+++ b/weldbend/testbed/simulation/observation.py
@@ -1,4 +1,4 @@
-"""Taps the connections of a simulated run, and hands what crosses them to the log and the auditor."""
+"""Taps the connections of a simulated run, and passes their messages to the log and the auditor."""
 
 from collections.abc import Callable
 
@@ -21,7 +21,7 @@
 class Observation:
     """Numbers and taps each connection between clients and fronts, and between fronts and caches.
 
-    Between fronts and caches an injector's faults are at work, on what caches answer.
+    An injector applies faults to the answers of caches to fronts.
     """
 
     def __init__(self, context: RunContext, site: SimulatedSite, injector: Injector) -> None:
@@ -31,7 +31,7 @@
         self.link_count = 0
 
     def on_connection(self, connecting_end: Transport, accepting_end: Transport) -> None:
-        """A connection that comes up; `connecting_end` dialled `accepting_end`."""
+        """Tap a new connection and give it a number, if the auditor observes it."""
         self.link_count += 1
         link = self.link_count
         front_names = {machine.host: machine.name for machine, _ in self.site.fronts.values()}
@@ -68,7 +68,7 @@
     def _observe_client(
         connecting_end: Transport, accepting_end: Transport, observe: Callable[[Message], None]
     ) -> None:
-        """Observe which side ends a client's connection, and what the front's process has read of it."""
+        """Observe which side ends a client's connection, and which requests its front has read."""
 
         def on_read(message: Message) -> None:
             if isinstance(message, Process):
--- a/weldbend/testbed/simulation/observer.py
+++ b/weldbend/testbed/simulation/observer.py
@@ -1,7 +1,7 @@
-"""What crosses the sockets of a simulated run, as messages with their times: the auditor's only source.
+"""Observed messages on the sockets of a simulated run, with their times: the input of the auditor.
 
-Bytes are tapped where they are handed to the network, and read with the testbed's own parsers; no front is
-queried, and no code of the decisions is used.
+Bytes are tapped when they are passed to the network, and read with the testbed's own parsers. No front is
+queried, and no code of the routing decisions is used.
 """
 
 from collections.abc import Callable, Iterator
@@ -32,17 +32,17 @@
 
 
 class ConnectionEvent(Enum):
-    """What is observed of a connection besides messages."""
+    """Events of a connection other than messages."""
 
     CLOSED = "closed"
     CLIENT_ENDED = "ended by the client"  # it sends nothing more, and waits for no answer
     FRONT_ENDED = "ended by the front"  # it sends nothing more
-    UNREADABLE = "unreadable"  # bytes that are no message; nothing is read after them
+    UNREADABLE = "unreadable"  # invalid bytes; nothing after them is read
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRead:
-    """The process of a front has read the last byte of a request."""
+    """Event that the process of a front has read the last byte of a request."""
 
     seqid: int
 
@@ -52,7 +52,7 @@
 
 
 class Traffic(Enum):
-    """What one direction of a connection carries."""
+    """Kinds of messages in one direction of a connection."""
 
     CLIENT_CALLS = "client calls"
     CLIENT_ANSWERS = "client answers"
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservedMessage:
-    """One message; `link` numbers the connection, `front` names the front at one of its ends."""
+    """Message with its time; `link` is the number of the connection, `front` the front at one end of it."""
 
     at: float
     link: int
@@ -87,7 +87,7 @@
 
 
 def message_reader(traffic: Traffic, ring: Ring) -> Callable[[], Iterator[Message]]:
-    """A function that yields the messages that are complete in a ring; it raises one of PARSE_ERRORS."""
+    """Return a function that yields the complete messages in a ring; it may raise one of PARSE_ERRORS."""
     match traffic:
         case Traffic.CLIENT_CALLS:
             return partial(_client_calls, ring)
@@ -100,7 +100,7 @@
 
 
 class Tap:
-    """Reads one direction of one connection, and hands on each message."""
+    """Parses one direction of a connection, and passes each message to a callback."""
 
     def __init__(self, traffic: Traffic, on_message: Callable[[Message], None]) -> None:
         self.on_message = on_message
@@ -109,7 +109,7 @@
         self._read = message_reader(traffic, self._ring)
 
     def __call__(self, data: bytes) -> None:
-        """Bytes that were sent."""
+        """Parse bytes that were sent."""
         rest = memoryview(data)
         while rest and not self.is_unreadable:
             rest = rest[self._ring.write(rest) :]
@@ -118,7 +118,7 @@
                 self.on_message(message)
 
     def _next(self, messages: Iterator[Message]) -> Message | None:
-        """The next message, None where there is none yet; UNREADABLE once where there can be no more."""
+        """Return the next message, or None if there is none yet; after invalid bytes, UNREADABLE once."""
         try:
             return next(messages, None)
         except PARSE_ERRORS:
--- a/weldbend/testbed/simulation/run.py
+++ b/weldbend/testbed/simulation/run.py
@@ -1,4 +1,4 @@
-"""One simulated run from one integer: site, load, faults, restarts, endpoint lists and purges."""
+"""Simulated run of one seed: site, load, faults, restarts, endpoint lists and purges."""
 
 import hashlib
 import random
@@ -23,26 +23,26 @@
 
 @dataclass
 class Result:
-    """What a run came to; it is clean where there are no violations, errors and divergences."""
+    """Result of a run; the run passed if there are no violations, errors or divergences."""
 
     seed: int
     violations: list[Violation]
-    counts: dict[str, int]  # of requests, attempts and outcomes, by name
+    counts: dict[str, int]  # numbers of requests, attempts and outcomes, by name
     log: list[str] = field(repr=False)
-    errors: list[str]  # exceptions out of protocols
-    injected: dict[str, int] = field(default_factory=dict)  # how often each fault of the plan was injected
-    divergences: list[str] = field(default_factory=list)  # on what replicas differ at the end
-    byte_digest: str = ""  # of raw bytes and their times: names in the code do not change it
+    errors: list[str]  # exceptions raised by protocols
+    injected: dict[str, int] = field(default_factory=dict)  # number of injections, by fault of the plan
+    divergences: list[str] = field(default_factory=list)  # differences between replicas at the end
+    byte_digest: str = ""  # of raw bytes and their times; independent of names in the code
 
     def digest(self) -> str:
-        """Digest of the log."""
+        """Return the digest of the log."""
         return hashlib.sha256("\n".join(self.log).encode()).hexdigest()
 
 
 class Run:
-    """One run: `play` carries it out.
+    """Simulated run of one seed; `play` executes it.
 
-    A fleet's run overrides `create_front`, `schedule_faults` and `divergences`.
+    The run of a fleet overrides `create_front`, `schedule_faults` and `divergences`.
     """
 
     settings: RunSettings
@@ -65,12 +65,12 @@
         self.observation = Observation(context, self.site, self.injector)
 
     def create_front(self, machine: Machine, site: Site) -> Front:
-        """A front that is not started yet."""
+        """Create a front without starting it."""
         clock = VirtualClock(self.network, unix_step=lambda: self.site.unix_steps[machine.name])
         return Front(machine, site, clock=clock)
 
     def step_clocks(self) -> None:
-        """Schedule the steps of Unix clocks; some are wrong when the fronts start."""
+        """Schedule the steps of Unix clocks; the first may occur before the fronts start."""
         self.clock_steps.schedule()
 
     def schedule_faults(self) -> None:
@@ -79,11 +79,11 @@
         self.shutdowns.schedule()
 
     def divergences(self) -> list[str]:
-        """On what fronts that share state differ at the end; these share none."""
+        """Return differences of the state shared between fronts; without a fleet, none is shared."""
         return []
 
     def play(self) -> Result:
-        """Carry out the whole run."""
+        """Execute the whole run."""
         self.network.on_connection = self.observation.on_connection
         self.step_clocks()
         for number in self.workload.connections:
--- a/weldbend/testbed/simulation/seed_search.py
+++ b/weldbend/testbed/simulation/seed_search.py
@@ -1,4 +1,4 @@
-"""Plays many seeds over several processes, and reports which violate a rule."""
+"""Runs many seeds in several processes, and reports which of them violate a rule."""
 
 import multiprocessing
 import time
@@ -13,27 +13,27 @@
 
 
 def silence_fronts() -> None:
-    """Let the fronts of this process log nothing: what counts is in a run's own log."""
-    from loguru import logger  # here, so that the commands that use it do not load it before
+    """Disable the logs of the fronts in this process; the events of a run are in its own log."""
+    from loguru import logger  # imported on use, so that importing this module does not load it
 
     logger.remove()
 
 
 @dataclass(frozen=True, slots=True)
 class SeedReport:
-    """What one seed came to, as plain values that are sent between processes."""
+    """Result of one seed, as plain values that can be sent between processes."""
 
     seed: int
     byte_digest: str
     violations: list[str]
-    errors: list[str]  # exceptions out of protocols, and divergences
+    errors: list[str]  # exceptions raised by protocols, and divergences
     counts: dict[str, int]
     injected: dict[str, int]
-    seconds: float  # that the run took
+    seconds: float  # real time that the run took
 
 
 def play(seed: int, settings: RunSettings) -> Result:
-    """Play one seed, with a fleet where the settings are a fleet's."""
+    """Run one seed, as a fleet if the settings are those of a fleet."""
     if isinstance(settings, FleetRunSettings):
         return FleetRun(seed, settings).play()
     return Run(seed, settings).play()
@@ -54,13 +54,13 @@
 
 
 def search(seeds: range, jobs: int, settings: RunSettings) -> Iterator[SeedReport]:
-    """Reports in the order of the seeds, from so many processes."""
+    """Run seeds in `jobs` processes; yield their reports in the order of the seeds."""
     with multiprocessing.get_context("spawn").Pool(jobs, silence_fronts) as pool:
         yield from pool.imap(_report, [(seed, settings) for seed in seeds], chunksize=1)
 
 
 def totals(reports: list[SeedReport]) -> dict[str, Any]:
-    """What a search came to, over all its seeds, as it is printed."""
+    """Return the summary of a search over all its seeds, as it is printed."""
     counts = Counter[str]()
     injected = Counter[str]()
     for report in reports:
--- a/weldbend/testbed/simulation/settings.py
+++ b/weldbend/testbed/simulation/settings.py
@@ -1,4 +1,4 @@
-"""What a simulated run consists of: its size, its site's rules, and the faults that may be drawn."""
+"""Settings of simulated runs: size, rules of the site, and the faults that may be drawn."""
 
 from dataclasses import dataclass
 from random import Random
@@ -25,7 +25,7 @@
     deduplication_windows={"photo": 5.0, "order": 3.0, "edit": 1.0},
     slow_start_rules={"box": SlowStartRule(0.2, 10.0, 2.0), "parent": SlowStartRule(0.1, 20.0, 2.0)},
 )
-# Of each kind of fault on a connection, the values of its keys that are drawn from.
+# Values that are drawn from for each key, by kind of connection fault.
 CONNECTION_FAULTS: dict[str, dict[str, tuple[str, ...]]] = {
     "delay": {"for": ("80 ms", "450 ms", "550 ms", "2 s"), "jitter": ("0 s", "300 ms")},
     "throttle": {"rate": ("20000", "200000")},
@@ -39,49 +39,49 @@
     "corrupt": {"inside": ("0", "17", "25", "60"), "bytes": ("1", "3")},
     "rewrite": {"set": ("born", "ver", "use", "length", "detail", "waited"), "to": ("1", "99", "x", "-5")},
 }
-PURGE_GROUPS = 4  # groups that objects belong to, by rank; a purge may name one
+PURGE_GROUPS = 4  # groups of objects, assigned by rank; a purge may name a group
 FRONT_PORT = 7001
 CACHE_PORT = 7100
 BUS_PORT = 9092
 BUS_HOST = "10.0.2.1"
 CLIENT_HOST = "10.0.3.1"
-BUS_CLOCK = "bus"  # names the Unix clock that stamps purges
-CACHE_CLOCK = "caches"  # the one of all caches and the origin, which stamps starts and copies
+BUS_CLOCK = "bus"  # name of the Unix clock that timestamps purges
+CACHE_CLOCK = "caches"  # name of the clock of all caches and the origin, which timestamps starts and copies
 
 
 def front_name(number: int) -> str:
-    """The name of a front, and of its machine."""
+    """Return the name of a front and of its machine."""
     return f"n{number}"
 
 
 def front_host(number: int) -> str:
-    """The address of a front."""
+    """Return the address of a front."""
     return f"10.0.0.{number}"
 
 
 @dataclass(frozen=True, slots=True)
 class RunSettings:
-    """How large a run is, and what may happen in it. Rates a second, times in seconds."""
+    """Size of a run and the faults that may occur in it. Rates are per second, times in seconds."""
 
     fronts: int = 3
     edges: int = 4
     parents: int = 2
-    rate: float = 60.0  # requests
-    seconds: float = 8.0  # of load
-    orders: float = 0.08  # fraction of requests that are of this class
-    edits: float = 0.08
-    faults: int = 6
-    weight: float = 8.0  # flows that a cache's link carries, as the endpoint list states it
+    rate: float = 60.0  # requests per second
+    seconds: float = 8.0  # duration of the load
+    orders: float = 0.08  # fraction of requests of class order
+    edits: float = 0.08  # fraction of requests of class edit
+    faults: int = 6  # number of site faults
+    weight: float = 8.0  # number of flows that a cache's link carries, as stated in the endpoint list
     fault_kinds: tuple[str, ...] = ("restart", "drain", "purge", "vanish", "reset", "front", "bus")
     objects: int = 120
-    edge_capacity: int = 4 << 20  # bytes that an edge keeps
-    settling: float = 10.0  # without load at the end, so that every request has its answer
-    clock_steps: int = 3  # of Unix clocks, at most
-    connection_faults: int = 2  # kinds on connections between fronts and caches
+    edge_capacity: int = 4 << 20  # bytes
+    settling: float = 10.0  # time without load at the end, so that each request gets its answer
+    clock_steps: int = 3  # maximum number of steps of Unix clocks
+    connection_faults: int = 2  # number of faults on connections between fronts and caches
 
 
 def draw_plan(rng: Random, count: int) -> Plan:
-    """Faults for the connections between fronts and caches, drawn so that each run has a few kinds."""
+    """Draw `count` faults for the connections between fronts and caches."""
     sections: dict[str, dict[str, str]] = {}
     for number in range(count):
         kind = rng.choice(sorted(CONNECTION_FAULTS))
--- a/weldbend/testbed/simulation/site.py
+++ b/weldbend/testbed/simulation/site.py
@@ -1,4 +1,4 @@
-"""The site of a simulated run: emulated caches, the event bus and fronts, each on a machine of its own."""
+"""Site of a simulated run: emulated caches, the event bus and fronts, each on a machine of its own."""
 
 import json
 from collections import defaultdict
@@ -30,44 +30,43 @@
     front_name,
 )
 
-EDGE_LINK = (6e6, 0.01)  # bytes a second, and seconds of delay, of an edge's link to its sources
-SERVICE_TIMES = {
-    "origin": 0.02
-}  # seconds of a cache's own work for an answer; writes take five times as long
-DEFAULT_SERVICE_TIME = 0.002  # of the others
-MEDIAN_SIZE = 6000  # bytes of a part
-MAX_IN_FLIGHT_REQUESTS = 400  # requests in flight to a cache at most
+EDGE_LINK = (6e6, 0.01)  # bytes per second, and seconds of delay, of an edge's link to its sources
+# Seconds of a cache's own work for an answer, by kind of cache; writes take five times as long.
+SERVICE_TIMES = {"origin": 0.02}
+DEFAULT_SERVICE_TIME = 0.002  # seconds; for other kinds of caches
+MEDIAN_SIZE = 6000  # bytes of an object part
+MAX_IN_FLIGHT_REQUESTS = 400  # to one cache
 
 
 class NoEpollSet:
-    """An epoll set where there are no descriptors: no connection is ever kept as an idle descriptor."""
+    """Stand-in for an epoll set: without descriptors, no connection is ever kept as an idle descriptor."""
 
     def __init__(self, reactor: object) -> None:
-        """Take any reactor."""
+        """Accept any reactor."""
 
     def detach(self, transport: object) -> int | None:
-        """None: the transport keeps its connection."""
+        """Return None: the transport keeps its connection."""
         return None
 
     def fileno(self) -> int:
-        """No descriptor."""
+        """Return -1: there is no descriptor."""
         return -1
 
     def poll_readable(self, most: int) -> list[int]:
-        """Nothing is ever ready."""
+        """Return an empty list: no descriptor is ever readable."""
         return []
 
     def close_set(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there is nothing to close."""
 
 
 @dataclass(frozen=True, slots=True)
 class RunContext:
-    """What all parts of one run share."""
+    """Objects shared by all parts of a run."""
 
     seed: int
     settings: RunSettings
-    rng: Random  # draws the load and the faults; the network draws from one of its own
+    rng: Random  # for load and faults; the network has its own generator
     network: VirtualNetwork
     log: RunLog
     auditor: Auditor
@@ -77,7 +76,7 @@
 
 
 class SimulatedSite:
-    """Starts and stops caches and fronts, and publishes on the event bus what becomes of the caches."""
+    """Starts and stops caches and fronts, and publishes the state of caches on the event bus."""
 
     def __init__(self, context: RunContext, create_front: FrontFactory) -> None:
         self.context = context
@@ -86,12 +85,12 @@
         self.events = context.network.events
         self.sizes = Sizes(median=MEDIAN_SIZE)
         self.caches = EmulatedCaches([], self.sizes)
-        self.machines: dict[str, Machine] = {}  # of the caches, by uid
-        # Seconds by which the Unix clocks of fronts, bus and caches have been stepped, by name.
+        self.machines: dict[str, Machine] = {}  # machines of the caches, by uid
+        # Seconds by which the Unix clocks of fronts, bus and caches have been stepped, by clock name.
         self.unix_steps = defaultdict[str, float](float)
-        self.targets: dict[str, dict[str, Any]] = {}  # the endpoint list, by uid
-        self.uid_by_host: dict[str, str] = {}  # by host
-        self.down_caches: set[str] = set()  # those that will be back
+        self.targets: dict[str, dict[str, Any]] = {}  # entries of the endpoint list, by uid
+        self.uid_by_host: dict[str, str] = {}
+        self.down_caches: set[str] = set()  # caches that are restarting
         self.fronts: dict[int, tuple[Machine, Front]] = {}
         settings = context.settings
         kinds = [("box", "e", settings.edges), ("parent", "p", settings.parents), ("origin", "o", 1)]
@@ -105,7 +104,7 @@
     # Caches.
 
     def start_cache(self, uid: str, kind: str, host: str, boot: float) -> None:
-        """Start an empty cache; `boot` is its start in Unix milliseconds, 0 for long ago."""
+        """Start an empty cache; `boot` is its start time in Unix milliseconds, 0 for long ago."""
         settings = self.context.settings
         machine = self.machines[uid] = Machine(self.network, uid, host)
         capacity = {"box": settings.edge_capacity, "parent": 4 * settings.edge_capacity, "origin": 0}[kind]
@@ -133,7 +132,7 @@
         self.uid_by_host[host] = uid
 
     def restart_cache(self, uid: str) -> None:
-        """A cache dies and is back, empty, half a second later; the endpoint list states its start."""
+        """Kill a cache and restart it empty half a second later; the endpoint list states its start."""
         self.context.log.add(f"restart of {uid}")
         self.machines[uid].kill()
         host = self.machines[uid].host
@@ -148,7 +147,7 @@
         self.events.schedule(0.5, start_again)
 
     def drain_cache(self, uid: str) -> None:
-        """A cache drains, is removed two seconds later, and another takes its address."""
+        """Drain a cache; two seconds later, remove it and start another one at its address."""
         host = self.machines[uid].host
         self.publish_state(uid, "draining")
 
@@ -161,7 +160,7 @@
         self.events.schedule(2.0, replace)
 
     def draw_cache(self, *kinds: str) -> str | None:
-        """The uid of one of the caches of some kinds that are up; None where fewer than two are."""
+        """Draw a running cache of the given kinds and return its uid; None if fewer than two are running."""
         candidates = [
             uid
             for uid, entry in self.targets.items()
@@ -170,7 +169,7 @@
         return self.context.rng.choice(candidates) if len(candidates) > 1 else None
 
     def drop_copies(self, keys: set[str], purged_ms: int) -> None:
-        """Drop from all caches the copies of some objects that were made before a virtual millisecond."""
+        """Drop copies of some objects from all caches, if made before a given virtual millisecond."""
         for cache in self.caches.caches.values():
             for place in [p for p, copy in cache.copies.items() if p[0] in keys and copy.made_ms < purged_ms]:
                 cache.used -= cache.copies.pop(place).size
@@ -178,15 +177,15 @@
     # The event bus.
 
     def unix(self, clock: str) -> float:
-        """The Unix time in seconds by one of the clocks."""
+        """Return the Unix time in seconds by one of the clocks."""
         return self.events.unix() + self.unix_steps[clock]
 
     def unix_ms(self, clock: str = BUS_CLOCK) -> int:
-        """The Unix time in milliseconds, as events state it."""
+        """Return the Unix time in milliseconds by one of the clocks, as used in events."""
         return int(self.unix(clock) * 1000)
 
     def publish(self, **event: object) -> None:
-        """Publish an event on the bus; the auditor receives it at once."""
+        """Publish an event on the bus; the auditor receives it immediately."""
         self.bus.publish(**event)
         published = self.bus.events[-1]
         self.context.log.add(f"bus {json.dumps(published)}")
@@ -202,7 +201,7 @@
     # Fronts.
 
     def start_front(self, number: int) -> None:
-        """Start a front, configured with the endpoint list and the events of now."""
+        """Start a front, configured with the current endpoint list and events."""
         machine = Machine(self.network, front_name(number), front_host(number))
         front = self.create_front(machine, read_site(self._configuration(machine, number)))
         front.listener.epoll_set_factory = NoEpollSet  # type: ignore[assignment]  # the class is the factory
@@ -235,7 +234,7 @@
         return json.dumps(document)
 
     def kill_front(self, number: int, restart_after: float | None = None) -> None:
-        """Kill a front, and start it again after so many seconds; None leaves it dead."""
+        """Kill a front, and restart it after some seconds, or not at all if `restart_after` is None."""
         machine, _ = self.fronts[number]
         if machine.is_alive:
             self.context.log.add(f"front {number} is killed")
--- a/weldbend/testbed/simulation/site_faults.py
+++ b/weldbend/testbed/simulation/site_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the site: caches that restart, drain, vanish or reset, purges, killed fronts, a broken bus."""
+"""Faults of the site: cache restarts, drains, outages and resets, purges, killed fronts, bus resets."""
 
 from collections.abc import Callable
 
@@ -7,15 +7,15 @@
 from weldbend.testbed.simulation.settings import PURGE_GROUPS
 from weldbend.testbed.simulation.site import RunContext, SimulatedSite
 
-OBJECT_PURGE_FRACTION = 0.7  # fraction of the purges that name one object; the others name a group
+OBJECT_PURGE_FRACTION = 0.7  # fraction of purges of one object; the others purge a group
 PURGED_GROUP = 1
-ORIGIN_RESET_FRACTION = 0.5  # fraction of the resets that are of the origin's connections
+ORIGIN_RESET_FRACTION = 0.5  # fraction of resets that affect the origin's connections
 UNREACHABLE_TIME = 1.0  # seconds
 FRONT_RESTART_DELAY = 0.4  # seconds
 
 
 class SiteFaults:
-    """Injects one fault of each kind of `RunSettings.fault_kinds` when called."""
+    """Injects the faults of `RunSettings.fault_kinds`; each kind has a method that injects one fault."""
 
     def __init__(self, context: RunContext, site: SimulatedSite) -> None:
         self.context = context
@@ -31,7 +31,7 @@
         }
 
     def schedule(self) -> None:
-        """Schedule the faults of a whole run at random times."""
+        """Schedule all site faults of a run at random times."""
         settings = self.context.settings
         rng = self.context.rng
         for _ in range(settings.faults):
@@ -40,17 +40,17 @@
             self.context.network.events.schedule(at, self.by_kind[kind])
 
     def restart(self) -> None:
-        """A cache dies and is back, empty, half a second later."""
+        """Kill a cache; it restarts empty half a second later."""
         if uid := self.site.draw_cache("box", "parent"):
             self.site.restart_cache(uid)
 
     def drain(self) -> None:
-        """An edge drains and is replaced."""
+        """Drain an edge and replace it."""
         if uid := self.site.draw_cache("box"):
             self.site.drain_cache(uid)
 
     def purge(self) -> None:
-        """One object or one group of them is purged, and later its old copies are gone everywhere."""
+        """Purge an object or a group of objects; later, their old copies are dropped from all caches."""
         rng = self.context.rng
         site = self.site
         key = objects.key_of(rng.randint(1, 6))
@@ -67,7 +67,7 @@
         self.context.network.events.schedule(dropped_after, lambda: site.drop_copies(keys, purged_ms))
 
     def vanish(self) -> None:
-        """Nothing reaches or leaves a cache for a second."""
+        """Cut off a cache from the network for a second."""
         if uid := self.site.draw_cache("box", "parent"):
             network = self.context.network
             host = self.site.machines[uid].host
@@ -76,7 +76,7 @@
             network.events.schedule(UNREACHABLE_TIME, lambda: network.unreachable_hosts.discard(host))
 
     def reset(self) -> None:
-        """All connections of a cache are reset, with what is in flight on them."""
+        """Reset all connections of a cache, with the requests in flight on them."""
         uid = (
             "o1"
             if self.context.rng.random() < ORIGIN_RESET_FRACTION
@@ -87,12 +87,12 @@
             transport.abortConnection()
 
     def kill_front(self) -> None:
-        """A front is killed and started again."""
+        """Kill a front and restart it."""
         number = self.context.rng.choice(sorted(self.site.fronts))
         self.site.kill_front(number, FRONT_RESTART_DELAY)
 
     def break_bus(self) -> None:
-        """The event bus breaks off in the middle of an event for all its readers."""
+        """Reset the event bus's connections to all readers in the middle of an event."""
         self.context.log.add("the bus breaks off")
         for reader in list(self.site.bus.readers):
             if reader.transport:
--- a/weldbend/testbed/simulation/transports.py
+++ b/weldbend/testbed/simulation/transports.py
@@ -1,7 +1,7 @@
-"""Connections of the virtual network: each end is a transport as Twisted's protocols know it.
+"""Connections of the virtual network: each end is a transport as used by Twisted protocols.
 
-Bytes arrive in order, split and delayed at random. A sender whose bytes are not read is paused, as a full
-socket buffer would pause it.
+Bytes arrive in order, split and delayed at random. A sender whose bytes are not read is paused, as with a
+full socket buffer.
 """
 
 import typing
@@ -17,25 +17,25 @@
 
 from weldbend.testbed.faults.engine import ActionKind, FaultAction, Stream
 
-if TYPE_CHECKING:  # for annotations only: a machine makes these transports
+if TYPE_CHECKING:  # for annotations only: that module imports this one
     from weldbend.testbed.simulation.machine import Machine
 
-SEND_WINDOW = 1 << 17  # bytes in transit or unread, beyond which a sender is paused
+SEND_WINDOW = 1 << 17  # bytes in transit or unread, above which the sender is paused
 SINGLE_PIECE_PROBABILITY = 0.7  # probability that the rest of a write arrives in one piece
 
 
 class Producer(typing.Protocol):
-    """What a transport pauses while its peer does not read."""
+    """Producer that a transport pauses while its peer does not read."""
 
     def pauseProducing(self) -> None:
-        """Produce nothing for now."""
+        """Pause producing."""
 
     def resumeProducing(self) -> None:
-        """Produce again."""
+        """Resume producing."""
 
 
 class Transport:
-    """One end of a connection in memory. A piece that is None stands for the end of the peer's writing."""
+    """One end of an in-memory connection; a piece of None marks the end of the peer's stream."""
 
     def __init__(self, machine: "Machine", peer_host: str) -> None:
         self.machine = machine
@@ -50,29 +50,29 @@
         self.is_closed = False
         self.is_write_closed = False
         self.is_producer_paused = False
-        self.received_pieces: deque[bytes | None] = deque()  # pieces that are unread
+        self.received_pieces: deque[bytes | None] = deque()  # unread pieces
         self.unread = 0  # bytes in transit to this end, or unread
-        self.last_arrival = 0.0  # when the last piece in transit arrives
-        self.delayed_pieces: list[bytes | None] = []  # pieces held up on a path that is blocked
-        self.tap: Callable[[bytes], None] | None = None  # sees what this end sends
-        self.read_tap: Callable[[bytes], None] | None = None  # sees what the protocol of this end reads
-        self.fault_stream: Stream | None = None  # what an injector does to it first
+        self.last_arrival = 0.0  # time at which the last piece in transit arrives
+        self.delayed_pieces: list[bytes | None] = []  # pieces held back on a blocked path
+        self.tap: Callable[[bytes], None] | None = None  # receives the bytes that this end sends
+        self.read_tap: Callable[[bytes], None] | None = None  # receives what this end's protocol reads
+        self.fault_stream: Stream | None = None  # injects faults into the bytes written here
         self.on_close: Callable[[], None] | None = None  # called before the protocol is notified of the end
-        self.on_end: Callable[[], None] | None = None  # called once, when this end begins to end it
+        self.on_end: Callable[[], None] | None = None  # called once, when this end starts to close
         machine.transports[self] = None
 
     connected = property(lambda self: not self.is_closed)
 
     def start(self, protocol: Protocol) -> None:
-        """Connect the protocol of this end, and let it read what has arrived."""
+        """Connect the protocol of this end and deliver the received bytes."""
         self.protocol = protocol
         self.machine.run_guarded(protocol.makeConnection, self)
         self.deliver()
 
-    # What protocols call on a transport.
+    # Methods that protocols call on a transport.
 
     def write(self, data: bytes) -> None:
-        """Send bytes; nothing happens on a closed connection."""
+        """Send bytes; does nothing on a closed connection."""
         if self.is_closed or self.is_write_closed or not data or not self.peer:
             return
         data = bytes(data)
@@ -86,28 +86,28 @@
         self.write(b"".join(pieces))
 
     def doWrite(self) -> None:
-        """Nothing: what is written has been sent already."""
+        """Do nothing: written bytes are sent immediately."""
 
     def setTcpNoDelay(self, on: bool) -> None:
-        """Nothing: no write is ever delayed to be joined with others."""
+        """Do nothing: writes are never delayed to be combined."""
 
     def setTcpKeepAlive(self, on: bool) -> None:
-        """Nothing: there are no keep-alive probes."""
+        """Do nothing: there are no keep-alive probes."""
 
     def getPeer(self) -> IPv4Address:
-        """The address of the other end, without its port."""
+        """Return the address of the other end, without its port."""
         return IPv4Address("TCP", self.peer_host, 0)
 
     def getHost(self) -> IPv4Address:
-        """The address of this end, without its port."""
+        """Return the address of this end, without its port."""
         return IPv4Address("TCP", self.machine.host, 0)
 
     def registerProducer(self, producer: Producer, streaming: bool) -> None:
-        """Pause and resume this producer as the peer reads."""
+        """Set the producer, which is paused while the peer does not read."""
         self.producer = producer
 
     def unregisterProducer(self) -> None:
-        """Pause no producer any more."""
+        """Remove the producer."""
         self.producer = None
 
     def pauseProducing(self) -> None:
@@ -115,7 +115,7 @@
         self.is_reading_paused = True
 
     def resumeProducing(self) -> None:
-        """Go on reading, in a later event."""
+        """Resume reading, in a later event."""
         if self.is_reading_paused:
             self.is_reading_paused = False
             self.machine.callLater(0, self.deliver)
@@ -123,14 +123,14 @@
     stopProducing = pauseProducing
 
     def loseWriteConnection(self) -> None:
-        """Shut down the writing side after what was written."""
+        """Half-close the connection: send the end of the stream after the written bytes."""
         if not (self.is_write_closed or self.is_closed):
             self._report_end()
             self.is_write_closed = True
             self._send_piece(None)
 
     def loseConnection(self, reason: object = None) -> None:
-        """Close both sides after what was written."""
+        """Close both sides after sending the written bytes."""
         if not (self.disconnecting or self.is_closed):
             self.disconnecting = True
             self.loseWriteConnection()
@@ -179,7 +179,7 @@
         events.schedule(peer.last_arrival - events.now, lambda: peer.receive_piece(piece))
 
     def schedule_fault_actions(self, actions: list[FaultAction]) -> None:
-        """Do at its time each thing that an injector makes of bytes written here."""
+        """Schedule the actions that an injector returned for bytes written here."""
 
         def schedule(action: FaultAction) -> None:
             events = self.network.events
@@ -210,19 +210,19 @@
                 self.network.draw_latency(), lambda: peer.machine.run_guarded(peer.close, ConnectionLost)
             )
 
-    # What the network and the machine do.
+    # Methods that the network and the machine call.
 
     def close_with_process(self) -> None:
-        """The process of this end is gone: its protocol is not notified, the other end is reset."""
+        """Close without notifying the protocol, whose process has died; the other end is reset."""
         if not self.is_closed:
             self._report_end()
             self._reset_peer()
             self.is_closed = True
 
     def receive_piece(self, piece: bytes | None) -> None:
-        """A piece comes in from the network."""
+        """Process a piece that arrives from the network."""
         if self.is_closed:
-            if piece and self.peer and not self.peer.is_closed:  # nobody is there any more
+            if piece and self.peer and not self.peer.is_closed:  # this end is closed
                 self._reset_peer()
             return
         unreachable = self.network.unreachable_hosts
@@ -235,7 +235,7 @@
         self.deliver()
 
     def deliver_delayed(self) -> None:
-        """Let in what a blocked path held up, where it is open again."""
+        """Receive the pieces held back on a blocked path, if it is open again."""
         if self.delayed_pieces and self.network.is_open(self.peer_host, self.machine.host):
             delayed = self.delayed_pieces
             self.delayed_pieces = []
@@ -243,7 +243,7 @@
                 self.receive_piece(piece)
 
     def deliver(self) -> None:
-        """Give the protocol what has arrived, as long as it reads."""
+        """Deliver the received pieces to the protocol while it reads."""
         if self.machine.is_frozen:
             return
         while (
@@ -269,7 +269,7 @@
                 sender.machine.callLater(self.network.draw_latency(), sender.resume_producer)
 
     def resume_producer(self) -> None:
-        """Let the producer of this end go on, unless it was paused again."""
+        """Resume the producer of this end, unless it was paused again."""
         if self.producer and not (self.is_producer_paused or self.is_closed):
             self.producer.resumeProducing()
 
@@ -281,7 +281,7 @@
             self.loseConnection()
 
     def close(self, kind: type[Exception]) -> None:
-        """The connection has ended: notify the protocol with this kind of reason."""
+        """End the connection, and notify the protocol with a reason of this kind."""
         if not self.is_closed:
             if self.on_close:
                 self.on_close()
--- a/weldbend/testbed/simulation/workload.py
+++ b/weldbend/testbed/simulation/workload.py
@@ -1,6 +1,6 @@
-"""The load of a simulated run: clients that send requests at random times, and retry what is rejected.
+"""Load of a simulated run: clients that send requests at random times and retry rejected ones.
 
-Some cancel or close before they have their answers, see `leaving_clients`.
+Some clients cancel requests or close connections before they get the answers, see `leaving_clients`.
 """
 
 from bisect import bisect
@@ -26,11 +26,11 @@
 )
 from weldbend.testbed.simulation.site import RunContext
 
-CONNECTIONS_PER_FRONT = 3  # to each front
-MAX_OPEN_REQUESTS = 30  # requests of one connection that have no answer yet
+CONNECTIONS_PER_FRONT = 3
+MAX_OPEN_REQUESTS = 30  # unanswered requests on one connection
 RECONNECT_AFTER = 0.2  # seconds
-FIRST_ARRIVAL = 0.3  # seconds after the start
-# Seconds before the end of its connection within which a request may not have been read: it is sent again.
+FIRST_ARRIVAL = 0.3  # seconds after the start of the run
+# Seconds before the end of a connection within which its last request may not have been read, and is resent.
 CLOSE_CROSSING_WINDOW = 0.05
 RING_SIZE = 1 << 21  # bytes of answers that a client buffers
 BODY = b"x" * 100
@@ -39,7 +39,7 @@
 
 
 class ClientConnection(Connection):
-    """One connection of a client: sends requests, and retries where a rejection says when."""
+    """Connection of a client: sends requests, and retries rejected ones after the time in the rejection."""
 
     transport: Any = None  # Twisted's interfaces have no types here
 
@@ -53,16 +53,16 @@
         self.last_sent = 0.0
 
     def connectionMade(self) -> None:
-        """The front has accepted."""
+        """Register the new connection."""
         self.is_connected = True
         self.workload.connections[self.front].append(self)
 
     def is_ready(self) -> bool:
-        """Whether it may send a further request."""
+        """Return whether another request may be sent on this connection."""
         return self.is_connected and len(self.open) < MAX_OPEN_REQUESTS
 
     def send(self, fields: Fields) -> int:
-        """Send one request; returns its sequence id."""
+        """Send a request and return its sequence id."""
         self.seqid += 1
         self.open[self.seqid] = fields
         self.last_sent = self.workload.events.now
@@ -71,27 +71,27 @@
         return self.seqid
 
     def cancel(self, seqid: int) -> None:
-        """Cancel a request, unless it has its answer."""
+        """Cancel a request, unless it is already answered."""
         if self.is_connected and seqid in self.open:
             del self.open[seqid]
             self.transport.write(client_calls.give_up(seqid))
 
     def disconnect(self, is_reset: bool) -> None:
-        """Close or reset, with all that is open."""
+        """Close or reset the connection and abandon its open requests."""
         if self.is_connected:
             self.is_connected = False
             self.open.clear()
             (self.transport.abortConnection if is_reset else self.transport.loseConnection)()
 
     def dataReceived(self, data: bytes) -> None:
-        """Read answers."""
+        """Process answers; schedule retries of rejected requests."""
         for answer in client_calls.feed_answers(self.ring, data):
             fields = self.open.pop(answer.seqid, None)
             if fields and answer.outcome == "throttled" and "after" in answer.fields:
                 self.workload.retry(fields, int(answer.fields["after"]) / 1000)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Send again what may not have been read, and connect anew."""
+        """Resend the last request if the front may not have read it, and reconnect."""
         workload = self.workload
         self.is_connected = False
         if self.seqid in self.open and workload.events.now < self.last_sent + CLOSE_CROSSING_WINDOW:
@@ -103,23 +103,23 @@
 
 
 class ClientConnectionFactory(ClientFactory):
-    """Connects to one front, and again where that fails."""
+    """Connects to one front, and retries failed attempts."""
 
     def __init__(self, workload: "Workload", front: int) -> None:
         self.workload = workload
         self.front = front
 
     def buildProtocol(self, addr: IAddress | None) -> ClientConnection:
-        """A connection that has come up."""
+        """Create the protocol for a new connection."""
         return ClientConnection(self.workload, self.front)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
-        """The front did not accept."""
+        """Retry after a delay."""
         self.workload.machine.callLater(RECONNECT_AFTER, self.workload.connect, self.front)
 
 
 class Workload:
-    """All clients of one run, on one machine."""
+    """All clients of a run, on one machine."""
 
     def __init__(self, context: RunContext, sizes: Sizes) -> None:
         self.context = context
@@ -133,11 +133,11 @@
         self.leaving_clients = LeavingClients(self, context.seed)
 
     def connect(self, front: int) -> None:
-        """Open one connection to a front."""
+        """Open a connection to a front."""
         self.machine.connectTCP(front_host(front), FRONT_PORT, ClientConnectionFactory(self, front))
 
     def schedule(self) -> None:
-        """Schedule the requests of the whole run."""
+        """Schedule all requests of the run."""
         settings = self.context.settings
         rng = self.context.rng
         at = FIRST_ARRIVAL
@@ -158,12 +158,12 @@
         self.events.schedule(at, lambda: self.send(self.request_fields(request_class, rank)))
 
     def next_id(self) -> str:
-        """The id of the next request."""
+        """Return the id of the next request."""
         self.request_count += 1
         return f"{self.request_count:016x}"
 
     def request_fields(self, request_class: str, rank: int) -> Fields:
-        """The fields of a new request for an object, as they go over the wire."""
+        """Return the fields of a new request for an object, as they are sent."""
         key = objects.key_of(rank)
         part = self.context.rng.randrange(2)
         fields = {
@@ -178,11 +178,11 @@
         return fields | ({"once": f"{self.request_count:032x}"} if request_class == "order" else {})
 
     def ready_connections(self) -> list[ClientConnection]:
-        """All connections on which a request may be sent."""
+        """Return all connections on which a request may be sent."""
         return [c for n in sorted(self.connections) for c in self.connections[n] if c.is_ready()]
 
     def send(self, fields: Fields) -> None:
-        """Send a request to a front drawn at random; it is dropped where no connection is ready."""
+        """Send a request on a random connection; it is dropped if no connection is ready."""
         ready = self.ready_connections()
         if not ready:
             return
@@ -193,12 +193,12 @@
             self.machine.callLater(cancel_after, connection.cancel, seqid)
 
     def send_to(self, front: int, fields: Fields) -> None:
-        """Send a request to one front."""
+        """Send a request to one front; it is dropped if no connection to it is ready."""
         ready = [connection for connection in self.connections[front] if connection.is_ready()]
         if ready:
             ready[0].send(fields)
 
     def retry(self, fields: Fields, after: float) -> None:
-        """Send a rejected request once more after so many seconds, under another id."""
+        """Resend a rejected request after some seconds under a new id, unless it is already a retry."""
         if fields.get("retry") is None:
             self.machine.callLater(after, self.send, fields | {"id": self.next_id(), "retry": "1"})
