--- a/weldbend/testbed/faults/proxy.py
+++ b/weldbend/testbed/faults/proxy.py
@@ -224,11 +224,11 @@
     def join_sides(self, client_side: ProxySide, server_side: ProxySide, number: int) -> None:
         """Join both sides of a pair, and forward the bytes received so far."""
         now = time.monotonic()
-        there = self.injector.stream(number, Direction.TO_SERVER, now)
-        back = self.injector.stream(number, Direction.TO_CLIENT, now)
+        to_server = self.injector.stream(number, Direction.TO_SERVER, now)
+        to_client = self.injector.stream(number, Direction.TO_CLIENT, now)
         client_side.peer = server_side
         server_side.peer = client_side
-        client_side.join(server_side, there)
-        server_side.join(client_side, back)
+        client_side.join(server_side, to_server)
+        server_side.join(client_side, to_client)
         if client_side.is_closed and server_side.transport:
             server_side.transport.loseConnection()
--- a/weldbend/testbed/simulation/audit_records.py
+++ b/weldbend/testbed/simulation/audit_records.py
@@ -25,10 +25,10 @@
     DRAINS = "drains kept"  # a draining cache gets no attempts and is not used as a source
     PURGES = "purges kept"  # no copy made before its purge is served
     SLOW_START_WORK = "cold not pushed over"  # a cache in slow start gets no more work than its budget
-    SLOW_START_CALLS = "cold calls counted"  # nor more calls than it can handle, from all fronts together
+    SLOW_START_CALLS = "cold calls counted"  # nor more calls from all fronts together than it can handle
     CLIENT_CLOSED = "nothing for gone clients"  # no attempt starts after its client closed or cancelled
     CLOSED_UNANSWERED = "no close without an answer"  # fronts close no connection with an unanswered request
-    DEADLINE = "deadline passed on"  # caches get no longer timeout than the client's remaining time
+    DEADLINE = "deadline passed on"  # no cache gets a timeout above the client's remaining time
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,7 +137,7 @@
     abandoned_at: float | None = None  # when its client cancelled it or closed the connection
     has_crossed_close: bool = False  # sent while its front closed the connection; its client resends it
     answer_by: float = 0.0  # the deadline, or the time at which its frozen front resumed, if later
-    excuse: str = ""  # reason why no answer is required; empty if one is
+    excuse: str = ""  # reason for which no answer is required; empty if one is
 
     def is_awaited(self) -> bool:
         """Return whether the request still requires an answer."""
--- a/weldbend/testbed/simulation/machine.py
+++ b/weldbend/testbed/simulation/machine.py
@@ -240,7 +240,7 @@
     removeReader = addReader
 
     def stop(self) -> None:
-        """End the process, as its own decision."""
+        """Stop the reactor; the process ends in a later event."""
         self.is_stopped = True
         self.callLater(0, self.kill)
 
--- a/weldbend/testbed/simulation/network.py
+++ b/weldbend/testbed/simulation/network.py
@@ -32,7 +32,7 @@
 
     def __init__(self, address: Address) -> None:
         self.address = address
-        super().__init__(f"{address} is taken")  # type: ignore[no-untyped-call]  # Twisted's
+        super().__init__(f"{address} is already in use")  # type: ignore[no-untyped-call]  # Twisted's
 
 
 class VirtualNetwork:
--- a/weldbend/testbed/simulation/observation.py
+++ b/weldbend/testbed/simulation/observation.py
@@ -31,7 +31,7 @@
         self.link_count = 0
 
     def on_connection(self, connecting_end: Transport, accepting_end: Transport) -> None:
-        """Tap a new connection and give it a number, if the auditor observes it."""
+        """Assign a number to a new connection, and tap it if the auditor observes it."""
         self.link_count += 1
         link = self.link_count
         front_names = {machine.host: machine.name for machine, _ in self.site.fronts.values()}
--- a/weldbend/testbed/simulation/slow_start_audit.py
+++ b/weldbend/testbed/simulation/slow_start_audit.py
@@ -11,7 +11,9 @@
 from weldbend.testbed.simulation.audit_records import CacheStart, Rule, Rules, SlowStartAttempt
 
 SMALL_CALL_LIMIT = 30.0  # allowed calls per window below which the bound is relatively wider
-NOTIFIED_FRACTION = 2 / 3  # fraction of calls by notified fronts up to which excess calls are excused
+# Excess calls are a violation only if more than this fraction of the calls is by fronts that could
+# have known of the start.
+NOTIFIED_FRACTION = 2 / 3
 
 
 def max_calls(allowed: float) -> float:
--- a/weldbend/testbed/simulation/transports.py
+++ b/weldbend/testbed/simulation/transports.py
@@ -221,8 +221,8 @@
 
     def receive_piece(self, piece: bytes | None) -> None:
         """Process a piece that arrives from the network."""
-        if self.is_closed:
-            if piece and self.peer and not self.peer.is_closed:  # this end is closed
+        if self.is_closed:  # data for a closed end resets the sender
+            if piece and self.peer and not self.peer.is_closed:
                 self._reset_peer()
             return
         unreachable = self.network.unreachable_hosts
