--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -35,9 +35,8 @@
 )
 FIGURE_INTERVAL = 1.0  # seconds
 OLDER_EPOCH_FRACTION = 0.3  # fraction of killed nodes that return with a smaller epoch
-DATAGRAMS_FIRST_FRACTION = (
-    0.5  # fraction of thawed nodes that read their sockets before they notice the freeze
-)
+# Fraction of thawed nodes that notice the pause before they read the datagrams in their sockets.
+PAUSE_FIRST_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -141,7 +140,7 @@
             return
         deferred = node.deferred
         node.deferred = []
-        if self.rng.random() < DATAGRAMS_FIRST_FRACTION:
+        if self.rng.random() < PAUSE_FIRST_FRACTION:
             now = self.events.now
             for send in resume_after_pause(
                 node.membership, node.anti_entropy, now
