--- a/weldbend/testbed/fleet/__init__.py
+++ b/weldbend/testbed/fleet/__init__.py
@@ -1,5 +1,6 @@
-"""Fleets of fronts in the testbed: simulated ones on a virtual clock, models, and real processes.
+"""Fleets of fronts in the testbed: models, simulated fronts on a virtual clock, and real processes.
 
-Entry points are `simulated_fleet.FleetRun`, `fleet_model.FleetModel`, `processes.FleetSite` and
-`plan_player.Player`. They are not re-exported here: each of them loads what the others do without.
+The entry points are `simulated_fleet.FleetRun`, `fleet_model.FleetModel`, `processes.FleetSite` and
+`plan_player.Player`. They are not re-exported here, because each
+of them imports modules that the others do not need.
 """
--- a/weldbend/testbed/fleet/auditor.py
+++ b/weldbend/testbed/fleet/auditor.py
@@ -1,7 +1,7 @@
-"""The auditor of a fleet: what must hold of it, judged from outside by what each front holds at the end.
+"""Audit of a fleet: checks of the fronts' membership views and replicas at the end of a run.
 
-It shares no code with what it judges: the joins are written here a second time, as plain functions over all
-changes that were made, and compared with what each front came to.
+The auditor shares no code with the replication that it checks. It implements the joins a second time, as
+plain functions over all published changes, and compares their results with the replica of each front.
 """
 
 from collections import defaultdict
@@ -14,7 +14,7 @@
 from weldbend.fleet.membership import Membership
 from weldbend.fleet.replicated_store import ReplicatedStore
 
-# Seconds for which an item of a kind is kept.
+# Seconds for which replicas keep an item, by kind.
 ITEM_LIFETIMES = {
     "purge": 60.0,
     "drain": 600.0,
@@ -23,42 +23,44 @@
     "evidence": 20.0,
     "setting": 1e12,
 }
-LATEST_VALUE_KINDS = ("evidence",)  # kinds of which each writer's own latest value counts
-EXPIRY_MARGIN = 1.5  # seconds before an item's end within which fronts may differ: ages grow on the way
-EXPIRY_SKIP_WINDOW = 3.0  # seconds about the end of a change within which its item is not compared
-CONFLICT = "!"  # in place of the group of a keyed item that two groups have claimed
-
-Value = tuple[Any, ...]  # of a change, as it is replicated: a kind's own figures and texts
+LATEST_VALUE_KINDS = ("evidence",)  # kinds for which the latest value of each writer is valid
+# Seconds before an item's expiry in which fronts may differ: ages grow during transfers.
+EXPIRY_MARGIN = 1.5
+# Seconds before and after the expiry of a change in which its item is not compared.
+EXPIRY_SKIP_WINDOW = 3.0
+CONFLICT = "!"  # group of a keyed item that two groups have claimed
+
+Value = tuple[Any, ...]  # replicated value of a change: numbers and texts, depending on its kind
 ItemName = tuple[str, str]  # kind and key
 
 
 class AuditedNode(Protocol):
-    """One front's fleet, as the auditor examines it."""
+    """Fleet state of one front, as the auditor reads it."""
 
     @property
     def name(self) -> str:
-        """Its name in the fleet."""
+        """Name of the front in the fleet."""
 
     @property
     def is_up(self) -> bool:
-        """Whether its process lives."""
+        """Whether the process of the front is running."""
 
     @property
     def membership(self) -> Membership:
-        """What it believes of the others."""
+        """Membership view of the front."""
 
     @property
     def store(self) -> ReplicatedStore:
-        """Its replicas."""
+        """Replicated items of the front."""
 
     @property
     def anti_entropy(self) -> AntiEntropy:
-        """How it keeps them alike."""
+        """Anti-entropy of the front, which synchronizes its store with those of its peers."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExaminedNode:
-    """One front of a simulated run."""
+    """State of one front of a simulated run."""
 
     name: str
     is_up: bool
@@ -69,32 +71,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """A change that a node made at a moment of the run."""
+    """A change that a node published; `at` is in seconds of the run."""
 
     at: float
     kind: str
     key: str
     value: Value
     writer: AuditedNode
-    epoch: int = 0  # of the writer, as its membership had it then; 0 where that is not to be examined
+    epoch: int = 0  # epoch in the writer's membership at that time; 0: not checked
 
 
 @dataclass(frozen=True, slots=True)
 class AuditedFleet:
-    """A run that has ended calmly."""
+    """Fleet at the end of a run whose last part had no faults."""
 
     nodes: Mapping[str, AuditedNode]
     now: float  # seconds of the run
     published: Sequence[Published] = ()
-    in_transit: int = 0  # changes of one front that another may lack
+    in_transit: int = 0  # number of changes of one front that another may not have received yet
 
     def running(self) -> list[AuditedNode]:
-        """The nodes that are up."""
+        """Return the nodes that are up."""
         return [node for node in self.nodes.values() if node.is_up]
 
 
 def strictest(kind: str, values: list[Value]) -> Value:
-    """The join of several values of an item."""
+    """Join several values of an item: return the strictest."""
     if kind == "keyed":
         groups = {group for group, _ in values}
         return (groups.pop() if len(groups) == 1 else CONFLICT, min(first for _, first in values))
@@ -102,7 +104,7 @@
 
 
 def is_possible(kind: str, value: Value, published: list[Value]) -> bool:
-    """Whether somebody published a value, or it is the join of some that were published."""
+    """Return whether a value was published, or is a join of published values."""
     if kind == "keyed":
         groups = {group for group, _ in published}
         is_claimed = value[0] in groups or (value[0] == CONFLICT and len(groups) > 1)
@@ -111,7 +113,7 @@
 
 
 def audit(fleet: AuditedFleet) -> list[str]:
-    """What does not hold, a line each."""
+    """Return the violated rules, one line each."""
     return [
         *_membership_errors(fleet),
         *_item_errors(fleet),
@@ -136,7 +138,7 @@
 
 def _item_errors(fleet: AuditedFleet) -> list[str]:
     published: dict[ItemName, list[tuple[float, Value]]] = defaultdict(list)
-    # Of writers that are still up: none of these changes may be lost.
+    # Changes by writers that are still up: none of them may be lost.
     retained: dict[ItemName, list[Value]] = defaultdict(list)
     for change in fleet.published:
         name = change.kind, change.key
@@ -160,14 +162,14 @@
     for node in fleet.running():
         item = node.store.items.get(name)
         if item and fleet.now < item.written_at + ITEM_LIFETIMES[name[0]]:
-            errors.append(f"{name[0]} {name[1]} outlived its time at {node.name}")
+            errors.append(f"{name[0]} {name[1]} has expired but is still held by {node.name}")
     return errors
 
 
 def _value_errors(
     fleet: AuditedFleet, name: ItemName, published: list[Value], retained: list[Value]
 ) -> list[str]:
-    """Errors of an item that all must hold: of all its changes, and of those that may not be lost."""
+    """Return errors of an unexpired item; `retained` are the published values that may not be lost."""
     kind, key = name
     errors = []
     items = {node.name: node.store.items.get(name) for node in fleet.running()}
@@ -179,12 +181,15 @@
         if least is not None and (value is None or strictest(kind, [least, value]) != value):
             errors.append(f"{kind} {key} at {front} is {value}, less strict than {least}")
         if value is not None and not is_possible(kind, value, published):
-            errors.append(f"{kind} {key} at {front} is {value}, which nobody published")
+            errors.append(f"{kind} {key} at {front} is {value}, which was never published")
     return errors
 
 
 def _figure_errors(fleet: AuditedFleet) -> list[str]:
-    """Errors of figures of which each writer's latest counts: a later run's must not lose to an earlier's."""
+    """Return errors of items for which the latest value of each writer is valid.
+
+    After a restart, a value of the writer's earlier epoch must not replace one of its current epoch.
+    """
     latest: dict[ItemName, Published] = {}
     for change in sorted(fleet.published, key=lambda change: change.at):
         if change.epoch and change.kind in LATEST_VALUE_KINDS:
--- a/weldbend/testbed/fleet/benchmarks.py
+++ b/weldbend/testbed/fleet/benchmarks.py
@@ -1,4 +1,4 @@
-"""Measurements of fleets by the names that `weldbend lab fleet-measure` knows; docs/fleet.md has `detect`."""
+"""Measurements of fleets for `weldbend lab fleet-measure`; docs/fleet.md has the results of `detect`."""
 
 import os
 import subprocess
@@ -15,9 +15,9 @@
     measure_restart,
 )
 
-Row = dict[str, Any]  # printed as a line of JSON
+Row = dict[str, Any]  # one result, printed as a line of JSON
 
-DETECTION = ((3, 10), (10, 10), (50, 3), (200, 1))  # fronts, and seeds
+DETECTION = ((3, 10), (10, 10), (50, 3), (200, 1))  # (fronts, seeds)
 REAL_FRONTS = (3, 10, 50)
 BUSY_RATE = 86  # requests a second
 SECONDS = 20
@@ -26,7 +26,7 @@
 
 @contextmanager
 def overcommitted(processes: int) -> Iterator[None]:
-    """So many processes beside, that never rest."""
+    """Run a number of busy-looping processes in the background."""
     code = "while True: pass"
     spinning = [subprocess.Popen([sys.executable, "-c", code]) for _ in range(processes)]
     try:
@@ -37,13 +37,13 @@
 
 
 def gain() -> Iterator[Row]:
-    """What edges serve after a restart of all fronts, with a fleet and without."""
+    """Measure the hits at edges after a restart of all fronts, with and without a fleet."""
     for seed in range(1, 6):
         yield {"seed": seed, "with": measure_restart(seed, True), "without": measure_restart(seed, False)}
 
 
 def popularity() -> Iterator[Row]:
-    """The hit rate of edges, with one front, with a fleet, and with fronts by themselves."""
+    """Measure the hit rate of edges with one front, with a fleet, and with independent fronts."""
     for seed in range(1, 4):
         one_front = measure_hits(seed, 1, False)
         for fronts in (4, 10):
@@ -57,7 +57,7 @@
 
 
 def detect() -> Iterator[Row]:
-    """When a killed member is known dead, and false deaths, on the virtual clock."""
+    """Measure the time to detect a killed member, and false deaths, on the virtual clock."""
     for fronts, seeds in DETECTION:
         for frozen in (0.0, 0.1):
             for seed in range(1, seeds + 1):
@@ -66,7 +66,7 @@
 
 
 def real() -> Iterator[Row]:
-    """The same with real processes, on an idle machine and on an overcommitted one."""
+    """Measure death detection with real processes, on an idle and on an overcommitted machine."""
     for fronts in REAL_FRONTS:
         yield {"fronts": fronts, "idle": run_in_process("Deaths", fronts)}
         with overcommitted(2 * (os.cpu_count() or 1)):
@@ -74,7 +74,7 @@
 
 
 def cost() -> Iterator[Row]:
-    """CPU and memory of idle fronts, and latencies under load, with a fleet and without."""
+    """Measure CPU and memory of idle fronts, and latencies under load, with and without a fleet."""
     for fronts in REAL_FRONTS:
         for has_fleet in (False, True):
             report = run_in_process("Costs", fronts, has_fleet, 0, SECONDS, False)
@@ -86,7 +86,7 @@
 
 
 def newcomer() -> Iterator[Row]:
-    """How long a newcomer takes to catch up."""
+    """Measure the time that a new member needs to catch up."""
     for items in CATCH_UP_ITEMS:
         yield dict(measure_catch_up(items))
 
--- a/weldbend/testbed/fleet/clock_steps.py
+++ b/weldbend/testbed/fleet/clock_steps.py
@@ -1,6 +1,6 @@
-"""Steps of the fronts' wall clocks, drawn from a seed of their own: of one front, of all, or opposite ways.
+"""Random steps of the fronts' wall clocks: of one front, of all fronts, or in opposite directions.
 
-They are drawn apart from all else, so that a run without them is the same as before there were any.
+The steps have a random generator of their own, so that they do not change the other random numbers of a run.
 """
 
 import math
@@ -11,18 +11,18 @@
 MIN_STEP = 0.2  # seconds
 MAX_STEP = 3600.0  # seconds
 SCOPES = ("one", "all", "opposite")
-RESTART_FRACTION = 0.5  # fraction of the steps after which a front whose clock was stepped starts again
-SEED_FACTOR = 104_729  # makes the seed of the steps another one than that of the run
+RESTART_FRACTION = 0.5  # fraction of the steps after which one of the stepped fronts is restarted
+SEED_FACTOR = 104_729  # derives a seed for the steps that differs from that of the run
 
 
 @dataclass(frozen=True, slots=True)
 class ClockStep:
-    """A moment at which wall clocks are stepped.
+    """A simultaneous step of one or more wall clocks.
 
     Attributes:
-        at: seconds of the run.
-        seconds: by which each front's wall clock leaps, by the front's place.
-        restarted: the place of a front that is killed right after it and starts again; None for none.
+        at: time of the step, in seconds of the run.
+        seconds: size of the step of each wall clock, by the index of its front.
+        restarted: index of a front that is killed right after the step and restarted; None for none.
     """
 
     at: float
@@ -31,7 +31,7 @@
 
 
 def draw_steps(seed: int, fronts: int, count: int, first: float, last: float) -> tuple[ClockStep, ...]:
-    """Draw so many steps of both signs, between two moments (seconds of the run), in their order."""
+    """Draw `count` steps of either sign between two times (seconds of the run), in order of time."""
     rng = random.Random(seed * SEED_FACTOR)
     moments = sorted(rng.uniform(first, last) for _ in range(count))
     return tuple(_draw_step(rng, at, range(fronts)) for at in moments)
@@ -51,6 +51,6 @@
 
 
 def _draw_seconds(rng: random.Random) -> float:
-    """A step of either sign; each order of magnitude is as likely as another."""
+    """Draw the size of a step, of either sign; all orders of magnitude are equally likely."""
     size = math.exp(rng.uniform(math.log(MIN_STEP), math.log(MAX_STEP)))
     return size * rng.choice((-1, 1))
--- a/weldbend/testbed/fleet/control_query.py
+++ b/weldbend/testbed/fleet/control_query.py
@@ -1,4 +1,4 @@
-"""Sends one question to a front's control port."""
+"""Client of a front's admin port, for a single query."""
 
 import json
 from collections.abc import Callable
@@ -10,14 +10,14 @@
 from weldbend.testbed.reactor import ProcessReactor
 
 CONNECT_TIMEOUT = 2  # seconds
-ANSWER_TIMEOUT = 3.0  # seconds, from the question on
-MAX_ANSWER_BYTES = 1 << 24  # bytes
+ANSWER_TIMEOUT = 3.0  # seconds, counted from the start of the connection attempt
+MAX_ANSWER_BYTES = 1 << 24
 
 Answer = dict[str, Any]  # a JSON object
 
 
 class ControlConnection(LineOnlyReceiver):
-    """A connection that sends one question, and hands on its answer."""
+    """A connection that sends one question and passes the answer to a callback."""
 
     transport: Any = None  # Twisted's interfaces have no types here
     delimiter = b"\n"
@@ -32,7 +32,7 @@
         self.sendLine(json.dumps(self.question).encode())  # type: ignore[no-untyped-call]  # Twisted's
 
     def lineReceived(self, line: bytes) -> None:
-        """The answer has come."""
+        """Pass on the answer, and close the connection."""
         self.on_answer(json.loads(line))
         if self.transport:
             self.transport.loseConnection()
@@ -44,7 +44,7 @@
     question: dict[str, object],
     on_answer: Callable[[Answer | None], None],
 ) -> None:
-    """Send one question to an address; `on_answer` gets None where there is no answer in time."""
+    """Send one question to an address; `on_answer` gets None if it fails or times out."""
     host, _, port = address.rpartition(":")
     is_answered = False
 
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -1,8 +1,8 @@
-"""A model of a fleet from one integer: membership, anti-entropy and replicas on a virtual network.
+"""A deterministic model of a fleet: membership, anti-entropy and replicas on a virtual network.
 
-The nodes run the same cores as in service, over a network that loses, delays, duplicates and reorders
-datagrams, breaks links, partitions, and lets nodes die, freeze, return and run with older epochs. The same
-integer gives the same run, event by event; `digest` of the log proves it.
+The nodes run the membership and replication code of a real front. The network loses, delays, duplicates and
+reorders datagrams, breaks links, and partitions; nodes are killed, frozen and restarted, also with older
+epochs. The same seed gives the same sequence of events, which the `digest` of the log verifies.
 """
 
 import hashlib
@@ -22,40 +22,37 @@
 
 STARTED_BY = 1.0  # seconds until all nodes have started
 MAX_FAULT_DURATION = 12.0  # seconds
-CHANGE_FREE_PERIOD = 8.0  # seconds before the end without changes
+CHANGE_FREE_PERIOD = 8.0  # seconds at the end of a run in which nothing is published
 LOSSY_PATH_LOSS = 0.4  # probability that a datagram to a node on a lossy path is lost
-MS_PER_SECOND = 1000  # in a second
-STEPPED_RUN_START_MS = (
-    10_000_000  # milliseconds of all Unix clocks at the start of a run in which they are stepped
-)
-RESTART_DELAY = 0.5  # seconds for which a node is down whose clock was stepped
+MS_PER_SECOND = 1000
+STEPPED_RUN_START_MS = 10_000_000  # Unix time at the start of a run whose clocks are stepped
+RESTART_DELAY = 0.5  # seconds from the kill of a node after a clock step until its restart
 FIRST_STEP_AT = 2.0  # seconds after the start
-FIGURE_SUBJECT = (
-    "all"  # subject of the figure that each node publishes every second, where clocks are stepped
-)
+# Subject of the evidence item that each node publishes every second in runs with clock steps.
+FIGURE_SUBJECT = "all"
 FIGURE_INTERVAL = 1.0  # seconds
-OLDER_EPOCH_FRACTION = 0.3  # fraction of killed nodes that return with a smaller epoch
+OLDER_EPOCH_FRACTION = 0.3  # fraction of killed nodes that restart with a smaller epoch
 # Fraction of thawed nodes that notice the pause before they read the datagrams in their sockets.
 PAUSE_FIRST_FRACTION = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ModelSettings:
-    """How large a run is and what may happen in it; times in seconds."""
+    """Size and faults of a run; times are in seconds."""
 
     fronts: int = 5
     seconds: float = 60.0
-    calm: float = 30.0  # at the end, without faults: all must agree by then
+    calm: float = 30.0  # period without faults at the end, in which all nodes have to converge
     faults: int = 4
     loss: float = 0.01  # probability that a datagram is lost
-    rate: float = 4.0  # changes a second, of all nodes together
-    clock_steps: int = 0  # of Unix clocks, besides all faults
+    rate: float = 4.0  # published changes a second, of all nodes together
+    clock_steps: int = 0  # number of steps of Unix clocks, in addition to the faults
     kinds: tuple[str, ...] = FAULTS
     fleet: FleetSettings = field(default_factory=FleetSettings)
 
 
 class FleetModel:
-    """One run: `run` carries it out."""
+    """One run of the model; `run` executes it."""
 
     def __init__(self, seed: int, settings: ModelSettings | None = None) -> None:
         self.seed = seed
@@ -68,20 +65,20 @@
         self.nodes = self.network.nodes
         self.log: list[str] = []
         self.published: list[Published] = []
-        self.faults: list[str] = []  # those that were injected
-        self.clock_offsets = dict.fromkeys(self.names, 0.0)  # seconds by which Unix clocks are ahead
+        self.faults: list[str] = []  # kinds of the injected faults
+        self.clock_offsets = dict.fromkeys(self.names, 0.0)  # seconds by which each Unix clock is ahead
 
     @property
     def counts(self) -> Counter[str]:
-        """Messages and bytes, by name."""
+        """Counters of messages and bytes, by name."""
         return self.network.counts
 
     def byte_digest(self) -> str:
-        """Digest of every message sent so far as it is encoded, with its time and path."""
+        """Return the digest of all encoded messages sent so far, with their times and paths."""
         return self.network.byte_digest()
 
     def digest(self) -> str:
-        """Digest of the log."""
+        """Return the digest of the log."""
         return hashlib.sha256("\n".join(self.log).encode()).hexdigest()
 
     def _add_log_line(self, text: str) -> None:
@@ -92,16 +89,16 @@
             self._add_log_line(f"{node.name}: {name} {before.name} -> {state.name} ({why})")
 
     def unix_ms(self, name: str) -> int:
-        """Milliseconds of a node's Unix clock."""
+        """Return the time of a node's Unix clock, in milliseconds."""
         ahead = self.clock_offsets[name] * MS_PER_SECOND + STEPPED_RUN_START_MS * bool(
             self.settings.clock_steps
         )
         return int(self.events.now * MS_PER_SECOND + ahead)
 
-    # What happens to nodes.
+    # Faults of nodes and of the network.
 
     def step_clocks(self, step: ClockStep) -> None:
-        """Step the Unix clocks of some nodes, and have one of them die and start again."""
+        """Step the Unix clocks of some nodes, and restart one of them if `step.restarted` is set."""
         for place, seconds in step.seconds.items():
             self.clock_offsets[self.names[place]] += seconds
         self._add_log_line(f"clocks are stepped {dict(step.seconds)}")
@@ -111,9 +108,9 @@
             self._start_after(RESTART_DELAY, name)
 
     def start(self, name: str, has_older_epoch: bool = False) -> None:
-        """Start a node that is down; `has_older_epoch`: with a smaller epoch than before."""
+        """Start a node that is down, if `has_older_epoch` with a smaller epoch than before."""
         if name in self.nodes and self.nodes[name].is_up:
-            return  # another fault brought it back already
+            return  # another fault has already restarted it
         epoch = max(1, int(1000 + self.unix_ms(name)))
         if has_older_epoch:
             epoch = max(1, self.nodes[name].epoch - 7)
@@ -129,7 +126,7 @@
             self.network.drop_links_of(name)
 
     def freeze(self, name: str, seconds: float) -> None:
-        """Let a node run nothing for a time."""
+        """Suspend a node for a time."""
         node = self.nodes[name]
         node.frozen_until = self.events.now + seconds
         self._add_log_line(f"freeze {name} {seconds:.1f}")
@@ -150,7 +147,7 @@
             call()
 
     def split(self, side: set[str], seconds: float, is_two_way: bool = True) -> None:
-        """Let nothing pass from one side to the others for a time."""
+        """Block all messages from one side to the other nodes for a time, and both ways if `is_two_way`."""
         paths = {(a, b) for a in side for b in self.names if b not in side}
         paths |= {(b, a) for a, b in paths} if is_two_way else set()
         self.network.blocked_paths |= paths
@@ -162,7 +159,7 @@
         self._add_log_line("heal")
 
     def _degrade_for(self, seconds: float, by_path: dict[Path, float], values: dict[Path, float]) -> None:
-        """Set the delay or loss of paths for a time."""
+        """Set the delay or loss of some paths for a time."""
         by_path |= values
 
         def restore() -> None:
@@ -172,7 +169,7 @@
         self.events.schedule(seconds, restore)
 
     def inject_fault(self) -> None:
-        """Inject a fault drawn at random."""
+        """Inject a random fault."""
         rng = self.rng
         network = self.network
         kind = rng.choice(self.settings.kinds)
@@ -207,13 +204,13 @@
         self.events.schedule(seconds, lambda: self.start(name))
 
     def _publish_random_change(self) -> None:
-        """One change of some node, of any kind."""
+        """Publish a change of a random kind at a random node."""
         rng = self.rng
         name = rng.choice(self.names)
         kind = rng.choice(CHANGES)
         uid = f"c{rng.randrange(12)}"
         ms = int(self.events.now * 1000)
-        # All are drawn, whichever is used.
+        # All values are drawn whichever kind is used, so that each change draws as many random numbers.
         drain = (uid, (ms // 5000, rng.randrange(3)))
         keyed = (f"once{rng.randrange(60)}", (f"c:{rng.randrange(4)}", ms))
         evidence = (f"{uid}|{name}", (ms, 1, 3.0, float(rng.randrange(5))))
@@ -237,7 +234,7 @@
         node.publish(kind, key, *value)
 
     def _publish_figures(self) -> None:
-        """Each node's figure of this second, as fronts publish their demand."""
+        """Publish the evidence item of each node every second, as fronts publish their demand."""
         for node in self.nodes.values():
             if node.is_running():
                 node.figure_count += 1
@@ -249,14 +246,14 @@
     # The run.
 
     def audit(self) -> list[str]:
-        """What does not hold at the end, a line each."""
+        """Return the rules that are violated at the end of the run, one line each."""
         return audit(AuditedFleet(self.nodes, self.events.now, self.published))
 
     def _schedule_step(self, step: ClockStep) -> None:
         self.events.schedule(step.at - self.events.now, lambda: self.step_clocks(step))
 
     def run(self) -> "FleetModel":
-        """Carry out the whole run."""
+        """Execute the whole run."""
         settings = self.settings
         rng = self.rng
         for name in self.names:
--- a/weldbend/testbed/fleet/lease_model.py
+++ b/weldbend/testbed/fleet/lease_model.py
@@ -1,10 +1,11 @@
-"""Explores every order of events of a few lease ledgers: the lease protocol in all its states.
-
-The ledgers are the product's own, nothing is modelled twice. Time goes in ticks, and only ages count, so that
-the same situation at another time is the same state; a clock may skip some ticks, messages may arrive in any
-order, twice, late or never (one that never arrives is one that is still in transit); fronts die and start
-again, knowing nothing. In each state, what all have spent in the last window is at most the limit. The first
-path to a state in which it is not is returned as a trace; the search is breadth first, so none is shorter.
+"""Exhaustive state-space search of the lease protocol between a few lease ledgers.
+
+The model runs the production ledgers and does not reimplement them. Time advances in ticks, and states hold
+ages in place of times, so that equal situations at different times are the same state. A clock may skip some
+ticks. Messages may arrive in any order, twice, late or never (a message that never arrives stays in transit).
+Fronts may crash and restart without state. In each state, the requests that all fronts have admitted
+("spent") in the last window must not exceed the limit. The path to the first state that violates this is
+returned as a trace; the search is breadth-first, so no trace is shorter.
 """
 
 from collections.abc import Callable, Iterator
@@ -14,27 +15,27 @@
 
 from weldbend.fleet.lease_ledger import Grant, Lease, LeaseLedger, LeaseRequestId, LeaseTimes, PendingRequest
 
-# The times are whole ticks, and exact: the drift is a fraction in place of a float.
+# The times are whole ticks. The drift is a Fraction in place of a float, so that the arithmetic is exact.
 TICKS = LeaseTimes(term=3, window=1, drift=Fraction(1, 6))  # type: ignore[arg-type]  # see above
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """How much is explored; a tick is one second of `times`."""
+    """Bounds of the search; a tick is one second of `times`."""
 
-    own: tuple[int, ...] = (1, 1, 0)  # what each front owns of the limit
+    own: tuple[int, ...] = (1, 1, 0)  # parts of the limit that each front owns
     times: LeaseTimes = TICKS
     depth: int = 60  # steps
-    asks: int = 2  # in all
-    parts: int = 1  # requested at a time, at most, beyond what the other owns
-    deaths: int = 1
-    doubles: int = 1  # messages that arrive twice
-    skips: int = 1  # ticks that clocks skip, in all
-    backs: int = 1  # loans that are released early
+    asks: int = 2  # lease requests, in total
+    parts: int = 1  # most parts of a request, or what the lender owns if that is more
+    deaths: int = 1  # crashes with a restart
+    doubles: int = 1  # messages that are delivered twice
+    skips: int = 1  # ticks that clocks skip, in total
+    backs: int = 1  # leases that are released early
 
 
 class Budget(NamedTuple):
-    """How much of a scope is left to explore on a path."""
+    """Numbers of events of a scope that may still occur on a path."""
 
     asks: int
     deaths: int
@@ -44,15 +45,15 @@
 
 
 class Front(NamedTuple):
-    """One front: its epoch, its ledger as plain values, the ages of what it spent; all by its own clock."""
+    """One front: its epoch, its ledger as plain values, and its spent requests, by its own clock."""
 
     epoch: int
-    number: int  # of its last request for a lease
-    quiet_ticks: float  # ticks until it may lend, after a start
+    number: int  # number of its last lease request
+    quiet_ticks: float  # ticks after a start until the front may grant leases
     granted: tuple[tuple[LeaseRequestId, Lease], ...]
     acquired: tuple[tuple[str, Lease], ...]
     requested: tuple[tuple[str, PendingRequest], ...]
-    spent: tuple[int, ...]
+    spent: tuple[int, ...]  # ages of the requests admitted in the last window, in ticks
 
 
 class Message(NamedTuple):
@@ -70,45 +71,45 @@
 
 
 class State(NamedTuple):
-    """All fronts and messages, and what was really spent."""
+    """State of all fronts and messages, and the true ages of all admitted requests."""
 
     fronts: tuple[Front, ...]
     messages: frozenset[Message]
-    spent: tuple[int, ...]  # true ages of all that was spent in the last window
+    spent: tuple[int, ...]  # true ages of all requests admitted in the last window, in ticks
     budget: Budget
 
     def with_front(self, number: int, front: Front) -> "State":
-        """The state with another front in the place of one."""
+        """Return the state with one front replaced."""
         return self._replace(fronts=(*self.fronts[:number], front, *self.fronts[number + 1 :]))
 
     def with_message(self, message: Message) -> "State":
-        """The state with a further message in transit."""
+        """Return the state with another message in transit."""
         return self._replace(messages=self.messages | {message})
 
     def with_budget_spent(self, what: str) -> "State":
-        """The state with one less of something in its budget."""
+        """Return the state with one field of its budget reduced by one."""
         return self._replace(budget=self.budget._replace(**{what: getattr(self.budget, what) - 1}))
 
 
-Step = tuple[str, State]  # what happens, and what comes of it
+Step = tuple[str, State]  # description of an event, and the state after it
 
 
 @dataclass
 class Exploration:
-    """What a search has found."""
+    """Result of a search."""
 
     states: int = 0
-    depth: int = 0  # steps to the last state
-    is_complete: bool = False  # whether nothing was left to explore
-    trace: list[str] = field(default_factory=list)  # to the first violation; empty where the limit holds
+    depth: int = 0  # steps to the states that were visited last
+    is_complete: bool = False  # whether all states within the scope were visited
+    trace: list[str] = field(default_factory=list)  # steps to the first violation; empty if there is none
 
 
 def _ignore_progress(depth: int, states: int) -> None:
-    """Report nothing."""
+    """Ignore the progress of a search."""
 
 
 class LeaseModel:
-    """The steps from each state, and the search; `ledger` may be a sabotaged one."""
+    """Successor states, and the search over them; tests pass a faulty `ledger` class."""
 
     def __init__(self, scope: Scope, ledger: type[LeaseLedger] = LeaseLedger) -> None:
         self.scope = scope
@@ -117,7 +118,7 @@
         self.window = scope.times.window
 
     def open_ledger(self, number: int, front: Front) -> LeaseLedger:
-        """A ledger with what a front has recorded."""
+        """Return a ledger with the recorded state of a front."""
         ledger = self.ledger(self.scope.own[number], self.scope.times, front.epoch, front.quiet_ticks)
         ledger.last_number = front.number
         ledger.granted = dict(front.granted)
@@ -127,7 +128,7 @@
 
     @staticmethod
     def record(front: Front, ledger: LeaseLedger) -> Front:
-        """The front with what is in its ledger now."""
+        """Return the front with the current state of its ledger."""
         ledger.discard_ended(0)
         granted = sorted(
             ledger.granted.items(), key=lambda entry: (entry[0].name, entry[0].epoch, entry[0].number)
@@ -140,7 +141,7 @@
         )
 
     def initial_state(self) -> State:
-        """All fronts have just started, and hold what they own."""
+        """Return the state in which all fronts have just started, and hold the parts that they own."""
         scope = self.scope
         budget = Budget(scope.asks, scope.deaths, scope.doubles, scope.skips, scope.backs)
         return State((Front(1, 0, 0, (), (), (), ()),) * len(scope.own), frozenset(), (), budget)
@@ -148,7 +149,7 @@
     # Steps.
 
     def steps(self, state: State) -> Iterator[Step]:
-        """All that can happen next."""
+        """Yield all possible next events, each with the state after it."""
         yield "tick", self._tick(state, None)
         for number in range(len(state.fronts)) if state.budget.skips else ():
             yield f"tick, but not for {number}", self._tick(state, number).with_budget_spent("skips")
@@ -185,7 +186,7 @@
         return state._replace(fronts=fronts, spent=spent)
 
     def _age_front(self, number: int, front: Front) -> Front:
-        """One tick later by its own clock."""
+        """Return a front after one tick of its own clock."""
         granted = tuple(
             (to, Lease(loan.parts, loan.end - 1, 0, loan.is_ending)) for to, loan in front.granted
         )
@@ -233,9 +234,9 @@
     # The search.
 
     def explore(self, on_depth: Callable[[int, int], None] = _ignore_progress) -> Exploration:
-        """Visit all states within the scope, breadth first.
+        """Visit all states within the scope, breadth-first, up to the first violation.
 
-        `on_depth` gets each depth, and the number of states so far.
+        `on_depth` is called after each depth with the depth and the number of states so far.
         """
         first = self.initial_state()
         reached: dict[State, tuple[State | None, str]] = {first: (None, "")}
@@ -258,7 +259,7 @@
 
 
 def trace(reached: dict[State, tuple[State | None, str]], state: State) -> list[str]:
-    """The steps from the first state to one."""
+    """Return the steps from the initial state to a state."""
     steps: list[str] = []
     before: State | None = state
     while before is not None:
--- a/weldbend/testbed/fleet/line_commands.py
+++ b/weldbend/testbed/fleet/line_commands.py
@@ -1,4 +1,4 @@
-"""`weldbend lab fleet --lines`: a fleet of real processes that is driven by lines on standard input."""
+"""`weldbend lab fleet --lines`: a fleet of real processes, controlled by commands on standard input."""
 
 import json
 import tempfile
@@ -18,14 +18,15 @@
 from weldbend.testbed.fleet.processes import FleetSite, FleetSiteSettings
 from weldbend.testbed.reactor import ProcessReactor
 
-DEFAULT_DURATION = "3600 s"  # how long an event without `for` lasts, if it is not ended before
-REACTOR_STOP_DELAY = 0.1  # seconds from the end of the fronts until the reactor stops
+DEFAULT_DURATION = "3600 s"  # duration of an event without `for`, unless another command ends it
+REACTOR_STOP_DELAY = 0.1  # seconds between the kill of the fronts and the stop of the reactor
 
 
 class LineCommands(LineOnlyReceiver):
-    """One JSON object a line: an event as plans have it, or `heal`, `start`, `signal`, `tell`, `write`.
+    """Protocol of commands, one JSON object per line.
 
-    Where an event has no `for`, it lasts until `heal` or `start`. Everything ends with the input.
+    A command is an event of a plan, or `heal`, `start`, `signal`, `tell` or `write`. An event without `for`
+    lasts until `heal` or `start`. `on_end` is called at the end of the input.
     """
 
     delimiter = b"\n"
@@ -36,7 +37,7 @@
         self.on_end = on_end
 
     def lineReceived(self, line: bytes) -> None:
-        """Carry out one line; what is wrong with it is shown."""
+        """Execute the command of one line, and print the result or the error."""
         try:
             command = json.loads(line)
             self._perform(command)
@@ -75,19 +76,19 @@
             self.site.installation_path(number).write_text(command["text"])
 
     def _numbers(self, command: dict[str, Any]) -> list[int]:
-        """The fronts that a command names."""
+        """Return the numbers of the fronts that a command applies to."""
         names = str(command.get("who", "all")).split()
         return list(self.site.numbers) if names == ["all"] else [int(name[1:]) for name in names]
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The input has ended."""
+        """Handle the end of the input."""
         self.on_end()
 
 
 def run_line_commands(
     reactor: ProcessReactor, fronts: int, seed: int, zones: tuple[str, ...], folder: str | None
 ) -> None:
-    """Carry out the lines on standard input; the first line out says where everything is."""
+    """Execute commands from standard input; the first output line has the folder and all addresses."""
     place = Path(folder or tempfile.mkdtemp(prefix="weldbend-fleet-"))
     settings = FleetSiteSettings(SiteSettings(fronts=fronts), zones, folder=place)
     site = FleetSite(reactor, settings, seed, print_json)
--- a/weldbend/testbed/fleet/model_network.py
+++ b/weldbend/testbed/fleet/model_network.py
@@ -1,7 +1,7 @@
-"""The network of a fleet model: datagrams and links between nodes, and the nodes themselves.
+"""Nodes of a fleet model, and the network of datagrams and links between them.
 
-A node is one process of the fleet; it runs the same membership, anti-entropy and replicated store as a front.
-A path is a pair of names, (from, to).
+A node models one process of the fleet; it runs the same membership, anti-entropy and replicated store as a
+front. A path is a pair of names, (from, to).
 """
 
 import hashlib
@@ -19,24 +19,24 @@
 from weldbend.fleet.topology import neighbours
 from weldbend.testbed.simulation.event_queue import EventQueue
 
-if TYPE_CHECKING:  # for annotations only: the model makes this network
+if TYPE_CHECKING:  # for annotations only: the model imports this module
     from weldbend.testbed.fleet.fleet_model import ModelSettings
 
 Path = tuple[str, str]
-Pair = tuple[str, ...]  # the two names of a link, in order
+Pair = tuple[str, ...]  # the sorted names of the two ends of a link
 
-KEEPALIVE = 3.0  # seconds after which a link that carries nothing breaks
-MIN_LATENCY = 0.001  # seconds of one trip
-LATENCY_SPREAD = 0.01  # seconds on top, drawn evenly
+KEEPALIVE = 3.0  # seconds without traffic after which a link is closed
+MIN_LATENCY = 0.001  # seconds, one way
+LATENCY_SPREAD = 0.01  # seconds of additional latency at most, uniformly distributed
 DUPLICATION_PROBABILITY = 0.01  # probability that a datagram arrives twice
-SOCKET_BUFFER = 64  # datagrams that the socket of a frozen process keeps
-MESSAGE_OVERHEAD = 80  # bytes of headers and authentication of a message
+SOCKET_BUFFER = 64  # datagrams that the socket of a frozen process buffers
+MESSAGE_OVERHEAD = 80  # bytes of headers and authentication per message
 TICK_INTERVAL = 0.1  # seconds between two ticks of a node
-BUSY_TICK_INTERVAL = 0.05  # the same, while it fetches a snapshot or has something due
+BUSY_TICK_INTERVAL = 0.05  # the same, while the node fetches a snapshot or has work due
 
 
 class Node:
-    """One process of the fleet."""
+    """A node of the model: one process of the fleet."""
 
     def __init__(self, network: "ModelNetwork", name: str, epoch: int) -> None:
         self.network = network
@@ -51,29 +51,29 @@
         self.changes: list[Change] = []
         self.anti_entropy = AntiEntropy(self.store, settings, seed + 1, self.changes.append, now)
         self.frozen_until = -math.inf
-        self.deferred: list[Callable[[], None]] = []  # what comes while it is frozen
+        self.deferred: list[Callable[[], None]] = []  # deliveries that arrived while the node was frozen
         self.is_up = True
-        self.figure_count = 0  # published in this run
+        self.figure_count = 0  # evidence items published since the start of the node
 
     def is_frozen(self) -> bool:
-        """Whether it runs nothing at the moment."""
+        """Return whether the node is frozen now."""
         return self.events.now < self.frozen_until
 
     def is_running(self) -> bool:
-        """Whether it is up and not frozen."""
+        """Return whether the node is up and not frozen."""
         return self.is_up and not self.is_frozen()
 
     def sync_store_epoch(self) -> None:
-        """Have the replica go by the membership's epoch, which others may have raised.
+        """Set the store's epoch to that of the membership, which peers may have raised.
 
-        Where no clocks are stepped the nodes are of earlier versions, which go on writing under their first
-        epoch: what a run behind a later one writes has to be joined as well.
+        In runs without clock steps, nodes behave like earlier versions, which keep writing under the epoch of
+        their start: changes written under an older epoch than a known one have to be joined as well.
         """
         if self.network.settings.clock_steps and self.store.epoch != self.membership.epoch:
             self.store.set_epoch(self.membership.epoch)
 
     def tick(self) -> None:
-        """Do what is due, and schedule the next tick."""
+        """Run the periodic work of the node, and schedule the next tick."""
         if not self.is_up:
             return
         if not self.is_frozen():
@@ -93,18 +93,18 @@
         self.events.schedule(BUSY_TICK_INTERVAL if is_busy else TICK_INTERVAL, self.tick)
 
     def send(self, messages: list[PeerMessage]) -> None:
-        """Send messages over links."""
+        """Send messages over the links to their receivers."""
         for message in messages:
             self.network.send_over_link(self, message)
 
     def publish(self, kind: str, key: str, *value: int | float | str) -> None:
-        """Make a change, if it runs."""
+        """Publish a change, if the node is running."""
         if self.is_running():
             self.send(self.anti_entropy.write(self.events.now, kind, key, *value))
 
 
 class ModelNetwork:
-    """What connects the nodes, and what is wrong with it at the moment."""
+    """Datagrams and links between the nodes, with the current faults of each path."""
 
     def __init__(self, settings: "ModelSettings", rng: Random, names: list[str]) -> None:
         self.settings = settings
@@ -115,23 +115,25 @@
         self.blocked_paths: set[Path] = set()
         self.extra_delay: dict[Path, float] = {}  # seconds
         self.datagram_loss: dict[Path, float] = {}  # probability
-        self.links: dict[Pair, float] = {}  # since when each is up
-        self.last_bytes: dict[Pair, float] = {}  # when something last passed on a link
-        self.last_arrival: dict[Path, float] = {}  # links keep order
+        self.links: dict[Pair, float] = {}  # time at which each link was established
+        self.last_bytes: dict[Pair, float] = {}  # time of the last traffic on each link
+        self.last_arrival: dict[
+            Path, float
+        ] = {}  # latest arrival time scheduled on each path: links preserve order
         self.counts: Counter[str] = Counter()
-        self.on_step: Callable[[Node], None] = lambda node: None  # after each step of a node
+        self.on_step: Callable[[Node], None] = lambda node: None  # called after each step of a node
         self._digest = hashlib.sha256()
 
     def record_bytes(self, path: str, data: bytes) -> None:
-        """Add a message that is sent now to the byte digest."""
+        """Add a message that is being sent to the byte digest."""
         self._digest.update(f"{self.events.now!r} {path} {len(data)}\n".encode() + data)
 
     def byte_digest(self) -> str:
-        """Digest of every message sent so far as it is encoded, with its time and path."""
+        """Return the digest of all encoded messages sent so far, with their times and paths."""
         return self._digest.hexdigest()
 
     def is_open(self, sender: str, receiver: str) -> bool:
-        """Whether messages pass from one node to another."""
+        """Return whether the path from one node to another is not blocked."""
         return (sender, receiver) not in self.blocked_paths
 
     def _latency(self) -> float:
@@ -140,7 +142,7 @@
     # Datagrams.
 
     def send_datagram(self, node: Node, send: Send) -> None:
-        """Send one datagram: it is lost, duplicated, delayed or reordered."""
+        """Send one datagram, which may be lost, duplicated, delayed or reordered."""
         path = node.name, send.to
         data = m.encode(send.body)
         self.record_bytes(f"datagram {path[0]}>{path[1]}", data)
@@ -149,7 +151,7 @@
         loss = max(self.settings.loss, self.datagram_loss.get(path, 0.0))
         if not self.is_open(*path) or self.rng.random() < loss:
             return
-        epoch = node.membership.epoch  # as it is authenticated when it is sent
+        epoch = node.membership.epoch  # a datagram is authenticated under the epoch at its sending
         is_duplicated = self.rng.random() < DUPLICATION_PROBABILITY
         for _ in range(1 + is_duplicated):
             latency = self._latency()
@@ -172,7 +174,7 @@
     # Links.
 
     def update_links(self, node: Node) -> None:
-        """Links come up between neighbours that reach each other, and break where they do not."""
+        """Establish links to reachable neighbours, and close links that timed out or whose peer is down."""
         for peer in neighbours(node.name, self.names):
             pair = tuple(sorted((node.name, peer)))
             other = self.nodes.get(peer)
@@ -195,7 +197,7 @@
             self.drop_link(pair)
 
     def drop_link(self, pair: Pair) -> None:
-        """A link breaks: both ends are notified."""
+        """Close a link, and notify both ends."""
         del self.links[pair]
         for one, two in (pair, pair[::-1]):
             node = self.nodes.get(one)
@@ -203,12 +205,12 @@
                 node.send(node.anti_entropy.peer_disconnected(two, self.events.now))
 
     def drop_links_of(self, name: str) -> None:
-        """All links of a node break."""
+        """Close all links of a node."""
         for pair in [pair for pair in self.links if name in pair]:
             self.drop_link(pair)
 
     def send_over_link(self, node: Node, message: PeerMessage) -> None:
-        """Send a message over the link to its receiver, if there is one."""
+        """Send a message over the link to its receiver; drop it if there is no link."""
         path = node.name, message.to
         pair = tuple(sorted(path))
         since = self.links.get(pair)
--- a/weldbend/testbed/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -1,4 +1,4 @@
-"""Plans of what happens to a fleet: an INI file, checked completely on load. No I/O but the file itself.
+"""Plans of events in a fleet: INI files that are validated on load. The only I/O is reading the file.
 
     [fleet]
     fronts = 5
@@ -11,8 +11,8 @@
     who = n1 n2 | n3 n4 n5
     for = 8 s
 
-One section an event; `who` names fronts, with `|` between them where an event has sides, or `all`. The same
-plan is played by real processes and by simulated ones.
+Each further section describes one event. `who` lists fronts, or is `all`; for events with sides, `|`
+separates the sides. The same plan can be played with real processes and with simulated fronts.
 """
 
 import re
@@ -33,33 +33,33 @@
 )
 
 MAX_FRONTS = 64
-MAX_DURATION = 3600.0  # seconds; the longest time that a key states
+MAX_DURATION = 3600.0  # seconds; upper bound of most durations in a plan
 
-Side = tuple[int, ...]  # fronts by number
+Side = tuple[int, ...]  # numbers of the fronts on one side
 
 __all__ = ["Action", "FleetEvent", "FleetPlan", "InvalidPlanError", "parse_event", "parse_plan", "read_plan"]
 
 
 class Action(StrEnum):
-    """What an event does."""
-
-    SPLIT = "split"  # the sides do not reach each other
-    ONE_WAY = "one-way"  # nothing passes from the first side to the others
-    FLAP = "flap"  # split and healed again and again
-    SLOW = "slow"  # what the first side sends comes so much later
-    LOSSY = "lossy"  # that fraction of its datagrams is lost
-    DOUBLE = "double"  # that fraction of its datagrams comes twice
-    KILL = "kill"  # kill -9, and started again after that time
-    STOP = "stop"  # SIGSTOP, and SIGCONT after that time
-    RESTART = "restart"  # SIGTERM, and started again once it has ended
-    APART = "apart"  # killed, and started again with its clock set so far back (or forward: `how`)
-    NO_BUS = "no-bus"  # its event bus is unreachable
-    DRAIN = "drain"  # the endpoint list says that a cache (`what`) drains
-    UP = "up"  # the endpoint list says that it is in service, started just now
-    PURGE = "purge"  # of the group `what`
-
-
-REQUIRED_KEYS: dict[Action, tuple[str, ...]] = {  # beside `at` and `who`
+    """Action of an event: the values of the key `do`."""
+
+    SPLIT = "split"  # blocks all messages between the sides
+    ONE_WAY = "one-way"  # blocks all messages from the first side to the others
+    FLAP = "flap"  # alternates between a split and an intact network
+    SLOW = "slow"  # delays messages from these fronts by the time `by`
+    LOSSY = "lossy"  # drops the fraction `share` of the datagrams from these fronts
+    DOUBLE = "double"  # duplicates the fraction `share` of the datagrams from these fronts
+    KILL = "kill"  # kills the fronts by SIGKILL, and starts them after the time `for`
+    STOP = "stop"  # suspends the fronts by SIGSTOP, and sends SIGCONT after the time `for`
+    RESTART = "restart"  # ends the fronts by SIGTERM, and starts them once they have ended
+    APART = "apart"  # kills the fronts, and starts them with clocks that are off by the time `by` (see `how`)
+    NO_BUS = "no-bus"  # makes the event bus unreachable for these fronts
+    DRAIN = "drain"  # sets the cache `what` to draining in the endpoint list
+    UP = "up"  # sets the cache `what` to up in the endpoint list, started at this moment
+    PURGE = "purge"  # purges the group `what`
+
+
+REQUIRED_KEYS: dict[Action, tuple[str, ...]] = {  # in addition to `at` and `who`
     Action.SPLIT: ("for",),
     Action.ONE_WAY: ("for",),
     Action.FLAP: ("for", "every"),
@@ -74,7 +74,7 @@
 PARTITION_ACTIONS = (Action.SPLIT, Action.ONE_WAY, Action.FLAP)
 CACHE_ACTIONS = (Action.DRAIN, Action.UP)
 SITE_ACTIONS = (*CACHE_ACTIONS, Action.PURGE)
-GROUP_NUMBER = re.compile("[0-9]{1,3}")  # the number of a group
+GROUP_NUMBER = re.compile("[0-9]{1,3}")  # format of the number of a group
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,22 +86,22 @@
     do: str
     sides: tuple[Side, ...] = ()
     duration: float = 0.0
-    by: float = 0.0  # seconds of delay, or by which a clock is set
-    fraction: float = 0.0  # of the datagrams
-    every: float = 1.0
-    how: str = "back"
-    what: str = ""  # the uid of a cache, or the number of a group
+    by: float = 0.0  # seconds of delay, or of a change of the clock
+    fraction: float = 0.0  # fraction of datagrams that is lost or duplicated
+    every: float = 1.0  # length of each phase of a flap
+    how: str = "back"  # direction of a change of the clock: back or forward
+    what: str = ""  # uid of a cache, or number of a group
 
     @property
     def fronts(self) -> Side:
-        """The fronts of an event that has no sides."""
+        """Fronts of an event without sides."""
         return self.sides[0]
 
     def check_cache(self, uids: Collection[str], location: str) -> None:
-        """Check that the cache that it names, if it does, is among those of a site.
+        """Check that the cache of this event, if it has one, is a cache of the site.
 
         Raises:
-            InvalidPlanError: It is not.
+            InvalidPlanError: The site does not have this cache.
         """
         if self.do in CACHE_ACTIONS and self.what not in uids:
             raise InvalidPlanError(location, f"{self.what!r:.20} is none of {', '.join(uids)}", "what")
@@ -109,27 +109,27 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPlan:
-    """The size of a fleet, its load, and its events. Times in seconds."""
+    """Size of a fleet, its load, and its events. Times are in seconds."""
 
     fronts: int = 3
     seconds: float = 30.0
-    calm: float = 15.0  # after the last event has ended, at least: all must agree by then
-    rate: float = 10.0  # requests a second
+    calm: float = 15.0  # minimum time after the end of the last event, in which all fronts have to converge
+    rate: float = 10.0  # requests per second
     zones: tuple[str, ...] = ()
     events: tuple[FleetEvent, ...] = ()
 
     def check_caches(self, uids: Collection[str], path: str) -> None:
-        """Check that all caches that events name are among those of a site; `path` is the plan's file.
+        """Check that the caches of all events are caches of the site; `path` is the file of the plan.
 
         Raises:
-            InvalidPlanError: One is not.
+            InvalidPlanError: The site does not have a cache of an event.
         """
         for event in self.events:
             event.check_cache(uids, f"{path}: [{event.name}]")
 
 
 def parse_names(text: str) -> tuple[str, ...]:
-    """Names between commas."""
+    """Split a comma-separated list of names."""
     return tuple(name.strip() for name in text.split(",") if name.strip())
 
 
@@ -154,7 +154,7 @@
 
 
 def read_plan(path: str) -> FleetPlan:
-    """A plan from its file; raises InvalidPlanError."""
+    """Read a plan from a file; raises InvalidPlanError."""
     try:
         sections = parse(path)
     except InstallationError as error:
@@ -163,10 +163,10 @@
 
 
 def parse_plan(sections: Section, path: str = "plan") -> FleetPlan:
-    """A plan from its sections; raises InvalidPlanError for the first thing wrong."""
+    """Build a plan from the sections of its file; raises InvalidPlanError for the first error."""
     for name, section in sections.items():
         if not isinstance(section, Mapping):
-            raise InvalidPlanError(f"{path}:", f"key '{name}' stands before any section")
+            raise InvalidPlanError(f"{path}:", f"key '{name}' precedes the first section")
     plan = FleetPlan(**read_values(sections.get("fleet", {}), FLEET_KEYS, f"{path}: [fleet]"))
     events = tuple(
         parse_event(name, section, plan.fronts, f"{path}: [{name}]")
@@ -178,7 +178,7 @@
 
 
 def parse_event(name: str, section: Section, fronts: int, location: str) -> FleetEvent:
-    """An event from its section; raises InvalidPlanError for the first thing wrong."""
+    """Build an event from its section; raises InvalidPlanError for the first error."""
     values = read_values(section, EVENT_KEYS, location)
     do = values.get("do")
     if do is None:
@@ -189,7 +189,7 @@
     who = values.pop("who", "")
     if do in SITE_ACTIONS:
         if who or not values.get("what"):
-            raise InvalidPlanError(location, f"{do} is of the site: it has 'what', and no 'who'")
+            raise InvalidPlanError(location, f"{do} acts on the site: it needs 'what', and takes no 'who'")
         if do == Action.PURGE and not GROUP_NUMBER.fullmatch(values["what"]):
             raise InvalidPlanError(location, f"{values['what']!r:.20} is no group from 0 to 999", "what")
     else:
@@ -199,7 +199,7 @@
 
 
 def parse_sides(text: str, fronts: int, has_sides: bool, location: str) -> tuple[Side, ...]:
-    """The sides of an event; where only one is named, all other fronts are the second.
+    """Parse the sides of an event; if only one is given, all other fronts form the second.
 
     Raises InvalidPlanError.
     """
@@ -220,7 +220,7 @@
 
 
 def parse_side(text: str, known: dict[str, int], location: str) -> Side:
-    """The fronts that are named, or `all`; raises InvalidPlanError."""
+    """Parse a list of fronts, or `all`; raises InvalidPlanError."""
     named = text.split()
     if named == ["all"]:
         named = list(known)
--- a/weldbend/testbed/fleet/plan_player.py
+++ b/weldbend/testbed/fleet/plan_player.py
@@ -1,4 +1,4 @@
-"""Carries out a plan on a backend, which is a fleet of real processes or a simulated one. No I/O."""
+"""Execution of a plan on a backend: a fleet of real processes or a simulated one. No I/O."""
 
 from collections.abc import Callable
 from itertools import permutations
@@ -6,23 +6,23 @@
 
 from weldbend.testbed.fleet.plan import Action, FleetEvent, FleetPlan
 
-Paths = set[tuple[int, int]]  # (from, to), fronts by number
+Paths = set[tuple[int, int]]  # (from, to) as numbers of fronts
 
-CLOCK_RESTART_DELAY = 0.2  # seconds from the end of a front until it starts with another clock
-FRONT_NUMBER_LIMIT = 1000  # above any number of a front
+CLOCK_RESTART_DELAY = 0.2  # seconds between the kill of a front and its start with another clock
+FRONT_NUMBER_LIMIT = 1000  # larger than the number of any front
 
 
 class Backend(Protocol):
-    """What can be done to a fleet; times are in seconds."""
+    """Operations on a fleet that a plan needs; times are in seconds."""
 
     def call_later(self, delay: float, call: Callable[[], object]) -> object:
-        """Call after a delay."""
+        """Schedule a call after a delay."""
 
     def block(self, paths: Paths) -> None:
-        """Let nothing pass on some paths."""
+        """Block some paths."""
 
     def unblock(self, paths: Paths) -> None:
-        """Let bytes pass again."""
+        """Unblock some paths."""
 
     def degrade(self, paths: Paths, kind: str, amount: float) -> None:
         """Set the delay (slow), loss (lossy) or duplication (double) of some paths."""
@@ -31,29 +31,29 @@
         """Kill a front."""
 
     def suspend(self, number: int, duration: float) -> None:
-        """Stop a front as by SIGSTOP, for a time."""
+        """Suspend a front for a time, as SIGSTOP does."""
 
     def restart(self, number: int) -> None:
-        """Shut a front down gracefully, and start it again."""
+        """Stop a front gracefully, and start it again."""
 
     def start(self, number: int, clock_offset: float = 0.0) -> None:
-        """Start a front, with its Unix clock ahead by so many seconds."""
+        """Start a front, with its Unix clock ahead by `clock_offset` seconds."""
 
     def isolate_from_bus(self, number: int, duration: float) -> None:
-        """Cut a front off its event bus, for a time."""
+        """Block the path between a front and the event bus for a time."""
 
     def publish_cache_state(self, uid: str, state: str) -> None:
-        """Publish that a cache is `draining`, or `up` and has just started."""
+        """Publish that a cache is `draining`, or that it is `up` and has just started."""
 
     def publish_purge(self, group: int) -> None:
         """Publish a purge of a group."""
 
     def report_event(self, **event: object) -> None:
-        """Show that an event of the plan begins or ends."""
+        """Report that an event of the plan begins or ends."""
 
 
 class Player:
-    """Schedules the events of a plan, and carries them out."""
+    """Schedules and executes the events of a plan."""
 
     def __init__(self, backend: Backend) -> None:
         self.backend = backend
@@ -67,7 +67,7 @@
         self.backend.call_later(event.at, lambda: self.begin(event))
 
     def begin(self, event: FleetEvent) -> None:
-        """Begin one event now; what it does ends by itself after its time."""
+        """Begin an event now; its effect ends by itself after its duration."""
         self._report(event, "begins")
         match event.do:
             case Action.SPLIT | Action.ONE_WAY | Action.FLAP:
--- a/weldbend/testbed/fleet/plan_runner.py
+++ b/weldbend/testbed/fleet/plan_runner.py
@@ -1,4 +1,4 @@
-"""`weldbend lab fleet`: plays a plan with real processes or on the virtual clock."""
+"""`weldbend lab fleet --plan`: plays a plan with real processes or on the virtual clock."""
 
 import json
 
@@ -10,12 +10,12 @@
 from weldbend.testbed.load.generator import Load, LoadPlan
 from weldbend.testbed.reactor import ProcessReactor
 
-# Fronts are compared again where they differ: items end while one front is queried after the other.
+# A comparison that finds differences is repeated: an item may expire between the queries of two fronts.
 COMPARISON_INTERVAL = 0.5  # seconds
-MAX_COMPARISONS = 12  # at most
-LOAD_MARGIN = 1.0  # seconds before the end of a plan at which its load ends
-REACTOR_STOP_DELAY = 0.3  # seconds from the end of the fronts until the reactor stops
-MIN_RATE = 0.1  # requests a second
+MAX_COMPARISONS = 12
+LOAD_MARGIN = 1.0  # seconds between the end of the load and the end of the plan
+REACTOR_STOP_DELAY = 0.3  # seconds between the kill of the fronts and the stop of the reactor
+MIN_RATE = 0.1  # requests per second
 
 
 def print_json(document: dict[str, object]) -> None:
@@ -24,7 +24,7 @@
 
 
 def play_simulated(plan: FleetPlan, seed: int, path: str) -> bool:
-    """Play a plan, read from `path`, on the virtual clock; returns whether the verdict is clean.
+    """Play a plan that was read from `path` on the virtual clock; returns whether the verdict is clean.
 
     Raises:
         InvalidPlanError: The plan names a cache that the site does not have.
@@ -49,10 +49,10 @@
 
 
 class ProcessRun:
-    """A plan played with real processes, and a load on them; stops the reactor at the end."""
+    """A run of a plan with real processes under load; it stops the reactor at the end."""
 
     def __init__(self, reactor: ProcessReactor, plan: FleetPlan, seed: int, path: str) -> None:
-        """Make it for a plan that was read from `path`; nothing is started before `start`.
+        """Prepare a run of a plan that was read from `path`; `start` starts it.
 
         Raises:
             InvalidPlanError: The plan names a cache that the site does not have.
@@ -63,12 +63,12 @@
         settings = FleetSiteSettings(SiteSettings(fronts=plan.fronts), plan.zones)
         self.site = FleetSite(reactor, settings, seed, print_json)
         plan.check_caches(self.site.cache_uids(), path)
-        self.pending_fronts = plan.fronts  # fronts that are not ready yet
+        self.pending_fronts = plan.fronts  # number of fronts that are not ready yet
         self.is_clean = False
         self.load: Load | None = None
 
     def start(self) -> None:
-        """Start the fronts; the plan begins once all are ready."""
+        """Start the fronts; the plan begins when all of them are ready."""
         self.site.on_ready = self._on_ready
         for number in self.site.numbers:
             self.site.start(number)
--- a/weldbend/testbed/fleet/process_benchmarks.py
+++ b/weldbend/testbed/fleet/process_benchmarks.py
@@ -1,9 +1,9 @@
-"""What a fleet of real processes costs, and how soon it knows a death. Not part of CI.
+"""Benchmarks of a fleet of real processes: its cost, and the time to detect a death. Not part of CI.
 
     python -m weldbend.testbed.fleet.process_benchmarks NAME ARGUMENTS
 
-runs one measurement, whose arguments are a JSON array, and prints its report as one JSON line. A reactor runs
-only once, so each measurement is a process of its own; `run_in_process` starts it.
+runs one measurement, whose arguments are a JSON array, and prints its report as one JSON line. A reactor can
+run only once per process, so each measurement runs in a process of its own; `run_in_process` starts it.
 """
 
 import json
@@ -20,23 +20,26 @@
 from weldbend.testbed.load.generator import Load, LoadPlan
 from weldbend.testbed.reactor import ProcessReactor
 
-SETTLING_TIME = 8.0  # seconds from the readiness of all fronts until a measurement
+SETTLING_TIME = 8.0  # seconds between the readiness of all fronts and the start of a measurement
 STALL_DURATION = 600.0  # seconds, longer than any measurement
-REACTOR_STOP_DELAY = 0.3  # seconds from the end of the fronts until the reactor stops
-TIMEOUT = 600  # seconds of one measurement
-MAX_QUERIED_FRONTS = 10  # fronts at most that are queried
-QUERY_PERIOD = 0.25  # seconds
-MEBIBYTE = 2**20
+REACTOR_STOP_DELAY = 0.3  # seconds between the kill of the fronts and the stop of the reactor
+TIMEOUT = 600  # seconds, limit of one measurement
+MAX_QUERIED_FRONTS = 10
+QUERY_PERIOD = 0.25  # seconds between two queries of a front
+MEBIBYTE = 2**20  # bytes
 
 
 class Measurement:
-    """Starts fronts, and calls `begin` once all have been ready for a while; `report` has the result."""
+    """A measurement of a fleet: starts fronts, and calls `begin` when all have been ready for a while.
+
+    `report` holds the result.
+    """
 
     def __init__(self, reactor: ProcessReactor, fronts: int, installation: str) -> None:
         self.reactor = reactor
         settings = FleetSiteSettings(SiteSettings(fronts=fronts), installation=installation)
         self.site = FleetSite(reactor, settings, 1, lambda event: None)
-        self.pending_fronts = fronts  # those that are not ready yet
+        self.pending_fronts = fronts  # number of fronts that are not ready yet
         self.report: dict[str, Any] = {}
 
     def start(self) -> None:
@@ -51,18 +54,18 @@
             self.reactor.callLater(SETTLING_TIME, self.begin)
 
     def begin(self) -> None:
-        """Measure; calls `finish` at the end."""
+        """Run the measurement, and call `finish` at the end."""
         raise NotImplementedError
 
     def finish(self, report: dict[str, Any]) -> None:
-        """End the fronts and the reactor."""
+        """Store the report, kill the fronts, and stop the reactor."""
         self.report = report
         self.site.end_all()
         self.reactor.callLater(REACTOR_STOP_DELAY, self.reactor.stop)
 
 
 class Costs(Measurement):
-    """CPU and memory of each front over some seconds, and the latencies of a load on the first."""
+    """CPU and memory use of the fronts over some seconds, and latencies of a load on the first front."""
 
     def __init__(
         self,
@@ -76,7 +79,7 @@
         super().__init__(reactor, fronts, "" if has_fleet else QUICK_SETTINGS)
         self.rate = rate
         self.seconds = seconds
-        self.has_stalled_front = stalled  # the last front is stopped meanwhile
+        self.has_stalled_front = stalled  # whether the last front is suspended during the measurement
         self.before: dict[int, process_usage.Usage] = {}
         self.started_at = 0.0
         if not has_fleet:
@@ -84,7 +87,7 @@
                 self.site.installation_path(number).write_text("")
 
     def begin(self) -> None:
-        """Put the load on."""
+        """Start the load, or only the measurement if the rate is 0."""
         if self.has_stalled_front:
             self.site.suspend(len(self.site.numbers), STALL_DURATION)
         self.before = self._usages()
@@ -117,17 +120,17 @@
 
 
 class Deaths(Measurement):
-    """One of so many processes is killed: how long until the others suspect it and know it."""
+    """Times until the other fronts suspect a killed front and declare it dead."""
 
     def __init__(self, reactor: ProcessReactor, fronts: int) -> None:
         super().__init__(reactor, fronts, "")
         self.victim = fronts
         self.killed_at = 0.0
         self.seen: dict[int, dict[str, float]] = {number: {} for number in self.site.numbers}
-        self.false_deaths: set[tuple[int, str]] = set()  # (by whom, of whom)
+        self.false_deaths: set[tuple[int, str]] = set()  # (number of the observing front, name of the member)
 
     def begin(self) -> None:
-        """Kill the victim after a time, and query the others all the while."""
+        """Schedule the kill of the victim, and query the other fronts periodically."""
         self.reactor.callLater(20.0 + self.victim / 4, self._kill)
         self._query()
 
@@ -173,7 +176,7 @@
 
 
 class MeasurementError(RuntimeError):
-    """A measurement whose process failed; `log` is the end of its standard error."""
+    """The process of a measurement failed; `log` is the end of its standard error."""
 
     def __init__(self, log: str) -> None:
         self.log = log
@@ -181,7 +184,7 @@
 
 
 def run_in_process(name: str, *arguments: object) -> dict[str, Any]:
-    """The report of one measurement, run in a process of its own; raises MeasurementError."""
+    """Run one measurement in a process of its own, and return its report; raises MeasurementError."""
     done = subprocess.run(
         [sys.executable, "-m", "weldbend.testbed.fleet.process_benchmarks", name, json.dumps(arguments)],
         capture_output=True,
--- a/weldbend/testbed/fleet/processes.py
+++ b/weldbend/testbed/fleet/processes.py
@@ -1,6 +1,6 @@
-"""A fleet of real `serve` processes over the emulated site, with a relay on every path between two of them.
+"""A fleet of real `serve` processes on the emulated site, with a relay on each path between two fronts.
 
-Each front has a path of its own to the event bus.
+Each front also has a relay of its own on its path to the event bus.
 """
 
 import contextlib
@@ -22,32 +22,30 @@
 from weldbend.testbed.fleet.relay_network import DatagramRelay, LinkRelay, RelayNetwork
 from weldbend.testbed.reactor import ProcessReactor, ProcessTransport
 
-PORT_RANGE = (
-    10_000,
-    30_000,
-)  # first and last that are tried: the system assigns later ones to outgoing connections
-PORT_STRIDE = 97  # by which the first ports that two processes try differ
-BUS = 0  # the number that stands for the event bus among the fronts
-END_CHECK_INTERVAL = 0.02  # seconds between two checks whether a front that was killed has ended
-SHUTDOWN_CHECK_INTERVAL = 0.1  # seconds between two checks whether one that shuts down has ended
+# Ports that are tried. They are below those that the system assigns to outgoing connections.
+PORT_RANGE = 10_000, 30_000
+PORT_STRIDE = 97  # distance between the first ports that two processes with consecutive ids try
+BUS = 0  # number of the event bus in paths, in place of a front's
+END_CHECK_INTERVAL = 0.02  # seconds between two checks whether a signalled front has ended
+SHUTDOWN_CHECK_INTERVAL = 0.1  # seconds between two checks whether a restarting front has ended
 QUICK_SETTINGS = """interval = 200 ms
 timeout = 80 ms
 alone = 1500 ms
 exchange = 300 ms
 stalled = 500 ms
 """
-# Runs the command line with the Unix clock ahead by the first argument, in seconds.
+# Program that runs the command line with the Unix clock ahead by its first argument, in seconds.
 SHIFTED_CLOCK = (
     "import sys, time; ahead, unix = float(sys.argv.pop(1)), time.time; "
     "time.time = (lambda: unix() + ahead) if ahead else unix; "
     "from weldbend.cli import main; main()"
 )
 
-Event = dict[str, object]  # shown as one line of JSON
+Event = dict[str, object]  # printed as one line of JSON
 
 
 class NoFreePortError(TestbedError):
-    """All of PORT_RANGE are in use."""
+    """All ports of PORT_RANGE are in use."""
 
     def __init__(self) -> None:
         super().__init__("no port is free")
@@ -55,18 +53,18 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetSiteSettings:
-    """What a fleet of processes consists of."""
+    """Settings of a fleet of processes."""
 
     site: SiteSettings
-    zones: tuple[str, ...] = ()  # of the fronts in turn; none: no zones
+    zones: tuple[str, ...] = ()  # zones, assigned to the fronts in turn; empty: no zones
     installation: str = QUICK_SETTINGS  # further lines of the [fleet] section
-    folder: Path | None = None  # for configurations and logs; None: a new one
+    folder: Path | None = None  # folder for configurations and logs; None: a new one
 
 
 class FleetSite:
-    """Fronts that form a fleet; the backend of fleet plans with real processes.
+    """A fleet of fronts as processes; the backend of fleet plans with real processes.
 
-    `on_event` gets each thing that happens.
+    `on_event` is called with each event: starts, readiness and ends of fronts, and events of a plan.
     """
 
     def __init__(
@@ -90,9 +88,9 @@
         self.controls = {number: f"{LOOPBACK}:{self._free_port()}" for number in self.numbers}
         self.running: dict[int, ProcessTransport] = {}
         self.configurations: dict[int, Path] = {}
-        self.addresses: dict[int, str] = {}  # for clients
-        self.suspended: set[int] = set()  # by SIGSTOP
-        self.terminating: set[int] = set()  # those with a signal to end whose end is not noticed yet
+        self.addresses: dict[int, str] = {}  # addresses for clients, by front
+        self.suspended: set[int] = set()  # fronts that are stopped by SIGSTOP
+        self.terminating: set[int] = set()  # fronts that were sent SIGKILL or SIGTERM and have not ended yet
         self.is_ended = False
         self.on_ready: Callable[[int], None] = lambda number: None
         reactor.addSystemEventTrigger("before", "shutdown", self.end_all)
@@ -103,10 +101,14 @@
             self.installation_path(number).write_text(self._installation(number))
 
     def _free_port(self) -> int:
-        """A port that is free now, and that is assigned once.
+        """Return a free port that was not returned before.
 
-        Guards against losing it before its front listens: it is none of those that the system assigns to
-        outgoing connections. Harm: two testbeds at once may try the same; the later one takes the next.
+        The port is outside the range that the system assigns to outgoing connections, so that it stays free
+        until its front listens. As a side effect, two concurrent testbeds may try the same port; the later
+        one then takes the next free port.
+
+        Raises:
+            NoFreePortError: All ports of PORT_RANGE are in use.
         """
         first, last = PORT_RANGE
         begin = os.getpid() * PORT_STRIDE % (last - first)
@@ -120,7 +122,7 @@
         raise NoFreePortError
 
     def _relay(self, one: int, other: int, port: int) -> int:
-        """A port at which `one` reaches `other`, which listens at `port`."""
+        """Start a relay from front `one` to `other`, which listens at `port`; returns the relay's port."""
         relay = LinkRelay(self.network, (one, other), port)
         number = int(self.reactor.listenTCP(0, relay, interface=LOOPBACK).getHost().port)
         if other != BUS:
@@ -133,7 +135,7 @@
         return zones[(number - 1) % len(zones)] if zones else ""
 
     def installation_path(self, number: int) -> Path:
-        """The installation file of a front."""
+        """Return the path of a front's installation file."""
         return self.folder / f"n{number}.ini"
 
     def _installation(self, number: int) -> str:
@@ -149,22 +151,22 @@
             f"control = {self.controls[number]}\n{self.settings.installation}"
         )
 
-    # What a plan calls.
+    # Backend of plans.
 
     def call_later(self, delay: float, call: Callable[[], object]) -> object:
-        """Call after so many seconds."""
+        """Schedule a call after `delay` seconds."""
         return self.reactor.callLater(delay, call)
 
     def report_event(self, **event: object) -> None:
-        """Report something that happens, with the seconds since the start."""
+        """Report an event, with the time since the start in seconds."""
         self.on_event({"at": round(time.monotonic() - self.started_at, 3)} | event)
 
     def block(self, paths: Paths) -> None:
-        """Let nothing pass on some paths."""
+        """Block some paths."""
         self.network.blocked |= paths
 
     def unblock(self, paths: Paths) -> None:
-        """Let bytes pass again."""
+        """Unblock some paths."""
         self.network.unblock(paths)
 
     def degrade(self, paths: Paths, kind: str, amount: float) -> None:
@@ -172,10 +174,10 @@
         self.network.degrade(paths, kind, amount)
 
     def start(self, number: int, clock_offset: float = 0.0, program: str | None = None) -> None:
-        """Start a front; nothing happens where it goes on running.
+        """Start a front, unless it is running.
 
-        Guards plans against a start before the end of the process is noticed, which would be ignored: one
-        that has a signal to end is started again once it has ended.
+        If the front was sent a signal to end and its process has not ended yet, the start is retried until
+        it has: otherwise a plan's start right after a kill would be ignored.
         """
         if self.is_ended:
             return
@@ -206,7 +208,7 @@
         self.report_event(front=f"n{number}", ended=code)
 
     def signal(self, number: int, name: str) -> None:
-        """Send a signal by its short name, such as KILL, if that front is running."""
+        """Send a signal, given by its short name such as KILL, to a front if it is running."""
         if process := self.running.get(number):
             process.signalProcess(getattr(signal, f"SIG{name}"))
             if name in ("KILL", "TERM"):
@@ -217,7 +219,7 @@
         self.signal(number, "KILL")
 
     def suspend(self, number: int, duration: float) -> None:
-        """Stop a front by SIGSTOP, for a time."""
+        """Suspend a front by SIGSTOP for a time."""
         self.signal(number, "STOP")
         self.suspended.add(number)
         self.call_later(duration, lambda: self._resume(number))
@@ -228,7 +230,7 @@
             self.signal(number, "CONT")
 
     def restart(self, number: int) -> None:
-        """Shut a front down by SIGTERM, and start it again once it has ended."""
+        """Stop a front by SIGTERM, and start it again when it has ended."""
         self.signal(number, "TERM")
         self.call_later(SHUTDOWN_CHECK_INTERVAL, lambda: self._start_when_ended(number))
 
@@ -239,17 +241,17 @@
             self.start(number)
 
     def isolate_from_bus(self, number: int, duration: float) -> None:
-        """Cut a front off its event bus, for a time."""
+        """Block the path between a front and the event bus for a time."""
         paths = {(number, BUS), (BUS, number)}
         self.block(paths)
         self.call_later(duration, lambda: self.unblock(paths))
 
     def cache_uids(self) -> list[str]:
-        """All caches of the site."""
+        """Return the uids of all caches of the site."""
         return [str(target["uid"]) for target in self.site.targets]
 
     def publish_cache_state(self, uid: str, state: str) -> None:
-        """Publish that a cache is `draining`, or `up` and has just started."""
+        """Publish that a cache is `draining`, or that it is `up` and has just started."""
         entry = next(target for target in self.site.targets if target["uid"] == uid)
         entry |= {"state": state} | ({"boot_ms": int(time.time() * 1000)} if state == "up" else {})
         self.bus.publish(topology={"rev": len(self.bus.events), "all": False, "targets": [dict(entry)]})
@@ -258,14 +260,14 @@
         """Publish a purge of a group."""
         self.bus.publish(ban={"tag": group, "ts": int(time.time() * 1000)})
 
-    # The state of the fronts.
+    # Queries of the fronts' state.
 
     def query(self, number: int, on_answer: Callable[[Answer | None], None], **question: object) -> None:
-        """Send one question to one front; `on_answer` gets None where there is no answer in time."""
+        """Send one question to one front; `on_answer` gets None if it fails or times out."""
         send_query(self.reactor, self.controls[number], question, on_answer)
 
     def compare_views(self, on_differences: Callable[[list[str]], None]) -> None:
-        """Query all fronts, and hand on in what they differ now: nothing, where all is well."""
+        """Query the status of all fronts, and pass the differences between them to a callback."""
         views: dict[int, Any] = {}
 
         def query(number: int) -> None:
@@ -280,7 +282,7 @@
             query(number)
 
     def end_all(self) -> None:
-        """Kill all fronts; none is started any more."""
+        """Kill all fronts, and prevent further starts."""
         self.is_ended = True
         for number in list(self.running):
             self.signal(number, "CONT")
--- a/weldbend/testbed/fleet/quota_experiment.py
+++ b/weldbend/testbed/fleet/quota_experiment.py
@@ -1,9 +1,8 @@
-"""One limit over many fronts on a virtual network: leases against what else could be done.
+"""Experiment with one rate limit shared by many fronts on a virtual network: leases and alternatives.
 
-The fronts run the product's own ledgers and choices (`LeaseService`, `LeasedRate`); the network delays, loses
-and duplicates messages and partitions, and fronts die, freeze and run with clocks of their own, whose wall
-clocks may be stepped. What was
-admitted is counted from outside, by true time, without regard to quotas.
+Under leases, the fronts run the production code (`LeaseService`, `LeasedRate`). The network delays, loses and
+duplicates messages, and partitions. Fronts are killed and frozen, and have drifting clocks whose Unix time
+may be stepped. Admitted requests are counted from outside, by true time and independently of quotas.
 """
 
 import random
@@ -23,46 +22,46 @@
 from weldbend.testbed.simulation.event_queue import EventQueue
 
 LIMIT = "type:order"
-DETECTION_TIME = 1.5  # seconds after which a view knows that a front is gone, or back
+DETECTION_TIME = 1.5  # seconds until other fronts notice that a front does not answer
 FAULTS = ("split", "kill", "freeze", "slow", "one-way")
 
-SKEWED_FIRST_FRACTION = 0.9  # fraction of a skewed demand that comes to the first front
-SKEWED_OTHERS_FRACTION = 0.1  # and to all others together
-STEADY_START = 100.0  # of all steady clocks, in seconds
-UNIX_START = 1000.0  # of all Unix clocks, in seconds
-MESSAGE_OVERHEAD = 80  # bytes of headers and authentication of a message
-MIN_LATENCY = 0.001  # seconds of one trip
-LATENCY_SPREAD = 0.01  # seconds on top, drawn evenly
+SKEWED_FIRST_FRACTION = 0.9  # fraction of skewed demand that arrives at the first front
+SKEWED_OTHERS_FRACTION = 0.1  # and at all other fronts together
+STEADY_START = 100.0  # seconds, initial time of all steady clocks
+UNIX_START = 1000.0  # seconds, initial time of all Unix clocks
+MESSAGE_OVERHEAD = 80  # bytes of headers and authentication per message
+MIN_LATENCY = 0.001  # seconds, one way
+LATENCY_SPREAD = 0.01  # seconds of additional latency at most, uniformly distributed
 DUPLICATION_PROBABILITY = 0.01  # probability that a message arrives twice
-MAX_SLOW_DELAY = 1.5  # seconds on top, at most, while the network is slow
+MAX_SLOW_DELAY = 1.5  # seconds of additional latency at most while the network is slow
 TICK_INTERVAL = 0.05  # seconds between two ticks of a front
-MANY_FRONTS = 50  # more than these tick half as often
-GOSSIP_PROBABILITY = 0.1  # probability that a tick gossips: twice a second
-RESUME_MARGIN = 1e-6  # seconds after the end of a freeze at which what has waited is done
-RESTART_DELAY = 0.3  # seconds for which a front is down whose clock was stepped
-FIRST_STEP_AT = 1.0  # seconds after the start
-TOLERANCE = 1e-9  # of rounding, by which a window may be over the limit
+MANY_FRONTS = 50  # with more fronts than this, each ticks half as often
+GOSSIP_PROBABILITY = 0.1  # probability that a front gossips in a tick: twice a second on average
+RESUME_MARGIN = 1e-6  # seconds between the end of a freeze and the handling of queued work
+RESTART_DELAY = 0.3  # seconds between the kill of a front after a clock step and its start
+FIRST_STEP_AT = 1.0  # seconds after the start of a run
+TOLERANCE = 1e-9  # rounding error allowed in the comparison of a window with the limit
 
 
 @dataclass(frozen=True, slots=True)
 class QuotaSettings:
-    """One experiment. Times in seconds, rates a second."""
+    """Settings of one experiment. Times are in seconds, rates per second."""
 
     fronts: int = 4
-    most: float = 60.0  # the limit, of all together
+    most: float = 60.0  # limit on the rate of all fronts together
     seconds: float = 30.0
-    demand: str = "skewed"  # how the requests spread over the fronts: even, skewed, moving or wandering
-    kind: str = "leases"  # how the limit is kept: one of KINDS
-    rate: float = 90.0  # requests of all clients together
-    faults: tuple[tuple[float, str, float], ...] = ()  # when, what, how long
-    drift: float = 0.01  # fraction by which clocks may run too fast or too slow, as stated
-    excess_drift: float = 0.0  # by which they drift more than is stated
+    demand: str = "skewed"  # distribution of requests over the fronts: even, skewed, moving or wandering
+    kind: str = "leases"  # method of enforcing the limit: one of KINDS
+    rate: float = 90.0  # rate of requests of all clients together
+    faults: tuple[tuple[float, str, float], ...] = ()  # (start, kind, duration)
+    drift: float = 0.01  # allowed fraction by which clocks run fast or slow
+    excess_drift: float = 0.0  # fraction by which clocks drift beyond the allowed one
     loss: float = 0.02  # probability that a message is lost
-    steps: tuple[ClockStep, ...] = ()  # of the fronts' Unix clocks
+    steps: tuple[ClockStep, ...] = ()  # steps of the fronts' Unix clocks
     times: LeaseTimes = field(default_factory=lambda: LeaseTimes(1.0, 1.0, 0.01))
 
     def demand_at(self, number: int, at: float) -> float:
-        """Requests a second that come to a front at a moment."""
+        """Return the rate of requests that arrive at a front at a time."""
         count = self.fronts
         total = self.rate
         match self.demand:
@@ -72,31 +71,31 @@
                 return total * (
                     SKEWED_FIRST_FRACTION if number == 0 else SKEWED_OTHERS_FRACTION / (count - 1)
                 )
-            case "moving":  # all of it moves on each second
+            case "moving":  # all demand moves to the next front every second
                 return total if int(at) % count == number else 0.0
-            case "wandering":  # all of it moves on each ten seconds
+            case "wandering":  # all demand moves to the next front every ten seconds
                 return total if int(at / 10) % count == number else 0.0
         raise ValueError(self.demand)
 
 
 class WallClock:
-    """A front's wall clock beside true time, as its process reads them at its start."""
+    """True time and Unix time of a front, which its `SteadyUnixTime` reads when the front starts."""
 
     def __init__(self, experiment: "QuotaExperiment", number: int) -> None:
         self._experiment = experiment
         self._number = number
 
     def now(self) -> float:
-        """Seconds of true time."""
+        """Return the true time in seconds."""
         return self._experiment.events.now
 
     def unix(self) -> float:
-        """Seconds of the front's Unix clock."""
+        """Return the time of the front's Unix clock in seconds."""
         return self._experiment.unix(self._number)
 
 
 class Front:
-    """One front under leases."""
+    """A front that enforces the limit by leases."""
 
     def __init__(self, experiment: "QuotaExperiment", number: int, epoch: int, is_restarted: bool) -> None:
         self.experiment = experiment
@@ -122,16 +121,16 @@
         self.limits.open(LIMIT, experiment.names, limit, settings.times, self.rate, now)
 
     def is_frozen(self) -> bool:
-        """Whether it runs nothing at the moment."""
+        """Return whether the front is frozen now."""
         return self.experiment.events.now < self.frozen_until
 
     def admit(self, now: float) -> bool:
-        """Whether one request is admitted, at a moment of the front's own clock."""
+        """Return whether one request is admitted at a time of the front's own clock."""
         return self.rate.try_admit(now)
 
 
 class FixedQuotaFront(Front):
-    """Each front has its quota, whoever needs it."""
+    """A front with a fixed quota, independent of the demand."""
 
     def admit(self, now: float) -> bool:
         """Admit within the front's own quota."""
@@ -140,15 +139,15 @@
 
 
 class GossipFront(Front):
-    """Each front sends the others how much it has admitted in the last window, twice a second."""
+    """A front that gossips the number of its admitted requests in the last window, twice a second."""
 
     def __init__(self, experiment: "QuotaExperiment", number: int, epoch: int, is_restarted: bool) -> None:
         super().__init__(experiment, number, epoch, is_restarted)
-        self.reported_counts: dict[str, float] = {}  # what each has last sent
-        self.admitted: deque[float] = deque()  # when, within the last window
+        self.reported_counts: dict[str, float] = {}  # last number received from each other front
+        self.admitted: deque[float] = deque()  # times of admitted requests within the last window
 
     def admit(self, now: float) -> bool:
-        """Admit while all together are known to be below the limit."""
+        """Admit a request if the known numbers of all fronts together are below the limit."""
         while self.admitted and self.admitted[0] <= now - self.experiment.settings.times.window:
             self.admitted.popleft()
         if len(self.admitted) + sum(self.reported_counts.values()) + 1 > self.rate.limit:
@@ -158,10 +157,13 @@
 
 
 class CentralFront(Front):
-    """The first front counts for all; one that does not reach it admits nothing. A query costs a trip."""
+    """A front that has the first front count every request, which in practice costs a round trip each.
+
+    It admits nothing while it cannot reach the first front.
+    """
 
     def admit(self, now: float) -> bool:
-        """Admit what the first front admits."""
+        """Admit a request if the first front admits it."""
         experiment = self.experiment
         counting_front = experiment.fronts[0]
         is_reached = experiment.is_open(self.number, 0) and experiment.is_open(0, self.number)
@@ -172,10 +174,10 @@
 
 
 class OracleFront(Front):
-    """Knows all at once."""
+    """A front with perfect knowledge of all admitted requests."""
 
     def admit(self, now: float) -> bool:
-        """Admit while the limit is not reached."""
+        """Admit a request if the limit is not reached."""
         experiment = self.experiment
         since = experiment.events.now - experiment.settings.times.window
         return len(experiment.admitted) - bisect_right(experiment.admitted, since) < self.rate.limit
@@ -191,7 +193,7 @@
 
 
 class QuotaExperiment:
-    """One experiment from one seed: `play` carries it out."""
+    """One experiment, reproducible from a seed; `play` executes it."""
 
     def __init__(self, seed: int, settings: QuotaSettings) -> None:
         self.settings = settings
@@ -202,25 +204,25 @@
         self.clock_rates = [1.0 + self.rng.choice((-1, 1)) * drift * self.rng.random() for _ in self.names]
         if settings.excess_drift:
             self.clock_rates = [1.0 + (drift if n % 2 else -drift) for n in range(settings.fronts)]
-        self.admitted: list[float] = []  # when, by true time
+        self.admitted: list[float] = []  # true times of all admitted requests
         self.blocked_paths: set[tuple[int, int]] = set()
-        self.extra_delay = 0.0  # seconds, at most
-        self.clock_steps: dict[int, float] = {}  # seconds by which Unix clocks were set apart
-        self.unresponsive: dict[int, float] = {}  # since when a front does not answer
+        self.extra_delay = 0.0  # seconds of additional latency at most
+        self.clock_steps: dict[int, float] = {}  # seconds by which Unix clocks were stepped, by front
+        self.unresponsive: dict[int, float] = {}  # time since which a front does not answer
         self.message_count = 0
         self.byte_count = 0
         self.fronts = [KINDS[settings.kind](self, n, 1, False) for n in range(settings.fronts)]
 
     def clock(self, number: int) -> float:
-        """The steady clock of a front."""
+        """Return the time of a front's steady clock in seconds."""
         return STEADY_START + self.events.now * self.clock_rates[number]
 
     def unix(self, number: int) -> float:
-        """The Unix clock of a front."""
+        """Return the time of a front's Unix clock in seconds."""
         return UNIX_START + self.events.now + self.clock_steps.get(number, 0.0)
 
     def is_open(self, sender: int, receiver: int) -> bool:
-        """Whether messages pass from one front to another."""
+        """Return whether the path from one front to another is not blocked."""
         return (sender, receiver) not in self.blocked_paths
 
     # Messages.
@@ -253,7 +255,7 @@
     def _after_freeze(self, front: Front, call: Callable[[], None]) -> None:
         self.events.schedule(front.frozen_until - self.events.now + RESUME_MARGIN, call)
 
-    # What happens.
+    # Requests, ticks and faults.
 
     def _tick(self, number: int) -> None:
         front = self.fronts[number]
@@ -268,7 +270,7 @@
         self.events.schedule(tick, lambda: self._tick(number))
 
     def _is_believed_alive(self, number: int) -> bool:
-        """Whether the others do not know yet that a front does not answer."""
+        """Return whether the other fronts believe that a front is alive."""
         now = self.events.now
         return now - self.unresponsive.get(number, now) < DETECTION_TIME
 
@@ -294,7 +296,7 @@
         front = self.fronts[number]
         if not front.is_up:
             return
-        if front.is_frozen():  # it is read when the process goes on
+        if front.is_frozen():  # the request is read when the front resumes
             self._after_freeze(front, lambda: self._request(number))
             return
         if front.admit(self.clock(number)):
@@ -342,7 +344,7 @@
         self.events.schedule(duration, lambda: self.blocked_paths.difference_update(paths))
 
     def step_clocks(self, step: ClockStep) -> None:
-        """Step the Unix clocks of some fronts, and have one of them die and start again."""
+        """Step the Unix clocks of some fronts, and restart one of them if `step.restarted` is set."""
         for number, seconds in step.seconds.items():
             self.clock_steps[number] = self.clock_steps.get(number, 0.0) + seconds
         if step.restarted is not None and self.fronts[step.restarted].is_up:
@@ -357,7 +359,7 @@
             self.unresponsive.pop(number, None)
 
     def play(self) -> "QuotaExperiment":
-        """Carry out the whole experiment."""
+        """Execute the whole experiment."""
         self._schedule_requests()
         for number in range(self.settings.fronts):
             self._schedule(0.01 * number, self._tick, number)
@@ -368,10 +370,10 @@
         self.events.run(self.settings.seconds)
         return self
 
-    # What it came to.
+    # Results.
 
     def max_in_window(self, window: float | None = None) -> int:
-        """The most that was admitted in any window; None is the limit's own."""
+        """Return the largest number of requests admitted in any window; None is the limit's window."""
         span = window or self.settings.times.window
         most = 0
         for place, at in enumerate(self.admitted):
@@ -379,7 +381,7 @@
         return most
 
     def utilisation(self, since: float = 5.0) -> float:
-        """The fraction of the limit that was used, after a start."""
+        """Return the fraction of the limit that was used after the time `since`."""
         count = sum(at >= since for at in self.admitted)
         return count / ((self.settings.seconds - since) * self.settings.most)
 
@@ -387,7 +389,7 @@
 def draw_settings(
     seed: int, fronts: int = 4, faults: int = 4, seconds: float = 20.0, steps: int = 0
 ) -> QuotaSettings:
-    """Settings with faults, and so many steps of Unix clocks, drawn from a seed."""
+    """Draw settings with faults and clock steps from a seed."""
     rng = random.Random(seed * 7919)
     drawn = tuple(
         (rng.uniform(1.0, seconds - 4.0), rng.choice(FAULTS), rng.uniform(0.2, 5.0)) for _ in range(faults)
@@ -407,7 +409,7 @@
 
 
 def search(seeds: range, steps: int = 0) -> dict[str, Any]:
-    """How near to the limit all windows of many seeds came, and the seeds that passed it."""
+    """Return the largest fraction of the limit over all windows and seeds, and the seeds that exceeded it."""
     over = []
     worst = 0.0
     for seed in seeds:
--- a/weldbend/testbed/fleet/relay_network.py
+++ b/weldbend/testbed/fleet/relay_network.py
@@ -1,7 +1,8 @@
-"""Relays between real fronts: every path from one to another can be blocked, slowed down and made lossy.
+"""Relays between real fronts, which can block, delay and degrade each path separately.
 
-A path is what one front uses to reach another: a port for datagrams and one for the link. On a blocked path
-the bytes of the link wait, and datagrams are lost. Chances are drawn from the run's seed.
+A path leads from one front to another: it has a port for datagrams and one for the link. While a path is
+blocked, bytes of the link are held back and datagrams are lost. All random numbers are drawn from the run's
+seed.
 """
 
 import random
@@ -18,11 +19,11 @@
 from weldbend.testbed.fleet.plan_player import Paths
 from weldbend.testbed.reactor import ProcessReactor
 
-Path = tuple[int, int]  # (from, to), fronts by number
+Path = tuple[int, int]  # (from, to) as numbers of fronts
 
 
 class RelayNetwork:
-    """The state of all paths, and the random numbers that they draw."""
+    """State of all paths, and the generator of their random numbers."""
 
     def __init__(self, reactor: ProcessReactor, seed: int) -> None:
         self.reactor = reactor
@@ -34,35 +35,35 @@
         self.link_streams: dict[Path, list[LinkStream]] = defaultdict(list)
 
     def is_open(self, path: Path) -> bool:
-        """Whether bytes pass on a path."""
+        """Return whether a path is not blocked."""
         return path not in self.blocked
 
     def unblock(self, paths: Paths) -> None:
-        """Open paths again: what has waited on their links is sent."""
+        """Unblock paths, and send the bytes that were held back on their links."""
         self.blocked -= paths
         for path in paths & set(self.link_streams):
             for stream in self.link_streams[path]:
                 stream.release()
 
     def degrade(self, paths: Paths, kind: str, amount: float) -> None:
-        """Set the delay (slow), loss (lossy) or duplication (double) of paths."""
+        """Set the delay (slow), loss (lossy) or duplication (double) of some paths."""
         by_path = {"slow": self.delay, "lossy": self.loss, "double": self.duplication}[kind]
         by_path.update(dict.fromkeys(paths, amount))
 
 
 class DatagramRelay(DatagramProtocol):
-    """Passes datagrams on, from where one front sends to where another listens."""
+    """Relay of datagrams from one front to the port of another."""
 
-    transport: Any = None  # Twisted's interfaces have no types here
+    transport: Any = None  # Twisted's interfaces are not typed here
     noisy = False
 
     def __init__(self, network: RelayNetwork, path: Path, port: int) -> None:
         self.network = network
         self.path = path
-        self.port = port  # of the receiver
+        self.port = port  # port of the receiver
 
     def datagramReceived(self, datagram: bytes, addr: tuple[str, int]) -> None:
-        """Pass one datagram on: never, once or twice."""
+        """Forward one datagram, or drop or duplicate it."""
         network = self.network
         path = self.path
         if not network.is_open(path) or network.random.random() < network.loss.get(path, 0.0):
@@ -75,21 +76,21 @@
 
 
 class LinkStream:
-    """One direction of a link, on a path that may be blocked or slow: an `ActionStream` of a proxy."""
+    """One direction of a link, on a path that may be blocked or slow: the `ActionStream` of a proxy."""
 
     def __init__(self, network: RelayNetwork, path: Path, now: float) -> None:
         self.network = network
         self.path = path
-        self.clear_at = now
+        self.clear_at = now  # time at which all forwarded data has been sent
         self.waiting: deque[FaultAction] = deque()
-        self.side: Side | None = None  # what is released goes to its other side
+        self.side: Side | None = None  # side of the sender; released data goes to `side.other`
 
     def feed(self, now: float, data: bytes) -> list[FaultAction]:
-        """Bytes that came."""
+        """Return the actions for received bytes; none while the path is blocked."""
         return self._pass_on(now, What.DATA, data)
 
     def end(self, now: float) -> list[FaultAction]:
-        """The sender has shut down its side."""
+        """Return the actions for the end of the sender's data; none while the path is blocked."""
         return self._pass_on(now, What.END, b"")
 
     def _pass_on(self, now: float, what: What, data: bytes) -> list[FaultAction]:
@@ -101,7 +102,7 @@
         return []
 
     def release(self) -> None:
-        """Send what has waited."""
+        """Send the data that was held back."""
         waiting = list(self.waiting)
         self.waiting = deque()
         if waiting and self.side and self.side.other:
@@ -109,7 +110,7 @@
 
 
 class LinkRelay(Proxy):
-    """The link of a path; `path` is seen from who dials."""
+    """Relay of a link; `path` is that of the front that opens the connection."""
 
     def __init__(self, network: RelayNetwork, path: Path, port: int) -> None:
         no_faults = Injector(Plan("raw", ()), 0)
@@ -118,7 +119,7 @@
         self.path = path
 
     def join_sides(self, near: Side, far: Side, number: int) -> None:
-        """Both sides are up: pass on what came and what comes."""
+        """Connect both sides, and forward data that was received already and that is received later."""
         now = time.monotonic()
         there = LinkStream(self.network, self.path, now)
         back = LinkStream(self.network, self.path[::-1], now)
@@ -129,5 +130,5 @@
         far.other = near
         near.join(far, there)
         far.join(near, back)
-        if near.is_lost and far.transport:  # it went before there was another side to tell
+        if near.is_lost and far.transport:  # it was closed before the other side was connected
             far.transport.loseConnection()
--- a/weldbend/testbed/fleet/simulated_benchmarks.py
+++ b/weldbend/testbed/fleet/simulated_benchmarks.py
@@ -1,4 +1,4 @@
-"""What a fleet costs and gains, measured on the virtual clock. Not part of CI."""
+"""Benchmarks of a fleet on the virtual clock: hits, detection and catch-up times. Not part of CI."""
 
 from collections import Counter
 from dataclasses import replace
@@ -7,21 +7,22 @@
 from weldbend.testbed.fleet.fleet_model import FleetModel, ModelSettings
 from weldbend.testbed.fleet.simulated_fleet import FleetRun, FleetRunSettings
 
-SPANS = (1.0, 5.0, 10.0, 30.0)  # seconds after a restart
-RESTART_AT = 40.0  # seconds
+SPANS = (1.0, 5.0, 10.0, 30.0)  # seconds after the restarts; each span starts at RESTART_AT
+RESTART_AT = 40.0  # seconds of the run
 FRONT_DOWNTIME = 0.4  # seconds
 FAULT_FREE: dict[str, Any] = {"faults": 0, "fleet_faults": 0, "calm": 0.0, "orders": 0.0, "edits": 0.0}
 
-KILLED_AT = 50.0  # seconds
-SETTLED_AT = 20.0  # seconds after which a member that is declared dead is a false death
-FREEZES_UNTIL = 85.0  # seconds
-NEWCOMER_START_AT = 40.0  # seconds at which a newcomer starts
-PURGES = 1000
-WATCH_PERIOD = 0.05  # seconds
+KILLED_AT = 50.0  # seconds of the run
+# Seconds of the run from which members are frozen, and DEAD verdicts about live members are false deaths.
+SETTLED_AT = 20.0
+FREEZES_UNTIL = 85.0  # seconds of the run
+NEWCOMER_START_AT = 40.0  # seconds of the run at which the new member starts
+PURGES = 1000  # published in addition to the items
+WATCH_PERIOD = 0.05  # seconds between two checks of the new member
 
 
 def edge_counts(run: FleetRun) -> Counter[str]:
-    """The counters of all edges so far."""
+    """Return the sum of the counters of all edges."""
     counts: Counter[str] = Counter()
     for cache in run.site.caches.caches.values():
         if cache.kind == "box":
@@ -30,9 +31,11 @@
 
 
 def measure_restart(seed: int, has_fleet: bool, fronts: int = 4) -> dict[str, Any]:
-    """What the edges serve after all fronts were replaced in turn, and half of the edges came back empty.
+    """Measure hits at edges after all fronts were restarted in turn and half of the edges lost their copies.
 
-    For each span after it: requests sent and served, the fraction of lookups at edges that hit, and fills.
+    Returns:
+        For each span after the restarts: requests sent and served, the fraction of lookups at edges that hit,
+        and fills.
     """
     settings = FleetRunSettings(
         **FAULT_FREE,
@@ -90,7 +93,10 @@
 def measure_hits(
     seed: int, fronts: int, has_fleet: bool, seconds: float = 60.0, rate: float = 160.0
 ) -> float:
-    """The fraction of lookups at edges that hit, over the second half of a run, at one rate of all fronts."""
+    """Return the fraction of lookups at edges that hit in the second half of a run.
+
+    `rate` is the request rate of all fronts together.
+    """
     settings = FleetRunSettings(
         **FAULT_FREE,
         fronts=fronts,
@@ -111,10 +117,11 @@
 
 
 def measure_detection(fronts: int, seed: int, frozen: float) -> dict[str, Any]:
-    """When a killed member is known dead, and false deaths while others are `frozen` for that fraction.
+    """Measure the time to detect a killed member, and false deaths.
 
-    Beside it the plain rule: a heartbeat of everybody to everybody each interval, dead after as long without
-    one as this fleet took.
+    `frozen` is the fraction of time for which each member is frozen. For comparison, the report estimates the
+    false deaths of plain timeouts: each member sends heartbeats to all others in each interval, and is
+    declared dead after as long without one as this fleet took to detect the death.
     """
     settings = ModelSettings(fronts=fronts, seconds=90.0, calm=0.0, faults=0, rate=0.0)
     fleet = FleetModel(seed, settings)
@@ -142,7 +149,7 @@
 
 
 def _schedule_freezes(fleet: FleetModel, frozen: float) -> dict[str, list[tuple[float, float]]]:
-    """Freeze each member again and again; returns (begin, end) of each freeze."""
+    """Schedule repeated freezes of each member; returns (begin, end) of each freeze, by member."""
     spans: dict[str, list[tuple[float, float]]] = {name: [] for name in fleet.names}
 
     def freeze(name: str, seconds: float) -> None:
@@ -163,9 +170,9 @@
 
 
 def measure_catch_up(items: int, rate: int = 256_000) -> dict[str, float]:
-    """Seconds until a newcomer holds what three others do: so many items, and 1,000 purges.
+    """Measure the seconds until a new member has the items and the 1,000 purges of its three peers.
 
-    `rate` bounds snapshot transfer, in bytes a second.
+    `rate` limits snapshot transfers, in bytes per second.
     """
     settings = ModelSettings(fronts=4, seconds=60.0, calm=0.0, faults=0, rate=0.0, loss=0.0)
     settings = replace(settings, fleet=replace(settings.fleet, peer_rate=rate))
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -1,8 +1,8 @@
-"""Fleets of whole fronts on the virtual clock and network, from one integer.
+"""Simulated fleets of complete fronts on the virtual clock and network, reproducible from a seed.
 
-What a run of one site has (load, caches that restart, drain and vanish, purges, killed fronts) goes on; on
-top of it come the faults of a fleet: partitions, one-way loss, frozen processes, slow and lossy paths, clocks
-set apart or stepped, and event buses cut off for one front or more.
+In addition to the load and the faults of a run without a fleet (caches that restart, drain and disappear,
+purges, killed fronts), these runs have faults of a fleet: partitions, one-way loss, frozen processes, slow
+and lossy paths, clocks that differ or are stepped, and fronts that cannot reach the event bus.
 """
 
 import json
@@ -25,26 +25,27 @@
 from weldbend.testbed.simulation.virtual_clock import STEADY_CLOCK_AHEAD, VirtualClock
 
 FLEET_PORT = 7400
-KEY_FILE_CONTENT = "0badcafe " + "5a" * 32 + "\n"  # of the messages between fronts, in the testbed only
+KEY_FILE_CONTENT = (
+    "0badcafe " + "5a" * 32 + "\n"
+)  # authentication key of fleet messages, for the testbed only
 FLEET_FAULTS = ("split", "one_way", "freeze", "slow", "lossy", "bus_cut", "all")
-MAX_CHANGES_IN_TRANSIT = (
-    8  # changes of one front that others may lack at the end: each front makes some every second
-)
+# Changes of one front that others may lack at the end of a run: each front publishes some every second.
+MAX_CHANGES_IN_TRANSIT = 8
 QUICK_FLEET_SETTINGS = FleetSettings(
     probe_interval=0.2, probe_timeout=0.08, isolation_timeout=1.5, pause_threshold=0.5, summary_interval=0.3
 )
-RECONNECT_TIME = 2.5  # seconds after a cut of the event bus until a front has surely read what it missed
-SHUTDOWN_TIME = 4.0  # seconds that a graceful shutdown may take
-RESTART_DELAY = 0.4  # seconds for which a front is down whose clock was stepped
-FIRST_FAULT = 1.0  # seconds after the start
-EXPIRY_MARGIN = 3.0  # seconds before the end of an item within which fronts may differ on it
-TRANSIT_TIME = 2.0  # seconds after a change within which fronts may differ on it
+RECONNECT_TIME = 2.5  # seconds after an event bus outage within which a front has read the missed events
+SHUTDOWN_TIME = 4.0  # seconds, limit of a graceful shutdown
+RESTART_DELAY = 0.4  # seconds between the kill of a front after a clock step and its start
+FIRST_FAULT = 1.0  # seconds after the start of a run
+EXPIRY_MARGIN = 3.0  # seconds before an item's expiry in which fronts may differ on it
+TRANSIT_TIME = 2.0  # seconds after a change in which fronts may differ on its item
 
-FrontPaths = set[tuple[int, int]]  # (from, to), fronts by number
+FrontPaths = set[tuple[int, int]]  # (from, to) as numbers of fronts
 
 
 def key_file() -> str:
-    """One file with a key for all runs of this process."""
+    """Return the path of a file with the key of all simulated fleets, and create it if it is missing."""
     path = Path(tempfile.gettempdir(), f"weldbend-lab-{os.getuid()}.keys")
     if not path.exists():
         path.write_text(KEY_FILE_CONTENT)
@@ -53,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetRunSettings(RunSettings):
-    """A run with a fleet; the last `calm` seconds have no faults."""
+    """Settings of a run with a fleet; the last `calm` seconds of it have no faults."""
 
     fronts: int = 4
     rate: float = 24.0
@@ -63,20 +64,20 @@
     connection_faults: int = 0
     orders: float = 0.15
     fault_kinds: tuple[str, ...] = ("restart", "drain", "purge", "reset", "front")
-    fleet_faults: int = 3  # among the fronts, besides those of the site
+    fleet_faults: int = 3  # number of faults between fronts, in addition to those of the site
     fleet_fault_kinds: tuple[str, ...] = FLEET_FAULTS
     clock_steps: int = 0
     calm: float = 12.0
-    clock_offset: float = 0.0  # seconds by which Unix clocks may be set apart
-    fleet_clock_steps: int = 0  # of the fronts' Unix clocks, besides all other faults
-    drift: float = 0.0  # fraction by which clocks may run too fast or too slow
+    clock_offset: float = 0.0  # seconds by which Unix clocks may be off at the start
+    fleet_clock_steps: int = 0  # steps of the fronts' Unix clocks, in addition to all other faults
+    drift: float = 0.0  # fraction by which clocks may run fast or slow
     fleet: FleetSettings = QUICK_FLEET_SETTINGS
     has_fleet: bool = True  # false: the same run without a fleet
-    zones: tuple[str, ...] = ()  # of the fronts in turn; none: all are of one zone
+    zones: tuple[str, ...] = ()  # zones, assigned to the fronts in turn; empty: one zone
 
 
 class FleetRun(Run):
-    """A run whose fronts form a fleet; also the backend of fleet plans (see `plan_player.Backend`)."""
+    """A run whose fronts form a fleet; also a backend of fleet plans (see `plan_player.Backend`)."""
 
     settings: FleetRunSettings
 
@@ -88,17 +89,17 @@
             number: (self.rng.uniform(-offset, offset), self.rng.uniform(-drift, drift))
             for number in self.workload.connections
         }
-        self.injected_faults: list[str] = []  # among the fronts
+        self.injected_faults: list[str] = []  # kinds of the injected faults between fronts
         self.on_event: Callable[[dict[str, object]], None] = lambda event: None
         self.site_faults.by_kind["front"] = self._kill_any_front
 
     def zone(self, number: int) -> str:
-        """The zone of a front."""
+        """Return the zone of a front."""
         zones = self.settings.zones
         return zones[(number - 1) % len(zones)] if zones else "z"
 
     def fleet_settings(self, number: int) -> FleetSettings:
-        """The fleet section of a front's installation."""
+        """Return the fleet settings of a front's installation."""
         numbers = self.workload.connections
         peers = tuple(Peer(f"n{n}", front_host(n), FLEET_PORT, self.zone(n)) for n in numbers)
         return replace(
@@ -111,7 +112,7 @@
         )
 
     def create_front(self, machine: Machine, site: Site) -> Front:
-        """A front that is not started yet."""
+        """Create a front without starting it."""
         number = int(machine.name[1:])
         offset, drift = self.clocks[number]
         clock = VirtualClock(self.network, offset, drift, lambda: self.site.unix_steps[machine.name])
@@ -120,17 +121,17 @@
         return Front(machine, site, clock=clock)
 
     def front_machines(self) -> list[Machine]:
-        """The machines of all fronts, dead ones too."""
+        """Return the machines of all fronts, including those that are down."""
         return [machine for machine, _ in self.site.fronts.values()]
 
-    # What a plan calls.
+    # Backend of plans.
 
     def call_later(self, delay: float, call: Callable[[], object]) -> object:
-        """Call after so many seconds."""
+        """Schedule a call after `delay` seconds."""
         return self.events.schedule(delay, call)
 
     def report_event(self, **event: object) -> None:
-        """Log that an event of the plan begins or ends."""
+        """Log an event of the plan, and pass it to `on_event`."""
         self.log.add(json.dumps(event))
         self.on_event(event)
 
@@ -139,15 +140,15 @@
         return {(front_host(sender), front_host(receiver)) for sender, receiver in paths}
 
     def block(self, paths: FrontPaths) -> None:
-        """Let nothing pass on some paths."""
+        """Block some paths."""
         self.network.blocked_paths |= self._host_paths(paths)
 
     def unblock(self, paths: FrontPaths) -> None:
-        """Let bytes pass again."""
+        """Unblock some paths."""
         self.network.unblock(self._host_paths(paths), self.front_machines())
 
     def degrade(self, paths: FrontPaths, kind: str, amount: float) -> None:
-        """Set the delay, loss or duplication of some paths: kind is slow, lossy or double."""
+        """Set the delay (slow), loss (lossy) or duplication (double) of some paths."""
         network = self.network
         by_path = {
             "slow": network.extra_delay,
@@ -165,14 +166,14 @@
         self.freeze(number, duration)
 
     def restart(self, number: int) -> None:
-        """Shut a front down gracefully, and start it again."""
+        """Stop a front gracefully, and start it again."""
         machine, front = self.site.fronts[number]
         if machine.is_alive:
             front.terminate()
             self.events.schedule(SHUTDOWN_TIME, lambda: self.start(number))
 
     def start(self, number: int, clock_offset: float = 0.0) -> None:
-        """Start a front that does not run, with its Unix clock ahead by so many seconds."""
+        """Start a front that is not running, with its Unix clock ahead by `clock_offset` seconds."""
         machine, _ = self.site.fronts[number]
         if machine.is_alive and not machine.is_stopped:
             return
@@ -180,11 +181,11 @@
         self.site.start_front(number)
 
     def isolate_from_bus(self, number: int, duration: float) -> None:
-        """Cut a front off its event bus for a time."""
+        """Block the path between a front and the event bus for a time."""
         self.block_bus({number}, duration)
 
     def publish_cache_state(self, uid: str, state: str) -> None:
-        """Publish that a cache drains, or is up and has just started."""
+        """Publish that a cache is `draining`, or that it is `up` and has just started."""
         if state == "up":
             self.site.targets[uid] |= {"boot_ms": self.site.unix_ms()}
         self.site.publish_state(uid, state)
@@ -196,7 +197,7 @@
     # Faults between fronts.
 
     def schedule_faults(self) -> None:
-        """Schedule those of the site first; all are over when the calm end begins."""
+        """Schedule the faults of the site, and then those of the fleet, before the last `calm` seconds."""
         settings = self.settings
         rng = self.rng
         last = self.settings.seconds - self.settings.calm
@@ -221,7 +222,7 @@
         self.events.schedule(step.at, lambda: self.apply_clock_step(step))
 
     def apply_clock_step(self, step: ClockStep) -> None:
-        """Step the Unix clocks of some fronts; those that start again keep them as they are."""
+        """Step the Unix clocks of some fronts; the new offsets also apply after a restart."""
         numbers = sorted(self.site.fronts)
         for place, seconds in step.seconds.items():
             number = numbers[place]
@@ -239,7 +240,7 @@
         self.events.schedule(at, lambda: self.inject(kind, duration, is_partitioned))
 
     def inject(self, kind: str, duration: float, is_partitioned: bool) -> None:
-        """Inject one fault; `is_partitioned`: fronts are also partitioned at some time meanwhile."""
+        """Inject one fault; `is_partitioned`: a partition of the fronts overlaps with it."""
         self.injected_faults.append(kind)
         numbers = sorted(self.site.fronts)
         side = set(self.rng.sample(numbers, self.rng.randint(1, max(1, len(numbers) // 2))))
@@ -271,14 +272,18 @@
         self.events.schedule(duration, restore)
 
     def split(self, side: set[int], duration: float, is_two_way: bool = True) -> None:
-        """Fronts of one side do not reach the others; clients, caches and bus they do."""
+        """Block messages between one side and the other fronts, but not to clients, caches and event bus."""
         others = set(self.site.fronts) - side
         paths = {(front_host(a), front_host(b)) for a in side for b in others}
         self._block_for(paths | ({(b, a) for a, b in paths} if is_two_way else set()), duration)
         self.log.add(f"split of {sorted(side)} {'both ways' if is_two_way else 'one way'} for {duration:.2f}")
 
     def block_bus(self, numbers: set[int], duration: float, is_partitioned: bool = False) -> None:
-        """Cut fronts off their event bus; the others tell them, where there are others that they reach."""
+        """Block the event bus for some fronts; they still receive its events from other fronts.
+
+        If no other front can pass events on to them, the auditor is notified of the time in which they may
+        miss events.
+        """
         paths = {(front_host(n), BUS_HOST) for n in numbers}
         self._block_for(paths | {(b, a) for a, b in paths}, duration)
         self.log.add(f"no bus at {sorted(numbers)} for {duration:.2f}")
@@ -310,10 +315,10 @@
     def _kill_any_front(self) -> None:
         self.site.kill_front(self.rng.choice(sorted(self.site.fronts)), 0.4)
 
-    # The verdict.
+    # Audit of the end of a run.
 
     def nodes(self) -> dict[str, ExaminedNode]:
-        """Each front's fleet as the auditor of fleets examines it."""
+        """Return the fleet state of each front for the fleet auditor."""
         nodes = {}
         for machine, front in self.site.fronts.values():
             assert front.fleet_adapter
@@ -324,7 +329,7 @@
         return nodes
 
     def divergences(self) -> list[str]:
-        """What fronts differ on at the end, where all was calm for long enough."""
+        """Return the rules that the fleet violates and the items on which fronts differ, one line each."""
         if not self.settings.has_fleet:
             return []
         now = self.events.now + STEADY_CLOCK_AHEAD
