--- a/weldbend/testbed/fleet/benchmarks.py
+++ b/weldbend/testbed/fleet/benchmarks.py
@@ -19,8 +19,8 @@
 
 DETECTION = ((3, 10), (10, 10), (50, 3), (200, 1))  # (fronts, seeds)
 REAL_FRONTS = (3, 10, 50)
-BUSY_RATE = 86  # requests a second
-SECONDS = 20
+BUSY_RATE = 86  # requests per second
+SECONDS = 20  # duration of a cost measurement
 CATCH_UP_ITEMS = (100, 8292)
 
 
--- a/weldbend/testbed/fleet/control_query.py
+++ b/weldbend/testbed/fleet/control_query.py
@@ -19,7 +19,7 @@
 class ControlConnection(LineOnlyReceiver):
     """A connection that sends one question and passes the answer to a callback."""
 
-    transport: Any = None  # Twisted's interfaces have no types here
+    transport: Any = None  # Twisted's interfaces are not typed here
     delimiter = b"\n"
     MAX_LENGTH = MAX_ANSWER_BYTES
 
--- a/weldbend/testbed/fleet/fleet_model.py
+++ b/weldbend/testbed/fleet/fleet_model.py
@@ -45,7 +45,7 @@
     calm: float = 30.0  # period without faults at the end, in which all nodes have to converge
     faults: int = 4
     loss: float = 0.01  # probability that a datagram is lost
-    rate: float = 4.0  # published changes a second, of all nodes together
+    rate: float = 4.0  # changes per second that all nodes together publish
     clock_steps: int = 0  # number of steps of Unix clocks, in addition to the faults
     kinds: tuple[str, ...] = FAULTS
     fleet: FleetSettings = field(default_factory=FleetSettings)
@@ -210,7 +210,7 @@
         kind = rng.choice(CHANGES)
         uid = f"c{rng.randrange(12)}"
         ms = int(self.events.now * 1000)
-        # All values are drawn whichever kind is used, so that each change draws as many random numbers.
+        # All values are drawn whichever kind is used, so that each change draws the same number of them.
         drain = (uid, (ms // 5000, rng.randrange(3)))
         keyed = (f"once{rng.randrange(60)}", (f"c:{rng.randrange(4)}", ms))
         evidence = (f"{uid}|{name}", (ms, 1, 3.0, float(rng.randrange(5))))
--- a/weldbend/testbed/fleet/model_network.py
+++ b/weldbend/testbed/fleet/model_network.py
@@ -117,9 +117,8 @@
         self.datagram_loss: dict[Path, float] = {}  # probability
         self.links: dict[Pair, float] = {}  # time at which each link was established
         self.last_bytes: dict[Pair, float] = {}  # time of the last traffic on each link
-        self.last_arrival: dict[
-            Path, float
-        ] = {}  # latest arrival time scheduled on each path: links preserve order
+        # Latest arrival time scheduled on each path: links preserve order.
+        self.last_arrival: dict[Path, float] = {}
         self.counts: Counter[str] = Counter()
         self.on_step: Callable[[Node], None] = lambda node: None  # called after each step of a node
         self._digest = hashlib.sha256()
--- a/weldbend/testbed/fleet/plan.py
+++ b/weldbend/testbed/fleet/plan.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetEvent:
-    """One event of a plan. Times in seconds."""
+    """One event of a plan. Times are in seconds."""
 
     name: str
     at: float
@@ -189,7 +189,9 @@
     who = values.pop("who", "")
     if do in SITE_ACTIONS:
         if who or not values.get("what"):
-            raise InvalidPlanError(location, f"{do} acts on the site: it needs 'what', and takes no 'who'")
+            raise InvalidPlanError(
+                location, f"{do} is of the site, not of fronts: it needs 'what' and takes no 'who'"
+            )
         if do == Action.PURGE and not GROUP_NUMBER.fullmatch(values["what"]):
             raise InvalidPlanError(location, f"{values['what']!r:.20} is no group from 0 to 999", "what")
     else:
--- a/weldbend/testbed/fleet/processes.py
+++ b/weldbend/testbed/fleet/processes.py
@@ -170,7 +170,7 @@
         self.network.unblock(paths)
 
     def degrade(self, paths: Paths, kind: str, amount: float) -> None:
-        """Set the delay (slow), loss (lossy) or duplication (double) of paths."""
+        """Set the delay (slow), loss (lossy) or duplication (double) of some paths."""
         self.network.degrade(paths, kind, amount)
 
     def start(self, number: int, clock_offset: float = 0.0, program: str | None = None) -> None:
--- a/weldbend/testbed/fleet/relay_network.py
+++ b/weldbend/testbed/fleet/relay_network.py
@@ -86,11 +86,11 @@
         self.side: Side | None = None  # side of the sender; released data goes to `side.other`
 
     def feed(self, now: float, data: bytes) -> list[FaultAction]:
-        """Return the actions for received bytes; none while the path is blocked."""
+        """Return the actions for received bytes; none while data is held back."""
         return self._pass_on(now, What.DATA, data)
 
     def end(self, now: float) -> list[FaultAction]:
-        """Return the actions for the end of the sender's data; none while the path is blocked."""
+        """Return the actions for the end of the sender's data; none while data is held back."""
         return self._pass_on(now, What.END, b"")
 
     def _pass_on(self, now: float, what: What, data: bytes) -> list[FaultAction]:
--- a/weldbend/testbed/fleet/simulated_fleet.py
+++ b/weldbend/testbed/fleet/simulated_fleet.py
@@ -25,9 +25,8 @@
 from weldbend.testbed.simulation.virtual_clock import STEADY_CLOCK_AHEAD, VirtualClock
 
 FLEET_PORT = 7400
-KEY_FILE_CONTENT = (
-    "0badcafe " + "5a" * 32 + "\n"
-)  # authentication key of fleet messages, for the testbed only
+# Authentication key of fleet messages, for the testbed only.
+KEY_FILE_CONTENT = "0badcafe " + "5a" * 32 + "\n"
 FLEET_FAULTS = ("split", "one_way", "freeze", "slow", "lossy", "bus_cut", "all")
 # Changes of one front that others may lack at the end of a run: each front publishes some every second.
 MAX_CHANGES_IN_TRANSIT = 8
