--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -13,10 +13,10 @@
 from weldbend.cache_protocol import commands
 from weldbend.testbed.emulator.cache_commands import Command, InvalidCommandError, Parser, encode_answer
 from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches
-from weldbend.testbed.emulator.objects import Sizes, body, key_of
+from weldbend.testbed.emulator.objects import PartSizes, body, object_key
 from weldbend.testbed.load.generator import LoadPlan
 
-KEY = key_of(1)
+KEY = object_key(1)
 
 
 def small_site(capacity=1 << 20):
@@ -25,7 +25,7 @@
         EmulatedCache("p1", "parent", capacity),
         EmulatedCache("o1", "origin", 0),
     ]
-    return EmulatedCaches(caches, Sizes(), edge_rate=1e6, edge_delay=0.01)
+    return EmulatedCaches(caches, PartSizes(), edge_rate=1e6, edge_delay=0.01)
 
 
 def lookup_fields(**fields):
@@ -33,16 +33,16 @@
 
 
 def test_the_emulated_site_fills_caches_and_joins_fills_over_slow_links():
-    caches, size = small_site(), Sizes().of(KEY, 0)
+    caches, size = small_site(), PartSizes().part_size(KEY, 0)
     words = [caches.execute("e1", lookup_fields(), 0.0, 100.0).word]
     first = caches.execute("e1", lookup_fields(**{"from": "p1", "rank": "1", "mode": "j"}), 0.0, 100.0)
     second = caches.execute("e1", lookup_fields(**{"from": "p1", "mode": "j"}), 0.0, 100.0)
     assert words == ["LACK"] and first.fields["detail"] == "o" and second.fields["detail"] == "j"
-    assert first.body == body(KEY, 0, size) and first.at > 0.01 + size / 1e6
+    assert first.body == body(KEY, 0, size) and first.due_at > 0.01 + size / 1e6
     hit = caches.execute("e1", lookup_fields(), 9.0, 109.0)
-    assert hit.fields["detail"] == "h" and hit.at < 9.01 and hit.fields["born"] == "100000"
+    assert hit.fields["detail"] == "h" and hit.due_at < 9.01 and hit.fields["born"] == "100000"
     assert caches.execute("e1", lookup_fields(oldest="5000"), 9.0, 109.0).word == "LACK"
-    caches.caches["e1"].purge(KEY)
+    caches.by_uid["e1"].purge(KEY)
     assert caches.execute("e1", lookup_fields(), 9.0, 109.0).word == "LACK"
     assert (
         caches.execute("e1", lookup_fields(**{"from": "p1", "mode": "h"}), 9.0, 109.0).fields["detail"] == "f"
@@ -53,17 +53,17 @@
     caches = small_site()
     for when in (0.0, 3.0, 20.0):
         assert caches.execute("o1", lookup_fields(queue="order", uniq="ab"), when, when).word == "DONE"
-    assert caches.caches["o1"].counts["effects"] == 2 and caches.caches["o1"].counts["repeats dropped"] == 1
+    assert caches.by_uid["o1"].counts["effects"] == 2 and caches.by_uid["o1"].counts["repeats dropped"] == 1
 
 
 def test_beyond_the_capacity_the_lowest_rank_is_evicted_first():
     caches = small_site(capacity=100_000)
     for rank, object_ in [("1", 1), *(("0", n) for n in range(2, 40)), *(("1", n) for n in range(40, 43))]:
-        asked = lookup_fields(path=key_of(object_), rank=rank, **{"from": "p1"})
+        asked = lookup_fields(path=object_key(object_), rank=rank, **{"from": "p1"})
         caches.execute("e1", asked, float(object_), float(object_))
-    cached = caches.caches["e1"].copies
-    assert caches.caches["e1"].used == sum(c.size for c in cached.values()) <= 100_000
-    assert (KEY, 0) in cached and (key_of(42), 0) in cached
+    cached = caches.by_uid["e1"].copies
+    assert caches.by_uid["e1"].used == sum(c.size for c in cached.values()) <= 100_000
+    assert (KEY, 0) in cached and (object_key(42), 0) in cached
 
 
 @given(st.integers(0, 1 << 32))
--- a/tests/test_remote_timestamps.py
+++ b/tests/test_remote_timestamps.py
@@ -23,7 +23,7 @@
     receipts_of_known_events,
 )
 from weldbend.event_bus.stream_progress import CATCH_UP_GAP, FIRST_BYTE_TIMEOUT, StreamProgress
-from weldbend.testbed.stepped_clock import STEPPED
+from weldbend.testbed.stepped_clock import STEP_MESSAGE
 
 NOW = 500.0  # monotonic seconds
 UNIX = 1_700_000_000.0  # the true Unix time at NOW
@@ -273,7 +273,7 @@
                 requests = accept(cache).makefile("rwb")
                 assert serve_and_read_age_limit(requests) is None
                 front.send_signal(signal.SIGUSR1)
-                assert any(STEPPED in line for line in front.stderr)
+                assert any(STEP_MESSAGE in line for line in front.stderr)
                 event = {"offset": 99, "ban": {"url": KEY, "ts": int(time.time() * 1000)}}
                 published = time.monotonic()
                 stream.sendall(b": here\nid: 99\ndata: %b\n\n" % json.dumps(event).encode())
--- a/weldbend/testbed/commands/faults.py
+++ b/weldbend/testbed/commands/faults.py
@@ -52,14 +52,14 @@
 @SEED
 def fault_command(listen: str, server: str, plan_path: str, framing: str, seed: int) -> None:
     """Sit between two sockets and inject into their traffic what a plan states, exactly by seed."""
-    near_host, near_port = loopback_address(listen)
+    listen_host, listen_port = loopback_address(listen)
     host, port = loopback_address(server)
     try:
         injector = Injector(read_plan(plan_path, framing), seed)
     except InvalidPlanError as error:
         raise click.ClickException(str(error)) from None
     proxy = Proxy(reactor, injector, host, port)
-    address = reactor.listenTCP(near_port, proxy, interface=near_host).getHost()
+    address = reactor.listenTCP(listen_port, proxy, interface=listen_host).getHost()
     click.echo(json.dumps({"listening": f"{address.host}:{address.port}", "seed": seed}))
     reactor.callWhenRunning(InjectionPrinter(injector).show_new)
     reactor.run()
--- a/weldbend/testbed/commands/group.py
+++ b/weldbend/testbed/commands/group.py
@@ -26,7 +26,7 @@
     if path == "-":
         click.echo(json.dumps(report))
     else:
-        process_usage.write(path, report)
+        process_usage.write_report(path, report)
 
 
 class NotLoopbackError(click.ClickException):
--- a/weldbend/testbed/commands/idle.py
+++ b/weldbend/testbed/commands/idle.py
@@ -50,7 +50,7 @@
     busy_rate = options.busy_rate
     seconds = options.seconds
     if options.fronts > 1:
-        report["many"] = idle_benchmark.measure_many(
+        report["many"] = idle_benchmark.measure_many_fronts(
             connections, options.fronts, busy_rate, seconds, installation, show
         )
         return report
@@ -94,10 +94,10 @@
 def idle_command(idle_after: str, plot: str | None, path: str | None, **options: object) -> None:
     """What idle connections cost: memory, upkeep, busy latency beside them, and wakes at once."""
     chosen = IdleOptions(**options)  # type: ignore[arg-type]  # click has checked them
-    begun = time.monotonic()
+    started_at = time.monotonic()
 
     def show(text: str) -> None:
-        print(f"{time.monotonic() - begun:7.1f} s  {text}", file=sys.stderr, flush=True)
+        print(f"{time.monotonic() - started_at:7.1f} s  {text}", file=sys.stderr, flush=True)
 
     with tempfile.TemporaryDirectory(prefix="weldbend-idle-") as folder:
         installation = Path(folder, "idle.ini")
--- a/weldbend/testbed/commands/simulation.py
+++ b/weldbend/testbed/commands/simulation.py
@@ -7,7 +7,7 @@
 
 from weldbend.testbed.commands.group import JSON, lab, show_report
 
-SHOWN = 3  # violations and errors of a seed that are shown
+MAX_SHOWN = 3  # violations and errors of a seed that are shown
 
 FLEET = click.option("--fleet", is_flag=True, help="fronts that form a fleet, and faults between them")
 
@@ -37,7 +37,7 @@
     reports = []
     for report in search(parse_seeds(seeds), jobs, FleetRunSettings() if fleet else RunSettings()):
         reports.append(report)
-        for text in (*report.violations[:SHOWN], *report.errors[:SHOWN]):
+        for text in (*report.violations[:MAX_SHOWN], *report.errors[:MAX_SHOWN]):
             click.echo(f"seed {report.seed}: {text}")
     if digests:
         lines = [f"{report.seed} {report.byte_digest}\n" for report in reports]
--- a/weldbend/testbed/commands/site.py
+++ b/weldbend/testbed/commands/site.py
@@ -10,7 +10,7 @@
 
 from weldbend.testbed.commands.group import FRONTS, JSON, SEED, NotLoopbackError, lab, reactor, show_report
 from weldbend.testbed.emulator.emulated_site import EmulatedSite, SiteSettings
-from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.objects import PartSizes
 from weldbend.testbed.load import process_usage
 from weldbend.testbed.load.generator import Load, LoadPlan
 
@@ -47,7 +47,7 @@
     click.echo(f"try: weldbend lab load --front {site.fronts[0]} --rate 50 --seconds 10")
 
 
-def show_ready_to_parent(site: EmulatedSite) -> None:
+def print_ready_json(site: EmulatedSite) -> None:
     """One JSON line for the process that has started this one, and that ends it by closing its input."""
     document = {"fronts": site.fronts, "pids": site.pids(), "folder": str(site.folder)}
     click.echo(json.dumps(document))
@@ -68,7 +68,7 @@
     exit_codes: list[int] = []
 
     def on_ready() -> None:
-        (show_ready_to_parent if is_child else show_ready)(site)
+        (print_ready_json if is_child else show_ready)(site)
 
     def on_end(code: int) -> None:
         exit_codes.append(code)
@@ -184,13 +184,13 @@
         if not front.startswith("127."):
             raise NotLoopbackError(front, "load goes to loopback only")
     plan = LoadPlan(rate=rate, seconds=seconds, seed=seed)
-    playing = Load(reactor, plan, list(fronts), Sizes(), lambda load: reactor.stop())
-    reactor.callWhenRunning(playing.start)
+    run = Load(reactor, plan, list(fronts), PartSizes(), lambda load: reactor.stop())
+    reactor.callWhenRunning(run.start)
     reactor.run()
-    if not playing.is_over:
+    if not run.is_over:
         message = "ended before the load was over"
         raise click.ClickException(message)
-    report = playing.tally.report()
+    report = run.tally.report()
     if plot:
         label = f"{rate:g} a second"
         process_usage.plot(plot, {label: report["histogram"]}, "latency of served requests")
--- a/weldbend/testbed/emulator/__init__.py
+++ b/weldbend/testbed/emulator/__init__.py
@@ -1,12 +1,12 @@
 """The emulated site: caches, parents, origin and event bus on loopback, and what they hold."""
 
 from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link, TimedAnswer
-from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.objects import PartSizes
 
 __all__ = [
     "EmulatedCache",
     "EmulatedCaches",
     "Link",
-    "Sizes",
+    "PartSizes",
     "TimedAnswer",
 ]
--- a/weldbend/testbed/emulator/cache_commands.py
+++ b/weldbend/testbed/emulator/cache_commands.py
@@ -10,7 +10,7 @@
 from weldbend.testbed.errors import TestbedError
 
 LONGEST_BODY = 48_000  # bytes of a command's body
-BREAK = b"\r\n"
+LINE_END = b"\r\n"
 DO_TOKENS = 4  # do, id, fields and length
 OTHER_TOKENS = 2  # undo, ping or top, and a name
 
@@ -67,27 +67,27 @@
         if head[0] != "do" or len(head) != DO_TOKENS or not head[3].isdigit() or int(head[3]) > LONGEST_BODY:
             raise InvalidCommandError(CommandProblem.MALFORMED_LINE, " ".join(head))
         length = int(head[3])
-        if len(self.ring) < length + len(BREAK):
+        if len(self.ring) < length + len(LINE_END):
             return None
         body = self.ring.read(length)
-        if self.ring.read(len(BREAK)) != BREAK:
+        if self.ring.read(len(LINE_END)) != LINE_END:
             raise InvalidCommandError(CommandProblem.BODY_END)
         self.head = None
         return Command("do", head[1], read_fields(head[2]), body)
 
     def _read_line(self) -> list[str] | None:
         """The words of a line, None where it is not complete."""
-        end = self.ring.find(BREAK, 0, LONGEST_LINE)
+        end = self.ring.find(LINE_END, 0, LONGEST_LINE)
         if end < 0:
             if len(self.ring) >= LONGEST_LINE:
                 raise InvalidCommandError(CommandProblem.LONG_LINE)
             return None
         tokens = self.ring.read(end).decode("ascii", "replace").split(" ")
-        self.ring.skip(len(BREAK))
+        self.ring.skip(len(LINE_END))
         return tokens
 
 
 def encode_answer(name: str, word: str, fields: Mapping[str, str], body: bytes = b"") -> bytes:
     """The bytes of an answer; `name` is the id of the request that it answers."""
     line = f"{name} {word} {format_fields(fields)} {len(body)}\r\n".encode()
-    return b"".join((line, body, BREAK))
+    return b"".join((line, body, LINE_END))
--- a/weldbend/testbed/emulator/cache_model.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -7,13 +7,13 @@
 from collections import OrderedDict
 from dataclasses import dataclass, field
 
-from weldbend.testbed.emulator.objects import Sizes, body
+from weldbend.testbed.emulator.objects import PartSizes, body
 
 DEDUPLICATION_WINDOW = 8  # seconds for which a write with an idempotency key is known to have been executed
 WRITE_FACTOR = 5  # times the service time of a read
 MAX_FILLS = 1024  # fills that are kept track of before those that ended are dropped
 
-Place = tuple[str, int]  # an object's key, and the number of a part of it
+PartKey = tuple[str, int]  # an object's key, and the number of a part of it
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
 class TimedAnswer:
     """What a cache answers, and when."""
 
-    at: float
+    due_at: float
     word: str
     fields: dict[str, str]
     body: bytes = b""
@@ -55,7 +55,7 @@
 class Lookup:
     """What a read command asks for, and when: seconds of the steady clock and of the Unix clock."""
 
-    place: Place
+    part_key: PartKey
     max_age: float | None  # milliseconds; None for any
     now: float
     unix: float
@@ -72,35 +72,35 @@
     max_open: int = 64  # commands that it executes at a time
     uplink: Link = field(default_factory=lambda: Link(60e6))  # to the fronts
     used: int = 0  # bytes
-    copies: "OrderedDict[Place, Copy]" = field(default_factory=OrderedDict)
-    filling: dict[Place, tuple[float, Copy]] = field(default_factory=dict)  # (complete at, copy)
+    copies: "OrderedDict[PartKey, Copy]" = field(default_factory=OrderedDict)
+    filling: dict[PartKey, tuple[float, Copy]] = field(default_factory=dict)  # (complete at, copy)
     executed: dict[str, float] = field(default_factory=dict)  # idempotency keys of writes, and when
-    open: int = 0  # commands that are executed now
+    open_commands: int = 0  # commands that are executed now
     counts: dict[str, int] = field(default_factory=dict)
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to one of the counters."""
         self.counts[name] = self.counts.get(name, 0) + by
 
-    def is_filling(self, place: Place, now: float) -> bool:
+    def is_filling(self, part_key: PartKey, now: float) -> bool:
         """Whether a fill of this part is under way."""
-        return place in self.filling and self.filling[place][0] > now
+        return part_key in self.filling and self.filling[part_key][0] > now
 
     def find(self, lookup: Lookup) -> Copy | None:
         """A copy that is here and young enough; one whose fill is under way is not here yet."""
-        copy = self.copies.get(lookup.place)
-        if self.is_filling(lookup.place, lookup.now):
+        copy = self.copies.get(lookup.part_key)
+        if self.is_filling(lookup.part_key, lookup.now):
             return None
         if copy and (lookup.max_age is None or lookup.now * 1000 - copy.made_ms <= lookup.max_age):
-            self.copies.move_to_end(lookup.place)
+            self.copies.move_to_end(lookup.part_key)
             return copy
         return None
 
-    def keep(self, place: Place, copy: Copy) -> None:
+    def store(self, part_key: PartKey, copy: Copy) -> None:
         """Keep a copy; beyond the capacity the least recently used of the lowest rank are evicted."""
-        if old := self.copies.pop(place, None):
+        if old := self.copies.pop(part_key, None):
             self.used -= old.size
-        self.copies[place] = copy
+        self.copies[part_key] = copy
         self.used += copy.size
         while self.used > self.capacity:
             last = next((k for k, c in self.copies.items() if not c.rank), next(iter(self.copies)))
@@ -108,12 +108,12 @@
 
     def purge(self, key: str) -> None:
         """Drop all parts of an object."""
-        for place in [place for place in self.copies if place[0] == key]:
-            self.used -= self.copies.pop(place).size
+        for part_key in [part_key for part_key in self.copies if part_key[0] == key]:
+            self.used -= self.copies.pop(part_key).size
 
     def execute_write(self, idempotency_key: str | None, now: float, unix: float) -> TimedAnswer:
         """Execute a write, unless one with its key was executed within the window."""
-        self._forget_writes(now)
+        self._drop_expired_writes(now)
         if idempotency_key is None or idempotency_key not in self.executed:
             self.count("effects")
             if idempotency_key:
@@ -124,21 +124,25 @@
         done = now + WRITE_FACTOR * self.service_time
         return TimedAnswer(done, "DONE", fields, b"ok", int(now * 1000))
 
-    def _forget_writes(self, now: float) -> None:
+    def _drop_expired_writes(self, now: float) -> None:
         while self.executed:
             oldest = next(iter(self.executed))
             if not oldest or self.executed[oldest] >= now - DEDUPLICATION_WINDOW:
                 return
             del self.executed[oldest]
 
-    def answer_with(self, place: Place, copy: Copy, ready: float, detail: str, now: float) -> TimedAnswer:
+    def answer_with(
+        self, part_key: PartKey, copy: Copy, ready: float, detail: str, now: float
+    ) -> TimedAnswer:
         """The answer that carries a copy which is complete at `ready`; `detail` says where it came from."""
         fields = {"ver": f"{copy.born:x}", "born": str(copy.born), "detail": detail}
         if ready > now + self.service_time:
             fields["waited"] = str(int((ready - now) * 1000))
-        fields["use"] = f"inflight:{self.open};util:{min(self.open / self.max_open, 1.0):.2f}"
+        fields["use"] = (
+            f"inflight:{self.open_commands};util:{min(self.open_commands / self.max_open, 1.0):.2f}"
+        )
         done = max(ready, now + self.service_time)
-        return TimedAnswer(done, "DONE", fields, body(*place, copy.size), copy.made_ms)
+        return TimedAnswer(done, "DONE", fields, body(*part_key, copy.size), copy.made_ms)
 
 
 class EmulatedCaches:
@@ -151,12 +155,12 @@
     def __init__(
         self,
         caches: list[EmulatedCache],
-        sizes: Sizes,
+        sizes: PartSizes,
         edge_rate: float = 12.5e6,
         edge_delay: float = 0.02,
         origin_rate: float | None = None,
     ) -> None:
-        self.caches = {cache.uid: cache for cache in caches}
+        self.by_uid = {cache.uid: cache for cache in caches}
         self.origin = next((cache for cache in caches if cache.kind == "origin"), None)
         self.sizes = sizes
         self.links = {cache.uid: Link(edge_rate, edge_delay) for cache in caches if cache.kind == "box"}
@@ -167,25 +171,27 @@
 
         Raises KeyError or ValueError where a field is missing or malformed.
         """
-        cache = self.caches[uid]
+        cache = self.by_uid[uid]
         cache.count("asked")
-        if cache.open >= cache.max_open:
+        if cache.open_commands >= cache.max_open:
             cache.count("full")
             return TimedAnswer(now, "WAIT", {})
         if fields.get("uniq") or fields["queue"] != "photo":
             return cache.execute_write(fields.get("uniq"), now, unix)
-        place = fields["path"], int(fields["blk"])
-        lookup = Lookup(place, float(fields["oldest"]) if "oldest" in fields else None, now, unix)
+        part_key = fields["path"], int(fields["blk"])
+        lookup = Lookup(part_key, float(fields["oldest"]) if "oldest" in fields else None, now, unix)
         if cache.kind == "origin":
             cache.count("origin")
-            size = self.sizes.of(*place)
+            size = self.sizes.part_size(*part_key)
             cache.count("bytes read", size)
             ready = cache.uplink.transfer(now, size)
-            return cache.answer_with(place, Copy(size, int(unix * 1000), int(now * 1000), 0), ready, "o", now)
+            return cache.answer_with(
+                part_key, Copy(size, int(unix * 1000), int(now * 1000), 0), ready, "o", now
+            )
         if copy := cache.find(lookup):
             cache.count("hits")
-            return cache.answer_with(place, copy, cache.uplink.transfer(now, copy.size), "h", now)
-        source = self.caches.get(fields.get("from", ""))
+            return cache.answer_with(part_key, copy, cache.uplink.transfer(now, copy.size), "h", now)
+        source = self.by_uid.get(fields.get("from", ""))
         if source is None or source is cache:
             cache.count("misses")
             return TimedAnswer(now + cache.service_time, "LACK", {})
@@ -195,13 +201,13 @@
         self, cache: EmulatedCache, source: EmulatedCache, lookup: Lookup, fields: dict[str, str]
     ) -> TimedAnswer:
         """Fill a miss from its source, or join a fill of the same part that is under way."""
-        place = lookup.place
+        part_key = lookup.part_key
         now = lookup.now
         modes = fields.get("mode", "").split("+")
-        if "j" in modes and cache.is_filling(place, now):
-            complete, copy = cache.filling[place]
+        if "j" in modes and cache.is_filling(part_key, now):
+            complete, copy = cache.filling[part_key]
             cache.count("joined")
-            return cache.answer_with(place, copy, cache.uplink.transfer(complete, copy.size), "j", now)
+            return cache.answer_with(part_key, copy, cache.uplink.transfer(complete, copy.size), "j", now)
         found = source.find(lookup) if source.kind != "origin" else None
         if found is None and source.kind != "origin" and "h" in modes:
             source.count("lacked")
@@ -209,28 +215,30 @@
         complete = now
         detail = "f"
         if found is None:
-            found = Copy(self.sizes.of(*place), int(lookup.unix * 1000), int(now * 1000), 0)
+            found = Copy(self.sizes.part_size(*part_key), int(lookup.unix * 1000), int(now * 1000), 0)
             if self.origin:
                 self.origin.count("fills")
                 self.origin.count("bytes read", found.size)
             complete = self.origin_link.transfer(now, found.size)
             detail = "o"
             if source.kind != "origin" and "n" not in modes:
-                source.keep(place, Copy(found.size, found.born, found.made_ms, 0))
+                source.store(part_key, Copy(found.size, found.born, found.made_ms, 0))
         else:
             source.count("fills")
         source.count("bytes", found.size)
         if cache.uid in self.links:
             complete = self.links[cache.uid].transfer(complete, found.size)
         copy = Copy(found.size, found.born, found.made_ms, int(fields.get("rank", "0")))
-        self._keep_filled(cache, place, complete, copy, now)
+        self._store_filled(cache, part_key, complete, copy, now)
         cache.count("filled from origin" if detail == "o" else "filled")
-        return cache.answer_with(place, copy, cache.uplink.transfer(complete, copy.size), detail, now)
+        return cache.answer_with(part_key, copy, cache.uplink.transfer(complete, copy.size), detail, now)
 
     @staticmethod
-    def _keep_filled(cache: EmulatedCache, place: Place, complete: float, copy: Copy, now: float) -> None:
-        cache.filling[place] = complete, copy
+    def _store_filled(
+        cache: EmulatedCache, part_key: PartKey, complete: float, copy: Copy, now: float
+    ) -> None:
+        cache.filling[part_key] = complete, copy
         if len(cache.filling) > MAX_FILLS:
-            cache.filling = {where: fill for where, fill in cache.filling.items() if fill[0] > now}
+            cache.filling = {filled_key: fill for filled_key, fill in cache.filling.items() if fill[0] > now}
         if copy.rank:
-            cache.keep(place, copy)
+            cache.store(part_key, copy)
--- a/weldbend/testbed/emulator/configuration.py
+++ b/weldbend/testbed/emulator/configuration.py
@@ -74,7 +74,7 @@
     "zones": ["h", "z"],
 }
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-HEAD_KEYS = ("name", "listen", "seed", "bus")  # of a configuration
+TOP_LEVEL_KEYS = ("name", "listen", "seed", "bus")  # of a configuration
 
 
 def target(
@@ -115,7 +115,7 @@
     **changes: object,
 ) -> str:
     """A front's configuration as JSON; `changes` replace HEAD_KEYS, and the caps of the settings."""
-    caps = {name: value for name, value in changes.items() if name not in HEAD_KEYS}
+    caps = {name: value for name, value in changes.items() if name not in TOP_LEVEL_KEYS}
     document = {
         "name": "n1",
         "listen": "127.0.0.1:7001",
@@ -125,4 +125,4 @@
         "known": {"offset": 1, "batch": [listing(1, *targets, whole=True)]},
         "settings": {**settings, "caps": settings["caps"] | caps},
     }
-    return json.dumps(document | {name: changes[name] for name in HEAD_KEYS if name in changes})
+    return json.dumps(document | {name: changes[name] for name in TOP_LEVEL_KEYS if name in changes})
--- a/weldbend/testbed/emulator/emulated_site.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -15,7 +15,7 @@
 
 from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link
 from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
-from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.objects import PartSizes
 from weldbend.testbed.emulator.servers import CacheServer, EventBusServer
 from weldbend.testbed.errors import TestbedError
 from weldbend.testbed.reactor import ProcessReactor
@@ -27,8 +27,8 @@
 CACHE_WEIGHT = 100.0  # flows that a cache's link carries
 
 # Versions before 0.4 close what is idle for 4.5 s: not here, so that it can be measured.
-KEEP_IDLE = "from weldbend.clients import connection; connection.IDLE = 1e6; "
-SERVE = "from weldbend.cli import main; main()"
+KEEP_IDLE_CONNECTIONS = "from weldbend.clients import connection; connection.IDLE = 1e6; "
+RUN_COMMAND_LINE = "from weldbend.cli import main; main()"
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     cache_rate: float = 60e6  # bytes a second of the link of an edge or parent to the fronts
     cache_weight: float = CACHE_WEIGHT  # of an edge or parent, in the endpoint list
     cache_max_open: int = 64  # commands that an edge or parent executes at a time
-    sizes: Sizes = field(default_factory=Sizes)
+    sizes: PartSizes = field(default_factory=PartSizes)
     sockets: int = 1024  # of each front
     memory_mb: int = 192  # of each front
     open_cap: int = 400  # requests that a front may have open
@@ -194,7 +194,7 @@
             if not missing:
                 on_ready()
 
-        code = KEEP_IDLE + SERVE if program else SERVE
+        code = KEEP_IDLE_CONNECTIONS + RUN_COMMAND_LINE if program else RUN_COMMAND_LINE
         for number in range(1, self.settings.fronts + 1):
             path, listen = self.configure(number)
             self.fronts.append(listen)
@@ -220,7 +220,7 @@
     def counts(self) -> dict[str, int]:
         """The counters of all caches, by kind of cache and name of the counter."""
         totals: dict[str, int] = {}
-        for cache in self.caches.caches.values():
+        for cache in self.caches.by_uid.values():
             for name, count in cache.counts.items():
                 key = f"{cache.kind} {name}"
                 totals[key] = totals.get(key, 0) + count
--- a/weldbend/testbed/emulator/objects.py
+++ b/weldbend/testbed/emulator/objects.py
@@ -8,31 +8,31 @@
 import zlib
 from dataclasses import dataclass
 
-LARGEST = 200_000  # bytes of one part
-SMALLEST = 64  # bytes of one part
+MAX_PART_SIZE = 200_000  # bytes of one part
+MIN_PART_SIZE = 64  # bytes of one part
 LOGISTIC_SCALE = 1.702  # makes the logistic distribution nearest to the standard normal one (Haley, 1952)
 
 
 @dataclass(frozen=True, slots=True)
-class Sizes:
+class PartSizes:
     """Bytes of one part: log-normal around a median; `scale` is KB of the settings for each of them."""
 
     median: int = 12_000
     spread: float = 0.6
-    scale: float = 0.05
+    kb_per_byte: float = 0.05
 
-    def of(self, key: str, part: int) -> int:
+    def part_size(self, key: str, part: int) -> int:
         """Bytes of a part."""
         uniform = (zlib.crc32(f"{key}/{part}".encode()) + 0.5) / 2**32
-        size = self.median * math.exp(self.spread * normal(uniform))
-        return max(SMALLEST, min(int(size), LARGEST))
+        size = self.median * math.exp(self.spread * normal_quantile(uniform))
+        return max(MIN_PART_SIZE, min(int(size), MAX_PART_SIZE))
 
-    def kb(self, key: str, part: int) -> float:
+    def part_kb(self, key: str, part: int) -> float:
         """The size of a part as a request states it, in KB."""
-        return round(self.of(key, part) * self.scale, 1)
+        return round(self.part_size(key, part) * self.kb_per_byte, 1)
 
 
-def normal(uniform: float) -> float:
+def normal_quantile(uniform: float) -> float:
     """A standard normal figure from a uniform one, by the logistic approximation (enough for sizes)."""
     return math.log(uniform / (1 - uniform)) / LOGISTIC_SCALE
 
@@ -53,6 +53,6 @@
     return weights
 
 
-def key_of(rank: int) -> str:
+def object_key(rank: int) -> str:
     """The 16 hex digits of an object."""
     return f"{zlib.crc32(b'a%d' % rank):08x}{zlib.crc32(b'b%d' % rank):08x}"
--- a/weldbend/testbed/emulator/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -19,7 +19,7 @@
 
 RING_SIZE = 1 << 18  # bytes of commands that a cache buffers
 LONGEST_REQUEST = 1 << 14  # bytes of an HTTP request that are read at a time
-HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
+RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 LAST_EVENT_ID = "last-event-id:"
 HEARTBEAT = 1.0  # seconds between two comments of the event bus
 
@@ -62,10 +62,10 @@
             case "undo":
                 if delayed := self.pending.pop(command.name, None):
                     delayed.cancel()
-                    cache.open -= 1
+                    cache.open_commands -= 1
                     cache.count("undone")
             case _:
-                fields = {"use": f"inflight:{cache.open};util:0.1"}
+                fields = {"use": f"inflight:{cache.open_commands};util:0.1"}
                 self.write(encode_answer(command.name, "FIT", fields))
 
     def _execute(self, command: Command, cache: EmulatedCache) -> None:
@@ -76,14 +76,14 @@
             self.write(encode_answer(command.name, "BROKE", {}))
             return
         self.server.on_executed(command.name, answer)
-        cache.open += 1
+        cache.open_commands += 1
 
         def send() -> None:
-            cache.open -= 1
+            cache.open_commands -= 1
             self.pending.pop(command.name, None)
             self.write(encode_answer(command.name, answer.word, answer.fields, answer.body))
 
-        self.pending[command.name] = self.server.reactor.callLater(max(answer.at - now, 0.0), send)
+        self.pending[command.name] = self.server.reactor.callLater(max(answer.due_at - now, 0.0), send)
 
     def write(self, data: bytes) -> None:
         """Send bytes, if the connection is open."""
@@ -99,7 +99,7 @@
         """Nobody waits for the answers any more."""
         for delayed in self.pending.values():
             delayed.cancel()
-            self.server.cache.open -= 1
+            self.server.cache.open_commands -= 1
         self.pending.clear()
 
 
@@ -151,7 +151,7 @@
         if b"\r\n\r\n" not in self.request or not self.transport:
             return
         self.is_served = True
-        self.transport.write(HEAD)
+        self.transport.write(RESPONSE_HEAD)
         last = self._last_event_id()
         for event in self.bus.events:
             if event["offset"] > last:
--- a/weldbend/testbed/faults/socket_trial.py
+++ b/weldbend/testbed/faults/socket_trial.py
@@ -226,7 +226,7 @@
     def remove_client(self, client: LoadClient) -> None:
         """A connection has ended: the last requests may have been lost with it."""
         super().remove_client(client)
-        if self.begun:
+        if self.started_at:
             self._finish_if_answered()
 
 
--- a/weldbend/testbed/fleet/simulated_benchmarks.py
+++ b/weldbend/testbed/fleet/simulated_benchmarks.py
@@ -23,7 +23,7 @@
 def edge_counts(run: FleetRun) -> Counter[str]:
     """The counters of all edges so far."""
     counts: Counter[str] = Counter()
-    for cache in run.site.caches.caches.values():
+    for cache in run.site.caches.by_uid.values():
         if cache.kind == "box":
             counts.update(cache.counts)
     return counts
--- a/weldbend/testbed/load/connection_holder.py
+++ b/weldbend/testbed/load/connection_holder.py
@@ -23,21 +23,21 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.testbed.emulator import objects
-from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.objects import PartSizes
 from weldbend.testbed.load import client_calls
 from weldbend.testbed.load.client_calls import ClientAnswer
 
 IP_BIND_ADDRESS_NO_PORT = 24  # Linux: a port is assigned at connect, much faster
 PHOTO_TIMEOUT = 6000  # milliseconds
 PROBE_TIMEOUT = 10  # seconds
-PROBE_ANSWER = 256  # bytes, more than one has
+PROBE_ANSWER_SIZE = 256  # bytes, more than one has
 RING_SIZE = 1 << 21  # bytes of answers that a connection buffers
 READ_SIZE = 1 << 18  # bytes
-POLL_SECONDS = 0.05
+POLL_TIMEOUT = 0.05
 MAX_EVENTS = 1024  # of one poll
-MAX_CLOSED = 4096  # of one poll, while counting
+MAX_CLOSE_EVENTS = 4096  # of one poll, while counting
 OBJECTS = 2000  # that requests are drawn from
-HIGHEST = 60_000_000  # microseconds that a histogram counts
+HISTOGRAM_MAX_US = 60_000_000  # microseconds that a histogram counts
 WAKE_SEQID = 2  # after the health check's
 
 
@@ -45,41 +45,41 @@
 class Wake:
     """One wake of many connections, and what has become of it so far."""
 
-    chosen: list[int]  # descriptors
-    begun: float  # on the steady clock
-    waiting: set[int]
-    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HIGHEST, 3))
+    descriptors: list[int]  # descriptors
+    started_at: float  # on the steady clock
+    unanswered: set[int]
+    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HISTOGRAM_MAX_US, 3))
     outcomes: Counter[str] = field(default_factory=Counter)
     closed: int = 0
-    sent: float = 0.0  # seconds until all was written
-    last: float = 0.0  # seconds until the last answer
+    sent_after: float = 0.0  # seconds until all was written
+    last_answer_after: float = 0.0  # seconds until the last answer
 
     def on_closed(self, descriptor: int) -> None:
         """The front has closed a connection."""
-        self.closed += descriptor in self.waiting
-        self.waiting.discard(descriptor)
+        self.closed += descriptor in self.unanswered
+        self.unanswered.discard(descriptor)
 
     def on_answer(self, descriptor: int, answer: ClientAnswer) -> None:
         """Count an answer."""
-        self.last = time.monotonic() - self.begun
-        self.latency.record_value(max(int(self.last * 1e6), 1))
+        self.last_answer_after = time.monotonic() - self.started_at
+        self.latency.record_value(max(int(self.last_answer_after * 1e6), 1))
         self.outcomes[answer.outcome] += 1
         if answer.outcome == "throttled" and "after" not in answer.fields:
             self.outcomes["throttled without a time"] += 1
-        if descriptor not in self.waiting:
+        if descriptor not in self.unanswered:
             self.outcomes["second answers"] += 1
-        self.waiting.discard(descriptor)
+        self.unanswered.discard(descriptor)
 
     def report(self) -> dict[str, Any]:
         """The figures as they are printed."""
         value = self.latency.get_value_at_percentile
         return {
-            "woken": len(self.chosen),
-            "sent_s": self.sent,
-            "all_answered_s": self.last,
+            "woken": len(self.descriptors),
+            "sent_s": self.sent_after,
+            "all_answered_s": self.last_answer_after,
             "outcomes": dict(self.outcomes),
             "closed": self.closed,
-            "unanswered": len(self.waiting),
+            "unanswered": len(self.unanswered),
             "latency_ms": {f"p{percentile:g}": value(percentile) / 1000 for percentile in (50, 99, 100)},
         }
 
@@ -91,7 +91,7 @@
         self.address = address
         self.seed = seed
         self.rng = random.Random(seed)
-        self.sizes = Sizes()
+        self.sizes = PartSizes()
         self.poll = select.epoll()
         self.sockets: dict[int, socket.socket] = {}  # by descriptor
         self.rings: dict[int, Ring] = {}  # of connections with part of an answer, by descriptor
@@ -99,10 +99,10 @@
 
     def open(self, count: int, rate: float, source: int) -> dict[str, Any]:
         """Connect `count`, `rate` a second, and let each send one health check."""
-        begun = time.monotonic()
+        started_at = time.monotonic()
         failed = 0
         for number in range(count):
-            if (wait := begun + number / rate - time.monotonic()) > 0:
+            if (wait := started_at + number / rate - time.monotonic()) > 0:
                 time.sleep(wait)
             connection = socket.socket()
             try:
@@ -114,7 +114,7 @@
             connection.setblocking(False)
             self.sockets[connection.fileno()] = connection
             self.poll.register(connection.fileno(), select.EPOLLIN | select.EPOLLRDHUP)
-        return {"open": len(self.sockets), "failed": failed, "seconds": time.monotonic() - begun}
+        return {"open": len(self.sockets), "failed": failed, "seconds": time.monotonic() - started_at}
 
     def _connect(self, connection: socket.socket, source: int) -> None:
         connection.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
@@ -122,11 +122,11 @@
         connection.connect(self.address)
         connection.sendall(client_calls.probe(1))
         connection.settimeout(PROBE_TIMEOUT)
-        connection.recv(PROBE_ANSWER)
+        connection.recv(PROBE_ANSWER_SIZE)
 
     def count(self) -> dict[str, Any]:
         """How many are open, once those that the front closed are dropped."""
-        while events := self.poll.poll(0, MAX_CLOSED):
+        while events := self.poll.poll(0, MAX_CLOSE_EVENTS):
             for descriptor, _ in events:
                 self._drop(descriptor)
         return {"open": len(self.sockets)}
@@ -139,7 +139,7 @@
         self.request_count += 1
         if what == "probe":
             return client_calls.probe(WAKE_SEQID)
-        key = objects.key_of(self.rng.randrange(1, OBJECTS))
+        key = objects.object_key(self.rng.randrange(1, OBJECTS))
         part = 0
         fields = {
             "class": "photo",
@@ -148,7 +148,7 @@
             "key": key,
             "nth": "0",
             "batch": "1",
-            "kb": str(self.sizes.kb(key, part)),
+            "kb": str(self.sizes.part_kb(key, part)),
         }
         return client_calls.process(WAKE_SEQID, fields)
 
@@ -157,17 +157,17 @@
 
         Latencies run from just before the first call was written.
         """
-        chosen = self.rng.sample(sorted(self.sockets), round(fraction * len(self.sockets)))
-        calls = [(descriptor, self._encode_call(what)) for descriptor in chosen]
-        wake = Wake(chosen, time.monotonic(), set(chosen))
+        descriptors = self.rng.sample(sorted(self.sockets), round(fraction * len(self.sockets)))
+        calls = [(descriptor, self._encode_call(what)) for descriptor in descriptors]
+        wake = Wake(descriptors, time.monotonic(), set(descriptors))
         for descriptor, data in calls:
             try:
                 self.sockets[descriptor].send(data)
             except OSError:
                 wake.closed += 1
-        wake.sent = time.monotonic() - wake.begun
-        while wake.waiting and time.monotonic() < wake.begun + timeout:
-            for descriptor, _ in self.poll.poll(POLL_SECONDS, MAX_EVENTS):
+        wake.sent_after = time.monotonic() - wake.started_at
+        while wake.unanswered and time.monotonic() < wake.started_at + timeout:
+            for descriptor, _ in self.poll.poll(POLL_TIMEOUT, MAX_EVENTS):
                 self._read(descriptor, wake)
         return wake.report()
 
--- a/weldbend/testbed/load/generator.py
+++ b/weldbend/testbed/load/generator.py
@@ -20,22 +20,22 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.testbed.emulator import objects
-from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.objects import PartSizes
 from weldbend.testbed.load import client_calls
 from weldbend.testbed.load.client_calls import ClientAnswer
 from weldbend.testbed.reactor import Reactor
 
-MAX_OPEN = 32  # the protocol's bound on requests of a connection that have no answer yet
-HIGHEST = 60_000_000  # microseconds that a histogram counts
+MAX_OPEN_REQUESTS = 32  # the protocol's bound on requests of a connection that have no answer yet
+HISTOGRAM_MAX_US = 60_000_000  # microseconds that a histogram counts
 CLIENT_TIMEOUTS = {"photo": 6.0, "order": 9.0}  # seconds that a client waits, by request class
 PARTS = 3  # of each object
 ORDER_BODY = b"x" * 200
 RING_SIZE = 1 << 21  # bytes of answers that a client buffers
 DIAL_TIMEOUT = 5  # seconds
-RECONNECT_AFTER = 0.2  # seconds after a front did not accept
-START_AFTER = 0.05  # seconds after the last connection is up
-LAST_MARGIN = 1  # seconds beyond the longest timeout after which what is unanswered stays so
-MICROSECONDS = 1e6  # of a second
+RECONNECT_DELAY = 0.2  # seconds after a front did not accept
+START_DELAY = 0.05  # seconds after the last connection is up
+FINISH_MARGIN = 1  # seconds beyond the longest timeout after which what is unanswered stays so
+MICROSECONDS_PER_SECOND = 1e6  # of a second
 PERCENTILES = (50, 90, 99, 99.9, 100)
 
 
@@ -69,19 +69,19 @@
         while (at := at + rng.expovariate(self.rate)) < self.seconds:
             rank = bisect(weights, rng.random() * weights[-1]) + 1
             request_class = "order" if rng.random() < self.orders else "photo"
-            key = objects.key_of(min(rank, self.objects))
+            key = objects.object_key(min(rank, self.objects))
             arrivals.append(Arrival(at, request_class, key, rng.randrange(PARTS)))
         return arrivals
 
 
 def histogram() -> HdrHistogram:
     """A histogram of microseconds, with three significant digits."""
-    return HdrHistogram(1, HIGHEST, 3)
+    return HdrHistogram(1, HISTOGRAM_MAX_US, 3)
 
 
 def record(histogram: HdrHistogram, seconds: float) -> None:
     """Add a time to a histogram."""
-    histogram.record_value(max(int(seconds * MICROSECONDS), 1))
+    histogram.record_value(max(int(seconds * MICROSECONDS_PER_SECOND), 1))
 
 
 @dataclass
@@ -90,7 +90,7 @@
 
     counts: Counter[str] = field(default_factory=Counter)
     latency: HdrHistogram = field(default_factory=histogram)  # of served requests, from the intended start
-    late: HdrHistogram = field(default_factory=histogram)  # by how much the tool itself sent one late
+    send_delay: HdrHistogram = field(default_factory=histogram)  # by how much the tool itself sent one late
 
     def report(self) -> dict[str, Any]:
         """The figures as they are printed, with latencies in milliseconds."""
@@ -98,7 +98,7 @@
         return {
             "counts": dict(self.counts),
             "latency_ms": {f"p{percentile:g}": value(percentile) / 1000 for percentile in PERCENTILES},
-            "tool_late_ms": {"p99": self.late.get_value_at_percentile(99) / 1000},
+            "tool_late_ms": {"p99": self.send_delay.get_value_at_percentile(99) / 1000},
             "histogram": self.latency.encode().decode(),
         }
 
@@ -131,7 +131,7 @@
 
     def is_ready(self) -> bool:
         """Whether it may send a further request."""
-        return self.is_up and len(self.open) < MAX_OPEN
+        return self.is_up and len(self.open) < MAX_OPEN_REQUESTS
 
     def send(self, request: OpenRequest, name: str) -> None:
         """Send a request; `name` is its id."""
@@ -145,7 +145,7 @@
             "key": arrival.key,
             "nth": str(arrival.part),
             "batch": str(int(arrival.key[:2], 16)),
-            "kb": str(self.load.sizes.kb(arrival.key, arrival.part)),
+            "kb": str(self.load.sizes.part_kb(arrival.key, arrival.part)),
         }
         is_order = arrival.request_class == "order"
         if is_order:
@@ -174,7 +174,7 @@
         reactor: Reactor,
         plan: LoadPlan,
         fronts: list[str],
-        sizes: Sizes,
+        sizes: PartSizes,
         on_end: Callable[["Load"], None],
     ) -> None:
         self.reactor = reactor
@@ -185,9 +185,9 @@
         self.tally = Tally()
         self.clients: list[LoadClient] = []
         self.arrivals = plan.arrivals()
-        self.sent = 0  # arrivals whose time has come
+        self.due_count = 0  # arrivals whose time has come
         self.rotation = 0  # counts through clients and fronts
-        self.begun = 0.0  # on the steady clock; 0 before
+        self.started_at = 0.0  # on the steady clock; 0 before
         self.is_over = False
 
     def start(self) -> None:
@@ -210,16 +210,16 @@
         """A front that is down: the next one in a moment."""
         if not self.is_over:
             self.rotation += 1
-            self.reactor.callLater(RECONNECT_AFTER, self._dial, self._next_front())
+            self.reactor.callLater(RECONNECT_DELAY, self._dial, self._next_front())
 
     def add_client(self, client: LoadClient) -> None:
         """A connection is up."""
         self.clients.append(client)
-        if len(self.clients) == self.plan.connections and not self.begun:
-            self.begun = time.monotonic() + START_AFTER
-            self.reactor.callLater(START_AFTER, self._send_due)
+        if len(self.clients) == self.plan.connections and not self.started_at:
+            self.started_at = time.monotonic() + START_DELAY
+            self.reactor.callLater(START_DELAY, self._send_due)
             longest = max(CLIENT_TIMEOUTS.values())
-            self.reactor.callLater(self.plan.seconds + longest + LAST_MARGIN, self._finish)
+            self.reactor.callLater(self.plan.seconds + longest + FINISH_MARGIN, self._finish)
 
     def remove_client(self, client: LoadClient) -> None:
         """A connection has ended: its open requests are lost, and another takes its place."""
@@ -233,14 +233,14 @@
 
     def _send_due(self) -> None:
         """Send all that is due, and come back for the next."""
-        now = time.monotonic() - self.begun
-        while self.sent < len(self.arrivals) and self.arrivals[self.sent].at <= now:
-            arrival = self.arrivals[self.sent]
-            self.sent += 1
-            record(self.tally.late, now - arrival.at)
+        now = time.monotonic() - self.started_at
+        while self.due_count < len(self.arrivals) and self.arrivals[self.due_count].at <= now:
+            arrival = self.arrivals[self.due_count]
+            self.due_count += 1
+            record(self.tally.send_delay, now - arrival.at)
             self._send(arrival)
-        if self.sent < len(self.arrivals):
-            self.reactor.callLater(max(self.arrivals[self.sent].at - now, 0.0), self._send_due)
+        if self.due_count < len(self.arrivals):
+            self.reactor.callLater(max(self.arrivals[self.due_count].at - now, 0.0), self._send_due)
         else:
             self._finish_if_answered()
 
@@ -250,8 +250,8 @@
             self.rotation += 1
             client = self.clients[self.rotation % len(self.clients)]
             if client.is_ready():
-                name = f"{self.plan.seed & 0xFFFFFFFF:08x}{self.sent:08x}"
-                client.send(OpenRequest(arrival, self.begun + arrival.at), name)
+                name = f"{self.plan.seed & 0xFFFFFFFF:08x}{self.due_count:08x}"
+                client.send(OpenRequest(arrival, self.started_at + arrival.at), name)
                 return
         self.tally.counts["not asked"] += 1  # every connection is full
 
@@ -266,7 +266,7 @@
         counts[answer.outcome] += 1
         if answer.outcome == "fulfilled":
             record(self.tally.latency, seconds)
-            body = objects.body(arrival.key, arrival.part, self.sizes.of(arrival.key, arrival.part))
+            body = objects.body(arrival.key, arrival.part, self.sizes.part_size(arrival.key, arrival.part))
             if arrival.request_class == "photo" and answer.body != body:
                 counts["spoilt"] += 1
         if seconds > CLIENT_TIMEOUTS[arrival.request_class]:
@@ -274,7 +274,7 @@
         self._finish_if_answered()
 
     def _finish_if_answered(self) -> None:
-        if self.sent == len(self.arrivals) and not any(client.open for client in self.clients):
+        if self.due_count == len(self.arrivals) and not any(client.open for client in self.clients):
             self._finish()
 
     def _finish(self) -> None:
--- a/weldbend/testbed/load/idle_benchmark.py
+++ b/weldbend/testbed/load/idle_benchmark.py
@@ -16,8 +16,8 @@
 from weldbend.testbed.load import process_usage
 from weldbend.testbed.load.child_process import ChildProcess, testbed_command
 
-RESERVE = 600  # descriptors of a front beside its idle ones
-COUNTERS = (  # that fronts log, and that a report has
+EXTRA_DESCRIPTORS = 600  # descriptors of a front beside its idle ones
+REPORTED_COUNTERS = (  # that fronts log, and that a report has
     "max_timer_delay_ms",
     "max_iteration_ms",
     "max_wakeup_delay_ms",
@@ -25,7 +25,7 @@
     "max_memory_mb",
     "violations",
 )
-SETTLE = 2.0  # seconds until all connections are idle
+SETTLE_TIME = 2.0  # seconds until all connections are idle
 OPEN_RATE = 2500.0  # connections a second
 LOAD_TIMEOUT = 120  # seconds
 FIRST_SOURCE = 10  # last byte of the address that the first holder connects from
@@ -54,15 +54,15 @@
     def _cpu_seconds(self) -> float:
         return sum(process_usage.usage(pid).cpu for pid in self.pids)
 
-    def cpu(self, seconds: float) -> float:
+    def cpu_cores(self, seconds: float) -> float:
         """Cores that the fronts use together over a time."""
         before = self._cpu_seconds()
         time.sleep(seconds)
         return (self._cpu_seconds() - before) / seconds
 
-    def anonymous(self) -> int:
+    def anonymous_memory(self) -> int:
         """Bytes of the fronts' own memory."""
-        return sum(process_usage.anonymous(pid) for pid in self.pids)
+        return sum(process_usage.anonymous_memory(pid) for pid in self.pids)
 
     def counters(self) -> list[Row]:
         """The last counters that each front logged; all of them once the site has ended."""
@@ -70,7 +70,7 @@
         for path in sorted(self.folder.glob("front-*.log")):
             lines = [json.loads(line) for line in path.read_text().splitlines() if '"counts"' in line]
             last = lines[-1] if lines else {}
-            counters.append({name: last[name] for name in COUNTERS} if last else {})
+            counters.append({name: last[name] for name in REPORTED_COUNTERS} if last else {})
         return counters
 
 
@@ -117,7 +117,7 @@
             tokens += ["--front", front]
         self.process = subprocess.Popen(testbed_command(*tokens), stdout=subprocess.PIPE, text=True)
 
-    def report(self) -> Row:
+    def wait_for_report(self) -> Row:
         """Wait for the end of the load; its report."""
         output, _ = self.process.communicate(timeout=LOAD_TIMEOUT)
         report: Row = json.loads(output)
@@ -134,50 +134,50 @@
     """
     rows = []
     for count in counts:
-        with running_site(1, count + RESERVE, program, None if program else installation) as site:
-            BusyLoad(site.fronts, 86, 3, 9).report()
-            time.sleep(SETTLE)
-            before = site.anonymous()
-            slab = process_usage.kernel_sockets()
-            cpu_none = site.cpu(5)
+        with running_site(1, count + EXTRA_DESCRIPTORS, program, None if program else installation) as site:
+            BusyLoad(site.fronts, 86, 3, 9).wait_for_report()
+            time.sleep(SETTLE_TIME)
+            before = site.anonymous_memory()
+            slab = process_usage.slab_memory()
+            cpu_none = site.cpu_cores(5)
             with idle_connections(site.fronts, count, rate):
-                time.sleep(SETTLE)
-                bytes_each = (site.anonymous() - before) / count
-                kernel = (process_usage.kernel_sockets() - slab) / count / 2
+                time.sleep(SETTLE_TIME)
+                bytes_each = (site.anonymous_memory() - before) / count
+                kernel = (process_usage.slab_memory() - slab) / count / 2
                 row: Row = {
                     "program": program or "this",
                     "idle": count,
                     "bytes_first": round(bytes_each),
                     "kernel_bytes": round(kernel),
                     "cpu_none": cpu_none,
-                    "cpu_idle": site.cpu(8),
+                    "cpu_idle": site.cpu_cores(8),
                 }
-            time.sleep(SETTLE)
-            before = site.anonymous()
+            time.sleep(SETTLE_TIME)
+            before = site.anonymous_memory()
             with idle_connections(site.fronts, count, rate):
-                time.sleep(SETTLE)
-                row["bytes"] = round((site.anonymous() - before) / count)
+                time.sleep(SETTLE_TIME)
+                row["bytes"] = round((site.anonymous_memory() - before) / count)
         show(json.dumps(row))
         rows.append(row)
     return rows
 
 
 def measure_pairs(
-    count: int, rate: float, seconds: float, times: int, installation: str, show: Show
+    count: int, rate: float, seconds: float, repetitions: int, installation: str, show: Show
 ) -> list[Row]:
     """Busy latency with `count` idle connections and with none, alternately, each on a fresh front."""
     pairs = []
-    for number in range(times):
+    for number in range(repetitions):
         pair: Row = {}
         for idle in (0, count) if number % 2 == 0 else (count, 0):
-            with running_site(1, count + RESERVE, None, installation) as site:
-                BusyLoad(site.fronts, rate, 2, 100 + number).report()
+            with running_site(1, count + EXTRA_DESCRIPTORS, None, installation) as site:
+                BusyLoad(site.fronts, rate, 2, 100 + number).wait_for_report()
                 if idle:
                     with idle_connections(site.fronts, idle):
-                        time.sleep(SETTLE)
-                        report = BusyLoad(site.fronts, rate, seconds, 7 + number).report()
+                        time.sleep(SETTLE_TIME)
+                        report = BusyLoad(site.fronts, rate, seconds, 7 + number).wait_for_report()
                 else:
-                    report = BusyLoad(site.fronts, rate, seconds, 7 + number).report()
+                    report = BusyLoad(site.fronts, rate, seconds, 7 + number).wait_for_report()
             pair["with" if idle else "none"] = report | {"front": site.counters()[0]}
         shown = {
             name: report["latency_ms"] | {"timers_late": report["front"].get("max_timer_delay_ms")}
@@ -194,35 +194,37 @@
     """Busy latency while a fraction of the idle wakes at once, and what became of those woken."""
     rows: list[Row] = []
     with (
-        running_site(1, count + RESERVE, None, installation) as site,
+        running_site(1, count + EXTRA_DESCRIPTORS, None, installation) as site,
         idle_connections(site.fronts, count) as holders,
     ):
-        time.sleep(SETTLE)
+        time.sleep(SETTLE_TIME)
         for fraction in fractions:
             load = BusyLoad(site.fronts, rate, 8, round(1000 * fraction))
             time.sleep(2.5)
             holders[0].send(f"wake {fraction} {what} 12")
             woken = holders[0].receive()
-            report = load.report()
+            report = load.wait_for_report()
             report.pop("histogram")
             row = {"share": fraction, "what": what, "woken": woken, "busy": report}
             show(json.dumps(row))
             rows.append(row)
-            time.sleep(SETTLE)
+            time.sleep(SETTLE_TIME)
     rows.append({"front": site.counters()[0]})
     show(json.dumps(rows[-1]))
     return rows
 
 
-def measure_many(count: int, fronts: int, rate: float, seconds: float, installation: str, show: Show) -> Row:
+def measure_many_fronts(
+    count: int, fronts: int, rate: float, seconds: float, installation: str, show: Show
+) -> Row:
     """The published run: so many idle connections over several fronts, busy requests beside them."""
-    with running_site(fronts, count // fronts + RESERVE, None, installation) as site:
-        before = site.anonymous()
-        slab = process_usage.kernel_sockets()
+    with running_site(fronts, count // fronts + EXTRA_DESCRIPTORS, None, installation) as site:
+        before = site.anonymous_memory()
+        slab = process_usage.slab_memory()
         with idle_connections(site.fronts, count) as holders:
-            time.sleep(SETTLE)
-            idle_cpu = site.cpu(5)
-            report = BusyLoad(site.fronts, rate, seconds, 3).report()
+            time.sleep(SETTLE_TIME)
+            idle_cpu = site.cpu_cores(5)
+            report = BusyLoad(site.fronts, rate, seconds, 3).wait_for_report()
             still_open = 0
             for holder in holders:
                 holder.send("count")
@@ -231,8 +233,8 @@
                 "idle": count,
                 "fronts": fronts,
                 "open at the end": still_open,
-                "bytes": round((site.anonymous() - before) / count),
-                "kernel_bytes": round((process_usage.kernel_sockets() - slab) / count / 2),
+                "bytes": round((site.anonymous_memory() - before) / count),
+                "kernel_bytes": round((process_usage.slab_memory() - slab) / count / 2),
                 "cpu_idle": idle_cpu,
                 "busy": report,
             }
--- a/weldbend/testbed/load/process_usage.py
+++ b/weldbend/testbed/load/process_usage.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-TICKS = os.sysconf("SC_CLK_TCK")  # of CPU time, a second
-PAGE = os.sysconf("SC_PAGE_SIZE")  # bytes
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # of CPU time, a second
+PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")  # bytes
 KIBIBYTE = 1024
 # Places in /proc/PID/stat, counted from after the command's name.
 USER_TICKS = 11
@@ -29,8 +29,8 @@
 def usage(pid: int) -> Usage:
     """Raises OSError where the process is gone."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    cpu = (int(fields[USER_TICKS]) + int(fields[SYSTEM_TICKS])) / TICKS
-    return Usage(int(fields[RESIDENT_PAGES]) * PAGE, cpu)
+    cpu = (int(fields[USER_TICKS]) + int(fields[SYSTEM_TICKS])) / TICKS_PER_SECOND
+    return Usage(int(fields[RESIDENT_PAGES]) * PAGE_SIZE, cpu)
 
 
 def read_kibibytes(path: str, name: str) -> int | None:
@@ -41,7 +41,7 @@
     return None
 
 
-def anonymous(pid: int) -> int:
+def anonymous_memory(pid: int) -> int:
     """Bytes of a process's own memory, without what it shares with files; raises OSError."""
     size = read_kibibytes(f"/proc/{pid}/status", "RssAnon:")
     return usage(pid).memory if size is None else size
@@ -53,7 +53,7 @@
     return usage(pid).memory if size is None else size
 
 
-def kernel_sockets() -> int:
+def slab_memory() -> int:
     """Bytes of the kernel's own structures (slab), of the whole machine."""
     return read_kibibytes("/proc/meminfo", "Slab:") or 0
 
@@ -72,7 +72,7 @@
     )
 
 
-def write(path: str, report: object) -> None:
+def write_report(path: str, report: object) -> None:
     """Write a report as JSON."""
     Path(path).write_text(json.dumps(report, indent=1) + "\n")
 
--- a/weldbend/testbed/scale/bounds.py
+++ b/weldbend/testbed/scale/bounds.py
@@ -34,7 +34,7 @@
     factor: float
     extra: float = 0.0
     extra_per_thousand: float = 0.0
-    is_least: bool = False
+    is_minimum: bool = False
     is_counted: bool = True
 
     def limit(self, usual: ScaleFigures, large: ScaleFigures) -> float:
@@ -47,7 +47,7 @@
         """Whether the large size keeps to it."""
         limit = self.limit(usual, large)
         value = self.value(large)
-        return value >= limit if self.is_least else value <= limit
+        return value >= limit if self.is_minimum else value <= limit
 
 
 BOUNDS = (
@@ -57,7 +57,7 @@
     Bound("descriptors", lambda f: f.descriptors, 2.0, 40.0),
     Bound("connections made", lambda f: f.connections, 2.5, 40.0),
     Bound("bytes of lists, KB", lambda f: f.list_bytes / KILOBYTE, 2.0, 64.0, 500.0),
-    Bound("share served", lambda f: f.served, 0.85, is_least=True),
+    Bound("share served", lambda f: f.served, 0.85, is_minimum=True),
 )
 
 
--- a/weldbend/testbed/scale/plan.py
+++ b/weldbend/testbed/scale/plan.py
@@ -35,7 +35,7 @@
     seed: int = 1
     counts_calls: bool = False
 
-    def count(self) -> int:
+    def cache_count(self) -> int:
         """How many edges and parents there are."""
         return self.caches * self.division
 
@@ -44,7 +44,7 @@
         usual = SiteSettings()
         parents = max(1, round(PARENT_FRACTION * self.caches)) * self.division
         return SiteSettings(
-            edges=self.count() - parents,
+            edges=self.cache_count() - parents,
             parents=parents,
             fronts=self.fronts,
             edge_capacity=usual.edge_capacity // self.division,
@@ -67,7 +67,7 @@
 
     def changes_per_second(self) -> float:
         """Changes of the endpoint list a second."""
-        return self.changes * self.count() / 100
+        return self.changes * self.cache_count() / 100
 
     def document(self) -> dict[str, Any]:
         """The plan in JSON."""
--- a/weldbend/testbed/scale/report.py
+++ b/weldbend/testbed/scale/report.py
@@ -9,7 +9,7 @@
 
 Value = Callable[[ScaleFigures], float]
 
-SHOWN: tuple[tuple[str, Value], ...] = (
+UNBOUNDED_FIGURES: tuple[tuple[str, Value], ...] = (
     ("caches", lambda f: f.caches),
     ("requests", lambda f: f.requests),
     ("CPU until it serves, s", lambda f: f.start_cpu),
@@ -20,7 +20,7 @@
     ("edges used, share", lambda f: f.edges_used),
     ("commands at the busiest tenth of edges, share", lambda f: f.busiest_fraction),
 )
-HEAD = ("for each front", "usual", "large", "bound", "verdict")
+COLUMN_TITLES = ("for each front", "usual", "large", "bound", "verdict")
 
 
 def table(usual: ScaleFigures, large: ScaleFigures, is_counted_only: bool) -> str:
@@ -31,12 +31,12 @@
             continue
         is_judged = bound.is_counted or not is_counted_only
         verdict = "held" if bound.is_within(usual, large) else "missed"
-        sign = ">= " if bound.is_least else "<= "
+        sign = ">= " if bound.is_minimum else "<= "
         limit = f"{sign}{bound.limit(usual, large):.2f}"
         rows.append([bound.name, *_pair(bound.value, usual, large), limit, verdict if is_judged else "-"])
-    for name, value in SHOWN:
+    for name, value in UNBOUNDED_FIGURES:
         rows.append([name, *_pair(value, usual, large), "", ""])
-    return process_usage.table(rows, HEAD)
+    return process_usage.table(rows, COLUMN_TITLES)
 
 
 def _pair(value: Value, usual: ScaleFigures, large: ScaleFigures) -> list[Cell]:
--- a/weldbend/testbed/scale/site_run.py
+++ b/weldbend/testbed/scale/site_run.py
@@ -19,7 +19,7 @@
 SAMPLE_PERIOD = 0.1  # seconds
 MAX_START_TIME = 60.0  # seconds within which all fronts have to serve
 MAX_OVERTIME = 30.0  # seconds beyond the load's own within which it has to be over
-DRAINED_FOR = 2.0  # seconds for which a cache whose entry changes is listed as draining
+DRAIN_TIME = 2.0  # seconds for which a cache whose entry changes is listed as draining
 
 
 class ScaleRunError(TestbedError):
@@ -33,7 +33,7 @@
         super().__init__(f"a front ended with {code} before the load was over; its log is in {folder}")
 
 
-class OverdueError(ScaleRunError):
+class RunTimeoutError(ScaleRunError):
     """Fronts or load took too long."""
 
     def __init__(self, part: str, folder: str) -> None:
@@ -75,7 +75,7 @@
     def _limit_time(self, seconds: float, part: str, is_missing: Callable[[], bool]) -> None:
         def check() -> None:
             if is_missing():
-                self._end(OverdueError(part, str(self.site.folder)))
+                self._end(RunTimeoutError(part, str(self.site.folder)))
 
         self.reactor.callLater(seconds, check)
 
@@ -107,7 +107,7 @@
             return
         entry = self.random.choice(self.site.targets[:-1])  # the origin is the last
         self._publish(entry, "draining")
-        self.reactor.callLater(DRAINED_FOR, self._publish, entry, "up")
+        self.reactor.callLater(DRAIN_TIME, self._publish, entry, "up")
         self.reactor.callLater(2 / rate, self._change_list)
 
     def _publish(self, entry: dict[str, object], state: str) -> None:
@@ -122,12 +122,12 @@
         fronts = self.plan.fronts
         counts = self.site.counts()
         pids = self.site.pids()
-        caches = self.site.caches.caches.values()
+        caches = self.site.caches.by_uid.values()
         lookups = [cache.counts.get("asked", 0) for cache in caches if cache.kind == "box"]
         requests = len(load.arrivals)
         connections = sum(cache.counts.get("connections made", 0) for cache in caches)
         return ScaleFigures(
-            caches=self.plan.count(),
+            caches=self.plan.cache_count(),
             requests=requests,
             served=load.tally.counts["fulfilled"] / max(requests, 1),
             start_cpu=sum(self.start_cpu) / fronts,
--- a/weldbend/testbed/simulation/site.py
+++ b/weldbend/testbed/simulation/site.py
@@ -11,7 +11,7 @@
 from weldbend.front.server import Front
 from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link, TimedAnswer
 from weldbend.testbed.emulator.configuration import LIMITS, SETTINGS, configuration, target
-from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.objects import PartSizes
 from weldbend.testbed.emulator.servers import CacheServer, EventBusServer
 from weldbend.testbed.simulation.auditor import Auditor
 from weldbend.testbed.simulation.machine import Machine
@@ -84,7 +84,7 @@
         self.create_front = create_front
         self.network = context.network
         self.events = context.network.events
-        self.sizes = Sizes(median=MEDIAN_SIZE)
+        self.sizes = PartSizes(median=MEDIAN_SIZE)
         self.caches = EmulatedCaches([], self.sizes)
         self.machines: dict[str, Machine] = {}  # of the caches, by uid
         # Seconds by which the Unix clocks of fronts, bus and caches have been stepped, by name.
@@ -110,7 +110,7 @@
         machine = self.machines[uid] = Machine(self.network, uid, host)
         capacity = {"box": settings.edge_capacity, "parent": 4 * settings.edge_capacity, "origin": 0}[kind]
         cache = EmulatedCache(uid, kind, capacity, SERVICE_TIMES.get(kind, DEFAULT_SERVICE_TIME))
-        self.caches.caches[uid] = cache
+        self.caches.by_uid[uid] = cache
         if kind == "box":
             self.caches.links[uid] = Link(*EDGE_LINK)
 
@@ -171,7 +171,7 @@
 
     def drop_copies(self, keys: set[str], purged_ms: int) -> None:
         """Drop from all caches the copies of some objects that were made before a virtual millisecond."""
-        for cache in self.caches.caches.values():
+        for cache in self.caches.by_uid.values():
             for place in [p for p, copy in cache.copies.items() if p[0] in keys and copy.made_ms < purged_ms]:
                 cache.used -= cache.copies.pop(place).size
 
--- a/weldbend/testbed/simulation/site_faults.py
+++ b/weldbend/testbed/simulation/site_faults.py
@@ -53,7 +53,7 @@
         """One object or one group of them is purged, and later its old copies are gone everywhere."""
         rng = self.context.rng
         site = self.site
-        key = objects.key_of(rng.randint(1, 6))
+        key = objects.object_key(rng.randint(1, 6))
         stamp = site.unix_ms()
         purged_ms = int(self.context.network.events.now * 1000)
         if rng.random() < OBJECT_PURGE_FRACTION:
@@ -62,7 +62,7 @@
         else:
             site.publish(ban={"tag": PURGED_GROUP, "ts": stamp})
             ranks = range(1, self.context.settings.objects + 1)
-            keys = {objects.key_of(rank) for rank in ranks if rank % PURGE_GROUPS == PURGED_GROUP}
+            keys = {objects.object_key(rank) for rank in ranks if rank % PURGE_GROUPS == PURGED_GROUP}
         dropped_after = SETTINGS["family_info"]["gone_everywhere_us"] / 1e6
         self.context.network.events.schedule(dropped_after, lambda: site.drop_copies(keys, purged_ms))
 
--- a/weldbend/testbed/simulation/workload.py
+++ b/weldbend/testbed/simulation/workload.py
@@ -13,7 +13,7 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.testbed.emulator import objects
-from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.objects import PartSizes
 from weldbend.testbed.load import client_calls
 from weldbend.testbed.simulation.leaving_clients import LeavingClients
 from weldbend.testbed.simulation.machine import Machine
@@ -121,7 +121,7 @@
 class Workload:
     """All clients of one run, on one machine."""
 
-    def __init__(self, context: RunContext, sizes: Sizes) -> None:
+    def __init__(self, context: RunContext, sizes: PartSizes) -> None:
         self.context = context
         self.events = context.network.events
         self.sizes = sizes
@@ -164,7 +164,7 @@
 
     def request_fields(self, request_class: str, rank: int) -> Fields:
         """The fields of a new request for an object, as they go over the wire."""
-        key = objects.key_of(rank)
+        key = objects.object_key(rank)
         part = self.context.rng.randrange(2)
         fields = {
             "class": request_class,
@@ -173,7 +173,7 @@
             "key": key,
             "nth": str(part),
             "batch": str(rank % PURGE_GROUPS),
-            "kb": str(self.sizes.kb(key, part)),
+            "kb": str(self.sizes.part_kb(key, part)),
         }
         return fields | ({"once": f"{self.request_count:032x}"} if request_class == "order" else {})
 
--- a/weldbend/testbed/stepped_clock.py
+++ b/weldbend/testbed/stepped_clock.py
@@ -10,28 +10,28 @@
 
 from weldbend.front.clock import Clock
 
-STEPPED = "Unix clock stepped by"  # begins the line that tells of a step
+STEP_MESSAGE = "Unix clock stepped by"  # begins the line that tells of a step
 
 
-class StepsOnSignal:
+class SteppedClock:
     """The Unix time of the system, and the steps so far."""
 
     def __init__(self, step: float) -> None:
         self.step = step  # seconds
-        self.ahead = 0.0  # seconds
+        self.offset = 0.0  # seconds
         self.system_unix = Clock.unix
-        signal.signal(signal.SIGUSR1, self.step_now)
+        signal.signal(signal.SIGUSR1, self.on_signal)
 
     def unix(self) -> float:
         """Return the Unix time in seconds."""
-        return self.system_unix() + self.ahead
+        return self.system_unix() + self.offset
 
-    def step_now(self, *_: object) -> None:
+    def on_signal(self, *_: object) -> None:
         """Step the clock."""
-        self.ahead += self.step
-        print(STEPPED, self.step, file=sys.stderr, flush=True)
+        self.offset += self.step
+        print(STEP_MESSAGE, self.step, file=sys.stderr, flush=True)
 
 
 if __name__ == "__main__":
-    Clock.unix = StepsOnSignal(float(sys.argv.pop(1))).unix  # type: ignore[method-assign]
+    Clock.unix = SteppedClock(float(sys.argv.pop(1))).unix  # type: ignore[method-assign]
     runpy.run_module("weldbend", run_name="__main__")
