--- a/weldbend/testbed/emulator/cache_commands.py
+++ b/weldbend/testbed/emulator/cache_commands.py
@@ -47,7 +47,7 @@
 
     def __init__(self, ring: Ring) -> None:
         self.ring = ring
-        self.head: list[str] | None = None  # the words of a line whose body is not complete
+        self.pending_line: list[str] | None = None  # the words of a line whose body is not complete
 
     def all(self) -> Iterator[Command]:
         """All commands that are complete; raises InvalidCommandError."""
@@ -56,13 +56,13 @@
 
     def next(self) -> Command | None:
         """The next command, None where it is not complete; raises InvalidCommandError."""
-        if self.head is None:
-            self.head = self._read_line()
-        if self.head is None:
+        if self.pending_line is None:
+            self.pending_line = self._read_line()
+        if self.pending_line is None:
             return None
-        head = self.head
+        head = self.pending_line
         if head[0] in ("undo", "ping", "top") and len(head) == OTHER_TOKENS:
-            self.head = None
+            self.pending_line = None
             return Command(head[0], head[1], {})
         if head[0] != "do" or len(head) != DO_TOKENS or not head[3].isdigit() or int(head[3]) > LONGEST_BODY:
             raise InvalidCommandError(CommandProblem.MALFORMED_LINE, " ".join(head))
@@ -72,7 +72,7 @@
         body = self.ring.read(length)
         if self.ring.read(len(LINE_END)) != LINE_END:
             raise InvalidCommandError(CommandProblem.BODY_END)
-        self.head = None
+        self.pending_line = None
         return Command("do", head[1], read_fields(head[2]), body)
 
     def _read_line(self) -> list[str] | None:
--- a/weldbend/testbed/emulator/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -18,7 +18,7 @@
 from weldbend.testbed.reactor import DelayedCall, Reactor
 
 RING_SIZE = 1 << 18  # bytes of commands that a cache buffers
-LONGEST_REQUEST = 1 << 14  # bytes of an HTTP request that are read at a time
+MAX_REQUEST_CHUNK = 1 << 14  # bytes of an HTTP request that are read at a time
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 LAST_EVENT_ID = "last-event-id:"
 HEARTBEAT = 1.0  # seconds between two comments of the event bus
@@ -147,7 +147,7 @@
         """Read the HTTP request, and answer with the events that the reader has not read."""
         if self.is_served:
             return
-        self.request += data[:LONGEST_REQUEST]
+        self.request += data[:MAX_REQUEST_CHUNK]
         if b"\r\n\r\n" not in self.request or not self.transport:
             return
         self.is_served = True
--- a/weldbend/testbed/load/connection_holder.py
+++ b/weldbend/testbed/load/connection_holder.py
@@ -135,9 +135,9 @@
         self.sockets.pop(descriptor).close()
         self.rings.pop(descriptor, None)
 
-    def _encode_call(self, what: str) -> bytes:
+    def _encode_call(self, call_kind: str) -> bytes:
         self.request_count += 1
-        if what == "probe":
+        if call_kind == "probe":
             return client_calls.probe(WAKE_SEQID)
         key = objects.object_key(self.rng.randrange(1, OBJECTS))
         part = 0
@@ -152,13 +152,13 @@
         }
         return client_calls.process(WAKE_SEQID, fields)
 
-    def wake(self, fraction: float, what: str, timeout: float) -> dict[str, Any]:
+    def wake(self, fraction: float, call_kind: str, timeout: float) -> dict[str, Any]:
         """Wake a fraction at once, and wait `patience` seconds at most for the answers.
 
         Latencies run from just before the first call was written.
         """
         descriptors = self.rng.sample(sorted(self.sockets), round(fraction * len(self.sockets)))
-        calls = [(descriptor, self._encode_call(what)) for descriptor in descriptors]
+        calls = [(descriptor, self._encode_call(call_kind)) for descriptor in descriptors]
         wake = Wake(descriptors, time.monotonic(), set(descriptors))
         for descriptor, data in calls:
             try:
@@ -192,8 +192,8 @@
     match tokens:
         case ["open", count, rate, source]:
             return holder.open(int(count), float(rate), int(source))
-        case ["wake", fraction, what, timeout]:
-            return holder.wake(float(fraction), what, float(timeout))
+        case ["wake", fraction, call_kind, timeout]:
+            return holder.wake(float(fraction), call_kind, float(timeout))
         case ["count"]:
             return holder.count()
     return {"error": " ".join(tokens)}
--- a/weldbend/testbed/load/idle_benchmark.py
+++ b/weldbend/testbed/load/idle_benchmark.py
@@ -189,7 +189,7 @@
 
 
 def measure_wakes(
-    count: int, rate: float, fractions: list[float], what: str, installation: str, show: Show
+    count: int, rate: float, fractions: list[float], call_kind: str, installation: str, show: Show
 ) -> list[Row]:
     """Busy latency while a fraction of the idle wakes at once, and what became of those woken."""
     rows: list[Row] = []
@@ -201,11 +201,11 @@
         for fraction in fractions:
             load = BusyLoad(site.fronts, rate, 8, round(1000 * fraction))
             time.sleep(2.5)
-            holders[0].send(f"wake {fraction} {what} 12")
+            holders[0].send(f"wake {fraction} {call_kind} 12")
             woken = holders[0].receive()
             report = load.wait_for_report()
             report.pop("histogram")
-            row = {"share": fraction, "what": what, "woken": woken, "busy": report}
+            row = {"share": fraction, "what": call_kind, "woken": woken, "busy": report}
             show(json.dumps(row))
             rows.append(row)
             time.sleep(SETTLE_TIME)
--- a/weldbend/testbed/scale/site_run.py
+++ b/weldbend/testbed/scale/site_run.py
@@ -65,16 +65,16 @@
         preludes = [call_counter.prelude(path) for path in self._call_files()]
         options = ("--log-form", "json")
         self.site.start(self._on_ready, self._on_front_end, options, preludes=preludes)
-        self._limit_time(MAX_START_TIME, "starting", lambda: self.load is None)
+        self._schedule_timeout(MAX_START_TIME, "starting", lambda: self.load is None)
 
     def _call_files(self) -> list[Path]:
         """Where each front writes how many calls it made, if they are counted."""
         numbers = range(1, self.plan.fronts + 1) if self.plan.counts_calls else ()
         return [self.site.folder / f"front-{number}.calls" for number in numbers]
 
-    def _limit_time(self, seconds: float, part: str, is_missing: Callable[[], bool]) -> None:
+    def _schedule_timeout(self, seconds: float, part: str, is_unfinished: Callable[[], bool]) -> None:
         def check() -> None:
-            if is_missing():
+            if is_unfinished():
                 self._end(RunTimeoutError(part, str(self.site.folder)))
 
         self.reactor.callLater(seconds, check)
@@ -91,7 +91,7 @@
         self.load = Load(self.reactor, plan.load_plan(), self.site.fronts, sizes, self._on_load_end)
         self.load.start()
         self._change_list()
-        self._limit_time(plan.seconds + MAX_OVERTIME, "the load", lambda: self.figures is None)
+        self._schedule_timeout(plan.seconds + MAX_OVERTIME, "the load", lambda: self.figures is None)
 
     def _sample(self) -> None:
         if self.is_over or self.figures:
