--- a/weldbend/testbed/__init__.py
+++ b/weldbend/testbed/__init__.py
@@ -1,4 +1,4 @@
-"""The testbed: emulated sites, load, faults and simulations on loopback or in memory.
+"""Testbed: emulated sites, load generators, fault injection and simulations, on loopback or in memory.
 
-No front ever imports it.
+The code of a front never imports it.
 """
--- a/weldbend/testbed/cli.py
+++ b/weldbend/testbed/cli.py
@@ -1,6 +1,6 @@
-"""`weldbend lab`: the testbed's commands."""
+"""The command group `weldbend lab` with all of its commands."""
 
-from weldbend.testbed.commands import (  # noqa: F401 - they register commands
+from weldbend.testbed.commands import (  # noqa: F401 - imported because they register commands
     faults,
     fleet,
     idle,
--- a/weldbend/testbed/commands/__init__.py
+++ b/weldbend/testbed/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `weldbend lab`, a module a group of them; `weldbend.testbed.cli` registers them all."""
+"""Commands of `weldbend lab`, grouped by module; `weldbend.testbed.cli` registers all of them."""
--- a/weldbend/testbed/commands/faults.py
+++ b/weldbend/testbed/commands/faults.py
@@ -1,4 +1,4 @@
-"""The command that injects faults between two sockets: fault."""
+"""Command that injects faults between two sockets: fault."""
 
 import json
 
@@ -9,11 +9,15 @@
 from weldbend.testbed.faults.plan import InvalidPlanError, read_plan
 from weldbend.testbed.faults.proxy import Proxy
 
-SHOW_PERIOD = 0.1  # seconds between two looks for new injections
+SHOW_PERIOD = 0.1  # seconds between two checks for new injections
 
 
 def loopback_address(address: str) -> tuple[str, int]:
-    """Host and port of an address; raises NotLoopbackError."""
+    """Split a loopback address into host and port.
+
+    Raises:
+        NotLoopbackError: The address is not on loopback, or has no port.
+    """
     host, _, port = address.rpartition(":")
     if not host.startswith("127.") or not port.isdigit():
         raise NotLoopbackError(address, "no address of loopback with a port")
@@ -21,14 +25,19 @@
 
 
 class InjectionPrinter:
-    """Prints each injection once, as one JSON line."""
+    """Prints each injection once, as one JSON line.
+
+    Attributes:
+        injector: Injector whose injections are printed.
+        shown: Number of injections printed so far.
+    """
 
     def __init__(self, injector: Injector) -> None:
         self.injector = injector
         self.shown = 0
 
     def show_new(self) -> None:
-        """Print those that are new, now and again and again."""
+        """Print the new injections, and schedule the next call of this method."""
         for injection in self.injector.injections[self.shown :]:
             document = {
                 "fault": injection.fault,
@@ -44,14 +53,14 @@
 
 @lab.command("fault")
 @click.option("--listen", required=True, help="loopback address to accept on")
-@click.option("--to", "server", required=True, help="loopback address to pass on to")
-@click.option("--plan", "plan_path", required=True, help="the plan of faults (INI), see docs/faults.md")
+@click.option("--to", "server", required=True, help="loopback address to connect to")
+@click.option("--plan", "plan_path", required=True, help="plan of the faults (INI), see docs/faults.md")
 @click.option(
     "--framing", type=click.Choice(["thrift", "lines", "sse", "raw"]), default="thrift", show_default=True
 )
 @SEED
 def fault_command(listen: str, server: str, plan_path: str, framing: str, seed: int) -> None:
-    """Sit between two sockets and inject into their traffic what a plan states, exactly by seed."""
+    """Forward traffic between two sockets, and inject the faults of a plan, reproducibly by seed."""
     listen_host, listen_port = loopback_address(listen)
     host, port = loopback_address(server)
     try:
--- a/weldbend/testbed/commands/fleet.py
+++ b/weldbend/testbed/commands/fleet.py
@@ -1,6 +1,6 @@
-"""Commands that play plans on fleets, and measure them: fleet, fleet-measure.
+"""Commands that run plans on fleets, and benchmark fleets: fleet, fleet-measure.
 
-What they run is imported by them, so that the other commands do not load a whole front.
+The commands import their implementation themselves, so that the other commands do not load a whole front.
 """
 
 import json
@@ -18,27 +18,41 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetOptions:
-    """The options of `weldbend lab fleet`."""
+    """Options of `weldbend lab fleet`.
+
+    Attributes:
+        plan_path: Plan of the events; None with `is_driven`.
+        seed: Seed of the run.
+        is_simulated: Whether the fleet runs in the simulation rather than as real processes.
+        is_driven: Whether commands are read from standard input.
+        fronts: Number of fronts, with `is_driven`.
+        zones: Zones of the fronts in turn, separated by commas, with `is_driven`.
+        folder: Directory for configurations and logs, with `is_driven`.
+    """
 
     plan_path: str | None
     seed: int
     is_simulated: bool
     is_driven: bool
     fronts: int
-    zones: str  # names, with commas between them
+    zones: str
     folder: str | None
 
 
 @lab.command("fleet")
-@click.option("--plan", "plan_path", help="what happens, see docs/fleet.md")
+@click.option("--plan", "plan_path", help="plan of the events (INI), see docs/fleet.md")
 @SEED
-@click.option("--virtual", "is_simulated", is_flag=True, help="on the virtual clock, without real processes")
-@click.option("--lines", "is_driven", is_flag=True, help="carry out standard input, one JSON object a line")
-@click.option("--fronts", type=click.IntRange(1, 64), default=3, show_default=True, help="with --lines")
-@click.option("--zones", default="", help="with --lines: of the fronts in turn, with commas between them")
-@click.option("--folder", help="with --lines: for configurations and logs")
+@click.option("--virtual", "is_simulated", is_flag=True, help="use a virtual clock and no real processes")
+@click.option(
+    "--lines", "is_driven", is_flag=True, help="read commands from standard input, a JSON object each"
+)
+@click.option(
+    "--fronts", type=click.IntRange(1, 64), default=3, show_default=True, help="number, with --lines"
+)
+@click.option("--zones", default="", help="with --lines: zones of the fronts in turn, separated by commas")
+@click.option("--folder", help="with --lines: directory for configurations and logs")
 def fleet_command(**options: object) -> None:
-    """Fronts that form a fleet, as real processes, and faults between them; a verdict at the end."""
+    """Run a fleet of fronts as real processes with faults between them, and print a verdict."""
     chosen = FleetOptions(**options)  # type: ignore[arg-type]  # click has checked them
     if chosen.is_driven:
         run_lines(chosen)
@@ -50,7 +64,7 @@
 
 
 def run_lines(options: FleetOptions) -> None:
-    """Carry out the lines of standard input."""
+    """Execute the commands on standard input."""
     from weldbend.testbed.fleet.line_commands import run_line_commands
     from weldbend.testbed.fleet.plan import parse_names
 
@@ -60,7 +74,7 @@
 
 
 def run_plan(options: FleetOptions, path: str) -> None:
-    """Play a plan; exits with 1 where the verdict is not clean."""
+    """Run a plan, and exit with status 1 if the verdict is not clean."""
     from weldbend.testbed.fleet.plan import read_plan
 
     try:
@@ -72,7 +86,11 @@
 
 
 def play(options: FleetOptions, plan: "FleetPlan", path: str) -> bool:
-    """Play a plan that was read from `path`; returns whether it is clean, and raises InvalidPlanError."""
+    """Run a plan that was read from `path`, and return whether the verdict is clean.
+
+    Raises:
+        InvalidPlanError: The plan is invalid.
+    """
     from weldbend.testbed.fleet import plan_runner
 
     if options.is_simulated:
@@ -89,9 +107,9 @@
 @lab.command("fleet-measure")
 @click.argument("what")
 def fleet_measure(what: str) -> None:
-    """Measure a fleet, a JSON line each: gain, popularity, detect, real, cost or newcomer.
+    """Run a benchmark of fleets: gain, popularity, detect, real, cost or newcomer.
 
-    docs/fleet.md has the figures of detect alone.
+    Prints one JSON line per row. docs/fleet.md has the figures of detect only.
     """
     from weldbend.testbed.fleet.benchmarks import BENCHMARKS
     from weldbend.testbed.simulation.seed_search import silence_fronts
--- a/weldbend/testbed/commands/group.py
+++ b/weldbend/testbed/commands/group.py
@@ -1,4 +1,4 @@
-"""The command group of the testbed, and what its commands share."""
+"""Command group of the testbed, and the options and functions that its commands share."""
 
 import json
 from typing import cast
@@ -12,17 +12,17 @@
 reactor = cast(ProcessReactor, installed_reactor)
 
 FRONTS = click.option("--fronts", type=click.IntRange(1, 32), default=1, show_default=True)
-JSON = click.option("--json", "path", help="write the report there; - for standard output")
+JSON = click.option("--json", "path", help="file to write the report to; - for standard output")
 SEED = click.option("--seed", type=int, default=1, show_default=True)
 
 
 @click.group()
 def lab() -> None:
-    """Emulated sites, load and experiments, all on loopback."""
+    """Run emulated sites, load and experiments, all on loopback."""
 
 
 def show_report(path: str, report: object) -> None:
-    """Write a report as JSON, to standard output where the path is `-`."""
+    """Write a report as JSON, to standard output if the path is `-`."""
     if path == "-":
         click.echo(json.dumps(report))
     else:
@@ -30,7 +30,7 @@
 
 
 class NotLoopbackError(click.ClickException):
-    """An address that the testbed does not use; `problem` says why."""
+    """The testbed does not use this address; `problem` is the reason, as text."""
 
     def __init__(self, address: str, problem: str) -> None:
         self.address = address
--- a/weldbend/testbed/commands/idle.py
+++ b/weldbend/testbed/commands/idle.py
@@ -1,4 +1,4 @@
-"""Commands that measure idle connections: idle, and the hidden hold that opens them."""
+"""Commands that benchmark idle connections: idle, and the hidden command hold, which opens them."""
 
 import sys
 import tempfile
@@ -21,22 +21,35 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleOptions:
-    """What is measured; rates a second, times in seconds."""
+    """Options of `weldbend lab idle`.
+
+    Attributes:
+        connections: Number of idle connections.
+        busy_rate: Requests per second of the load beside them.
+        seconds: Duration of that load in seconds.
+        pairs: Number of latency measurements with and without idle connections.
+        fractions: Fractions of the idle connections that send calls at once.
+        wake_with: Kind of these calls, probe or photo.
+        counts: Numbers of connections at which memory is measured.
+        before: Another source tree whose memory is measured too, for comparison; None for no comparison.
+        open_rate: Connections that are opened per second when memory is measured.
+        fronts: Number of fronts.
+    """
 
     connections: int
     busy_rate: float
     seconds: float
     pairs: int
-    fractions: tuple[float, ...]  # that are woken at once
-    wake_with: str  # probe or photo
-    counts: tuple[int, ...]  # of connections at which memory is measured
-    before: str | None  # another tree
+    fractions: tuple[float, ...]
+    wake_with: str
+    counts: tuple[int, ...]
+    before: str | None
     open_rate: float
     fronts: int
 
 
 def measure(options: IdleOptions, installation: str, show: Callable[[str], None]) -> dict[str, Any]:
-    """All measurements that the options ask for, by name."""
+    """Run the measurements that the options request, and return their results by name."""
     report: dict[str, Any] = {}
     counts = list(options.counts)
     rate = options.open_rate
@@ -69,7 +82,7 @@
 @click.option("--front", required=True)
 @click.option("--seed", type=int, default=1)
 def hold_command(front: str, seed: int) -> None:
-    """Hold idle connections, driven by lines on standard input (see load/connection_holder.py)."""
+    """Hold idle connections, as commands on standard input request (see load/connection_holder.py)."""
     connection_holder.main(front, seed)
 
 
@@ -79,20 +92,30 @@
 @click.option("--seconds", type=click.FloatRange(2, 120), default=10.0, show_default=True)
 @click.option("--pairs", type=click.IntRange(0, 20), default=1, show_default=True)
 @click.option(
-    "--wake", "fractions", type=click.FloatRange(0, 1), multiple=True, help="fraction woken at once"
+    "--wake",
+    "fractions",
+    type=click.FloatRange(0, 1),
+    multiple=True,
+    help="fraction that sends calls at once",
 )
 @click.option("--wake-with", type=click.Choice(["probe", "photo"]), default="photo", show_default=True)
-@click.option("--memory", "counts", type=click.IntRange(1, 19_000), multiple=True, help="measure bytes at")
-@click.option("--before", help="another tree, to measure memory of before")
+@click.option(
+    "--memory",
+    "counts",
+    type=click.IntRange(1, 19_000),
+    multiple=True,
+    help="number of connections at which memory is measured",
+)
+@click.option("--before", help="another source tree whose memory is measured for comparison")
 @click.option("--open-rate", type=click.FloatRange(1, 5000), default=2500.0, show_default=True)
 @FRONTS
 @click.option(
-    "--park-after", "idle_after", default="500 ms", show_default=True, help="0 s: no idle pool, to compare"
+    "--park-after", "idle_after", default="500 ms", show_default=True, help="0 s disables the idle pool"
 )
-@click.option("--plot", help="draw the busy latencies as a PNG there")
+@click.option("--plot", help="PNG file for a plot of the busy latencies")
 @JSON
 def idle_command(idle_after: str, plot: str | None, path: str | None, **options: object) -> None:
-    """What idle connections cost: memory, upkeep, busy latency beside them, and wakes at once."""
+    """Measure the cost of idle connections: memory, CPU, latency of other requests, and mass wakes."""
     chosen = IdleOptions(**options)  # type: ignore[arg-type]  # click has checked them
     started_at = time.monotonic()
 
--- a/weldbend/testbed/commands/scale.py
+++ b/weldbend/testbed/commands/scale.py
@@ -1,4 +1,4 @@
-"""Commands that compare a site with one of many more, smaller caches: scale, and the hidden scale-site."""
+"""Commands that compare a site with one of more and smaller caches: scale, and the hidden scale-site."""
 
 import json
 from dataclasses import asdict, replace
@@ -15,10 +15,10 @@
 
 
 def play(plan: ScalePlan) -> ScaleFigures:
-    """Play one size in a process of its own, so that nothing of one size is left for the next.
+    """Run one size in a process of its own, so that no state of one size remains for the next.
 
     Raises:
-        ChildEndedError: It ended without figures; it has said why.
+        ChildEndedError: The process ended without figures; it has printed the reason.
     """
     child = ChildProcess("scale-site", json.dumps(plan.document()))
     try:
@@ -30,7 +30,7 @@
 @lab.command("scale-site", hidden=True)
 @click.argument("document")
 def scale_site(document: str) -> None:
-    """Play one size of a site, given as JSON, and print its figures as one JSON line."""
+    """Run one size of a site, whose plan is given as JSON, and print its figures as one JSON line."""
     outcomes: list[ScaleFigures | ScaleRunError] = []
 
     def on_end(outcome: ScaleFigures | ScaleRunError) -> None:
@@ -71,7 +71,7 @@
     type=click.FloatRange(1, 300),
     default=25.0,
     show_default=True,
-    help="seconds of load at each size; the whole takes some 20 s more",
+    help="seconds of load at each size; the whole command takes about 20 s more",
 )
 @click.option(
     "--changes",
@@ -85,16 +85,16 @@
     "--counted",
     "is_counted_only",
     is_flag=True,
-    help="judge only what is counted, calls of functions in place of CPU seconds, and not memory: the same "
-    "verdict on any machine; counting slows fronts down",
+    help="check only counted figures, with function calls in place of CPU seconds, and not memory: the "
+    "verdict is the same on any machine; counting slows the fronts down",
 )
-@click.option("--plot", help="draw each figure as a part of its bound, as a PNG there")
+@click.option("--plot", help="PNG file for a plot of each figure as a fraction of its bound")
 @JSON
 def scale(is_counted_only: bool, plot: str | None, path: str | None, division: int, **options: float) -> None:
-    """What a front needs with so many caches, and with many times as many of the same capacity together.
+    """Compare a front's resource usage at two numbers of caches of the same total capacity.
 
-    Plays both sizes one after the other on loopback, and prints a table beside the bounds on growth. The exit
-    status is 1 where a bound is missed.
+    Runs both sizes one after the other on loopback, and prints a table with the bounds on growth. The exit
+    status is 1 if a bound is missed.
     """
     plan = ScalePlan(**options, counts_calls=is_counted_only)  # type: ignore[arg-type]  # click has checked them
     usual = play(plan)
--- a/weldbend/testbed/commands/simulation.py
+++ b/weldbend/testbed/commands/simulation.py
@@ -1,4 +1,4 @@
-"""Commands that play seeds of the deterministic simulation: faults, replay."""
+"""Commands that run seeds of the deterministic simulation: faults, replay."""
 
 import json
 from pathlib import Path
@@ -7,29 +7,33 @@
 
 from weldbend.testbed.commands.group import JSON, lab, show_report
 
-MAX_SHOWN = 3  # violations and errors of a seed that are shown
+MAX_SHOWN = 3  # maximum number of violations, and of errors, shown for each seed
 
-FLEET = click.option("--fleet", is_flag=True, help="fronts that form a fleet, and faults between them")
+FLEET = click.option("--fleet", is_flag=True, help="simulate a fleet of fronts with faults between them")
 
 
 def parse_seeds(text: str) -> range:
-    """A range such as 1..100; raises ClickException."""
+    """Parse a range of seeds such as 1..100.
+
+    Raises:
+        ClickException: The text is not such a range.
+    """
     first, dots, last = text.partition("..")
     if not (dots and first.isdigit() and last.isdigit() and int(first) <= int(last)):
-        message = f"{text!r:.40} is no range of seeds such as 1..100"
+        message = f"{text!r:.40} is not a range of seeds such as 1..100"
         raise click.ClickException(message)
     return range(int(first), int(last) + 1)
 
 
 @lab.command("faults")
-@click.option("--seeds", required=True, help="from..to, both included")
+@click.option("--seeds", required=True, help="range such as 1..100, both ends included")
 @click.option("--jobs", type=click.IntRange(1, 64), default=4, show_default=True)
 @FLEET
 @JSON
-@click.option("--digests", help="write each seed's digest of raw bytes there, a line a seed")
+@click.option("--digests", help="file to write the digests of raw bytes to, one line per seed")
 def faults_command(seeds: str, jobs: int, fleet: bool, path: str | None, digests: str | None) -> None:
-    """Play seeds of the deterministic simulation, and fail where a rule is violated."""
-    # Here, so that the other commands do not load a whole front.
+    """Run seeds of the deterministic simulation, and fail if a rule is violated."""
+    # Imported here, so that the other commands do not load a whole front.
     from weldbend.testbed.fleet.simulated_fleet import FleetRunSettings
     from weldbend.testbed.simulation.seed_search import search, totals
     from weldbend.testbed.simulation.settings import RunSettings
@@ -45,16 +49,16 @@
     found = totals(reports)
     show_report(path or "-", found)
     if failed := sorted({*found["broken"], *found["faulty"]}):
-        message = f"seeds {failed} failed: weldbend lab replay"
+        message = f"seeds {failed} failed; run one again with weldbend lab replay"
         raise click.ClickException(message)
 
 
 @lab.command()
 @click.argument("seed", type=int)
-@click.option("--trace", is_flag=True, help="all that crossed the sockets, a line a message")
+@click.option("--trace", is_flag=True, help="print all messages on the sockets, one per line")
 @FLEET
 def replay(seed: int, trace: bool, fleet: bool) -> None:
-    """Play one seed again, and show its verdict."""
+    """Run one seed again, and show its verdict."""
     from weldbend.testbed.fleet.simulated_fleet import FleetRunSettings
     from weldbend.testbed.simulation.seed_search import play, silence_fronts
     from weldbend.testbed.simulation.settings import RunSettings
--- a/weldbend/testbed/commands/site.py
+++ b/weldbend/testbed/commands/site.py
@@ -1,4 +1,4 @@
-"""Commands that run an emulated site, and put load on fronts: up, demo, load."""
+"""Commands that run an emulated site or send load to fronts: up, demo, load."""
 
 import json
 from typing import Any
@@ -14,8 +14,8 @@
 from weldbend.testbed.load import process_usage
 from weldbend.testbed.load.generator import Load, LoadPlan
 
-BASE_MEMORY = 192  # MB of a front
-SOCKETS_PER_MB = 100  # sockets that one more MB is for
+BASE_MEMORY = 192  # memory limit of a front without its sockets, in MB
+SOCKETS_PER_MB = 100  # sockets for each additional MB
 DEMO_SOCKETS = 1024
 PROGRESS_PERIOD = 0.25  # seconds
 PROGRESS_WIDTH = 50  # characters
@@ -25,7 +25,7 @@
 
 
 def create_site(fronts: int, sockets: int) -> EmulatedSite:
-    """An emulated site whose fronts have memory for so many sockets."""
+    """Return an emulated site whose fronts have memory for this number of sockets."""
     memory = BASE_MEMORY + sockets // SOCKETS_PER_MB
     return EmulatedSite(reactor, SiteSettings(fronts=fronts, sockets=sockets, memory_mb=memory))
 
@@ -37,18 +37,21 @@
         self.site = site
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Standard input has ended."""
+        """Stop the site, because standard input has ended."""
         self.site.stop()
 
 
 def show_ready(site: EmulatedSite) -> None:
-    """Say where the fronts are."""
+    """Print the addresses of the fronts, and an example command."""
     click.echo(f"fronts serve on {', '.join(site.fronts)}; configurations and logs in {site.folder}")
     click.echo(f"try: weldbend lab load --front {site.fronts[0]} --rate 50 --seconds 10")
 
 
 def print_ready_json(site: EmulatedSite) -> None:
-    """One JSON line for the process that has started this one, and that ends it by closing its input."""
+    """Print one JSON line for the process that started this one.
+
+    That process stops the site by closing the standard input of this one.
+    """
     document = {"fronts": site.fronts, "pids": site.pids(), "folder": str(site.folder)}
     click.echo(json.dumps(document))
     stdio.StandardIO(StopWithInput(site))  # type: ignore[no-untyped-call]  # Twisted's
@@ -58,12 +61,15 @@
 @FRONTS
 @SOCKETS
 @click.option("--installation", help="installation file of the fronts")
-@click.option("--program", help="another tree whose weldbend the fronts run")
+@click.option("--program", help="another source tree whose weldbend the fronts run")
 @click.option(
-    "--told", "is_child", is_flag=True, help="print one JSON line when ready, end with standard input"
+    "--told",
+    "is_child",
+    is_flag=True,
+    help="print one JSON line when ready, stop at the end of standard input",
 )
 def up(fronts: int, sockets: int, installation: str | None, program: str | None, is_child: bool) -> None:
-    """A small site on loopback (bus, edges, parents, origin, fronts) until it is ended."""
+    """Run a small site on loopback (bus, edges, parents, origin, fronts) until it is stopped."""
     site = create_site(fronts, sockets)
     exit_codes: list[int] = []
 
@@ -81,12 +87,15 @@
     reactor.addSystemEventTrigger("before", "shutdown", site.stop)
     reactor.run()
     if any(exit_codes):
-        message = f"fronts ended with {exit_codes}; their logs are in {site.folder}"
+        message = f"fronts ended with exit codes {exit_codes}; their logs are in {site.folder}"
         raise click.ClickException(message)
 
 
 class Demo:
-    """A small site, and a load on it once its front is ready; the reactor stops after the front."""
+    """A small site with one front, and a load on it once the front is ready.
+
+    The reactor stops when the front has ended.
+    """
 
     def __init__(self, plan: LoadPlan) -> None:
         self.site = create_site(1, DEMO_SOCKETS)
@@ -95,11 +104,15 @@
         self.exit_code: int | None = None
 
     def run(self) -> None:
-        """Run to the end; raises ClickException where the front ends before the load."""
+        """Run the site and its load to the end.
+
+        Raises:
+            ClickException: The front ended before the load.
+        """
         reactor.callWhenRunning(self.site.start, self._on_ready, self._on_front_end)
         reactor.run()
         if not self.load or not self.load.is_over:
-            message = f"the front ended with {self.exit_code}; its log is in {self.site.folder}"
+            message = f"the front ended with exit code {self.exit_code}; its log is in {self.site.folder}"
             raise click.ClickException(message)
 
     def _on_ready(self) -> None:
@@ -124,7 +137,7 @@
         reactor.stop()
 
     def report(self) -> dict[str, Any]:
-        """What became of the load, and the counters of all caches."""
+        """Return the results of the load and the counters of all caches."""
         assert self.load
         return self.load.tally.report() | {"boxes": self.site.counts()}
 
@@ -135,7 +148,7 @@
 @SEED
 @JSON
 def demo(rate: float, seconds: float, seed: int, path: str | None) -> None:
-    """A small site, some seconds of real requests, and a table of what became of them."""
+    """Run a small site with some seconds of real requests, and print a table of the results."""
     run = Demo(LoadPlan(rate=rate, seconds=seconds, seed=seed))
     run.run()
     report = run.report()
@@ -149,7 +162,7 @@
 
 
 def summary(report: dict[str, Any]) -> list[str]:
-    """The lines of a table of a load and of what the caches did."""
+    """Return the lines of a table with the results of a load and the counters of the caches."""
     counts = report["counts"]
     caches = report["boxes"]
     latency = report["latency_ms"]
@@ -174,12 +187,12 @@
 @RATE
 @click.option("--seconds", type=click.FloatRange(1, 600), default=10.0, show_default=True)
 @SEED
-@click.option("--plot", help="draw the latencies as a PNG there")
+@click.option("--plot", help="PNG file for a plot of the latencies")
 @JSON
 def load(
     fronts: tuple[str, ...], rate: float, seconds: float, seed: int, plot: str | None, path: str | None
 ) -> None:
-    """Open-loop load against fronts on loopback, latency counted from the intended start."""
+    """Send open-loop load to fronts on loopback, with latency counted from the intended start."""
     for front in fronts:
         if not front.startswith("127."):
             raise NotLoopbackError(front, "load goes to loopback only")
@@ -188,7 +201,7 @@
     reactor.callWhenRunning(run.start)
     reactor.run()
     if not run.is_over:
-        message = "ended before the load was over"
+        message = "the process ended before the load was complete"
         raise click.ClickException(message)
     report = run.tally.report()
     if plot:
--- a/weldbend/testbed/emulator/__init__.py
+++ b/weldbend/testbed/emulator/__init__.py
@@ -1,4 +1,4 @@
-"""The emulated site: caches, parents, origin and event bus on loopback, and what they hold."""
+"""Emulated site: caches, parents, origin and event bus on loopback, and the objects that they serve."""
 
 from weldbend.testbed.emulator.cache_model import EmulatedCache, EmulatedCaches, Link, TimedAnswer
 from weldbend.testbed.emulator.objects import PartSizes
--- a/weldbend/testbed/emulator/cache_commands.py
+++ b/weldbend/testbed/emulator/cache_commands.py
@@ -1,4 +1,4 @@
-"""The caches' side of the line protocol: complete commands read from a ring, answers written. No I/O."""
+"""The caches' side of the line protocol: parses commands from a ring and encodes answers. No I/O."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 from weldbend.cache_protocol.commands import format_fields
 from weldbend.testbed.errors import TestbedError
 
-LONGEST_BODY = 48_000  # bytes of a command's body
+LONGEST_BODY = 48_000  # bytes of the body of a command
 LINE_END = b"\r\n"
-DO_TOKENS = 4  # do, id, fields and length
-OTHER_TOKENS = 2  # undo, ping or top, and a name
+DO_TOKENS = 4  # number of tokens in the line of a do command: do, id, fields and length
+OTHER_TOKENS = 2  # number of tokens of the other commands: undo, ping or top, and a name
 
 
 class CommandProblem(Enum):
-    """Why bytes are no command."""
+    """Reasons for which received bytes are not a valid command."""
 
     LONG_LINE = "a line too long"
     MALFORMED_LINE = "line"
@@ -24,7 +24,12 @@
 
 
 class InvalidCommandError(TestbedError):
-    """Bytes that are no command; `line` is the malformed line."""
+    """Received bytes that are not a valid command.
+
+    Attributes:
+        problem: Reason for the rejection.
+        line: Malformed line; empty for other problems.
+    """
 
     def __init__(self, problem: CommandProblem, line: str = "") -> None:
         self.problem = problem
@@ -34,7 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """`word` is do, undo, ping or top; `name` the id of a request or the tag of a health check."""
+    """One command of a front.
+
+    Attributes:
+        word: Command word: do, undo, ping or top.
+        name: Id of the request, or tag of the health check.
+        fields: Fields of a do command by name; empty for other commands.
+        body: Body of a do command.
+    """
 
     word: str
     name: str
@@ -43,19 +55,32 @@
 
 
 class Parser:
-    """Reads commands from a ring, however their bytes arrive."""
+    """Incremental parser for commands; the bytes of a command may arrive in any number of pieces.
+
+    Attributes:
+        ring: Bytes received and not yet parsed.
+        pending_line: Tokens of a parsed command line whose body is incomplete; None if a line is parsed next.
+    """
 
     def __init__(self, ring: Ring) -> None:
         self.ring = ring
-        self.pending_line: list[str] | None = None  # the words of a line whose body is not complete
+        self.pending_line: list[str] | None = None
 
     def all(self) -> Iterator[Command]:
-        """All commands that are complete; raises InvalidCommandError."""
+        """Yield all complete commands.
+
+        Raises:
+            InvalidCommandError: The bytes are not a valid command.
+        """
         while command := self.next():
             yield command
 
     def next(self) -> Command | None:
-        """The next command, None where it is not complete; raises InvalidCommandError."""
+        """Return the next command, or None if it is incomplete.
+
+        Raises:
+            InvalidCommandError: The bytes are not a valid command.
+        """
         if self.pending_line is None:
             self.pending_line = self._read_line()
         if self.pending_line is None:
@@ -76,7 +101,7 @@
         return Command("do", head[1], read_fields(head[2]), body)
 
     def _read_line(self) -> list[str] | None:
-        """The words of a line, None where it is not complete."""
+        """Return the tokens of the next line, or None if it is incomplete."""
         end = self.ring.find(LINE_END, 0, LONGEST_LINE)
         if end < 0:
             if len(self.ring) >= LONGEST_LINE:
@@ -88,6 +113,13 @@
 
 
 def encode_answer(name: str, word: str, fields: Mapping[str, str], body: bytes = b"") -> bytes:
-    """The bytes of an answer; `name` is the id of the request that it answers."""
+    """Return the bytes of an answer.
+
+    Args:
+        name: Id of the request, or tag of the health check, that is answered.
+        word: Status of the answer, such as DONE.
+        fields: Fields of the answer by name.
+        body: Body of the answer.
+    """
     line = f"{name} {word} {format_fields(fields)} {len(body)}\r\n".encode()
     return b"".join((line, body, LINE_END))
--- a/weldbend/testbed/emulator/cache_model.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -1,7 +1,7 @@
-"""Emulated caches, parents and origin: what they hold, how long a transfer takes, what they answer. No I/O.
+"""Model of emulated caches, parents and origin: stored copies, durations of transfers, and answers. No I/O.
 
-Times are passed in, in seconds; every answer states when it is due, so the same model runs on sockets and on
-a virtual clock. Links are FIFO pipes: a transfer begins when the one before it is through.
+Times are passed in as arguments, in seconds. Every answer states when it is due, so the same model runs on
+sockets and on a virtual clock. Links are FIFO: a transfer begins when the previous one is complete.
 """
 
 from collections import OrderedDict
@@ -9,85 +9,131 @@
 
 from weldbend.testbed.emulator.objects import PartSizes, body
 
-DEDUPLICATION_WINDOW = 8  # seconds for which a write with an idempotency key is known to have been executed
-WRITE_FACTOR = 5  # times the service time of a read
-MAX_FILLS = 1024  # fills that are kept track of before those that ended are dropped
+DEDUPLICATION_WINDOW = 8  # seconds for which the idempotency key of an executed write is remembered
+WRITE_FACTOR = 5  # ratio of the service time of a write to that of a read
+MAX_FILLS = 1024  # number of recorded fills above which completed ones are removed
 
-PartKey = tuple[str, int]  # an object's key, and the number of a part of it
+PartKey = tuple[str, int]  # key of an object and number of one of its parts
 
 
 @dataclass(slots=True)
 class Link:
-    """A pipe of so many bytes a second and a delay in seconds."""
+    """A FIFO link.
+
+    Attributes:
+        rate: Throughput in bytes per second.
+        delay: Propagation delay in seconds.
+        free_at: Time at which all transfers so far have been sent.
+    """
 
     rate: float
     delay: float = 0.0
-    free_at: float = 0.0  # when all transfers so far are through
+    free_at: float = 0.0
 
     def transfer(self, now: float, size: int) -> float:
-        """Begin a transfer of `size` bytes; returns when it is complete at the other end."""
+        """Begin a transfer of `size` bytes, and return the time at which it is complete at the receiver."""
         self.free_at = max(self.free_at, now) + size / self.rate
         return self.free_at + self.delay
 
 
 @dataclass(frozen=True, slots=True)
 class TimedAnswer:
-    """What a cache answers, and when."""
+    """An answer of a cache and the time at which it is sent.
+
+    Attributes:
+        due_at: Time at which the answer is sent, in seconds of the steady clock.
+        word: Status of the answer, such as DONE.
+        fields: Fields of the answer by name.
+        body: Body of the answer.
+        made_ms: `Copy.made_ms` of the copy that the answer carries; None if it carries none.
+    """
 
     due_at: float
     word: str
     fields: dict[str, str]
     body: bytes = b""
-    made_ms: int | None = None  # when the origin gave out the copy, as `Copy.made_ms`; None without one
+    made_ms: int | None = None
 
 
 @dataclass(slots=True)
 class Copy:
-    """One cached part of an object."""
+    """One cached part of an object.
+
+    Attributes:
+        size: Size in bytes.
+        born: Unix time in milliseconds at which the origin sent it, as the Unix clock read then.
+        made_ms: The same time in milliseconds of the steady clock, by which the age of the copy is measured.
+        rank: Priority in the cache; copies of rank 0 are evicted first.
+    """
 
     size: int
-    born: int  # Unix milliseconds at which the origin gave it out, by the clock of that moment
-    made_ms: int  # the same in milliseconds of the steady clock, by which its age is measured
-    rank: int  # 0 is evicted first
+    born: int
+    made_ms: int
+    rank: int
 
 
 @dataclass(frozen=True, slots=True)
 class Lookup:
-    """What a read command asks for, and when: seconds of the steady clock and of the Unix clock."""
+    """A read command.
+
+    Attributes:
+        part_key: Requested part.
+        max_age: Maximum age of a copy in milliseconds; None for any age.
+        now: Time of the command in seconds of the steady clock.
+        unix: Time of the command in seconds of the Unix clock.
+    """
 
     part_key: PartKey
-    max_age: float | None  # milliseconds; None for any
+    max_age: float | None
     now: float
     unix: float
 
 
 @dataclass
 class EmulatedCache:
-    """A cache, a parent or the origin."""
+    """An edge cache, a parent or the origin.
+
+    Attributes:
+        uid: Uid in the endpoint list.
+        kind: Kind in the endpoint list: box, parent or origin.
+        capacity: Capacity in bytes.
+        service_time: Processing time of an answer in seconds, without transfers.
+        max_open: Maximum number of commands that are executed at a time.
+        uplink: Link to the fronts.
+        used: Size of all copies in bytes.
+        copies: Copies by part, least recently used first.
+        filling: Time at which a fill is complete, and its copy, by part.
+        executed: Time at which a write was executed, by idempotency key.
+        open_commands: Number of commands that are being executed.
+        counts: Counters by name.
+    """
 
     uid: str
-    kind: str  # box, parent or origin, as the endpoint list names them
-    capacity: int = 64 << 20  # bytes
-    service_time: float = 0.002  # seconds of its own work for an answer
-    max_open: int = 64  # commands that it executes at a time
-    uplink: Link = field(default_factory=lambda: Link(60e6))  # to the fronts
-    used: int = 0  # bytes
+    kind: str
+    capacity: int = 64 << 20
+    service_time: float = 0.002
+    max_open: int = 64
+    uplink: Link = field(default_factory=lambda: Link(60e6))
+    used: int = 0
     copies: "OrderedDict[PartKey, Copy]" = field(default_factory=OrderedDict)
-    filling: dict[PartKey, tuple[float, Copy]] = field(default_factory=dict)  # (complete at, copy)
-    executed: dict[str, float] = field(default_factory=dict)  # idempotency keys of writes, and when
-    open_commands: int = 0  # commands that are executed now
+    filling: dict[PartKey, tuple[float, Copy]] = field(default_factory=dict)
+    executed: dict[str, float] = field(default_factory=dict)
+    open_commands: int = 0
     counts: dict[str, int] = field(default_factory=dict)
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to one of the counters."""
+        """Increase a counter."""
         self.counts[name] = self.counts.get(name, 0) + by
 
     def is_filling(self, part_key: PartKey, now: float) -> bool:
-        """Whether a fill of this part is under way."""
+        """Return whether a fill of this part is in progress."""
         return part_key in self.filling and self.filling[part_key][0] > now
 
     def find(self, lookup: Lookup) -> Copy | None:
-        """A copy that is here and young enough; one whose fill is under way is not here yet."""
+        """Return a copy that satisfies the lookup, or None.
+
+        A copy whose fill is in progress does not count, nor does one older than the maximum age.
+        """
         copy = self.copies.get(lookup.part_key)
         if self.is_filling(lookup.part_key, lookup.now):
             return None
@@ -97,7 +143,10 @@
         return None
 
     def store(self, part_key: PartKey, copy: Copy) -> None:
-        """Keep a copy; beyond the capacity the least recently used of the lowest rank are evicted."""
+        """Store a copy, and evict others while the capacity is exceeded.
+
+        The least recently used copy of rank 0 is evicted; without any, the least recently used copy.
+        """
         if old := self.copies.pop(part_key, None):
             self.used -= old.size
         self.copies[part_key] = copy
@@ -107,12 +156,12 @@
             self.used -= self.copies.pop(last).size
 
     def purge(self, key: str) -> None:
-        """Drop all parts of an object."""
+        """Remove all parts of an object."""
         for part_key in [part_key for part_key in self.copies if part_key[0] == key]:
             self.used -= self.copies.pop(part_key).size
 
     def execute_write(self, idempotency_key: str | None, now: float, unix: float) -> TimedAnswer:
-        """Execute a write, unless one with its key was executed within the window."""
+        """Execute a write, unless a write with the same key was executed within DEDUPLICATION_WINDOW."""
         self._drop_expired_writes(now)
         if idempotency_key is None or idempotency_key not in self.executed:
             self.count("effects")
@@ -134,7 +183,15 @@
     def answer_with(
         self, part_key: PartKey, copy: Copy, ready: float, detail: str, now: float
     ) -> TimedAnswer:
-        """The answer that carries a copy which is complete at `ready`; `detail` says where it came from."""
+        """Return the answer that carries a copy.
+
+        Args:
+            part_key: Requested part.
+            copy: Copy of that part.
+            ready: Time at which the transfer of the copy is complete.
+            detail: Code of the source of the copy, for the answer's field of this name.
+            now: Time of the command.
+        """
         fields = {"ver": f"{copy.born:x}", "born": str(copy.born), "detail": detail}
         if ready > now + self.service_time:
             fields["waited"] = str(int((ready - now) * 1000))
@@ -148,8 +205,16 @@
 class EmulatedCaches:
     """All caches of a site, and the links between them.
 
-    An edge is linked to its parents by `edge_rate` bytes a second with `edge_delay` seconds of delay, all
-    parents to the origin by `origin_rate` bytes a second; None for four times an edge's rate.
+    Each edge has one link to the parents, of `edge_rate` bytes per second and `edge_delay` seconds of delay.
+    All parents share one link to the origin, of `origin_rate` bytes per second (by default four times
+    `edge_rate`) and half the delay.
+
+    Attributes:
+        by_uid: Caches by uid.
+        origin: The origin; None if the site has none.
+        sizes: Sizes of the objects' parts.
+        links: Links from the parents to an edge, by the edge's uid.
+        origin_link: Link from the origin to the parents.
     """
 
     def __init__(
@@ -164,12 +229,20 @@
         self.origin = next((cache for cache in caches if cache.kind == "origin"), None)
         self.sizes = sizes
         self.links = {cache.uid: Link(edge_rate, edge_delay) for cache in caches if cache.kind == "box"}
-        self.origin_link = Link(origin_rate or 4 * edge_rate, edge_delay / 2)  # from it to the parents
+        self.origin_link = Link(origin_rate or 4 * edge_rate, edge_delay / 2)
 
     def execute(self, uid: str, fields: dict[str, str], now: float, unix: float) -> TimedAnswer:
-        """Execute one command; `now` and `unix` are seconds of the steady and the Unix clock.
+        """Execute one command.
+
+        Args:
+            uid: Uid of the cache that received it.
+            fields: Fields of the command.
+            now: Time in seconds of the steady clock.
+            unix: Time in seconds of the Unix clock.
 
-        Raises KeyError or ValueError where a field is missing or malformed.
+        Raises:
+            KeyError: A field is missing.
+            ValueError: A field is malformed.
         """
         cache = self.by_uid[uid]
         cache.count("asked")
@@ -200,7 +273,7 @@
     def _fill(
         self, cache: EmulatedCache, source: EmulatedCache, lookup: Lookup, fields: dict[str, str]
     ) -> TimedAnswer:
-        """Fill a miss from its source, or join a fill of the same part that is under way."""
+        """Fill a miss from its source, or join a fill of the same part that is in progress."""
         part_key = lookup.part_key
         now = lookup.now
         modes = fields.get("mode", "").split("+")
--- a/weldbend/testbed/emulator/configuration.py
+++ b/weldbend/testbed/emulator/configuration.py
@@ -1,4 +1,4 @@
-"""Small sites for testbed and tests: settings, endpoint lists and configurations of a platform."""
+"""Settings, endpoint lists and front configurations of small sites, for the testbed and the tests."""
 
 import json
 from collections.abc import Mapping, Sequence
@@ -74,7 +74,7 @@
     "zones": ["h", "z"],
 }
 LIMITS = {"cores": 1.0, "memory_mb": 192, "sockets": 1024}
-TOP_LEVEL_KEYS = ("name", "listen", "seed", "bus")  # of a configuration
+TOP_LEVEL_KEYS = ("name", "listen", "seed", "bus")  # keys of a configuration outside its settings
 
 
 def target(
@@ -86,9 +86,16 @@
     boot: float = 0,
     **fields: object,
 ) -> dict[str, Any]:
-    """One entry of the endpoint list, on loopback; `fields` replace or add fields of it.
+    """Return an entry of the endpoint list, with an address on loopback.
 
-    `boot` is its start in Unix milliseconds, 0 for long ago.
+    Args:
+        uid: Uid of the cache.
+        kind: Kind of the cache: box, parent or origin.
+        zone: Zone of the cache.
+        port: Port of the cache.
+        state: State of the cache, such as up or draining.
+        boot: Start time of the cache in Unix milliseconds; 0 for a time in the distant past.
+        fields: Fields of the entry that are added or replaced.
     """
     entry: dict[str, Any] = {
         "uid": uid,
@@ -104,7 +111,7 @@
 
 
 def listing(offset: int, *targets: Mapping[str, Any], whole: bool = False) -> dict[str, Any]:
-    """A watch event of the endpoint list: entries that have changed, or all of them."""
+    """Return an event of the endpoint list with the changed entries, or with all entries if `whole`."""
     return {"offset": offset, "topology": {"rev": offset, "all": whole, "targets": list(targets)}}
 
 
@@ -114,7 +121,10 @@
     settings: Mapping[str, Any] = SETTINGS,
     **changes: object,
 ) -> str:
-    """A front's configuration as JSON; `changes` replace HEAD_KEYS, and the caps of the settings."""
+    """Return a front's configuration as JSON.
+
+    `changes` replace values of TOP_LEVEL_KEYS; all other keys replace or add caps of the settings.
+    """
     caps = {name: value for name, value in changes.items() if name not in TOP_LEVEL_KEYS}
     document = {
         "name": "n1",
--- a/weldbend/testbed/emulator/emulated_site.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -1,4 +1,4 @@
-"""A complete emulated site in this process: servers on free ports of loopback, fronts as child processes."""
+"""A complete emulated site: servers on loopback in this process, and fronts as child processes."""
 
 import random
 import socket
@@ -21,56 +21,83 @@
 from weldbend.testbed.reactor import ProcessReactor
 
 LOOPBACK = "127.0.0.1"
-FRONT_PORTS = range(20_000, 32_768)  # below those that Linux gives out by itself
-READY_LINE = b"serves on"  # in the log of a front that serves
-LOG_TAIL = 4096  # bytes of a log in which that is looked for
-CACHE_WEIGHT = 100.0  # flows that a cache's link carries
+FRONT_PORTS = range(20_000, 32_768)  # below Linux's range of ephemeral ports
+READY_LINE = b"serves on"  # part of the log line of a front that has started to serve
+LOG_TAIL = 4096  # bytes at the end of a log in which READY_LINE is searched
+CACHE_WEIGHT = 100.0  # number of flows that a cache's link carries
 
-# Versions before 0.4 close what is idle for 4.5 s: not here, so that it can be measured.
+# Versions before 0.4 close connections that are idle for 4.5 s. This statement disables that, so that idle
+# connections can be measured there too.
 KEEP_IDLE_CONNECTIONS = "from weldbend.clients import connection; connection.IDLE = 1e6; "
 RUN_COMMAND_LINE = "from weldbend.cli import main; main()"
 
 
 @dataclass(frozen=True, slots=True)
 class SiteSettings:
-    """What an emulated site looks like."""
+    """Settings of an emulated site.
+
+    Attributes:
+        edges: Number of edges.
+        parents: Number of parents.
+        fronts: Number of fronts.
+        edge_capacity: Capacity of an edge in bytes.
+        parent_capacity: Capacity of a parent in bytes.
+        edge_rate: Throughput of the link from the parents to an edge, in bytes per second.
+        edge_delay: Delay of that link in seconds.
+        origin_rate: Throughput of the link from the origin to all parents, in bytes per second.
+        cache_rate: Throughput of the link from an edge or parent to the fronts, in bytes per second.
+        cache_weight: Weight of an edge or parent in the endpoint list.
+        cache_max_open: Maximum number of commands that an edge or parent executes at a time.
+        sizes: Sizes of the objects' parts.
+        sockets: Limit of sockets of each front.
+        memory_mb: Memory limit of each front in MB.
+        open_cap: Maximum number of open requests of each front.
+    """
 
     edges: int = 4
     parents: int = 2
     fronts: int = 1
-    edge_capacity: int = 48 << 20  # bytes
-    parent_capacity: int = 192 << 20  # bytes
-    edge_rate: float = 12.5e6  # bytes a second of the link of an edge to its parents
-    edge_delay: float = 0.02  # seconds of delay on it
-    origin_rate: float = 50e6  # bytes a second of the link of the origin to all parents
-    cache_rate: float = 60e6  # bytes a second of the link of an edge or parent to the fronts
-    cache_weight: float = CACHE_WEIGHT  # of an edge or parent, in the endpoint list
-    cache_max_open: int = 64  # commands that an edge or parent executes at a time
+    edge_capacity: int = 48 << 20
+    parent_capacity: int = 192 << 20
+    edge_rate: float = 12.5e6
+    edge_delay: float = 0.02
+    origin_rate: float = 50e6
+    cache_rate: float = 60e6
+    cache_weight: float = CACHE_WEIGHT
+    cache_max_open: int = 64
     sizes: PartSizes = field(default_factory=PartSizes)
-    sockets: int = 1024  # of each front
-    memory_mb: int = 192  # of each front
-    open_cap: int = 400  # requests that a front may have open
+    sockets: int = 1024
+    memory_mb: int = 192
+    open_cap: int = 400
 
 
 class NoFreePortError(TestbedError):
-    """No port for a front is free."""
+    """No port in FRONT_PORTS is free."""
 
     def __init__(self) -> None:
         super().__init__(f"no port of {FRONT_PORTS.start} to {FRONT_PORTS.stop - 1} is free")
 
 
 class FrontProcess(ProcessProtocol):
-    """One front: `on_ready` is called once it serves, `on_end` with its exit code; `log` gets its log."""
+    """Process of one front.
+
+    Attributes:
+        on_ready: Callback, called once the front serves.
+        on_end: Callback with the exit code of the front.
+        log: File to which the front's log is written.
+        is_ready: Whether the front serves.
+        tail: Last bytes of the log; empty once the front serves.
+    """
 
     def __init__(self, on_ready: Callable[[], None], on_end: Callable[[int], None], log: BinaryIO) -> None:
         self.on_ready = on_ready
         self.on_end = on_end
         self.log = log
         self.is_ready = False
-        self.tail = b""  # of the log, until it is ready
+        self.tail = b""
 
     def errReceived(self, data: bytes) -> None:
-        """The front has logged something."""
+        """Write output of the front to its log, and detect that the front serves."""
         self.log.write(data)
         self.log.flush()
         if not self.is_ready:
@@ -81,13 +108,25 @@
                 self.on_ready()
 
     def processEnded(self, reason: Failure) -> None:
-        """The front has ended; a signal is a negative exit code."""
+        """Report the exit code, which is the negative signal number if a signal ended the front."""
         value: Any = reason.value
         self.on_end(value.exitCode if value.exitCode is not None else -(value.signal or 1))
 
 
 class EmulatedSite:
-    """Servers that listen, the configuration of each front, and the fronts once they are started."""
+    """Servers of a site, which listen from the beginning, and its fronts, which are started separately.
+
+    Attributes:
+        settings: Settings of the site.
+        folder: Directory for configurations and logs of the fronts.
+        caches: Caches, parents and origin.
+        targets: Endpoint list.
+        bus: Event bus.
+        bus_port: Port of the event bus.
+        fronts: Addresses of the started fronts.
+        processes: Processes of the started fronts.
+        reserved_ports: Bound sockets that reserve the ports of the fronts until this process ends.
+    """
 
     def __init__(self, reactor: ProcessReactor, settings: SiteSettings, folder: Path | None = None) -> None:
         self.reactor = reactor
@@ -106,9 +145,9 @@
         self.targets = [self._listen(cache) for cache in caches]
         self.bus = EventBusServer(reactor, self.targets)
         self.bus_port: int = reactor.listenTCP(0, self.bus, interface=LOOPBACK).getHost().port
-        self.fronts: list[str] = []  # addresses
+        self.fronts: list[str] = []
         self.processes: list[Any] = []
-        self.reserved_ports: list[socket.socket] = []  # of the fronts, while this process lives
+        self.reserved_ports: list[socket.socket] = []
 
     def _cache(self, uid: str, kind: str, capacity: int) -> EmulatedCache:
         if kind == "origin":
@@ -117,7 +156,7 @@
         return EmulatedCache(uid, kind, capacity, max_open=self.settings.cache_max_open, uplink=uplink)
 
     def _listen(self, cache: EmulatedCache) -> dict[str, Any]:
-        """Serve a cache; its entry in the endpoint list."""
+        """Start the server of a cache, and return its entry in the endpoint list."""
         server = CacheServer(self.reactor, self.caches, cache)
         port = self.reactor.listenTCP(0, server, interface=LOOPBACK).getHost().port
         zone = "z" if cache.kind == "box" else "h"
@@ -125,9 +164,14 @@
         return target(cache.uid, cache.kind, zone, port, capacity_hint=weight)
 
     def configure(self, number: int, bus_port: int | None = None) -> tuple[Path, str]:
-        """Write the configuration of one front; returns its file and the address that it will listen on.
+        """Write the configuration of one front.
+
+        Args:
+            number: Number of the front, counted from 1.
+            bus_port: Port at which the front reaches the event bus; None for the port of the bus itself.
 
-        `bus_port` is where it reaches the event bus; None for the bus itself.
+        Returns:
+            Path of the configuration, and the address that the front will listen on.
         """
         listen = f"{LOOPBACK}:{self._reserve_port()}"
         limits = LIMITS | {"sockets": self.settings.sockets, "memory_mb": self.settings.memory_mb}
@@ -151,13 +195,13 @@
         return path, listen
 
     def _reserve_port(self) -> int:
-        """A free port for a front: bound here without listening, so that the front alone can listen on it.
+        """Reserve a port for a front, by binding it here without listening.
 
-        Were it only looked up, any connect or other program on this machine might be given it before the
-        front listens. The system gives out none of these by itself.
+        If a free port were only looked up, another connection or program on this machine could take it before
+        the front listens. The system assigns no port of FRONT_PORTS by itself.
 
         Raises:
-            NoFreePortError: All are taken.
+            NoFreePortError: All ports are in use.
         """
         first = random.randrange(len(FRONT_PORTS))
         for port in chain(FRONT_PORTS[first:], FRONT_PORTS[:first]):
@@ -167,7 +211,7 @@
             except OSError:
                 reserved.close()
                 continue
-            # Only now, so that nobody else who reserves a port is given the same one.
+            # Set after the bind: with this option set before, two processes could reserve the same port.
             reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.reserved_ports.append(reserved)
             return port
@@ -181,10 +225,14 @@
         program: str | None = None,
         preludes: Sequence[str] = (),
     ) -> None:
-        """Start all fronts; `program` is another tree whose weldbend they run, to compare with.
-
-        `preludes` are Python statements, one for each front, that are executed before it loads.
-        `on_ready` is called once, when all serve; `on_end` with the exit code of each.
+        """Start all fronts.
+
+        Args:
+            on_ready: Callback, called once, when all fronts serve.
+            on_end: Callback with the exit code of each front.
+            options: Additional options of `weldbend serve`.
+            program: Another source tree whose weldbend the fronts run, for comparison; None for this one.
+            preludes: Python statements for each front, which it executes before it loads weldbend.
         """
         missing = self.settings.fronts
 
@@ -208,17 +256,17 @@
             self.processes.append(process)
 
     def stop(self) -> None:
-        """End all fronts with SIGTERM."""
+        """Send SIGTERM to all fronts."""
         for process in self.processes:
             if process.pid:
                 process.signalProcess("TERM")
 
     def pids(self) -> list[int]:
-        """The process numbers of the fronts that run."""
+        """Return the process ids of the running fronts."""
         return [process.pid for process in self.processes if process.pid]
 
     def counts(self) -> dict[str, int]:
-        """The counters of all caches, by kind of cache and name of the counter."""
+        """Return the counters of all caches, summed by kind of cache and name of the counter."""
         totals: dict[str, int] = {}
         for cache in self.caches.by_uid.values():
             for name, count in cache.counts.items():
--- a/weldbend/testbed/emulator/objects.py
+++ b/weldbend/testbed/emulator/objects.py
@@ -1,7 +1,7 @@
-"""The objects of an emulated site: how large each part is, and which bytes it holds. No I/O.
+"""Objects of an emulated site: size and content of each part. No I/O.
 
-Both sides work it out by themselves from key and part, so that a client can tell whether what it received is
-complete and the object that it requested.
+Clients and caches both compute them from the key and the part number, so a client can verify that a received
+body is complete and belongs to the requested object.
 """
 
 import math
@@ -10,41 +10,50 @@
 
 MAX_PART_SIZE = 200_000  # bytes of one part
 MIN_PART_SIZE = 64  # bytes of one part
-LOGISTIC_SCALE = 1.702  # makes the logistic distribution nearest to the standard normal one (Haley, 1952)
+LOGISTIC_SCALE = 1.702  # scale at which the logistic approximates the standard normal best (Haley, 1952)
 
 
 @dataclass(frozen=True, slots=True)
 class PartSizes:
-    """Bytes of one part: log-normal around a median; `scale` is KB of the settings for each of them."""
+    """Log-normal distribution of the sizes of parts.
+
+    Attributes:
+        median: Median size in bytes.
+        spread: Standard deviation of the logarithm of the size.
+        kb_per_byte: KB that a request states for each byte of a part.
+    """
 
     median: int = 12_000
     spread: float = 0.6
     kb_per_byte: float = 0.05
 
     def part_size(self, key: str, part: int) -> int:
-        """Bytes of a part."""
+        """Return the size of a part in bytes."""
         uniform = (zlib.crc32(f"{key}/{part}".encode()) + 0.5) / 2**32
         size = self.median * math.exp(self.spread * normal_quantile(uniform))
         return max(MIN_PART_SIZE, min(int(size), MAX_PART_SIZE))
 
     def part_kb(self, key: str, part: int) -> float:
-        """The size of a part as a request states it, in KB."""
+        """Return the size of a part as a request states it, in KB."""
         return round(self.part_size(key, part) * self.kb_per_byte, 1)
 
 
 def normal_quantile(uniform: float) -> float:
-    """A standard normal figure from a uniform one, by the logistic approximation (enough for sizes)."""
+    """Return the standard normal quantile of `uniform`, by the logistic approximation.
+
+    The approximation is accurate enough for sizes.
+    """
     return math.log(uniform / (1 - uniform)) / LOGISTIC_SCALE
 
 
 def body(key: str, part: int, size: int) -> bytes:
-    """The bytes of a part: its name, repeated."""
+    """Return the content of a part: its name, repeated up to the size."""
     name = f"{key}/{part};".encode()
     return (name * (size // len(name) + 1))[:size]
 
 
 def zipf_weights(count: int, skew: float = 0.9) -> list[float]:
-    """Cumulative weights of `count` objects by Zipf's law, to draw from."""
+    """Return the cumulative weights of `count` objects under Zipf's law, for random draws."""
     total = 0.0
     weights = []
     for rank in range(1, count + 1):
@@ -54,5 +63,5 @@
 
 
 def object_key(rank: int) -> str:
-    """The 16 hex digits of an object."""
+    """Return the key of the object of a popularity rank: 16 hex digits."""
     return f"{zlib.crc32(b'a%d' % rank):08x}{zlib.crc32(b'b%d' % rank):08x}"
--- a/weldbend/testbed/emulator/servers.py
+++ b/weldbend/testbed/emulator/servers.py
@@ -1,4 +1,4 @@
-"""The emulated site on sockets: caches, parents and origin, and the event bus. Loopback only."""
+"""Socket servers of the emulated site: caches, parents, origin and the event bus. Loopback only."""
 
 import json
 import time
@@ -18,12 +18,12 @@
 from weldbend.testbed.reactor import DelayedCall, Reactor
 
 RING_SIZE = 1 << 18  # bytes of commands that a cache buffers
-MAX_REQUEST_CHUNK = 1 << 14  # bytes of an HTTP request that are read at a time
+MAX_REQUEST_CHUNK = 1 << 14  # bytes of an HTTP request that are accepted from one read
 RESPONSE_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
 LAST_EVENT_ID = "last-event-id:"
-HEARTBEAT = 1.0  # seconds between two comments of the event bus
+HEARTBEAT = 1.0  # seconds between two heartbeat comments of the event bus
 
-Event = dict[str, Any]  # as it is published, in JSON
+Event = dict[str, Any]  # event of the bus as a JSON object
 
 
 class CacheConnection(Connection):
@@ -35,15 +35,15 @@
         self.server = server
         self.ring = Ring(RING_SIZE)
         self.parser = Parser(self.ring)
-        self.pending: dict[str, DelayedCall] = {}  # answers that are not due yet, by the request's id
+        self.pending: dict[str, DelayedCall] = {}  # answers that are not due yet, by request id
 
     def connectionMade(self) -> None:
-        """A front has connected."""
+        """Count the connection."""
         self.transport.setTcpNoDelay(True)
         self.server.cache.count("connections made")
 
     def dataReceived(self, data: bytes) -> None:
-        """Execute the commands that are complete; what is no command closes the connection."""
+        """Execute the complete commands; invalid bytes close the connection."""
         rest = memoryview(data)
         try:
             while rest:
@@ -54,7 +54,7 @@
             self.close()
 
     def handle(self, command: Command) -> None:
-        """Execute, cancel or answer one command."""
+        """Execute a request, cancel one, or answer a health check."""
         cache = self.server.cache
         match command.word:
             case "do":
@@ -96,7 +96,7 @@
             self.transport.loseConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Nobody waits for the answers any more."""
+        """Cancel the answers that have not been sent."""
         for delayed in self.pending.values():
             delayed.cancel()
             self.server.cache.open_commands -= 1
@@ -104,10 +104,13 @@
 
 
 class CacheServer(Factory):
-    """Serves one emulated cache; `now` and `unix` are its clocks, in seconds.
+    """Server of one emulated cache.
 
     Attributes:
-        on_executed: called with a request's id and its answer, before that is sent and any fault changes it.
+        now: Steady clock, in seconds.
+        unix: Unix clock, in seconds.
+        on_executed: Callback for each executed request, with its id and its answer; called before the answer
+            is sent, and therefore before fault injection can change it.
     """
 
     noisy = False
@@ -129,12 +132,16 @@
         self.unix = unix
 
     def buildProtocol(self, addr: IAddress | None) -> CacheConnection:
-        """A connection of a front."""
+        """Return the protocol of a front's connection."""
         return CacheConnection(self)
 
 
 class EventBusConnection(Connection):
-    """One reader of the bus: it gets what it has not read, then what comes, and a comment each second."""
+    """Connection of one reader of the bus.
+
+    The reader receives the events after the last one that it has read, then each new event as it is
+    published, and a comment every HEARTBEAT seconds.
+    """
 
     transport: Any = None  # Twisted's interfaces have no types here
 
@@ -144,7 +151,7 @@
         self.is_served = False
 
     def dataReceived(self, data: bytes) -> None:
-        """Read the HTTP request, and answer with the events that the reader has not read."""
+        """Read the HTTP request, and answer it with the events that the reader has not read."""
         if self.is_served:
             return
         self.request += data[:MAX_REQUEST_CHUNK]
@@ -159,7 +166,7 @@
         self.bus.readers[self] = None
 
     def _last_event_id(self) -> int:
-        """The id of the last event that the reader has read; 0 where it states none."""
+        """Return the id of the last event that the reader has read; 0 if the request states none."""
         for line in self.request.decode("latin-1").split("\r\n"):
             if line.lower().startswith(LAST_EVENT_ID):
                 text = line[len(LAST_EVENT_ID) :].strip()
@@ -174,23 +181,29 @@
             self.transport.write(data)
 
     def send_comment(self) -> None:
-        """Send a comment, as a heartbeat."""
+        """Send a comment as a heartbeat."""
         if self.transport:
             self.transport.write(b": here\n")
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The reader has gone."""
+        """Remove the reader from the bus."""
         self.bus.readers.pop(self, None)
 
 
 class EventBusServer(Factory):
-    """The event bus: all events so far, and who reads them."""
+    """Server of the event bus.
+
+    Attributes:
+        event_bytes: Number of bytes of events sent to all readers, without comments.
+        readers: Connections that receive new events, in the order of their requests.
+        events: All events so far; the first one is the complete endpoint list.
+    """
 
     noisy = False
 
     def __init__(self, reactor: Reactor, targets: list[Event]) -> None:
         self.reactor = reactor
-        self.event_bytes = 0  # sent to all readers, without comments
+        self.event_bytes = 0
         self.readers = dict[EventBusConnection, None]()
         self.events = [listing(1, *targets, whole=True)]
         self._send_heartbeat()
@@ -201,12 +214,12 @@
         self.reactor.callLater(HEARTBEAT, self._send_heartbeat)
 
     def publish(self, **event: object) -> None:
-        """Publish one event, numbered after the last: `topology={...}` or `ban={...}`."""
+        """Publish one event, `topology={...}` or `ban={...}`, under the next offset."""
         numbered = {"offset": self.events[-1]["offset"] + 1} | event
         self.events.append(numbered)
         for reader in list(self.readers):
             reader.send(numbered)
 
     def buildProtocol(self, addr: IAddress | None) -> EventBusConnection:
-        """A connection of a reader."""
+        """Return the protocol of a reader's connection."""
         return EventBusConnection(self)
--- a/weldbend/testbed/errors.py
+++ b/weldbend/testbed/errors.py
@@ -1,7 +1,7 @@
-"""The base of the testbed's exceptions."""
+"""Base class of the testbed's exceptions."""
 
 
 class TestbedError(Exception):
-    """Something that the testbed cannot carry out; its text is one line for the user."""
+    """An operation that the testbed cannot perform; its message is one line for the user."""
 
-    __test__ = False  # no test case, whatever pytest makes of the name
+    __test__ = False  # keeps pytest from collecting this class as a test case because of its name
--- a/weldbend/testbed/load/__init__.py
+++ b/weldbend/testbed/load/__init__.py
@@ -1,4 +1,4 @@
-"""The load: open-loop requests, many idle connections, and what they cost.
+"""Load generators: open-loop requests, many idle connections, and measurements of the cost to fronts.
 
-The modules are not re-exported here: the generator needs a library that simulations do without.
+The modules are not re-exported here, because the generator needs a library that simulations do not need.
 """
--- a/weldbend/testbed/load/child_process.py
+++ b/weldbend/testbed/load/child_process.py
@@ -1,28 +1,32 @@
-"""Child processes of the testbed that are driven by lines, and answer each with one JSON line."""
+"""Child processes of the testbed, which read commands line by line and answer with one JSON line each."""
 
 import json
 import subprocess
 import sys
 from typing import Any
 
-END_TIMEOUT = 20  # seconds from the end of a child's input until it is killed
+END_TIMEOUT = 20  # seconds that a child may run after its input is closed; then it is killed
 
 
 class ChildEndedError(RuntimeError):
-    """A child process that has ended instead of answering; `command` is its command line."""
+    """A child process ended without an answer.
+
+    Attributes:
+        command: Command line of the process.
+    """
 
     def __init__(self, command: list[str]) -> None:
         self.command = command
-        super().__init__(f"a child process of the testbed ended: {command}")
+        super().__init__(f"child process of the testbed ended without an answer: {command}")
 
 
 def testbed_command(*tokens: str) -> list[str]:
-    """The command line of `weldbend lab` with some words."""
+    """Return the command line of `weldbend lab` with these arguments."""
     return [sys.executable, "-m", "weldbend", "lab", *tokens]
 
 
 class ChildProcess:
-    """A `weldbend lab` command as a child process."""
+    """A `weldbend lab` command that runs as a child process."""
 
     def __init__(self, *tokens: str) -> None:
         self.command = testbed_command(*tokens)
@@ -31,13 +35,17 @@
         )
 
     def send(self, line: str) -> None:
-        """Send one line."""
+        """Write one line to the child's standard input."""
         assert self.process.stdin
         self.process.stdin.write(line + "\n")
         self.process.stdin.flush()
 
     def receive(self) -> dict[str, Any]:
-        """Wait for one JSON line; raises ChildEndedError."""
+        """Wait for one JSON line, and return its object.
+
+        Raises:
+            ChildEndedError: The child ended without an answer.
+        """
         assert self.process.stdout
         line = self.process.stdout.readline()
         if not line:
@@ -46,7 +54,7 @@
         return document
 
     def end(self) -> None:
-        """Close its input, and wait for its end; it is killed where that takes too long."""
+        """Close the child's input, and wait for its end; kill the child after END_TIMEOUT."""
         if self.process.stdin:
             self.process.stdin.close()
         try:
--- a/weldbend/testbed/load/client_calls.py
+++ b/weldbend/testbed/load/client_calls.py
@@ -1,6 +1,6 @@
-"""The client's side of the Front service: calls written, answers read. No I/O.
+"""The client's side of the Front service: encodes calls and parses answers. No I/O.
 
-Answers are read through the product's own binary reader; what a client makes of them stands here.
+Answers are parsed with weldbend's own binary reader; this module adds their interpretation by a client.
 """
 
 from collections.abc import Iterator
@@ -14,12 +14,20 @@
 from weldbend.thrift.framing import frame, next_frame
 
 LONGEST_ANSWER = 1 << 20  # bytes
-OUTCOMES = {0: "fulfilled", 1: "throttled", 2: "abandoned"}  # by the number of the field of the result
+OUTCOMES = {0: "fulfilled", 1: "throttled", 2: "abandoned"}  # by field number in the result
 
 
 @dataclass(frozen=True, slots=True)
 class ClientAnswer:
-    """One answer. `outcome` is one of OUTCOMES' values, `probe` or `exception`."""
+    """One answer of a front.
+
+    Attributes:
+        seqid: Sequence id of the call that is answered.
+        outcome: One of the values of OUTCOMES, `probe` or `exception`.
+        body: The object, or the text of an exception.
+        fields: Additional fields by name.
+        good: Whether the answer states that the front serves requests; False without this statement.
+    """
 
     seqid: int
     outcome: str
@@ -29,28 +37,32 @@
 
 
 def message(kind: int, name: str, seqid: int, arguments: bytes = b"") -> bytes:
-    """A message of the Front service in its frame."""
+    """Return a framed message of the Front service."""
     return frame(binary.message_header(kind, name, seqid) + arguments + b"\x00")
 
 
 def process(seqid: int, fields: dict[str, str], body: bytes = b"") -> bytes:
-    """A request."""
+    """Return a request as a framed message."""
     pairs = binary.field(binary.MAP, 1, binary.text_map(fields))
     return message(binary.CALL, "process", seqid, pairs + binary.field(binary.STRING, 2, binary.binary(body)))
 
 
 def give_up(seqid: int) -> bytes:
-    """The cancellation of the request that was sent with this seqid."""
+    """Return the framed message that cancels the request sent with this seqid."""
     return message(binary.ONEWAY, "giveUp", 0, binary.field(binary.I32, 1, binary.i32(seqid)))
 
 
 def probe(seqid: int) -> bytes:
-    """A health check."""
+    """Return a health check as a framed message."""
     return message(binary.CALL, "probe", seqid, binary.field(binary.BOOL, 1, b"\x01"))
 
 
 def read_struct(reader: Reader) -> dict[int, Any]:
-    """A struct as number -> value; raises InvalidMessageError where it cannot be read."""
+    """Parse a struct into its values by field number.
+
+    Raises:
+        InvalidMessageError: The struct is malformed.
+    """
     values: dict[int, Any] = {}
     for kind, number in reader.fields():
         match kind:
@@ -70,7 +82,13 @@
 
 
 def read_answer(data: bytes) -> ClientAnswer:
-    """One frame as an answer; raises InvalidMessageError, KeyError or ValueError for what is none."""
+    """Parse the content of one frame as an answer.
+
+    Raises:
+        InvalidMessageError: The message is malformed.
+        KeyError: A field is missing, or the field of the result is unknown.
+        ValueError: The result does not have exactly one field.
+    """
     reader = Reader(data)
     head = reader.message_header()
     result = read_struct(reader)
@@ -87,7 +105,7 @@
 
 
 def feed_answers(ring: Ring, data: bytes) -> Iterator[ClientAnswer]:
-    """Add bytes to a ring; yields each answer that they complete."""
+    """Add bytes to a ring, and yield each answer that they complete."""
     rest = memoryview(data)
     while rest:
         rest = rest[ring.write(rest) :]
@@ -95,6 +113,6 @@
 
 
 def read_answers(ring: Ring) -> Iterator[ClientAnswer]:
-    """All answers that are complete."""
+    """Yield all complete answers in a ring."""
     while data := next_frame(ring, LONGEST_ANSWER):
         yield read_answer(data)
--- a/weldbend/testbed/load/connection_holder.py
+++ b/weldbend/testbed/load/connection_holder.py
@@ -1,11 +1,12 @@
-"""Holds many connections open and wakes a fraction of them at once; a process of its own, driven by lines.
+"""Holds many idle connections open and sends calls on a fraction of them at once.
 
-Plain sockets and one epoll set: nineteen thousand protocol objects here would measure the tool. Commands on
-standard input, one JSON object a line on standard output for each:
+Runs as a process of its own. It uses plain sockets and one epoll set, because with nineteen thousand protocol
+objects the measurement would show the cost of this tool. It reads commands from standard input, and writes
+one JSON object per line to standard output for each:
 
-    open COUNT RATE SOURCE   connect so many, each from 127.0.0.SOURCE, and have each answer one health check
-    wake SHARE WHAT SECONDS  send `probe` or `photo` on a fraction of them in one go; wait for the answers
-    count                    how many are still open
+    open COUNT RATE SOURCE   open COUNT connections from 127.0.0.SOURCE, RATE a second; check health on each
+    wake SHARE WHAT SECONDS  send a `probe` or `photo` call on a share of them at once; wait for the answers
+    count                    report the number of connections that are still open
     end
 """
 
@@ -27,40 +28,51 @@
 from weldbend.testbed.load import client_calls
 from weldbend.testbed.load.client_calls import ClientAnswer
 
-IP_BIND_ADDRESS_NO_PORT = 24  # Linux: a port is assigned at connect, much faster
+IP_BIND_ADDRESS_NO_PORT = 24  # Linux socket option: assigns the port at connect, which is much faster
 PHOTO_TIMEOUT = 6000  # milliseconds
 PROBE_TIMEOUT = 10  # seconds
-PROBE_ANSWER_SIZE = 256  # bytes, more than one has
+PROBE_ANSWER_SIZE = 256  # upper bound on the bytes of the answer to a health check
 RING_SIZE = 1 << 21  # bytes of answers that a connection buffers
 READ_SIZE = 1 << 18  # bytes
-POLL_TIMEOUT = 0.05
-MAX_EVENTS = 1024  # of one poll
-MAX_CLOSE_EVENTS = 4096  # of one poll, while counting
-OBJECTS = 2000  # that requests are drawn from
-HISTOGRAM_MAX_US = 60_000_000  # microseconds that a histogram counts
-WAKE_SEQID = 2  # after the health check's
+POLL_TIMEOUT = 0.05  # seconds
+MAX_EVENTS = 1024  # maximum number of events of one poll
+MAX_CLOSE_EVENTS = 4096  # maximum number of events of one poll when closed connections are counted
+OBJECTS = 2000  # exclusive upper bound of the popularity ranks from which requests are drawn
+HISTOGRAM_MAX_US = 60_000_000  # highest latency that a histogram counts, in microseconds
+WAKE_SEQID = 2  # seqid of the call at a wake; the health check has 1
 
 
 @dataclass
 class Wake:
-    """One wake of many connections, and what has become of it so far."""
-
-    descriptors: list[int]  # descriptors
-    started_at: float  # on the steady clock
+    """One wake, which is a call on many idle connections at once, and its results so far.
+
+    Attributes:
+        descriptors: Descriptors of the connections.
+        started_at: Start time in seconds of the steady clock.
+        unanswered: Descriptors of the connections that have neither received an answer nor been closed.
+        latency: Latencies of the answers in microseconds, from the start.
+        outcomes: Number of answers by outcome, and of anomalies.
+        closed: Number of connections that were closed before their answer or on which sending failed.
+        sent_after: Seconds from the start until all calls were sent.
+        last_answer_after: Seconds from the start until the last answer.
+    """
+
+    descriptors: list[int]
+    started_at: float
     unanswered: set[int]
     latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HISTOGRAM_MAX_US, 3))
     outcomes: Counter[str] = field(default_factory=Counter)
     closed: int = 0
-    sent_after: float = 0.0  # seconds until all was written
-    last_answer_after: float = 0.0  # seconds until the last answer
+    sent_after: float = 0.0
+    last_answer_after: float = 0.0
 
     def on_closed(self, descriptor: int) -> None:
-        """The front has closed a connection."""
+        """Record that the front has closed a connection."""
         self.closed += descriptor in self.unanswered
         self.unanswered.discard(descriptor)
 
     def on_answer(self, descriptor: int, answer: ClientAnswer) -> None:
-        """Count an answer."""
+        """Record an answer."""
         self.last_answer_after = time.monotonic() - self.started_at
         self.latency.record_value(max(int(self.last_answer_after * 1e6), 1))
         self.outcomes[answer.outcome] += 1
@@ -71,7 +83,7 @@
         self.unanswered.discard(descriptor)
 
     def report(self) -> dict[str, Any]:
-        """The figures as they are printed."""
+        """Return the results as a JSON object."""
         value = self.latency.get_value_at_percentile
         return {
             "woken": len(self.descriptors),
@@ -85,7 +97,13 @@
 
 
 class ConnectionHolder:
-    """Many connections to one front."""
+    """Many connections to one front.
+
+    Attributes:
+        sockets: Open connections by descriptor.
+        rings: Buffers of the connections that have received part of an answer, by descriptor.
+        request_count: Number of encoded calls, from which request ids are made.
+    """
 
     def __init__(self, address: tuple[str, int], seed: int) -> None:
         self.address = address
@@ -93,12 +111,18 @@
         self.rng = random.Random(seed)
         self.sizes = PartSizes()
         self.poll = select.epoll()
-        self.sockets: dict[int, socket.socket] = {}  # by descriptor
-        self.rings: dict[int, Ring] = {}  # of connections with part of an answer, by descriptor
+        self.sockets: dict[int, socket.socket] = {}
+        self.rings: dict[int, Ring] = {}
         self.request_count = 0
 
     def open(self, count: int, rate: float, source: int) -> dict[str, Any]:
-        """Connect `count`, `rate` a second, and let each send one health check."""
+        """Open connections, and send one health check on each.
+
+        Args:
+            count: Number of connections.
+            rate: Connections per second.
+            source: Last byte of the address 127.0.0.x from which they are opened.
+        """
         started_at = time.monotonic()
         failed = 0
         for number in range(count):
@@ -125,7 +149,7 @@
         connection.recv(PROBE_ANSWER_SIZE)
 
     def count(self) -> dict[str, Any]:
-        """How many are open, once those that the front closed are dropped."""
+        """Drop the connections that the front has closed, and return the number of open ones."""
         while events := self.poll.poll(0, MAX_CLOSE_EVENTS):
             for descriptor, _ in events:
                 self._drop(descriptor)
@@ -153,9 +177,14 @@
         return client_calls.process(WAKE_SEQID, fields)
 
     def wake(self, fraction: float, call_kind: str, timeout: float) -> dict[str, Any]:
-        """Wake a fraction at once, and wait `patience` seconds at most for the answers.
+        """Send a call on a fraction of the connections at once, and wait for the answers.
+
+        Latencies are counted from just before the first call is sent.
 
-        Latencies run from just before the first call was written.
+        Args:
+            fraction: Fraction of the connections.
+            call_kind: `probe` or `photo`.
+            timeout: Maximum wait for the answers in seconds.
         """
         descriptors = self.rng.sample(sorted(self.sockets), round(fraction * len(self.sockets)))
         calls = [(descriptor, self._encode_call(call_kind)) for descriptor in descriptors]
@@ -188,7 +217,7 @@
 
 
 def run_command(holder: ConnectionHolder, tokens: list[str]) -> dict[str, Any]:
-    """Carry out one command; returns what is printed."""
+    """Execute one command, and return its result as a JSON object."""
     match tokens:
         case ["open", count, rate, source]:
             return holder.open(int(count), float(rate), int(source))
@@ -200,7 +229,7 @@
 
 
 def main(address: str, seed: int) -> None:
-    """Carry out commands from standard input, until `end` or its end."""
+    """Execute commands from standard input, until the command `end` or the end of the input."""
     host, _, port = address.rpartition(":")
     holder = ConnectionHolder((host, int(port)), seed)
     for line in sys.stdin:
--- a/weldbend/testbed/load/generator.py
+++ b/weldbend/testbed/load/generator.py
@@ -1,7 +1,7 @@
-"""The open-loop load tool: arrivals drawn ahead from a seed, latency counted from the intended start.
+"""Open-loop load generator: arrivals drawn in advance from a seed, latency counted from the intended start.
 
-A client that waits for its answers before it sends the next request hides what a slow front costs
-(coordinated omission); here each request is due at its moment, whatever became of those before.
+A client that waits for an answer before it sends its next request hides the delays of a slow front
+(coordinated omission). Here each request is sent at its scheduled time, regardless of the previous answers.
 """
 
 import random
@@ -26,24 +26,31 @@
 from weldbend.testbed.reactor import Reactor
 
 MAX_OPEN_REQUESTS = 32  # the protocol's bound on requests of a connection that have no answer yet
-HISTOGRAM_MAX_US = 60_000_000  # microseconds that a histogram counts
+HISTOGRAM_MAX_US = 60_000_000  # highest time that a histogram counts, in microseconds
 CLIENT_TIMEOUTS = {"photo": 6.0, "order": 9.0}  # seconds that a client waits, by request class
-PARTS = 3  # of each object
+PARTS = 3  # number of parts of each object
 ORDER_BODY = b"x" * 200
 RING_SIZE = 1 << 21  # bytes of answers that a client buffers
 DIAL_TIMEOUT = 5  # seconds
-RECONNECT_DELAY = 0.2  # seconds after a front did not accept
-START_DELAY = 0.05  # seconds after the last connection is up
-FINISH_MARGIN = 1  # seconds beyond the longest timeout after which what is unanswered stays so
-MICROSECONDS_PER_SECOND = 1e6  # of a second
+RECONNECT_DELAY = 0.2  # seconds between a failed connection attempt and the next
+START_DELAY = 0.05  # seconds from the last established connection to the start of the load
+FINISH_MARGIN = 1  # seconds after the longest timeout until the load ends despite unanswered requests
+MICROSECONDS_PER_SECOND = 1e6
 PERCENTILES = (50, 90, 99, 99.9, 100)
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request: when it is due, and what it asks for."""
+    """One scheduled request.
 
-    at: float  # seconds after the start
+    Attributes:
+        at: Scheduled time in seconds after the start of the load.
+        request_class: Request class, photo or order.
+        key: Key of the object.
+        part: Number of the part.
+    """
+
+    at: float
     request_class: str
     key: str
     part: int
@@ -51,17 +58,26 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """Requests a second for so many seconds, over so many objects and connections."""
+    """Parameters of a load.
+
+    Attributes:
+        rate: Mean number of requests per second.
+        seconds: Duration in seconds.
+        objects: Number of objects that are requested, under Zipf's law.
+        orders: Fraction of the requests that are orders.
+        connections: Number of connections.
+        seed: Seed of the random draws.
+    """
 
     rate: float = 86.0
     seconds: float = 10.0
     objects: int = 2000
-    orders: float = 0.02  # fraction of requests that are orders
+    orders: float = 0.02
     connections: int = 16
     seed: int = 1
 
     def arrivals(self) -> list[Arrival]:
-        """The whole schedule: the same seed gives the same."""
+        """Draw the complete schedule; the same seed gives the same schedule."""
         rng = random.Random(self.seed)
         at = 0.0
         arrivals = []
@@ -75,25 +91,31 @@
 
 
 def histogram() -> HdrHistogram:
-    """A histogram of microseconds, with three significant digits."""
+    """Return an empty histogram of microseconds with three significant digits."""
     return HdrHistogram(1, HISTOGRAM_MAX_US, 3)
 
 
 def record(histogram: HdrHistogram, seconds: float) -> None:
-    """Add a time to a histogram."""
+    """Add a duration to a histogram."""
     histogram.record_value(max(int(seconds * MICROSECONDS_PER_SECOND), 1))
 
 
 @dataclass
 class Tally:
-    """What became of a load."""
+    """Results of a load.
+
+    Attributes:
+        counts: Number of requests by outcome, and of other events.
+        latency: Latencies of the served requests from their intended start.
+        send_delay: Delays with which this tool itself sent requests.
+    """
 
     counts: Counter[str] = field(default_factory=Counter)
-    latency: HdrHistogram = field(default_factory=histogram)  # of served requests, from the intended start
-    send_delay: HdrHistogram = field(default_factory=histogram)  # by how much the tool itself sent one late
+    latency: HdrHistogram = field(default_factory=histogram)
+    send_delay: HdrHistogram = field(default_factory=histogram)
 
     def report(self) -> dict[str, Any]:
-        """The figures as they are printed, with latencies in milliseconds."""
+        """Return the results as a JSON object, with latencies in milliseconds."""
         value = self.latency.get_value_at_percentile
         return {
             "counts": dict(self.counts),
@@ -105,7 +127,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenRequest:
-    """A request without an answer; `due` is its intended start on the steady clock."""
+    """A request that was sent and has no answer yet.
+
+    Attributes:
+        arrival: The scheduled request.
+        due: Intended start in seconds of the steady clock.
+    """
 
     arrival: Arrival
     due: float
@@ -119,18 +146,18 @@
     def __init__(self, load: "Load") -> None:
         self.load = load
         self.ring = Ring(RING_SIZE)
-        self.open: dict[int, OpenRequest] = {}  # by seqid
+        self.open: dict[int, OpenRequest] = {}  # requests without an answer, by seqid
         self.seqid = 0
         self.is_up = False
 
     def connectionMade(self) -> None:
-        """The front has accepted."""
+        """Add the connection to the load."""
         self.transport.setTcpNoDelay(True)
         self.is_up = True
         self.load.add_client(self)
 
     def is_ready(self) -> bool:
-        """Whether it may send a further request."""
+        """Return whether another request can be sent on this connection."""
         return self.is_up and len(self.open) < MAX_OPEN_REQUESTS
 
     def send(self, request: OpenRequest, name: str) -> None:
@@ -154,18 +181,31 @@
             self.transport.write(client_calls.process(self.seqid, fields, ORDER_BODY if is_order else b""))
 
     def dataReceived(self, data: bytes) -> None:
-        """Read answers."""
+        """Parse answers."""
         for answer in client_calls.feed_answers(self.ring, data):
             self.load.on_answer(self.open.pop(answer.seqid, None), answer)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """The connection has ended."""
+        """Remove the connection from the load."""
         self.is_up = False
         self.load.remove_client(self)
 
 
 class Load(ClientFactory):
-    """Plays one plan against fronts (addresses), and calls `on_end` when all is answered or lost."""
+    """Sends the requests of one plan to fronts.
+
+    Attributes:
+        fronts: Addresses of the fronts.
+        sizes: Sizes of the objects' parts.
+        on_end: Callback, called once all requests are answered or lost, or have timed out.
+        tally: Results so far.
+        clients: Established connections.
+        arrivals: Schedule.
+        due_count: Number of arrivals whose scheduled time has passed.
+        rotation: Counter for the round-robin choice of connections and fronts.
+        started_at: Start of the schedule in seconds of the steady clock; 0 before the start.
+        is_over: Whether the load has ended.
+    """
 
     noisy = False
 
@@ -185,13 +225,13 @@
         self.tally = Tally()
         self.clients: list[LoadClient] = []
         self.arrivals = plan.arrivals()
-        self.due_count = 0  # arrivals whose time has come
-        self.rotation = 0  # counts through clients and fronts
-        self.started_at = 0.0  # on the steady clock; 0 before
+        self.due_count = 0
+        self.rotation = 0
+        self.started_at = 0.0
         self.is_over = False
 
     def start(self) -> None:
-        """Open all connections; the plan begins once they are up."""
+        """Open all connections; the schedule begins once they are established."""
         for number in range(self.plan.connections):
             self._dial(self.fronts[number % len(self.fronts)])
 
@@ -203,17 +243,17 @@
         return self.fronts[self.rotation % len(self.fronts)]
 
     def buildProtocol(self, addr: IAddress | None) -> LoadClient:
-        """A connection that has come up."""
+        """Return the protocol of an established connection."""
         return LoadClient(self)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
-        """A front that is down: the next one in a moment."""
+        """Connect to the next front after RECONNECT_DELAY."""
         if not self.is_over:
             self.rotation += 1
             self.reactor.callLater(RECONNECT_DELAY, self._dial, self._next_front())
 
     def add_client(self, client: LoadClient) -> None:
-        """A connection is up."""
+        """Add an established connection, and start the schedule once all are established."""
         self.clients.append(client)
         if len(self.clients) == self.plan.connections and not self.started_at:
             self.started_at = time.monotonic() + START_DELAY
@@ -222,7 +262,7 @@
             self.reactor.callLater(self.plan.seconds + longest + FINISH_MARGIN, self._finish)
 
     def remove_client(self, client: LoadClient) -> None:
-        """A connection has ended: its open requests are lost, and another takes its place."""
+        """Count the open requests of a closed connection as lost, and open another connection."""
         self.tally.counts["lost"] += len(client.open)
         client.open.clear()
         if client in self.clients:
@@ -232,7 +272,7 @@
             self._dial(self._next_front())
 
     def _send_due(self) -> None:
-        """Send all that is due, and come back for the next."""
+        """Send all requests that are due, and schedule the next call of this method."""
         now = time.monotonic() - self.started_at
         while self.due_count < len(self.arrivals) and self.arrivals[self.due_count].at <= now:
             arrival = self.arrivals[self.due_count]
@@ -253,10 +293,10 @@
                 name = f"{self.plan.seed & 0xFFFFFFFF:08x}{self.due_count:08x}"
                 client.send(OpenRequest(arrival, self.started_at + arrival.at), name)
                 return
-        self.tally.counts["not asked"] += 1  # every connection is full
+        self.tally.counts["not asked"] += 1  # all connections have MAX_OPEN_REQUESTS
 
     def on_answer(self, request: OpenRequest | None, answer: ClientAnswer) -> None:
-        """Count an answer, and the latency of what is served."""
+        """Record an answer, and the latency if the request was served."""
         counts = self.tally.counts
         if request is None:
             counts["answers to nothing asked"] += 1
--- a/weldbend/testbed/load/idle_benchmark.py
+++ b/weldbend/testbed/load/idle_benchmark.py
@@ -1,7 +1,7 @@
-"""The measurement of idle connections: memory, upkeep, busy latency beside them, and mass wakes.
+"""Benchmark of idle connections: memory, CPU, latency of other requests beside them, and mass wakes.
 
-This process only conducts: the site with its fronts, the busy load and the holders of idle connections are
-processes of their own. Everything stays on loopback, and ends by itself.
+This process only coordinates: the site with its fronts, the busy load and the holders of idle connections run
+as processes of their own. All traffic stays on loopback, and all processes end with the benchmark.
 """
 
 import json
@@ -16,8 +16,8 @@
 from weldbend.testbed.load import process_usage
 from weldbend.testbed.load.child_process import ChildProcess, testbed_command
 
-EXTRA_DESCRIPTORS = 600  # descriptors of a front beside its idle ones
-REPORTED_COUNTERS = (  # that fronts log, and that a report has
+EXTRA_DESCRIPTORS = 600  # sockets of a front in addition to its idle connections
+REPORTED_COUNTERS = (  # counters in the logs of fronts that are copied into the report
     "max_timer_delay_ms",
     "max_iteration_ms",
     "max_wakeup_delay_ms",
@@ -25,17 +25,21 @@
     "max_memory_mb",
     "violations",
 )
-SETTLE_TIME = 2.0  # seconds until all connections are idle
+SETTLE_TIME = 2.0  # seconds after which all unused connections are idle
 OPEN_RATE = 2500.0  # connections a second
 LOAD_TIMEOUT = 120  # seconds
-FIRST_SOURCE = 10  # last byte of the address that the first holder connects from
+FIRST_SOURCE = 10  # last byte of the address from which the first holder connects
 
-Row = dict[str, Any]  # of the report, in JSON
-Show = Callable[[str], None]  # shows a line of progress
+Row = dict[str, Any]  # row of the report as a JSON object
+Show = Callable[[str], None]  # callback that shows a line of progress
 
 
 class ConnectionsFailedError(RuntimeError):
-    """Idle connections that could not be opened; `count` is their number."""
+    """Some idle connections could not be opened.
+
+    Attributes:
+        count: Number of these connections.
+    """
 
     def __init__(self, count: int) -> None:
         self.count = count
@@ -44,7 +48,14 @@
 
 @dataclass
 class RunningSite:
-    """A running site with its fronts: addresses and process numbers."""
+    """A running site with its fronts.
+
+    Attributes:
+        process: Process of the site.
+        fronts: Addresses of the fronts.
+        pids: Process ids of the fronts.
+        folder: Directory with the logs of the fronts.
+    """
 
     process: ChildProcess
     fronts: list[str]
@@ -55,17 +66,17 @@
         return sum(process_usage.usage(pid).cpu for pid in self.pids)
 
     def cpu_cores(self, seconds: float) -> float:
-        """Cores that the fronts use together over a time."""
+        """Return the mean number of CPU cores that all fronts together use in the next `seconds`."""
         before = self._cpu_seconds()
         time.sleep(seconds)
         return (self._cpu_seconds() - before) / seconds
 
     def anonymous_memory(self) -> int:
-        """Bytes of the fronts' own memory."""
+        """Return the anonymous memory of all fronts together, in bytes."""
         return sum(process_usage.anonymous_memory(pid) for pid in self.pids)
 
     def counters(self) -> list[Row]:
-        """The last counters that each front logged; all of them once the site has ended."""
+        """Return the last counters that each front has logged; they are final once the site has ended."""
         counters = []
         for path in sorted(self.folder.glob("front-*.log")):
             lines = [json.loads(line) for line in path.read_text().splitlines() if '"counts"' in line]
@@ -78,7 +89,14 @@
 def running_site(
     fronts: int, sockets: int, program: str | None, installation: str | None
 ) -> Iterator[RunningSite]:
-    """A site for a time; `program` is another tree whose weldbend the fronts run."""
+    """Run a site while the context is active.
+
+    Args:
+        fronts: Number of fronts.
+        sockets: Limit of sockets of each front.
+        program: Another source tree whose weldbend the fronts run; None for this one.
+        installation: Installation file of the fronts, or None.
+    """
     tokens = ["up", "--told", "--fronts", str(fronts), "--sockets", str(sockets)]
     tokens += ["--program", program] if program else []
     tokens += ["--installation", installation] if installation else []
@@ -92,7 +110,16 @@
 
 @contextmanager
 def idle_connections(fronts: list[str], count: int, rate: float = OPEN_RATE) -> Iterator[list[ChildProcess]]:
-    """Idle connections for a time, `count` in all, shared evenly over the fronts; yields their holders."""
+    """Hold idle connections open while the context is active, and yield the processes that hold them.
+
+    Args:
+        fronts: Addresses of the fronts; each receives the same number of connections.
+        count: Number of connections to all fronts together.
+        rate: Connections per second to each front.
+
+    Raises:
+        ConnectionsFailedError: Some connections could not be opened.
+    """
     share = count // len(fronts)
     holders = [ChildProcess("hold", "--front", front, "--seed", str(n)) for n, front in enumerate(fronts)]
     try:
@@ -109,7 +136,7 @@
 
 
 class BusyLoad:
-    """An open-loop load in a process of its own."""
+    """An open-loop load that runs in a process of its own."""
 
     def __init__(self, fronts: list[str], rate: float, seconds: float, seed: int) -> None:
         tokens = ["load", "--rate", str(rate), "--seconds", str(seconds), "--seed", str(seed), "--json", "-"]
@@ -118,7 +145,7 @@
         self.process = subprocess.Popen(testbed_command(*tokens), stdout=subprocess.PIPE, text=True)
 
     def wait_for_report(self) -> Row:
-        """Wait for the end of the load; its report."""
+        """Wait for the end of the load, and return its report."""
         output, _ = self.process.communicate(timeout=LOAD_TIMEOUT)
         report: Row = json.loads(output)
         return report
@@ -127,10 +154,11 @@
 def measure_memory(
     counts: list[int], program: str | None, installation: str, show: Show, rate: float = OPEN_RATE
 ) -> list[Row]:
-    """Bytes a connection and CPU at rest, for each count, each on a front of its own.
+    """Measure memory per connection and idle CPU for each number of connections, each on a fresh front.
 
-    `bytes_first` counts from before the first rush of connections, `bytes` from after one of the same size
-    has come and gone: what the allocator keeps of a rush is no cost of those that stay.
+    `bytes_first` is the growth over the first burst of connections. `bytes` is the growth over a second burst
+    of the same size, after the first one was closed: it excludes memory that the allocator retains from a
+    burst, which is no cost of the connections that stay open.
     """
     rows = []
     for count in counts:
@@ -165,7 +193,7 @@
 def measure_pairs(
     count: int, rate: float, seconds: float, repetitions: int, installation: str, show: Show
 ) -> list[Row]:
-    """Busy latency with `count` idle connections and with none, alternately, each on a fresh front."""
+    """Measure the latency of a load with `count` idle connections and with none, in turn, on fresh fronts."""
     pairs = []
     for number in range(repetitions):
         pair: Row = {}
@@ -191,7 +219,10 @@
 def measure_wakes(
     count: int, rate: float, fractions: list[float], call_kind: str, installation: str, show: Show
 ) -> list[Row]:
-    """Busy latency while a fraction of the idle wakes at once, and what became of those woken."""
+    """Measure the latency of a load while a fraction of the idle connections sends calls at once.
+
+    Each row has the report of that load under `busy`, and the results of those calls under `woken`.
+    """
     rows: list[Row] = []
     with (
         running_site(1, count + EXTRA_DESCRIPTORS, None, installation) as site,
@@ -217,7 +248,10 @@
 def measure_many_fronts(
     count: int, fronts: int, rate: float, seconds: float, installation: str, show: Show
 ) -> Row:
-    """The published run: so many idle connections over several fronts, busy requests beside them."""
+    """Measure `count` idle connections over several fronts, with a load beside them.
+
+    The documentation publishes the results of this measurement.
+    """
     with running_site(fronts, count // fronts + EXTRA_DESCRIPTORS, None, installation) as site:
         before = site.anonymous_memory()
         slab = process_usage.slab_memory()
--- a/weldbend/testbed/load/process_usage.py
+++ b/weldbend/testbed/load/process_usage.py
@@ -1,4 +1,4 @@
-"""What the system says of processes: memory, CPU, sockets; tables and plots of what was measured."""
+"""Memory and CPU usage of processes and the kernel, from /proc; tables, reports and plots of measurements."""
 
 import json
 import os
@@ -6,35 +6,44 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # of CPU time, a second
+TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")  # unit of the CPU times in /proc
 PAGE_SIZE = os.sysconf("SC_PAGE_SIZE")  # bytes
 KIBIBYTE = 1024
-# Places in /proc/PID/stat, counted from after the command's name.
+# Indexes of fields in /proc/PID/stat, counted from the first field after the command's name.
 USER_TICKS = 11
 SYSTEM_TICKS = 12
 RESIDENT_PAGES = 21
-PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.9)  # of a plot
+PERCENTILES = (0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.9)  # percentiles that a plot shows
 
 Cell = str | int | float
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Of one process: resident bytes and CPU seconds since its start."""
+    """Resource usage of one process.
+
+    Attributes:
+        memory: Resident memory in bytes.
+        cpu: CPU time since its start in seconds.
+    """
 
     memory: int
     cpu: float
 
 
 def usage(pid: int) -> Usage:
-    """Raises OSError where the process is gone."""
+    """Return the resource usage of a process.
+
+    Raises:
+        OSError: The process does not exist.
+    """
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     cpu = (int(fields[USER_TICKS]) + int(fields[SYSTEM_TICKS])) / TICKS_PER_SECOND
     return Usage(int(fields[RESIDENT_PAGES]) * PAGE_SIZE, cpu)
 
 
 def read_kibibytes(path: str, name: str) -> int | None:
-    """The bytes that a line of a file of the kernel states in kB; None where there is no such line."""
+    """Return the bytes that a line of a /proc file states in kB, or None if no line begins with `name`."""
     for line in Path(path).read_text().splitlines():
         if line.startswith(name):
             return int(line.split()[1]) * KIBIBYTE
@@ -42,24 +51,32 @@
 
 
 def anonymous_memory(pid: int) -> int:
-    """Bytes of a process's own memory, without what it shares with files; raises OSError."""
+    """Return the anonymous memory of a process in bytes, which excludes pages mapped from files.
+
+    Raises:
+        OSError: The process does not exist.
+    """
     size = read_kibibytes(f"/proc/{pid}/status", "RssAnon:")
     return usage(pid).memory if size is None else size
 
 
 def peak_memory(pid: int) -> int:
-    """The most resident bytes that a process has had; raises OSError where it is gone."""
+    """Return the peak resident memory of a process in bytes.
+
+    Raises:
+        OSError: The process does not exist.
+    """
     size = read_kibibytes(f"/proc/{pid}/status", "VmHWM:")
     return usage(pid).memory if size is None else size
 
 
 def slab_memory() -> int:
-    """Bytes of the kernel's own structures (slab), of the whole machine."""
+    """Return the memory of the kernel's data structures (slab) in bytes, for the whole machine."""
     return read_kibibytes("/proc/meminfo", "Slab:") or 0
 
 
 def table(rows: Sequence[Sequence[Cell]], head: Sequence[str]) -> str:
-    """Aligned columns; the first to the left, the others to the right."""
+    """Return a text table with aligned columns: the first to the left, the others to the right."""
     texts = [[f"{cell:.2f}" if isinstance(cell, float) else str(cell) for cell in row] for row in rows]
     lines = [list(head), *texts]
     widths = [max(len(line[column]) for line in lines) for column in range(len(head))]
@@ -78,8 +95,8 @@
 
 
 def plot(path: str, histograms: dict[str, str], title: str) -> None:
-    """Draw latency by percentile, a line for each encoded histogram, as a PNG."""
-    # Here, so that only a command that draws loads them.
+    """Draw latency by percentile as a PNG, with a line for each encoded histogram."""
+    # Imported here, so that only commands that draw plots load these libraries.
     import matplotlib
 
     matplotlib.use("Agg")
--- a/weldbend/testbed/reactor.py
+++ b/weldbend/testbed/reactor.py
@@ -1,6 +1,7 @@
-"""What the testbed uses of a reactor, be it Twisted's or a virtual machine.
+"""Types for the parts of a reactor that the testbed uses.
 
-`ProcessReactor` is Twisted's own, which starts processes too; a virtual machine does not.
+`Reactor` is implemented by Twisted's reactor and by the simulation's virtual machines. `ProcessReactor` is
+Twisted's reactor, which can also start child processes.
 """
 
 from collections.abc import Callable
@@ -9,26 +10,26 @@
 from twisted.internet.address import IPv4Address
 from twisted.internet.protocol import ClientFactory, Factory
 
-# Twisted's own reactor and its child processes: their interfaces have no types here.
+# Twisted's reactor and child processes; Twisted's interfaces cannot be type-checked here.
 ProcessReactor: TypeAlias = Any
 ProcessTransport: TypeAlias = Any
 
 
 class DelayedCall(Protocol):
-    """A call that is to come."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Make it never happen."""
+        """Cancel the call."""
 
 
 class Port(Protocol):
     """A listening port."""
 
     def getHost(self) -> IPv4Address:
-        """The address that it listens on."""
+        """Return the address that the port listens on."""
 
     def stopListening(self) -> object:
-        """Close it."""
+        """Close the port."""
 
 
 class Reactor(Protocol):
@@ -37,10 +38,10 @@
     def callLater(
         self, delay: float, call: Callable[..., object], *args: object, **kwargs: object
     ) -> DelayedCall:
-        """Call after a delay."""
+        """Schedule a call after a delay."""
 
     def listenTCP(self, port: int, factory: Factory, backlog: int = 50, interface: str = "") -> Port:
         """Listen on a port."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float = 30) -> object:
-        """Dial; the factory is notified of the outcome."""
+        """Open a connection; the factory is notified of the outcome."""
--- a/weldbend/testbed/scale/__init__.py
+++ b/weldbend/testbed/scale/__init__.py
@@ -1,1 +1,1 @@
-"""What a front needs at one size of a site, and with more and smaller caches of the same total capacity."""
+"""Scale experiment: resources that a front needs as the same total capacity is divided among more caches."""
--- a/weldbend/testbed/scale/bounds.py
+++ b/weldbend/testbed/scale/bounds.py
@@ -1,7 +1,7 @@
-"""How far the needs of a front may grow with the number of caches (the operators' table). No I/O.
+"""Bounds on the growth of a front's resource usage with the number of caches (the operators' table). No I/O.
 
-Calls of functions stand for CPU seconds where the verdict must not depend on the machine: by the factor
-alone.
+Where the verdict must not depend on the speed of the machine, the number of function calls replaces the CPU
+time. Its bound is a factor alone.
 """
 
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 CALLS = "calls in a front, thousands"
 MEGABYTE = 1e6  # bytes
 KILOBYTE = 1e3  # bytes
-THOUSAND = 1000  # caches, or calls
+THOUSAND = 1000  # unit of the numbers of caches and of function calls
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,13 +20,13 @@
     """One line of the table.
 
     Attributes:
-        name: What is bounded, with its unit.
-        value: The figure, in that unit.
-        factor: Times the figure at the usual size.
-        extra: What may be added to that.
-        extra_per_thousand: What may be added for each thousand caches.
-        is_least: Whether the figure must not fall below the bound, rather than not pass it.
-        is_counted: Whether the figure is counted, and so the same on a slow machine.
+        name: Name of the bounded figure, with its unit.
+        value: Function that returns the figure in that unit.
+        factor: Factor by which the figure at the usual size is multiplied.
+        extra: Allowance that is added to the product.
+        extra_per_thousand: Further allowance for each thousand caches.
+        is_minimum: Whether the result is a lower bound of the figure; otherwise it is an upper bound.
+        is_counted: Whether the figure is a count, which does not depend on the speed of the machine.
     """
 
     name: str
@@ -38,13 +38,13 @@
     is_counted: bool = True
 
     def limit(self, usual: ScaleFigures, large: ScaleFigures) -> float:
-        """The bound at the large size."""
+        """Return the bound at the large size."""
         return (
             self.factor * self.value(usual) + self.extra + self.extra_per_thousand * large.caches / THOUSAND
         )
 
     def is_within(self, usual: ScaleFigures, large: ScaleFigures) -> bool:
-        """Whether the large size keeps to it."""
+        """Return whether the figure at the large size is within the bound."""
         limit = self.limit(usual, large)
         value = self.value(large)
         return value >= limit if self.is_minimum else value <= limit
@@ -62,6 +62,6 @@
 
 
 def broken_bounds(usual: ScaleFigures, large: ScaleFigures, is_counted_only: bool) -> list[Bound]:
-    """The lines that are missed; where asked for, only of those that are counted."""
+    """Return the bounds that are missed; if `is_counted_only`, only counted figures are checked."""
     judged = [bound for bound in BOUNDS if bound.is_counted or not is_counted_only]
     return [bound for bound in judged if not bound.is_within(usual, large)]
--- a/weldbend/testbed/scale/figures.py
+++ b/weldbend/testbed/scale/figures.py
@@ -1,32 +1,32 @@
-"""What was measured at one size of a site. No I/O."""
+"""Figures measured at one size of a site. No I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-BUSIEST_FRACTION = 0.1  # of the edges
+BUSIEST_FRACTION = 0.1  # fraction of the edges that count as the busiest
 
 
 @dataclass(frozen=True, slots=True)
 class ScaleFigures:
-    """The mean front of a site, and its caches.
+    """Figures of one site; those of a front are means over all fronts.
 
     Attributes:
-        caches: Edges and parents.
-        requests: Requests to all fronts.
-        served: Share of them that was served.
-        start_cpu: CPU seconds of a front until it served.
-        cpu: CPU seconds of a front in all.
-        calls: Calls of functions in a front while it served; 0 where they were not counted.
-        memory: Peak resident bytes of a front.
-        descriptors: Most descriptors that a front had open, as sampled, in the mean of the fronts.
-        connections: Connections that a front made to caches.
-        list_bytes: Bytes of events from the bus, for each front.
-        lookups: Commands at edges.
-        edge_hits: Requests answered from a copy at an edge, as a share of all.
-        parent_hits: Fills of an edge from a copy at a parent, as a share of all requests.
-        origin_bytes: Bytes that the origin gave, for all fronts.
-        edges_used: Share of the edges that got a command.
-        busiest_fraction: Share of the commands at edges that the busiest tenth of the edges got.
+        caches: Number of edges and parents.
+        requests: Number of requests to all fronts.
+        served: Share of the requests that were served.
+        start_cpu: CPU time of a front until it served, in seconds.
+        cpu: CPU time of a front in total, in seconds.
+        calls: Number of function calls in a front while it served; 0 if they were not counted.
+        memory: Peak resident memory of a front in bytes.
+        descriptors: Highest sampled number of open descriptors of a front.
+        connections: Number of connections that a front opened to caches.
+        list_bytes: Bytes of events that the bus sent to a front.
+        lookups: Number of commands at edges.
+        edge_hits: Number of requests answered from a copy at an edge, as a share of all requests.
+        parent_hits: Number of fills of an edge from a copy at a parent, as a share of all requests.
+        origin_bytes: Bytes that the origin sent, for all fronts together.
+        edges_used: Share of the edges that received a command.
+        busiest_fraction: Share of the commands at edges that the busiest tenth of the edges received.
     """
 
     caches: int
@@ -48,11 +48,11 @@
 
 
 def busiest_fraction(commands: Sequence[int]) -> float:
-    """The share of all commands that the busiest tenth of the edges got; 0 where there were none."""
+    """Return the share of all commands that the busiest tenth of the edges received; 0 without commands."""
     busiest = max(1, round(BUSIEST_FRACTION * len(commands)))
     return sum(sorted(commands, reverse=True)[:busiest]) / max(sum(commands), 1)
 
 
 def used_fraction(commands: Sequence[int]) -> float:
-    """The share of the edges that got a command."""
+    """Return the share of the edges that received a command."""
     return sum(1 for count in commands if count) / max(len(commands), 1)
--- a/weldbend/testbed/scale/plan.py
+++ b/weldbend/testbed/scale/plan.py
@@ -1,4 +1,4 @@
-"""What is played: the usual size of a site, and the same capacity divided among more caches. No I/O."""
+"""Plan of a run: a site of the usual size, or with the same capacity divided among more caches. No I/O."""
 
 from dataclasses import asdict, dataclass
 from typing import Any
@@ -6,9 +6,9 @@
 from weldbend.testbed.emulator.emulated_site import SiteSettings
 from weldbend.testbed.load.generator import LoadPlan
 
-PARENT_FRACTION = 0.1  # of the caches
-CONNECTIONS = 16  # of the load, to each front
-OBJECTS = 20_000  # that the load draws from, by Zipf's law
+PARENT_FRACTION = 0.1  # fraction of the caches that are parents
+CONNECTIONS = 16  # number of connections of the load to each front
+OBJECTS = 20_000  # number of objects that the load requests, under Zipf's law
 
 
 @dataclass(frozen=True, slots=True)
@@ -16,14 +16,14 @@
     """One site and its load.
 
     Attributes:
-        caches: Edges and parents at the usual size; there is one origin beside them.
-        division: Into how many caches each of them is divided: 1 is the usual size.
-        fronts: How many fronts serve.
-        rate: Requests a second for each front.
-        seconds: Of load.
-        changes: Changes of the endpoint list a second, for each hundred caches.
-        seed: Draws the load and the changes.
-        counts_calls: Whether the calls in each front are counted, which slows it down some times.
+        caches: Number of edges and parents at the usual size; the site has one origin in addition.
+        division: Number of caches into which each of them is divided; 1 for the usual size.
+        fronts: Number of fronts.
+        rate: Requests per second to each front.
+        seconds: Duration of the load in seconds.
+        changes: Changes of the endpoint list per second, for each hundred caches.
+        seed: Seed of the load and of the changes.
+        counts_calls: Whether function calls in each front are counted, which slows it down several times.
     """
 
     caches: int = 100
@@ -36,11 +36,14 @@
     counts_calls: bool = False
 
     def cache_count(self) -> int:
-        """How many edges and parents there are."""
+        """Return the number of edges and parents."""
         return self.caches * self.division
 
     def site_settings(self) -> SiteSettings:
-        """The site; capacity of all caches together and limits of a front are the same for each division."""
+        """Return the settings of the site.
+
+        The capacity of all caches together and the limits of a front are the same for each division.
+        """
         usual = SiteSettings()
         parents = max(1, round(PARENT_FRACTION * self.caches)) * self.division
         return SiteSettings(
@@ -56,7 +59,7 @@
         )
 
     def load_plan(self) -> LoadPlan:
-        """The load on all fronts."""
+        """Return the plan of the load on all fronts."""
         return LoadPlan(
             rate=self.rate * self.fronts,
             seconds=self.seconds,
@@ -66,9 +69,9 @@
         )
 
     def changes_per_second(self) -> float:
-        """Changes of the endpoint list a second."""
+        """Return the number of changes of the endpoint list per second."""
         return self.changes * self.cache_count() / 100
 
     def document(self) -> dict[str, Any]:
-        """The plan in JSON."""
+        """Return the plan as a JSON object."""
         return asdict(self)
--- a/weldbend/testbed/scale/report.py
+++ b/weldbend/testbed/scale/report.py
@@ -1,4 +1,4 @@
-"""The table and the plot of two sizes of a site beside the bounds."""
+"""Table and plot that compare two sizes of a site with the bounds."""
 
 from collections.abc import Callable
 
@@ -24,7 +24,10 @@
 
 
 def table(usual: ScaleFigures, large: ScaleFigures, is_counted_only: bool) -> str:
-    """Each bounded line with its verdict, then what is shown beside them."""
+    """Return the table: bounded figures with their verdicts, followed by UNBOUNDED_FIGURES.
+
+    If `is_counted_only`, figures that depend on the speed of the machine get no verdict.
+    """
     rows: list[list[Cell]] = []
     for bound in BOUNDS:
         if bound.name == CALLS and not is_counted_only:
@@ -44,8 +47,8 @@
 
 
 def plot(path: str, usual: ScaleFigures, large: ScaleFigures) -> None:
-    """Draw each figure at the large size as a part of its bound, as a PNG."""
-    # Here, so that only a command that draws loads it.
+    """Draw each figure at the large size as a fraction of its bound, as a PNG."""
+    # Imported here, so that only commands that draw plots load this library.
     import matplotlib
 
     matplotlib.use("Agg")
--- a/weldbend/testbed/scale/site_run.py
+++ b/weldbend/testbed/scale/site_run.py
@@ -1,4 +1,4 @@
-"""Plays one size of a site: caches, bus and load in this process, fronts as child processes."""
+"""Runs one size of a site: caches, bus and load in this process, fronts as child processes."""
 
 import os
 from collections.abc import Callable
@@ -16,32 +16,43 @@
 from weldbend.testbed.scale.figures import ScaleFigures, busiest_fraction, used_fraction
 from weldbend.testbed.scale.plan import ScalePlan
 
-SAMPLE_PERIOD = 0.1  # seconds
-MAX_START_TIME = 60.0  # seconds within which all fronts have to serve
-MAX_OVERTIME = 30.0  # seconds beyond the load's own within which it has to be over
-DRAIN_TIME = 2.0  # seconds for which a cache whose entry changes is listed as draining
+SAMPLE_PERIOD = 0.1  # seconds between two samples of the numbers of open descriptors
+MAX_START_TIME = 60.0  # seconds within which all fronts must serve
+MAX_OVERTIME = 30.0  # seconds after the planned duration of the load within which it must end
+DRAIN_TIME = 2.0  # seconds for which a change of the endpoint list shows a cache as draining
 
 
 class ScaleRunError(TestbedError):
-    """A run that did not come to its end."""
+    """A run failed before its figures were complete."""
 
 
 class FrontEndedError(ScaleRunError):
-    """A front ended before the load was over."""
+    """A front ended before the load was complete."""
 
     def __init__(self, code: int, folder: str) -> None:
-        super().__init__(f"a front ended with {code} before the load was over; its log is in {folder}")
+        super().__init__(f"a front ended with exit code {code} before the load was complete; log in {folder}")
 
 
 class RunTimeoutError(ScaleRunError):
-    """Fronts or load took too long."""
+    """The start of the fronts, or the load, exceeded its time limit."""
 
     def __init__(self, part: str, folder: str) -> None:
-        super().__init__(f"{part} took too long; the logs of the fronts are in {folder}")
+        super().__init__(f"{part} took longer than its time limit; the logs of the fronts are in {folder}")
 
 
 class SiteRun:
-    """One site, its load and what was measured; `on_end` is called with the figures, or what went wrong."""
+    """One site with its load and its figures.
+
+    Attributes:
+        on_end: Callback with the figures or with the error that ended the run.
+        site: The site.
+        random: Draws the changes of the endpoint list.
+        start_cpu: CPU time of each front until it served, in seconds.
+        descriptors: Highest sampled number of open descriptors of each front.
+        load: The load; None until the fronts serve.
+        figures: Measured figures; None until the load has ended.
+        is_over: Whether `on_end` was called.
+    """
 
     def __init__(
         self,
@@ -54,8 +65,8 @@
         self.on_end = on_end
         self.site = EmulatedSite(reactor, plan.site_settings())
         self.random = Random(plan.seed)
-        self.start_cpu: list[float] = []  # of each front
-        self.descriptors: list[int] = []  # most of each front
+        self.start_cpu: list[float] = []
+        self.descriptors: list[int] = []
         self.load: Load | None = None
         self.figures: ScaleFigures | None = None
         self.is_over = False
@@ -68,7 +79,7 @@
         self._schedule_timeout(MAX_START_TIME, "starting", lambda: self.load is None)
 
     def _call_files(self) -> list[Path]:
-        """Where each front writes how many calls it made, if they are counted."""
+        """Return the files to which the fronts write their numbers of calls; none if they are not counted."""
         numbers = range(1, self.plan.fronts + 1) if self.plan.counts_calls else ()
         return [self.site.folder / f"front-{number}.calls" for number in numbers]
 
@@ -101,7 +112,7 @@
         self.reactor.callLater(SAMPLE_PERIOD, self._sample)
 
     def _change_list(self) -> None:
-        """Publish the next change: a cache drains, and is up again some seconds later."""
+        """Publish a change: a cache is listed as draining, and as up again after DRAIN_TIME."""
         rate = self.plan.changes_per_second()
         if self.is_over or self.figures or not rate:
             return
--- a/weldbend/testbed/stepped_clock.py
+++ b/weldbend/testbed/stepped_clock.py
@@ -1,7 +1,7 @@
-"""Runs weldbend's command line with a Unix clock that a signal steps; the system's clock stays as it is.
+"""Runs weldbend's command line with a Unix clock that a signal steps; the system's clock is not changed.
 
 `python -m weldbend.testbed.stepped_clock SECONDS serve --config FILE`: each SIGUSR1 steps the Unix clock that
-the front reads by so many seconds, and writes a line to standard error.
+the front reads by SECONDS, and writes a line to standard error.
 """
 
 import runpy
@@ -10,24 +10,30 @@
 
 from weldbend.front.clock import Clock
 
-STEP_MESSAGE = "Unix clock stepped by"  # begins the line that tells of a step
+STEP_MESSAGE = "Unix clock stepped by"  # beginning of the line that reports a step
 
 
 class SteppedClock:
-    """The Unix time of the system, and the steps so far."""
+    """The system's Unix clock plus the steps made so far; each SIGUSR1 adds one.
+
+    Attributes:
+        step: Length of a step in seconds.
+        offset: Sum of the steps so far in seconds.
+        system_unix: Clock of the system.
+    """
 
     def __init__(self, step: float) -> None:
-        self.step = step  # seconds
-        self.offset = 0.0  # seconds
+        self.step = step
+        self.offset = 0.0
         self.system_unix = Clock.unix
         signal.signal(signal.SIGUSR1, self.on_signal)
 
     def unix(self) -> float:
-        """Return the Unix time in seconds."""
+        """Return the stepped Unix time in seconds."""
         return self.system_unix() + self.offset
 
     def on_signal(self, *_: object) -> None:
-        """Step the clock."""
+        """Step the clock and report the step on standard error; called for each signal."""
         self.offset += self.step
         print(STEP_MESSAGE, self.step, file=sys.stderr, flush=True)
 
