--- a/weldbend/testbed/commands/fleet.py
+++ b/weldbend/testbed/commands/fleet.py
@@ -53,11 +53,11 @@
 @click.option("--folder", help="with --lines: directory for configurations and logs")
 def fleet_command(**options: object) -> None:
     """Run a fleet of fronts as real processes with faults between them, and print a verdict."""
-    chosen = FleetOptions(**options)  # type: ignore[arg-type]  # click has checked them
-    if chosen.is_driven:
-        run_lines(chosen)
-    elif chosen.plan_path:
-        run_plan(chosen, chosen.plan_path)
+    fleet_options = FleetOptions(**options)  # type: ignore[arg-type]  # click has checked them
+    if fleet_options.is_driven:
+        run_lines(fleet_options)
+    elif fleet_options.plan_path:
+        run_plan(fleet_options, fleet_options.plan_path)
     else:
         message = "give --plan FILE, or --lines"
         raise click.ClickException(message)
--- a/weldbend/testbed/commands/idle.py
+++ b/weldbend/testbed/commands/idle.py
@@ -116,7 +116,7 @@
 @JSON
 def idle_command(idle_after: str, plot: str | None, path: str | None, **options: object) -> None:
     """Measure the cost of idle connections: memory, CPU, latency of other requests, and mass wakes."""
-    chosen = IdleOptions(**options)  # type: ignore[arg-type]  # click has checked them
+    idle_options = IdleOptions(**options)  # type: ignore[arg-type]  # click has checked them
     started_at = time.monotonic()
 
     def show(text: str) -> None:
@@ -125,12 +125,12 @@
     with tempfile.TemporaryDirectory(prefix="weldbend-idle-") as folder:
         installation = Path(folder, "idle.ini")
         installation.write_text(f"{LONG_IDLE}park-after = {idle_after}\n")
-        report = measure(chosen, str(installation), show)
+        report = measure(idle_options, str(installation), show)
     if plot and report.get("pairs"):
         first = report["pairs"][0]
         histograms = {
-            f"{chosen.connections} idle": first["with"]["histogram"],
+            f"{idle_options.connections} idle": first["with"]["histogram"],
             "none": first["none"]["histogram"],
         }
-        process_usage.plot(plot, histograms, f"{chosen.busy_rate:g} requests a second")
+        process_usage.plot(plot, histograms, f"{idle_options.busy_rate:g} requests a second")
     show_report(path or "-", report)
--- a/weldbend/testbed/emulator/cache_commands.py
+++ b/weldbend/testbed/emulator/cache_commands.py
@@ -85,20 +85,25 @@
             self.pending_line = self._read_line()
         if self.pending_line is None:
             return None
-        head = self.pending_line
-        if head[0] in ("undo", "ping", "top") and len(head) == OTHER_TOKENS:
+        tokens = self.pending_line
+        if tokens[0] in ("undo", "ping", "top") and len(tokens) == OTHER_TOKENS:
             self.pending_line = None
-            return Command(head[0], head[1], {})
-        if head[0] != "do" or len(head) != DO_TOKENS or not head[3].isdigit() or int(head[3]) > LONGEST_BODY:
-            raise InvalidCommandError(CommandProblem.MALFORMED_LINE, " ".join(head))
-        length = int(head[3])
+            return Command(tokens[0], tokens[1], {})
+        if (
+            tokens[0] != "do"
+            or len(tokens) != DO_TOKENS
+            or not tokens[3].isdigit()
+            or int(tokens[3]) > LONGEST_BODY
+        ):
+            raise InvalidCommandError(CommandProblem.MALFORMED_LINE, " ".join(tokens))
+        length = int(tokens[3])
         if len(self.ring) < length + len(LINE_END):
             return None
         body = self.ring.read(length)
         if self.ring.read(len(LINE_END)) != LINE_END:
             raise InvalidCommandError(CommandProblem.BODY_END)
         self.pending_line = None
-        return Command("do", head[1], read_fields(head[2]), body)
+        return Command("do", tokens[1], read_fields(tokens[2]), body)
 
     def _read_line(self) -> list[str] | None:
         """Return the tokens of the next line, or None if it is incomplete."""
--- a/weldbend/testbed/emulator/cache_model.py
+++ b/weldbend/testbed/emulator/cache_model.py
@@ -152,8 +152,8 @@
         self.copies[part_key] = copy
         self.used += copy.size
         while self.used > self.capacity:
-            last = next((k for k, c in self.copies.items() if not c.rank), next(iter(self.copies)))
-            self.used -= self.copies.pop(last).size
+            evicted = next((k for k, c in self.copies.items() if not c.rank), next(iter(self.copies)))
+            self.used -= self.copies.pop(evicted).size
 
     def purge(self, key: str) -> None:
         """Remove all parts of an object."""
--- a/weldbend/testbed/emulator/emulated_site.py
+++ b/weldbend/testbed/emulator/emulated_site.py
@@ -195,7 +195,7 @@
         return path, listen
 
     def _reserve_port(self) -> int:
-        """Reserve a port for a front, by binding it here without listening.
+        """Reserve a port for a front, by binding it here without listening; the front can still listen on it.
 
         If a free port were only looked up, another connection or program on this machine could take it before
         the front listens. The system assigns no port of FRONT_PORTS by itself.
@@ -211,7 +211,8 @@
             except OSError:
                 reserved.close()
                 continue
-            # Set after the bind: with this option set before, two processes could reserve the same port.
+            # This lets the front listen. It is set only after the bind, because otherwise another process
+            # that reserves ports could reserve the same one.
             reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             self.reserved_ports.append(reserved)
             return port
--- a/weldbend/testbed/load/generator.py
+++ b/weldbend/testbed/load/generator.py
@@ -293,7 +293,7 @@
                 name = f"{self.plan.seed & 0xFFFFFFFF:08x}{self.due_count:08x}"
                 client.send(OpenRequest(arrival, self.started_at + arrival.at), name)
                 return
-        self.tally.counts["not asked"] += 1  # all connections have MAX_OPEN_REQUESTS
+        self.tally.counts["not asked"] += 1  # no connection can take another request
 
     def on_answer(self, request: OpenRequest | None, answer: ClientAnswer) -> None:
         """Record an answer, and the latency if the request was served."""
