--- a/weldbend/testbed/emulator/cache_commands.py
+++ b/weldbend/testbed/emulator/cache_commands.py
@@ -1,4 +1,4 @@
-"""The caches' side of the line protocol: complete commands read from a ring, answers written. No I/O."""
+"""The caches' side of the line protocol: parses commands from a ring and encodes answers. No I/O."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -9,14 +9,14 @@
 from weldbend.cache_protocol.commands import format_fields
 from weldbend.testbed.errors import TestbedError
 
-LONGEST_BODY = 48_000  # bytes of a command's body
-BREAK = b"\r\n"
-DO_TOKENS = 4  # do, id, fields and length
-OTHER_TOKENS = 2  # undo, ping or top, and a name
+LONGEST_BODY = 48_000  # bytes of the body of a command
+LINE_END = b"\r\n"
+DO_TOKENS = 4  # number of tokens in the line of a do command: do, id, fields and length
+OTHER_TOKENS = 2  # number of tokens of the other commands: undo, ping or top, and a name
 
 
 class CommandProblem(Enum):
-    """Why bytes are no command."""
+    """Reasons for which received bytes are not a valid command."""
 
     LONG_LINE = "a line too long"
     MALFORMED_LINE = "line"
@@ -24,7 +24,12 @@
 
 
 class InvalidCommandError(TestbedError):
-    """Bytes that are no command; `line` is the malformed line."""
+    """Received bytes that are not a valid command.
+
+    Attributes:
+        problem: Reason for the rejection.
+        line: Malformed line; empty for other problems.
+    """
 
     def __init__(self, problem: CommandProblem, line: str = "") -> None:
         self.problem = problem
@@ -34,7 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """`word` is do, undo, ping or top; `name` the id of a request or the tag of a health check."""
+    """One command of a front.
+
+    Attributes:
+        word: Command word: do, undo, ping or top.
+        name: Id of the request, or tag of the health check.
+        fields: Fields of a do command by name; empty for other commands.
+        body: Body of a do command.
+    """
 
     word: str
     name: str
@@ -43,51 +55,76 @@
 
 
 class Parser:
-    """Reads commands from a ring, however their bytes arrive."""
+    """Incremental parser for commands; the bytes of a command may arrive in any number of pieces.
+
+    Attributes:
+        ring: Bytes received and not yet parsed.
+        pending_line: Tokens of a parsed command line whose body is incomplete; None if a line is parsed next.
+    """
 
     def __init__(self, ring: Ring) -> None:
         self.ring = ring
-        self.head: list[str] | None = None  # the words of a line whose body is not complete
+        self.pending_line: list[str] | None = None
 
     def all(self) -> Iterator[Command]:
-        """All commands that are complete; raises InvalidCommandError."""
+        """Yield all complete commands.
+
+        Raises:
+            InvalidCommandError: The bytes are not a valid command.
+        """
         while command := self.next():
             yield command
 
     def next(self) -> Command | None:
-        """The next command, None where it is not complete; raises InvalidCommandError."""
-        if self.head is None:
-            self.head = self._read_line()
-        if self.head is None:
+        """Return the next command, or None if it is incomplete.
+
+        Raises:
+            InvalidCommandError: The bytes are not a valid command.
+        """
+        if self.pending_line is None:
+            self.pending_line = self._read_line()
+        if self.pending_line is None:
             return None
-        head = self.head
-        if head[0] in ("undo", "ping", "top") and len(head) == OTHER_TOKENS:
-            self.head = None
-            return Command(head[0], head[1], {})
-        if head[0] != "do" or len(head) != DO_TOKENS or not head[3].isdigit() or int(head[3]) > LONGEST_BODY:
-            raise InvalidCommandError(CommandProblem.MALFORMED_LINE, " ".join(head))
-        length = int(head[3])
-        if len(self.ring) < length + len(BREAK):
+        tokens = self.pending_line
+        if tokens[0] in ("undo", "ping", "top") and len(tokens) == OTHER_TOKENS:
+            self.pending_line = None
+            return Command(tokens[0], tokens[1], {})
+        if (
+            tokens[0] != "do"
+            or len(tokens) != DO_TOKENS
+            or not tokens[3].isdigit()
+            or int(tokens[3]) > LONGEST_BODY
+        ):
+            raise InvalidCommandError(CommandProblem.MALFORMED_LINE, " ".join(tokens))
+        length = int(tokens[3])
+        if len(self.ring) < length + len(LINE_END):
             return None
         body = self.ring.read(length)
-        if self.ring.read(len(BREAK)) != BREAK:
+        if self.ring.read(len(LINE_END)) != LINE_END:
             raise InvalidCommandError(CommandProblem.BODY_END)
-        self.head = None
-        return Command("do", head[1], read_fields(head[2]), body)
+        self.pending_line = None
+        return Command("do", tokens[1], read_fields(tokens[2]), body)
 
     def _read_line(self) -> list[str] | None:
-        """The words of a line, None where it is not complete."""
-        end = self.ring.find(BREAK, 0, LONGEST_LINE)
+        """Return the tokens of the next line, or None if it is incomplete."""
+        end = self.ring.find(LINE_END, 0, LONGEST_LINE)
         if end < 0:
             if len(self.ring) >= LONGEST_LINE:
                 raise InvalidCommandError(CommandProblem.LONG_LINE)
             return None
         tokens = self.ring.read(end).decode("ascii", "replace").split(" ")
-        self.ring.skip(len(BREAK))
+        self.ring.skip(len(LINE_END))
         return tokens
 
 
 def encode_answer(name: str, word: str, fields: Mapping[str, str], body: bytes = b"") -> bytes:
-    """The bytes of an answer; `name` is the id of the request that it answers."""
+    """Return the bytes of an answer.
+
+    Args:
+        name: Id of the request, or tag of the health check, that is answered.
+        word: Status of the answer, such as DONE.
+        fields: Fields of the answer by name.
+        body: Body of the answer.
+    """
     line = f"{name} {word} {format_fields(fields)} {len(body)}\r\n".encode()
-    return b"".join((line, body, BREAK))
+    return b"".join((line, body, LINE_END))
--- a/weldbend/testbed/faults/socket_trial.py
+++ b/weldbend/testbed/faults/socket_trial.py
@@ -227,7 +227,7 @@
     def remove_client(self, client: LoadClient) -> None:
         """Remove a disconnected client; finish the load if its lost requests were the last open ones."""
         super().remove_client(client)
-        if self.begun:
+        if self.started_at:
             self._finish_if_answered()
 
 
--- a/weldbend/testbed/fleet/simulated_benchmarks.py
+++ b/weldbend/testbed/fleet/simulated_benchmarks.py
@@ -24,7 +24,7 @@
 def edge_counts(run: FleetRun) -> Counter[str]:
     """Return the sum of the counters of all edges."""
     counts: Counter[str] = Counter()
-    for cache in run.site.caches.caches.values():
+    for cache in run.site.caches.by_uid.values():
         if cache.kind == "box":
             counts.update(cache.counts)
     return counts
--- a/weldbend/testbed/load/connection_holder.py
+++ b/weldbend/testbed/load/connection_holder.py
@@ -1,11 +1,12 @@
-"""Holds many connections open and wakes a fraction of them at once; a process of its own, driven by lines.
+"""Holds many idle connections open and sends calls on a fraction of them at once.
 
-Plain sockets and one epoll set: nineteen thousand protocol objects here would measure the tool. Commands on
-standard input, one JSON object a line on standard output for each:
+Runs as a process of its own. It uses plain sockets and one epoll set, because with nineteen thousand protocol
+objects the measurement would show the cost of this tool. It reads commands from standard input, and writes
+one JSON object per line to standard output for each:
 
-    open COUNT RATE SOURCE   connect so many, each from 127.0.0.SOURCE, and have each answer one health check
-    wake SHARE WHAT SECONDS  send `probe` or `photo` on a fraction of them in one go; wait for the answers
-    count                    how many are still open
+    open COUNT RATE SOURCE   open COUNT connections from 127.0.0.SOURCE, RATE a second; check health on each
+    wake SHARE WHAT SECONDS  send a `probe` or `photo` call on a share of them at once; wait for the answers
+    count                    report the number of connections that are still open
     end
 """
 
@@ -23,86 +24,109 @@
 
 from weldbend.buffers.ring import Ring
 from weldbend.testbed.emulator import objects
-from weldbend.testbed.emulator.objects import Sizes
+from weldbend.testbed.emulator.objects import PartSizes
 from weldbend.testbed.load import client_calls
 from weldbend.testbed.load.client_calls import ClientAnswer
 
-IP_BIND_ADDRESS_NO_PORT = 24  # Linux: a port is assigned at connect, much faster
+IP_BIND_ADDRESS_NO_PORT = 24  # Linux socket option: assigns the port at connect, which is much faster
 PHOTO_TIMEOUT = 6000  # milliseconds
 PROBE_TIMEOUT = 10  # seconds
-PROBE_ANSWER = 256  # bytes, more than one has
+PROBE_ANSWER_SIZE = 256  # upper bound on the bytes of the answer to a health check
 RING_SIZE = 1 << 21  # bytes of answers that a connection buffers
 READ_SIZE = 1 << 18  # bytes
-POLL_SECONDS = 0.05
-MAX_EVENTS = 1024  # of one poll
-MAX_CLOSED = 4096  # of one poll, while counting
-OBJECTS = 2000  # that requests are drawn from
-HIGHEST = 60_000_000  # microseconds that a histogram counts
-WAKE_SEQID = 2  # after the health check's
+POLL_TIMEOUT = 0.05  # seconds
+MAX_EVENTS = 1024  # maximum number of events of one poll
+MAX_CLOSE_EVENTS = 4096  # maximum number of events of one poll when closed connections are counted
+OBJECTS = 2000  # exclusive upper bound of the popularity ranks from which requests are drawn
+HISTOGRAM_MAX_US = 60_000_000  # highest latency that a histogram counts, in microseconds
+WAKE_SEQID = 2  # seqid of the call at a wake; the health check has 1
 
 
 @dataclass
 class Wake:
-    """One wake of many connections, and what has become of it so far."""
-
-    chosen: list[int]  # descriptors
-    begun: float  # on the steady clock
-    waiting: set[int]
-    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HIGHEST, 3))
+    """One wake, which is a call on many idle connections at once, and its results so far.
+
+    Attributes:
+        descriptors: Descriptors of the connections.
+        started_at: Start time in seconds of the steady clock.
+        unanswered: Descriptors of the connections that have neither received an answer nor been closed.
+        latency: Latencies of the answers in microseconds, from the start.
+        outcomes: Number of answers by outcome, and of anomalies.
+        closed: Number of connections that were closed before their answer or on which sending failed.
+        sent_after: Seconds from the start until all calls were sent.
+        last_answer_after: Seconds from the start until the last answer.
+    """
+
+    descriptors: list[int]
+    started_at: float
+    unanswered: set[int]
+    latency: HdrHistogram = field(default_factory=lambda: HdrHistogram(1, HISTOGRAM_MAX_US, 3))
     outcomes: Counter[str] = field(default_factory=Counter)
     closed: int = 0
-    sent: float = 0.0  # seconds until all was written
-    last: float = 0.0  # seconds until the last answer
+    sent_after: float = 0.0
+    last_answer_after: float = 0.0
 
     def on_closed(self, descriptor: int) -> None:
-        """The front has closed a connection."""
-        self.closed += descriptor in self.waiting
-        self.waiting.discard(descriptor)
+        """Record that the front has closed a connection."""
+        self.closed += descriptor in self.unanswered
+        self.unanswered.discard(descriptor)
 
     def on_answer(self, descriptor: int, answer: ClientAnswer) -> None:
-        """Count an answer."""
-        self.last = time.monotonic() - self.begun
-        self.latency.record_value(max(int(self.last * 1e6), 1))
+        """Record an answer."""
+        self.last_answer_after = time.monotonic() - self.started_at
+        self.latency.record_value(max(int(self.last_answer_after * 1e6), 1))
         self.outcomes[answer.outcome] += 1
         if answer.outcome == "throttled" and "after" not in answer.fields:
             self.outcomes["throttled without a time"] += 1
-        if descriptor not in self.waiting:
+        if descriptor not in self.unanswered:
             self.outcomes["second answers"] += 1
-        self.waiting.discard(descriptor)
+        self.unanswered.discard(descriptor)
 
     def report(self) -> dict[str, Any]:
-        """The figures as they are printed."""
+        """Return the results as a JSON object."""
         value = self.latency.get_value_at_percentile
         return {
-            "woken": len(self.chosen),
-            "sent_s": self.sent,
-            "all_answered_s": self.last,
+            "woken": len(self.descriptors),
+            "sent_s": self.sent_after,
+            "all_answered_s": self.last_answer_after,
             "outcomes": dict(self.outcomes),
             "closed": self.closed,
-            "unanswered": len(self.waiting),
+            "unanswered": len(self.unanswered),
             "latency_ms": {f"p{percentile:g}": value(percentile) / 1000 for percentile in (50, 99, 100)},
         }
 
 
 class ConnectionHolder:
-    """Many connections to one front."""
+    """Many connections to one front.
+
+    Attributes:
+        sockets: Open connections by descriptor.
+        rings: Buffers of the connections that have received part of an answer, by descriptor.
+        request_count: Number of encoded calls, from which request ids are made.
+    """
 
     def __init__(self, address: tuple[str, int], seed: int) -> None:
         self.address = address
         self.seed = seed
         self.rng = random.Random(seed)
-        self.sizes = Sizes()
+        self.sizes = PartSizes()
         self.poll = select.epoll()
-        self.sockets: dict[int, socket.socket] = {}  # by descriptor
-        self.rings: dict[int, Ring] = {}  # of connections with part of an answer, by descriptor
+        self.sockets: dict[int, socket.socket] = {}
+        self.rings: dict[int, Ring] = {}
         self.request_count = 0
 
     def open(self, count: int, rate: float, source: int) -> dict[str, Any]:
-        """Connect `count`, `rate` a second, and let each send one health check."""
-        begun = time.monotonic()
+        """Open connections, and send one health check on each.
+
+        Args:
+            count: Number of connections.
+            rate: Connections per second.
+            source: Last byte of the address 127.0.0.x from which they are opened.
+        """
+        started_at = time.monotonic()
         failed = 0
         for number in range(count):
-            if (wait := begun + number / rate - time.monotonic()) > 0:
+            if (wait := started_at + number / rate - time.monotonic()) > 0:
                 time.sleep(wait)
             connection = socket.socket()
             try:
@@ -114,7 +138,7 @@
             connection.setblocking(False)
             self.sockets[connection.fileno()] = connection
             self.poll.register(connection.fileno(), select.EPOLLIN | select.EPOLLRDHUP)
-        return {"open": len(self.sockets), "failed": failed, "seconds": time.monotonic() - begun}
+        return {"open": len(self.sockets), "failed": failed, "seconds": time.monotonic() - started_at}
 
     def _connect(self, connection: socket.socket, source: int) -> None:
         connection.setsockopt(socket.IPPROTO_IP, IP_BIND_ADDRESS_NO_PORT, 1)
@@ -122,11 +146,11 @@
         connection.connect(self.address)
         connection.sendall(client_calls.probe(1))
         connection.settimeout(PROBE_TIMEOUT)
-        connection.recv(PROBE_ANSWER)
+        connection.recv(PROBE_ANSWER_SIZE)
 
     def count(self) -> dict[str, Any]:
-        """How many are open, once those that the front closed are dropped."""
-        while events := self.poll.poll(0, MAX_CLOSED):
+        """Drop the connections that the front has closed, and return the number of open ones."""
+        while events := self.poll.poll(0, MAX_CLOSE_EVENTS):
             for descriptor, _ in events:
                 self._drop(descriptor)
         return {"open": len(self.sockets)}
@@ -135,11 +159,11 @@
         self.sockets.pop(descriptor).close()
         self.rings.pop(descriptor, None)
 
-    def _encode_call(self, what: str) -> bytes:
+    def _encode_call(self, call_kind: str) -> bytes:
         self.request_count += 1
-        if what == "probe":
+        if call_kind == "probe":
             return client_calls.probe(WAKE_SEQID)
-        key = objects.key_of(self.rng.randrange(1, OBJECTS))
+        key = objects.object_key(self.rng.randrange(1, OBJECTS))
         part = 0
         fields = {
             "class": "photo",
@@ -148,26 +172,31 @@
             "key": key,
             "nth": "0",
             "batch": "1",
-            "kb": str(self.sizes.kb(key, part)),
+            "kb": str(self.sizes.part_kb(key, part)),
         }
         return client_calls.process(WAKE_SEQID, fields)
 
-    def wake(self, fraction: float, what: str, timeout: float) -> dict[str, Any]:
-        """Wake a fraction at once, and wait `patience` seconds at most for the answers.
+    def wake(self, fraction: float, call_kind: str, timeout: float) -> dict[str, Any]:
+        """Send a call on a fraction of the connections at once, and wait for the answers.
+
+        Latencies are counted from just before the first call is sent.
 
-        Latencies run from just before the first call was written.
+        Args:
+            fraction: Fraction of the connections.
+            call_kind: `probe` or `photo`.
+            timeout: Maximum wait for the answers in seconds.
         """
-        chosen = self.rng.sample(sorted(self.sockets), round(fraction * len(self.sockets)))
-        calls = [(descriptor, self._encode_call(what)) for descriptor in chosen]
-        wake = Wake(chosen, time.monotonic(), set(chosen))
+        descriptors = self.rng.sample(sorted(self.sockets), round(fraction * len(self.sockets)))
+        calls = [(descriptor, self._encode_call(call_kind)) for descriptor in descriptors]
+        wake = Wake(descriptors, time.monotonic(), set(descriptors))
         for descriptor, data in calls:
             try:
                 self.sockets[descriptor].send(data)
             except OSError:
                 wake.closed += 1
-        wake.sent = time.monotonic() - wake.begun
-        while wake.waiting and time.monotonic() < wake.begun + timeout:
-            for descriptor, _ in self.poll.poll(POLL_SECONDS, MAX_EVENTS):
+        wake.sent_after = time.monotonic() - wake.started_at
+        while wake.unanswered and time.monotonic() < wake.started_at + timeout:
+            for descriptor, _ in self.poll.poll(POLL_TIMEOUT, MAX_EVENTS):
                 self._read(descriptor, wake)
         return wake.report()
 
@@ -188,19 +217,19 @@
 
 
 def run_command(holder: ConnectionHolder, tokens: list[str]) -> dict[str, Any]:
-    """Carry out one command; returns what is printed."""
+    """Execute one command, and return its result as a JSON object."""
     match tokens:
         case ["open", count, rate, source]:
             return holder.open(int(count), float(rate), int(source))
-        case ["wake", fraction, what, timeout]:
-            return holder.wake(float(fraction), what, float(timeout))
+        case ["wake", fraction, call_kind, timeout]:
+            return holder.wake(float(fraction), call_kind, float(timeout))
         case ["count"]:
             return holder.count()
     return {"error": " ".join(tokens)}
 
 
 def main(address: str, seed: int) -> None:
-    """Carry out commands from standard input, until `end` or its end."""
+    """Execute commands from standard input, until the command `end` or the end of the input."""
     host, _, port = address.rpartition(":")
     holder = ConnectionHolder((host, int(port)), seed)
     for line in sys.stdin:
--- a/weldbend/testbed/load/idle_benchmark.py
+++ b/weldbend/testbed/load/idle_benchmark.py
@@ -1,7 +1,7 @@
-"""The measurement of idle connections: memory, upkeep, busy latency beside them, and mass wakes.
+"""Benchmark of idle connections: memory, CPU, latency of other requests beside them, and mass wakes.
 
-This process only conducts: the site with its fronts, the busy load and the holders of idle connections are
-processes of their own. Everything stays on loopback, and ends by itself.
+This process only coordinates: the site with its fronts, the busy load and the holders of idle connections run
+as processes of their own. All traffic stays on loopback, and all processes end with the benchmark.
 """
 
 import json
@@ -16,8 +16,8 @@
 from weldbend.testbed.load import process_usage
 from weldbend.testbed.load.child_process import ChildProcess, testbed_command
 
-RESERVE = 600  # descriptors of a front beside its idle ones
-COUNTERS = (  # that fronts log, and that a report has
+EXTRA_DESCRIPTORS = 600  # sockets of a front in addition to its idle connections
+REPORTED_COUNTERS = (  # counters in the logs of fronts that are copied into the report
     "max_timer_delay_ms",
     "max_iteration_ms",
     "max_wakeup_delay_ms",
@@ -25,17 +25,21 @@
     "max_memory_mb",
     "violations",
 )
-SETTLE = 2.0  # seconds until all connections are idle
+SETTLE_TIME = 2.0  # seconds after which all unused connections are idle
 OPEN_RATE = 2500.0  # connections a second
 LOAD_TIMEOUT = 120  # seconds
-FIRST_SOURCE = 10  # last byte of the address that the first holder connects from
+FIRST_SOURCE = 10  # last byte of the address from which the first holder connects
 
-Row = dict[str, Any]  # of the report, in JSON
-Show = Callable[[str], None]  # shows a line of progress
+Row = dict[str, Any]  # row of the report as a JSON object
+Show = Callable[[str], None]  # callback that shows a line of progress
 
 
 class ConnectionsFailedError(RuntimeError):
-    """Idle connections that could not be opened; `count` is their number."""
+    """Some idle connections could not be opened.
+
+    Attributes:
+        count: Number of these connections.
+    """
 
     def __init__(self, count: int) -> None:
         self.count = count
@@ -44,7 +48,14 @@
 
 @dataclass
 class RunningSite:
-    """A running site with its fronts: addresses and process numbers."""
+    """A running site with its fronts.
+
+    Attributes:
+        process: Process of the site.
+        fronts: Addresses of the fronts.
+        pids: Process ids of the fronts.
+        folder: Directory with the logs of the fronts.
+    """
 
     process: ChildProcess
     fronts: list[str]
@@ -54,23 +65,23 @@
     def _cpu_seconds(self) -> float:
         return sum(process_usage.usage(pid).cpu for pid in self.pids)
 
-    def cpu(self, seconds: float) -> float:
-        """Cores that the fronts use together over a time."""
+    def cpu_cores(self, seconds: float) -> float:
+        """Return the mean number of CPU cores that all fronts together use in the next `seconds`."""
         before = self._cpu_seconds()
         time.sleep(seconds)
         return (self._cpu_seconds() - before) / seconds
 
-    def anonymous(self) -> int:
-        """Bytes of the fronts' own memory."""
-        return sum(process_usage.anonymous(pid) for pid in self.pids)
+    def anonymous_memory(self) -> int:
+        """Return the anonymous memory of all fronts together, in bytes."""
+        return sum(process_usage.anonymous_memory(pid) for pid in self.pids)
 
     def counters(self) -> list[Row]:
-        """The last counters that each front logged; all of them once the site has ended."""
+        """Return the last counters that each front has logged; they are final once the site has ended."""
         counters = []
         for path in sorted(self.folder.glob("front-*.log")):
             lines = [json.loads(line) for line in path.read_text().splitlines() if '"counts"' in line]
             last = lines[-1] if lines else {}
-            counters.append({name: last[name] for name in COUNTERS} if last else {})
+            counters.append({name: last[name] for name in REPORTED_COUNTERS} if last else {})
         return counters
 
 
@@ -78,7 +89,14 @@
 def running_site(
     fronts: int, sockets: int, program: str | None, installation: str | None
 ) -> Iterator[RunningSite]:
-    """A site for a time; `program` is another tree whose weldbend the fronts run."""
+    """Run a site while the context is active.
+
+    Args:
+        fronts: Number of fronts.
+        sockets: Limit of sockets of each front.
+        program: Another source tree whose weldbend the fronts run; None for this one.
+        installation: Installation file of the fronts, or None.
+    """
     tokens = ["up", "--told", "--fronts", str(fronts), "--sockets", str(sockets)]
     tokens += ["--program", program] if program else []
     tokens += ["--installation", installation] if installation else []
@@ -92,7 +110,16 @@
 
 @contextmanager
 def idle_connections(fronts: list[str], count: int, rate: float = OPEN_RATE) -> Iterator[list[ChildProcess]]:
-    """Idle connections for a time, `count` in all, shared evenly over the fronts; yields their holders."""
+    """Hold idle connections open while the context is active, and yield the processes that hold them.
+
+    Args:
+        fronts: Addresses of the fronts; each receives the same number of connections.
+        count: Number of connections to all fronts together.
+        rate: Connections per second to each front.
+
+    Raises:
+        ConnectionsFailedError: Some connections could not be opened.
+    """
     share = count // len(fronts)
     holders = [ChildProcess("hold", "--front", front, "--seed", str(n)) for n, front in enumerate(fronts)]
     try:
@@ -109,7 +136,7 @@
 
 
 class BusyLoad:
-    """An open-loop load in a process of its own."""
+    """An open-loop load that runs in a process of its own."""
 
     def __init__(self, fronts: list[str], rate: float, seconds: float, seed: int) -> None:
         tokens = ["load", "--rate", str(rate), "--seconds", str(seconds), "--seed", str(seed), "--json", "-"]
@@ -117,8 +144,8 @@
             tokens += ["--front", front]
         self.process = subprocess.Popen(testbed_command(*tokens), stdout=subprocess.PIPE, text=True)
 
-    def report(self) -> Row:
-        """Wait for the end of the load; its report."""
+    def wait_for_report(self) -> Row:
+        """Wait for the end of the load, and return its report."""
         output, _ = self.process.communicate(timeout=LOAD_TIMEOUT)
         report: Row = json.loads(output)
         return report
@@ -127,57 +154,58 @@
 def measure_memory(
     counts: list[int], program: str | None, installation: str, show: Show, rate: float = OPEN_RATE
 ) -> list[Row]:
-    """Bytes a connection and CPU at rest, for each count, each on a front of its own.
+    """Measure memory per connection and idle CPU for each number of connections, each on a fresh front.
 
-    `bytes_first` counts from before the first rush of connections, `bytes` from after one of the same size
-    has come and gone: what the allocator keeps of a rush is no cost of those that stay.
+    `bytes_first` is the growth over the first burst of connections. `bytes` is the growth over a second burst
+    of the same size, after the first one was closed: it excludes memory that the allocator retains from a
+    burst, which is no cost of the connections that stay open.
     """
     rows = []
     for count in counts:
-        with running_site(1, count + RESERVE, program, None if program else installation) as site:
-            BusyLoad(site.fronts, 86, 3, 9).report()
-            time.sleep(SETTLE)
-            before = site.anonymous()
-            slab = process_usage.kernel_sockets()
-            cpu_none = site.cpu(5)
+        with running_site(1, count + EXTRA_DESCRIPTORS, program, None if program else installation) as site:
+            BusyLoad(site.fronts, 86, 3, 9).wait_for_report()
+            time.sleep(SETTLE_TIME)
+            before = site.anonymous_memory()
+            slab = process_usage.slab_memory()
+            cpu_none = site.cpu_cores(5)
             with idle_connections(site.fronts, count, rate):
-                time.sleep(SETTLE)
-                bytes_each = (site.anonymous() - before) / count
-                kernel = (process_usage.kernel_sockets() - slab) / count / 2
+                time.sleep(SETTLE_TIME)
+                bytes_each = (site.anonymous_memory() - before) / count
+                kernel = (process_usage.slab_memory() - slab) / count / 2
                 row: Row = {
                     "program": program or "this",
                     "idle": count,
                     "bytes_first": round(bytes_each),
                     "kernel_bytes": round(kernel),
                     "cpu_none": cpu_none,
-                    "cpu_idle": site.cpu(8),
+                    "cpu_idle": site.cpu_cores(8),
                 }
-            time.sleep(SETTLE)
-            before = site.anonymous()
+            time.sleep(SETTLE_TIME)
+            before = site.anonymous_memory()
             with idle_connections(site.fronts, count, rate):
-                time.sleep(SETTLE)
-                row["bytes"] = round((site.anonymous() - before) / count)
+                time.sleep(SETTLE_TIME)
+                row["bytes"] = round((site.anonymous_memory() - before) / count)
         show(json.dumps(row))
         rows.append(row)
     return rows
 
 
 def measure_pairs(
-    count: int, rate: float, seconds: float, times: int, installation: str, show: Show
+    count: int, rate: float, seconds: float, repetitions: int, installation: str, show: Show
 ) -> list[Row]:
-    """Busy latency with `count` idle connections and with none, alternately, each on a fresh front."""
+    """Measure the latency of a load with `count` idle connections and with none, in turn, on fresh fronts."""
     pairs = []
-    for number in range(times):
+    for number in range(repetitions):
         pair: Row = {}
         for idle in (0, count) if number % 2 == 0 else (count, 0):
-            with running_site(1, count + RESERVE, None, installation) as site:
-                BusyLoad(site.fronts, rate, 2, 100 + number).report()
+            with running_site(1, count + EXTRA_DESCRIPTORS, None, installation) as site:
+                BusyLoad(site.fronts, rate, 2, 100 + number).wait_for_report()
                 if idle:
                     with idle_connections(site.fronts, idle):
-                        time.sleep(SETTLE)
-                        report = BusyLoad(site.fronts, rate, seconds, 7 + number).report()
+                        time.sleep(SETTLE_TIME)
+                        report = BusyLoad(site.fronts, rate, seconds, 7 + number).wait_for_report()
                 else:
-                    report = BusyLoad(site.fronts, rate, seconds, 7 + number).report()
+                    report = BusyLoad(site.fronts, rate, seconds, 7 + number).wait_for_report()
             pair["with" if idle else "none"] = report | {"front": site.counters()[0]}
         shown = {
             name: report["latency_ms"] | {"timers_late": report["front"].get("max_timer_delay_ms")}
@@ -189,40 +217,48 @@
 
 
 def measure_wakes(
-    count: int, rate: float, fractions: list[float], what: str, installation: str, show: Show
+    count: int, rate: float, fractions: list[float], call_kind: str, installation: str, show: Show
 ) -> list[Row]:
-    """Busy latency while a fraction of the idle wakes at once, and what became of those woken."""
+    """Measure the latency of a load while a fraction of the idle connections sends calls at once.
+
+    Each row has the report of that load under `busy`, and the results of those calls under `woken`.
+    """
     rows: list[Row] = []
     with (
-        running_site(1, count + RESERVE, None, installation) as site,
+        running_site(1, count + EXTRA_DESCRIPTORS, None, installation) as site,
         idle_connections(site.fronts, count) as holders,
     ):
-        time.sleep(SETTLE)
+        time.sleep(SETTLE_TIME)
         for fraction in fractions:
             load = BusyLoad(site.fronts, rate, 8, round(1000 * fraction))
             time.sleep(2.5)
-            holders[0].send(f"wake {fraction} {what} 12")
+            holders[0].send(f"wake {fraction} {call_kind} 12")
             woken = holders[0].receive()
-            report = load.report()
+            report = load.wait_for_report()
             report.pop("histogram")
-            row = {"share": fraction, "what": what, "woken": woken, "busy": report}
+            row = {"share": fraction, "what": call_kind, "woken": woken, "busy": report}
             show(json.dumps(row))
             rows.append(row)
-            time.sleep(SETTLE)
+            time.sleep(SETTLE_TIME)
     rows.append({"front": site.counters()[0]})
     show(json.dumps(rows[-1]))
     return rows
 
 
-def measure_many(count: int, fronts: int, rate: float, seconds: float, installation: str, show: Show) -> Row:
-    """The published run: so many idle connections over several fronts, busy requests beside them."""
-    with running_site(fronts, count // fronts + RESERVE, None, installation) as site:
-        before = site.anonymous()
-        slab = process_usage.kernel_sockets()
+def measure_many_fronts(
+    count: int, fronts: int, rate: float, seconds: float, installation: str, show: Show
+) -> Row:
+    """Measure `count` idle connections over several fronts, with a load beside them.
+
+    The documentation publishes the results of this measurement.
+    """
+    with running_site(fronts, count // fronts + EXTRA_DESCRIPTORS, None, installation) as site:
+        before = site.anonymous_memory()
+        slab = process_usage.slab_memory()
         with idle_connections(site.fronts, count) as holders:
-            time.sleep(SETTLE)
-            idle_cpu = site.cpu(5)
-            report = BusyLoad(site.fronts, rate, seconds, 3).report()
+            time.sleep(SETTLE_TIME)
+            idle_cpu = site.cpu_cores(5)
+            report = BusyLoad(site.fronts, rate, seconds, 3).wait_for_report()
             still_open = 0
             for holder in holders:
                 holder.send("count")
@@ -231,8 +267,8 @@
                 "idle": count,
                 "fronts": fronts,
                 "open at the end": still_open,
-                "bytes": round((site.anonymous() - before) / count),
-                "kernel_bytes": round((process_usage.kernel_sockets() - slab) / count / 2),
+                "bytes": round((site.anonymous_memory() - before) / count),
+                "kernel_bytes": round((process_usage.slab_memory() - slab) / count / 2),
                 "cpu_idle": idle_cpu,
                 "busy": report,
             }
--- a/weldbend/testbed/scale/report.py
+++ b/weldbend/testbed/scale/report.py
@@ -1,4 +1,4 @@
-"""The table and the plot of two sizes of a site beside the bounds."""
+"""Table and plot that compare two sizes of a site with the bounds."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 Value = Callable[[ScaleFigures], float]
 
-SHOWN: tuple[tuple[str, Value], ...] = (
+UNBOUNDED_FIGURES: tuple[tuple[str, Value], ...] = (
     ("caches", lambda f: f.caches),
     ("requests", lambda f: f.requests),
     ("CPU until it serves, s", lambda f: f.start_cpu),
@@ -20,23 +20,26 @@
     ("edges used, share", lambda f: f.edges_used),
     ("commands at the busiest tenth of edges, share", lambda f: f.busiest_fraction),
 )
-HEAD = ("for each front", "usual", "large", "bound", "verdict")
+COLUMN_TITLES = ("for each front", "usual", "large", "bound", "verdict")
 
 
 def table(usual: ScaleFigures, large: ScaleFigures, is_counted_only: bool) -> str:
-    """Each bounded line with its verdict, then what is shown beside them."""
+    """Return the table: bounded figures with their verdicts, followed by UNBOUNDED_FIGURES.
+
+    If `is_counted_only`, figures that depend on the speed of the machine get no verdict.
+    """
     rows: list[list[Cell]] = []
     for bound in BOUNDS:
         if bound.name == CALLS and not is_counted_only:
             continue
         is_judged = bound.is_counted or not is_counted_only
         verdict = "held" if bound.is_within(usual, large) else "missed"
-        sign = ">= " if bound.is_least else "<= "
+        sign = ">= " if bound.is_minimum else "<= "
         limit = f"{sign}{bound.limit(usual, large):.2f}"
         rows.append([bound.name, *_pair(bound.value, usual, large), limit, verdict if is_judged else "-"])
-    for name, value in SHOWN:
+    for name, value in UNBOUNDED_FIGURES:
         rows.append([name, *_pair(value, usual, large), "", ""])
-    return process_usage.table(rows, HEAD)
+    return process_usage.table(rows, COLUMN_TITLES)
 
 
 def _pair(value: Value, usual: ScaleFigures, large: ScaleFigures) -> list[Cell]:
@@ -44,8 +47,8 @@
 
 
 def plot(path: str, usual: ScaleFigures, large: ScaleFigures) -> None:
-    """Draw each figure at the large size as a part of its bound, as a PNG."""
-    # Here, so that only a command that draws loads it.
+    """Draw each figure at the large size as a fraction of its bound, as a PNG."""
+    # Imported here, so that only commands that draw plots load this library.
     import matplotlib
 
     matplotlib.use("Agg")
