--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -1,4 +1,7 @@
-"""Admission of requests, attempts and final answers; every rule on them is enforced in this module."""
+"""Admission: accepts or rejects requests, sends or blocks planned attempts, and gives final answers.
+
+An attempt that another part plans is sent only if all checks in this module pass.
+"""
 
 from weldbend.routing import actions, events
 from weldbend.routing.actor import Actor
@@ -13,23 +16,27 @@
 from weldbend.routing.warm_load import WarmLoad
 from weldbend.routing.windows import DecayingAverage, WindowedSum
 
-RETRY_BUDGET = 0.15  # retries allowed per request within RETRY_WINDOW
-RETRY_ALLOWANCE = 2  # retries allowed in addition to this budget
-RETRY_WINDOW = 10.0  # seconds
-RETRY_AFTER = 0.5  # seconds after which a rejected client may retry
-LAG_LIMIT = 0.03  # seconds of event-loop lag above which requests are rejected
-LAG_MEMORY = 0.5  # seconds after which a lag measurement has no effect
-LAG_SMOOTHING = 0.3  # weight of the newest measurement
-QUEUED_LIMIT = 0.35  # fraction of its latency objective that a request may spend queued unread
-OVER_LIMIT_LOAD = 3.0  # load assumed for requests over a fleet-wide limit; rejection starts at a load of 1
-MAX_ERRORS = 3  # error answers after which a request fails
+RETRY_BUDGET = 0.15  # retries allowed within RETRY_WINDOW, as a fraction of the requests received in it
+RETRY_ALLOWANCE = 2  # retries allowed within RETRY_WINDOW in addition to that fraction
+RETRY_WINDOW = 10.0  # seconds over which requests and retries are counted
+# Seconds after which a client may retry a request that was admitted and then rejected. An answer that rejects
+# a request for overload contains the site's max_retry_after instead.
+RETRY_AFTER = 0.5
+LAG_LIMIT = 0.03  # seconds of event-loop lag that count as a load of 1 (see `Admission.admit`)
+LAG_MEMORY = 0.5  # seconds after which a lag measurement has decayed to 0
+LAG_SMOOTHING = 0.3  # weight of the newest lag measurement in the average
+QUEUED_LIMIT = 0.35  # time queued unread, as a fraction of the latency objective, that counts as a load of 1
+# Load assumed for requests over a fleet-wide limit. 3 rejects all of them: a request is rejected with a
+# probability of the load minus 1 or, in the classes of the highest priority weight, minus 2.
+OVER_LIMIT_LOAD = 3.0
+MAX_ERRORS = 3  # error answers after which a request gets no further attempt
 WARM_LOAD_WINDOW = 10.0  # seconds over which the load of warm caches is measured
-PURGE_MARGIN = 0.001  # seconds by which a copy has to be newer than a purge
-MIN_COPY_AGE = 2e-6  # seconds; as an age limit, 0 would mean that any copy is accepted
+PURGE_MARGIN = 0.001  # seconds by which a copy has to be newer than a purge to be accepted
+MIN_COPY_AGE = 2e-6  # minimum age limit in seconds; a limit of 0 would mean that any copy is accepted
 
 
 class Admission(Actor[AdmissionMessage]):
-    """The part of a router that admits or blocks requests, attempts and final answers."""
+    """The part of a router that admits requests, sends or blocks attempts, and gives final answers."""
 
     def __init__(self, context: Context) -> None:
         self.context = context
@@ -66,9 +73,10 @@
         """Admit a request, or reject it when this front is overloaded.
 
         Guards against more requests than this front has time to process, which would make every answer late.
-        A fraction of the requests is rejected at once when the load exceeds 1, or 2 for the classes of the
-        highest priority weight. A request that was queued unread for too long is treated in the same way.
-        Side effect: a pause of the machine causes some requests to be rejected.
+        The load is the highest of the event-loop lag in units of LAG_LIMIT, the time for which the request
+        was queued unread in units of its limit, and OVER_LIMIT_LOAD if the request is over a fleet-wide
+        limit. The request is rejected with a probability of the load minus 1, or minus 2 if its class has the
+        highest priority weight. Side effect: a pause of the machine causes some requests to be rejected.
         """
         context = self.context
         request_class = self.context.settings.classes[received.class_name]
@@ -85,7 +93,10 @@
             context.post(context.requests.setdefault(received.id, request), received)
 
     def find_block(self, attempt: Attempt) -> Blocked | None:
-        """Return what blocks an attempt; None if it may be sent."""
+        """Return what blocks an attempt, or None if it may be sent.
+
+        The result is `Blocked(None)` if no other cache would help, else it names the cache to avoid.
+        """
         request = attempt.request
         statistics = self.context.statistics
         if self.is_exhausted(request) or not self.is_safe(attempt):
@@ -93,11 +104,13 @@
         if not self.is_deduplicated(attempt):
             return Blocked(attempt.cache)
         is_densest = statistics.is_densest(request.request_class)
+        # concurrency limits do not apply to origin-only classes
         is_limited = not request.request_class.origin_only
         at_parent = is_limited and attempt.limited_by().role is Role.PARENT
         if at_parent and not self.context.parent_limit.has_capacity(is_densest):
             return Blocked(None)
         for cache in attempt.caches():
+            # primary: no cache of the same role has been ruled out before, or this one was already looked up
             is_primary = cache is request.missed_cache or all(
                 c.role is not cache.role for c in request.ruled_out
             )
@@ -113,9 +126,9 @@
     def is_exhausted(self, request: Request) -> bool:
         """Return whether a request may have no further attempt.
 
-        This is the case when its time, its attempts, the errors allowed or the retry budget are used up.
-        Attempts that ended by a fault of this machine are not counted: each of them took the time of a
-        connect, so the deadline bounds them.
+        This is the case when its time, its number of attempts, its number of errors or the retry budget is
+        used up. Attempts that ended by a fault of this machine do not count as attempts: each of them took
+        the time of an attempt to connect, so the deadline limits their number.
         """
         now = self.context.now
         errors = sum(attempt.result is AttemptResult.ERROR for attempt in request.attempts)
@@ -127,7 +140,7 @@
         return errors >= MAX_ERRORS or is_budget_spent or is_expired or is_attempt_limit_reached
 
     def is_safe(self, attempt: Attempt) -> bool:
-        """Return whether an attempt can have no second effect, and is no hedge where that is forbidden."""
+        """Return whether an attempt cannot cause a second effect and is no hedge that the site forbids."""
         request = attempt.request
         settings = self.context.settings
         executions = request.possible_executions()
@@ -136,13 +149,14 @@
             return False
         if not executions or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
+        # two ticks (times between batches) before the key of the first execution may be forgotten
         until = executions[0].sent + request_class.deduplication_window - 2 * settings.tick
         return request_class.idempotency is Idempotency.DEDUPLICATED and self.context.now < until
 
     def is_deduplicated(self, attempt: Attempt) -> bool:
         """Return whether the cache of an attempt recognises the keys of all possible executions.
 
-        If it does not, a different cache may.
+        Another cache may recognise them even if this one does not.
         """
         request_class = attempt.request.request_class
         executions = attempt.request.possible_executions()
@@ -151,14 +165,15 @@
         return all(shares_idempotency_keys(request_class.deduplication_scope, e, attempt) for e in executions)
 
     def has_slow_start_budget(self, cache: Cache, request: Request) -> bool:
-        """Return whether a cache has the capacity for a request, considering that it may be warming up."""
+        """Return whether this front may send a request to a cache, which may be warming up."""
         warm_load = self.warm_load.flows.get(cache.role, 0.0)
         return cache.slow_start.admits(self.context.mean_work(request), warm_load)
 
     def send(self, attempt: Attempt) -> None:
         """Send an attempt and count it at every cache involved.
 
-        The attempt does not join a fill that an earlier attempt of the same request may have started.
+        If the site allows it, the attempt may join a fill that is under way, unless an earlier attempt of the
+        same request may have started a fill.
         """
         request = attempt.request
         now = self.context.now
@@ -177,7 +192,8 @@
     def max_age(self, attempt: Attempt) -> float:
         """Return the maximum age in seconds of an acceptable copy.
 
-        Copies older than a purge known to this front are never accepted.
+        Copies older than a purge known to this front are never accepted. If it knows of no purge of the
+        object or its group, the result is 0, which accepts any copy.
         """
         received = attempt.request.received
         fresh_for = attempt.request.request_class.fresh_for
@@ -186,7 +202,7 @@
         return min(age, fresh_for or age)
 
     def record_purge(self, purge: events.ObjectsPurged) -> None:
-        """Store a purge for as long as older copies may exist."""
+        """Store a purge for as long as copies older than the purge may exist."""
         now = self.context.now
         lifetime = self.context.settings.purge_lifetime()
         self.purges.record(purge.key or purge.group, now - purge.age, now, lifetime)
@@ -204,10 +220,11 @@
                 self.warm_load.record_served(attempt)
 
     def answer(self, request: Request) -> None:
-        """Send the final answer: a rejection with Retry-After if a repeat is safe, else a failure."""
+        """Send the final answer: a rejection with Retry-After if a retry is safe, else a failure."""
         executions = request.possible_executions()
         request_class = request.request_class
         is_deduplicated = request_class.idempotency is Idempotency.DEDUPLICATED
+        # unless all caches recognise the key, the client's retry may reach one that does not
         if executions and is_deduplicated and request_class.deduplication_scope is DeduplicationScope.ALL:
             is_harmless = self.context.now < executions[0].sent + request_class.deduplication_window
         else:
--- a/weldbend/routing/cache_group.py
+++ b/weldbend/routing/cache_group.py
@@ -1,6 +1,6 @@
 """Groups of caches to choose from, with their ranking and sums over their counts, updated incrementally.
 
-This module contains no routing decisions.
+This module only stores and ranks caches; which of them a request is sent to is decided elsewhere.
 """
 
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
     from weldbend.routing.concurrency import ConcurrencyLimit
     from weldbend.routing.context import Context
 
-SEARCH_GROWTH_FACTOR = 4  # factor by which each search for more choices exceeds the previous one
+SEARCH_GROWTH_FACTOR = 4  # ratio of the numbers of choices found by two successive searches
 
 
 class CacheGroup:
@@ -81,7 +81,8 @@
         successes, failures: weighted outcomes of attempts within the health window.
         timely, late: answers in time, and late or missing ones, within the overload window.
         warming: members that are warming up.
-        late_limits: limits that may have counted a late answer within the overload window.
+        late_limits: concurrency limits of members that may have counted a late answer within the overload
+            window.
     """
 
     def __init__(self, context: "Context", health_window: float, overload_window: float) -> None:
@@ -133,20 +134,23 @@
         self.late_limits[limit] = None
 
     def success_rate(self) -> float:
-        """Return the success rate of the attempts at all members, with one assumed success."""
+        """Return the success rate of the attempts at all members.
+
+        One more success is assumed, so the rate is 1 if there are no attempts.
+        """
         successes = self.successes.total(self.context.now)
         failures = self.failures.total(self.context.now)
         return (successes + 1) / (successes + failures + 1)
 
     def most_late(self) -> "ConcurrencyLimit | None":
-        """Return the limit with the highest count of late answers; None if there are none."""
+        """Return the concurrency limit with the most late answers; None if no member has any."""
         now = self.context.now
         self.late_limits = {limit: None for limit in self.late_limits if limit.late.total(now)}
         return max(self.late_limits, key=lambda limit: limit.late.total(now), default=None)
 
 
 class Choices:
-    """The first choices for one object in a group, determined on demand and cached.
+    """The first choices for one object in a group, determined on demand and stored.
 
     Args:
         group: group of caches to choose from.
@@ -173,6 +177,10 @@
             position += 1
 
     def find_more(self) -> None:
-        """Extend the cached choices; a search always starts over, so each one finds several times as many."""
+        """Extend the stored choices.
+
+        A search always starts from the first choice, so each search finds several times as many choices as
+        the one before.
+        """
         wanted = min(SEARCH_GROWTH_FACTOR * len(self.found) or 1, self.max_choices)
         self.found = list(islice(self.group.ranked(self.object_name), wanted))
--- a/weldbend/routing/cache_rates.py
+++ b/weldbend/routing/cache_rates.py
@@ -1,4 +1,7 @@
-"""The paper's cache rate of each tier: copies stored per fill; contains no routing decisions."""
+"""The cache rate of each tier, as the paper defines it: copies stored per fill.
+
+This module only counts; which tiers store a copy is decided in `placement`.
+"""
 
 from collections.abc import Iterable
 
@@ -7,7 +10,12 @@
 
 
 class CacheRates:
-    """Fills and stored copies by tier, over the last `window` seconds."""
+    """Counts of fills and stored copies by tier, over the last `window` seconds.
+
+    Attributes:
+        fills: number of fills through each tier.
+        kept: number of those fills of which the tier stored a copy.
+    """
 
     def __init__(self, tiers: Iterable[Role], window: float) -> None:
         tiers = tuple(tiers)
@@ -15,7 +23,7 @@
         self.kept = {tier: WindowedSum(window) for tier in tiers}
 
     def record(self, tiers: Iterable[Role], chosen: set[Role], now: float) -> None:
-        """Count a fill through the tiers, of which those chosen store a copy."""
+        """Count a fill that passes through `tiers`, of which those in `chosen` store a copy."""
         for tier in tiers:
             self.fills[tier].add(now)
             self.kept[tier].add(now, tier in chosen)
--- a/weldbend/routing/cache_state.py
+++ b/weldbend/routing/cache_state.py
@@ -12,10 +12,14 @@
 from weldbend.routing.slow_start import RECONNECT_GRACE, RECONNECT_WINDOW, SlowStart
 
 HEALTH_WINDOW = 10.0  # seconds of answers from which the health of a cache is determined
-LATE_WEIGHT = 0.5  # weight of a late answer relative to a failure; exactly representable in binary
-OUTLIER_THRESHOLD = 0.8  # fraction of its peers' success rate that a cache must draw to be trusted
-MIN_PRIOR = 0.1  # lower bound of the peers' success rate in the prior
-MAX_PRIOR = 0.95  # upper bound of that rate
+# Weight of a late answer relative to a failure; exact in binary, so that `WindowedSum.merge` can subtract it
+# without a remainder.
+LATE_WEIGHT = 0.5
+# A cache is trusted if the success rate drawn for it exceeds this fraction of the success rate of the caches
+# with which it is compared.
+OUTLIER_THRESHOLD = 0.8
+MIN_PRIOR = 0.1  # lower bound of the success rate that is the mean of the prior distribution
+MAX_PRIOR = 0.95  # upper bound of that success rate
 
 
 class Cache(CacheRecord):
@@ -62,7 +66,7 @@
                 self.update_warming()
 
     def apply_peer_knowledge(self, known: events.PeerKnowledge) -> None:
-        """Apply a later start time or a stricter state known to peers, and ignore anything else."""
+        """Apply a later start time, or a state that allows less use, known to peers; ignore anything else."""
         if known.started is not None and known.started > (self.started or -math.inf):
             self.restart(known.started)
         if known.state and known.state.value > self.state.value:
@@ -72,7 +76,8 @@
     def record_outcome(self, outcome: Outcome) -> None:
         """Update the health by the outcome of an attempt.
 
-        A lost connection counts once, regardless of the number of attempts in flight on it.
+        Connections lost at the same time count as one failure, because all attempts in flight on a connection
+        are lost together.
         """
         now = self.context.now
         if outcome is Outcome.CONNECTION_LOST:
@@ -107,18 +112,24 @@
         return self.slow_start.capacity_fraction() >= 1
 
     def failure_rate(self) -> float:
-        """Return the fraction of failures among the answers that this front received."""
+        """Return the fraction of failures among the outcomes of attempts at this front.
+
+        One more outcome is assumed that is 0.1 of a failure, so the rate is 0.1 if there are no outcomes.
+        """
         successes = self.successes.total(self.context.now)
         failures = self.failures.total(self.context.now)
         return (failures + 0.1) / (successes + failures + 1)
 
     def is_trusted(self, peer_success: float) -> bool:
-        """Return whether the cache performs about as well as its peers, by a draw from the posterior.
-
-        Guards against caches that fail, completely or partly, or become slow. The prior and the threshold are
-        the peers' success rate, so a fault that affects all caches alike does not redistribute requests. Side
-        effect: after a short fault, a healthy cache may be skipped for up to HEALTH_WINDOW. A probe marked as
-        mandatory (`must_probe`) is sent regardless of remembered failures.
+        """Return whether the cache performs about as well as others, by a random draw of its success rate.
+
+        Guards against caches that fail, completely or partly, or become slow. `peer_success` is the success
+        rate of the caches with which this one is compared. The prior and the threshold are derived from it,
+        so a fault that affects all caches alike does not redistribute requests. A cache without failures is
+        trusted without a draw. Side effect: after a short fault, a healthy cache may be skipped for up to
+        HEALTH_WINDOW. If the fleet restricts the work of a cache, at most the fraction `admitted_fraction`
+        of the calls for it return True. A probe marked as mandatory (`must_probe`) is sent regardless of
+        remembered failures.
         """
         if self.admitted_fraction < 1 and self.context.random.random() >= self.admitted_fraction:
             return False
@@ -128,7 +139,11 @@
         return failures == 0 or self.draw_success(peer_success) > OUTLIER_THRESHOLD * peer_success
 
     def draw_success(self, peer_success: float = 0.5) -> float:
-        """Return a draw from the posterior of the success rate (Thompson sampling, with a beta prior)."""
+        """Return a random draw from the posterior of the success rate (Thompson sampling, with a beta prior).
+
+        The prior weighs as much as two outcomes; its mean is `peer_success`, limited to the
+        range from MIN_PRIOR to MAX_PRIOR.
+        """
         now = self.context.now
         prior = 2 * min(max(peer_success, MIN_PRIOR), MAX_PRIOR)
         successes = self.peer_successes + self.successes.total(now)
@@ -137,10 +152,10 @@
 
 
 def responsible_cache(attempt: Attempt) -> Cache:
-    """Return the cache that a slow attempt counts against.
+    """Return the cache that a slow or failed attempt counts against: usually the one that does the work.
 
-    A slow fetch from the origin counts against the parent instead if the parent has a high failure rate that
-    exceeds the origin's.
+    A fetch from the origin through a parent counts against the parent instead of the origin if the failure
+    rate of the parent exceeds both OVERLOAD_LATE_FRACTION and the failure rate of the origin.
     """
     parent = attempt.source
     origin = attempt.origin
--- a/weldbend/routing/class_statistics.py
+++ b/weldbend/routing/class_statistics.py
@@ -11,9 +11,11 @@
 
     Args:
         classes: request classes of the site.
-        window: seconds for which durations are remembered.
-        prior: number of answers that the latency objective of a class counts as in its mean work.
-        minimum: minimum expected duration, and minimum expected work, in seconds.
+        window: seconds for which durations and sizes of answers are remembered by role.
+        prior: number of answers that are assumed, in addition to those received, in the mean work of a class;
+            the work of each is the latency objective.
+        minimum: lower bound in seconds, both of expected durations and of the known size from which one is
+            computed.
     """
 
     def __init__(self, classes: Iterable[RequestClass], window: float, prior: int, minimum: float) -> None:
@@ -26,7 +28,7 @@
         self.keep_classes({request_class.name for request_class in self.classes})
 
     def change_classes(self, classes: Iterable[RequestClass], still_open: set[str]) -> None:
-        """Replace the classes, keeping the statistics of those that remain or have open requests."""
+        """Replace the classes; classes that remain or are named in `still_open` keep their statistics."""
         self.classes = tuple(classes)
         self.keep_classes({request_class.name for request_class in self.classes} | still_open)
 
@@ -43,7 +45,7 @@
     def record(
         self, request_class: RequestClass, role: Role, now: float, duration: float, work: float
     ) -> None:
-        """Count an answer that took `duration` seconds; `work` is its size, 0 if it is unknown."""
+        """Count an answer that took `duration` seconds; `work` is its size, 0 (counted as 1) if unknown."""
         durations, sizes = self.answer_sums[request_class.name, role]
         durations.add(now, duration)
         sizes.add(now, work or 1.0)
@@ -54,7 +56,7 @@
         self.work[request_class.name] = total + work, count + 1
 
     def mean_work(self, request_class: RequestClass) -> float:
-        """Return the mean seconds of sending; initially this is the latency objective."""
+        """Return the mean size of an answer in seconds of sending; initially the latency objective."""
         total, count = self.work[request_class.name]
         return (total + self.prior * request_class.latency_objective) / (count + self.prior)
 
@@ -70,5 +72,6 @@
         """Return the expected seconds until an answer of this size (0: unknown) from a cache of this role."""
         durations, sizes = (window.total(now) for window in self.answer_sums[request_class.name, role])
         size = max(work, self.minimum) if work else 1.0
+        # mean duration per second of sending; one answer of this size that takes the objective is assumed
         expected = size * (durations + request_class.latency_objective) / (sizes + size)
         return max(expected, self.minimum)
--- a/weldbend/routing/concurrency.py
+++ b/weldbend/routing/concurrency.py
@@ -1,4 +1,7 @@
-"""Concurrency limits found by AIMD, for this front's attempts in flight at a cache and at all parents."""
+"""Limits on the attempts of this front that are in flight at one cache, and at all parents together.
+
+The limits are found by AIMD (additive increase, multiplicative decrease).
+"""
 
 import math
 
@@ -11,13 +14,15 @@
 
 DECREASE_FACTOR = 0.6  # factor by which a decrease multiplies a limit
 DECREASE_INTERVAL = 0.1  # minimum number of seconds between two decreases
-MIN_FLEET_LIMIT = 1.0  # lower bound of a limit on attempts in flight, summed over all fronts
-INITIAL_SPREAD = 2.0  # initial limit: a front's fair share of the link plus this multiple of its square root
-INITIAL_LIMIT = 12.0  # initial limit if the size of the link is unknown
-# Fraction of a limit that is available to requests whose first choice is another cache.
+MIN_FLEET_LIMIT = 1.0  # lower bound of a limit, summed over all fronts that share the cache or the parents
+INITIAL_SPREAD = 2.0  # initial limit: a front's fair share of the link plus this multiple of the share's root
+INITIAL_LIMIT = 12.0  # initial limit at the origin, and at any cache whose link size is unknown
+# Fraction of a cache's limit that is available to requests for which another cache of its role was ruled out.
 SPILLOVER_FRACTION = 0.5
-DENSEST_HEADROOM = 1.3  # factor by which the class of the highest priority density may exceed a limit
-PASS_THROUGH_WEIGHT = 0.5  # load of a fill passing through an edge, relative to that of a lookup
+# Factor by which the class of the highest priority weight per second of sending may exceed a limit.
+DENSEST_HEADROOM = 1.3
+# Load of a fill that passes through a cache, relative to an attempt for which that cache does the work.
+PASS_THROUGH_WEIGHT = 0.5
 OVERLOAD_WINDOW = 3.0  # seconds of answers from which overload is detected
 OVERLOAD_LATE_FRACTION = 0.15  # fraction of late answers above which a cache is considered overloaded
 
@@ -43,7 +48,13 @@
         """Return whether one more attempt may be sent.
 
         If the free capacity is less than one attempt, the result is random, so that the attempts of many
-        fronts together do not exceed the capacity of a link.
+        fronts together do not exceed the capacity of a link. The chance is close to the free capacity if many
+        fronts share the cache, and 1 for a single front.
+
+        Args:
+            is_densest: whether no other class has a higher priority weight per second of sending.
+            is_primary: whether no other cache of the same role was ruled out for the request, or this one has
+                been looked up for it.
         """
         limit = self.limit * (DENSEST_HEADROOM if is_densest else 1.0)
         limit *= 1.0 if is_primary else SPILLOVER_FRACTION
@@ -60,8 +71,9 @@
     def adapt(self, outcome: Outcome) -> None:
         """Adapt the limit: additive increase after a success, multiplicative decrease under overload.
 
-        The increase applies only while the limit is in use. Over as many successes as the limit allows
-        attempts, the increases of all fronts of the zone add up to one.
+        The limit increases only while at least about half of it is used. As many successes as the limit
+        allows attempts increase it by 1 / `zone_fronts`, so the limits of all fronts of the zone together
+        increase by 1.
         """
         now = self.cache.context.now
         context = self.cache.context
@@ -72,7 +84,7 @@
             self.decrease_if_overloaded(now)
 
     def decrease_if_overloaded(self, now: float) -> None:
-        """Decrease the limit if more than a few answers were late."""
+        """Decrease the limit if too many of the recent answers were late."""
         if is_overloaded(self.late.total(now), self.timely.total(now)):
             self.decreased_at = now
             self.limit = max(MIN_FLEET_LIMIT / self.cache.sharing_fronts, self.limit * DECREASE_FACTOR)
@@ -81,10 +93,14 @@
 class ParentConcurrencyLimit:
     """The limit on this front's attempts in flight at all parents together, found by AIMD as for one cache.
 
-    Guards against overload by many fronts that each send little: limits of at least one attempt at each
-    parent add up to many times the capacity of the parents. The parent with the most late answers is ignored,
-    because the cause may be a fault of that parent alone. Side effect: if two of many parents are overloaded,
-    the load on the others is reduced as well.
+    Guards against overload by many fronts that each send little: if every front could have one attempt in
+    flight at each parent, they would add up to many times the capacity of the parents. The parent with the
+    most late answers is ignored, because the cause may be a fault of that parent alone. Side effect: if two
+    of many parents are overloaded, the load on the others is reduced as well.
+
+    Attributes:
+        decreased_at: time of the last decrease.
+        fraction: the current limit as a fraction of the initial one; at most 1.
     """
 
     def __init__(self, context: Context) -> None:
@@ -93,12 +109,16 @@
         self.fraction = 1.0
 
     def limit(self) -> float:
-        """Return the number of attempts that may be in flight."""
+        """Return the number of attempts that may be in flight, before the lower bound is applied."""
         weight = self.context.ready[Role.PARENT].ranking.weight()
         return self.fraction * initial_limit(weight * self.context.parent_fraction)
 
     def record(self, outcome: Outcome) -> None:
-        """Adapt the limit to an outcome, as for a single cache."""
+        """Adapt the limit to an outcome, similarly to that of a single cache.
+
+        Differences: the limit never exceeds the initial one, an increase is 1 / `fraction` times as large,
+        and a decrease needs at least two parents, because the worst one is ignored.
+        """
         now = self.context.now
         parents = self.context.ready[Role.PARENT]
         if outcome is Outcome.SUCCESS:
@@ -133,13 +153,13 @@
 
 
 def initial_limit(fair_quota: float) -> float:
-    """Return a fair share of a link plus headroom for the variation of arrivals."""
+    """Return the initial limit for a fair share of a link in flows; it has headroom for random arrivals."""
     return fair_quota + INITIAL_SPREAD * math.sqrt(fair_quota)
 
 
 def is_overloaded(late: float, timely: float) -> bool:
     """Return whether too many answers were late to be explained by large objects.
 
-    More than one answer and more than `OVERLOAD_LATE_FRACTION` of all have to be late.
+    The number of late answers has to exceed `OVERLOAD_LATE_FRACTION` of all answers by more than one.
     """
     return late > 1 + OVERLOAD_LATE_FRACTION * (late + timely)
--- a/weldbend/routing/connection_breaks.py
+++ b/weldbend/routing/connection_breaks.py
@@ -1,4 +1,4 @@
-"""Times at which connections to a cache broke, as evidence of a restart; contains no tuning constants."""
+"""Times at which connections to a cache broke, from which a possible restart of the cache is inferred."""
 
 import math
 
@@ -7,7 +7,7 @@
     """The last time that a connection broke, and the last time that none could be opened.
 
     Args:
-        grace: seconds after a break before a restart is assumed.
+        grace: seconds after a break from which on the cache is assumed to have restarted.
         reconnect_window: seconds within which a new connection shows that there was no restart.
     """
 
@@ -24,14 +24,21 @@
             self.unreachable_at = now
 
     def record_open(self, now: float) -> None:
-        """Record that a connection was opened, which soon after a break shows that there was no restart."""
+        """Record that a connection was opened.
+
+        Soon after a break this shows that the cache did not restart then, so the break is forgotten. The last
+        time at which no connection could be opened is not.
+        """
         if now < self.broken_at + self.reconnect_window:
             self.broken_at = self.unreachable_at
 
     def grace_ends_at(self) -> float:
-        """Return the time from which the last break is assumed to be a possible restart."""
+        """Return the time from which on the last break counts as a possible restart."""
         return self.broken_at + self.grace
 
     def possible_restart(self, now: float) -> float:
-        """Return the latest time at which the cache may have restarted unnoticed; minus infinity if never."""
+        """Return the latest time at which the cache may have restarted unnoticed; minus infinity if never.
+
+        A break counts only after its grace period, a failure to open a connection at once.
+        """
         return self.unreachable_at if now < self.grace_ends_at() else self.broken_at
