--- a/weldbend/routing/actions.py
+++ b/weldbend/routing/actions.py
@@ -21,7 +21,7 @@
         join_fill: whether the attempt may join a fill that is under way.
         only_if_cached: whether the source answers only from its stored copies.
         leave_no_copy: whether the source stores no copy of what it fetches.
-        revalidate: whether an ageing copy is renewed after it was served.
+        revalidate: whether the cache, after it has answered with an ageing copy, renews that copy.
     """
 
     id: str
@@ -61,10 +61,10 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Return `TimerFired(token)` after `delay` seconds.
+    """Request the event `TimerFired(token)` after `delay` seconds.
 
-    `id` and `attempt` identify the request and attempt that the timer belongs to, or are "" and -1. The timer
-    need not fire once that request has ended.
+    `id` and `attempt` identify the request and attempt that the timer belongs to, or are "" and -1 if it
+    belongs to none. Once that request has ended, the event may be omitted.
     """
 
     delay: float
--- a/weldbend/routing/actor.py
+++ b/weldbend/routing/actor.py
@@ -17,8 +17,8 @@
 class Mailbox:
     """The non-empty inboxes of all actors, and the order in which their messages were posted.
 
-    An inbox exists only while it contains a message, because an inbox for each cache would use most of the
-    cache's memory.
+    An inbox exists only while it contains a message, because a permanent inbox would use most of the memory
+    that the router uses for each cache.
 
     Attributes:
         inboxes: pending messages of each actor.
@@ -31,7 +31,7 @@
 
     def post(self, actor: Actor[Message], message: Message) -> None:
         """Append a message to the inbox of an actor."""
-        receiver: Actor[object] = actor  # type: ignore[assignment]  # each actor only gets what it can handle
+        receiver: Actor[object] = actor  # type: ignore[assignment]  # callers post only what it can handle
         inbox = self.inboxes.get(receiver)
         if inbox is None:
             inbox = self.inboxes[receiver] = deque()
--- a/weldbend/routing/context.py
+++ b/weldbend/routing/context.py
@@ -19,7 +19,7 @@
 
 
 class Context:
-    """Shared state of one router; it contains no routing decisions.
+    """Shared state of one router; what to send where is decided by the parts that use it.
 
     Attributes:
         settings: current settings of the site.
@@ -34,7 +34,8 @@
         ready: groups of caches that this front may use, by role.
         hub_parents: ready parents of the hub.
         requests: requests that are open or have attempts in flight, by id.
-        parent_fraction: this front's fraction of the attempts in flight at the parents for all fronts.
+        parent_fraction: this front's share of the attempts that all fronts together may have in flight at the
+            parents.
         parents_in_flight: number of attempts of this front in flight at all parents.
         parent_limit: limit on that number.
         prefilter, placement, admission: parts of the router that process requests.
@@ -78,9 +79,10 @@
         self.statistics.change_classes(settings.classes.values(), still_open)
 
     def update_ready(self) -> None:
-        """Update the groups of ready caches, and delete removed caches, whose numbers are never reused.
+        """Update the groups of ready caches, and delete the caches that were removed from the endpoint list.
 
-        The cost is proportional to the number of changed caches.
+        Deletion by number is safe because a number is never reused for another cache. The cost is
+        proportional to the number of changed caches.
         """
         for cache in self.changed:
             if cache.state is EndpointState.REMOVED:
@@ -104,11 +106,14 @@
         self.actions.append(SetTimer(delay, token, request, attempt))
 
     def post_to_participants(self, attempt: "Attempt") -> None:
-        """Notify all caches involved in an attempt of its start or end, and then its request."""
+        """Notify the caches involved in an attempt, and then its request, that it has started or ended."""
         for cache in attempt.caches():
             self.post(cache, attempt)
         self.post(attempt.request, attempt)
 
     def mean_work(self, request: "Request") -> float:
-        """Return the mean seconds of sending for the class of a request."""
+        """Return the mean size of an answer for the class of a request.
+
+        The size is in seconds of sending at the maximum rate of a client.
+        """
         return self.statistics.mean_work(request.request_class)
--- a/weldbend/routing/endpoint_table.py
+++ b/weldbend/routing/endpoint_table.py
@@ -1,4 +1,4 @@
-"""Maintenance of the known caches according to the endpoint list; contains no routing decisions."""
+"""Adds, changes and removes known caches according to the endpoint list."""
 
 from collections.abc import Callable
 
@@ -8,7 +8,7 @@
 
 
 class EndpointTable:
-    """Applies endpoint lists to the known caches; each cache receives its entry, placement the whole list.
+    """Applies endpoint lists: each cache receives its entry, and placement receives the whole list.
 
     Args:
         context: shared state of the router.
@@ -20,7 +20,7 @@
         self.make_cache = make_cache
 
     def update(self, event: EndpointsListed) -> None:
-        """Apply a list, or changes of one; it must not be one that could not be fetched."""
+        """Apply a complete list, or changes of one; its scope must not be `ListScope.FAILED`."""
         context = self.context
         for endpoint in event.endpoints:
             if endpoint.id not in context.caches:
@@ -31,7 +31,7 @@
         context.post(context.placement, event)
 
     def remove_unlisted(self, listed: set[int]) -> None:
-        """Mark the caches that a complete list does not contain as removed."""
+        """Mark all caches as removed whose numbers are not in `listed`, the numbers in a complete list."""
         for cache in self.context.caches.values():
             if cache.id not in listed:
                 cache.state = EndpointState.REMOVED
--- a/weldbend/routing/event_dispatch.py
+++ b/weldbend/routing/event_dispatch.py
@@ -1,4 +1,4 @@
-"""Delivery of events to the parts of a router that process them; contains no routing decisions."""
+"""Delivery of events to the parts of a router that process them."""
 
 from weldbend.routing import events
 from weldbend.routing.context import Context
@@ -32,7 +32,11 @@
                 context.post(context.admission, event)
 
     def dispatch_timer(self, event: events.TimerFired) -> None:
-        """Post a timer event; tokens have the form `end:REQUEST` or `slow:REQUEST:ATTEMPT`."""
+        """Post a timer event to its request.
+
+        The token is `end:REQUEST` at the end of a request's time, or `slow:REQUEST:ATTEMPT` when an attempt
+        takes too long.
+        """
         purpose, request_id, *number = event.token.split(":")
         request = self.context.requests.get(request_id)
         if request is None:
@@ -53,7 +57,8 @@
     def dispatch_cache_event(self, event: events.CacheEvent) -> None:
         """Post an event to its cache, and information from peers to placement as well.
 
-        Information from peers may change the ready caches.
+        Information from peers may change the state of a cache, and placement updates the groups of ready
+        caches.
         """
         cache = self.context.caches.get(event.cache)
         if cache is None:
--- a/weldbend/routing/events.py
+++ b/weldbend/routing/events.py
@@ -12,7 +12,7 @@
 
 
 class EndpointState(Enum):
-    """State of a cache in the endpoint list; the members are in order of increasing strictness."""
+    """State of a cache in the endpoint list; each member allows less use of the cache than the one before."""
 
     READY = auto()
     DRAINING = auto()
@@ -23,7 +23,7 @@
     """Relation of an endpoint list to the one known before."""
 
     CHANGES = auto()
-    """Only the entries that have changed."""
+    """Only the entries that have changed since the list known before."""
     COMPLETE = auto()
     """All entries: endpoints that are not listed are removed."""
     REMEMBERED = auto()
@@ -72,7 +72,7 @@
 
 
 class FillHint(Enum):
-    """Information in an answer about its fill, if the site provides it."""
+    """Information about the fill that produced an answer; NONE if the site does not provide any."""
 
     NONE = auto()
     HIT = auto()
@@ -128,7 +128,7 @@
 
     @property
     def cache(self) -> "PossibleExecution":
-        """The zone and cell of the cache, which determine the caches that recognise the key."""
+        """This object, used in place of a cache: it has a zone and a cell as an attempt's `cache` has."""
         return self
 
 
@@ -219,7 +219,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer set by `SetTimer` has expired.
+    """A timer set by the action `SetTimer` has expired.
 
     `connection_silent`: whether the connection of the timer's attempt has delivered no data since the attempt
     was sent.
@@ -240,7 +240,8 @@
 class PeerKnowledge:
     """Information from other fronts about a cache.
 
-    It can only lead to stricter decisions; None means that nothing is known.
+    A router applies only a start time later than the one it knows, and a state that allows less use of the
+    cache; None means that the other fronts know nothing.
     """
 
     cache: int
@@ -250,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExecutedElsewhere:
-    """Another front may have had an open request executed."""
+    """An attempt by another front may have executed a request that is open at this front."""
 
     id: str
     execution: PossibleExecution
@@ -292,7 +293,7 @@
 class ParentQuota:
     """This front's fraction of the attempts that all fronts may have in flight at the parents.
 
-    It depends on the demand at each front.
+    The share of a front depends on the demand there and at the other fronts.
     """
 
     fraction: float
@@ -300,9 +301,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionUpdate:
-    """The fraction of its work that a cache may receive from this front: 0 for none, 1 for all.
+    """The fraction of its attempts at a cache that this front may send: 0 for none, 1 for all.
 
-    The outlier detection of the fleet determines it.
+    The outlier detection of the fleet, which may eject a cache, determines it.
 
     Attributes:
         is_probe: whether the cache is half-open and this front sends the probe.
@@ -328,7 +329,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopLagMeasured:
-    """The number of seconds for which events wait before this front processes them."""
+    """The lag of this front's event loop: seconds for which events wait before they are processed."""
 
     lag: float
 
--- a/weldbend/routing/messages.py
+++ b/weldbend/routing/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the parts of a router. These types contain no routing decisions."""
+"""Messages between the parts of a router, as plain data types."""
 
 from dataclasses import dataclass
 from enum import Enum, auto
@@ -39,7 +39,8 @@
 class Popularity:
     """Request frequency of an object.
 
-    `level` is at most the prefilter's highest level; `free_fraction` is the unused fraction of its table.
+    `level` is at most the prefilter's highest level; `free_fraction` is the unused fraction of the
+    prefilter's table of objects.
     """
 
     level: int
@@ -55,7 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """An attempt takes too long; `is_silent`: its connection has delivered no data since it was sent."""
+    """An attempt takes too long.
+
+    `is_silent`: whether its connection has delivered no data since the attempt was sent.
+    """
 
     attempt: "Attempt"
     is_silent: bool = False
--- a/weldbend/routing/object_counts.py
+++ b/weldbend/routing/object_counts.py
@@ -11,7 +11,7 @@
         self.counts: OrderedDict[str, int] = OrderedDict()
 
     def count(self, name: str, step: int, highest: int) -> int:
-        """Add `step` to the count of an object, limit it to the range from 1 to `highest`, and return it."""
+        """Add `step` to the count of an object, and return the count, limited to the range 1 to `highest`."""
         count = min(max(self.counts.pop(name, 0) + step, 1), highest)
         self.counts[name] = count
         if len(self.counts) > self.size:
--- a/weldbend/routing/prefilter.py
+++ b/weldbend/routing/prefilter.py
@@ -24,7 +24,7 @@
     def handle(self, message: Request) -> None:
         """Count a request, unless it is a retry, and post the level of its object.
 
-        Requests for the object at other fronts are added to the level.
+        The number of recent requests for the object at other fronts is added to the level, up to the highest.
         """
         level = self.counts.count(message.object_name, int(not message.received.is_retry), self.highest)
         level = min(level + message.received.requested_elsewhere, self.highest)
--- a/weldbend/routing/purge_table.py
+++ b/weldbend/routing/purge_table.py
@@ -1,4 +1,4 @@
-"""Purge times of objects and groups of objects, kept for as long as older copies may exist."""
+"""Purge times of objects and groups of objects, stored for as long as copies older than a purge may exist."""
 
 import math
 from collections.abc import Iterable
@@ -11,7 +11,7 @@
         self.purge_times: dict[str | int, float] = {}
 
     def record(self, name: str | int, moment: float, now: float, lifetime: float) -> None:
-        """Store the latest purge of a name, and delete purges that are at least `lifetime` seconds old."""
+        """Store a purge at the time `moment` unless a later one is known; delete purges of age `lifetime`."""
         self.purge_times = {other: at for other, at in self.purge_times.items() if now - at < lifetime}
         self.purge_times[name] = max(moment, self.purge_times.get(name, -math.inf))
 
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -1,4 +1,4 @@
-"""State records of attempts, requests and caches. This module contains no routing decisions."""
+"""State records of attempts, requests and caches; what to send where is decided elsewhere."""
 
 import math
 from dataclasses import dataclass
@@ -41,7 +41,7 @@
         request: request that the attempt belongs to.
         cache: cache that the attempt is sent to.
         source: cache that a miss is filled from; None for a lookup, which only checks whether the cache has
-            the object.
+            the object, and for an attempt that is sent to the origin.
         rank: rank with which the cache stores a copy; 0 if it stores none.
         leave_no_copy: whether the source stores no copy of what it fetches.
         only_if_cached: whether the source answers only from its stored copies.
@@ -51,7 +51,8 @@
         result: outcome of the attempt; None while it is in flight.
         ended: event that reported the end of the attempt.
         is_suspected: whether the attempt has taken longer than expected.
-        is_silent: whether, in addition, its connection has delivered no data although answers were expected.
+        is_silent: whether the connection of the suspected attempt has delivered no data since the attempt was
+            sent, although answers were expected on it or the attempt had been suspected before.
     """
 
     request: "Request"
@@ -119,14 +120,16 @@
         received: event that reported the request.
         request_class: request class, as defined by the settings at the time of admission.
         object_name: name of the requested object, used by the prefilter and the hash.
-        executions: attempts of other fronts that may have been executed.
+        executions: attempts of this request by other fronts that may have been executed.
         attempts: attempts of this front, in the order in which they were sent.
         failed_caches: caches that failed to answer this request.
-        ruled_out: caches that may not be used for this request.
+        ruled_out: caches at which admission blocked an attempt; they are not used again for this request.
         choices: first choices for the object by hash, for each group of caches.
-        missed_cache: cache that was looked up and does not have the object.
-        missed_parent: parent that does not have the object.
-        error_suspects: caches that answered with an error for which they may be responsible.
+        missed_cache: cache that was looked up and does not have the object, and that the next attempt fills;
+            None if there was no lookup or that cache has failed since.
+        missed_parent: parent that does not have the object: the source of a fill, or the cache looked up.
+        error_suspects: caches that answered with an error for which they may be responsible; the error is
+            counted against them once another attempt is served.
         popularity: popularity of the object according to the prefilter.
         is_closed: whether the request has its final answer or was cancelled.
     """
@@ -164,7 +167,7 @@
         return attempt
 
     def record_miss(self, attempt: Attempt) -> None:
-        """Store which cache, and which parent if one was asked, does not have the object."""
+        """Store that the cache of an attempt, and its source if there is one, does not have the object."""
         self.missed_cache = attempt.cache
         parent = attempt.cache if attempt.cache.role is Role.PARENT else self.missed_parent
         self.missed_parent = attempt.source or parent
@@ -195,13 +198,14 @@
         probe_counts: outcomes since probing started; None unless the cache is being probed or has been probed
             and does not receive all of its work yet.
         quota: this front's quota of what may be sent to the cache during its warm-up.
-        sent_work, wanted_work: seconds of work sent, and requested, within the overload window.
+        sent_work, wanted_work: work in seconds of sending that this front sent, and that it would have sent
+            during a warm-up without a quota, within the overload window.
         successes, failures: outcomes of attempts at this front within the health window, as weighted counts;
             a late answer counts as a fraction of a failure.
         answers: number of answers of any kind received on its connections.
         lost_at: time at which a connection with attempts in flight was last lost.
         breaks: record of broken connections.
-        in_flight: attempts that count against the concurrency limit of the cache.
+        in_flight: attempts in flight that count against the concurrency limit of the cache.
         passing_through: number of fills in flight through this cache that count against the limit of another
             one.
         group: group of ready caches of its role; None if it is not a member.
@@ -228,7 +232,7 @@
         self.group: RoleGroup | None = None
 
     def clear(self, health_window: float, breaks: ConnectionBreaks) -> None:
-        """Reset the local observations of the cache, whose attempts in flight no longer count in limits."""
+        """Reset what this front observed at the cache; its attempts in flight no longer count in limits."""
         self.count_in_flight(-len(self.in_flight))
         self.breaks = breaks
         self.health_window = health_window
--- a/weldbend/routing/reports.py
+++ b/weldbend/routing/reports.py
@@ -1,4 +1,4 @@
-"""Information about a router's caches for other fronts; contains no routing decisions."""
+"""Information about a router's caches for other fronts."""
 
 import math
 from dataclasses import dataclass
@@ -15,7 +15,7 @@
         fleet_budget: work that all fronts together may send; infinite if the cache is warm.
         sent: work that this front sent.
         wanted: work that this front would have sent without a quota.
-        attempt_work: maximum work of one attempt.
+        attempt_work: mean work of one attempt, for the request class in which it is highest.
     """
 
     fleet_budget: float
--- a/weldbend/routing/settings.py
+++ b/weldbend/routing/settings.py
@@ -41,7 +41,7 @@
     Attributes:
         name: name of the class in the site's settings.
         idempotency: whether, and under what conditions, a request may be repeated.
-        deduplication_scope: set of caches that share their idempotency keys.
+        deduplication_scope: set of caches that recognise a key that one of them has received.
         deduplication_window: seconds after the first attempt for which a key is remembered.
         deadline_after: seconds after its arrival by which a request needs its final answer.
         latency_objective: seconds within which an answer counts with its full priority weight.
@@ -70,7 +70,7 @@
     Attributes:
         start_capacity: initial fraction of the full capacity.
         seconds: time until the full capacity is reached; the fraction grows linearly until then.
-        overload_factor: multiple of the current capacity at which the cache fails.
+        overload_factor: load at which the cache fails, as a multiple of its current capacity.
     """
 
     start_capacity: float
@@ -101,13 +101,15 @@
         joins_fills: whether a request may join a fill that is under way.
         edge_start_capacity: fraction of its full capacity that an edge has at its start.
         edge_warmup: seconds until an edge reaches its full capacity after its start.
-        edge_overload_factor: multiple of its current capacity at which an edge fails during its warm-up.
-        edge_overload_window: seconds of such load after which it fails.
+        edge_overload_factor: load at which an edge fails during its warm-up, as a multiple of its current
+            capacity.
+        edge_overload_window: seconds of such a load after which the edge fails.
         parent_start_capacity: fraction of its full capacity that a parent has at its start.
         parent_warmup: seconds until a parent reaches its full capacity after its start.
-        parent_overload_factor: multiple of its current capacity at which a parent fails during its warm-up.
-        purge_grace: seconds after a front learns of a purge, after which no older copy may be used in an
-            answer.
+        parent_overload_factor: load at which a parent fails during its warm-up, as a multiple of its current
+            capacity.
+        purge_grace: seconds, counted from the time at which a front learns of a purge, after which no copy
+            older than the purge may be used in an answer.
         purge_complete_after: seconds after which a purge has reached every cache.
     """
 
