--- a/weldbend/routing/placement.py
+++ b/weldbend/routing/placement.py
@@ -10,17 +10,18 @@
 from weldbend.routing.requests import Request
 from weldbend.routing.settings import Role
 
-ALPHA = 1  # weight of V_k in the paper
-BETA = 1  # weight of V_hop
-GAMMA = 1  # weight of V_hitk
-HOP_VALUE = {Role.EDGE: 2, Role.PARENT: 1}  # V_hop
+ALPHA = 1  # weight of V_k in the paper: here the unused fraction of the prefilter's table
+BETA = 1  # weight of V_hop in the paper: see HOP_VALUE
+GAMMA = 1  # weight of V_hitk in the paper: here the popularity level of the object
+HOP_VALUE = {Role.EDGE: 2, Role.PARENT: 1}  # V_hop in the paper, by tier
 HIGHEST_LEVEL = 5  # highest prefilter level in the paper
 EDGE_LEVEL = 2  # prefilter level from which an edge may store a copy
-COPY_RANK = 2  # rank of a copy at an edge
+COPY_RANK = 2  # maximum rank with which an edge stores a copy
 TABLE_SIZE = 8192  # number of objects that the prefilter remembers
 RATE_WINDOW = 10.0  # seconds over which cache rates are measured
 MAX_CHOICES = 32  # number of caches of a group, in the order of the hash, considered for one request
-# Seconds: after a miss at a parent whose limit decreased this recently, the hub's parents are not preferred.
+# If the limit of the parent that missed has decreased within this many seconds, the hub's parents are not
+# preferred as sources.
 OVERLOADED_PARENT_WINDOW = 10.0
 
 
@@ -43,10 +44,12 @@
     def plan(self, request: Request) -> Attempt | None:
         """Return the next attempt, or None if no cache can be used.
 
-        A class that is for the origin goes there directly. Other requests go to an edge, or to a parent if no
-        edge can be used.
+        Requests of an origin-only class go to the origin directly if the site allows that. Other requests go
+        to an edge, or to a parent if no edge can be used. After a lookup that missed, the cache looked up is
+        filled.
         """
         if request.request_class.origin_only and self.context.settings.allows_bypass:
+            # peer success 0.0: no origin is excluded for its failures at other requests
             origin = self.pick(request, self.context.ready[Role.ORIGIN], 0.0)
             return Attempt(request, origin) if origin else None
         edges = self.context.ready[Role.EDGE]
@@ -56,7 +59,7 @@
         edge = self.pick(request, edges, edges.success_rate())
         if edge is None:
             return self.plan_at_parent(request)
-        # no lookup at an edge during its warm-up: it stores little, and each attempt uses up budget
+        # no lookup at an edge in its warm-up: it has few copies, and an attempt uses slow-start budget
         if request.request_class.origin_only or not edge.is_warm():
             return self.plan_fill(request, edge)
         return Attempt(request, edge, rank=COPY_RANK if request.popularity.level >= EDGE_LEVEL else 0)
@@ -64,11 +67,13 @@
     def plan_at_parent(self, request: Request) -> Attempt | None:
         """Return an attempt at a parent if no edge can be used.
 
-        The parent is asked for its stored copy before the origin is involved.
+        The parent is first asked for its stored copy only. The attempt also involves the origin if the parent
+        is known not to have the object, is warming up, or the class is never cached.
         """
         origins = self.context.ready[Role.ORIGIN]
         parent = None
         if self.context.settings.allows_bypass and origins:
+            # peer success 0.0: no parent is excluded for its failures at other requests
             parent = self.pick(request, self.context.ready[Role.PARENT], 0.0)
         if parent is None:
             return None
@@ -78,10 +83,11 @@
     def plan_fill(self, request: Request, edge: Cache) -> Attempt | None:
         """Return an attempt that fills an edge, or None if there is no source.
 
-        A parent is first asked for a copy that it has stored already. Such an object has been requested
-        before, maybe at another front, so the edge may store it as well. Guards the stored copies of a parent
-        against faults of the origin: only objects that the parent lacks count against the origin's limit.
-        Side effect: these objects need one more round trip.
+        A parent is first asked only for a copy that it has already stored. If it has one, the object has been
+        requested before, maybe at another front, so the edge may store it as well. If it has none, the next
+        attempt involves the origin. Guards against faults of the origin that make the stored copies of a
+        parent unusable: only objects that the parent lacks count against the origin's limit. Side effect:
+        these objects need one more round trip.
         """
         source = self.pick_source(request)
         if source is None:
@@ -96,9 +102,10 @@
         return attempt
 
     def decide_copies(self, attempt: Attempt) -> None:
-        """Decide which tiers store a copy: that of the highest value and that of the lowest cache rate."""
+        """Decide which tiers store a copy, as `choose_tiers` describes."""
         request = attempt.request
         if attempt.only_if_cached:  # the parent has a copy, so only the edge may store one
+            # below the edge's level the copy has a lower rank
             attempt.rank = min(COPY_RANK, request.popularity.level)
             return
         is_cacheable = not request.request_class.origin_only
@@ -109,7 +116,10 @@
         attempt.leave_no_copy = Role.PARENT in tiers and Role.PARENT not in chosen
 
     def choose_tiers(self, request: Request, tiers: set[Role]) -> set[Role]:
-        """Return the tiers of the highest value and of the lowest cache rate that the prefilter admits."""
+        """Return the tier of the highest value and that of the lowest cache rate, which may be the same.
+
+        Only tiers whose popularity level the object has reached are considered; the result may be empty.
+        """
         popularity = request.popularity
         levels = {Role.EDGE: EDGE_LEVEL, Role.PARENT: 0}
         admitted = [tier for tier in HOP_VALUE if tier in tiers and popularity.level >= levels[tier]]
@@ -123,8 +133,11 @@
     def pick_source(self, request: Request) -> Cache | None:
         """Return the source of a fill; None if there is none.
 
-        The first trusted parent of the hub by hash is preferred, then any trusted parent by hash. The origin
-        is used if no parent performs as well.
+        The first trusted parent of the hub by hash is preferred, or of all zones if the hub has no ready
+        parent or the parent that missed was overloaded recently. The next choice is the first parent by hash
+        that performs about as well as the best parent or origin. If there is none, the result depends on
+        whether a parent has been ruled out for this request: if so, it is a trusted origin or None; if not,
+        it is the parent or origin with the highest drawn success rate.
         """
         parents = self.context.ready[Role.PARENT]
         origins = self.context.ready[Role.ORIGIN]
@@ -135,6 +148,7 @@
             and self.context.now - missed_parent.concurrency.decreased_at < OVERLOADED_PARENT_WINDOW
         ):
             preferred = parents
+        # peer success 1.0: a parent with failures is compared with one that has none
         if picked := self.pick_trusted(request, preferred or parents, 1.0):
             return picked
         candidates = [*self.choices(request, parents), *self.choices(request, origins)]
@@ -146,7 +160,11 @@
         return max(not_failed, key=Cache.draw_success, default=None)
 
     def pick(self, request: Request, caches: CacheGroup, peer_success: float) -> Cache | None:
-        """Return the first trusted cache by hash, else the best draw of those not ruled out."""
+        """Return the first trusted cache by hash, or else the one with the highest drawn success rate.
+
+        Caches that were ruled out are never returned, and those that failed this request only if there is no
+        other.
+        """
         if picked := self.pick_trusted(request, caches, peer_success):
             return picked
         ranked = [cache for cache in self.choices(request, caches) if cache not in request.ruled_out]
--- a/weldbend/routing/rendezvous.py
+++ b/weldbend/routing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Weighted rendezvous hashing in two levels: each front ranks the caches for an object in the same order.
+"""Weighted rendezvous hashing in two levels: all fronts rank the caches for an object in the same order.
 
 Each cache belongs to one of `BUCKETS` buckets, by a hash of its number. For each object, an exponentially
 distributed time is drawn for each bucket, with the total weight of its caches as the rate, and then one for
@@ -20,16 +20,17 @@
 NUMBERS = Struct(f"<{BUCKETS}I")
 NUMBER_RANGE = 2**32
 NUMBER_BYTES = 4
-LOWEST_BYTES = b"\x80" * BUCKETS  # lowest byte of each number, so that no number is 0
+LOWEST_BYTES = b"\x80" * BUCKETS  # value of the lowest byte of each bucket's number, so that no number is 0
 MAX_WEIGHT = 1e100  # upper bound of a cache's weight, so that sums stay finite
-ROUNDING = 1e-9  # relative tolerance, far above the rounding error of a logarithm
+ROUNDING = 1e-9  # relative tolerance when buckets are compared, far above the rounding error of a logarithm
 
 
 def arrival_time(object_name: str, cache: int, weight: float) -> float:
     """Return the time drawn for a cache and an object; the lowest time marks the first choice.
 
-    Caches come first in proportion to their weights. The time is the negative logarithm of a number that a
-    hash draws from (0, 1], divided by the weight (Schindelhauer and Schomaker 2005).
+    The probability that a cache is the first choice is proportional to its weight. The time is the negative
+    logarithm of a number that a hash draws from (0, 1], divided by the weight (Schindelhauer and Schomaker
+    2005).
     """
     digest = blake2b(f"{object_name} {cache}".encode(), digest_size=DIGEST_BYTES).digest()
     return -math.log((int.from_bytes(digest) + 1) / (DIGEST_RANGE + 1)) / weight
@@ -75,7 +76,10 @@
         return sorted(times, key=lambda cache: (times[cache], cache), reverse=True)
 
     def interarrival_time(self, object_name: str, remaining: list[int]) -> float:
-        """Return the seconds between the previous arrival and the next one, given the remaining caches."""
+        """Return the time between the arrival of the previous cache of the bucket and that of the next one.
+
+        `remaining` contains the caches that have not arrived; the total of their weights is the rate.
+        """
         weight = math.fsum(self.weights[cache] for cache in remaining)
         return arrival_time(f"{object_name} bucket {self.number}", len(remaining), weight)
 
@@ -125,17 +129,25 @@
             yield from islice(self.in_order(object_name, numbers), 1, None)
 
     def first_bucket(self, numbers: tuple[int, ...]) -> Bucket:
-        """Return the bucket whose first cache arrives first; its number is close to the highest one drawn."""
+        """Return the bucket whose first cache arrives first.
+
+        A bucket arrives at -log(number / NUMBER_RANGE) / weight. The one with the highest number arrives no
+        later than if it were the lightest bucket. Another can only arrive earlier, even if it is the heaviest
+        one, if its number is at least `least`; only those buckets are compared.
+        """
         highest = max(compress(numbers, self.occupied)) / NUMBER_RANGE
         least = highest ** self.weight_ratio() * NUMBER_RANGE * (1 - ROUNDING)
         candidates = [bucket for bucket in self.buckets.values() if numbers[bucket.number] >= least]
         return min(candidates, key=lambda bucket: (bucket.first_arrival(numbers), bucket.number))
 
     def in_order(self, object_name: str, numbers: tuple[int, ...]) -> Iterator[int]:
-        """Yield all caches in the order of arrival; caches of the same bucket arrive at drawn intervals."""
+        """Yield all caches in the order of arrival.
+
+        Each cache of a bucket after the first arrives a randomly drawn interval after the one before.
+        """
         arrivals = [(bucket.first_arrival(numbers), bucket.number) for bucket in self.buckets.values()]
         heapify(arrivals)
-        orders: dict[int, list[int]] = {}
+        orders: dict[int, list[int]] = {}  # caches that have not arrived, by bucket, last choice first
         while arrivals:
             time, number = arrivals[0]
             bucket = self.buckets[number]
--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -8,8 +8,9 @@
 from weldbend.routing.records import Attempt, RequestRecord
 from weldbend.routing.settings import Idempotency
 
-TIMEOUT_FACTOR = 2.5  # multiple of the expected duration after which an attempt is suspected
-# Answers expected since an attempt was sent, from which on a silent connection is evidence of a fault.
+TIMEOUT_FACTOR = 2.5  # multiple of its expected duration after which an attempt is suspected
+# If at least this many answers of a cache were expected since an attempt was sent, a connection that has
+# delivered no data since then is evidence of a fault.
 MIN_EXPECTED_ANSWERS = 3.0
 # Results that are no evidence of a faulty cache.
 INCONCLUSIVE_RESULTS = {
@@ -30,14 +31,17 @@
     """An admitted request of a client."""
 
     def needs_retry(self) -> bool:
-        """Return whether another attempt counts as a retry, which a fill after a miss does not."""
+        """Return whether another attempt counts as a retry; a fill after a miss does not.
+
+        An attempt that is started while another is in flight counts, unless that one is silent.
+        """
         return any(a.result not in RETRY_EXEMPT_RESULTS and not a.is_silent for a in self.attempts)
 
     def handle(self, message: RequestMessage) -> None:
         """Process a message.
 
-        Ends of attempts are processed until the last attempt has ended, all other messages only until the
-        final answer.
+        Ends of attempts and cancellations are processed until the last attempt has ended, all other messages
+        only until the final answer.
         """
         match message:
             case Attempt() if message.result is not None:
@@ -51,6 +55,7 @@
         """Process a message while the final answer is outstanding."""
         match message:
             case events.RequestReceived():
+                # two ticks (times between batches) are left to give the final answer before the deadline
                 remaining = max(
                     self.received.deadline - self.context.now - 2 * self.context.settings.tick, 0.0
                 )
@@ -64,7 +69,7 @@
             case Blocked(cache) if cache is not None and cache not in self.ruled_out:
                 self.ruled_out.add(cache)
                 self.context.post(self.context.placement, self)
-            case Blocked() if not self.in_flight():
+            case Blocked() if not self.in_flight():  # admission gives the final answer
                 self.context.post(self.context.admission, self)
             case events.ResponseStarted():
                 self.is_closed = True
@@ -72,7 +77,7 @@
                 self.executions.append(message.execution)
             case Suspicion() if message.attempt.result is None:
                 self.suspect(message)
-            case events.TimerFired():
+            case events.TimerFired():  # the time of the request has ended; admission gives the final answer
                 self.context.post(self.context.admission, self)
 
     def set_timeout(self, attempt: Attempt) -> None:
@@ -88,12 +93,14 @@
         self.context.start_timer(delay, attempt.timeout_token(), self.received.id, attempt.number)
 
     def suspect(self, suspicion: Suspicion) -> None:
-        """Start another attempt beside a suspected one, or cancel that one if hedging is not allowed.
-
-        Guards against attempts that do not end. Most slow attempts are for large objects, so an attempt gets
-        a second timeout if its connection is not silent and, where hedging is allowed, its cache is trusted.
-        Silence of a connection is evidence only if answers were expected on it. Side effect: the first
-        attempts at a cache that stops answering are late.
+        """Start another attempt beside a suspected one, or cancel the suspected one if hedging is forbidden.
+
+        Guards against attempts that do not end. Most slow attempts are for large objects, so at the first
+        suspicion an attempt gets a second timeout if its connection is not silent and, where hedging is
+        allowed, the cache responsible is trusted. The first suspicion also counts as a failure of that cache.
+        A connection without data is considered silent only if answers were expected on it, or at the second
+        suspicion. An attempt of a non-idempotent request is neither repeated nor cancelled on suspicion.
+        Side effect: the first attempts at a cache that stops answering are late.
         """
         context = self.context
         attempt = suspicion.attempt
@@ -113,7 +120,7 @@
             context.post(context.admission, Suspicion(attempt))
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Process the end of an attempt, and plan another one if no unsuspected attempt is in flight."""
+        """Process the end of an attempt, and plan another one if all attempts in flight are suspected."""
         assert attempt.ended is not None
         if attempt.result is AttemptResult.SERVED:
             self.record_served(attempt, attempt.ended.duration)
@@ -131,7 +138,10 @@
             self.discard_if_finished()
 
     def avoid_cache(self, cache: Cache) -> None:
-        """Prefer another cache for this request, as this machine may be able to connect to that one."""
+        """Prefer other caches for this request.
+
+        This machine could not connect to `cache`, but may be able to connect to others.
+        """
         self.failed_caches.add(cache)
         if cache is self.missed_cache:
             self.missed_cache = None
@@ -139,8 +149,8 @@
     def record_served(self, attempt: Attempt, duration: float) -> None:
         """Record the duration and size of an answer.
 
-        If the size is unknown, the duration is recorded instead, unless the answer is late: the delay may
-        have other causes than a large object.
+        If the size is unknown, the duration is recorded as the size, unless the answer is late: then the
+        delay may have other causes than a large object.
         """
         context = self.context
         request_class = self.request_class
@@ -161,25 +171,27 @@
     def attribute_failure(self, attempt: Attempt) -> Cache:
         """Record a failure against the cache that is probably responsible, and return that cache.
 
-        A failed lookup counts against the edge. A failed fill counts against the source, because the edge had
-        answered the lookup before. An error without a fill hint counts against a cache only after another
-        cache has served the same request. This guards against requests that no cache can answer. Side effect:
-        a cache that answers all requests with errors is excluded a little later.
+        A failed lookup counts against the cache looked up. A failed fill counts against the source or the
+        origin, because the edge had answered the lookup before, unless the connection to the edge broke or
+        is silent, or the edge gave the hint NO_PLACE. An error without a fill hint counts against a cache
+        only after another attempt at the same request was served. This guards against requests that no cache
+        can answer. Side effect: a cache that answers all requests with errors is excluded a little later.
         """
         hint = attempt.ended and attempt.ended.fill_hint
         is_reset = attempt.result is AttemptResult.RESET
-        at_edge = attempt.is_silent or attempt.result in events.BROKEN or hint is FillHint.NO_PLACE
-        blamed = attempt.cache if at_edge else responsible_cache(attempt)
+        # whether the fault is at the cache that the attempt was sent to, and not at its source or the origin
+        is_at_cache = attempt.is_silent or attempt.result in events.BROKEN or hint is FillHint.NO_PLACE
+        responsible = attempt.cache if is_at_cache else responsible_cache(attempt)
         if attempt.result is AttemptResult.ERROR and hint is FillHint.NONE:
-            self.error_suspects.append(blamed)
+            self.error_suspects.append(responsible)
         else:
             is_lost = attempt.is_silent or is_reset
-            self.context.post(blamed, Outcome.CONNECTION_LOST if is_lost else Outcome.FAILURE)
-        if not is_reset:
-            self.failed_caches |= {blamed, blamed if at_edge else attempt.source or blamed}
-        if blamed is self.missed_cache:
+            self.context.post(responsible, Outcome.CONNECTION_LOST if is_lost else Outcome.FAILURE)
+        if not is_reset:  # after a reset the same cache may be used again
+            self.failed_caches |= {responsible, responsible if is_at_cache else attempt.source or responsible}
+        if responsible is self.missed_cache:
             self.missed_cache = None
-        return blamed
+        return responsible
 
     def close(self) -> None:
         """Mark the request as closed, and cancel its attempts in flight if the site allows that."""
--- a/weldbend/routing/router.py
+++ b/weldbend/routing/router.py
@@ -23,10 +23,12 @@
 from weldbend.routing.settings import Role, SiteSettings
 
 STATISTICS_WINDOW = 10.0  # seconds for which durations of answers are remembered
-WORK_PRIOR = 4  # number of answers that the latency objective of a class counts as in its mean work
+# Number of answers, each as large as the latency objective of the class, that are assumed in its mean work in
+# addition to those received.
+WORK_PRIOR = 4
 MIN_EXPECTED_DURATION = 0.1  # minimum expected duration of an answer in seconds
-LIST_RETRIES = 20  # number of requests for the endpoint list within the time limit for receiving it
-WATCH_TOKEN = "watch"
+LIST_RETRIES = 20  # requests for the endpoint list within the site's `list_refresh` if it cannot be fetched
+WATCH_TOKEN = "watch"  # token of the timer after which the endpoint list is requested again
 
 
 class Router:
@@ -70,7 +72,7 @@
         return self.context.actions
 
     def update_endpoints(self, event: events.EndpointsListed) -> None:
-        """Apply an endpoint list, or schedule a new request for a list that could not be fetched."""
+        """Apply an endpoint list or, if it could not be fetched, schedule another request for it."""
         settings = self.context.settings
         if event.scope is not ListScope.FAILED:
             self.endpoints.update(event)
--- a/weldbend/routing/slow_start.py
+++ b/weldbend/routing/slow_start.py
@@ -6,10 +6,10 @@
 from weldbend.routing.settings import Role
 from weldbend.routing.turn_credit import TurnCredit
 
-BUDGET_FRACTION = 0.75  # fraction of the budget of a cache in warm-up that is used
-TURN_VALID_FRACTION = 0.5  # fraction of the budget's window after which an unused turn of a front expires
-RECONNECT_GRACE = 0.2  # seconds after a broken connection before a restart is assumed
-RECONNECT_WINDOW = 0.5  # seconds within which a new connection shows that there was no restart
+BUDGET_FRACTION = 0.75  # load that all fronts may send, as a fraction of that at which the cache fails
+TURN_VALID_FRACTION = 0.5  # fraction of the overload window after which an unused turn of a front expires
+RECONNECT_GRACE = 0.2  # seconds after a connection broke from which on a restart is assumed
+RECONNECT_WINDOW = 0.5  # seconds after a break within which a new connection disproves a restart
 MIN_LINK_FLOWS = 0.5  # minimum size of a link, in flows, assumed if link sizes are unknown
 
 
@@ -43,7 +43,10 @@
         return max(listed_start, self.cache.breaks.possible_restart(self.context.now))
 
     def next_change(self) -> float:
-        """Return the next time at which the cache may become warm or cold by itself; infinity if never."""
+        """Return the next time at which the cache may become warm or cold without an event, or infinity.
+
+        It becomes cold when the grace period after a broken connection ends, as it may then have restarted.
+        """
         now = self.context.now
         breaks = self.cache.breaks
         grace_end = breaks.grace_ends_at() if now < breaks.grace_ends_at() else math.inf
@@ -54,7 +57,9 @@
     def admits(self, work: float, warm_load: float) -> bool:
         """Return whether this front may send an amount of work within its quota of the cache's capacity.
 
-        A front that has just started may have sent work before its restart, so its quota grows over a window.
+        A front that has just started may have sent work before its restart, so the usable part of its quota
+        grows from 0 over the first overload window. If the quota of one window is less than this work, and is
+        not leased, the front sends only in its turn.
         """
         if self.capacity_fraction() >= 1:
             return True
@@ -68,7 +73,7 @@
         return self.takes_turn(budget, work, window)
 
     def budget(self) -> float:
-        """Return the work per flow of its link that the cache can handle in one overload window."""
+        """Return the work per flow of its link that all fronts may send to the cache per overload window."""
         settings = self.context.settings
         factor = settings.warm_up(self.cache.role).overload_factor
         return factor * self.capacity_fraction() * settings.edge_overload_window * BUDGET_FRACTION
@@ -76,8 +81,8 @@
     def link_quota(self, warm_load: float) -> float:
         """Return this front's quota of the link in flows.
 
-        It depends on the leases or on the endpoint list. If the sizes of links are unknown, the recently
-        measured load of warm caches is used.
+        It is the leased fraction of the link size in the endpoint list or, without leases, an equal share of
+        it. If the sizes of links are unknown, it is the recently measured load of warm caches.
         """
         cache = self.cache
         settings = self.context.settings
@@ -90,14 +95,16 @@
     def takes_turn(self, budget: float, work: float, window: float) -> bool:
         """Return whether this front may send an attempt although its budget is below one attempt per window.
 
-        Credit grows from a random start, and a turn that is not used in time expires. Guards against all
-        fronts having a saved turn when requests arrive at many of them at once. Side effect: a front with few
-        requests misses most of its turns.
+        A front has a turn when its credit reaches the work of one attempt. Credit grows from a random start,
+        so that the turns of fronts differ, and a turn that is not used in time expires. Guards against all
+        fronts having an unused turn when requests arrive at many of them at once. Side effect: a front with
+        few requests misses most of its turns.
         """
         first = 0.0 if self.credit.amount is not None else work * self.context.random.random()
         credit = self.credit.grow(self.context.now, budget / window, first)
         excess = credit % work
         has_turn = credit >= work and excess <= TURN_VALID_FRACTION * budget
         if credit > 0:
+            # credit for one attempt at most, which `TurnCredit.spend` subtracts when the attempt is sent
             self.credit.amount = excess + work if has_turn else excess
         return has_turn
--- a/weldbend/routing/turn_credit.py
+++ b/weldbend/routing/turn_credit.py
@@ -1,8 +1,14 @@
-"""Credit that grows with time and is spent by sending work; contains no routing decisions."""
+"""Credit that grows with time and is spent by sending work."""
 
 
 class TurnCredit:
-    """Credit in seconds of work, for a receiver whose budget is below one attempt."""
+    """Credit in seconds of work, for a cache whose budget per overload window is below one attempt.
+
+    Attributes:
+        amount: the credit; None until `grow` has been called.
+        grown_at: time of the last call of `grow`.
+        rate: growth per second at that time.
+    """
 
     def __init__(self) -> None:
         self.amount: float | None = None
@@ -10,7 +16,7 @@
         self.rate = 0.0
 
     def grow(self, now: float, rate: float, first: float) -> float:
-        """Add the credit since the last call, at the mean of the old and new rate; start with `first`."""
+        """Add the credit since the last call, at the mean of the old and new rate; begin with `first`."""
         if self.amount is None:
             self.amount = first
         else:
@@ -20,6 +26,6 @@
         return self.amount
 
     def spend(self, work: float) -> None:
-        """Subtract work that was sent, if the credit has been started."""
+        """Subtract work that was sent, if `grow` has been called before."""
         if self.amount is not None:
             self.amount -= work
--- a/weldbend/routing/windows.py
+++ b/weldbend/routing/windows.py
@@ -1,4 +1,4 @@
-"""Sliding-window sums and decaying averages in constant memory. This module contains no routing decisions."""
+"""Sliding-window sums and decaying averages in constant memory."""
 
 
 class WindowedSum:
@@ -6,15 +6,15 @@
 
     Args:
         span: seconds that the sum covers.
-        buckets: number of parts that the span is divided into; the sum covers up to one part more than
-            `span`.
+        buckets: number of parts into which the span is divided. One more bucket is stored, so the sum covers
+            between `span` and one part more than that.
 
     Attributes:
         width: seconds covered by a bucket.
         bucket: number of the newest bucket; bucket 0 begins at time 0.
         bucket_end: time at which the next bucket begins.
         sum: sum of all buckets.
-        sums: sum of each bucket, at its number modulo their count; None if all are 0.
+        sums: sum of each bucket, at the bucket's number modulo the number of buckets; None if all are 0.
     """
 
     __slots__ = ("bucket", "bucket_end", "buckets", "sum", "sums", "width")
@@ -70,7 +70,11 @@
         self.bucket_end = (current + 1) * self.width
 
     def _bucket_at(self, now: float) -> int:
-        """Return the last bucket whose start, as computed here, is not after a time."""
+        """Return the last bucket whose start is not after the time `now`.
+
+        The start is compared as `bucket * width` in floating point, because the division alone may round to a
+        neighbouring bucket.
+        """
         bucket = int(now / self.width)
         while bucket * self.width > now:
             bucket -= 1
@@ -80,7 +84,7 @@
 
 
 class PooledSum(WindowedSum):
-    """A windowed sum that may also be part of a pool: a sum of the same span over several pooled sums."""
+    """A windowed sum that may be a member of a pool: another sum, of the same span, over all its members."""
 
     __slots__ = ("pool",)
 
@@ -110,7 +114,7 @@
     """An exponentially smoothed measurement that decays linearly to 0 while there is no new one.
 
     Args:
-        smoothing: weight of the newest measurement, in (0, 1].
+        smoothing: weight of the newest measurement, in (0, 1]; the decayed value has the rest.
         memory: seconds after which the last value has decayed to 0.
     """
 
