--- a/weldbend/simhost/errors.py
+++ b/weldbend/simhost/errors.py
@@ -13,7 +13,7 @@
 
 
 class UnexpectedLineError(MalformedLineError):
-    """A line of another kind than the protocol requires at this point."""
+    """A line whose first word is not the one that the protocol requires at this point."""
 
     def __init__(self, expected: str, found: str) -> None:
         super().__init__(f"expected {expected}, got {found!r}")
@@ -22,7 +22,7 @@
 
 
 class UnknownInstanceError(MalformedLineError):
-    """An event for an instance that was never started or has been retired."""
+    """An event for an instance (simulated front) that was never started or has been removed."""
 
     def __init__(self, number: int | None) -> None:
         super().__init__(f"event for unknown instance {number}")
--- a/weldbend/simhost/host.py
+++ b/weldbend/simhost/host.py
@@ -33,7 +33,10 @@
         self.events: list[Event] = []
 
     def process_events(self, now: float) -> list[str]:
-        """Pass the events to the router; return the lines of its actions, or one line for an exception."""
+        """Pass the events of the batch to the router, and return the lines of the reply.
+
+        These are its actions or, if it raised an exception, one line with the traceback.
+        """
         events = self.events
         self.events = []
         try:
@@ -54,7 +57,7 @@
         self._lines = lines
         self._instances: dict[int, Instance] = {}
         self._current_number: int | None = None  # number of the instance to which the next lines apply
-        self._replies: dict[int, list[str]] = {}  # by instance, in the order of their first events
+        self._replies: dict[int, list[str]] = {}  # lines by instance, in the order of the first event of each
 
     def read(self) -> Iterator[tuple[str, str]]:
         """Yield each line, split into its first word and the rest."""
--- a/weldbend/simhost/wire.py
+++ b/weldbend/simhost/wire.py
@@ -1,6 +1,6 @@
 """Translation between lines of the simulator's protocol and the router's events and actions.
 
-Times on the wire are integers in microseconds; `-` is written for an absent value.
+Times in these lines are integers in microseconds; an absent value is written as `-`.
 """
 
 import base64
@@ -55,12 +55,14 @@
     "disk": ListScope.REMEMBERED,
     "error": ListScope.FAILED,
 }
+# results by their numbers in the protocol, from 1; the protocol has no number for LOCAL_FAULT
 RESULTS = dict(enumerate((r for r in AttemptResult if r is not AttemptResult.LOCAL_FAULT), 1))
+# fill hints by their numbers in the protocol, from 0
 FILL_HINTS = dict(enumerate(FillHint))
 MICROSECONDS_PER_SECOND = 1e6
-ROUNDING_MARGIN = 1e-3  # microseconds; added so that floating-point error does not lose a whole one
+ROUNDING_MARGIN = 1e-3  # microseconds; added before rounding down so that floating-point error loses none
 LIST_ENTRY = "a list entry"  # a line of the endpoint list, as error messages call it
-RETRY_FLAG = 2  # bit in the flags of a request
+RETRY_FLAG = 2  # bit in the flags of a request that marks it as a retry
 
 Key = TypeVar("Key")
 Value = TypeVar("Value")
@@ -85,7 +87,7 @@
 
 
 def number(text: str) -> float:
-    """Parse a number; an absent one is 0.
+    """Parse a number; an absent number (`-`) is 0.
 
     Raises:
         MalformedLineError: The text is not a number.
@@ -97,7 +99,7 @@
 
 
 def seconds(text: str) -> float:
-    """Parse a time or duration in microseconds and return it in seconds; an absent one is 0.
+    """Parse a time or duration in microseconds and return it in seconds; an absent value (`-`) is 0.
 
     Raises:
         MalformedLineError: The text is not an integer.
@@ -111,7 +113,7 @@
 
 
 def values(name: str, rest: str, count: int) -> list[str]:
-    """Return all values of a line, which must be at least `count`.
+    """Return all values of a line, of which there must be at least `count`.
 
     Raises:
         MalformedLineError: The line has fewer values.
@@ -147,7 +149,7 @@
     Attributes:
         seed: Seed of the router's random choices.
         settings: Settings of the site.
-        flow_rate: Rate of one transfer (kB per second), by which object sizes are converted to work.
+        flow_rate: Maximum rate of a client in kB per second; sizes in kB are divided by it to get the work.
         roles: Role of each kind of cache.
     """
 
@@ -196,11 +198,13 @@
             cell=int(number(cell)),
             role=look_up("kind", self.roles, kind),
             state=look_up("lifecycle", STATES, state),
-            started=seconds(started) or None,
+            started=seconds(started) or None,  # absent or 0: the cache started long ago
         )
 
     def event(self, head: str, rest: str) -> Event:
-        """Return the event of a line; all events of a running instance except the endpoint list.
+        """Return the event that a line describes.
+
+        The endpoint list has several lines; `endpoints_listed` parses it.
 
         Raises:
             MalformedLineError: The event is unknown, or its values violate the protocol.
@@ -211,6 +215,7 @@
         return translate(rest)
 
     def _request(self, rest: str) -> Event:
+        # `name` is the identifier of the request, as in the events and actions below
         name, key, flags, class_name, group, _, part, size, deadline = values("call", rest, 9)[:9]
         look_up("class", self.settings.classes, class_name)
         return RequestReceived(
@@ -254,7 +259,7 @@
     @staticmethod
     def _objects_purged(rest: str) -> Event:
         key, age, group = values("purged", rest, 3)[:3]
-        is_group = not key.strip("0-")  # the key is absent or consists of zeros
+        is_group = not key.strip("0-")  # `-` or a key of zeros: the whole group
         return ObjectsPurged(None if is_group else key, int(number(group)), seconds(age))
 
     @staticmethod
@@ -274,6 +279,7 @@
     timeout = to_microseconds(action.timeout)
     if action.source is None:
         return f"place {action.id} {action.cache} {timeout}"
+    # one bit for each flag
     mode = action.join_fill + 2 * action.only_if_cached + 4 * action.leave_no_copy + 8 * action.revalidate
     age = to_microseconds(action.max_age)
     return f"obtain {action.id} {action.source} {action.rank} {age} {timeout} {action.cache} {mode}"
--- a/weldbend/site_settings.py
+++ b/weldbend/site_settings.py
@@ -1,6 +1,6 @@
-"""Conversion of the settings object of a front to the settings of its router.
+"""Conversion of the settings object of a front, as decoded from JSON, to the settings of its router.
 
-It is used by both programs that contain a router: the simulator's adapter and the front on sockets. Unknown
+Both programs that contain a router use this module: the simulator's adapter and the front on sockets. Unknown
 keys are ignored.
 """
 
@@ -24,7 +24,7 @@
 
 
 def cache_roles(raw: Mapping[str, Any]) -> dict[str, Role]:
-    """Return the role of each machine kind.
+    """Return the role of each kind of machine; every kind that is not the parent or the origin is an edge.
 
     Raises:
         KeyError: if a key is missing.
@@ -32,14 +32,14 @@
     family = raw["family_info"]
     kinds = raw["kinds"]
     roles = dict.fromkeys(kinds, Role.EDGE)
-    if family["shield_kind"] >= 0:  # a site without parents has -1
+    if family["shield_kind"] >= 0:  # index of the parents' kind in the list; -1 at a site without parents
         roles[kinds[family["shield_kind"]]] = Role.PARENT
     roles[kinds[family["root_kind"]]] = Role.ORIGIN
     return roles
 
 
 def _request_class(class_settings: Mapping[str, Any], family: Mapping[str, Any], index: int) -> RequestClass:
-    """Return the request class at an index of the list of classes in the settings."""
+    """Return the request class at `index` of the list of classes in the settings."""
     return RequestClass(
         name=class_settings["name"],
         idempotency=IDEMPOTENCIES[class_settings["idempotency"]],
