--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -6,19 +6,20 @@
 clocks that run too fast or too slow within the allowed drift. Each front guarantees four invariants by
 itself:
 
-1. The lender counts granted parts as out before it sends the grant, and until the lease has certainly ended
-   and a further window has passed.
-2. The lender grants no parts that its own spending in the last window needs.
+1. The lender counts granted parts as out, and so neither spends nor grants them, from before it sends the
+   grant until the lease has certainly ended for the borrower and a further window has passed.
+2. The lender grants no parts that are needed to cover its own spending in the last window.
 3. A lease ends for its borrower no later than for its lender, because the borrower counts the term from the
    moment when it sent the request.
-4. A front that has restarted, and cannot know what it granted before, holds no parts of its own for a term
-   and a window.
-
-Proof for any moment t: let s be the moment of a front's last spending in the window up to t. The spending of
-that window was covered at s by the parts that the front retained and by leases that had not ended at s. The
-lenders of those leases count them as out until after s + window > t. The retained parts never fall below the
-front's own spending (2). The total spending is therefore at most the sum of all owned parts, which is the
-whole limit.
+4. A front that has restarted, and cannot know what its previous process granted, holds no parts of its own
+   for a term and a window.
+
+Proof for any moment t: for each front, let s be the moment of its last spending in the window up to t. What
+it spent in that window was covered at s by the parts that it retained and by its leases that had not ended at
+s. The lenders of those leases count the leased parts as out until after s + window, which is later than t,
+so at t no lender counts them as its own. By invariant 2, a lender's retained parts never fall below its own
+spending in the window. Each part thus covers the spending of one front only, and the total spending is at
+most the sum of all owned parts, which is the whole limit.
 """
 
 from collections.abc import Iterable, Iterator
@@ -27,7 +28,7 @@
 from typing import NamedTuple
 
 PARTS_PER_LIMIT = 1200
-MAX_GRANTED_LEASES = 512  # of one limit at the same time
+MAX_GRANTED_LEASES = 512  # on one limit at the same time; requests of further borrowers are refused
 
 
 def owned_parts(limit: str, names: Iterable[str], attempts: float) -> dict[str, int]:
@@ -62,12 +63,16 @@
 
     @property
     def borrower_term(self) -> float:
-        """The lease term by the borrower's clock, counted from when it sent the request."""
+        """The lease term by the borrower's clock, counted from when it sent the request.
+
+        It is shorter by twice the drift, because the borrower's clock may be too slow while the lender's is
+        too fast.
+        """
         return self.term * (1 - 2 * self.drift)
 
     @property
     def safe_window(self) -> float:
-        """A duration by this front's clock that is at least a window by any other front's clock."""
+        """A duration by this front's clock that is at least a window of true time, even if it is too fast."""
         return self.window * (1 + 2 * self.drift)
 
     @property
@@ -104,7 +109,8 @@
         parts: number of leased parts.
         end: end of the lease, in seconds. In the lender's record, the time when the lender counts the parts
             as its own again; in the borrower's, the time when the borrower stops spending from them.
-        number: number of the request in the borrower's record; 0 in the lender's.
+        number: in the borrower's record, the number of the request that brought the lease; 0 in the lender's,
+            where the key contains that number.
         is_ending: whether the lease cannot be renewed any more; set in the lender's record only.
     """
 
@@ -131,7 +137,8 @@
         epoch: epoch of the borrower that sent the request.
         number: number of the request.
         parts: total number of granted parts; 0 for a refusal.
-        spare: number of further parts that the lender could grant; only a hint.
+        spare: number of further parts that the lender could grant now; a hint, which may be out of date when
+            it arrives.
     """
 
     epoch: int
@@ -159,9 +166,9 @@
 class LeaseLedger:
     """Ledger that one front keeps of one limit.
 
-    A front has at most one lease and one pending request with each lender. A request asks for the total
-    number of parts wanted from that lender: its grant replaces the current lease, and it voids all earlier
-    requests to that lender.
+    A front has at most one lease from each lender, and at most one pending request to it. A request asks for
+    the total number of parts wanted from that lender. A new request voids all earlier ones to that lender,
+    and its grant replaces the current lease.
 
     In all methods `now` is the time of this front's steady clock in seconds, and `used` the number of parts
     that the front has spent in the last window by that clock.
@@ -228,24 +235,28 @@
         return sum(lease.parts for lease in leases if lease.end > now and not lease.is_ending)
 
     def returning_parts(self, now: float) -> int:
-        """Return the number of granted parts whose leases cannot be renewed, and that thus return soon."""
+        """Return the number of granted parts whose leases cannot be renewed; they return when these end."""
         return sum(lease.parts for lease in self.granted.values() if lease.end > now and lease.is_ending)
 
     def grant(self, now: float, request_id: LeaseRequestId, parts: int, used: float) -> Grant:
         """Grant up to `parts` parts, in place of all current leases of this borrower.
 
-        A repeated request gets the same answer. Parts that the borrower had beyond the new grant count as out
-        until their lease would have ended, because the answer may never arrive.
+        A repeated request gets the same answer. If the borrower had more parts than the new grant, the excess
+        counts as out until the earlier lease would have ended: if the answer is lost, the borrower continues
+        to spend from that lease.
         """
         self.discard_ended(now)
         if request_id in self.granted:
             return Grant(request_id.epoch, request_id.number, self.granted[request_id].parts)
-        run = (request_id.name, request_id.epoch)
+        borrower_run = (request_id.name, request_id.epoch)
         earlier_leases = {
-            earlier: lease for earlier, lease in self.granted.items() if (earlier.name, earlier.epoch) == run
+            earlier: lease
+            for earlier, lease in self.granted.items()
+            if (earlier.name, earlier.epoch) == borrower_run
         }
         if any(earlier.number > request_id.number for earlier in earlier_leases):
-            return Grant(request_id.epoch, request_id.number, 0)  # out of order: a later request was granted
+            # This request arrived after a later one of the same process, which has been granted already.
+            return Grant(request_id.epoch, request_id.number, 0)
         already_granted = sum(lease.parts for lease in earlier_leases.values())
         retained = self.retained(now)
         granted = max(min(parts, already_granted + int(retained - used)), 0)
@@ -256,10 +267,14 @@
         return Grant(request_id.epoch, request_id.number, granted, max(int(self.retained(now) - used), 0))
 
     def _replace(self, earlier_leases: dict[LeaseRequestId, Lease], granted: int) -> None:
-        """Keep as granted the parts of earlier leases that the borrower may spend beyond the new grant."""
+        """Keep as granted the parts of earlier leases that the borrower may spend beyond the new grant.
+
+        Until the end of an earlier lease, the parts of that lease and of all that end later must count as
+        out, or the newly granted parts if these are more. Each earlier lease keeps its part of the excess.
+        """
         for request_id in earlier_leases:
             del self.granted[request_id]
-        later_parts = 0  # total parts of the leases that end later
+        later_parts = 0  # total parts of the earlier leases that end after the one in the loop
         for request_id, lease in sorted(earlier_leases.items(), key=lambda entry: entry[1].end, reverse=True):
             remaining_parts = max(later_parts + lease.parts - granted, 0) - max(later_parts - granted, 0)
             later_parts += lease.parts
@@ -269,12 +284,15 @@
     def accept_release(self, now: float, request_id: LeaseRequestId, unspent: bool) -> None:
         """Take back a lease that its borrower has released.
 
-        The parts count as out for one more window, because the borrower may have spent them just before.
+        The parts count as out for one more window, because the borrower may have spent them just before it
+        released them.
 
         Args:
             now: time of the steady clock in seconds.
             request_id: identifier of the request that brought the lease.
-            unspent: whether the borrower spent nothing in the last window; the parts then return at once.
+            unspent: whether the borrower spent nothing from the limit in the last window; the parts then
+            count
+                as the lender's again at once.
         """
         lease = self.granted.get(request_id)
         if lease and unspent:
@@ -294,8 +312,8 @@
     def accept_grant(self, now: float, lender: str, grant: Grant) -> bool:
         """Record a lender's answer, and return whether it brought a lease.
 
-        It brings none if the request was refused or is not pending at this process, or if the lease ended
-        before the answer arrived.
+        It brings none if the request was refused or is not pending at this process, if more parts were
+        granted than requested, or if the lease ended before the answer arrived.
         """
         request = self.pending.get(lender)
         if request is None or (grant.epoch, grant.number) != (self.epoch, request.number):
@@ -308,7 +326,7 @@
         return True
 
     def release(self, now: float, lender: str) -> int:
-        """Stop spending from a lease; return the number of its request, or 0 without a current lease."""
+        """Drop the lease and the request to a lender; return the lease's number, 0 if there was no lease."""
         self.pending.pop(lender, None)
         lease = self.leased.pop(lender, None)
         return lease.number if lease and lease.end > now else 0
@@ -316,7 +334,7 @@
     # Time.
 
     def discard_ended(self, now: float) -> None:
-        """Drop leases and requests that have ended; this changes no balance."""
+        """Drop ended leases and overdue requests; the balance already excludes ended leases."""
         for request_id in [ended for ended, lease in self.granted.items() if lease.end <= now]:
             del self.granted[request_id]
         for lender in [lender for lender, lease in self.leased.items() if lease.end <= now]:
@@ -326,7 +344,7 @@
             del self.pending[lender]
 
     def resize(self, own: int) -> None:
-        """Set the number of owned parts; granted parts stay out, even beyond the new number."""
+        """Set the number of owned parts; granted parts stay out, even if they exceed the new number."""
         self.own = own
 
     def lease_rows(self) -> Iterator[LeaseRow]:
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -13,16 +13,16 @@
 from weldbend.fleet.rendezvous import rank
 from weldbend.routing.random_source import RandomSource
 
-MAX_LENDERS = 4  # that are sent requests at the same time
+MAX_LENDERS = 4  # lenders that are asked for further parts in one call of `plan`
 MAX_LENDERS_WHEN_GATHERING = 64  # the same while this front holds fewer parts than one attempt takes
-ANSWER_TIMEOUT = 0.45  # seconds
-GATHERING_TIMEOUT = 1.2  # seconds after which gathered parts are released if they are less than one attempt
+ANSWER_TIMEOUT = 0.45  # seconds after which a request counts as lost, and its lender may be asked again
+GATHERING_TIMEOUT = 1.2  # seconds after which gathered parts are released if one attempt takes more of them
 GATHERING_STAGGER = 0.02  # seconds between the first requests of successive fronts in a time slot
-DEMAND_MARGIN = 1.2  # factor on a high demand, which may grow until the answers arrive
+DEMAND_MARGIN = 1.2  # factor on a high demand, because it may grow before the lenders' answers arrive
 MARGIN_MIN_ATTEMPTS = 4.0  # demand, in attempts of a window, above which the margin is added
-RESERVED_PERIODS = 5.0  # periods (a term and a window) for which one attempt stays reserved after a demand
+RESERVED_PERIODS = 5.0  # periods (a term and a window) after the last demand with one attempt still reserved
 PEAK_PERIODS = 2.0  # periods for which this front's own peak demand is not granted to others
-ROUNDING_TOLERANCE = 1e-9  # parts; allows for floating-point rounding
+ROUNDING_TOLERANCE = 1e-9  # parts or attempts; allows for floating-point rounding
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,10 @@
 
 
 def time_slot_at(unix: float, times: LeaseTimes) -> TimeSlot:
-    """Return the time slot of a Unix time; a slot is long enough to gather parts, use and return them."""
+    """Return the time slot of a Unix time.
+
+    A slot is long enough to gather the parts of one attempt, to spend them and to return them.
+    """
     duration = 2 * times.term + times.window
     number = int(unix / duration)
     return TimeSlot(number, unix - number * duration)
@@ -69,7 +72,7 @@
     Attributes:
         borrower: name of the front that sent the request.
         parts: total number of requested parts.
-        already_leased: number of parts that it already leases from this lender.
+        already_leased: number of those parts that the borrower already leases from this lender and can renew.
     """
 
     borrower: str
@@ -84,7 +87,7 @@
     Attributes:
         available: number of parts that the lender retains, plus those already leased to the borrower.
         used: number of parts that the lender spent in the last window.
-        returning: number of granted parts that return soon without a release.
+        returning: number of granted parts whose leases cannot be renewed, and that return when these end.
     """
 
     available: int
@@ -130,10 +133,12 @@
         sampled_at: time of the last sample, in seconds.
         last_demand_at: time of the last sample with any demand, in seconds.
         peaks: recent samples as pairs of time and demand, each demand higher than all later ones.
-        slot: number of the last time slot in which a front requested parts of less than one attempt.
-        best_rank: highest rank of the fronts that sent such requests in that slot.
-        gathering_since: time in seconds since which this front has held less than one attempt and requested
-            the missing parts; None if it does not.
+        slot: number of the last time slot in which a front requested parts from this one while this one had
+            fewer parts left than one attempt takes; -1 before the first such request.
+        best_rank: highest rank in that slot of the fronts that sent such requests, and of this front if it
+            had demand at the first of them; -1 before the first such request.
+        gathering_since: time in seconds when this front began to gather the parts of one attempt. None once
+            it has all parts that it wants or has gathered for `GATHERING_TIMEOUT`, until it gathers again.
         backoff_until: time in seconds before which this front sends no requests after gathering timed out.
         spare_hints: number of further parts that each lender could grant, by its last answer.
         refused_until: time in seconds before which each lender that refused is sent no further requests.
@@ -167,7 +172,9 @@
     def observe(self, now: float, usage: Usage) -> None:
         """Add a sample: the demand rises at once, and falls only after a term.
 
-        If it fell at once, parts would be released and then requested again.
+        If it fell at once, parts would be released and then requested again. While one attempt takes more
+        parts than this front owns, the demand falls only after a whole time slot, in which the missing parts
+        can be gathered.
         """
         self.attempt_cost = usage.attempt_cost
         self.latest_demand = attempts = max(usage.used, usage.wanted) / usage.attempt_cost
@@ -179,10 +186,12 @@
         if attempts >= self.demand or now >= self.demand_until:
             self.demand = attempts
             self.demand_until = now + self.times.term
-            if self.whole_attempt_parts > self.owners.get(self.name, 0):  # gathering takes a time slot
+            if self.whole_attempt_parts > self.owners.get(self.name, 0):
+                # The duration of a time slot, see `time_slot_at`.
                 self.demand_until = now + 2 * self.times.term + self.times.window
 
     def _add_peak(self, now: float, attempts: float) -> None:
+        """Add a sample to `peaks`, and remove those that it exceeds or that are too old."""
         while self.peaks and self.peaks[-1][1] <= attempts:
             self.peaks.pop()
         if attempts:
@@ -192,7 +201,7 @@
             self.peaks.popleft()
 
     def parts_of(self, attempts: float) -> int:
-        """Return the number of parts for a number of attempts, rounded up to whole attempts."""
+        """Return the parts that a number of attempts takes, rounded up to whole ones, at most the limit."""
         return min(
             math.ceil(math.ceil(attempts - ROUNDING_TOLERANCE) * self.attempt_cost - ROUNDING_TOLERANCE),
             PARTS_PER_LIMIT,
@@ -212,11 +221,15 @@
     # As a lender.
 
     def reserved_parts(self) -> int:
-        """Return the number of parts to keep for this front: its recent peak demand less random variation.
+        """Return the number of parts that this front does not grant, for its own demand.
+
+        This is its recent peak demand less one standard deviation of random variation (the square root of the
+        number of attempts), and at least one attempt if it had any demand in the last `RESERVED_PERIODS`.
 
         Guards against granting parts during a short gap in demand: granted parts are unavailable for a term
-        and a window, so a quota with recent demand is more useful here. Side effect: when demand moves to
-        another front permanently, that front gets the parts only after the recent demand has expired here.
+        and a window, so they are more useful to a front that has had demand recently. Side effect: when
+        demand moves to another front permanently, that front gets the parts only after the demand here has
+        been forgotten.
         """
         attempts = self.peaks[0][1] if self.peaks else 0.0
         is_recent = self.sampled_at - self.last_demand_at < RESERVED_PERIODS * self.period
@@ -235,11 +248,11 @@
     def grantable(self, request: LeaseRequest, balance: LenderBalance, slot: int) -> int:
         """Return how many of the available parts to grant on a request.
 
-        A lease is renewed unless this front's own demand is almost certain, because parts that are taken back
-        and granted again stay unused for a window each time. Parts that this front demands are not granted,
-        so a front that claims too much gets only unused parts, and only for a term. Parts of less than one
-        attempt cannot be used by this front alone: all of them go to a front that has precedence in this time
-        slot.
+        A lease is renewed unless this front is almost certain to need the parts itself, because parts that
+        are taken back and granted again stay unused for a window each time. Parts that are reserved for this
+        front's own demand are not granted anew, so a borrower that claims too much gets only unused parts,
+        and only for a term. If this front has fewer parts left than one attempt takes, it cannot use them: it
+        grants them to a borrower that has precedence in this time slot, and to no other.
         """
         available = balance.available
         if available < self.whole_attempt_parts:
@@ -251,14 +264,15 @@
                 spare = max(request.already_leased, available - self.reserved_parts())
             else:
                 spare = request.already_leased - math.ceil(confident_demand - remaining)
-            spare -= spare % self.whole_attempt_parts  # less than one attempt is of no use
+            spare -= spare % self.whole_attempt_parts  # the borrower cannot use a part of an attempt
         return max(min(request.parts, spare, math.floor(available - balance.used)), 0)
 
     def has_precedence(self, borrower: str, slot: int) -> bool:
         """Return whether a borrower ranks above this front and all fronts that sent requests in this slot.
 
-        Guards against several fronts that each gather some parts of an attempt, so that none of them has
-        enough for a whole one.
+        This front itself takes part only if it had demand at the first request of the slot. Guards against
+        several fronts that each gather some parts of an attempt, so that none of them has enough for a whole
+        one.
         """
         if slot != self.slot:
             self.slot = slot
@@ -270,13 +284,13 @@
     # As a borrower.
 
     def record_answer(self, now: float, lender: str, spare: int, has_more: bool) -> None:
-        """Record a lender's answer; `has_more` is whether it granted more than was leased before."""
+        """Record a lender's answer; `has_more` is whether it granted more than this front leased before."""
         self.spare_hints[lender] = spare
         if not (has_more or spare):
             self.refused_until[lender] = now + self.times.term / 2
 
     def plan(self, now: float, ledger: LeaseLedger, alive: Iterable[str], slot: TimeSlot) -> list[Plan]:
-        """Return the requests, renewals and releases to send now; `alive` are members that may answer."""
+        """Return the requests, renewals and releases to send now; `alive` are the members believed alive."""
         available = ledger.available(now)
         surplus = available - self.wanted_parts()
         releases = list(self._plan_releases(ledger, surplus))
@@ -300,9 +314,10 @@
         """Return whether this front may gather the parts of one attempt from several members.
 
         Guards against many fronts that each hold some parts, so that none has enough for an attempt. All
-        fronts compute the same ranking for a time slot. As many fronts as the limit has attempts begin at
-        once; each further one begins `GATHERING_STAGGER` after the one above it, unless a front that ranks
-        higher has sent a request here in the meantime.
+        fronts compute the same ranking for a time slot. At the beginning of the slot, as many fronts begin as
+        the limit allows attempts in a window; each further one begins `GATHERING_STAGGER` after the one that
+        ranks next above it, unless a front that ranks higher has requested parts from it in the meantime. In
+        the last term of a slot no front gathers.
         """
         own_rank = rank(self.limit, slot.number, self.name)
         if self.slot == slot.number and self.best_rank > own_rank:
@@ -314,7 +329,7 @@
         return delay <= slot.elapsed < self.period
 
     def _plan_releases(self, ledger: LeaseLedger, surplus: int) -> Iterator[PlannedRelease]:
-        """Yield the releases of leases that are not needed any more, the smallest first."""
+        """Yield the releases of the smallest leases, as far as they fit into the surplus of held parts."""
         for lender, lease in sorted(ledger.leased.items(), key=lambda entry: entry[1].parts):
             if lease.parts > surplus:
                 return
@@ -322,14 +337,14 @@
             yield PlannedRelease(lender)
 
     def _plan_renewals(self, now: float, ledger: LeaseLedger) -> Iterator[PlannedAcquire]:
-        """Yield renewals of leases in the second half of their term that have no request pending."""
+        """Yield renewals of leases in the second half of their term whose lender has no request pending."""
         for lender, lease in ledger.leased.items():
             is_pending = lender in ledger.pending and self._may_be_answered(ledger.pending[lender], now)
             if lease.end - now < self.times.term / 2 and not is_pending and self.demand > 0:
                 yield PlannedAcquire(lender, lease.parts)
 
     def _pending_parts(self, now: float, ledger: LeaseLedger) -> int:
-        """Return the number of parts that pending requests may bring beyond those already leased."""
+        """Return the number of further parts, beyond those leased, that pending requests may bring."""
         leased = {lender: lease.parts for lender, lease in ledger.leased.items()}
         return sum(
             max(request.parts - leased.get(lender, 0), 0)
@@ -360,9 +375,9 @@
         """Yield requests to lenders that may have spare parts.
 
         Lenders that reported spare parts come first, the others in random order. A front that gathers the
-        parts of one attempt sends to the lenders with the highest ranks in this slot first, so that these
-        give it precedence and do not gather themselves. As there is at most one lease from each lender, a
-        request for more parts includes those that are leased already.
+        parts of one attempt sends first to the lenders with the highest ranks in this slot, because these
+        would begin to gather next: those of them that rank below this front then do not gather in this slot.
+        As there is at most one lease from each lender, a request for more parts includes the leased ones.
         """
         if missing <= 0:
             return
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -35,7 +35,7 @@
 SAMPLE_INTERVAL = 0.08  # seconds between two samples of demand
 MAX_OPEN_LIMITS = 512
 RETRY_DELAYS = (0.1, 0.25)  # seconds after which an unanswered request is sent again
-MAX_REQUESTS_PER_SAMPLE = 64  # for all limits together
+MAX_REQUESTS_PER_SAMPLE = 64  # messages of one tick, of all limits together, beyond which no request is sent
 MAX_ARRIVALS = 4096  # arrival times remembered for one rate
 ROUNDING_TOLERANCE = 1e-9  # parts; allows for floating-point rounding
 
@@ -108,7 +108,8 @@
         name: name of this front.
         epoch: epoch of this process.
         limits: open limits, by name.
-        is_newcomer: whether some fronts may not know this front as a member yet; it then owns no parts.
+        is_newcomer: whether some fronts may not know this front as a member yet. It then owns no parts,
+            because those fronts would divide the limits without it.
         recovering_until: end of the recovery after a restart, in seconds. Until then this front holds no
             parts of its own, because its previous process may have granted them.
         counts: counters of lease events.
@@ -190,7 +191,7 @@
         self.limits.pop(name, None)
 
     def set_members(self, members: Callable[[str], Iterable[str]], is_newcomer: bool, now: float) -> None:
-        """Divide all limits again; `members` returns the names of the members that share a given limit."""
+        """Divide all limits anew; `members` returns the names of the members that share a given limit."""
         self.is_newcomer = is_newcomer
         for limit in self.limits.values():
             owners = owned_parts(limit.name, members(limit.name), limit.attempts)
@@ -219,8 +220,8 @@
         match body:
             case m.AcquireLease(_, number, parts):
                 return [Send(sender, self._grant(now, limit, LeaseRequestId(sender, epoch, number), parts))]
-            case m.GrantLease(_, requested_in, number, parts, spare):
-                self._accept_grant(now, limit, sender, Grant(requested_in, number, parts, spare))
+            case m.GrantLease(_, request_epoch, number, parts, spare):
+                self._accept_grant(now, limit, sender, Grant(request_epoch, number, parts, spare))
             case m.ReleaseLease(_, number, unspent):
                 limit.ledger.accept_release(now, LeaseRequestId(sender, epoch, number), unspent)
                 self.counts["leases returned early"] += 1
@@ -279,8 +280,9 @@
         """Return the unanswered requests that are due to be sent again.
 
         A retry has the same number as the request, so that the lender grants it only once. Retries guard
-        against parts that lie idle for a term because the grant was lost: the lender counts them as out, and
-        the borrower does not know of them. Side effect: further messages to a lender that is down.
+        against granted parts that stay unused for a term because the grant was lost: the lender counts them
+        as out, and the borrower does not know of them. Side effect: further messages to a lender that is
+        down.
         """
         pending = limit.ledger.pending
         numbers = {request.number for request in pending.values()}
@@ -295,6 +297,7 @@
         return sends
 
     def _execute(self, now: float, limit: SharedLimit, plan: Plan, sent: int) -> list[Send]:
+        """Record a planned request or release; `sent` is the number of messages of this tick so far."""
         if isinstance(plan, PlannedRelease):
             number = limit.ledger.release(now, plan.lender)
             limit.update_spender(now)  # released parts must not be spent once the release is sent
@@ -334,7 +337,7 @@
         limit: number of requests that all fronts together may admit in a window.
         window: length of the window, in seconds.
         admitted: times of the requests admitted in the last window, in seconds.
-        arrivals: times of the last requests in that window, admitted or not, at most `MAX_ARRIVALS`.
+        arrivals: times of the requests in that window, admitted or not; at most the last `MAX_ARRIVALS`.
     """
 
     def __init__(self, limit: float, times: LeaseTimes) -> None:
@@ -364,7 +367,8 @@
     def try_admit(self, now: float) -> bool:
         """Return whether the current allowance has capacity for a request, and count it if so.
 
-        The caller must read the clock before each request, because leases end.
+        The caller must read the clock anew for each request, because leases may have ended since the last
+        one.
         """
         self.arrivals.append(now)
         retained, leased, lease_end = self._allowance
