--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -17,7 +17,7 @@
 from weldbend.fleet.replicated_items import CLIENT_BAN, CLIENT_RATE, SETTING
 from weldbend.fleet.steady_unix import SteadyUnixTime
 
-MAX_PUBLISHED_CLIENTS = 8  # in a second; those with the highest rates
+MAX_PUBLISHED_CLIENTS = 8  # clients whose rates are published each second, the highest rates first
 SMOOTHING = 0.5  # weight of the last second in a client's mean rate
 NEGLIGIBLE_RATE = 0.05  # requests a second below which a client's rate is discarded
 CLIENT_ADDRESS = re.compile(r"[0-9a-fA-F.:]{2,45}")
@@ -55,7 +55,7 @@
         return self._is_excess(client)
 
     def _is_excess(self, client: str) -> bool:
-        """Return True at random, for the fraction of the client's total rate that exceeds the limit."""
+        """Return whether to reject a request: at random, for the fraction of the rate above the limit."""
         limit = self.context.limits.client_rate
         rate_elsewhere = sum(rate for _, rate in self.context.peer_figures(CLIENT_RATE, client).values())
         total_rate = self.rates.get(client, 0.0) + rate_elsewhere
@@ -73,6 +73,7 @@
             else:
                 self.rates[client] = rate
         self.requests.clear()
+        # Half of an equal share, or less: a client over its limit reaches an equal share at some front.
         min_published_rate = limit / (2 * (len(self.context.fleet.settings.peers) + 1))
         # Equal rates are ordered by name, because the order of a set differs between processes.
         busiest = sorted(self.rates, key=lambda client: (-self.rates[client], client))
@@ -111,7 +112,10 @@
         return is_banned
 
     def _override(self, client: str) -> bool | None:
-        """Return whether an operator has banned a client; None without a decision that is in force."""
+        """Return whether an operator has banned a client; None without an operator's decision in force.
+
+        A ban is in force until its end, a reinstatement until a front bans the client again.
+        """
         item = self.context.item(SETTING, SETTING_PREFIX + client)
         if item is None or not isinstance(item.value[1], str):
             return None
@@ -126,7 +130,7 @@
         return None
 
     def _last_reported(self, client: str) -> float:
-        """Return when a front last published that it has banned a client."""
+        """Return when any front last published that it has banned a client; minus infinity for never."""
         reports = (
             item.written_at for key, item in self.context.items(CLIENT_BAN) if key.startswith(f"{client}|")
         )
--- a/weldbend/fleet/conservative_merge.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -7,20 +7,20 @@
 from weldbend.fleet.replicated_items import Value
 
 LIST_STATES = ("up", "draining", "removed")  # of a cache on the bus, in order of increasing restriction
-MAX_PURGES_PER_SECOND = 200  # accepted from peers; the routing has to keep each of them
-UNREACHABLE_OFFSET = 1 << 40  # event number that no bus reaches
-MAX_CLOCK_AHEAD = 2.0  # seconds by which a purge may be ahead of this front's clock; else it counts from now
+MAX_PURGES_PER_SECOND = 200  # accepted from peers; the routing decisions have to remember each purge
+UNREACHABLE_OFFSET = 1 << 40  # event number that no bus reaches; a peer's item from it on is ignored
+MAX_CLOCK_AHEAD = 2.0  # seconds by which a purge may be dated after now; one dated later counts from now
 
 
 def stricter_state(drain: Value | None, last_read: int) -> str | None:
-    """Return the state of a cache in a newer list than this front has read; None if that is up or unknown.
+    """Return the state of a cache in a newer list than this front has read; None if up or unknown there.
 
     Side effect: a peer that publishes false states can exclude a cache until the numbers of the bus reach the
     number that it published. Numbers that the bus never reaches are ignored.
 
     Args:
-        drain: value of the replicated item, with the revision of the list and the state; None if there is
-            no item.
+        drain: value of the cache's `drain` item: the revision of the list, which is the number of its bus
+            event, and the index of the state in `LIST_STATES`; None if there is no item.
         last_read: number of the last event that this front's own bus has delivered.
     """
     if drain is None or not drain[1] or not last_read < int(drain[0]) < UNREACHABLE_OFFSET:
@@ -36,13 +36,13 @@
     `MAX_PURGES_PER_SECOND` in a second.
 
     Attributes:
-        anomalies: number of purges that were rejected or dated differently.
+        anomalies: number of purges that were rejected, or dated earlier because they were ahead of the clock.
     """
 
     def __init__(self) -> None:
         self.anomalies = 0
         self._second = 0
-        self._received = 0  # in that second
+        self._received = 0  # purges received in that second
 
     def effective_from(self, purged_at: float, now: float, unix: float) -> float | None:
         """Return the time from which a purge takes effect; None if it exceeds the rate limit.
--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -15,7 +15,7 @@
 
 WINDOW = 1.0  # seconds over which an operator's rate is enforced
 PARENTS_SUBJECT = "parents"  # subject under which demand at the parents is published
-MIN_CHANGE = 0.02  # relative change of this front's parent quota below which the routing keeps the old one
+MIN_CHANGE = 0.02  # relative change of this front's parent quota up to which the old quota stays in use
 
 
 @dataclass(slots=True)
@@ -51,8 +51,8 @@
     Attributes:
         rates: operators' rates, by request class.
         parents: estimate of this front's demand at the parents.
-        parent_fraction: this front's fraction of what all fronts together may have in flight at the parents;
-            0 before the first tick.
+        parent_fraction: fraction, for this front, of the requests that all fronts together may have in flight
+            at the parents; 0 before the first tick.
     """
 
     def __init__(self, context: QuotaContext) -> None:
--- a/weldbend/fleet/demand_share.py
+++ b/weldbend/fleet/demand_share.py
@@ -4,15 +4,15 @@
 all fronts that are alive in its view, including itself, and has a lower bound. If all fronts have the same
 view and the same figures, the fractions add up to at most one, apart from the lower bounds. Use can exceed
 the limit in a network partition, at most by a factor equal to the number of its sides, as each side counts
-only its own fronts. It can also exceed it by the growth of demand since the figures were published.
+only its own fronts. Use can also exceed the limit by the growth of demand since the figures were published.
 """
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
 from typing import NamedTuple
 
-FLOOR = 0.05  # lower bound of a front's fraction, as a fraction of an equal share
-MAX_AGE = 4.0  # seconds after which a figure is ignored, and its writer counts with the mean demand
+FLOOR = 0.05  # lower bound of a front's fraction, relative to an equal share among the fronts
+MAX_AGE = 4.0  # seconds after which a figure is ignored; its writer then counts with the mean demand
 SMOOTHING = 0.5  # weight of a new sample in the running mean
 
 
@@ -64,7 +64,7 @@
     """Return the fraction of a limit, from 0 to 1, that the front `name` may use by its demand.
 
     A front that is alive but has published no figure within `MAX_AGE` counts with the mean demand of the
-    others, because it may have just started.
+    others, because it may have just started. Without any demand, all fronts get equal shares.
     """
     others = [front for front in alive if front != name]
     known_demands = {
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -24,8 +24,10 @@
     Attributes:
         context: context shared by all limits and ejections.
         detector: outlier detector of this front.
-        updates: last update sent for each cache that may not have its full load, by the cache's number.
-        broken_at: published times at which this front lost its connections to a cache, in seconds, by uid.
+        updates: last update sent to the routing decisions for each cache that may get less than its full
+            load, by the cache's number.
+        broken_at: time in seconds when this front last lost its connections to each cache, by the cache's
+            name, as published.
     """
 
     def __init__(self, context: QuotaContext) -> None:
@@ -37,7 +39,7 @@
     def update_ejections(
         self, now: float, reports: Mapping[str, list[HealthReport]], alive: Iterable[str]
     ) -> None:
-        """Update the ejections of all caches from the health reports of all fronts, given by cache."""
+        """Update the ejections of all caches; `reports` are the health reports of all fronts, by cache."""
         names = self.context.loop.names
         caches = self.context.loop.router.caches
         uids = names.uids
@@ -71,7 +73,7 @@
         )  # fmt: skip
 
     def find_unlisted_starts(self, now: float) -> None:
-        """Publish lost connections to caches, and treat those that two fronts report as a start."""
+        """Publish lost connections to caches; a loss that two fronts report counts as a cache's start."""
         self._publish_breaks(now)
         breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_at.items()]
         breaks += [
@@ -88,6 +90,7 @@
         self.broken_at = {uid: at for uid, at in self.broken_at.items() if uid in numbers}
 
     def _publish_breaks(self, now: float) -> None:
+        """Publish the recent losses of this front's connections that are not published yet."""
         caches = self.context.loop.router.caches
         for uid, number in self.context.loop.names.numbers.items():
             cache = caches.get(number)
--- a/weldbend/fleet/health_exchange.py
+++ b/weldbend/fleet/health_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of health reports on caches: publishes this front's reports and aggregates those of peers."""
+"""Exchange of health reports on caches: publishes this front's reports, and combines those of its peers."""
 
 from collections import defaultdict
 from collections.abc import Set
@@ -20,14 +20,15 @@
 
 
 class HealthExchange:
-    """Publishes this front's health reports, and passes the aggregate of its peers' reports to the routing.
+    """Publishes this front's health reports, and passes the combined ones of its peers to the decisions.
 
     Attributes:
         dispatcher: dispatcher of the routing decisions.
         fleet: the fleet as this front sees it.
         reporter: selects the reports to publish.
         number: number of the last report that this process has published.
-        posted: last aggregate passed to the routing for each cache with failures, by the cache's number.
+        posted: last combined outcomes passed to the routing decisions for each cache with failures, by the
+            cache's number.
     """
 
     def __init__(self, dispatcher: "Dispatcher", fleet: Fleet) -> None:
@@ -38,7 +39,7 @@
         self.posted: dict[int, Outcomes] = {}
 
     def tick(self, now: float, recovering: Set[str]) -> Reports:
-        """Publish and aggregate reports, and return the reports of all fronts including this one.
+        """Publish and combine reports, and return the reports of all fronts including this one.
 
         Args:
             now: time of the steady clock in seconds.
@@ -72,6 +73,7 @@
         }
 
     def _publish(self, now: float, watched: Set[str]) -> None:
+        """Publish this front's due reports; `watched` are caches to report on even without failures."""
         uids = self.dispatcher.names.uids
         records = {
             uids[number]: record
@@ -84,14 +86,14 @@
             self.fleet.publish(HEALTH_REPORT, key, self.fleet.store.epoch, self.number, *record)
 
     def _post(self, reports: Reports) -> None:
-        """Pass the aggregate of the peers' reports on each cache to the routing if it has changed."""
+        """Pass the combined peers' reports on each cache to the routing decisions if they have changed."""
         numbers = self.dispatcher.names.numbers
-        aggregated = {
+        combined = {
             numbers[uid]: health_reports.combine(by_front)
             for uid, by_front in reports.items()
             if uid in numbers
         }
-        failing = {number: record for number, record in aggregated.items() if record[1]}
+        failing = {number: record for number, record in combined.items() if record[1]}
         for number in {*failing, *self.posted}:
             record = failing.get(number, NO_OUTCOMES)
             if record != self.posted.get(number, NO_OUTCOMES):
@@ -99,7 +101,7 @@
         self.posted = failing
 
     def _with_own(self, now: float, reports: Reports, recovering: Set[str]) -> Reports:
-        """Return the reports together with this front's own: ejections are based on those of all fronts."""
+        """Return the peers' reports and this front's own, since ejections are based on both."""
         uids = self.dispatcher.names.uids
         records = health_counts(self.dispatcher.router, now)
         total = (
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -1,11 +1,11 @@
 """Health reports on caches: what a front publishes about its attempts, and the weight of a report. No I/O.
 
-Each front publishes how its recent attempts at a cache ended, as long as some of them failed, and the same
-for all caches together. The reader weights a report by its age, by the zone of its writer, and by the
-writer's success with all other caches, because a front whose own network is faulty has failures everywhere.
-The report with the most weighted failures is ignored, so that a single front with wrong or forged reports
-cannot make another one suspect a cache. No report counts for more than `MAX_ANSWERS` answers, whatever it
-claims.
+Each front publishes how many of its recent attempts at a cache succeeded and failed, as long as some failed,
+and the same numbers for all caches together. The reader weights a report by its age, by the zone of its
+writer, and by the writer's success with all other caches, because a front whose own network is faulty has
+failures everywhere. The report with the most weighted failures is ignored, so that a single front with wrong
+or forged reports cannot make another one suspect a cache. No report counts for more than `MAX_ANSWERS`
+answers, however many answers it contains.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,11 +13,11 @@
 
 REPORT_SPAN = 10.0  # seconds of attempts that a report covers; an older report has no weight
 REPEAT_INTERVAL = 3.0  # seconds after which an unchanged report is published again
-WATCHED_INTERVAL = 0.9  # the same for caches that peers report on, or that recover
-MAX_ANSWERS = 4.0  # for which a single report counts at most
-OTHER_ZONE_WEIGHT = 0.5  # of a report from another zone, whose network path to the cache differs
+WATCHED_INTERVAL = 0.9  # the same for a cache that peers report on, or that is half-open or recovering
+MAX_ANSWERS = 4.0  # number of answers for which a single report counts at most
+OTHER_ZONE_WEIGHT = 0.5  # weight of a report from another zone, whose network path to the cache differs
 MIN_FAILED = 0.5  # weighted failed answers below which a cache is not suspected
-MAX_REPORTS = 32  # published at a time, those with the most failures first
+MAX_REPORTS = 32  # reports published at a time; those with the most failures come first
 ALL_CACHES = "*"  # key of the report on all caches together
 MIN_CHANGE = 1.0  # change in failed answers that is published at once
 MIN_CHANGE_FRACTION = 0.2  # the same, as a fraction of the failed answers published last
@@ -41,8 +41,8 @@
     ) -> list[tuple[str, Outcomes]]:
         """Return the reports to publish now, on single caches and on all together (`ALL_CACHES`).
 
-        There are none while all attempts succeed, except on the caches in `watched`, on which a front reports
-        even without failures, because peers report on them or because they recover.
+        There are none while all attempts succeed, except on the caches in `watched`: a front reports on these
+        even without failures, because peers report on them, or because they are half-open or recovering.
         """
         rounded = {uid: (round(good, 1), round(failed, 1)) for uid, (good, failed) in outcomes.items()}
         watched = set(watched)
@@ -62,6 +62,11 @@
     def _due_caches(
         self, now: float, outcomes: Mapping[str, Outcomes], watched: set[str]
     ) -> list[tuple[str, Outcomes]]:
+        """Return the due reports on single caches.
+
+        A cache without failed answers is reported on if its last published report had some, or if it is
+        watched.
+        """
         candidates = {uid for uid, (_, (_, failed)) in self.published.items() if failed}
         candidates |= {uid for uid in watched if sum(outcomes.get(uid, NO_OUTCOMES))}
         due = [
@@ -100,7 +105,11 @@
 
 
 def reliability(report: HealthReport) -> float:
-    """Return the reliability of a report, from 0 to 1: its writer's success with all other caches."""
+    """Return the reliability of a report, from 0 to 1: its writer's success with all other caches.
+
+    This is the square of the fraction of successful answers of those caches, with one more success added to
+    their number, so that a writer without answers of other caches has the reliability 1.
+    """
     good, failed = (
         max(total - at_cache, 0.0) for total, at_cache in zip(report.total, report.outcomes, strict=True)
     )
@@ -116,7 +125,7 @@
 
 
 def combine(reports: Iterable[HealthReport]) -> Outcomes:
-    """Return the weighted sum of all reports on one cache, without the one with the most failures."""
+    """Return the weighted sum of the reports on one cache, except the one with the most weighted failures."""
     weighted = [
         (report_weight * report.outcomes[1], report_weight * report.outcomes[0])
         for report in reports
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -1,14 +1,16 @@
 """Outlier detection of a fleet: ejected caches, banned clients and unlisted starts of caches. No I/O.
 
 All fronts evaluate the same health reports, so fronts with the same replicas reach the same result within a
-tick. A single front can never cause an ejection: at least two fronts must report a cache as failing, and a
-majority of the fronts that know it. If all failures are reported from one zone and the other zones report
-success, the cache is ejected in that zone only, because the network path of the zone may be the cause.
+tick. A single front can never cause an ejection: at least two fronts must report a cache as failing. They
+must also be a majority of those fronts in the zone whose reports on the cache are significant
+(`is_informed`); if fewer than two fronts of the zone report it as failing, they must be a majority in all
+zones together. If the fronts of one zone report failures and a majority in the other zones does not, the
+cache is ejected in that zone only, because the network path of the zone may be the cause.
 
 Every ejection ends after a time. The cache is then half-open, as in a circuit breaker: one front, on which
-all fronts agree by hashing, sends to it. If that front reports success, the others increase their load
+all fronts agree by hashing, sends to it. If that front reports success, all fronts increase their load
 gradually, so that a cache that has just recovered is not overloaded. Each relapse makes the next ejection
-half as long again. Old reports are ignored, so an ejection that no front can renew ends.
+half as long again. Old reports are ignored, so an ejection ends even if no front has new reports.
 """
 
 import math
@@ -22,20 +24,20 @@
 from weldbend.fleet.rendezvous import rank
 
 FAILING_FRACTION = 0.5  # fraction of failed answers above which a report calls a cache failing
-MIN_ANSWERS = 2.0  # successful and failed ones together that make a report significant
-MIN_RELIABILITY = 0.3  # below which a front's own network is assumed to be the cause
-MIN_REPORTERS = 2  # fronts that must agree
+MIN_ANSWERS = 2.0  # successful and failed answers together that make a report significant
+MIN_RELIABILITY = 0.3  # reliability of a report below which its writer's own network may be the cause
+MIN_REPORTERS = 2  # fronts that must report a cache as failing, or must have banned a client
 EJECTION_SECONDS = 2.0  # duration of the first ejection
 EJECTION_GROWTH = 1.5  # factor on the duration for each relapse
 MAX_EJECTION_SECONDS = 15.0
 MAX_RELAPSES = 8  # further ones do not lengthen the ejection
-HALF_OPEN_SECONDS = 5.0  # within which the probing front must report
+HALF_OPEN_SECONDS = 5.0  # of one round, in which the reports must bring enough new answers
 RECOVERED_ANSWERS = 3.0  # new successful answers after which a half-open cache recovers
-RELAPSED_ANSWERS = 2.0  # new failed answers after which a half-open cache is ejected again
+RELAPSED_ANSWERS = 2.0  # new failed answers to the probing front that eject a half-open cache again
 RAMP_SECONDS = 4.0  # in which a recovering cache returns to its full load
 RAMP_START = 0.1  # fraction of its load that a recovering cache gets at first
 HALF_OPEN_FRACTION = 0.5  # fraction of its usual load that the probing front sends to a half-open cache
-FORGET_SECONDS = 60.0  # after which the next ejection counts as the first again
+FORGET_SECONDS = 60.0  # after a recovery, from which the next ejection counts as the first again
 MAX_EJECTED_FRACTION = 1 / 3  # of the caches of a kind at a time; more failures indicate a fault of the site
 BAN_WINDOW = 60.0  # seconds within which two fronts must have banned a client
 START_WINDOW = 3.0  # seconds within which two fronts must have lost their connections to a cache
@@ -57,12 +59,13 @@
     Attributes:
         state: current state of the cache.
         since: time in seconds when the cache entered that state.
-        until: time in seconds when it leaves that state at the latest.
-        relapses: number of ejections so far, at most `MAX_RELAPSES`.
-        round: number of the current choice of a probing front.
+        until: time in seconds when it leaves that state at the latest; each further half-open round extends
+            it.
+        relapses: number of ejections since the record was created, at most `MAX_RELAPSES`.
+        round: number of the current round; a probing front is chosen for each round.
         must_probe: whether the probing front sends even if it remembers failures of its own, because an
             earlier round brought too few reports for a decision.
-        last_reports: last outcomes that each front reported since the state was entered.
+        last_reports: last outcomes that each front reported since the cache entered its state.
         new_outcomes: successful and failed answers that were reported in this round.
         reporters: names of the fronts that reported the cache as failing when it was ejected.
         zone: zone in which the cache is ejected; empty for all zones.
@@ -87,9 +90,9 @@
         """Count new answers in the reports: successful ones of all fronts, failed ones of the prober only.
 
         The first report of a front in this state is the baseline for its later ones. Successful answers count
-        from any front, because fronts that left the half-open state slightly earlier are sending already.
-        This guards against fronts that stay in the half-open state because the prober of their round has
-        nothing new to report. Side effect: a front with false reports can end the state too early.
+        from any front, because a front that left the half-open state slightly earlier is sending already.
+        Without its reports, the other fronts would stay in the half-open state whenever the prober of their
+        round has nothing new to report. Side effect: a front with false reports can end the state too early.
         """
         good, failed = self.new_outcomes
         for report in reports:
@@ -142,7 +145,7 @@
 
 
 def is_informed(report: HealthReport) -> bool:
-    """Return whether a report has enough answers, and its writer no faulty network of its own."""
+    """Return whether a report has enough answers, and its writer's own network seems free of faults."""
     return sum(report.outcomes) >= MIN_ANSWERS and reliability(report) >= MIN_RELIABILITY
 
 
@@ -152,14 +155,14 @@
 
 
 def is_majority(failing: int, informed: int) -> bool:
-    """Return whether more than half of the informed fronts report a failing cache."""
+    """Return whether the fronts that report a cache as failing are more than half of the informed ones."""
     return 2 * failing > informed
 
 
 def assess_outlier(
     reports: Iterable[HealthReport], zones: Mapping[str, str], own_zone: str
 ) -> OutlierAssessment:
-    """Return the assessment of a cache for one zone, by the reports of all fronts including this one."""
+    """Return the assessment of a cache for this front's zone, by the reports of all fronts and its own."""
     informed = [report for report in reports if is_informed(report)]
     reporters = sorted(report.writer for report in informed if reports_failing(report))
     if len(reporters) < MIN_REPORTERS:
@@ -167,7 +170,7 @@
     same_zone = [report for report in informed if zones.get(report.writer, "") == own_zone]
     same_zone_failing = sum(map(reports_failing, same_zone))
     if same_zone and not is_majority(same_zone_failing, len(same_zone)):
-        return OutlierAssessment(False)  # most fronts of this zone report success
+        return OutlierAssessment(False)  # at least half of the zone's informed fronts report no failure
     if same_zone_failing >= MIN_REPORTERS:
         other_zones = [report for report in informed if report not in same_zone]
         is_confined = other_zones and not is_majority(
@@ -209,7 +212,7 @@
             kinds: kind of each listed cache; only a limited fraction of the caches of a kind is ejected at
                 the same time.
             zones: zone of each front.
-            alive: names of other fronts that may answer.
+            alive: names of the other fronts that are believed alive.
 
         Returns:
             The fraction of its load that this front may send to each cache with a record, from 0 to 1.
@@ -230,7 +233,7 @@
         return {uid: self._admitted_fraction(uid, record, view) for uid, record in self.records.items()}
 
     def _may_eject(self, uid: str, kinds: Mapping[str, str]) -> bool:
-        """Return whether enough caches of the same kind would remain after an ejection.
+        """Return whether enough caches of the same kind would remain admitted after an ejection.
 
         Guards against ejecting most caches because of a common cause, such as a fault of the site's network.
         Side effect: if more than a third of the caches are really faulty, the further ones are avoided only
@@ -278,7 +281,7 @@
             self._enter(uid, record, EjectionState.RECOVERING, now, now + RAMP_SECONDS)
         elif failed >= RELAPSED_ANSWERS:
             self._eject(uid, record, now, OutlierAssessment(True, record.reporters, record.zone))
-        elif now >= record.until:  # the prober reported too few answers: choose another
+        elif now >= record.until:  # the reports had too few new answers: choose a prober for a new round
             record.round += 1
             record.must_probe = True
             record.until = now + HALF_OPEN_SECONDS
@@ -304,7 +307,7 @@
         record.reset_new_outcomes()
 
     def _prober(self, uid: str, record: EjectionRecord, view: FleetView) -> str:
-        """Return the only front that sends in this round; all fronts with this record choose the same."""
+        """Return the only front that sends in this round; fronts with equal records choose the same one."""
         candidates = [
             front for front in view.fronts if not record.zone or view.zones.get(front, "") == record.zone
         ]
@@ -326,7 +329,7 @@
         return 1.0
 
     def recovering_caches(self) -> set[str]:
-        """Return the half-open and recovering caches, on which each front reports even without failures."""
+        """Return the half-open and recovering caches; each front reports on these even without failures."""
         states = EjectionState.HALF_OPEN, EjectionState.RECOVERING
         return {uid for uid, record in self.records.items() if record.state in states}
 
@@ -389,9 +392,10 @@
 
 
 def unlisted_starts(breaks: Iterable[CacheBreak]) -> dict[str, float]:
-    """Return the time of each start of a cache that no endpoint list names.
+    """Return the time of the latest unlisted start of each cache: one that no endpoint list contains.
 
-    A cache counts as started when two fronts lost their connections to it within `START_WINDOW`.
+    A cache counts as started when two fronts lost their connections to it within `START_WINDOW`; the later of
+    these two losses dates the start.
     """
     by_cache: dict[str, dict[str, float]] = defaultdict(dict)
     for cache_break in breaks:
--- a/weldbend/fleet/quota_context.py
+++ b/weldbend/fleet/quota_context.py
@@ -1,4 +1,8 @@
-"""Common context of a front's quotas: its event loop, its fleet, and figures published by fronts. No I/O."""
+"""Common context of a front's quotas: its event loop, its fleet, and the figures of all fronts. No I/O.
+
+A figure is a number that a front publishes about a subject, such as its demand for one limit. Each front
+publishes its own figure on a subject, and a later figure replaces its earlier one.
+"""
 
 from collections import Counter
 from collections.abc import Callable, Iterator
@@ -94,7 +98,7 @@
         self.fleet = fleet
         self.random = random
         self.counts: Counter[str] = Counter()
-        self._last_number = 0  # of the figures that this process has published
+        self._last_number = 0  # number of the last figure that this process has published
 
     @property
     def name(self) -> str:
@@ -116,7 +120,7 @@
         return self.loop.clock.now()
 
     def front_names(self) -> list[str]:
-        """Return the names of all fronts in the installation file, including this one, in order."""
+        """Return the names of all fronts in the installation file, including this one, sorted."""
         return sorted({peer.name for peer in self.fleet.settings.peers} | {self.name})
 
     def zones(self) -> dict[str, str]:
@@ -135,7 +139,7 @@
         return self.fleet.store.items.get((kind, key))
 
     def items(self, kind: str) -> Iterator[tuple[str, Item]]:
-        """Return the keys and items of a kind, expired or not."""
+        """Return key and item of each replicated item of a kind, expired or not."""
         return ((key, item) for (item_kind, key), item in self.fleet.store.items.items() if item_kind == kind)
 
     def live_figures(self, kind: str, now: float) -> Iterator[tuple[str, str, Item]]:
@@ -152,7 +156,7 @@
         self.fleet.publish(kind, key, self.fleet.store.epoch, self._last_number, figure)
 
     def publish_setting(self, name: str, text: str) -> None:
-        """Publish an operator's setting for the whole fleet, as the latest version."""
+        """Publish an operator's setting for the whole fleet, with a version above the current one."""
         current = self.item(SETTING, name)
         version = int(current.value[0]) + 1 if current else 1
         self.fleet.publish(SETTING, name, version, text)
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -57,7 +57,8 @@
         self._members_checksum = 0
         self._members_published_at = -math.inf
         self.rates: dict[str, LeasedRate] = {}
-        # Rates of earlier files stay open, because other fronts may hold leases on them.
+        # Rates that a reloaded installation file no longer names stay open, because other fronts may hold
+        # leases on them.
         self._opened_rates: dict[str, LeasedRate] = {}
         self._open_rates()
 
@@ -142,11 +143,12 @@
     # Membership.
 
     def _confirm_members(self, now: float) -> None:
-        """Let a newcomer own quotas once all fronts whose figures it has name the same members.
+        """Let a newcomer own parts of limits once all fronts whose checksums it has agree with its own.
 
-        Guards against quotas that are computed from different sets of members or different limits, and whose
-        sum exceeds the limit. A front that receives no messages owns its fixed quota after its recovery. Side
-        effect: after a start, a front waits up to `MEMBERS_INTERVAL` for the next figures of the others.
+        The published checksum covers the names of all members and the operators' strict rates. Guards against
+        parts that fronts compute from different members or rates, and whose sum exceeds a limit. A newcomer
+        that receives no messages owns its parts after its recovery. Side effect: after a start, a front waits
+        up to `MEMBERS_INTERVAL` for the next checksums of the others.
         """
         context = self.context
         checksum = zlib.crc32(f"{context.front_names()} {context.limits.leased_rates}".encode())
@@ -166,7 +168,8 @@
     def members_changed(self) -> None:
         """Apply the members and rates of a reloaded installation file.
 
-        If members were removed, quotas grow only once all fronts name the same members.
+        If members were removed, open limits stay divided as they are, and this front owns no parts of limits
+        opened afterwards, until all fronts name the same members.
         """
         now = self.context.now()
         self._open_rates()
--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -28,7 +28,8 @@
     Attributes:
         loop: event loop of the front.
         cache: number of the cache.
-        coverage: fraction of the fronts that may send to the cache that share its budget by leases.
+        coverage: fraction of the cache's whole budget that the configured fronts divide by leases: their
+            number divided by the number of fronts that the settings expect to send to the cache, at most 1.
     """
 
     loop: FrontLoop
@@ -54,7 +55,7 @@
         )
 
     def set_allowance(self, retained: int, leased: int, lease_end: float) -> None:
-        """Pass the quota to the routing ahead of all queued events, so that all later decisions obey it."""
+        """Pass the quota to the routing decisions ahead of all queued events, which then obey it too."""
         unit = self.coverage / PARTS_PER_LIMIT
         quota = SlowStartQuota(self.cache, True, retained * unit, leased * unit, lease_end)
         self.loop.post(quota, first=True)
@@ -85,7 +86,7 @@
         return self.context.limits.slow_start and bool(self.context.settings.weighted)
 
     def owners(self, limit: str) -> list[str]:
-        """Return the fronts that own a limit: for an edge cache those in this front's zone, else all."""
+        """Return the fronts that share a limit: for an edge cache those in this front's zone, else all."""
         context = self.context
         budget = self.budgets.get(limit)
         cache = context.loop.router.caches.get(budget.cache) if budget else None
@@ -105,7 +106,7 @@
         loop = self.context.loop
         number = loop.names.numbers.get(uid)
         if number is not None and self.is_enabled:
-            loop.post(SlowStartQuota(number, True))
+            loop.post(SlowStartQuota(number, True))  # leased, with nothing owned and nothing leased
             loop.timers.after(0.0, lambda: self.open(uid))
 
     def open(self, uid: str) -> None:
@@ -119,7 +120,7 @@
         if limit in self.budgets:
             return
         if cache.role is Role.ORIGIN or cache.is_warm():
-            context.loop.post(SlowStartQuota(cache.id))
+            context.loop.post(SlowStartQuota(cache.id))  # not shared by leases: the front's fixed quota
             return
         for earlier in [other for other in self.budgets if other.startswith(f"{LIMIT_PREFIX}{uid}@")]:
             self.close(earlier)
@@ -151,7 +152,7 @@
         return capacity * settings.edge_overload_window * cache.weight / work
 
     def close(self, limit: str) -> None:
-        """Close a limit, and let the routing use the fixed quota of each front again."""
+        """Close a limit; the routing decisions then use this front's fixed quota again."""
         budget = self.budgets.pop(limit)
         self.leases.close(limit)
         self.context.loop.post(SlowStartQuota(budget.cache), first=True)
