--- a/weldbend/fleet/anti_entropy.py
+++ b/weldbend/fleet/anti_entropy.py
@@ -1,10 +1,11 @@
 """Replication of changes across the fleet, and recovery of a front that is behind.
 
-Each change is sent at once to the neighbours, which forward it. Every few seconds, neighbours compare version
-vectors, which reveals changes lost on the way (anti-entropy). A front that lacks more changes than the others
-retain requests a snapshot from one donor. The snapshot is sent in chunks at a bounded rate; if the donor
-fails, the transfer resumes at the same position with another one. Until a front has caught up, it reports
-this in its summaries and serves no snapshots, and its owner assumes the most restrictive case for missing
+Each change is sent at once to the neighbours, which forward it. Every few seconds, neighbours exchange
+summaries and compare their version vectors, which reveals changes lost on the way (anti-entropy). A front
+that has not caught up, or lacks many changes that the others may no longer retain, requests a snapshot from
+one peer, the donor. The snapshot is sent in chunks at a bounded rate; if the donor fails, the transfer
+continues with another donor after the last key received. While a front has not caught up, it reports this in
+its summaries and serves no snapshots, and its owner assumes the most restrictive case for missing
 information.
 
 This module does no I/O, and callers pass in the time.
@@ -28,11 +29,11 @@
 DONOR_TIMEOUT = 2.0  # seconds without a chunk after which another donor is selected
 SILENT_DONOR_BACKOFF = 8.0  # seconds for which a donor that timed out is not selected again
 PROTOCOL_VERSIONS = (1, 1)  # lowest and highest supported version of the protocol on connections
-MAX_DIGEST_MISMATCHES = 3  # consecutive summaries with equal vectors but different checksums before a merge
+MAX_DIGEST_MISMATCHES = 3  # consecutive summaries, with equal vectors but other checksums, before a snapshot
 MAX_CONCURRENT_SNAPSHOTS = 2  # snapshots served at the same time
 CHUNK_INTERVAL = 0.05  # seconds between two chunks
 DIGEST_MARGIN_INTERVALS = 4  # summary intervals for which an item must remain valid to be in the checksum
-SETTLING_INTERVALS = 2  # summary intervals for which a front that is behind waits for its peers
+SETTLING_INTERVALS = 2  # summary intervals that a front waits for a caught-up peer after a start or a pause
 
 # Reasons for refusing a snapshot, as sent on the wire.
 NOT_CAUGHT_UP = "not caught up"
@@ -56,7 +57,7 @@
         peer: the peer's name.
         tokens: number of bytes that could be sent to the peer at `tokens_at` (token bucket).
         tokens_at: time at which `tokens` was updated.
-        vector: version vector of the peer's replica.
+        vector: version vector of the peer's replica, as far as this front knows.
         is_caught_up: whether the peer reports that it has caught up.
         summary_received_at: time at which the peer's last valid summary was received.
         serving_after: key after which the snapshot served to the peer continues; None if none is served.
@@ -64,8 +65,9 @@
         mismatches: number of consecutive summaries with an equal vector but a different checksum.
         last_sent: number of the last summary sent.
         last_received: number of the last summary received.
-        first_valid: number of the first summary sent since this front began to catch up. A received summary
-            that acknowledges an earlier one may be out of date.
+        first_valid: number of the first summary that this front has sent on the connection, or since its last
+            pause if that was later. A received summary that acknowledges only an earlier one may have been
+            sent before that, and is not evaluated.
         replied_at: time at which a summary was last sent in reply to one.
     """
 
@@ -86,7 +88,8 @@
     def consume(self, size: int, rate: int, now: float) -> bool:
         """Take `size` bytes from the token bucket, or return False if it has too few.
 
-        The bucket is filled at `rate` bytes per second.
+        The bucket is filled at `rate` bytes per second, up to the bytes of one second. A message that is
+        larger than this is sent when the bucket is full, and makes `tokens` negative.
         """
         self.tokens = min(float(rate), self.tokens + (now - self.tokens_at) * rate)
         self.tokens_at = now
@@ -96,7 +99,7 @@
         return True
 
     def record_operation(self, op: m.Operation) -> None:
-        """Record that the peer has a change and its predecessors."""
+        """Record that the peer has a change; its predecessors in the same run count as present there too."""
         run = run_name(op.writer, op.epoch)
         self.vector[run] = max(self.vector.get(run, 0), op.number)
 
@@ -109,8 +112,8 @@
         donor: name of the peer that sends the snapshot.
         after: key after which the transfer continues.
         received_at: time at which the last chunk was received, or the snapshot was requested.
-        floor: version vector of the changes that each of the donors had at its start; None before the first
-            chunk.
+        floor: version vector of the changes that every donor so far had when it began to send; None before
+            the first chunk.
     """
 
     donor: str
@@ -119,7 +122,7 @@
     floor: VersionVector | None = None
 
     def lower_floor(self, vector: VersionVector) -> None:
-        """Lower the floor to the version vector with which another donor started."""
+        """Limit the floor to the changes that a further donor had when it began to send."""
         if self.floor is None:
             self.floor = dict(vector)
         else:
@@ -266,20 +269,20 @@
         return self._broadcast(new, link.peer)
 
     def _progress(self, op: m.Operation) -> tuple[int, int]:
-        """Return the log's number for the run of a change, and its number of early changes."""
+        """Return the number up to which the run of a change is complete, and its count of early changes."""
         log = self.store.logs.get(run_name(op.writer, op.epoch))
         return (log.number, len(log.early)) if log else (0, 0)
 
     def _handle_summary(self, link: Link, summary: m.Summary, now: float) -> list[PeerMessage]:
         is_first = link.summary_received_at == -math.inf
         link.last_received = summary.number
-        if summary.last_received < link.first_valid:  # it may have been queued here during a pause
+        if summary.last_received < link.first_valid:  # queued here during a pause of this front, perhaps
             return [self.next_summary(link.peer, now)] if is_first and self._may_reply(link, now) else []
         link.vector = dict(summary.vector)
         link.is_caught_up = summary.is_caught_up
         link.summary_received_at = now
         missing = self.store.changes_after(link.vector, now, BATCH_SIZE)
-        # If `missing` is None, changes are no longer retained, and the peer requests a snapshot.
+        # If `missing` is None, some changes that the peer lacks are not retained; it requests a snapshot.
         outgoing = self._send_changes(link, missing, now) if missing else []
         if self.store.is_behind(link.vector):
             return outgoing + self._catch_up(link, is_first, now)
@@ -309,14 +312,21 @@
         link.mismatches = link.mismatches + 1 if has_equal_vector and not is_same else 0
 
     def _may_reply(self, link: Link, now: float) -> bool:
-        """Return whether a summary may be answered by one; the limit prevents endless mutual replies."""
+        """Return whether to reply to a summary with a summary now, and record the reply.
+
+        At most one reply per half a summary interval prevents endless mutual replies.
+        """
         if now - link.replied_at <= self.settings.summary_interval / 2:
             return False
         link.replied_at = now
         return True
 
     def _requires_snapshot(self, link: Link) -> bool:
-        """Return whether a snapshot is needed, because the peer may not retain all missing changes."""
+        """Return whether this front needs a snapshot from a peer.
+
+        It does until it has caught up, and afterwards if it lacks so many changes (half of those retained per
+        run) that the peer may not retain all of them.
+        """
         gap = sum(max(n - self.store.last_number(run), 0) for run, n in link.vector.items())
         return not self.is_caught_up or gap > self.settings.retained_operations // 2
 
@@ -326,10 +336,11 @@
     def _all_peers_equal(self, now: float) -> bool:
         """Return whether this front may count as caught up although none of its connected peers has.
 
-        This is the case after the settling time if this front is not behind any peer with a recent summary.
-        Without this rule, fronts that start at the same time would wait for a donor for ever. It also covers
-        a front without peers. As a side effect, a front that has compared summaries with a single peer so far
-        may count as caught up before it receives the items of a third front.
+        This is the case after the settling time if no peer with a recent summary has caught up, and this
+        front is behind none of them. Without this rule, fronts that start at the same time would wait for a
+        donor for ever. It also covers a front without peers. As a side effect, a front that has compared
+        summaries with a single peer so far may count as caught up before it receives the items of a third
+        front.
         """
         recent = [
             link
@@ -341,7 +352,7 @@
         )
 
     def _send_changes(self, link: Link, ops: list[m.Operation], now: float) -> list[PeerMessage]:
-        """Return a message with changes, if the peer's rate allows it; a later summary finds the others."""
+        """Return a message with changes if the peer's rate allows it; else a later summary finds them."""
         body = m.Delta(ops)
         if not link.consume(len(m.encode(body)), self.settings.peer_rate, now):
             return []
@@ -352,7 +363,7 @@
     # Snapshots.
 
     def _request_snapshot(self, now: float, after: str, preferred: str = "") -> list[PeerMessage]:
-        """Return a request for a snapshot to a peer that has caught up and has not just refused.
+        """Return a request for a snapshot to a peer that has caught up and did not refuse or fail recently.
 
         Args:
             now: current time in seconds.
@@ -451,16 +462,17 @@
             self.store.discard_expired(now)
             outgoing += [self.next_summary(peer, now) for peer in self.links]
             if not self.is_caught_up and not self.links and self._is_past_settling_time(now):
-                self.set_caught_up(now)  # without peers there is no more to receive; the view shows this
+                # Without connected peers there is nothing to receive; the view shows which members are heard.
+                self.set_caught_up(now)
         return outgoing
 
 
 def resume_after_pause(members: Membership, exchange: AntiEntropy, now: float) -> list[Send]:
     """Reset membership and replication if this process was paused.
 
-    Called before any received message is handled, it prevents actions on outdated data and on messages that
-    were queued in the sockets during the pause. As a side effect, one more summary is exchanged with each
-    neighbour.
+    It must be called before any received message is handled. It prevents actions on outdated data and on
+    messages that were queued in the sockets during the pause. As a side effect, one more summary is exchanged
+    with each neighbour.
 
     Returns:
         Datagrams to send; none if this process was not paused.
--- a/weldbend/fleet/local_health.py
+++ b/weldbend/fleet/local_health.py
@@ -11,7 +11,12 @@
 
 @dataclass(slots=True)
 class LocalHealth:
-    """The local health of a front; `multiplier` ranges from 0 (healthy) to `MAX_MULTIPLIER`."""
+    """The local health of a front.
+
+    Attributes:
+        multiplier: number from 0 (healthy) to `MAX_MULTIPLIER`, by which intervals and timeouts are
+            lengthened.
+    """
 
     multiplier: int = 0
 
@@ -28,5 +33,5 @@
         self.multiplier = MAX_MULTIPLIER // 2
 
     def scaled(self, seconds: float) -> float:
-        """Return an interval or timeout scaled by the current multiplier."""
+        """Return an interval or timeout times one more than the multiplier."""
         return seconds * (1 + self.multiplier)
--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -1,8 +1,8 @@
 """The table of a front's beliefs about the other members, and the updates still to be gossiped. No I/O.
 
-The belief about a member is the greatest update received, ordered by epoch (its start), incarnation (its
-refutations) and state. Taking the greatest is a join: updates may arrive in any order, repeatedly or not at
-all, and fronts that have received the same updates hold the same beliefs.
+The belief about a member is the greatest update received, ordered by epoch (the member's start), then by
+incarnation (its refutations), then by state. Taking the greatest is a join: updates may arrive in any order
+and repeatedly, and fronts that have received the same updates hold the same beliefs.
 """
 
 import math
@@ -52,14 +52,14 @@
     Attributes:
         name: the member's name.
         epoch: Unix milliseconds of the member's start, 0 if nothing was ever received about it.
-        incarnation: number of suspicions that the member has refuted in that epoch.
-        state: state that the member is believed to be in.
-        since: time at which this front recorded that state.
+        incarnation: number that the member raises in that epoch to refute beliefs that it is not alive.
+        state: state that the member is believed to be in; dead until something is received about it.
+        since: time of the last update of this belief.
         received_at: time of the last message from the member itself.
         suspected_by: names of the fronts that suspect the member.
         suspicion_deadline: time at which a suspected member is declared dead, infinite if not suspected.
-        refutation_probed_at: time of the last unscheduled probe that invited the member to refute a belief
-            that it is suspect or dead.
+        refutation_probed_at: time of the last probe, outside the scheduled ones, that was sent so that the
+            member can refute the belief that it is suspect or dead.
         unanswered_probes: number of this front's probes since the member last answered one directly.
     """
 
@@ -86,8 +86,8 @@
     Attributes:
         name: this front's name.
         epoch: Unix milliseconds of its start, or a later epoch if peers know a later one for its name.
-        incarnation: number of suspicions that it has refuted in that epoch.
-        is_contested: whether another process runs under the same name, so that this one sends nothing.
+        incarnation: number that it raises in that epoch with each refutation and after each pause.
+        is_contested: whether another process runs under the same name; this process then sends nothing.
         is_leaving: whether it is shutting down in an orderly way.
         epoch_raises: times of recent raises of its epoch that messages from peers caused.
     """
@@ -112,8 +112,8 @@
         settings: the fleet's settings.
         counts: counters of suspicions and deaths.
         members: the other members by name.
-        pending_updates: number of transmissions so far, by the name of each member whose update is still to
-            be gossiped.
+        pending_updates: number of times that the update about a member was sent so far, for each member whose
+            update is still to be gossiped, by name.
         changes: state changes since the last `drain_changes`.
     """
 
@@ -162,7 +162,7 @@
         if reporter in member.suspected_by:
             return
         if member.suspected_by and len(member.suspected_by) <= self.settings.helpers:
-            self.announce(member.name)  # gossip the additional reporter
+            self.announce(member.name)  # others shorten the suspicion by the additional reporter too
         member.suspected_by.add(reporter)
         confirmations = min(len(member.suspected_by) - 1, self.settings.helpers)
         member.suspicion_deadline = member.since + self.settings.suspicion_timeout(
@@ -226,5 +226,5 @@
                 self.pending_updates[name] = transmissions + 1
         own_name = self.local.name
         if own_name not in self.pending_updates and all(update.name != own_name for update in updates):
-            updates.append(self.local.as_update())  # inexpensive, and often ends a suspicion
+            updates.append(self.local.as_update())  # small, and often ends a suspicion of this front
         return updates
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -9,9 +9,9 @@
 reporters lasts longer, and a suspected member is notified first (`member_table`).
 
 The effect of a false but well-formed message is bounded: a later epoch is accepted only from the member
-itself, in an authenticated message, or from a helper that has just reached it; one update can raise an
-incarnation by `MAX_INCARNATION_LEAP` at most; and updates about members that the installation does not name
-are dropped.
+itself, in an authenticated message, or from a helper that has just reached it (gossip may only supply the
+first epoch of a member about which nothing was received yet); one update can raise an incarnation by
+`MAX_INCARNATION_LEAP` at most; and updates about members that the installation does not name are dropped.
 """
 
 from collections import Counter
@@ -26,16 +26,16 @@
 from weldbend.fleet.settings import FleetSettings
 
 MAX_INCARNATION_LEAP = 1 << 16  # largest increase of an incarnation by gossip
-MIN_UNANSWERED_PROBES = 2  # before a member's probe may raise this front's epoch
-CONTESTED_EPOCH_RAISES = 3  # epoch raises within the window that show another process with this name
+MIN_UNANSWERED_PROBES = 2  # probes unanswered by a member before its own may raise this front's epoch
+CONTESTED_EPOCH_RAISES = 3  # epoch raises within `EPOCH_RAISE_WINDOW` that show a process of the same name
 EPOCH_RAISE_WINDOW = 30.0  # seconds
 
 
 class Membership:
     """This front's membership protocol.
 
-    The owner calls `advance` on every tick and `receive` for each datagram, and sends the datagrams that both
-    return.
+    The owner calls `advance` on every tick and `receive` for each datagram, and sends the datagrams that
+    these two methods return.
 
     Attributes:
         name: this front's name.
@@ -109,8 +109,8 @@
         """Return how far this front can rely on its own judgement of others.
 
         This prevents a front from judging others while the fault is its own: a lost network connection, a
-        pause of the machine or a recent start. As a side effect, if all other members die at once, the last
-        one keeps them in the suspected state.
+        pause of the machine or a recent start. As a side effect, if all other members die at once, the only
+        one that is left keeps them in the suspected state.
         """
         if not self.members:
             return Reachability.CLEAR
@@ -148,7 +148,7 @@
         return sends + self.prober.probe_next(now)
 
     def was_paused(self, now: float) -> bool:
-        """Return whether this process was paused, which shows by an overdue `advance`."""
+        """Return whether this process was paused, judging by the time since the last `advance`."""
         return now - self.last_advance > self.settings.pause_threshold + self.health.scaled(
             self.settings.probe_interval
         )
@@ -164,7 +164,7 @@
         self.prober.reset_after_pause(now)
         self.health.reset_after_pause()
         self.table.extend_suspicions(now - self.last_advance)
-        self.local.incarnation += 1  # others may believe this front dead
+        self.local.incarnation += 1  # refutes a belief of others that this front died during the pause
 
     def leave(self) -> list[Send]:
         """Begin an orderly shutdown, and return the messages that announce it."""
@@ -174,7 +174,7 @@
     # Received messages.
 
     def receive(self, now: float, sender: str, epoch: int, body: m.Datagram) -> list[Send]:
-        """Handle an authenticated datagram that `sender` sent in an epoch, and return the answers."""
+        """Handle an authenticated datagram that `sender` sent in its given epoch, and return the answers."""
         member = self.members.get(sender)
         if member is None:
             self.counts["not a member"] += 1
@@ -197,7 +197,7 @@
                 self.apply_updates(updates, now)
                 answers = [Send(member.name, m.Ack(number, self.table.gossip_for(member)))]
                 if member.state >= State.SUSPECT:
-                    # The member can at least send, so it is invited to refute.
+                    # The member can at least send, so it is probed, with gossip that it can refute.
                     answers += self.prober.probe_for_refutation(member, now)
                 return answers
             case m.Ack(number, updates):
@@ -220,10 +220,10 @@
     def _check_own_epoch(self, prober: Member, updates: Iterable[m.MemberUpdate], now: float) -> None:
         """Raise this front's epoch if an unresponsive member's probe reports a later one.
 
-        If this front's clock went back behind all of its epochs that the peer remembers, the peer's
-        authenticator drops its messages, so the peer never answers with `StaleEpoch`. The peer's own probes
-        still report the later epoch. As a side effect, a peer that lies makes this front continue under a
-        later epoch, as with `StaleEpoch`.
+        If this front's clock went back behind all epochs of this front that the peer remembers, the peer's
+        authenticator drops this front's messages, so the peer never answers with `StaleEpoch`. The probes
+        that the peer itself sends still report the later epoch. As a side effect, a peer that lies makes this
+        front continue under a later epoch, as it can with `StaleEpoch`.
         """
         if prober.unanswered_probes < MIN_UNANSWERED_PROBES or self.local.is_leaving:
             return
@@ -236,9 +236,9 @@
         """Raise this front's epoch above a later one that another front knows for its name.
 
         Either this machine's clock went back, or another process runs under the same name. Without the raise,
-        a fleet that knows the other epoch would ignore this front for ever. If raises keep recurring, two
-        processes share the name: the one whose epoch is raised last stops sending and marks its view as
-        contested.
+        a fleet that knows the later epoch would ignore this front for ever. If raises recur
+        (`CONTESTED_EPOCH_RAISES`), two processes share the name: the first one to have its epoch raised that
+        often stops sending and marks its view as contested.
         """
         local = self.local
         if not local.epoch <= later_epoch <= local.epoch + MAX_EPOCH_LEAD:
@@ -258,7 +258,7 @@
     # Gossip.
 
     def apply_updates(self, updates: Iterable[m.MemberUpdate], now: float) -> None:
-        """Join the beliefs of another front with this front's own."""
+        """Join the beliefs of another front with this front's own, as `member_table` describes."""
         for update in updates:
             self.apply_update(update, now)
 
@@ -271,8 +271,8 @@
         if member is None:
             self.counts["rumours of nobody"] += 1
         elif not member.epoch and 0 < update.epoch <= self.epoch + MAX_EPOCH_LEAD:
-            # The first information about a member may be gossip: by direct probes alone, 200 fronts would
-            # take minutes to discover each other.
+            # Nothing was received about the member yet. Its first epoch is accepted from gossip, because by
+            # direct probes alone, 200 fronts would take minutes to discover each other.
             state = State.ALIVE if update.state == State.SUSPECT else State(update.state)
             rank = Rank(update.epoch, update.incarnation, state)
             self.table.update(member, rank, now, f"reported by {update.reporter}")
@@ -285,7 +285,7 @@
             self._join(member, update, now)
 
     def _join(self, member: Member, update: m.MemberUpdate, now: float) -> None:
-        """Join a belief about the epoch that this front knows."""
+        """Join a belief about a member in the epoch that this front knows for it."""
         rank = Rank(update.epoch, update.incarnation, State(update.state))
         if rank.state is State.SUSPECT and rank.incarnation >= member.incarnation:
             if member.state is State.ALIVE or rank.incarnation > member.incarnation:
@@ -297,7 +297,7 @@
             self.table.update(member, rank, now, f"reported by {update.reporter}")
 
     def refute(self, update: m.MemberUpdate) -> None:
-        """Refute a belief that this front is suspect or dead, by a later incarnation."""
+        """Refute another front's belief that this front is suspect, dead or gone, by a later incarnation."""
         local = self.local
         if update.epoch != local.epoch or update.state == State.ALIVE or local.is_leaving:
             return
--- a/weldbend/fleet/membership_view.py
+++ b/weldbend/fleet/membership_view.py
@@ -22,8 +22,8 @@
         name: the member's name.
         state: state that the member is believed to be in.
         epoch: Unix milliseconds of the member's start, 0 if unknown.
-        incarnation: number of suspicions that the member has refuted in that epoch.
-        state_age: seconds since its state was recorded, infinite if never.
+        incarnation: number that the member raises in that epoch to refute beliefs that it is not alive.
+        state_age: seconds since the belief about it was last updated.
         message_age: seconds since its last message, infinite if there was none.
         suspected_by: names of the fronts that suspect it.
     """
@@ -42,7 +42,7 @@
     """A front's beliefs about its fleet at one time, with their ages and reliability.
 
     Attributes:
-        at: time of the view, in seconds.
+        at: time at which the view was made, in seconds.
         reachability: how far the front can rely on the view.
         health: the local health multiplier; 0 is healthy.
         is_contested: whether another process runs under this front's name.
--- a/weldbend/fleet/probing.py
+++ b/weldbend/fleet/probing.py
@@ -18,7 +18,7 @@
 from weldbend.routing.random_source import RandomSource
 
 UNKNOWN_MEMBER_PROBE_PERIOD = 3  # one scheduled probe in this many goes to a member nothing is known about
-LEFT_MEMBER_PROBE_PROBABILITY = 0.25  # of probing a member that has left when its turn comes in a round
+LEFT_MEMBER_PROBE_PROBABILITY = 0.25  # that a member that has left is probed when its turn comes in a round
 MAX_EPOCH_LEAD = 1 << 40  # milliseconds by which a reported epoch may exceed this front's own
 
 
@@ -31,9 +31,10 @@
         target: the probed member.
         requester: name of the member on whose behalf the probe is sent, empty for this front's own probe.
         requester_number: number of that member's own probe.
-        indirect_at: time at which helpers are asked, or a NACK is sent to the requester; infinite once done.
-        ends_at: time at which the result is determined.
-        expected_nacks: number of NACKs from helpers that have not arrived yet.
+        indirect_at: time at which helpers are asked, or a NACK is sent to the requester, if there is no
+            answer by then; infinite once done.
+        ends_at: time at which the probe ends, and this front's own probe is evaluated.
+        expected_nacks: number of the helpers asked from which no NACK has arrived yet.
         is_answered: whether an answer has arrived.
     """
 
@@ -55,8 +56,8 @@
         health: the local health multiplier.
         counts: counters of probes.
         random: source of random numbers.
-        round: members still to be probed in this round, the next one last.
-        targets_drawn: number of scheduled probes so far.
+        round: members still to be probed in this round; the last one in the list is probed next.
+        targets_drawn: number of targets selected for scheduled probes so far.
         pending: pending probes by number.
         next_at: time of the next scheduled probe.
     """
@@ -86,7 +87,7 @@
         self.pending = {n: probe for n, probe in self.pending.items() if probe.target.name in members}
 
     def reset_after_pause(self, now: float) -> None:
-        """Discard all pending probes after a pause, since missing answers prove nothing then."""
+        """Discard all pending probes after a pause; answers may be missing because of the pause."""
         self.pending.clear()
         self.next_at = now
 
@@ -117,11 +118,12 @@
     def _next_target(self) -> Member | None:
         """Return the next target; each round probes all members once, in a new random order.
 
-        Members that have been silent for a long time are probed in their turn as well, which detects that a
-        partition has healed. Every third probe goes to a member about which nothing was received yet. When
+        Members that are believed dead are probed in their turn as well, which detects that a partition has
+        healed. Every third probe goes to a member about which nothing was received yet, if there is any. When
         many fronts join at once, there are more updates than datagrams can carry, and without these probes
         the last members would be discovered a whole round later. As a side effect, while some configured
-        members have never been started, the detection of a death takes half as long again.
+        members have never been started, only two of three probes belong to the rounds, and the detection of a
+        death takes half as long again.
         """
         self.targets_drawn += 1
         members = self.table.members
@@ -170,8 +172,8 @@
     def probe_for_refutation(self, member: Member, now: float) -> list[Send]:
         """Probe a member that sends messages although it is believed suspect or dead, so that it refutes.
 
-        The refutation is then gossiped to all. At most one such probe is sent per interval, since two fronts
-        would otherwise answer each other endlessly if the member does not refute.
+        The refutation is then gossiped to all. At most one such probe is sent to a member per probe interval:
+        if the member does not refute, this front and the member would otherwise answer each other endlessly.
         """
         if now - member.refutation_probed_at < self.settings.probe_interval:
             return []
@@ -179,7 +181,7 @@
         return [self.probe(member, now)]
 
     def _probe_indirectly(self, probe: PendingProbe) -> list[Send]:
-        """Ask helpers to probe an unresponsive target, which they may reach when this front cannot.
+        """Ask helpers to probe an unresponsive target; they may reach it even if this front cannot.
 
         If the probe itself was sent on another member's behalf, that member gets a NACK.
         """
@@ -197,13 +199,14 @@
         ]
 
     def _finish(self, probe: PendingProbe, now: float) -> None:
+        """End a probe; an unanswered one of this front's own makes it suspect the target."""
         del self.pending[probe.number]
         if probe.requester:
             return
         if probe.is_answered:
             self.health.improve()
             return
-        # A healthy helper sends at least a NACK, so a missing one points to a fault of this front's network.
+        # A healthy helper sends at least a NACK, so each missing NACK may be due to this front's own network.
         self.health.worsen(probe.expected_nacks)
         target = probe.target
         if target.state <= State.SUSPECT and target.epoch:
@@ -244,9 +247,9 @@
     ) -> None:
         """Accept the epoch of a target from a helper that has just received the target's answer.
 
-        Otherwise this front could never learn of a member that others reach but it does not. As a side
-        effect, a helper that lies can report an epoch that never existed; the member is then notified, and
-        continues under a later epoch.
+        Otherwise this front could never learn the epoch of a member that others reach but this front does
+        not. As a side effect, a helper that lies can report an epoch that never existed; the member then
+        learns of that epoch (`StaleEpoch`), and continues under a later one.
         """
         probe = self.pending.get(number)
         if probe is None or probe.requester or probe.target is helper or probe.expected_nacks == 0:
