--- a/weldbend/fleet/ban_spans.py
+++ b/weldbend/fleet/ban_spans.py
@@ -2,8 +2,8 @@
 
 The ban itself (setting `cast/CLIENT`) contains the Unix time of its end, which fronts of earlier versions
 compare with their wall clocks. A second setting, `cast-for/CLIENT`, contains that time and the duration
-(span) of the ban; fronts of earlier versions ignore it. If it exists, the ban ends that long after it was
-written, independently of any wall clock.
+(span) of the ban; fronts of earlier versions ignore this setting. If it exists, the ban ends one span after
+it was first written, independently of any wall clock.
 """
 
 from weldbend.fleet.replicated_store import Item
@@ -17,7 +17,7 @@
 
 
 def parse_span(setting: Item | None, until: int) -> float | None:
-    """Return the span in seconds of the ban that ends at a Unix time; None if the setting has none for it."""
+    """Return the span in seconds of the ban that ends at `until`; None if the setting is for another ban."""
     if setting is None or not isinstance(setting.value[1], str):
         return None
     named, _, seconds = setting.value[1].partition(" ")
--- a/weldbend/fleet/cache_states.py
+++ b/weldbend/fleet/cache_states.py
@@ -29,7 +29,7 @@
         dispatcher: dispatcher of the routing decisions.
         fleet: the fleet as this front sees it.
         quotas: limits and ejections that this front shares with its fleet.
-        bus_offset: number of the last event that this front's own bus has delivered.
+        bus_offset: number of the last event that this front's own bus connection has delivered.
         counts: counters of the fleet adapter.
     """
 
@@ -60,8 +60,8 @@
     def apply(self, uid: str) -> None:
         """Apply the most restrictive known state and the latest known start of a cache.
 
-        Called after each event of this front's own bus as well, because its list may be older than the list
-        that a peer has read.
+        Called for changes from peers, and for each record of a list from this front's own bus, because that
+        list may be older than the one that a peer has read.
         """
         number = self.dispatcher.names.numbers.get(uid)
         if number is None:
@@ -88,9 +88,9 @@
     def _started(self, uid: str) -> float | None:
         """Return the latest possible time of a cache's last start; None if no front published a start.
 
-        A start that this front's own list does not contain yet is dated by when the first front published it,
-        which is later than the start itself and thus the more restrictive choice. The timestamp from the bus
-        only identifies the start. The result is a time of this front's clock.
+        A start that this front's own list does not contain yet is dated by the time when the first front
+        published it. That is later than the start itself, and thus the more restrictive choice. The timestamp
+        from the bus only identifies the start. The result is a time of this front's clock.
         """
         item = self.fleet.store.items.get((START, uid))
         if item is None:
--- a/weldbend/fleet/datagram_port.py
+++ b/weldbend/fleet/datagram_port.py
@@ -13,7 +13,7 @@
 from weldbend.fleet.settings import Peer
 
 MAX_DATAGRAMS_PER_SECOND = 2000  # received datagrams above this rate are dropped unread
-MAX_PACKET_SIZE = 65_535  # bytes per read; more than allowed, so that an oversized datagram is recognised
+MAX_PACKET_SIZE = 65_535  # bytes per read; above `MAX_DATAGRAM_SIZE`, so that oversized datagrams are seen
 REOPEN_DELAY = 0.2  # seconds before a port that an error closed is opened again
 
 Handler = Callable[[float, Header, m.Datagram], None]
@@ -26,8 +26,8 @@
     Attributes:
         counts: counters of sent, dropped and invalid datagrams.
         is_closed: whether `close` was called.
-        counted_second: the second whose datagrams are being counted.
-        received_in_second: datagrams received within that second.
+        counted_second: the second of the steady clock whose received datagrams are being counted.
+        received_in_second: number of datagrams received in that second.
     """
 
     noisy = False
--- a/weldbend/fleet/execution_exchange.py
+++ b/weldbend/fleet/execution_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of attempts at requests with an idempotency key that another front may have executed."""
+"""Exchange of attempts at requests with an idempotency key, which may have been executed already."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
@@ -16,7 +16,7 @@
 
 
 class ExecutionExchange:
-    """Publishes this front's attempts, and restricts requests to the group that may have executed them."""
+    """Publishes this front's attempts, and reports the caches that may have executed a request already."""
 
     def __init__(self, dispatcher: "Dispatcher", fleet: Fleet, counts: Counter[str]) -> None:
         self.dispatcher = dispatcher
--- a/weldbend/fleet/front_adapter.py
+++ b/weldbend/fleet/front_adapter.py
@@ -1,10 +1,10 @@
 """The interface between a front's dispatcher and its fleet.
 
-It publishes this front's knowledge to the fleet and applies the knowledge of its peers. Information from a
-peer may only restrict this front's decisions, never relax a rule: a purge bounds the age of copies, a drain
-or removal in a newer endpoint list than this front has read excludes a cache, a later start makes a cache
-warm up again, and a request that may have been executed elsewhere is bound to its group and window. Health
-reports and popularity counts are not rules: the decisions weigh them together with this front's own
+The adapter publishes this front's knowledge to the fleet, and applies the knowledge of its peers. Information
+from a peer may only restrict this front's decisions, never relax a rule: a purge bounds the age of copies, a
+drain or removal in a newer endpoint list than this front has read excludes a cache, a later start makes a
+cache warm up again, and a request that may have been executed elsewhere is bound to its group and window.
+Health reports and popularity counts are not rules: the decisions weigh them together with this front's own
 observations.
 """
 
@@ -42,8 +42,8 @@
 
     Attributes:
         fleet: membership, replicated store and transports.
-        quota_service: limits shared with other fronts.
-        counts: counters of information from peers that was applied.
+        quota_service: limits and ejections shared with other fronts.
+        counts: counters of information from peers that was applied or rejected.
     """
 
     def __init__(
@@ -134,7 +134,7 @@
         return self.executions.possible_executions(class_name, idempotency_key, is_retry)
 
     def is_over_limit(self, class_name: str, client: str) -> bool:
-        """Return whether a request exceeds a limit of the fleet; if not, count it against the limit."""
+        """Count a request; return whether it must be rejected because it exceeds a limit of the fleet."""
         return self.quota_service.exceeds_limit(class_name, client)
 
     def is_banned(self, client: str) -> bool:
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -1,15 +1,15 @@
 """Requests with an idempotency key that another front may have executed, and the resulting limits. No I/O.
 
-When a front dies, its client sends the request again to another front with the same idempotency key. That
-front follows the rule for such requests as if it had sent the first attempt itself: it retries only in the
-group of caches that drops duplicates of that attempt, and only within the deduplication window.
+When a front dies, its client sends the request again to another front with the same idempotency key. The
+other front follows the rule for such requests as if it had sent the first attempt itself: it retries only in
+the group of caches that drops duplicates of that attempt, and only within the deduplication window.
 
 A front cannot know of an attempt that another front sent just before it died, was partitioned or stopped
 responding. If all caches drop duplicates, this makes no difference within the window, and clients do not
-retry after it. If only a zone or a cell drops them, a request that is marked as a retry counts as possibly
-executed anywhere while this front has not caught up, or while an unknown attempt may still be in its window
-because the connection to a front was lost or a front stopped responding (`UnknownAttempts`). A longer
-partition is not covered: attempts from its other side are not known here.
+retry after it. If only the caches of a zone or a cell drop them, a request that is marked as a retry counts
+as possibly executed anywhere while this front has not caught up, or while an unknown attempt may still be in
+its window because the connection to a front was lost or a front stopped responding (`UnknownAttempts`). A
+longer partition is not covered: attempts from its other side are not known here.
 """
 
 import math
@@ -21,7 +21,7 @@
 from weldbend.routing.events import PossibleExecution
 from weldbend.routing.settings import DeduplicationScope
 
-MAX_CLOCK_ERROR = 10.0  # seconds; a timestamp by a clock with a greater error is ignored
+MAX_CLOCK_ERROR = 10.0  # seconds; a timestamp that differs from the item's age by more is ignored
 ZONE_PREFIX = "z:"
 CELL_PREFIX = "c:"
 
--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -1,8 +1,8 @@
 """The table of a front's beliefs about the other members, and the updates still to be gossiped. No I/O.
 
 The belief about a member is the greatest update received, ordered by epoch (the member's start), then by
-incarnation (its refutations), then by state. Taking the greatest is a join: updates may arrive in any order
-and repeatedly, and fronts that have received the same updates hold the same beliefs.
+incarnation (its refutations), then by state. Taking the greatest is a join: updates may arrive in any order,
+repeatedly or not at all, and fronts that have received the same updates hold the same beliefs.
 """
 
 import math
@@ -105,7 +105,10 @@
 
 
 class MemberTable:
-    """All members that the installation names; beliefs are changed only here.
+    """All members that the installation names, with the beliefs about them.
+
+    Beliefs are changed here only, except that `Membership` joins the incarnation of a suspicion that it
+    received before it calls `suspect`.
 
     Attributes:
         local: this front's own entry.
--- a/weldbend/fleet/message_authentication.py
+++ b/weldbend/fleet/message_authentication.py
@@ -29,9 +29,9 @@
 MAC_SIZE = 16  # bytes
 PREFIX_SIZE = 1 + KEY_ID_SIZE + MAC_SIZE + 2  # bytes before the header
 MAX_MESSAGE_SIZE = MAX_FRAME_SIZE + 512  # bytes of an authenticated message
-REPLAY_WINDOW = 1024  # numbers below the highest received one that are accepted, for reordered datagrams
+REPLAY_WINDOW = 1024  # numbers, up to the highest received one, that reordered datagrams may still have
 MAX_KEYS = 8  # per key file
-MAX_EPOCHS = 4  # epochs per sender for which message numbers are remembered
+MAX_EPOCHS = 4  # epochs per sender and transport for which received message numbers are remembered
 KEY_LINE = re.compile(r"([0-9a-f]{8})\s+([0-9a-f]{64})")
 
 
@@ -275,10 +275,11 @@
             raise AuthenticationError(DropCause.REPLAYED)
 
     def _window(self, header: Header) -> ReplayWindow:
-        """Return the anti-replay window of the sender's epoch; only the latest epochs of a sender are kept.
+        """Return the anti-replay window of the sender's epoch.
 
-        A message of an epoch older than all kept ones is dropped: its numbers are no longer remembered, so it
-        could be a replay.
+        Only the windows of the latest `MAX_EPOCHS` epochs of a sender are remembered. A message of an epoch
+        before all of these is dropped: it could be a replay of a message whose number is no longer
+        remembered.
         """
         epochs = self.windows.setdefault((header.sender, header.over_connection), {})
         if header.epoch not in epochs:
--- a/weldbend/fleet/messages.py
+++ b/weldbend/fleet/messages.py
@@ -64,7 +64,7 @@
     epoch: Count
     incarnation: Count
     state: Annotated[int, Meta(ge=0, le=3)]
-    reporter: Name  # front from which the belief originates; a suspicion counts its reporters
+    reporter: Name  # front from which the belief originates; a suspicion with more reporters ends sooner
 
 
 MemberUpdates = Annotated[list[MemberUpdate], Meta(max_length=MAX_UPDATES)]
@@ -117,7 +117,7 @@
 
 
 class AcquireLease(Body, tag=7, frozen=True, array_like=True):
-    """A request for a lease on a number of parts, which replaces the lease granted before."""
+    """A request for a lease of `parts` parts in total, in place of the recipient's earlier lease."""
 
     limit: Limit
     number: Count
@@ -125,7 +125,7 @@
 
 
 class GrantLease(Body, tag=8, frozen=True, array_like=True):
-    """The answer to the lease request of an epoch and number; `spare` is the amount still available."""
+    """The answer to the lease request of an epoch and number; `spare` is what the sender could grant more."""
 
     limit: Limit
     epoch: Count
@@ -135,7 +135,7 @@
 
 
 class ReleaseLease(Body, tag=9, frozen=True, array_like=True):
-    """The return of a lease; `unspent` states that nothing of it was used in the last window."""
+    """The return of a lease; `unspent` states that the sender spent nothing in the last window."""
 
     limit: Limit
     number: Count
@@ -178,7 +178,8 @@
     digest: Count
     is_caught_up: bool
     number: Count = 0  # sequence number of the sender's summaries on this connection
-    last_received: Count = 0  # number of the last summary received from the other end; bounds this one's age
+    # Number of the last summary received from the other end, which shows that this one was sent after it.
+    last_received: Count = 0
 
 
 class Delta(Body, tag=22, frozen=True, array_like=True):
--- a/weldbend/fleet/outbox.py
+++ b/weldbend/fleet/outbox.py
@@ -1,8 +1,8 @@
 """A bounded priority queue of the messages to one peer. No I/O.
 
 A peer that reads slowly or not at all costs this front a bounded number of bytes and nothing else. When the
-bound is reached, superseded messages and those that can be requested again are dropped first, and critical
-changes last. A later comparison of summaries finds dropped changes.
+bound is reached, messages that are superseded or can be requested again are dropped first, and critical
+changes last. A later comparison of summaries finds the changes that were dropped.
 """
 
 from collections import Counter, deque
@@ -15,7 +15,7 @@
     COMPARISON = 0  # summaries; the next one supersedes it
     SNAPSHOT = 1  # snapshot messages; a lost chunk is requested again
     CHANGE = 2  # changes; a comparison of summaries finds a lost one
-    CRITICAL = 3  # purges, drains, starts and ejections
+    CRITICAL = 3  # changes to items on which a rule depends (`ItemKind.is_critical`), and hellos
 
 
 class Outbox:
@@ -55,7 +55,7 @@
         return True
 
     def _victim(self, priority: Priority) -> Priority | None:
-        """Return the priority whose oldest message makes room for a new one; None if there is no such."""
+        """Return the priority whose oldest message is dropped for a new message; None if none may be."""
         lower = next((one for one in Priority if one < priority and self._queues[one]), None)
         if lower is None and priority is Priority.CRITICAL and self._queues[priority]:
             return priority  # the newest critical message is more useful than the oldest
--- a/weldbend/fleet/pause_hold.py
+++ b/weldbend/fleet/pause_hold.py
@@ -1,4 +1,4 @@
-"""A short delay of all decisions after a pause of this process, until its data is up to date again."""
+"""A short hold on all decisions after a pause of this process, until its data is up to date again."""
 
 import math
 from collections.abc import Callable
@@ -6,11 +6,11 @@
 from weldbend.fleet.service import Fleet
 
 MAX_HOLD = 0.3  # seconds for which decisions wait for the event bus or for peers
-SETTLE_TIME = 0.02  # seconds to wait for messages that directly follow the first one from either source
+SETTLE_TIME = 0.02  # seconds for which the hold lasts after the first answer, for messages that follow it
 
 
 class PauseHold:
-    """A delay of all decisions after a pause of this process, however long the pause was.
+    """A hold on all decisions after each pause of this process, independent of the length of the pause.
 
     It prevents requests to caches that were drained during the pause, and answers with objects that were
     purged during it. As a side effect, the first requests after a pause are late by `MAX_HOLD` at most.
@@ -24,8 +24,8 @@
         self.fleet = fleet
         self.bus_message_count: Callable[[], int] = lambda: 0
         self._resumed_at = -math.inf  # end of the latest pause
-        self._messages_before = 0  # bus messages received by that time
-        self._fresh_at = math.inf  # end of the hold, set when the bus or a peer has answered
+        self._messages_before = 0  # number of bus messages received by that time
+        self._fresh_at = math.inf  # end of the hold; infinite until the bus or a peer has answered
 
     def is_active(self, now: float) -> bool:
         """Return whether decisions are on hold."""
--- a/weldbend/fleet/peer_connections.py
+++ b/weldbend/fleet/peer_connections.py
@@ -2,9 +2,9 @@
 
 The front whose name sorts first opens the connection. Both ends send a hello with a random half of the
 session id. All later messages are authenticated with the whole session id, so the recorded messages of a
-connection are invalid on any other. A peer that does not read only fills the outbox for its own connection. A
-connection without any received bytes for several summary intervals is dropped and opened again. Nothing in
-this module blocks, so client requests never wait for a peer.
+connection are invalid on any other. A peer that does not read its connection fills only the outbox of that
+connection. A connection without any received bytes for several summary intervals is dropped and opened again.
+Nothing in this module blocks, so client requests never wait for a peer.
 
 A frame consists of a length of four bytes (big-endian) and one authenticated message.
 """
@@ -28,12 +28,12 @@
 from weldbend.fleet.runtime import ListeningPort, Runtime, StreamTransport
 from weldbend.fleet.settings import FleetSettings, Peer
 
-HELLO_TIMEOUT = 2.0  # seconds until the peer's hello
+HELLO_TIMEOUT = 2.0  # seconds after the opening of a connection by which the peer's hello must arrive
 MAX_SILENT_SUMMARY_INTERVALS = 4.0  # summary intervals without a byte before a connection is dropped
 MIN_BACKOFF = 0.2  # seconds between attempts to connect to a peer; doubles with each failure
 MAX_BACKOFF = 3.0  # seconds
 CONNECT_TIMEOUT = 1.0  # seconds
-MAX_UNIDENTIFIED = 16  # connections without a hello from the peer
+MAX_UNIDENTIFIED = 16  # open connections without a hello from the peer; further ones are refused
 LENGTH_SIZE = 4  # bytes of a frame's length field
 NONCE_SIZE = 16  # bytes of each end's half of the session id
 RECEIVE_BUFFER_SIZE = 2 * MAX_MESSAGE_SIZE + (1 << 17)  # bytes
@@ -275,9 +275,9 @@
         members: the other members by name, with their addresses.
         neighbours: names of the members to which this front keeps a connection.
         all_connections: all open connections, including unidentified ones, in the order of their opening.
-        established_by_peer: the one connection to each peer that messages are sent over.
+        established_by_peer: the connection over which messages are sent to each peer, by the peer's name.
         connecting: names of the peers to which a connection is being opened.
-        backoffs: delay before the last attempt to connect to a peer, in seconds.
+        backoffs: delay that followed the last failed attempt to connect to a peer, in seconds, by name.
         counts: counters of bytes, of dropped connections by reason, and of dropped messages.
         port: the listening port, None before `listen`.
         is_stopped: whether `stop` was called.
@@ -324,7 +324,7 @@
 
     def connect(self, peer: str) -> None:
         """Open a connection to a neighbour if this front is the initiator and there is no connection."""
-        is_initiator = self.authenticator.name < peer  # only one end connects, or there would be two
+        is_initiator = self.authenticator.name < peer  # only one of the two ends opens the connection
         is_needed = peer in self.neighbours and peer not in self.established_by_peer
         if not (is_initiator and is_needed) or peer in self.connecting or self.is_stopped:
             return
@@ -350,7 +350,7 @@
         return connection
 
     def connection_established(self, connection: PeerConnection, epoch: int) -> None:
-        """Register a connection after the hello of both ends; it replaces an older one to the same peer."""
+        """Register a connection after both hellos; an older connection to the same peer is dropped."""
         self.connecting.discard(connection.peer)
         self.backoffs.pop(connection.peer, None)
         if older := self.established_by_peer.get(connection.peer):
--- a/weldbend/fleet/popularity.py
+++ b/weldbend/fleet/popularity.py
@@ -2,10 +2,11 @@
 
 The popularity level of an object depends on the number of requests that a front has counted for it. With ten
 fronts in a zone, a second request seldom reaches the same front, and a front that has just started has
-counted nothing. Each front therefore publishes the objects requested in each time slot: a hash of four bytes
-for each object, packed into one text for each slot. A reader counts, for each object, the slots of other
-fronts that contain it; slots expire, so the counts decay. A slot contains an object only once, and retries of
-clients are not counted, so no front raises a popularity level elsewhere by more than it does for itself.
+counted nothing. Each front therefore publishes the objects requested from it in each time slot of
+`SLOT_SECONDS`: a hash of four bytes for each object, packed into one text for each slot. The other fronts of
+the zone count, for each object, the published slots that contain it; slots expire, so the counts decay. A
+slot contains an object only once, and retries of clients are not counted, so no front raises a popularity
+level elsewhere by more than its own.
 """
 
 import zlib
@@ -15,9 +16,9 @@
 from dataclasses import dataclass, field
 
 SLOT_SECONDS = 4.0  # duration of a slot
-KEPT_SLOTS = 64  # for each front; the keys of its slots are reused after that many
-MAX_SLOT_HASHES = 400  # in one slot; requests for further objects are omitted
-MAX_COUNTED_HASHES = 200_000  # of all other fronts together
+KEPT_SLOTS = 64  # published slots of each front; a later slot replaces the one published so many slots before
+MAX_SLOT_HASHES = 400  # hashes in one slot; further objects are omitted
+MAX_COUNTED_HASHES = 200_000  # hashes in the counted slots of all fronts together; further slots are rejected
 HASH_BYTES = 4
 
 
@@ -80,7 +81,7 @@
             self.omitted += 1
 
     def tick(self, now: float) -> tuple[int, str] | None:
-        """Return number and text of the slot if it is complete; None if it is not, or is empty."""
+        """Return number and text of the current slot if its time is over; None before, or if it is empty."""
         if self.began_at is None:
             self.began_at = now
         if now < self.began_at + SLOT_SECONDS:
--- a/weldbend/fleet/popularity_exchange.py
+++ b/weldbend/fleet/popularity_exchange.py
@@ -35,7 +35,7 @@
         return self.peer_counts.count_of(hash_value)
 
     def apply(self, change: Change) -> None:
-        """Count a slot of a peer in the same zone, whose fronts use the same edge caches.
+        """Count a slot of a front in this front's zone, as the fronts of a zone use the same edge caches.
 
         A slot under this front's own name was published by its previous process, and counts too.
         """
@@ -52,5 +52,5 @@
         if self.fleet.settings.popularity and (slot := self.slots.tick(now)):
             number, packed = slot
             key = f"{number % popularity.KEPT_SLOTS}|{self.fleet.name}"
-            self.peer_counts.remove(key)  # a slot of this front's previous process
+            self.peer_counts.remove(key)  # a slot that this front's previous process published under the key
             self.fleet.publish(POPULARITY, key, self.fleet.store.epoch, number, packed)
--- a/weldbend/fleet/purges.py
+++ b/weldbend/fleet/purges.py
@@ -1,7 +1,8 @@
-"""Exchange of purges: publishes those from this front's bus, and applies those that peers received first.
+"""Exchange of purges: publishes those from this front's bus, and applies those that peers publish.
 
-A purge from a peer takes effect from the time when it was published, which its age gives and which is later
-than the purge itself. The bus's timestamp only identifies the purge; no wall clock is used to date it.
+A purge from a peer is dated by the time when the peer published it, which follows from the age of the item.
+That time is later than the purge itself, so all copies that the purge concerns are covered. The bus's
+timestamp only identifies the purge; no wall clock is used to date it.
 """
 
 from collections import Counter
@@ -17,8 +18,8 @@
 if TYPE_CHECKING:
     from weldbend.front.dispatcher import Dispatcher
 
-REPLAY_AFTER = 1.0  # seconds after delivery by this front's bus; a peer's purge published later is a replay
-MAX_REMEMBERED_PURGES = 16_384  # of this front's own bus
+REPLAY_AFTER = 1.0  # seconds after this front's bus delivered a purge; if published later, it is a replay
+MAX_REMEMBERED_PURGES = 16_384  # purges of this front's own bus whose delivery is remembered
 KEY_PREFIX = "k:"  # of an item that purges one object
 GROUP_PREFIX = "g:"  # of an item that purges a group of objects
 
--- a/weldbend/fleet/replicated_items.py
+++ b/weldbend/fleet/replicated_items.py
@@ -2,8 +2,9 @@
 
 The merge of each kind is commutative, associative and idempotent: changes may arrive in any order, repeatedly
 and by any path, and all replicas that received the same changes are equal (state-based replicated data types,
-Shapiro et al. 2011). The merge keeps the more restrictive of two values. So information from a peer can
-restrict a front's decisions at once, but never relaxes a rule of the front.
+Shapiro et al. 2011). Of two values of a shared item, the merge keeps the more restrictive one; of two values
+that one writer published on its own, the later one. Information from a peer can thus restrict a front's
+decisions at once, but never relaxes a rule of the front.
 """
 
 import math
@@ -29,7 +30,7 @@
 BUS_POSITION = "bus"
 SETTING = "setting"
 
-MAX_INTEGER = 1 << 53  # integers up to this one are exact as floats
+MAX_INTEGER = 1 << 53  # all integers up to this one are represented exactly by floats
 MAX_NUMBER = 1e12
 ALL_CACHES = ""  # group of an idempotency key that is valid at all caches
 NO_CACHE = "!"  # group of an idempotency key that is valid at no cache
@@ -46,7 +47,8 @@
         is_valid: function that returns whether a key, value and writer form a valid write.
         merge: function that merges two values.
         lifetime: seconds for which an item is valid after its last write.
-        is_critical: whether a rule of the front depends on such items; changes to them are dropped last.
+        is_critical: whether a rule of the front depends on such items; a full outbox drops changes to them
+            last.
         has_writer_key: whether keys end in `|` and the writer's name, so that each writer has its own items.
         keeps_first: whether an item is dated by its first write with any value, in place of the first write
             of its current value.
@@ -126,7 +128,7 @@
 
 
 def per_writer_kind(lifetime: float, is_critical: bool, *fields: FieldCheck) -> ItemKind:
-    """Return a kind whose items belong to one writer each, and of which the latest value is valid.
+    """Return a kind whose items belong to one writer each; a later value of the writer replaces earlier ones.
 
     Args:
         lifetime: seconds for which an item is valid after its last write.
@@ -145,7 +147,7 @@
     return len(value) == len(checks) and all(check(item) for check, item in zip(checks, value, strict=True))
 
 
-VERSION_FIELDS = (is_integer, is_integer)  # the writer's epoch, and a number that increases with each value
+VERSION_FIELDS = (is_integer, is_integer)  # the writer's epoch, and a number that rises with each value
 
 ITEM_KINDS: dict[str, ItemKind] = {
     # object `k:KEY` or group `g:N` -> Unix ms of the purge. The latest purge is the most restrictive.
@@ -153,24 +155,26 @@
     # cache -> (revision of the endpoint list, state: 0 up, 1 draining, 2 removed). The newest list takes
     # precedence; within one revision, the highest state does.
     DRAIN: shared_kind(max, 600.0, is_integer, is_list_state),
-    # cache -> Unix ms of its start. The latest start means the coldest cache.
+    # cache -> Unix ms of its start. The latest one is the most restrictive: the cache is the coldest.
     START: shared_kind(max, 120.0, is_integer),
     # idempotency key -> (group that may have executed the request, Unix ms of the first attempt). Two
     # different groups merge to no group.
     FIRST_ATTEMPT: shared_kind(merge_first_attempts, 30.0, is_group, is_integer, keeps_first=True),
-    # cache|writer -> (epoch, number, good, failed): results of one front's attempts at the cache
+    # cache|writer -> (epoch, number, good, failed): numbers of successful and failed answers to one front
     HEALTH_REPORT: per_writer_kind(20.0, True, *VERSION_FIELDS, is_number, is_number),
-    # slot|writer -> (epoch, number, packed names): objects requested from one front within some seconds
+    # slot|writer -> (epoch, number, packed hashes): objects requested from one front in one popularity slot,
+    # where `slot` is the number of the slot modulo `popularity.KEPT_SLOTS`
     POPULARITY: per_writer_kind(256.0, False, *VERSION_FIELDS, is_text),
     # `parents` or request class|writer -> (epoch, number, amount per second): one front's demand
     DEMAND: per_writer_kind(20.0, False, *VERSION_FIELDS, is_number),
     # client|writer -> (epoch, number, requests per second): the rate of a busy client at one front
     CLIENT_RATE: per_writer_kind(20.0, False, *VERSION_FIELDS, is_number),
-    # client|writer -> (epoch, number, seconds ago): one front has banned the client
+    # client|writer -> (epoch, number, seconds from the ban to this write): one front has banned the client
     CLIENT_BAN: per_writer_kind(900.0, True, *VERSION_FIELDS, is_number),
-    # cache|writer -> (epoch, number, seconds ago): the cache's connections broke and could not be reopened
+    # cache|writer -> (epoch, number, seconds from the loss to this write): one front has lost its connections
+    # to the cache and could not open new ones
     CACHE_BREAK: per_writer_kind(60.0, True, *VERSION_FIELDS, is_number),
-    # |writer -> (epoch, number, checksum): the members that one front's installation file names
+    # |writer -> (epoch, number, checksum): the members and strict rates of one front's installation file
     MEMBERS: per_writer_kind(60.0, True, *VERSION_FIELDS, is_number),
     # writer -> number of the last event that the writer has read from the event bus
     BUS_POSITION: per_writer_kind(600.0, False, is_integer),
--- a/weldbend/fleet/replicated_store.py
+++ b/weldbend/fleet/replicated_store.py
@@ -3,12 +3,12 @@
 `replicated_items` defines how each kind of item is validated and merged.
 
 A writer numbers its changes from 1 in each of its runs (epochs). A version vector maps each run to the number
-up to which a replica has all changes. A replica that is behind gets the changes after its numbers while they
-are retained, otherwise a snapshot. A change that arrives before its predecessors is merged at once, so that a
-restriction takes effect without delay, and enters the version vector when the gap is closed.
+up to which a replica has all changes. A replica that is behind gets the changes with higher numbers if they
+are still retained, otherwise a snapshot. A change that arrives before its predecessors is merged at once, so
+that a restriction takes effect without delay, and enters the version vector when the gap is closed.
 
-Times are sent as ages, since clocks may differ. So an item appears too young by its transmission time at
-most.
+Times are sent as ages, since clocks may differ. A receiver subtracts the age from its own time, so an item
+appears too young by its transmission time at most.
 """
 
 import math
@@ -46,9 +46,9 @@
     Attributes:
         value: most restrictive value of all writes.
         written_at: time of the last write by any front.
-        first_written_at: earliest known write of the current value, or of any value if
-            `ItemKind.keeps_first`. The event that the item describes had happened by then, independent of
-            any wall clock.
+        first_written_at: time of the earliest known write of the current value, or of any value if
+            `ItemKind.keeps_first`. The event that the item describes had happened by then; no wall clock is
+            needed to know this.
     """
 
     value: Value
@@ -169,11 +169,11 @@
         return run_name(self.name, self.epoch)
 
     def set_epoch(self, epoch: int) -> None:
-        """Set the epoch for subsequent writes, after the epoch of this run was raised.
+        """Set the epoch for subsequent writes, after the epoch of this process was raised.
 
         Of a writer's values, the one with the highest epoch and number is valid. If the clock was set back
-        before this run began, its values would otherwise rank below those of an earlier run for ever. As a
-        side effect, all replicas keep the numbers of one more run for `RUN_LIFETIME`.
+        before this process started, its values would otherwise rank below those of an earlier process for
+        ever. As a side effect, all replicas keep the numbers of one more run for `RUN_LIFETIME`.
         """
         self.epoch = epoch
 
@@ -182,6 +182,9 @@
     def write(self, now: float, kind: str, key: str, *value: int | float | str) -> Change | None:
         """Write an item; a write that changes nothing is not logged.
 
+        A value that does not change the item is still logged if the last write is at least `REWRITE_AFTER`
+        old and the item has a limited lifetime, because the write extends that lifetime.
+
         Returns:
             The change if the item became more restrictive, otherwise None.
         """
@@ -209,7 +212,7 @@
         value = tuple(op.value)
         if rules is None or not rules.is_valid(op.key, value, op.writer):
             self.counts["invalid changes"] += 1
-            self.log_operation(op, now)  # otherwise it would be requested again for ever
+            self.log_operation(op, now)  # otherwise peers would send it again after each comparison
             return None
         if self.log_operation(op, now) or (op.kind, op.key) not in self.items:
             return self._merge(op, value, now)
@@ -232,7 +235,7 @@
         merged = rules.merge(current.value, value)
         is_more_restrictive = merged != current.value
         current.update_first_write(rules, value, merged, written_at)
-        current.written_at = max(current.written_at, written_at)  # any write extends the lifetime
+        current.written_at = max(current.written_at, written_at)  # a write of any value extends the lifetime
         current.value = merged
         age = now - current.written_at
         return Change(op.kind, op.key, merged, age, op.writer) if is_more_restrictive else None
@@ -243,7 +246,10 @@
         return len(self.items) < max_count or self.discard_expired(now) > 0
 
     def log_operation(self, op: Operation, now: float) -> bool:
-        """Log a change for replicas that are behind; return False if it was present already."""
+        """Log a change for replicas that are behind; return False if it was present already.
+
+        Beyond `MAX_RUNS` and `MAX_EARLY_OPERATIONS` a change is not logged, but counts as new all the same.
+        """
         run = run_name(op.writer, op.epoch)
         log = self.logs.get(run)
         if log is None:
@@ -270,7 +276,7 @@
         return {run: log.number for run, log in self.logs.items() if log.number}
 
     def is_behind(self, vector: VersionVector) -> bool:
-        """Return whether the replica with a version vector has changes that this one lacks."""
+        """Return whether a replica with the given version vector has changes that this one lacks."""
         return any(number > self.last_number(run) for run, number in vector.items())
 
     def last_number(self, run: str) -> int:
@@ -279,7 +285,7 @@
         return log.number if log else 0
 
     def changes_after(self, vector: VersionVector, now: float, max_count: int) -> list[Operation] | None:
-        """Return the changes that the replica with a version vector lacks, oldest of each run first.
+        """Return the changes that a replica with the given version vector lacks, oldest of each run first.
 
         Returns:
             At most `max_count` changes, or None if some of them are no longer retained.
@@ -303,7 +309,7 @@
 
         Args:
             now: current time in seconds.
-            margin: minimum remaining lifetime, in seconds, of the items that are included.
+            margin: remaining lifetime, in seconds, that an item must exceed to be included.
             only_critical: whether to exclude items that no rule depends on, which change every second.
         """
         total = 0
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -1,7 +1,7 @@
 """The fleet service of a front: UDP datagrams, TCP connections and the components that use them.
 
-It is created only if the installation file names a fleet. It reports items that have become more restrictive
-to the front, and publishes the front's own knowledge. It never blocks the front.
+The service is created only if the installation file names a fleet. It reports replicated items that have
+become more restrictive to the front, and publishes what the front knows itself. It never blocks the front.
 """
 
 import math
@@ -32,7 +32,7 @@
 from weldbend.fleet.settings import FleetSettings, split_address
 from weldbend.fleet.topology import neighbours
 
-TICK_INTERVAL = 0.05  # seconds; much shorter than the pauses of the process that ticks detect
+TICK_INTERVAL = 0.05  # seconds; must be much shorter than `pause_threshold`, as late ticks reveal pauses
 REPORT_INTERVAL = 10.0  # seconds between two log lines with counters
 FIXED_SETTINGS = ("listen", "fleet", "zone")  # settings that a reload cannot change
 
@@ -87,9 +87,9 @@
         authenticator: authenticator of all messages.
         datagrams: the UDP port.
         counts: counters of datagrams by result.
-        resumed_at: time at which this process last resumed after a pause, minus infinity for never.
-        connection_lost_at: time at which the connection to each peer was last lost.
-        logged_reachability: reachability in the last log line about it.
+        resumed_at: time at which this process last resumed after a pause, minus infinity if it never paused.
+        connection_lost_at: time at which the connection to each peer was last lost, by the peer's name.
+        logged_reachability: this front's reachability according to the last log line about it.
         is_stopped: whether `stop` was called.
         lease_service: strict limits shared with other fronts, None if there are none.
     """
@@ -109,8 +109,8 @@
             name: this front's name.
             settings: the fleet's settings from the installation file.
             on_change: function that is called with every item that has become more restrictive.
-            epoch: Unix time of this start in milliseconds. If the clock went back, peers that know a later
-                epoch report it.
+            epoch: Unix time of this start in milliseconds. If the clock was set back since an earlier start,
+                peers report the later epoch that they know, and this front continues above it.
 
         Raises:
             FleetConfigurationError: the key file cannot be read or is invalid.
@@ -230,7 +230,8 @@
         if epoch == self.authenticator.epoch:
             return
         logger.warning("fleet: own epoch raised from {} to {}", self.authenticator.epoch, epoch)
-        self.authenticator.epoch = epoch  # the clock went back, or another process runs under this name
+        # Raised because the clock went back, or because another process runs under this name.
+        self.authenticator.epoch = epoch
         self.store.set_epoch(epoch)
         if self.lease_service:
             self.lease_service.set_epoch(epoch)
@@ -278,7 +279,7 @@
         self._propagate_own_epoch()
 
     def _lease_message_received(self, now: float, header: Header, body: m.LeaseMessage) -> None:
-        """Handle a message about a strict limit, if its sender is a member in its known epoch."""
+        """Handle a message about a strict limit if this front knows its sender and the sender's epoch."""
         member = self.membership.members.get(header.sender)
         is_known = member is not None and member.epoch == header.epoch and not self.membership.is_contested
         if self.lease_service is None or not is_known:
@@ -287,7 +288,7 @@
         self._send_datagrams(self.lease_service.handle(now, header.sender, header.epoch, body))
 
     def live_members(self) -> list[str]:
-        """Return the names of members that are believed alive and not suspected."""
+        """Return the names of the other members that are believed alive and not suspected."""
         return [one.name for one in self.membership.members.values() if one.state is State.ALIVE]
 
     # Connections (`ConnectionHandler`).
--- a/weldbend/fleet/settings.py
+++ b/weldbend/fleet/settings.py
@@ -66,13 +66,14 @@
         probe_interval: time between two probes of a front.
         probe_timeout: time within which a direct probe has to be answered.
         helpers: number of members that are asked to probe on this front's behalf.
-        min_suspicion: shortest suspicion, in units of the probe interval times log10 of the member count.
-        suspicion_spread: factor by which a suspicion without confirmation lasts longer than the shortest.
+        min_suspicion: shortest suspicion, in units of the probe interval times log10 of the member count (at
+            least 1).
+        suspicion_spread: ratio of the suspicion without any confirmation to the shortest one.
         isolation_timeout: time without any received message after which this front judges no members.
         pause_threshold: time between two ticks above which this process counts as paused.
         peer_rate: rate of snapshots and deltas to one peer.
         outbox_capacity: maximum size of the messages queued for one peer.
-        retained_operations: number of operations per writer's run that are retained for deltas.
+        retained_operations: number of changes per run of a writer that are retained for replicas behind.
         summary_interval: time between two summaries to one peer.
         limits: limits that apply to the whole fleet.
         popularity: whether the fronts of a zone share their counts of clients' requests.
@@ -110,7 +111,8 @@
         """
         shortest = self.min_suspicion * max(1.0, math.log10(max(members, 1))) * self.probe_interval
         longest = shortest * self.suspicion_spread
-        possible = max(min(self.helpers, members - 2), 0)  # maximum number of confirmations
+        # The maximum number of confirmations; all members but this front and the suspected one can confirm.
+        possible = max(min(self.helpers, members - 2), 0)
         if confirmations >= possible:
             return shortest
         return longest - (longest - shortest) * math.log(confirmations + 1) / math.log(possible + 1)
@@ -118,6 +120,6 @@
     def gossip_transmissions(self, members: int) -> int:
         """Return the number of transmissions of an update, in a fleet of `members`.
 
-        SWIM (Das, Gupta, Motivala 2002), section 4.1, with lambda 3.
+        SWIM (Das, Gupta, Motivala 2002), section 4.1, with lambda 3, and one transmission more.
         """
         return math.ceil(3 * math.log10(members + 1)) + 1
--- a/weldbend/fleet/view_comparison.py
+++ b/weldbend/fleet/view_comparison.py
@@ -4,7 +4,10 @@
 
 
 def differences(statuses: dict[str, Any]) -> list[str]:
-    """Return a line for each difference between the fronts' answers, and for each front in an abnormal state.
+    """Return a line for each difference between the fronts' answers, and each front that is not in order.
+
+    A front is not in order if it did not answer, if another process runs under its name, or if it has not
+    caught up.
 
     Args:
         statuses: answer to `status` by the front's name, None for a front that did not answer.
