--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -202,7 +202,10 @@
     # Balance.
 
     def retained(self, now: float) -> int:
-        """Return the number of this front's own parts that are not granted to others."""
+        """Return the number of this front's own parts that are not granted to others.
+
+        It is 0 during the recovery, and negative if `resize` has left fewer own parts than are granted.
+        """
         if now < self.recovering_until:
             return 0
         return self.own - self.granted_parts(now)
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -17,7 +17,7 @@
 MAX_LENDERS_WHEN_GATHERING = 64  # the same while this front holds fewer parts than one attempt takes
 ANSWER_TIMEOUT = 0.45  # seconds after which a request counts as lost, and its lender may be asked again
 GATHERING_TIMEOUT = 1.2  # seconds after which gathered parts are released if one attempt takes more of them
-GATHERING_STAGGER = 0.02  # seconds between the first requests of successive fronts in a time slot
+GATHERING_STAGGER = 0.02  # seconds by which a front begins to gather after the one ranked next above it
 DEMAND_MARGIN = 1.2  # factor on a high demand, because it may grow before the lenders' answers arrive
 MARGIN_MIN_ATTEMPTS = 4.0  # demand, in attempts of a window, above which the margin is added
 RESERVED_PERIODS = 5.0  # periods (a term and a window) after the last demand with one attempt still reserved
@@ -140,8 +140,9 @@
         gathering_since: time in seconds when this front began to gather the parts of one attempt. None once
             it has all parts that it wants or has gathered for `GATHERING_TIMEOUT`, until it gathers again.
         backoff_until: time in seconds before which this front sends no requests after gathering timed out.
-        spare_hints: number of further parts that each lender could grant, by its last answer.
-        refused_until: time in seconds before which each lender that refused is sent no further requests.
+        spare_hints: number of further parts that each lender could grant according to its last answer.
+        refused_until: time in seconds before which no further parts are requested from a lender that granted
+            no further ones and reported none to spare, by lender; renewals are still sent.
     """
 
     limit: str
@@ -250,9 +251,9 @@
 
         A lease is renewed unless this front is almost certain to need the parts itself, because parts that
         are taken back and granted again stay unused for a window each time. Parts that are reserved for this
-        front's own demand are not granted anew, so a borrower that claims too much gets only unused parts,
-        and only for a term. If this front has fewer parts left than one attempt takes, it cannot use them: it
-        grants them to a borrower that has precedence in this time slot, and to no other.
+        front's own demand are granted only in renewals, so a borrower that claims too much gets only unused
+        parts, and only for a term. If this front has fewer parts left than one attempt takes, it cannot use
+        them: it grants them to a borrower that has precedence in this time slot, and to no other.
         """
         available = balance.available
         if available < self.whole_attempt_parts:
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -191,7 +191,7 @@
         self.limits.pop(name, None)
 
     def set_members(self, members: Callable[[str], Iterable[str]], is_newcomer: bool, now: float) -> None:
-        """Divide all limits anew; `members` returns the names of the members that share a given limit."""
+        """Divide all limits again; `members` returns the names of the members that share a given limit."""
         self.is_newcomer = is_newcomer
         for limit in self.limits.values():
             owners = owned_parts(limit.name, members(limit.name), limit.attempts)
@@ -367,7 +367,7 @@
     def try_admit(self, now: float) -> bool:
         """Return whether the current allowance has capacity for a request, and count it if so.
 
-        The caller must read the clock anew for each request, because leases may have ended since the last
+        The caller must read the clock for each request, because leases may have ended since the last
         one.
         """
         self.arrivals.append(now)
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -297,7 +297,7 @@
             self.table.update(member, rank, now, f"reported by {update.reporter}")
 
     def refute(self, update: m.MemberUpdate) -> None:
-        """Refute another front's belief that this front is suspect, dead or gone, by a later incarnation."""
+        """Refute another front's belief that this front is not alive, by a later incarnation."""
         local = self.local
         if update.epoch != local.epoch or update.state == State.ALIVE or local.is_leaving:
             return
