--- a/weldbend/front/admission.py
+++ b/weldbend/front/admission.py
@@ -13,7 +13,7 @@
 
 
 class Admission:
-    """Admission control, which accepts requests or answers them at once.
+    """Admission control: accepts a request for the router, or answers it at once.
 
     Attributes:
         is_rejecting: whether all requests are rejected because the process is about to exit.
@@ -71,7 +71,8 @@
     def _refuse_duplicate(client_request: ClientRequest, open_request: ClientRequest) -> None:
         """Answer a request as invalid because another open request has its id.
 
-        This guards caches against two requests with one id. A client that sent both is banned and loses both.
+        This guards caches against two open requests with the same id. If both came over the same connection,
+        the client is banned, and both requests fail.
         """
         client_request.answer_invalid(DUPLICATE_ID)
         if open_request.client is client_request.client:
--- a/weldbend/front/attempts.py
+++ b/weldbend/front/attempts.py
@@ -18,7 +18,7 @@
 
 
 class AttemptManager:
-    """Executor of the router's decisions on requests, which posts the results of their attempts."""
+    """Carries out the router's decisions on requests, and posts the results of attempts to the router."""
 
     def __init__(
         self,
@@ -37,7 +37,11 @@
     # Attempts.
 
     def send(self, action: SendAttempt) -> None:
-        """Send an attempt for a request, which is in the table as long as the router may refer to it."""
+        """Send an attempt for a request.
+
+        The request is in the table even if it has been closed: `RequestTable` removes it only when the router
+        can no longer refer to it.
+        """
         request = self.requests.by_id[action.id]
         source = None
         if action.source is not None and action.source != action.cache:
@@ -49,12 +53,12 @@
             key=request.parsed.key,
             group=request.parsed.group,
             command=lambda: self._command(request, action, source),
-            is_short_lived=self._is_permission_short_lived(request, action),
+            is_short_lived=self._may_decision_expire_soon(request, action),
             on_ended=lambda attempt, outcome: self.guard(request, self.end, attempt, outcome),
         )
         request.attempts.append(attempt)
         request.attempt_times.append(self.context.clock.now())
-        if request.is_closed:  # cancelled or answered in the iteration of this decision
+        if request.is_closed:  # cancelled or answered in the same iteration, before this action
             attempt.is_over = True
             self.end(request, attempt, AttemptResult.SUPERSEDED)
             return
@@ -77,13 +81,17 @@
         fields = request_codec.attempt_fields(parsed, action, source, timeout)
         return commands.do(parsed.client_id, fields, parsed.body)
 
-    def _is_permission_short_lived(self, request: OpenRequest, action: SendAttempt) -> bool:
-        """Return whether the permission for an attempt may expire soon.
+    def _may_decision_expire_soon(self, request: OpenRequest, action: SendAttempt) -> bool:
+        """Return whether the router's decision to send a new attempt may soon become invalid.
 
-        The permission may depend on a deduplication window, or on the budget of a cache in slow start.
+        The decision to retry a request that is not idempotent may depend on a deduplication window, and one
+        to use a cache in slow start depends on the present budget of that cache.
         """
-        is_guarded_retry = request.attempts and request.idempotency is not Idempotency.IDEMPOTENT
-        return bool(is_guarded_retry) or not self.endpoints.started.isdisjoint((action.cache, action.source))
+        # `request.attempts` holds only the earlier attempts: the new one is added after this call.
+        is_non_idempotent_retry = request.attempts and request.idempotency is not Idempotency.IDEMPOTENT
+        return bool(is_non_idempotent_retry) or not self.endpoints.started.isdisjoint(
+            (action.cache, action.source)
+        )
 
     def _timeout_attempt(self, request: OpenRequest, attempt: Attempt) -> None:
         if self.is_locally_blocked(attempt):
@@ -94,7 +102,10 @@
 
     @staticmethod
     def is_locally_blocked(attempt: Attempt) -> bool:
-        """Return whether an attempt has not been sent, and a local fault contributed to the delay."""
+        """Return whether an attempt still waits to be sent and a local fault delayed it.
+
+        The attribute of the same name stays true even after the attempt has been sent.
+        """
         return attempt.is_waiting() and attempt.is_locally_blocked
 
     def end_locally_blocked(self, request: OpenRequest, attempt: Attempt) -> None:
@@ -111,13 +122,18 @@
     def end(
         self, request: OpenRequest, attempt: Attempt, outcome: Answer | AttemptLoss | AttemptResult
     ) -> None:
-        """Post the result of an attempt; the first one with the object answers the request."""
+        """Post the result of an attempt, and answer the request if this is its first successful result.
+
+        A cache answers successfully with DONE, which has the object, or with KEEP if the client's copy is
+        current.
+        """
         if isinstance(outcome, Answer) and outcome.status in ("DONE", "KEEP") and not request.is_closed:
             self.context.counters.counts["served"] += 1
             self.endpoints.observe_copy(outcome.fields.get("born", ""))
             request.client_request.answer_served(outcome.body, outcome.status == "KEEP")
             self.close(request)
         number = request.attempts.index(attempt)
+        # A health status (FIT or UNFIT) under the name of an attempt is a fault of the cache.
         if isinstance(outcome, Answer) and outcome.status not in request_codec.ANSWER_RESULTS:
             anomalies["attempts answered as health checks"] += 1
             outcome = AttemptResult.ERROR
@@ -152,9 +168,9 @@
     def abort_all(self) -> None:
         """Abort all open requests.
 
-        This guards against the SIGKILL at the end of a graceful shutdown: open requests, including those
-        whose deadline lies beyond the longest shutdown, are answered before it. Its side effect is that
-        requests fail that might have been served a little later.
+        Called near the end of a graceful shutdown, so that every client has an answer before SIGKILL ends the
+        process, even one whose deadline is later than the longest shutdown. Its side effect is that some of
+        these requests fail although they might have been served a little later.
         """
         for request in list(self.requests.by_id.values()):
             self.guard(request, self.abort)
@@ -169,9 +185,10 @@
     def expire(self, request: OpenRequest) -> None:
         """Time out all attempts in flight at the deadline; the router decides on the final answer.
 
-        This includes the attempts of a request that was closed before, if the site does not allow the router
-        to cancel attempts. The router decides after the usual polls, so that it takes into account all events
-        that have arrived.
+        This includes attempts of a request that was closed before its deadline; they are still in flight if
+        the site does not allow the router to cancel attempts. The router decides after the reactor has polled
+        its sockets twice (`EventQueue.after_polls`), so that it takes into account all events that have
+        arrived.
         """
         for attempt in request.attempts:
             self._timeout_attempt(request, attempt)
@@ -179,7 +196,7 @@
             self.queue.after_polls(lambda: self.guard(request, self._decide_or_abort))
 
     def _decide_or_abort(self, request: OpenRequest) -> None:
-        """Run the router on an expired request, and abort the request if the router does not answer it."""
+        """Run the router until an expired request is answered; abort the request if no events are left."""
         while not request.is_closed and self.queue.has_events():
             self.queue.run_iteration()
         if not request.is_closed:
@@ -189,7 +206,7 @@
     def close(self, request: OpenRequest) -> None:
         """Close a request, so that nothing more is sent for it.
 
-        Attempts that wait for a connection are cancelled, even where the site does not allow the router to
+        Attempts of which no byte was sent are cancelled here, even if the site does not allow the router to
         cancel attempts.
         """
         self.requests.mark_closed(request)
@@ -201,7 +218,8 @@
     def guard(self, request: OpenRequest, call: Callable[..., None], *args: object) -> None:
         """Call `call(request, *args)`; an exception aborts that request only.
 
-        This guards the connection, which other requests share, against an error in the handling of one.
+        Without this, the exception would reach the caller, for example the connection that read the answer,
+        and end other requests with it.
         """
         try:
             call(request, *args)
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -1,4 +1,4 @@
-"""Interface of the front for client connections: admission, time, backpressure, and bans by the fleet."""
+"""The front as client connections see it: handling of requests, time, backpressure, and bans."""
 
 from collections.abc import Callable
 
@@ -10,8 +10,8 @@
 from weldbend.front.process_pause import HEARTBEAT_INTERVAL, ProcessPauseDetector
 
 MAINTENANCE_INTERVAL = HEARTBEAT_INTERVAL  # seconds between two maintenance rounds of client connections
-CATCH_UP_POLLS = 4  # polls of the sockets until all bytes received during a process pause are read
-CONTINUATION_DELAY = 0.002  # seconds until an unfinished round continues
+CATCH_UP_POLLS = 4  # after so many polls, all bytes that arrived during a process pause count as read
+CONTINUATION_DELAY = 0.002  # seconds until a maintenance round that used up its budget continues
 
 
 class ClientGateway:
@@ -39,7 +39,7 @@
         self.context.timers.after(MAINTENANCE_INTERVAL, self._run_maintenance)
 
     def _run_maintenance(self) -> None:
-        """Check a bounded number of connections; the rest follow shortly, after other due work."""
+        """Check a bounded number of connections; the rest follow after `CONTINUATION_DELAY`."""
         if self.pause_detector.record_heartbeat(self.now()):
             self._catch_up(CATCH_UP_POLLS)
         is_unfinished = self.listener.check_connections()
@@ -71,7 +71,7 @@
         self.context.counters.record_error(where)
 
     def watch_hangup(self, client: ClientConnection, is_unread: bool) -> None:
-        """Set whether a client does not read its answers, so that its hang-up is watched."""
+        """Watch for a client's hang-up while its socket is not read; stop if `is_unread` is false."""
         self.listener.watch_hangup(client, is_unread)
 
     def call_later(self, delay: float, call: Callable[[], None]) -> None:
@@ -79,7 +79,7 @@
         self.context.timers.after(delay, call)
 
     def is_admitted(self, host: str) -> bool:
-        """Return whether a client may connect, which the fleet may have banned."""
+        """Return whether a client may connect; False if the fleet has banned its address."""
         fleet = self.context.fleet
         return not (fleet and fleet.is_banned(host))
 
@@ -102,7 +102,10 @@
         self.listener.client_disconnected(client)
 
     def buffered_changed(self, change: int) -> None:
-        """Update the bytes buffered for slow readers; beyond the limit, pause reading from caches."""
+        """Update the bytes buffered for slow readers, and pause or resume reading from caches.
+
+        Reading pauses above the limit, and resumes below half of it.
+        """
         self.unsent_bytes += change
         self.max_unsent_bytes = max(self.max_unsent_bytes, self.unsent_bytes)
         pool = self.dispatcher.pool
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -14,10 +14,10 @@
 from weldbend.routing.settings import Role, SiteSettings
 from weldbend.site_settings import cache_roles, read_site_settings
 
-MAX_ITERATION = 0.004  # seconds of an event-loop iteration; the router's tick is at least as long
-CACHE_DESCRIPTORS = 96  # file descriptors for connections to caches, of which some tens are used
+MAX_ITERATION = 0.004  # seconds; limit for event-loop iterations, and minimum of the router's `tick` setting
+CACHE_DESCRIPTORS = 96  # file descriptors for connections to caches; some tens of them are in use at a time
 RESERVED_DESCRIPTORS = 32  # file descriptors for the log, the reactor, the bus and the listening port
-MEMORY_FRACTION = 4  # one fourth of the memory limit may hold answers for slow readers
+MEMORY_FRACTION = 4  # divisor: a quarter of the memory limit may hold answers for slow readers
 MAX_PORT = 65_535
 MICROSECONDS = 1e6  # per second
 
@@ -82,7 +82,8 @@
         max_clients: maximum number of client connections.
         max_unsent_bytes: bytes buffered for slow readers beyond which reading from caches pauses.
         client_settings: settings of client connections, from the installation file.
-        fleet: fleet settings of the installation file, None without any. Their type is loaded only if needed.
+        fleet: fleet settings of the installation file; None without a fleet. Typed as Any, since the module
+            of their type is imported only if there is a fleet.
     """
 
     name: str
@@ -150,7 +151,8 @@
     settings = read_site_settings(raw_settings)
     host, _, port = raw["listen"].rpartition(":")
     descriptors = int(limits["sockets"])
-    # Client connections get the descriptors that caches and the process leave, and at least half of all.
+    # Client connections get all descriptors that are not set aside for caches and the process itself, and at
+    # least half of the limit.
     max_clients = max(descriptors // 2, descriptors - CACHE_DESCRIPTORS - RESERVED_DESCRIPTORS)
     return Site(
         name=str(raw["name"]),
--- a/weldbend/front/context.py
+++ b/weldbend/front/context.py
@@ -28,7 +28,7 @@
     """Interface between a front and its fleet about requests and clients."""
 
     def count_request(self, class_name: str, key: str, part: int, is_retry: bool) -> int:
-        """Count a request for an object, and return how many other fronts have recently received."""
+        """Count a request for an object; return how many requests for it other fronts recently received."""
         ...
 
     def possible_executions(
@@ -42,7 +42,7 @@
         ...
 
     def holds_decisions(self, now: float) -> bool:
-        """Return whether decisions must wait because this process was suspended and its state is stale."""
+        """Return whether the router's decisions must wait because a process pause made its state stale."""
         ...
 
     def is_over_limit(self, class_name: str, client: str) -> bool:
--- a/weldbend/front/counters.py
+++ b/weldbend/front/counters.py
@@ -21,7 +21,9 @@
         self._logged_errors = 0
 
     def record_error(self, context: object, trace: str | None = None) -> None:
-        """Count an internal error and log it with its traceback, up to `MAX_LOGGED_ERRORS` at a time.
+        """Count an internal error, and log it with its traceback.
+
+        At most `MAX_LOGGED_ERRORS` are logged until `reset_error_limit` is called.
 
         Args:
             context: object or place that was being handled.
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -132,7 +132,7 @@
             for action in actions:
                 try:
                     self.perform(action)
-                except Exception:  # noqa: BLE001 - as above
+                except Exception:  # noqa: BLE001 - an error in one action must not end the front
                     self._abort_request_of(action)
         self._remove_unreferenced(batch)
         self.queue.put_back(batch)
@@ -141,8 +141,9 @@
     def _remove_unreferenced(self, rest: deque[Event]) -> None:
         """Remove finished requests and removed caches, except those that remaining events refer to.
 
-        This guards the router's actions on these events, which may concern anything that the events refer to.
-        Its side effect is that removed caches stay registered until an iteration has handled its whole batch.
+        When the router handles a remaining event later, its actions may name the request or the caches of
+        that event, which must then still be registered. The side effect is that removed caches stay
+        registered until an iteration has handled its whole batch.
         """
         self.requests.remove_finished({getattr(event, "id", "") for event in rest})
         if not rest:
@@ -193,9 +194,10 @@
             request.timers.append(timer)
 
     def _fire_timer(self, action: SetTimer) -> None:
-        """Post that a timer is due, and whether the attempt's connection has been silent since it was sent.
+        """Post that a timer is due, and whether the attempt's connection received nothing since the attempt.
 
-        An attempt delayed by a local fault is ended instead: the delay is no evidence against its cache.
+        If the attempt is still unsent because of a local fault, it is ended instead and no timer event is
+        posted: the delay is no evidence against its cache.
         """
         request = self.requests.by_id.get(action.id) if action.attempt >= 0 else None
         is_silent = False
@@ -216,4 +218,4 @@
 
     @staticmethod
     def _watch_endpoints(action: WatchEndpoints) -> None:
-        """Do nothing, since the front reads the bus from its start."""
+        """Ignore the router's subscription to endpoint lists: the front reads the bus from its start."""
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -12,7 +12,11 @@
 from weldbend.routing.events import Endpoint, EndpointsListed, EndpointState, ListScope, ObjectsPurged
 
 MILLISECONDS = 1000  # per second
-# Fraction of the overload rule's window in which the requests that a front may send fit beside a whole quota.
+# Fraction of `edge_overload_window`, counted from the first unconfirmed record, in which all cautious
+# estimates are repeated. A new estimate resets the count of work sent to a cache in slow start. A front that
+# has just started has sent at most this fraction of its quota by then, since its quota grows over one window.
+# All quotas take 0.75 of the cache's budget (`slow_start.BUDGET_FRACTION`), so this fraction of them and the
+# whole quotas after the reset take 0.75 * (0.25 + 1) = 0.9375 of the budget together.
 EARLY_FRACTION = 0.25
 
 
@@ -20,8 +24,8 @@
     """Handler of bus events.
 
     Attributes:
-        listed: caches in the endpoint list that are not removed.
-        started: caches with a start time in the endpoint list, which may be in slow start.
+        listed: numbers of the caches in the endpoint list, except those in the state "removed".
+        started: numbers of the listed caches with a start time, which may be in slow start.
     """
 
     def __init__(
@@ -33,14 +37,18 @@
         self.pool = pool
         self.listed: set[int] = set()
         self.started: set[int] = set()
-        self._unconfirmed_starts: dict[str, EndpointRecord] = {}  # from the first read of the bus, by uid
-        self._first_unconfirmed: float | None = None  # arrival of the first of these records
-        self._removed: set[int] = set()  # the router may still refer to them in this iteration
+        # Records by uid whose start times were estimated in the first read of the bus, while this front's
+        # Unix clock was not confirmed.
+        self._unconfirmed_starts: dict[str, EndpointRecord] = {}
+        self._first_unconfirmed: float | None = None  # arrival time of the first of these records
+        # Removed caches that stay registered, since the router may still refer to them in this iteration.
+        self._removed: set[int] = set()
 
     def handle(self, sequenced: SequencedEvent, receipt: Receipt) -> None:
-        """Post an event for the router, then cancel the queued attempts that it makes obsolete.
+        """Post an event for the router, then cancel the queued attempts that the event makes obsolete.
 
-        In the reverse order, the router would see only the cancellation and send the same attempt again.
+        In the reverse order, the router would handle the cancellation before the event, and send the same
+        attempt again.
 
         Args:
             sequenced: event and its offset.
@@ -109,7 +117,10 @@
             )
 
     def observe_copy(self, born: str) -> None:
-        """Compare clocks with the creation time of a copy, as given in an answer (Unix milliseconds)."""
+        """Compare this front's Unix clock with the creation time of a copy (Unix milliseconds, as text).
+
+        A cache sends the creation time with its answer. A text that is not a number is ignored.
+        """
         if not self.context.timestamps.is_confirmed and born.isascii() and born.isdigit():
             self.observe_stamp(int(born) / MILLISECONDS)
 
@@ -121,9 +132,9 @@
     def _estimate_starts_again(self) -> None:
         """Repeat the cautious estimates of start times that were made in the first read of the bus.
 
-        A new estimate resets the count of requests sent to the cache. It is therefore made only for warm
-        caches, or for all caches in the first part of a window (`EARLY_FRACTION`), in which a front that has
-        just started sends little of its quota.
+        A new estimate resets the router's count of work sent to the cache, so that its quota could be used
+        twice. The estimate is therefore repeated only for caches that are warm by now, or for all caches
+        while little of the quota can have been used (`EARLY_FRACTION`).
         """
         now = self.context.clock.now()
         records = list(self._unconfirmed_starts.values())
@@ -146,7 +157,10 @@
         return now - self.context.timestamps.to_monotonic(record.started_at) >= warm_up.seconds
 
     def remove_unlisted(self) -> None:
-        """Remove the registrations of removed caches at the end of an iteration; uids are never reused."""
+        """Remove the registrations of removed caches at the end of an iteration.
+
+        A cache that is in the list again keeps its registration.
+        """
         for cache in self._removed - self.listed:
             self._unconfirmed_starts.pop(self.names.uids.get(cache, ""), None)
             self.names.remove(cache)
--- a/weldbend/front/event_queue.py
+++ b/weldbend/front/event_queue.py
@@ -7,10 +7,13 @@
 from weldbend.front.context import FrontContext
 from weldbend.routing.events import Event, LoopLagMeasured, RequestReceived
 
-IDLE_GAP = 0.001  # seconds after an iteration from which a new event counts as not delayed
-MIN_REPORTED_LAG = 0.005  # seconds of event-loop lag that are reported to the router
+# Seconds after an iteration; if the next event is posted later than that, it counts as having arrived just
+# now, and otherwise as having possibly waited in a socket since the iteration began. Also the delay after
+# which an iteration is tried again while the fleet delays decisions.
+IDLE_GAP = 0.001
+MIN_REPORTED_LAG = 0.005  # seconds of event-loop lag above which the lag is reported to the router
 ITERATION_LIMIT = 0.03  # seconds after which an iteration leaves its remaining events to the next one
-MIN_EVENTS_PER_ITERATION = 2  # always taken: the lag event of the iteration and one posted event
+MIN_EVENTS_PER_ITERATION = 2  # taken even after the limit: the lag event, and one posted event for progress
 
 
 class EventQueue:
@@ -39,7 +42,8 @@
 
         Args:
             event: event to queue.
-            first: whether it goes before all queued events, so that it applies to them as well.
+            first: whether the event goes before all queued events, so that the router knows of it when it
+                handles them.
         """
         if not self._is_scheduled:
             now = self.context.clock.now()
@@ -61,8 +65,8 @@
         """Schedule a call after the reactor has polled its sockets twice.
 
         This guards caches against attempts for clients that disconnected or cancelled while this front was
-        busy: a request and its cancellation are read in two successive polls. Its side effect is one more
-        poll in each iteration.
+        busy: if a poll reads a request, its cancellation may be read only by the next poll. The side effect
+        is one more poll in each iteration.
         """
         reactor = self.context.reactor
         reactor.callLater(0, lambda: reactor.callLater(0, call))
@@ -70,7 +74,7 @@
     def _run_when_allowed(self, has_waited: bool = False) -> None:
         """Run the iteration, or wait while the fleet delays decisions.
 
-        After such a wait, all other events, such as purges and events of caches, go before requests.
+        After such a wait, requests are moved behind all other events, such as purges and events of caches.
         """
         fleet = self.context.fleet
         if fleet and fleet.holds_decisions(self.context.clock.now()):
@@ -99,7 +103,7 @@
         return batch
 
     def is_time_limit_exceeded(self) -> bool:
-        """Return whether the iteration has taken so long that the sockets must be polled.
+        """Return whether the iteration has taken so long that the sockets must be polled again first.
 
         This guards caches against attempts for clients that disconnect or cancel while a long batch is
         handled. Its side effect is that the remaining events of the batch wait for two polls.
--- a/weldbend/front/health_checks.py
+++ b/weldbend/front/health_checks.py
@@ -9,7 +9,7 @@
 
 
 class HealthChecker:
-    """Sender of health checks over existing connections, which posts their results."""
+    """Sends health checks over existing connections, and posts the results to the router."""
 
     def __init__(self, context: FrontContext, queue: EventQueue, pool: CachePool) -> None:
         self.context = context
--- a/weldbend/front/open_requests.py
+++ b/weldbend/front/open_requests.py
@@ -20,7 +20,7 @@
         deadline: deadline in seconds of the monotonic clock.
         idempotency: idempotency of its class in the settings under which it was accepted.
         attempts: attempts in the order of the router's decisions.
-        attempt_times: time of the router's decision on each attempt.
+        attempt_times: time at which each attempt was begun, in the order of `attempts`.
         timers: timers that are cancelled when the request has finished.
         is_closed: whether the request was answered or cancelled.
     """
@@ -78,8 +78,8 @@
     def finish_if_done(self, request: OpenRequest) -> None:
         """Finish a closed request without attempts in flight; `remove_finished` removes it later.
 
-        Its timers are cancelled. The later removal guards against attempts that the router decides on in the
-        meantime: the router must be notified of their end.
+        Its timers are cancelled. It stays in the table until the end of the iteration, since the router may
+        already have decided on further attempts for it, and must be notified of their end.
         """
         if request.is_closed and not request.has_attempt_in_flight():
             for timer in request.timers:
@@ -87,7 +87,7 @@
             self._finished.append(request)
 
     def remove_finished(self, still_referenced: set[str]) -> None:
-        """Remove the finished requests without events that the router still has to handle.
+        """Remove the finished requests to which no unhandled event refers.
 
         Args:
             still_referenced: ids of requests in events that the router has not handled yet.
--- a/weldbend/front/process_pause.py
+++ b/weldbend/front/process_pause.py
@@ -1,11 +1,12 @@
 """Detection of process pauses, to estimate when bytes that were read after a pause arrived.
 
 After the system has suspended the process, or after a long iteration of the event loop, the bytes read from
-sockets may have arrived at any time since the previous read. The earliest possible time is assumed.
+sockets may have arrived at any time since the last heartbeat before the pause. That heartbeat's time, the
+earliest possible one, is assumed.
 """
 
 TOLERANCE = 0.02  # seconds by which a heartbeat may be late
-HEARTBEAT_INTERVAL = 0.1  # maximum seconds between two heartbeats
+HEARTBEAT_INTERVAL = 0.1  # longest time in seconds between two heartbeats of a process that is not paused
 
 
 class ProcessPauseDetector:
@@ -15,7 +16,8 @@
 
     Attributes:
         last_heartbeat: time of the last heartbeat.
-        paused_at: earliest start of the last pause; None once all bytes that arrived during it were read.
+        paused_at: earliest possible start of the last pause; None once all bytes that arrived during it were
+            read.
     """
 
     def __init__(self, now: float) -> None:
--- a/weldbend/front/reload.py
+++ b/weldbend/front/reload.py
@@ -14,12 +14,12 @@
     "client_settings",
     "fleet",
 )
-# Not compared, since they differ in every configuration that is written.
+# Not compared to find changes, since they differ between any two configurations that are written.
 UNCOMPARED_FIELDS = ("bus_address", "known_events", "bus_offset", "seed")
 
 
 def pending_restart(current: Site, new: Site, has_fleet: bool) -> list[str]:
-    """Return the changed fields that need a restart, which in a fleet are nearly all."""
+    """Return the names of changed fields that need a restart; in a fleet, all but `fleet` need one."""
     names = [field.name for field in fields(Site) if field.name not in UNCOMPARED_FIELDS]
     changed = [name for name in names if getattr(new, name) != getattr(current, name)]
     return [name for name in changed if name in RESTART_ONLY_FIELDS or (has_fleet and name != "fleet")]
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -31,16 +31,18 @@
     AttemptLoss.SUPERSEDED: AttemptResult.SUPERSEDED,
     AttemptLoss.LOCAL_FAULT: AttemptResult.LOCAL_FAULT,
 }
-FILL_HINTS = dict(zip("hfojsrblnx", list(FillHint)[1:], strict=True))  # by the letter on the wire
+# Hints by their letters on the wire, which are in the order of `FillHint` without its first member, NONE.
+FILL_HINTS = dict(zip("hfojsrblnx", list(FillHint)[1:], strict=True))
+# Patterns for values of fields; values of HEX and INTEGER are passed on to caches as they are.
 HEX16 = re.compile(r"[0-9a-f]{16}")
 HEX = re.compile(r"[0-9a-f]{1,64}")
-INTEGER = re.compile(r"0|[1-9][0-9]{0,8}")  # canonical form, since it is forwarded unchanged
+INTEGER = re.compile(r"0|[1-9][0-9]{0,8}")  # without leading zeros
 DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,12})?")
 MAX_BODY = 48_000  # bytes
 MAX_SIZE = 1e8  # maximum size of a part in kB
 MAX_PART = 99_999
 MAX_GROUP = 255
-TIMEOUT_TOLERANCE = 0.05  # seconds by which a client may round up its timeout
+TIMEOUT_TOLERANCE = 0.05  # seconds by which a client's timeout may exceed its class's, due to rounding up
 
 
 class InvalidRequestReason(Enum):
@@ -173,11 +175,12 @@
     Ages and timeouts are sent in whole milliseconds, at least 1, since 0 means unlimited.
 
     Args:
-        request: client's request.
-        action: router's decision on the attempt.
-        source: uid of the cache from which a miss is filled; None if the cache fills from no other cache.
+        request: request of the client.
+        action: decision of the router to send the attempt.
+        source: uid of the other cache from which a miss is filled; None if there is no such cache.
         timeout: maximum duration of the attempt in seconds.
     """
+    # The letters are the flags' names in the protocol of caches.
     flags = zip(
         "jhnr",
         (action.join_fill, action.only_if_cached, action.leave_no_copy, action.revalidate),
--- a/weldbend/front/retrying_reactor.py
+++ b/weldbend/front/retrying_reactor.py
@@ -1,8 +1,9 @@
 """Twisted's epoll reactor, extended to retry when the system cannot register one more descriptor.
 
 epoll_ctl fails with ENOMEM, or with ENOSPC at the user's limit on watches. Twisted lets the exception escape
-from the operation that registered the descriptor. A new connection is then dropped, a periodic timer that
-closes connections or reconnects to the bus stops forever, and a buffered answer counts as not sent.
+from the operation that registered the descriptor. As a result, a new connection is dropped; a periodic timer
+whose call raised the exception (it closes connections or reconnects to the bus) is never scheduled again; and
+an answer that the transport has buffered counts as not sent.
 """
 
 import errno
@@ -20,7 +21,7 @@
     """Reactor that retries failed registrations until they succeed or are no longer needed.
 
     This guards connections, timers and the listening port against errors of epoll_ctl. Its side effect is
-    that bytes on such descriptors wait until a retry succeeds.
+    that bytes on a descriptor that is not registered wait until a retry succeeds.
 
     Attributes:
         unwatched_readers: descriptors whose registration for reading will be retried.
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -1,7 +1,8 @@
 """Startup, reload and shutdown of one front.
 
-A front listens only when it can answer requests. After SIGTERM it continues to accept requests. It exits when
-all accepted requests have been answered, but not before clients have had time to notice the shutdown.
+A front opens its port only when it can answer requests. After SIGTERM, its health checks fail, but it still
+accepts requests. It exits when all accepted requests have been answered, but not before clients have had time
+to notice the failing health checks.
 """
 
 import gc
@@ -33,9 +34,9 @@
     from weldbend.fleet.front_adapter import FleetAdapter
 
 # All in seconds.
-MIN_SHUTDOWN_TIME = 0.7  # minimum time from SIGTERM to the exit, since clients still send requests
-MAX_DEADLINE = 3.0  # limit on the request deadline that a shutdown waits for; SIGKILL follows soon after
-ABORT_DELAY = 0.4  # from that deadline until open requests are aborted and new ones rejected
+MIN_SHUTDOWN_TIME = 0.7  # minimum time from SIGTERM to the exit; clients still send requests at first
+MAX_DEADLINE = 3.0  # longest request deadline that a shutdown waits for, since SIGKILL follows soon after
+ABORT_DELAY = 0.4  # from the end of the longest deadline until open requests are aborted, new ones rejected
 FORCED_EXIT_DELAY = 0.2  # from the abort until the front exits in any case
 SHUTDOWN_POLL = 0.02  # between two checks whether all requests have been answered
 SHUTDOWN_POLL_IDLE = 0.002  # between two checks while idle connections are closed in batches
@@ -52,7 +53,7 @@
         fleet_adapter: adapter to the fleet; None without one in the installation file.
         is_open: whether the listening port is open.
         stop_requested: time of SIGTERM; None before it.
-        is_aborting: whether all requests are answered at once because SIGKILL is imminent.
+        is_aborting: whether open requests were aborted and new ones are rejected, since SIGKILL is imminent.
     """
 
     def __init__(
@@ -140,7 +141,11 @@
         self.timers.after(MAX_BUS_WAIT, self._open_or_stop)
 
     def _bus_connected(self) -> None:
-        """Open the port soon; events published since the configuration was written follow at once."""
+        """Open the port after `BUS_CATCH_UP`.
+
+        The bus sends the events published since the configuration was written right after its response, so
+        they are received in that time.
+        """
         if not self._has_tried_to_open:
             self.timers.after(BUS_CATCH_UP, self._open_or_stop)
 
@@ -158,9 +163,9 @@
         """Open the port and accept requests.
 
         The port opens only after the wait for the bus. This guards against purges and drains issued while the
-        process was loading: once the port is open, they count as known, and a request accepted before the bus
-        is read would be answered with an older copy. The side effect is that, without a connection to the
-        bus, startup takes `MAX_BUS_WAIT` longer and such a purge is still unknown.
+        process was loading: a front with an open port has to respect them, and a request accepted before the
+        bus is read could be answered with a purged copy. The side effect is that, without a connection to the
+        bus, startup takes `MAX_BUS_WAIT` longer and the port then opens although such a purge is unknown.
 
         Raises:
             CannotListenError: the port is in use.
@@ -192,8 +197,9 @@
 
         New requests use the new settings; open requests keep the settings under which they were accepted. If
         the file is incomplete, malformed or missing, the error is logged and the current configuration stays.
-        The settings listed in `reload` change only at a restart; in a fleet, this applies to all settings
-        except the bus address.
+        The settings in `reload.RESTART_ONLY_FIELDS` change only at a restart. In a fleet, the new fleet
+        settings are passed to its adapter, the bus address changes, and everything else changes only at a
+        restart.
         """
         if self.read_new_site is None:
             return
@@ -232,11 +238,11 @@
         return min(longest, MAX_DEADLINE) + ABORT_DELAY
 
     def _abort_all(self) -> None:
-        """Abort open requests and reject new ones; the next checks close all connections.
+        """Abort open requests and reject new ones; the next calls of `_end_if_done` close all connections.
 
-        This guards against clients that send requests until SIGKILL: a front that waits for a moment without
-        requests would be killed with open ones. The side effect is that these requests are rejected although
-        there was time to serve some of them.
+        This guards against clients that send requests until SIGKILL: a front that waited until no request is
+        open would be killed while some are open. The side effect is that requests of the last moments are
+        rejected although there was time to serve some of them.
         """
         self.is_aborting = True
         self.dispatcher.admission.is_rejecting = True
@@ -247,8 +253,8 @@
 
         From now on, no new connections are accepted, since most clients have moved to another front. This
         guards against closing a connection while a request is in transit, and against clients that keep
-        connecting without sending anything. No side effect is known: a client that still connects is refused,
-        as it would be a moment later.
+        connecting without sending anything. No side effect is known: a client that still connects is refused
+        now instead of after the exit, which follows soon.
         """
         assert self.stop_requested is not None
         now = self.clock.now()
--- a/weldbend/front/timers.py
+++ b/weldbend/front/timers.py
@@ -50,7 +50,7 @@
     """The timers of one front.
 
     Attributes:
-        max_delay: maximum seconds by which a timer ran late.
+        max_delay: largest delay so far of a timer beyond its due time, in seconds.
     """
 
     def __init__(self, reactor: ReactorClock, clock: Clock) -> None:
