--- a/weldbend/clients/answer_writer.py
+++ b/weldbend/clients/answer_writer.py
@@ -1,4 +1,4 @@
-"""Writer of answers to one client, with back-pressure: answers are queued while the client reads none."""
+"""Writer of answers to one client; answers are buffered while the client does not read them."""
 
 from weldbend.buffers.ring import Ring
 from weldbend.clients.interfaces import BufferAccount, ClientTransport
--- a/weldbend/clients/arrival_times.py
+++ b/weldbend/clients/arrival_times.py
@@ -1,6 +1,6 @@
-"""Arrival times of the bytes in a connection's ring; a request's time is measured from its last byte."""
+"""Arrival times of the bytes in a connection's ring; a request's deadline counts from its last byte."""
 
-MAX_MARKS = 64  # reads recorded separately; the bytes of further reads take the time of the last one recorded
+MAX_MARKS = 64  # reads recorded separately; bytes of further reads get the time of the last recorded read
 
 
 class ArrivalTimes:
@@ -28,5 +28,8 @@
         return self._marks[0][1]
 
     def forget_incomplete(self) -> None:
-        """Discard the arrival times of an incomplete call, except the last: only its final byte counts."""
+        """Discard all arrival times but the last, since the remaining bytes are those of an incomplete call.
+
+        A call's time is that of its final byte, which has not arrived yet.
+        """
         del self._marks[:-1]
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -1,10 +1,12 @@
 """A client's connection, which reads calls, passes requests to the front, and closes in an orderly way.
 
-When a client has ended its side, its requests are cancelled. The front does not close a connection while a
-request is open, unless the client violates the protocol: then all open requests fail, and the client is
-banned at once. When this front closes a connection, it ends the sending direction first and discards for a
-short time what still arrives. Closing a socket with unread bytes would reset the connection and lose any
-answer that the system has not yet delivered.
+When a client has closed its side of the connection, its requests are cancelled. The front does not close a
+connection while a request is open, unless the client violates the protocol: then all open requests fail, and
+the client is banned at once.
+
+When this front closes a connection, it ends the sending direction first and discards for a short time what
+still arrives. Closing a socket with unread bytes would reset the connection and lose any answer that the
+system has not yet delivered.
 """
 
 from typing import Any, Protocol
@@ -75,12 +77,13 @@
         open_requests: Requests that wait for an answer, by sequence id.
         violations: Counts of the client's violations.
         call_count: Number of calls of any kind read so far.
-        active_at: Time at which the connection was last not idle.
+        active_at: Last time at which bytes arrived, an answer was sent, or a check found a request open or an
+            answer pending.
         call_started_at: Time since which an incomplete call has been arriving.
         is_draining: Whether no further calls are read, and the connection closes once all are answered.
         is_finishing: Whether this front ends the connection, but still handles the calls already read.
         is_closing: Whether this front has closed its side and discards what still arrives.
-        is_lost: Whether the connection has ended, or has become idle and no longer uses this object.
+        is_lost: Whether the connection has ended, or has moved to the idle pool and left this object.
         is_read_paused: Whether the socket is not read at present.
     """
 
@@ -99,7 +102,7 @@
     call_started_at = 0.0
     call_received_at = 0.0  # earliest possible arrival time of the last byte of the current call
     unread_since: float | None = None
-    read_delay = 0.0  # seconds for which the bytes being read waited while other connections were resumed
+    read_delay = 0.0  # seconds for which the bytes being read waited while other idle connections were woken
 
     def __init__(self, owner: ClientOwner) -> None:
         self.owner = owner
@@ -121,7 +124,7 @@
         self.owner.client_connected(self)
 
     def resume(self, transport: ClientTransport, record: ConnectionRecord) -> None:
-        """Take over an idle connection, with the counts and times kept in `record`."""
+        """Make this object handle a woken connection; `record` has its counts and times from before."""
         self.transport = transport
         self.connected = 1
         (
@@ -137,7 +140,7 @@
         transport.registerProducer(self, True)
 
     def receive_delayed(self, data: bytes, delay: float) -> None:
-        """Handle the bytes that made an idle connection live, `delay` seconds after they were noticed."""
+        """Handle the bytes that woke an idle connection, which was found readable `delay` seconds ago."""
         self.read_delay = delay
         try:
             self.dataReceived(data)
@@ -167,9 +170,9 @@
         """Return the earliest possible arrival time of the bytes of this read.
 
         A read of READ_SIZE bytes may leave further bytes in the socket that arrived at the same time, so the
-        next read counts from that time as well. This guards caches and clients against deadlines that are
-        counted from a delayed read. Side effect: a request that in fact arrived later has slightly less time
-        than its full deadline.
+        bytes of the next read get that time as well. Without this, a deadline could count from a delayed read
+        and end after the client stopped waiting. Side effect: a request that in fact arrived later has
+        slightly less time than its full deadline.
 
         Args:
             count: Number of bytes read.
@@ -183,8 +186,8 @@
     def read_calls(self) -> None:
         """Handle all complete calls, unless the client does not read its answers.
 
-        While this front ends the connection, they are handled in any case, so that each request that was read
-        is answered.
+        While this front ends the connection (`is_finishing`), they are handled even if the client reads no
+        answers, so that each request that was read is answered.
         """
         if self.is_reading:  # a call answered at once leads here again; the loop below reads the next call
             return
@@ -205,7 +208,8 @@
             self.ban(misbehaviour.PROTOCOL_VIOLATION)
         finally:
             self.is_reading = False
-            if not self.new_requests.isdisjoint(self.open_requests.values()):  # some are not cancelled
+            # A request of this read that is still open was not cancelled at once, which ends the series.
+            if not self.new_requests.isdisjoint(self.open_requests.values()):
                 self.violations.cancellations = 0
             self.new_requests.clear()
         if self.is_draining:
@@ -216,7 +220,7 @@
         """Handle cancellations among buffered calls that are held back because the client reads no answers.
 
         This guards caches against attempts for requests that the client has already cancelled. No side effect
-        is known. Cancellations for which the ring has no space are found only when they are read.
+        is known. A cancellation that did not fit into the ring is found only once it is read from the socket.
         """
         while found := peek_small_frame(self.incoming, self.scanned_bytes, MAX_CANCELLATION_SIZE):
             end, data = found
@@ -229,7 +233,7 @@
     def _handle_call(self, call: messages.Call) -> None:
         self.call_count += 1
         match call:
-            case messages.Process(seqid) if seqid in self.open_requests:  # an open id gets only one answer
+            case messages.Process(seqid) if seqid in self.open_requests:  # only one answer per sequence id
                 self.ban(misbehaviour.REUSED_SEQUENCE_ID)
             case messages.Process() if len(self.open_requests) >= misbehaviour.MAX_OPEN_REQUESTS:
                 self.ban(misbehaviour.TOO_MANY_OPEN)
@@ -337,7 +341,7 @@
         self.writer.is_paused = True
 
     def _continue(self) -> None:
-        """Handle calls that were held back until an answer was sent; close if none is open any more."""
+        """Handle calls that were held back until an answer was sent; close if draining and done."""
         if self.incoming and not (self.is_draining or self.is_lost):
             self.read_calls()
         self._close_if_done()
@@ -349,7 +353,7 @@
         return not (self.open_requests or self.incoming or self.writer.has_pending())
 
     def can_become_idle(self) -> bool:
-        """Return whether `record` describes its full state, so that it can be kept without this object."""
+        """Return whether `record` has all state of the connection, so that it can move to the idle pool."""
         return self.is_idle() and not (
             self.is_draining
             or self.is_lost
@@ -373,7 +377,7 @@
         self.transport = self.writer.transport = None
 
     def observe(self, now: float) -> ConnectionState:
-        """Return the state needed for a check at time `now` (seconds), and record activity if it is busy."""
+        """Return the state for a check at time `now` (seconds); set `active_at` if the connection is busy."""
         is_busy = bool(
             self.open_requests or self.writer.has_pending() or self.is_lost or self.transport.disconnecting
         )
--- a/weldbend/clients/interfaces.py
+++ b/weldbend/clients/interfaces.py
@@ -27,7 +27,7 @@
 
 
 class AccessControl(Protocol):
-    """The decision which addresses may connect."""
+    """The access control that decides which addresses may connect."""
 
     def is_admitted(self, host: str) -> bool:
         """Return whether a client at this address may connect."""
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -1,7 +1,8 @@
 """The clients' listening port: accepts connections, checks live ones, and evicts idle ones at the limit.
 
-Decisions are made in `weldbend.idle_connections.policy` and carried out here. A live connection is checked
-eight times a second. An idle one, which has no object, is checked when its timeout expires or bytes arrive.
+Decisions are made in `weldbend.idle_connections.policy` and carried out here. A connection is live while a
+`ClientConnection` object handles it; it is then checked every `CHECK_INTERVAL`, eight times a second. A
+connection in the idle pool has no such object, and is handled when its timeout expires or bytes arrive.
 """
 
 import heapq
@@ -32,8 +33,8 @@
     ConnectionAction.CLOSE_SILENT: "idle clients without a call",
     ConnectionAction.CLOSE_INCOMPLETE: "clients with an incomplete call",
 }
-# A candidate for eviction: its sort key, then its descriptor and None if it is idle in the pool, else -1 and
-# its connection object.
+# A candidate for eviction: its sort key, its descriptor and its connection object. A connection in the idle
+# pool has no object (None); for a live connection, the descriptor is -1.
 Candidate = tuple[tuple[bool, int, float], int, ClientConnection | None]
 
 
@@ -136,7 +137,7 @@
         """
         if self.port and not self.is_paused:
             count = self.connection_count()
-            # Twisted lowers numberAccepts after a round that accepted no connection.
+            # Twisted lowers numberAccepts after a round in which it accepted fewer connections.
             self.port.numberAccepts = self.settings.accept_batch
             self.port.doRead()
             if self.connection_count() == count and not self._is_accept_failing():
@@ -168,8 +169,9 @@
     def client_connected(self, client: ClientConnection) -> None:
         """Register an accepted connection, and evict idle ones if the limit is reached.
 
-        The number of accepts in one iteration of the event loop is reset here. This guards timers against
-        delays by bursts of connections, since Twisted would accept more and more of them in one iteration.
+        `numberAccepts`, the number of connections accepted in one iteration of the event loop, is reset here.
+        This guards timers against delays by bursts of connections, since Twisted raises the number after
+        each iteration that reaches it.
         """
         if self.port:
             self.port.numberAccepts = self.settings.accept_batch
@@ -195,12 +197,13 @@
     def check_connections(self) -> bool:
         """Check the connections that are due, and close them or move them to the idle pool as decided.
 
-        After a standstill of the process, the round is skipped, because timers run before sockets are read.
-        This guards against closing connections as idle whose calls are still unread. Side effect: one round
-        of checks is omitted.
+        The round is skipped if the previous one is more than `MIN_STANDSTILL` ago, because the process was
+        stalled and timers run before sockets are read: a connection whose call is still unread would be
+        closed as idle. Side effect: one round of checks is omitted.
 
         Returns:
-            Whether the budget of this round was used up, so that more connections may be due.
+            Whether the budget of this round, `close_batch` actions, was used up, so that more connections may
+            be due.
         """
         now = self.owner.now()
         budget = self.settings.close_batch
@@ -249,7 +252,7 @@
         return True
 
     def resume(self, fd: int, record: ConnectionRecord, data: bytes) -> None:
-        """Make an idle connection live again, since bytes have arrived on it.
+        """Make an idle connection live again (wake it), since bytes have arrived on it.
 
         An exception ends only this connection, not the other idle ones.
         """
@@ -273,7 +276,7 @@
     # The limit on connections.
 
     def evict_idle(self, new: ClientConnection | None = None) -> None:
-        """Close idle connections at the limit, in the order of `policy.eviction_order`, but never `new`."""
+        """If the limit is reached, close idle connections in `policy.eviction_order`, but never `new`."""
         is_full = self.connection_count() >= self.max_connections
         closing = sum(client.is_closing for client in self.clients) if is_full else 0
         excess = policy.eviction_count(self.connection_count() - closing, self.max_connections)
@@ -328,7 +331,7 @@
     # Shutdown.
 
     def is_quiet(self) -> bool:
-        """Return whether no byte can be in transit on any connection."""
+        """Return whether no connection has had a byte recently, so that none can be in transit."""
         now = self.owner.now()
         if self.idle_pool and not self.idle_pool.has_nothing_to_read():
             return False
--- a/weldbend/clients/misbehaviour.py
+++ b/weldbend/clients/misbehaviour.py
@@ -13,7 +13,7 @@
 
 
 class ViolationCounts:
-    """Counts of one client's violations; they are kept while its connection is idle.
+    """Counts of one client's violations; they are stored with its connection in the idle pool.
 
     Attributes:
         invalid_calls: Number of calls answered as invalid.
@@ -40,7 +40,7 @@
 
         This guards against clients that cancel hundreds of calls as they send them. Clients with short
         timeouts must not be banned: when this front is delayed, it reads their calls together with the
-        cancellations. No side effect is known, since few requests are open in that case.
+        cancellations. No side effect is known, since such a client has few open requests at that time.
 
         Args:
             is_immediate: Whether the call was received in the same read as its cancellation.
--- a/weldbend/clients/request.py
+++ b/weldbend/clients/request.py
@@ -6,7 +6,7 @@
 from weldbend.invariants import check_invariant
 from weldbend.thrift import messages
 
-MILLISECONDS_PER_SECOND = 1000  # the delay before a retry is sent in whole milliseconds
+MILLISECONDS_PER_SECOND = 1000  # the Retry-After hint is in whole milliseconds
 
 
 class RequestSource(Protocol):
@@ -19,7 +19,7 @@
         """Count a call that was answered as invalid."""
 
     def ban(self, reason: str) -> None:
-        """Ban the client and end the connection; `reason` names the anomaly counter."""
+        """Ban the client and end the connection; `reason` is the name of the anomaly counter to increment."""
 
     def host(self) -> str:
         """Return the client's address."""
@@ -37,10 +37,12 @@
         seqid: Sequence id of the Thrift call, unique among the open requests of a connection.
         fields: Text fields of the request.
         body: Payload, which is passed on to caches unchanged.
-        read_delay: Seconds for which its bytes remained unread while other connections were resumed.
-        received_at: Earliest possible arrival time of its last byte (seconds of the front's clock).
+        read_delay: Seconds for which its bytes remained unread while other idle connections were woken first.
+        received_at: Earliest possible arrival time of its last byte (seconds of the front's clock). The exact
+            time is unknown: if the process was delayed, the byte waited unread in the socket.
         is_answered: Whether it was answered or cancelled.
-        request_id: Identifier assigned by the handler; empty until the handler has accepted the request.
+        request_id: Identifier within the front, assigned by admission control (`weldbend.front.admission`)
+            when it accepts the request; empty before.
     """
 
     client: RequestSource
@@ -76,7 +78,7 @@
         self._answer(messages.internal_error_reply(self.seqid))
 
     def answer_invalid(self, reason: str) -> None:
-        """Answer that the request is invalid, and count this as a violation of its client."""
+        """Answer that the request is invalid, and count this as a protocol violation by its client."""
         invalid_call = messages.InvalidCall("process", self.seqid, messages.PROTOCOL_ERROR, reason)
         self._answer(messages.application_exception(invalid_call))
         self.client.count_invalid_call()
--- a/weldbend/event_bus/endpoint_registry.py
+++ b/weldbend/event_bus/endpoint_registry.py
@@ -35,16 +35,17 @@
 class EndpointRegistry:
     """Numbers and start times of endpoints.
 
-    Rendezvous hashing uses the numbers, so a uid has the same number at every front and after a restart. Uids
-    with equal checksums are the exception.
+    Rendezvous hashing uses the numbers, so a uid must have the same number at every front and after a
+    restart. Its number is its checksum. Only if two uids have equal checksums do their numbers depend on the
+    order in which a front first reads them.
 
     Attributes:
         timestamps: Converter of Unix times from other machines.
         roles: The role of each kind of endpoint.
         numbers: Numbers by uid.
         uids: Uids by number.
-        starts: Latest starts by uid, as reported on the bus.
-        peer_starts: Latest starts by uid, as reported by other fronts.
+        starts: Latest start of each cache by its uid, as reported on the bus.
+        peer_starts: The same, as reported by other fronts.
     """
 
     timestamps: RemoteTimestamps
@@ -74,9 +75,9 @@
     def estimate_start(self, record: EndpointRecord, receipt: Receipt) -> StartInterval | None:
         """Return bounds of a cache's start time, or None if the record has no start time.
 
-        All calls for the same start return the same bounds. This guards against repeated reports of one
-        start: a second estimate would differ and look like another start, which resets the router's state of
-        that cache. There are no side effects.
+        All calls for the same start return the same bounds until `discard_start` is called. The bus reports
+        a start repeatedly; a second estimate would differ from the first and look like another start, which
+        resets the router's state of that cache. There are no side effects.
         """
         if not record.started_at:
             self.starts.pop(record.uid, None)
@@ -94,14 +95,14 @@
         return KnownStart(record.started_at, self.timestamps.estimate_start(record.started_at, receipt))
 
     def discard_start(self, uid: str) -> None:
-        """Discard the estimated start of a cache, so that the next call estimates it again."""
+        """Discard the estimated start of a cache, so that `estimate_start` estimates it again."""
         self.starts.pop(uid, None)
 
     def peer_start(self, uid: str, stamp: float, reported_start: float) -> float:
         """Return when a cache started, in seconds of the front's clock, given a report of another front.
 
-        A report of the same start or a later one on the bus takes precedence. If the bus reports this start
-        afterwards, it counts as the same start and keeps this estimate.
+        If the bus has reported the same start or a later one, the estimate from the bus is returned instead.
+        If the bus reports this start afterwards, the estimate made here is kept for it.
 
         Args:
             uid: Uid of the endpoint.
--- a/weldbend/event_bus/events.py
+++ b/weldbend/event_bus/events.py
@@ -31,9 +31,9 @@
         port: TCP port.
         zone: Availability zone.
         kind: Machine model, which the site's configuration maps to a role.
-        cell: Number of the failure domain, 0 for none.
+        cell: Number of the group of machines that fail together (failure domain), 0 for none.
         state: One of `RECORD_STATES`.
-        weight: Capacity relative to other caches.
+        weight: Capacity relative to that of a cache of weight 1.
         started_at: Unix seconds of the cache's start, 0 if it started long ago.
     """
 
--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -1,7 +1,7 @@
 """A client of the event bus that reconnects after each loss and resumes after the last event received.
 
-Each `StreamAttempt` handles one connection and finishes once; only the current attempt reports to the reader.
-The bus may move to another address at any time, where the offsets continue.
+Each `StreamAttempt` handles one connection and finishes once; only the end of the current attempt makes the
+reader reconnect. The bus may move to another address at any time; it continues its offsets there.
 """
 
 from collections.abc import Callable
@@ -32,7 +32,7 @@
 
 MIN_RETRY_DELAY = 0.05  # seconds before the first reconnection; doubled each time
 MAX_RETRY_DELAY = 0.5  # seconds
-SILENCE_TIMEOUT = 1.8  # seconds without data until the connection is lost; a comment comes every second
+SILENCE_TIMEOUT = 1.8  # seconds without data until the connection is aborted; a comment comes every second
 HTTP_OK = 200
 MAX_OFFSET_DIGITS = 18  # digits of a message id that is accepted as an offset
 MAX_SHOWN_ID = 20  # characters of a message id in a log line
@@ -96,7 +96,7 @@
             self.transport.loseConnection()  # type: ignore[misc]  # zope: no self
 
     def dataReceived(self, data: bytes) -> None:
-        """Pass on all complete messages; finish the attempt if the stream is invalid."""
+        """Pass all complete messages on to the reader; finish the attempt if the stream is invalid."""
         if self.is_finished:
             return
         self.reader.record_activity()
@@ -118,7 +118,7 @@
         if not self.is_finished:
             self.is_finished = True
             if self.pending_request:
-                # Twisted loses track of a connection whose socket could not be registered with epoll.
+                # Twisted raises this for a connection whose socket could not be registered with epoll.
                 with suppress(NotConnectingError):
                     self.pending_request.cancel()
             elif self.transport:
@@ -131,7 +131,7 @@
 
     Attributes:
         on_event: Callback for each event, in the order of offsets and once for each offset.
-        on_connected: Callback for each successful response, before the past events it contains.
+        on_connected: Callback for each successful response, called before its missed events are read.
         last_offset: Offset of the last event received.
         loss_count: Number of lost and failed connections.
         receive_count: Number of times that bytes were received.
@@ -221,7 +221,7 @@
         self.restart_silence_timer()
 
     def receipt(self) -> Receipt:
-        """Return the receipt of the event that is being passed on."""
+        """Return the receipt of the event for which `on_event` is being called."""
         return self.progress.receipt(self.timers.now())
 
     def abort(self, reason: str) -> None:
@@ -246,7 +246,10 @@
         self.retry_delay = min(2 * self.retry_delay, MAX_RETRY_DELAY)
 
     def handle_message(self, message_id: str, data: str) -> None:
-        """Pass on a new event; log malformed events, and ignore those received before."""
+        """Call `on_event` for a new event, and ignore one that was received before.
+
+        A malformed event is logged, and not requested again if its message id is an offset.
+        """
         try:
             event = read_event(data)
         except InvalidEventError as error:
--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -5,7 +5,7 @@
 effect. The reading is trusted once another machine's clock agrees with it (`RemoteTimestamps.confirm`). A
 converted time is not trusted if it contradicts what this front observed: an event cannot have happened after
 it arrived, nor before the last moment at which this front had received all published events (`Receipt`).
-A timestamp that is not trusted is replaced by the most cautious time, the arrival: a cache may then be
+A time that is not trusted is replaced by the most cautious one, the arrival of the event: a cache may then be
 treated as colder than it is, and more copies may be purged than necessary.
 
 The model, its error bounds and its assumptions are in docs/design.md, "Timestamps of other machines".
@@ -19,7 +19,7 @@
 
 MAX_CLOCK_DIFFERENCE = 0.5  # maximum seconds between this front's Unix clock and another machine's
 MAX_LIVE_DELAY = 0.05  # maximum seconds from an event's timestamp to its arrival at a connected front
-SHORT_OUTAGE = 10.0  # seconds without the bus up to which missed purges count from their arrival
+SHORT_OUTAGE = 10.0  # seconds without the bus up to which a missed purge counts as issued at its arrival
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,10 +30,11 @@
         arrived: arrival time of the event, in seconds of the monotonic clock.
         caught_up_at: last moment before the arrival at which this front had received all published events;
             minus infinity during the first read of the bus.
-        is_replay: whether the event was missed and is sent again, rather than being new.
-        latest_start: latest start time (Unix seconds) in this event and the events after it that were read
-            together with it; minus infinity if unknown.
-        latest_purge: latest purge time (Unix seconds) in the same events; minus infinity if unknown.
+        is_replay: whether the event may be an older one that this front missed, rather than one that was
+            published just now.
+        latest_start: latest start time (Unix seconds) in this event and in the events after it in the same
+            configuration; minus infinity if the event is not from a configuration.
+        latest_purge: latest purge time (Unix seconds) in the same events; minus infinity likewise.
     """
 
     arrived: float
@@ -53,8 +54,9 @@
     """Bounds of a cache's start time, in seconds of the monotonic clock.
 
     Attributes:
-        earliest: lower bound; only connections opened before it certainly lead to the previous process.
-        latest: upper bound; the cache counts as warm as if it had started then.
+        earliest: lower bound; a connection opened before it certainly leads to the previous process of the
+            cache.
+        latest: upper bound, the cautious assumption; the cache is treated as if it had started then.
     """
 
     earliest: float
@@ -93,13 +95,14 @@
         self._unix_offset = unix_offset
 
     def to_monotonic(self, stamp: float) -> float:
-        """Convert a Unix time to the monotonic clock with the reading alone, without further checks."""
+        """Convert a Unix time to the monotonic clock by the reading of the Unix clock, without any check."""
         return stamp - self._unix_offset
 
     def confirm(self, stamp: float, now: float) -> bool:
         """Compare the reading with a timestamp of another machine, which may be new or old.
 
-        Timestamps are never in the future, so an old one cannot agree with a clock that is ahead.
+        A timestamp is never in the future. An old one therefore seems even older by a clock that is ahead,
+        and cannot agree with it by accident.
 
         Returns:
             Whether this call confirmed the reading; False if it was confirmed before.
@@ -141,9 +144,9 @@
     def _estimate_first_read(self, stamp: float, receipt: Receipt, latest: float) -> float:
         """Return the later of two independent estimates, but at most the arrival.
 
-        One estimate uses this front's clock. The other uses only the writers' clocks: the timestamp `latest`,
-        which follows on the bus, was not in the future either, so this event is at least as old as the
-        difference of the two timestamps.
+        One estimate uses this front's clock. The other uses only the clocks of the machines that wrote the
+        timestamps: `latest`, the latest timestamp of this event and those after it on the bus, was not in the
+        future when it arrived, so this event is at least as old as `latest - stamp`.
         """
         min_age = max(latest - stamp, 0.0)
         return min(max(self.to_monotonic(stamp), receipt.arrived - min_age), receipt.arrived)
--- a/weldbend/event_bus/sse.py
+++ b/weldbend/event_bus/sse.py
@@ -6,11 +6,11 @@
 from weldbend.buffers.ring import Ring
 from weldbend.event_bus.errors import InvalidStreamError
 
-MAX_BYTES = 1 << 20  # maximum length of a line, and of the data of a message
+MAX_BYTES = 1 << 20  # maximum length of a line, and of the data lines of a message together
 
 
 class Message(NamedTuple):
-    """One message: the last id received on the stream and the joined data lines."""
+    """One message: the id that was last received on the stream, and the data lines joined by newlines."""
 
     id: str
     data: str
