--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -9,7 +9,7 @@
 
 
 class AttemptLoss(Enum):
-    """Reasons for which an attempt ended without an answer. The router decides what they prove."""
+    """Reasons for which an attempt ended without an answer. The router decides which prove a faulty cache."""
 
     UNREACHABLE = auto()  # no connection was established in time
     RESET = auto()  # the connection ended after the first byte had been sent
@@ -36,19 +36,19 @@
     Attributes:
         name: Name of the request on the wire, by which answers are matched.
         cache: Number of the cache to which the attempt is sent.
-        source: Number of the cache from which a miss is filled; equal to `cache` if no miss may be filled,
-            and None if `cache` is the origin.
+        source: Number of the cache from which a miss is filled; equal to `cache` if a miss must not be
+            filled, and None if `cache` is the origin.
         key: Key of the requested object.
         group: Number of the object's group, which a purge may name.
         command: Function that encodes the command, called just before its first byte is sent.
         on_ended: Function called with the outcome, at most once.
-        is_short_lived: Whether the permission to send it may soon expire, so that it waits for a connection
-            no longer than one iteration of the event loop.
+        is_short_lived: Whether the router's decision to send it may soon become invalid, so that it waits
+            for a connection no longer than one iteration of the event loop.
         connection: Connection on which it was sent; None while no byte of it has been sent.
         queued_at: Moment at which it began to wait for a connection.
         sent_at: Moment at which its first byte was sent.
-        is_locally_blocked: Whether a local fault delayed its connection while it waited.
-        is_over: Whether its outcome was reported or it was cancelled.
+        is_locally_blocked: Whether, while it waited, a fault of this machine delayed the connect that it needs.
+        is_over: Whether its outcome was reported, or it was cancelled and will have no outcome.
     """
 
     name: str
--- a/weldbend/caches/connect_backoff.py
+++ b/weldbend/caches/connect_backoff.py
@@ -1,22 +1,22 @@
-"""Backoff between connects to one cache while local faults prevent them. The caller passes the time in.
+"""Backoff between connects to one cache while faults of this machine prevent them. Reads no clock.
 
 The delays double up to a bound, and each is drawn at random from the upper half of its range. The draw
-depends only on the address and the time, so a simulated run is reproducible, and fronts that share a machine
-do not retry in lockstep.
+depends only on the cache's address and the time, so a simulated run is reproducible, while fronts that share
+a machine, and fail at different times, do not retry in lockstep.
 """
 
 import math
 import random
 
 MIN_DELAY = 0.005  # seconds before the first retry
-MAX_DELAY = 0.04  # seconds; about a tenth of the time for which a request waits for a connection
+MAX_DELAY = 0.04  # seconds; about a tenth of the time for which an attempt waits for a connection
 
 
 class ConnectBackoff:
     """Count of consecutive local faults, and the state of the scheduled retry.
 
     Attributes:
-        is_retry_scheduled: whether a retry is scheduled, before which no connect may be started.
+        is_retry_scheduled: whether a retry is scheduled; no connect may be started before that retry.
         first_fault_at: time of the first of the consecutive faults (seconds of the front's clock).
     """
 
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -16,9 +16,9 @@
 from weldbend.caches.stall_detector import StallDetector
 from weldbend.invariants import anomalies, check_invariant
 
-READ_SIZE = 1 << 16  # bytes; the most that one read of a socket returns, and that one write passes on
+READ_SIZE = 1 << 16  # bytes; maximum of one read of the socket, and of one write to the transport
 INCOMING_CAPACITY = answers.LONGEST_BODY + answers.LONGEST_LINE + 2 * READ_SIZE  # bytes
-INCOMING_RETAINED = 1 << 17  # bytes that an empty ring keeps allocated, as the next answer follows soon
+INCOMING_RETAINED = 1 << 17  # largest allocation in bytes that an empty ring keeps for the next answer
 OUTGOING_CAPACITY = 1 << 17  # bytes; holds the longest command and the commands queued behind it
 MAX_CANCELLED_NAMES = 1024  # names of cancelled attempts that a connection remembers
 CLOSE_TIMEOUT = 1.0  # seconds within which a closed connection must send its remaining bytes
@@ -66,7 +66,8 @@
         opened_at: Moment at which it was established.
         used_at: Moment at which a command was last sent or an answer last handled.
         received_at: Moment at which bytes were last received.
-        answer_started_at: Moment at which the first byte of the current answer was received.
+        answer_started_at: Moment at which the first byte of the current answer was received, or at which
+            reading was last resumed if that is later.
         answer_completed_at: Moment at which the last answer was complete.
     """
 
@@ -104,7 +105,7 @@
     # Sending.
 
     def can_send(self, name: str) -> bool:
-        """Return whether an attempt would be sent at once, and its answer could be matched to it."""
+        """Return whether a command with this name would be sent at once, and its answer could be matched."""
         is_available = not (self.is_write_paused or self.outgoing or self.is_draining or self.is_lost)
         return (
             is_available
@@ -124,8 +125,8 @@
     def cancel(self, attempt: Attempt) -> None:
         """Cancel an attempt that is in flight here, and send the cancellation to the cache.
 
-        The connection is drained if it has received nothing since the attempt was sent, or if no answer has
-        been completed since then and one is partly received.
+        The connection is drained if it seems broken or blocked: it has received nothing since the attempt was
+        sent, or a partly received answer precedes the attempt's own and none was completed since.
         """
         if self.in_flight.pop(attempt.name, None) is not attempt or self.is_lost:
             return
@@ -139,11 +140,12 @@
         self._capacity_freed()
 
     def _reserve_name(self, name: str) -> None:
-        """Reject further attempts with this name, to which an answer may still arrive, perhaps a second one.
+        """Reject further attempts with this name, since an answer to the earlier one may still arrive.
 
-        This guards against unintended duplicate attempts: a late or repeated answer would be matched to the
-        next attempt of the same request, so that another one would be sent while that one is still in flight.
-        Side effect: the next attempt of the request needs another connection.
+        All attempts of a request have the same name, and a cache may repeat an answer. A late or repeated
+        answer to the earlier attempt would be taken for the answer to the next one, and the router would send
+        yet another while that one is still in flight. Side effect: the next attempt of the request needs
+        another connection.
         """
         self.cancelled_names[name] = None
         if len(self.cancelled_names) > MAX_CANCELLED_NAMES:
@@ -229,7 +231,7 @@
         self.is_read_paused = is_paused
         try:
             (self.transport.pauseProducing if is_paused else self.transport.resumeProducing)()
-        except OSError:  # the descriptor cannot be registered for reading; other connections are unaffected
+        except OSError:  # this descriptor cannot be registered for reading; other connections go on
             self.abort()
         if not is_paused:
             self.answer_started_at = self.timers.now()
@@ -304,9 +306,9 @@
     def _read_remaining(self) -> None:
         """Handle answers that had arrived before the end, but were not parsed because reading was paused.
 
-        This guards against reporting executed attempts as lost, and against failing requests whose answer is
-        already here. Side effect: the limit on answers buffered for slow clients may be exceeded by the
-        content of one ring.
+        Without this, attempts that the cache has executed would be reported as lost, and requests could fail
+        whose answers have already arrived. Side effect: the limit on answers buffered for slow clients may be
+        exceeded by the content of one ring.
         """
         self.is_read_paused = False
         try:
--- a/weldbend/caches/connection_limiter.py
+++ b/weldbend/caches/connection_limiter.py
@@ -1,8 +1,8 @@
 """The limit on the number of connections to all caches, with eviction of idle ones and a queue.
 
-At the limit, the connection that has been idle for the longest time is closed in favour of a cache that needs
-a connection for its attempts. If none is idle, caches wait in a first-in, first-out queue until one is. Each
-step takes constant time, independent of the number of listed caches.
+At the limit, a cache that needs a connection for its attempts waits in a first-in, first-out queue, and the
+connection that has been idle for the longest time is closed to make room. If no connection is idle, the cache
+waits until one is. Each step takes constant time, independent of the number of listed caches.
 """
 
 from typing import Protocol
@@ -49,7 +49,7 @@
         open: Connections that are established or being closed, the oldest first.
         connecting: Number of pending connects.
         idle: Connections that may be evicted, the longest idle first.
-        queue: Caches that wait for permission to connect, the longest waiting first.
+        queue: Caches that wait until they may connect, the longest waiting first.
     """
 
     def __init__(self, pool: LimiterOwner) -> None:
@@ -102,9 +102,10 @@
     def reserve(self, connection: CacheConnection) -> None:
         """Exclude a connection from eviction for one connect timeout after a cancellation or a health check.
 
-        The answers to these belong to no attempt in flight. Closing the connection just before such an answer
-        arrives would reset it, and could lose the cancellation or the health check. Side effect: if no other
-        connection is idle, a connect waits a little longer.
+        The connection looks idle while the cache's answer to the cancellation or health check is still to
+        come, since that answer belongs to no attempt in flight. If the connection were closed just before the
+        answer arrives, it would be reset, and the cancellation or the health check could be lost. Side
+        effect: if no other connection is idle, a connect waits a little longer.
         """
         self.mark_in_use(connection)
         delay = self.pool.limits.connect_timeout
@@ -144,7 +145,7 @@
             self.pool.reactor.callLater(0, self._process_queue)
 
     def _process_queue(self) -> None:
-        """Admit queued caches in order up to the limit, and evict idle connections for the others."""
+        """Admit queued caches in order up to the limit; evict an idle connection for each of the others."""
         self._is_scheduled = False
         for endpoint in list(self.queue):
             if not self.is_below_limit():
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -32,7 +32,7 @@
 
 
 class EndpointOwner(Protocol):
-    """The interface of the pool to which the connections of one cache belong."""
+    """The part of the pool of all connections that the connections of one cache use."""
 
     @property
     def reactor(self) -> Reactor:
@@ -89,8 +89,8 @@
 def connect_error_number(error: object) -> int | None:
     """Return the error number of a failed connect; None if there was none, as for a timeout.
 
-    Twisted treats EAGAIN from connect(2) as a pending connect. As the socket is not connecting, its end is
-    then reported at once, as `ConnectionDone`.
+    Twisted treats EAGAIN from connect(2) as a pending connect. As the socket is in fact not connecting,
+    Twisted at once reports the end of the connection (`ConnectionDone`), which is translated back to EAGAIN.
     """
     cause = error.args[0] if isinstance(error, Exception) and error.args else None
     if isinstance(cause, Failure) and isinstance(cause.value, ConnectionDone):
@@ -120,7 +120,7 @@
         self.consecutive_resets = 0  # consecutive connects that were accepted and then reset
         self.backoff = ConnectBackoff(f"{host}:{port}")
         self.is_send_scheduled = False
-        self.admitted_at = -math.inf  # when the limiter last admitted it from its queue
+        self.admitted_at = -math.inf  # when the limiter last admitted this cache from the limiter's queue
 
     @property
     def max_streams(self) -> int:
@@ -183,8 +183,9 @@
     def send_waiting(self) -> None:
         """Send the waiting attempts in the next iteration, after all sockets of the current poll were read.
 
-        This guards caches against attempts for clients whose disconnect is read in the same poll as the
-        establishment of the connection. No side effect is known: the delay ends with the current poll.
+        This guards caches against attempts for clients whose disconnect is read in the same poll in which the
+        connection to the cache is established. No side effect is known, since the delay ends with the current
+        poll.
         """
         if self.waiting and not self.is_send_scheduled:
             self.is_send_scheduled = True
@@ -195,9 +196,10 @@
     def _send_waiting_now(self) -> None:
         """Send the waiting attempts in order, and cancel short-lived ones that have waited too long.
 
-        This guards against late retries of a request that must not be executed twice, which are permitted for
-        a limited time only. It also guards against a burst of attempts, routed during a slow connect, on a
-        cache in slow start. Side effect: the router decides once more for each cancelled attempt.
+        A short-lived attempt may be the retry of a request that must not be executed twice, which the router
+        allows for a limited time only, or an attempt at a cache in slow start, which would otherwise receive
+        all attempts of a slow connect in one burst. Side effect: the router decides once more for each
+        cancelled attempt.
         """
         self.is_send_scheduled = False
         now = self.pool.timers.now()
@@ -222,8 +224,8 @@
         """End an attempt that has waited for the whole connect timeout.
 
         If the limit on connections delayed the connect, the attempt ends as superseded and the router decides
-        again. This guards against treating the cache as unreachable without evidence. Side effect: one
-        additional routing decision.
+        again. This guards against treating the cache as unreachable without evidence. Side effect: the router
+        decides once more.
         """
         if attempt in self.waiting:
             had_no_capacity = self in self.pool.limiter.queue or self.admitted_at > attempt.queued_at
@@ -264,8 +266,8 @@
     def _connect(self, minimum: int = 0) -> None:
         """Start as many connects as the waiting attempts need, or enough for `minimum` attempts.
 
-        At the limit on connections to all caches, the connects wait in the limiter's queue. A connect for the
-        `minimum` alone does not queue.
+        At the limit on connections to all caches, this cache waits in the limiter's queue. If a `minimum` is
+        given, it does not: the connects are started now as far as the limit allows, or not at all.
         """
         limiter = self.pool.limiter
         while self._needs_connection(minimum):
@@ -274,7 +276,10 @@
             self._begin_connect()
 
     def _needs_connection(self, minimum: int = 0) -> bool:
-        """Return whether pending connects provide too few streams for the waiting attempts or `minimum`."""
+        """Return whether pending connects provide too few streams for the waiting attempts or `minimum`.
+
+        False if no connect may be started now, since the cache has left the list or a backoff is running.
+        """
         expected_streams = len(self.connecting) * self.max_streams
         may_connect = not (self.is_closed or self.backoff.is_retry_scheduled)
         return may_connect and expected_streams < max(len(self.waiting), minimum)
@@ -292,7 +297,7 @@
     def _connect_later(self) -> None:
         """Schedule a connect after a backoff, while the attempts go on waiting.
 
-        This guards against treating a cache as down or possibly restarted because of a local fault. Side
+        Without this, a fault of this machine would make the cache count as down or possibly restarted. Side
         effect: an attempt may wait for the whole connect timeout even if another cache has a connection.
         """
         for attempt in self.waiting:
@@ -305,7 +310,7 @@
         """Connect for waiting attempts after a backoff.
 
         If the first fault is recent and no connection is established, connect even without waiting attempts:
-        the outcome shows whether a broken connection was caused by the cache.
+        the outcome shows whether the cache or this machine broke an earlier connection.
         """
         self.backoff.is_retry_scheduled = False
         is_recent = self.pool.timers.now() < self.backoff.first_fault_at + self.pool.limits.connect_timeout
@@ -330,10 +335,10 @@
     def connect_failed(self, attempt: ConnectAttempt, error: int | None) -> None:
         """End all waiting attempts, since further connects would be refused or time out as well.
 
-        After a local fault, the attempts go on waiting and the connect is retried. A connect that was
-        accepted and then reset shows that the cache is running, so it is retried as well, until MAX_RESETS
-        connects in a row were reset. This guards against treating a running cache as down. Side effect:
-        additional connects to a cache that resets each one.
+        After a local fault, the attempts go on waiting and the connect is retried. A connect that fails with
+        a reset was accepted first, which shows that the cache is running; it is retried as well, until
+        MAX_RESETS connects in a row were reset. This guards against treating a running cache as down. Side
+        effect: additional connects to a cache that resets each one.
         """
         self._connect_ended(attempt)
         if connect_fault_side(error) is FaultSide.THIS_MACHINE:
@@ -351,7 +356,7 @@
             waiting_attempt.finish(AttemptLoss.UNREACHABLE)
 
     def connection_opened(self, connection: CacheConnection) -> None:
-        """Use an established connection, or close it if the cache has left in the meantime."""
+        """Use an established connection, or close it if the cache has left the list or moved meanwhile."""
         self.pool.limiter.opened(connection)
         if self.is_closed:
             connection.close()
@@ -366,8 +371,8 @@
     def connection_lost(self, connection: CacheConnection) -> None:
         """Remove an ended connection, and reconnect at once if it was the last and had attempts in flight.
 
-        Whether the reconnect succeeds shows what broke the connection. A connection without a transport was
-        established but could not be registered with epoll_ctl, which is a local fault.
+        The outcome of the reconnect shows whether the cache itself failed. A connection without a transport
+        was established but could not be registered with epoll_ctl, which is a local fault.
         """
         self.pool.limiter.closed(connection)
         if connection.transport is None:
--- a/weldbend/caches/pool.py
+++ b/weldbend/caches/pool.py
@@ -46,13 +46,14 @@
     # Changes of the endpoint list, and purges of objects.
 
     def update_endpoint(self, cache: int, host: str, port: int, started_at: float, is_usable: bool) -> None:
-        """Apply the endpoint list's current entry for a cache.
+        """Apply the current entry of the endpoint list for a cache.
 
         Args:
             cache: Number of the cache.
             host: Address of the cache.
             port: Port of the cache.
-            started_at: Start time of the cache (seconds of the front's clock; minus infinity if unknown).
+            started_at: Earliest possible start time of the cache (seconds of the front's clock; minus
+                infinity if unknown). Older connections are aborted.
             is_usable: Whether attempts may be sent to the cache; if not, those that wait are cancelled.
         """
         endpoint = self.endpoints.get(cache)
@@ -73,7 +74,7 @@
             self.endpoints.pop(cache).close(is_moved=False)
 
     def cancel_concerning(self, caches: set[int]) -> None:
-        """Cancel waiting attempts that are addressed to one of these caches or may fill from it."""
+        """Cancel waiting attempts that are addressed to one of these caches, or may be filled from it."""
         self._cancel_waiting(lambda attempt: attempt.cache in caches or attempt.source in caches)
 
     def cancel_purged(self, key: str | None, group: int) -> None:
@@ -112,7 +113,7 @@
         """Cancel an attempt without reporting an outcome.
 
         Returns:
-            Whether it was already over or any byte of it had been sent.
+            Whether it counts as sent: some byte of it had been sent, or it was already over.
         """
         if attempt.is_over:
             return True
--- a/weldbend/caches/stall_detector.py
+++ b/weldbend/caches/stall_detector.py
@@ -66,7 +66,8 @@
     def _is_stalled(self) -> bool:
         """Return whether no byte has arrived within the timeout; schedule the next check if one has.
 
-        An answer that exceeds the longest deadline ends the connection here and does not count as stalled.
+        If the answer takes longer than the longest deadline of a request, the connection is aborted here, and
+        the result is False, since that is counted under another name than a stall.
         """
         stream = self.stream
         self.is_armed = False
--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -1,7 +1,8 @@
 """Records of idle connections: flat arrays indexed by file descriptor, no object per connection. No I/O.
 
-A connection takes about fifty bytes: its state, the time of its last activity, its numbers of requests,
-rejections and cancellations, and its entry in the timer wheel of its usage class.
+A connection takes about fifty bytes: its state, the time of its last activity, the counts of its
+`ConnectionRecord`, and its entry in the timer wheel of its usage class. The usage class of a connection
+depends on its number of requests so far (`policy.usage_class`) and determines its idle timeout.
 """
 
 from array import array
@@ -38,10 +39,10 @@
 
     Attributes:
         request_count: Number of requests so far.
-        rejection_count: Number of malformed requests that were rejected so far.
+        rejection_count: Number of requests answered as invalid so far (not those rejected due to overload).
         cancellation_count: Number of consecutive requests that the client cancelled immediately.
-        last_active: Time when the connection was last active or became readable (seconds of the front's
-            clock).
+        last_active: Time of the last activity; once the connection is queued to be woken, the time at which
+            it was found to be readable (seconds of the front's clock).
     """
 
     request_count: int
@@ -51,19 +52,21 @@
 
 
 class ConnectionTable:
-    """All idle connections of a front; a slot is the number of a file descriptor.
+    """All idle connections of a front; a slot is the position of a connection in the arrays.
+
+    The number of the slot is that of the connection's file descriptor.
 
     Attributes:
         settings: Settings for client connections.
         states: State of each slot.
-        rejection_counts: Number of rejected requests of each slot.
+        rejection_counts: Number of requests of each slot that were answered as invalid.
         cancellation_counts: Number of consecutive cancellations of each slot.
         request_counts: Number of requests of each slot.
         last_active: Time of the last activity of each slot (seconds of the front's clock).
         wheels: Timer wheel of each usage class.
         short_idle_queue: Readable connections with a short idle time, in the order of detection.
         long_idle_queue: Readable connections with a long idle time, in the order of detection.
-        waking_count: Number of connections that are about to wake.
+        waking_count: Number of connections that are queued to be woken, or being woken.
         dequeue_count: Number of slots taken from the queues so far.
     """
 
@@ -85,7 +88,7 @@
         self.dequeue_count = 0
 
     def __len__(self) -> int:
-        """Return the number of connections, including those about to wake."""
+        """Return the number of connections, including those queued to be woken."""
         return sum(map(len, self.wheels)) + self.waking_count
 
     def __contains__(self, slot: int) -> bool:
@@ -146,9 +149,8 @@
             prefers_long_idle = not self.short_idle_queue or self.dequeue_count % LONG_IDLE_INTERVAL == 0
             use_long_idle = self.long_idle_queue and prefers_long_idle
             slot = (self.long_idle_queue if use_long_idle else self.short_idle_queue).popleft()
-            if (
-                self.states[slot] == WAKING
-            ):  # else the connection was removed, and another one may use the slot
+            # Otherwise, the connection was removed while queued, and another one may use the slot by now.
+            if self.states[slot] == WAKING:
                 return slot
         return None
 
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -1,4 +1,4 @@
-"""System calls for idle connections: a second epoll set, and descriptors detached from Twisted's transports.
+"""System calls for idle connections: an epoll set beside the reactor's, and descriptors without a transport.
 
 This module contains all system calls and all access to internals of a transport, so that tests can replace
 them.
@@ -23,7 +23,7 @@
 if TYPE_CHECKING:
     from twisted.internet.protocol import Protocol as ConnectionProtocol
 
-FIRST_READ_BYTES = 1 << 14  # bytes read when a connection wakes; its transport reads the rest
+FIRST_READ_BYTES = 1 << 14  # bytes read at most when a connection is woken; its new transport reads the rest
 READABLE_ONCE = select.EPOLLIN | select.EPOLLRDHUP | select.EPOLLONESHOT
 HANGUP_ONCE = select.EPOLLRDHUP | select.EPOLLONESHOT
 NOTHING_TO_READ = (*WOULD_BLOCK_ERRORS, errno.EINTR)
@@ -35,8 +35,8 @@
 def poll_now(epoll: select.epoll, limit: int = -1) -> list[tuple[int, int]]:
     """Return the events that are ready, or none if a signal interrupts the call; the next call reports them.
 
-    Guards against the loss of the epoll set: it is a reader of the reactor, which removes a reader that
-    raises an exception. No side effect is known.
+    An exception here would stop the watching of all connections in the set: the set is a reader of the
+    reactor, which removes a reader that raises an exception. No side effect is known.
     """
     try:
         return epoll.poll(0, limit)
@@ -61,8 +61,8 @@
 class HangupWatcher:
     """Detects that clients disconnect while reading from them is paused.
 
-    Without it, unread bytes would hide the end of the connection. Guards caches against attempts for clients
-    that have disconnected. Side effect: one more descriptor, which is opened when it is first needed.
+    Without it, unread bytes would hide the end of the connection, and caches would receive attempts for
+    clients that have disconnected. Side effect: one more descriptor, which is opened when it is first needed.
 
     Attributes:
         reactor: Reactor to which the epoll set is added.
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -1,8 +1,9 @@
 """Pool of idle connections, which the reactor sees as a single reader: the epoll set that contains them.
 
-Connections that become readable are queued immediately and in order, and woken in batches, one batch in each
-event-loop iteration; the longest waiting time is recorded. A connection that ends while idle is closed
-without creating a protocol object for it.
+Connections that become readable are queued immediately, in the order in which the epoll set reports them.
+They are woken in batches, one batch in each event-loop iteration. To wake a connection is to read its first
+bytes and pass it to `on_woken`, which makes it live again. The longest time from readable to woken is
+recorded. A connection that ends while idle is closed without creating a protocol object for it.
 """
 
 from collections.abc import Callable
@@ -150,9 +151,9 @@
     def queue_and_schedule(self) -> None:
         """Queue connections that have become readable, and schedule a batch to wake them.
 
-        Used when the pool polls the set itself, rather than in a call from the reactor. Guards against
-        requests that stay unread: the set reports each descriptor only once, so the reactor would not call
-        before another one becomes readable. No side effect is known.
+        Used when the pool polls the set without a call from the reactor. The set reports each descriptor only
+        once, so the reactor would not call `doRead` for these connections any more, and their requests would
+        stay unread until another descriptor becomes readable. No side effect is known.
         """
         if self.queue_readable():
             self.schedule_wake()
@@ -174,7 +175,10 @@
             self.schedule_wake()
 
     def wake(self, fd: int) -> None:
-        """Read from a queued connection; bytes make it active, its end or a failure closes it."""
+        """Read from a queued connection, and pass it on with its bytes, or close it at its end or a failure.
+
+        If there is nothing to read, it stays idle.
+        """
         try:
             data = self.descriptors.read(fd)
         except OSError:
@@ -231,7 +235,7 @@
         """Close at most `limit` connections that are past their idle timeout.
 
         Returns:
-            The number that were due, and the number of closed ones that never sent a request.
+            The number of connections that were due, and the number of those closed that never sent a request.
         """
         self.queue_and_schedule()
         expired = self.table.expired(self.now(), limit)
--- a/weldbend/idle_connections/policy.py
+++ b/weldbend/idle_connections/policy.py
@@ -1,7 +1,9 @@
 """Decisions about client connections: which are kept, made idle or closed, and how many at a time.
 
-The functions do no I/O and read no clock. The defaults are the platform's limits on silent clients,
-incomplete requests and file descriptors; an installation file may set other values (`weldbend.installation`).
+An active connection (elsewhere called live) is handled by a protocol object, unlike one in the idle pool
+(`idle_pool`). The functions do no I/O and read no clock. The defaults are the platform's limits on silent
+clients, incomplete requests and file descriptors; an installation file may set other values
+(`weldbend.installation`).
 """
 
 from dataclasses import dataclass
@@ -11,7 +13,7 @@
 QUIESCENT_SECONDS = 0.1  # time since the last byte after which no request is in transit any more
 OVERLOAD_CONNECTIONS = 256  # number of active connections above which idle ones move to the pool early
 REGULAR_CLIENT_REQUESTS = 8  # number of requests after which a client is expected to send more
-SHORT_IDLE_SECONDS = 2.0  # idle time below which a connection is woken before others
+SHORT_IDLE_SECONDS = 2.0  # idle time below which a connection is woken before those with a longer one
 LONG_IDLE_INTERVAL = 4  # one wake in this many is of a connection with a long idle time, if one waits
 EVICTION_DIVISOR = 16  # at the connection limit, one connection in this many is evicted at a time
 USAGE_CLASSES = 3  # classes of idle connections by number of requests so far: none, one, more
@@ -24,7 +26,7 @@
     Times are in seconds, all other values are counts. The defaults are the platform's.
     """
 
-    request_timeout: float = 2.0  # for the first request to arrive, and for the rest of each partial one
+    request_timeout: float = 2.0  # until the first request arrives, and until the end of each partial one
     idle_timeout: float = 4.5  # without an open request; clients close an idle connection after 4 s
     pool_after: float = 0.5  # idle time after which a connection moves to the idle pool; 0: never
     wake_batch: int = 32  # largest number of connections woken in one event-loop iteration
@@ -99,7 +101,7 @@
 
 
 def is_short_idle(idle_seconds: float) -> bool:
-    """Return whether a connection with this idle time is woken before others.
+    """Return whether a connection with this idle time is woken before those with a long idle time.
 
     Guards clients that send requests regularly against delays by many clients that return after a long pause.
     Side effect: the latter wait slightly longer, but every `LONG_IDLE_INTERVAL`-th wake is one of theirs.
@@ -164,8 +166,8 @@
     Attributes:
         max_size: Upper bound of the size.
         size: Number of connections woken in the next iteration.
-        previous_start: Time when the previous batch began (seconds); None if no connection was left waiting
-            after it.
+        previous_start: Time when the previous batch began (seconds); None if it left no connection waiting,
+            so that the time until the next batch is not that of one iteration.
     """
 
     SHORT_ITERATION = 0.003  # duration in seconds below which the size grows
--- a/weldbend/idle_connections/timer_wheel.py
+++ b/weldbend/idle_connections/timer_wheel.py
@@ -1,9 +1,9 @@
-"""Hashed timing wheel for small integers; the cost of expiry grows only with the number that are due.
+"""Hashed timing wheel of slots (small integers); the cost of expiry grows only with the number of due slots.
 
-Each bucket is a circular doubly linked list of slots in flat arrays, twelve bytes a slot. A slot is any small
-integer, such as a file descriptor. Slots of one bucket keep the order of insertion. Source: Varghese and
-Lauck 1987, hashed timing wheel, with one revolution only: no slot is scheduled further ahead than the
-wheel's span.
+Each bucket covers a short interval of time, and is a circular doubly linked list of slots in flat arrays,
+with twelve bytes for each slot. A slot is any small integer, such as a file descriptor. Slots of one bucket
+keep the order of insertion. Source: Varghese and Lauck 1987, hashed timing wheel. Unlike theirs, this wheel
+has one revolution only: no slot is scheduled further ahead than the wheel's span.
 """
 
 from array import array
@@ -21,15 +21,18 @@
     Attributes:
         bucket_seconds: Length of time that a bucket covers (seconds).
         bucket_count: Number of buckets.
-        next: Index of the next entry in the list of each entry; a bucket's head precedes its first slot.
-        previous: Index of the previous entry in the list of each entry.
-        bucket: Index of the bucket that contains each entry, or `NO_BUCKET`.
+        next: For each entry, the index of the next one in its list. The entries of the arrays are first the
+            heads of the buckets' lists, then those of the slots.
+        previous: For each entry, the index of the previous one in its list.
+        bucket: For each entry, the index of the bucket that contains it, or `NO_BUCKET`.
         tick: Number of the first bucket that may contain a slot, counted from time 0 of the clock.
         count: Number of scheduled slots.
     """
 
     def __init__(self, span: float, bucket_seconds: float) -> None:
         self.bucket_seconds = bucket_seconds
+        # A slot due after the whole span is at most int(span / bucket_seconds) + 1 buckets after the present
+        # one, for which + 2 buckets suffice. One more allows `tick` to be one bucket behind the time.
         self.bucket_count = int(span / bucket_seconds) + 3
         # The first entries are the heads of the buckets' lists; the entries of slots follow.
         self.next = array("i", range(self.bucket_count))
