--- a/weldbend/accept_guard.py
+++ b/weldbend/accept_guard.py
@@ -1,4 +1,4 @@
-"""A guard for listening ports that pauses accepting while accept(2) fails, without dropping connections.
+"""A guard that pauses a listening port while accept(2) fails, so that no connection is dropped.
 
 When accept(2) fails, Twisted ends its round of accepts. The pending connection keeps the listening socket
 readable, so the reactor calls Twisted again at once, and the process spins until the fault is over. When no
@@ -15,13 +15,11 @@
 
 MIN_PAUSE = 0.01  # seconds; doubled with each consecutive fault
 MAX_PAUSE = 0.1  # seconds; pending clients have deadlines of some tenths of a second
-MAX_ABORTED_ACCEPTS = (
-    16  # consecutive connections that may end before they are accepted; then accepting is paused
-)
+MAX_ABORTED_ACCEPTS = 16  # consecutive connections found to have ended, after which accepting is paused
 
 
 class GuardedSocket:
-    """A wrapper of a listening socket whose `accept` raises no `OSError` but `BlockingIOError`.
+    """A wrapper of a listening socket whose `accept` raises `BlockingIOError` and no other `OSError`.
 
     All other members are those of the wrapped socket.
     """
@@ -60,7 +58,7 @@
 
     Attributes:
         is_paused: whether accepting is paused because of a fault.
-        consecutive_faults: number of rounds of accepts in a row that ended with a fault.
+        consecutive_faults: number of pauses in a row without an accepted connection between them.
     """
 
     def __init__(
@@ -86,7 +84,7 @@
             port.socket = GuardedSocket(port.socket, self)
 
     def accept_failed(self, fault: OSError) -> None:
-        """Pause accepting after a local fault, or after too many connections that ended in the queue."""
+        """Pause accepting after a local fault, or after too many connections that ended before the accept."""
         anomalies[f"accepts that failed with {errno.errorcode.get(fault.errno or 0, 'no number')}"] += 1
         if not self.is_paused:
             self.is_paused = True
--- a/weldbend/buffers/ring.py
+++ b/weldbend/buffers/ring.py
@@ -1,13 +1,14 @@
 """A bounded ring buffer that allocates its memory on demand.
 
-It allocates nothing before its first byte, grows up to its capacity, and frees its memory when it is empty.
-Memory up to a threshold is kept, since busy connections would allocate it again at once.
+It allocates nothing before its first byte, and grows up to its capacity. When it becomes empty, it frees its
+memory if that is larger than a threshold. Smaller memory is kept, since a busy connection would allocate it
+again at once.
 """
 
 from weldbend.invariants import check_invariant
 
-INITIAL_SIZE = 480  # bytes; fits a short call and stays within the small-object allocator
-MAX_RETAINED_SIZE = 4096  # bytes
+INITIAL_SIZE = 480  # bytes; holds a short call, and is served by the allocator for small objects (512 bytes)
+MAX_RETAINED_SIZE = 4096  # bytes that an empty ring keeps by default
 
 
 class Ring:
--- a/weldbend/cache_protocol/answers.py
+++ b/weldbend/cache_protocol/answers.py
@@ -16,8 +16,8 @@
     """An answer that violates the protocol.
 
     Attributes:
-        section: Invalid section of the answer: its line, its fields, or the end of its body.
-        excerpt: Beginning of that section.
+        section: Invalid part of the answer: "line", "fields", or "end" (the line end after its body).
+        excerpt: Beginning of that part.
     """
 
     def __init__(self, section: str, raw: str | bytes) -> None:
@@ -56,7 +56,7 @@
 
 
 class AnswerParser:
-    """Reads answers from a ring; each byte of a line is searched once, however the line is split on arrival.
+    """Reads answers from a ring; a line that arrives in parts is not searched again from its start.
 
     Attributes:
         ring: Bytes received and not yet parsed.
--- a/weldbend/cache_protocol/commands.py
+++ b/weldbend/cache_protocol/commands.py
@@ -14,7 +14,7 @@
 
 
 def undo(name: str) -> bytes:
-    """Return the command that cancels an attempt; an answer to it may still arrive."""
+    """Return the command that cancels an attempt; the attempt's answer may still arrive."""
     return b"undo %b\r\n" % name.encode()
 
 
--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -29,7 +29,7 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One command to a cache. Its outcome, an answer or the reason of its loss, is reported once.
+    """One command to a cache. Its outcome, an answer or the reason for its loss, is reported once.
 
     Moments are seconds of the front's clock.
 
@@ -47,7 +47,7 @@
         connection: Connection on which it was sent; None while no byte of it has been sent.
         queued_at: Moment at which it began to wait for a connection.
         sent_at: Moment at which its first byte was sent.
-        is_locally_blocked: Whether, while it waited, a fault of this machine delayed the connect that it needs.
+        is_locally_blocked: Whether a fault of this machine delayed the connect that it needs while it waited.
         is_over: Whether its outcome was reported, or it was cancelled and will have no outcome.
     """
 
--- a/weldbend/cli.py
+++ b/weldbend/cli.py
@@ -28,7 +28,7 @@
 
 
 class InvalidSectionError(InvalidInstallationError):
-    """A section that refers to an unusable key file, or to a request class that the site does not have.
+    """A section that refers to an unusable key file, or to a request class that is not configured.
 
     Attributes:
         path: Path of the installation file.
@@ -86,10 +86,11 @@
 
 
 def _check_fleet(fleet: "FleetSettings", site: Site, installation: str) -> None:
-    """Check that the key file and the request classes to which a fleet's settings refer exist.
+    """Check that the key file of a fleet can be used, and that its limits name existing request classes.
 
     Raises:
-        InvalidSectionError: The key file cannot be used, or the site does not have a limited request class.
+        InvalidSectionError: The key file cannot be used, or a limit names a request class that the site does
+            not have.
     """
     from weldbend.fleet.service import FleetConfigurationError, load_keys
 
@@ -122,7 +123,7 @@
 
 
 class LazyCommands(click.Group):
-    """Group that imports the commands of testbed and fleet only when they are used: a front never does."""
+    """Group that imports the commands of testbed and fleet only when they are used; `serve` never does."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands, without importing the testbed or the fleet."""
@@ -131,6 +132,9 @@
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """Return a command; None for an unknown one.
 
+        If the testbed's libraries are not installed, its command is replaced by one without function while
+        click only lists or completes commands.
+
         Raises:
             click.ClickException: The command is the testbed's, and its libraries are not installed.
         """
--- a/weldbend/early_signals.py
+++ b/weldbend/early_signals.py
@@ -1,8 +1,8 @@
 """Signals that arrive while a front is still loading.
 
-Guards against a SIGHUP during that time. Without a handler, the signal would end the process; if it were
-ignored, a front that has already read its configuration would keep the old address of a moved event bus. No
-side effect is known.
+A SIGHUP asks a front to reload its configuration. If one arrives while the front is loading and no handler is
+installed, it ends the process. If it were ignored, a front that has already read its configuration would keep
+the old address of an event bus that has moved. No side effect is known.
 """
 
 import signal
--- a/weldbend/installation/errors.py
+++ b/weldbend/installation/errors.py
@@ -1,4 +1,4 @@
-"""Errors in the installation file; the text of each is one line for people."""
+"""Errors in the installation file; the text of each is one line for the operator."""
 
 MAX_SHOWN = 60  # characters of an invalid value that are shown in an error
 
@@ -20,7 +20,7 @@
 
 
 class InvalidValueError(ValueError):
-    """A value that a key cannot have; messages show the error's text after section and key."""
+    """A value that a key cannot have; the error for the operator shows this text after section and key."""
 
 
 class MalformedValueError(InvalidValueError):
--- a/weldbend/installation/reader.py
+++ b/weldbend/installation/reader.py
@@ -1,7 +1,7 @@
 """Reader of the installation file, which validates each key according to `keys.SECTIONS`.
 
-The file is INI, parsed by ConfigObj. ConfigObj is imported only if there is a file, since a front and `check`
-do not need it otherwise.
+The file is INI, parsed by ConfigObj. ConfigObj is imported only if there is a file, since the commands
+`serve` and `check` do not need it otherwise.
 """
 
 from collections.abc import Mapping
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """A key and its value in a form for people.
+    """A key and the text of its value, as the command `check` shows them.
 
     Attributes:
         section: Name of the section.
@@ -38,7 +38,7 @@
 
     Attributes:
         sections: Settings object of each section, by name of the section.
-        settings: All keys in a form for people.
+        settings: All keys with the texts of their values, including defaults.
     """
 
     sections: dict[str, Any]
@@ -55,7 +55,9 @@
 
 
 def parse(path: str) -> Mapping[str, Any]:
-    """Return the sections of an INI file by name; a key before the first section is included, with its text.
+    """Return the sections of an INI file by name.
+
+    A key that precedes the first section is in the result as well, with its text in place of a section.
 
     Raises:
         InstallationError: The file cannot be read, is too long, or is not INI in UTF-8.
--- a/weldbend/installation/values.py
+++ b/weldbend/installation/values.py
@@ -25,7 +25,7 @@
 NAME = re.compile(r"[\w.-]{1,48}", re.ASCII)
 PEER = re.compile(r"([\w.-]{1,48})@([0-9.]{7,15}):([0-9]{1,5})(?:/([\w.-]{1,48}))?", re.ASCII)
 
-NONE = "none"  # text for an empty value
+NONE = "none"  # word in the file for an empty text or list
 IPV4_OCTETS = 4
 MAX_IPV4_DIGITS = 3  # digits in one octet
 MAX_IPV4_OCTET = 255
@@ -61,7 +61,13 @@
 
 
 def integer_between(least: int, most: int, **names: int) -> Callable[[str], int]:
-    """Return a parser of integers; `names` are words such as `auto` with the value of each."""
+    """Return a parser of integers.
+
+    Args:
+        least: Smallest valid integer.
+        most: Largest valid integer.
+        **names: Words such as `auto` that are valid as well, and the integer for each.
+    """
 
     def parse(text: str) -> int:
         if text in names:
@@ -77,7 +83,7 @@
 
 
 def float_between(least: int, most: int) -> Callable[[str], float]:
-    """Return a parser of integers that are used as floating-point numbers."""
+    """Return a parser of integers that returns them as floating-point numbers."""
     parse_integer = integer_between(least, most)
     return lambda text: float(parse_integer(text))
 
@@ -163,7 +169,7 @@
 
 
 def list_items(text: str) -> Iterator[str]:
-    """Return the items of a comma-separated list."""
+    """Return the items of a comma-separated list, without empty ones; `none` is an empty list."""
     return filter(None, (item.strip() for item in parse_optional(text).split(",")))
 
 
--- a/weldbend/invariants.py
+++ b/weldbend/invariants.py
@@ -1,6 +1,7 @@
 """Invariants: asserted in debug builds, counted in release builds (`python -O`).
 
-Invalid input from other programs is counted in every build and never asserted: it must not stop a front.
+Invalid input from other programs is an anomaly. It is counted in every build and never asserted, since it
+must not stop a front.
 """
 
 from collections import Counter
@@ -13,7 +14,7 @@
     """Check an invariant and return whether it holds.
 
     Args:
-        holds: Truth value of the invariant.
+        holds: Value that is true if the invariant holds.
         what: Text of the invariant, as the counters show it.
 
     Raises:
--- a/weldbend/logs.py
+++ b/weldbend/logs.py
@@ -13,12 +13,17 @@
 if TYPE_CHECKING:
     from loguru import Message
 
-FORMS = ("text", "json")
+FORMS = ("text", "json")  # values of the option --log-form
+# Format of a line in the form "text", as a template of loguru.
 FORMAT = "{time:HH:mm:ss.SSS} {level:<7} {message}"
 
 
 def start(level: str, form: str) -> None:
-    """Write log messages of at least `level` to standard error, in one of `FORMS`.
+    """Begin to write log messages of at least `level` to standard error.
+
+    Args:
+        level: Lowest level of the messages to write.
+        form: Form of the lines, one of `FORMS`.
 
     Raises:
         ValueError: The level is unknown.
@@ -31,13 +36,13 @@
 
 
 def write(text: str) -> None:
-    """Write text that ends in a newline; ignore errors.
+    """Write text that ends in a newline to standard error; ignore errors.
 
     Guards the front against failures of the file or pipe that receives its log. Side effect: lines are lost
     without any report.
     """
-    if sys.stderr is not None:  # None if it was closed before the start
-        with suppress(OSError, ValueError):  # ValueError: closed after the start
+    if sys.stderr is not None:  # None if it was closed when the process started
+        with suppress(OSError, ValueError):  # ValueError: this process has closed it since then
             sys.stderr.write(text)
             sys.stderr.flush()
 
--- a/weldbend/socket_errors.py
+++ b/weldbend/socket_errors.py
@@ -1,4 +1,4 @@
-"""Classification of the errors of socket calls: local faults, faults of the peer, and mere "try again".
+"""Classification of errors of socket calls: local faults, faults of the peer, and calls to be repeated.
 
 A local fault is no evidence against the peer that the call addressed. Sources: the Linux manual pages
 accept(2), connect(2), socket(2), send(2), recv(2), epoll_ctl(2) and epoll_wait(2). This module does no I/O
@@ -27,7 +27,7 @@
         errno.ENOSPC,  # epoll_ctl: the user's limit on watched descriptors is reached
         errno.EADDRNOTAVAIL,  # no local port left
         errno.EADDRINUSE,  # the chosen local port is in use
-        errno.EAGAIN,  # no local port left, or the routing cache is full
+        errno.EAGAIN,  # no local port left, or the kernel's table of routes is full
         errno.ENETUNREACH,  # this machine has no route; EHOSTUNREACH is reported by a router on the path
         errno.ENETDOWN,  # this machine's own interface is down
         errno.EACCES,  # rejected by a local firewall rule
@@ -54,7 +54,11 @@
         errno.ETIMEDOUT,
     }
 )
-"""Errors of accept that concern only the pending connection, which accept(2) advises to treat as ended."""
+"""Errors of accept after which the next connection can be accepted at once.
+
+Most are network errors that ended the pending connection; accept(2) advises to retry after them. EINTR means
+that a signal interrupted the call.
+"""
 
 WOULD_BLOCK_ERRORS = frozenset({errno.EAGAIN, errno.EWOULDBLOCK})
 """Errors of a non-blocking call that would have to block."""
--- a/weldbend/thrift/binary.py
+++ b/weldbend/thrift/binary.py
@@ -112,7 +112,7 @@
         return MessageHeader(version & 0xFF, self.string(), self.i32())
 
     def count(self, *kinds: int) -> int:
-        """Read the number of elements of a container, and check that the rest of the frame can hold them.
+        """Read the number of elements of a container, and check that so many fit into the rest of the frame.
 
         Args:
             *kinds: Value types that make up each element: key and value of a map, or one type.
@@ -137,7 +137,7 @@
         count = self.count(*kinds)
         if count and kinds != (STRING, STRING):
             raise MapTypesError(kinds)
-        # This loop dominates the decoding of a call, so it uses local names and none of the reader's methods.
+        # This loop takes most of the time to decode a call, so it uses local variables and no methods.
         data = self.data
         position = self.position
         end = len(data)
--- a/weldbend/thrift/errors.py
+++ b/weldbend/thrift/errors.py
@@ -1,6 +1,6 @@
 """Protocol errors in bytes received from a client.
 
-If the call can be answered, the text of an `InvalidMessageError` is sent to the client.
+If the header of a call is valid and the call has a reply, the text of an `InvalidMessageError` is sent in it.
 """
 
 
--- a/weldbend/thrift/framing.py
+++ b/weldbend/thrift/framing.py
@@ -20,7 +20,7 @@
     Args:
         ring: Received bytes.
         start: Offset of the frame from the first byte of the ring (bytes).
-        max_length: Longest content that is copied (bytes).
+        max_length: Longest content that is returned (bytes).
 
     Returns:
         The offset of the frame's end, and its content, or None as the content if it is longer than
--- a/weldbend/thrift/messages.py
+++ b/weldbend/thrift/messages.py
@@ -14,7 +14,8 @@
 PROTOCOL_ERROR = 7
 
 MESSAGE_TYPES = {"process": binary.CALL, "giveUp": binary.ONEWAY, "probe": binary.CALL}
-MAX_METHOD_NAME_LENGTH = 100  # characters of a method's name, or of the reason that quotes it, in a reply
+# Characters of a method's name in a reply, or of the reason that quotes the name of an unknown method.
+MAX_METHOD_NAME_LENGTH = 100
 STOP = bytes((binary.STOP,))
 
 
@@ -57,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidCall:
-    """A call that cannot be decoded, except for its header, which suffices for a reply.
+    """A call of which only the header can be used, which suffices for a reply.
 
     Attributes:
         name: Name of the method that was called.
@@ -144,7 +145,7 @@
         seqid: Sequence id of the call.
         body: The requested object; empty for a probe.
         fields: Fields of the reply.
-        is_ok: Flag in the reply that states whether the front serves requests.
+        is_ok: Flag in the reply: for a probe, whether the front accepts requests; true for an object.
     """
     head = binary.message_header(REPLY, name, seqid) + SUCCESS + BODY + binary.i32(len(body))
     encoded_fields = binary.field(MAP, 2, binary.text_map(fields)) if fields else NO_FIELDS
@@ -169,7 +170,7 @@
 
 
 def application_exception(call: InvalidCall) -> bytes:
-    """Return the frame of the reply to a call that cannot be decoded."""
+    """Return the frame of the reply to an invalid call."""
     text = binary.field(STRING, 1, binary.binary(call.reason.encode()))
     struct = text + binary.field(binary.I32, 2, binary.i32(call.kind)) + STOP
     return frame(
