--- a/weldbend/caches/connect_backoff.py
+++ b/weldbend/caches/connect_backoff.py
@@ -1,8 +1,8 @@
 """Backoff between connects to one cache while faults of this machine prevent them. Reads no clock.
 
 The delays double up to a bound, and each is drawn at random from the upper half of its range. The draw
-depends only on the cache's address and the time, so a simulated run is reproducible, while fronts that share
-a machine, and fail at different times, do not retry in lockstep.
+depends only on the cache's address and the time. A simulated run is therefore reproducible, and fronts that
+share a machine do not retry in lockstep, since their faults occur at different times.
 """
 
 import math
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -198,8 +198,8 @@
 
         A short-lived attempt may be the retry of a request that must not be executed twice, which the router
         allows for a limited time only, or an attempt at a cache in slow start, which would otherwise receive
-        all attempts of a slow connect in one burst. Side effect: the router decides once more for each
-        cancelled attempt.
+        all attempts that waited for a slow connect in one burst. Side effect: the router decides once more
+        for each cancelled attempt.
         """
         self.is_send_scheduled = False
         now = self.pool.timers.now()
--- a/weldbend/caches/stall_detector.py
+++ b/weldbend/caches/stall_detector.py
@@ -64,7 +64,7 @@
             self.stream.abort_malformed(STALLED)
 
     def _is_stalled(self) -> bool:
-        """Return whether no byte has arrived within the timeout; schedule the next check if one has.
+        """Return whether no byte has arrived within the timeout; if one has, schedule the next check.
 
         If the answer takes longer than the longest deadline of a request, the connection is aborted here, and
         the result is False, since that is counted under another name than a stall.
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -83,7 +83,8 @@
         is_draining: Whether no further calls are read, and the connection closes once all are answered.
         is_finishing: Whether this front ends the connection, but still handles the calls already read.
         is_closing: Whether this front has closed its side and discards what still arrives.
-        is_lost: Whether the connection has ended, or has moved to the idle pool and left this object.
+        is_lost: Whether the connection has ended, or has moved to the idle pool and is no longer handled by
+            this object.
         is_read_paused: Whether the socket is not read at present.
     """
 
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -331,7 +331,7 @@
     # Shutdown.
 
     def is_quiet(self) -> bool:
-        """Return whether no connection has had a byte recently, so that none can be in transit."""
+        """Return whether no byte can be in transit, as all connections are quiescent or closing."""
         now = self.owner.now()
         if self.idle_pool and not self.idle_pool.has_nothing_to_read():
             return False
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -55,7 +55,7 @@
             self.pause_detector.mark_caught_up()
 
     def earliest_arrival(self, moment: float) -> float:
-        """Return the earliest time at which bytes read at `moment`, the present, can have arrived."""
+        """Return the earliest time at which bytes that are read now, at `moment`, can have arrived."""
         return self.pause_detector.earliest_arrival(moment)
 
     def handle_request(self, request: ClientRequest) -> None:
--- a/weldbend/front/clock.py
+++ b/weldbend/front/clock.py
@@ -6,8 +6,8 @@
 import os
 import time
 
-MAX_READING_ATTEMPTS = 5  # attempts to read both clocks at the same moment
-MAX_READING_DURATION = 0.001  # seconds within which two readings count as simultaneous
+MAX_READING_ATTEMPTS = 5  # after so many readings of both clocks, the last one is used in any case
+MAX_READING_DURATION = 0.001  # seconds within which both clocks count as read at the same moment
 
 
 class Clock:
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -71,7 +71,7 @@
         seed: seed of the router's random numbers.
         bus_address: address (host:port) of the bus.
         known_events: events of the bus that had been published when the configuration was written.
-        bus_offset: offset of the last known event.
+        bus_offset: offset of the last of the known events, after which the bus is read.
         settings: settings of the router.
         roles: roles by machine kind.
         flow_rate: kB per second that a client receives at its maximum rate.
--- a/weldbend/front/counters.py
+++ b/weldbend/front/counters.py
@@ -26,7 +26,7 @@
         At most `MAX_LOGGED_ERRORS` are logged until `reset_error_limit` is called.
 
         Args:
-            context: object or place that was being handled.
+            context: object that was being handled, or the name of the task.
             trace: traceback; None for that of the exception being handled.
         """
         self.counts["internal errors"] += 1
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -194,7 +194,7 @@
             request.timers.append(timer)
 
     def _fire_timer(self, action: SetTimer) -> None:
-        """Post that a timer is due, and whether the attempt's connection received nothing since the attempt.
+        """Post that a timer is due, and whether the connection was silent since the attempt was sent.
 
         If the attempt is still unsent because of a local fault, it is ended instead and no timer event is
         posted: the delay is no evidence against its cache.
--- a/weldbend/front/event_queue.py
+++ b/weldbend/front/event_queue.py
@@ -17,7 +17,7 @@
 
 
 class EventQueue:
-    """Queue of events that schedules the iterations that handle them.
+    """Queue of events for the router; it schedules the iterations in which they are handled.
 
     Attributes:
         max_iteration: duration of the longest iteration, in seconds.
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -1,8 +1,8 @@
 """Startup, reload and shutdown of one front.
 
-A front opens its port only when it can answer requests. After SIGTERM, its health checks fail, but it still
-accepts requests. It exits when all accepted requests have been answered, but not before clients have had time
-to notice the failing health checks.
+A front opens its port only when it can answer requests. After SIGTERM, its clients' health checks fail, but
+it still accepts requests. It exits when all accepted requests have been answered, but not before clients have
+had time to notice the shutdown.
 """
 
 import gc
@@ -36,7 +36,7 @@
 # All in seconds.
 MIN_SHUTDOWN_TIME = 0.7  # minimum time from SIGTERM to the exit; clients still send requests at first
 MAX_DEADLINE = 3.0  # longest request deadline that a shutdown waits for, since SIGKILL follows soon after
-ABORT_DELAY = 0.4  # from the end of the longest deadline until open requests are aborted, new ones rejected
+ABORT_DELAY = 0.4  # from that longest deadline until open requests are aborted and new ones rejected
 FORCED_EXIT_DELAY = 0.2  # from the abort until the front exits in any case
 SHUTDOWN_POLL = 0.02  # between two checks whether all requests have been answered
 SHUTDOWN_POLL_IDLE = 0.002  # between two checks while idle connections are closed in batches
@@ -251,10 +251,10 @@
     def _end_if_done(self) -> None:
         """Exit if all requests are answered, otherwise check again later, since new ones may still arrive.
 
-        From now on, no new connections are accepted, since most clients have moved to another front. This
-        guards against closing a connection while a request is in transit, and against clients that keep
-        connecting without sending anything. No side effect is known: a client that still connects is refused
-        now instead of after the exit, which follows soon.
+        From the first call on, no new connections are accepted, since most clients have moved to another
+        front. This guards against closing a connection while a request is in transit, and against clients
+        that go on connecting without sending anything. No side effect is known: a client that still connects
+        is refused now instead of after the exit, which follows soon.
         """
         assert self.stop_requested is not None
         now = self.clock.now()
--- a/weldbend/installation/keys.py
+++ b/weldbend/installation/keys.py
@@ -139,7 +139,7 @@
         # Bytes queued for one peer. The first bound applies to every file; `fleet_conflict` requires at least
         # `MIN_OUTBOX` if the section has a `listen` address, so that the front belongs to a fleet.
         count_key("outbox", "outbox_capacity", 65_536, 64_000_000),
-        count_key("ops", "retained_operations", 16, 65_536),  # operations of a writer kept for deltas
+        count_key("ops", "retained_operations", 16, 65_536),  # operations per writer's run, for deltas
         switch_key("popularity", "popularity"),  # share counts of requests within the zone
     ),
     defaults=fleet.FleetSettings(),
