--- a/weldbend/front/counters.py
+++ b/weldbend/front/counters.py
@@ -21,10 +21,12 @@
         self._logged_errors = 0
 
     def record_error(self, context: object, trace: str | None = None) -> None:
-        """Count an internal error and log it with its traceback, up to `MAX_LOGGED_ERRORS` at a time.
+        """Count an internal error, and log it with its traceback.
+
+        At most `MAX_LOGGED_ERRORS` are logged until `reset_error_limit` is called.
 
         Args:
-            context: object or place that was being handled.
+            context: object that was being handled, or the name of the task.
             trace: traceback; None for that of the exception being handled.
         """
         self.counts["internal errors"] += 1
