--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -24,7 +24,8 @@
 from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 
 
-def test_a_second_request_is_cached_at_the_edge_without_a_copy_at_the_parent():
+def test_an_object_requested_twice_is_copied_to_the_edge_but_not_to_the_parent():
+    """A rank above 0 makes the edge store a copy; `leave-no-copy` keeps the parent from storing one."""
     front = RouterHarness()
     for name in "abc":
         front.fill(name, now=front.now + 1)
@@ -58,9 +59,9 @@
 def test_a_request_at_its_deadline_is_throttled_and_its_attempt_cancelled():
     front = RouterHarness()
     front.request("a", now=1, deadline=1.6)
-    front.fire_timer("a", "end", now=1.596)
+    front.fire_timer("a", "end", now=1.596)  # two ticks (2 * 0.002 s) before the deadline
     front.end_attempt("a", AttemptResult.CANCELLED, now=1.6)
-    front.fire_timer("a", "end", now=1.61)
+    front.fire_timer("a", "end", now=1.61)  # has no effect after the final answer
     front.assert_trace("""
         1.00 a: 1 lookup rank 0
         1.60 a: throttled, wait 0.5
@@ -69,7 +70,13 @@
 
 
 def test_a_possibly_executed_request_is_retried_only_as_its_class_allows():
-    """Requests named `-ran` may have executed (reset); those named `-not` have not (unreachable)."""
+    """Four cases: three classes of requests, and one request whose deduplication window has expired.
+
+    Requests whose names end in `-ran` may have been executed, because their connection was reset. Those
+    whose names end in `-not` have not, because the cache was unreachable. An order is retried at any cache,
+    a `near` request only at the caches of its cell, a `pay` request not at all once it may have been
+    executed.
+    """
     classes = {
         "pay": request_class("pay", idempotency=Idempotency.NON_IDEMPOTENT),
         "order": request_class("order", idempotency=Idempotency.DEDUPLICATED, deduplication_window=1.0),
@@ -77,6 +84,7 @@
             "near", idempotency=Idempotency.DEDUPLICATED, deduplication_scope=DeduplicationScope.CELL
         ),
     }
+    # An unreachable cache is treated as cold; the overload factor lets it have all attempts of this test.
     front = RouterHarness(
         (endpoint(1, cell=1), endpoint(2, cell=2), CACHES[-1]), classes=classes, edge_overload_factor=9.0
     )
@@ -85,6 +93,7 @@
         front.end_attempt(f"{name}-ran", AttemptResult.RESET)
         front.request(f"{name}-not", type=name)
         front.end_attempt(f"{name}-not", AttemptResult.UNREACHABLE)
+    # The reset at 21 s comes after the deduplication window of 1 s.
     front.request("late", now=20, type="order")
     front.end_attempt("late", AttemptResult.RESET, now=21)
     front.assert_trace("""
@@ -108,7 +117,7 @@
 def test_without_hedging_a_slow_attempt_is_cancelled_before_the_next_one():
     front = RouterHarness(allows_hedging=False)
     front.request("a", now=1)
-    front.fire_timer("a", now=3)
+    front.fire_timer("a", now=3)  # the first timeout only starts a second one
     front.fire_timer("a", now=5)
     front.end_attempt("a", AttemptResult.CANCELLED, now=5.1)
     front.assert_trace("""
@@ -128,6 +137,9 @@
         front.request(key, key, now=1)
         front.end_attempt(key, AttemptResult.MISS)
     request = front.router.requests["k"]
+    # Two attempts as if placement had chosen a draining edge or a removed parent: admission must block them.
+    # Cancelling the unknown request "nobody" has no effect of its own; it makes the router process the
+    # attempt.
     front.router.context.post(front.router.admission, Attempt(request, front.router.caches[1]))
     front.handle(1.1, RequestCancelled("nobody"))
     front.router.context.post(front.router.admission, Attempt(request, front.router.caches[2], removed))
@@ -147,6 +159,12 @@
 
 
 def test_a_cold_cache_receives_no_more_than_its_quota():
+    """The cache may get 15 s of work (`SlowStart.budget`) times its capacity fraction, shared by two fronts.
+
+    The 15 s are the overload factor 2.0 * the window of 2 s * `BUDGET_FRACTION` 0.75 * the weight 10 / 2
+    fronts. The fraction is 0.2 + 0.8 * 1.07 s / 10 s = 0.286 at 3.07 s and hardly higher at 3.09 s. The
+    quota of 4.3 s is enough for eight requests of 0.5 s.
+    """
     front = RouterHarness((endpoint(1, started=2.0), CACHES[-1]))
     for n in range(10):
         front.request(f"d{n}", f"k{n}", now=3 + n / 100)
@@ -165,12 +183,13 @@
 
 
 def test_after_a_mass_restart_the_quota_follows_the_load_of_warm_caches():
+    """The load of the warm edges is measured before both edges restart; link sizes are unknown."""
     front = RouterHarness((endpoint(1), endpoint(2), CACHES[-1]), weighted=False)
     for n in range(60):
         front.request(f"d{n}", f"k{n}", now=1 + n / 30)
         front.end_attempt(f"d{n}", AttemptResult.SERVED, duration=0.2)
     front.update_endpoints(endpoint(1, started=3.0), now=3.0)
-    front.request("one-cold", "k2", now=3.0)
+    front.request("one-cold", "k2", now=3.0)  # edge 1 is cold, edge 2 is still warm
     front.update_endpoints(endpoint(2, started=3.1), now=3.1)
     front.trace.clear()
     for n in range(10):
@@ -190,6 +209,12 @@
 
 
 def test_an_unreachable_cache_is_treated_as_just_started():
+    """The quota of the edge, in seconds of work, allows a second request of 0.5 s only from 1.3 s on.
+
+    It is 7.5 s (overload factor 1.0 * window 2 s * `BUDGET_FRACTION` 0.75 * weight 10 / 2 fronts), times the
+    capacity fraction, times half the time since this front's start: 7.5 * 0.216 * 0.60 = 0.97 s at 1.2 s, and
+    7.5 * 0.224 * 0.65 = 1.09 s at 1.3 s. The unreachable attempt counts with 0.5 s.
+    """
     front = RouterHarness(CACHES[:1] + CACHES[-1:], edge_overload_factor=1.0)
     for n, result in enumerate((AttemptResult.UNREACHABLE, *[AttemptResult.SERVED] * 5)):
         front.request(f"d{n}", f"k{n}", now=1 + n / 10)
@@ -207,10 +232,13 @@
 
 
 def test_a_cache_reached_soon_after_a_broken_connection_counts_as_not_restarted():
-    """A broken connection counts as one piece of evidence, however many attempts were in flight on it.
+    """The resets of the three attempts on a broken connection count as one failure.
 
-    A malformed answer is no evidence of a restart.
+    A malformed answer is neither a failure nor evidence of a restart. The cache counts as restarted once no
+    new connection has been opened for `RECONNECT_GRACE`, until one is opened within `RECONNECT_WINDOW`. The
+    capacity fraction shows whether it does. A connection opened after an unreachable cache proves nothing.
     """
+    # The overload factor lets the cache have all attempts of this test while it counts as cold.
     front = RouterHarness(CACHES[:1] + CACHES[-1:], edge_overload_factor=9.0)
     cache, fractions = front.router.caches[1], []
     for n in range(4):
@@ -218,14 +246,16 @@
     for n in range(4):
         front.end_attempt(f"d{n}", AttemptResult.RESET if n else AttemptResult.MALFORMED, now=1.2)
     for now, event in (
-        (1.3, RequestCancelled("nobody")),
-        (1.45, RequestCancelled("nobody")),
+        (1.3, RequestCancelled("nobody")),  # without effect: only makes the router's time advance
+        (1.45, RequestCancelled("nobody")),  # 0.25 s after the reset, later than RECONNECT_GRACE (0.2 s)
         (1.5, ConnectionOpened(1)),
     ):
         front.handle(now, event)
         fractions.append(cache.slow_start.capacity_fraction())
     front.end_attempt("d0", AttemptResult.UNREACHABLE, now=2.0)
     front.handle(2.1, ConnectionOpened(1))
+    # One failure for the resets at 1.2 s and one for the unreachable cache at 2.0 s. The concurrency limit
+    # stays above this front's fair share of the link, the weight 10 / 2 fronts.
     assert cache.failures.total(1.4) == 2 and cache.concurrency.limit > 5
     front.trace.append(
         "capacity "
@@ -248,7 +278,9 @@
 def answer_requests(front, count=40):
     """Let the edges answer `count` requests within a second.
 
-    With a high count, answers are expected within an attempt's timeout, and their absence is evidence.
+    An attempt on a silent connection is cancelled at its first timeout only if `MIN_EXPECTED_ANSWERS` (3)
+    were expected from the cache since the attempt was sent. With 100 requests over two edges and the health
+    window of 10 s, an edge gives about 5 answers per second; with 4 requests, only about 0.2.
     """
     for n in range(count):
         front.request(f"w{n}", f"w{n}", now=n / count)
@@ -262,7 +294,7 @@
     for n in range(4):
         front.request(f"d{n}", f"k{n}", now=1)
     for n in range(4):
-        front.handle(2, TimerFired(f"slow:d{n}:0", n < 2))
+        front.handle(2, TimerFired(f"slow:d{n}:0", n < 2))  # only the first two connections are silent
     for n in range(4):
         if f"d{n}: cancel attempt 0" in str(front.trace):
             front.end_attempt(f"d{n}", AttemptResult.CANCELLED, attempt=0)
@@ -278,13 +310,14 @@
     """)
 
 
-def test_a_silent_connection_is_no_evidence_if_no_answers_were_expected():
+def test_a_silent_connection_is_no_evidence_of_a_fault_if_no_answers_were_expected():
     """Guards against a front with few requests that cancels and repeats every slow attempt."""
     front = RouterHarness(CACHES[:2], allows_hedging=False)
     answer_requests(front, 4)
     front.request("d", "k0", now=1)
     front.handle(2, TimerFired("slow:d:0", True))
     front.assert_trace("1.00 d: 2 lookup rank 0")
+    # At the second timeout, silence counts even without expected answers.
     front.handle(3.2, TimerFired("slow:d:0", True))
     front.end_attempt("d", AttemptResult.CANCELLED, attempt=0)
     front.assert_trace("""
@@ -297,8 +330,10 @@
 def test_the_combined_parent_limit_shrinks_with_the_number_of_fronts():
     """Guards against many fronts overloading the parents together.
 
-    With a separate limit for each of eight parents, two hundred fronts had ten times as many attempts in
-    flight as the parents can handle.
+    With only a separate limit for each of eight parents, 200 fronts together had ten times as many attempts
+    in flight as the parents can handle. The limit of each front is its share q of the combined weight 8 *
+    10, plus 2 * sqrt(q), times `DENSEST_HEADROOM`: (40 + 12.6) * 1.3 = 68 with 2 fronts, more than the 60
+    requests, and (0.4 + 1.26) * 1.3 = 2.2 with 200 fronts, where the third attempt is admitted at random.
     """
     parents = tuple(endpoint(30 + n, Role.PARENT, "h") for n in range(8))
     sent = {}
@@ -317,9 +352,10 @@
 
 
 def test_late_answers_of_several_parents_reduce_the_combined_limit():
-    """Each parent sends this front too few answers to reduce its own limit."""
+    """Each parent sends this front too few late answers for its own limit to be reduced."""
     parents = tuple(endpoint(30 + n, Role.PARENT, "h") for n in range(8))
     front = RouterHarness((CACHES[0], *parents, CACHES[-1]), fronts=200, hub_fronts=200, zone_fronts=2)
+    # With this seed, six attempts reach a parent, and no parent gets enough of them to reduce its own limit.
     front.router.context.random.seed_number = 3
     limit_before = front.router.context.parent_limit.limit()
     for n in range(12):
@@ -335,9 +371,10 @@
 def test_without_edges_a_parent_lookup_precedes_a_fill_from_the_origin():
     edges = tuple(endpoint(n, state=EndpointState.DRAINING) for n in (1, 2))
     front = RouterHarness(edges + CACHES[2:3] + CACHES[-1:], allows_bypass=True)
-    front.router.caches[
-        21
-    ].concurrency.limit = 0.8  # capacity for one request, and a chance of 1 in 25 for another
+    front.router.caches[21].concurrency.limit = 0.8
+    # With `DENSEST_HEADROOM`, the limit is 0.8 * 1.3 = 1.04. One request is admitted. The free capacity is
+    # then 0.04, and another one is admitted with a probability of 0.04 + (1 - 0.04) / 2 fronts = 0.52 (see
+    # `ConcurrencyLimit.has_capacity`). With the seed of the harness, it is not.
     for n in range(3):
         front.request(f"d{n}", f"k{n}", now=1)
     front.end_attempt("d0", AttemptResult.SERVED)
@@ -355,7 +392,7 @@
 def test_a_request_that_fails_at_every_cache_counts_against_none_of_them():
     """Errors count as failures of their caches only if another attempt for the request is served."""
     front = RouterHarness()
-    front.router.admission.requests.add(1, 100)
+    front.router.admission.requests.add(1, 100)  # 100 earlier requests: the budget allows all retries
     for name, last_result in (("bad", AttemptResult.ERROR), ("good", AttemptResult.SERVED)):
         front.request(name, "k", now=1)
         front.end_attempt(name, AttemptResult.ERROR)
@@ -376,7 +413,14 @@
     """)
 
 
-def test_a_budget_below_one_attempt_is_spent_in_turns_with_random_offsets():
+def test_a_front_whose_budget_is_below_one_attempt_sends_single_attempts_starting_at_random_times():
+    """The expected number of attempts is 1.3 for each seed.
+
+    The front's budget in seconds of work is 2.0 (overload factor) * 2 s (window) * 0.75 (`BUDGET_FRACTION`)
+    * 10 / 60 (weight per front) = 0.5 times the capacity fraction per window, and thus less than one attempt
+    of 0.5 s. That is 0.5 attempts per second times the fraction, whose mean over 6 s is 0.44 (0.20 at first,
+    0.68 at the end): 0.5 * 0.44 * 6 = 1.3.
+    """
     send_times = []
     for seed in range(6):
         front = RouterHarness((endpoint(1, started=0.0), CACHES[-1]), zone_fronts=60)
@@ -384,7 +428,7 @@
         for n in range(120):
             front.request(f"d{n}", f"k{n}", now=n / 20)
         send_times.append(" ".join(line.split()[0] for line in front.trace if "fill" in line))
-    # The times of attempts for each seed; the expected number of attempts is 1.3.
+    # The times of the attempts, one line for each seed.
     assert send_times == [
         "1.75 5.75",
         "3.90",
@@ -446,7 +490,9 @@
     for n in range(30):
         front.request(f"c{n}", f"k{n}", now=1)
         front.end_attempt(f"c{n}", AttemptResult.MISS)
-        front.end_attempt(f"c{n}", AttemptResult.SERVED)
+        front.end_attempt(f"c{n}", AttemptResult.SERVED)  # timely answers keep parent 11 the first choice
+    # Nine late answers count as failures of parent 11 and reduce its limit from 9.5 to 5.7; that of origin 21
+    # stays 12.
     for n in range(9):
         front.request(f"d{n}", f"k{n}", now=1)
         front.end_attempt(f"d{n}", AttemptResult.MISS)
@@ -472,6 +518,7 @@
 
 
 def test_late_fills_through_a_slow_parent_do_not_reduce_the_origin_limit():
+    """The final limits of parent 11 and of origin 21 are compared, if one or the other is slow."""
     limits = {}
     for slow in ("parent", "origin"):
         front = RouterHarness(CACHES[:3] + CACHES[-1:])
@@ -492,7 +539,8 @@
     assert limits == {"parent": "0.7 12.0", "origin": "9.5 0.5"}
 
 
-def test_a_few_large_objects_keep_the_limit_and_many_late_answers_reduce_it():
+def test_a_few_late_answers_leave_the_limit_unchanged_and_many_reduce_it():
+    """Late answers are those of requests 0, 15 and 30, as for large objects, and then all from 31 on."""
     front = RouterHarness(CACHES[:1])
     limits = []
     for n in range(60):
@@ -500,6 +548,7 @@
         if f"d{n}" in front.attempts:
             front.end_attempt(f"d{n}", AttemptResult.SERVED, duration=9.0 if n > 30 or n % 15 == 0 else 0.1)
         limits.append(f"{front.router.caches[1].concurrency.limit:.1f}")
+    # The limits after requests 28, 34, 40 and so on; the lower bound is `MIN_FLEET_LIMIT` / 2 fronts = 0.5.
     assert limits[28::6] == ["9.5", "5.7", "2.0", "0.7", "0.5", "0.5"]
 
 
@@ -513,11 +562,12 @@
     assert f"{context.statistics.mean_work(context.settings.classes['photo']):.1f}" == "0.2"
 
 
-def test_a_limit_below_one_is_a_probability_and_grows_by_one_per_zone():
-    """Expect 168 of 400 requests to be admitted.
+def test_below_one_a_limit_is_a_probability_and_a_success_adds_one_divided_by_the_fronts_of_the_zone():
+    """Expect 168 of 400 requests to be admitted, and each success to raise the limit by 1 / 20 fronts = 0.05.
 
-    With headroom for the densest class, the free capacity is 0.3 * 1.3 = 0.39. A twentieth of the rest is
-    added for the other fronts of the zone: 0.39 + 0.61 / 20 = 0.42.
+    The class has the highest priority density, so with `DENSEST_HEADROOM` the free capacity is 0.3 * 1.3 =
+    0.39. `ConcurrencyLimit.has_capacity` adds the remaining 1 - 0.39, divided by the 20 fronts that share
+    the edge: the probability is 0.39 + 0.61 / 20 = 0.42, and 0.42 * 400 = 168.
     """
     limits = []
     for seed in range(10):
@@ -569,6 +619,8 @@
     front = RouterHarness(weighted=False)
     for n in range(100):
         front.fill(f"d{n}", f"k{n}", now=1 + n / 10)
+    # The origin, a parent and an edge. Each fill counts at one cache of each role, and there are two parents
+    # and two edges, but one origin.
     assert [f"{flows:.2f}" for flows in front.router.admission.warm_load.flows.values()] == [
         "0.76",
         "0.38",
@@ -612,6 +664,7 @@
         is_slow = front.trace[-1].split()[2] == "1"
         front.end_attempt(f"d{n}", AttemptResult.SERVED, duration=4.0 if is_slow else 0.1)
     attempts = [line.split()[2] for line in front.trace]
+    # Edge 1 gets at most two of the last 20 attempts, and more of the first 20.
     assert attempts[:20].count("1") > attempts[20:].count("1") <= 2, attempts
 
 
@@ -678,11 +731,11 @@
     front.handle(2, PeerKnowledge(2, None, 1.9))
     assert (
         caches[2].slow_start.capacity_fraction() < 1
-    ), "a start that the front's own endpoint list does not contain"
+    ), "peers know a start of cache 2 that this front's endpoint list lacks"
     front.handle(2, PeerKnowledge(2, None, 0.5))
     assert caches[2].started == 1.9
     front.update_endpoints(endpoint(1), now=3)
-    assert caches[1].state is EndpointState.READY, "the own list, which is as recent, lists it as ready"
+    assert caches[1].state is EndpointState.READY, "a later list of this front's own has it as ready"
 
 
 def front_with_many_parents(**site):
@@ -712,7 +765,7 @@
     assert parent_limit.fraction > 0.5
 
 
-def test_attempts_at_a_parent_before_its_restart_leave_the_combined_limit():
+def test_an_attempt_in_flight_at_a_parent_that_restarts_stops_counting_towards_the_combined_limit():
     front = front_with_many_parents()
     front.request("d", "k", now=1)
     front.end_attempt("d", AttemptResult.MISS)
@@ -725,9 +778,10 @@
 
 
 def test_a_request_is_not_repeated_after_its_deduplication_window():
-    """The first attempt times out after the latency objective of 0.5 s.
+    """The first timeout of an attempt, later than the latency objective of 0.5 s, only starts a second one.
 
-    A deduplication window of 0.3 s has then expired, one of 3 s has not.
+    At the second timeout, 1.3 s after the attempt was sent, a deduplication window of 0.3 s has expired, and
+    one of 3 s has not.
     """
     for window, attempts in ((0.3, 1), (3.0, 2)):
         classes = {
@@ -747,11 +801,11 @@
 
 
 def test_changed_settings_apply_to_new_requests_and_sent_work_still_counts():
-    """One content type replaces another while requests are open; a window and the number of fronts change."""
+    """A request class is replaced while requests are open; a window and the number of fronts change too."""
     front = RouterHarness((endpoint(1, started=2.0), CACHES[-1]))
     for n in range(9):
         front.request(f"d{n}", f"k{n}", now=3 + n / 100)
-    assert len(front.attempts) == 8, "the quota of the cold cache is used up"
+    assert len(front.attempts) == 8, "8 requests of 0.5 s of work use up the cold cache's quota of 4.3 s"
     settings = replace(
         SITE,
         classes={"clip": request_class("clip", latency_objective=0.2)},
@@ -760,19 +814,21 @@
     )
     front.handle(3.5, SettingsChanged(settings))
     cache = front.router.caches[1]
+    # The quota is now 2.0 (overload factor) * 3 s (window) * 0.75 (`BUDGET_FRACTION`) * 10 / 3 (weight per
+    # front) * 0.32 (capacity fraction at 3.5 s) = 4.8 s of work, of which 4.0 s were sent before the change.
     assert cache.sent_work.total(3.5) == 4.0 and cache.sharing_fronts == 3
     for n in range(8):
         front.request(f"new{n}", f"new{n}", now=3.5, type="clip")
     sent = [name for name in front.attempts if "new" in name]
-    assert len(sent) == 4, "4.0 of the 4.8 allowed in the new window were sent before the change"
-    front.end_attempt("d0", AttemptResult.SERVED, now=3.6)  # a request of the removed type
+    assert len(sent) == 4, "0.8 s of work is left for requests of 0.2 s"
+    front.end_attempt("d0", AttemptResult.SERVED, now=3.6)  # a request of the removed class
     front.request("late", "k", now=6.7, type="clip")
     assert "late" in front.attempts and set(front.router.context.settings.classes) == {"clip"}
     front.handle(7.0, SettingsChanged(SITE))
     assert {name for name, _ in front.router.context.statistics.answer_sums} == {
         "photo",
         "clip",
-    }, "requests of both types are still open"
+    }, "requests of both classes are still open"
     for name in ("late", *sent, *(f"d{n}" for n in range(1, 8))):
         front.end_attempt(name, AttemptResult.SERVED, now=7.1)
     front.handle(7.2, SettingsChanged(settings))
