--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -26,7 +26,13 @@
         self.control_addresses, self.fronts = addresses["controls"], addresses["fronts"]
 
     def send_command(self, command, fronts="all", **fields):
-        """Send one command to the lab and wait until the lab reports that it was carried out."""
+        """Send one command to the lab and wait until the lab reports that it was carried out.
+
+        Args:
+            command: name of the command on the wire, such as `start` or `signal`.
+            fronts: names of the fronts concerned, separated by spaces; empty if the command names none.
+            fields: further fields of the command.
+        """
         self.lab.stdin.write(
             json.dumps({"do": command, **({"who": fronts} if fronts else {}), **fields}) + "\n"
         )
--- a/tests/fronts.py
+++ b/tests/fronts.py
@@ -1,4 +1,4 @@
-"""Test harnesses: a router alone, and a whole front in memory with its clients, caches and event bus."""
+"""Test harnesses: a router alone, and a whole front with its clients, caches and event bus in memory."""
 
 import re
 from dataclasses import replace
@@ -75,6 +75,8 @@
     return Endpoint(number, 10.0, zone, cell, role, state, started)
 
 
+# Numbers, roles and zones of the caches: two edges in this front's zone, a parent in its hub and one in
+# another zone, and the origin.
 CACHES = (
     endpoint(1),
     endpoint(2),
@@ -134,7 +136,7 @@
         self.handle(self.now if now is None else now, TimerFired(token))
 
     def fill(self, name, key="k", now=None):
-        """Play a request that misses at its edge and in a parent's cached copies, and is then filled."""
+        """Play a request that misses at its edge and among a parent's copies, and is served by a fill."""
         self.request(name, key, now)
         self.end_attempt(name, AttemptResult.MISS)
         if "if cached" in self.trace[-1]:
@@ -146,7 +148,7 @@
         assert self.trace == lines, "\n" + "\n".join(self.trace)
 
 
-KEY = "7f3a9c21e0b4d655"
+KEY = "7f3a9c21e0b4d655"  # key of the object that `process` requests by default
 
 
 TARGETS = (target("e1"), target("e2", port=2), target("p1", "parent", "h", 3), target("o1", "origin", "h", 4))
@@ -189,7 +191,7 @@
     """A connection in memory. A paused one models a full socket: it accepts no more data."""
 
     full = False
-    left = 0  # bytes that the last direct call of doWrite sent, before the reactor
+    left = 0  # bytes waiting when the front last called doWrite itself, before the reactor would have
 
     def doWrite(self):
         self.left = len(self.value())
--- a/tests/test_any_order.py
+++ b/tests/test_any_order.py
@@ -8,16 +8,25 @@
 from fronts import TARGETS, FrontHarness, give_up, listing, process, target
 
 ANSWER_STATUSES = ("DONE", "KEEP", "LACK", "WAIT", "BROKE", "PAST")
-DEADLINE_SLACK = 0.058  # seconds by which the rules allow an answer to be late
-MAX_STEP = 0.3  # seconds of the longest pause of the front
+DEADLINE_SLACK = 0.058  # seconds after its deadline at which an answer is still in time by the rules
+MAX_STEP = 0.3  # seconds; the longest step of the clock, during which the front cannot answer
 
 
 class RandomWalk:
-    """Random steps of clients, caches, connections, the event bus and the clock, drawn from one seed."""
+    """Random steps of clients, caches, connections, the event bus and the clock, drawn from one seed.
+
+    Attributes:
+        expected_answers: client index and latest answer time of each open request, by request number; a time
+            of infinity if the client has paused its reading.
+        cancelled: numbers of the requests that their clients gave up.
+        answered: numbers of the requests that have got an answer.
+        unavailable: names of the caches that the endpoint list shows as draining or removed.
+        offset: offset of the last event published on the bus.
+    """
 
     def __init__(self, seed):
         self.rng, self.harness = random.Random(seed), FrontHarness(max_streams=4)
-        self.expected_answers = {}  # request number -> client index and latest answer time
+        self.expected_answers = {}
         self.cancelled, self.answered, self.unavailable = set(), set(), set()
         self.number = self.offset = 1
         self.clients = [self.harness.connect_client() for _ in range(3)]
@@ -125,6 +134,7 @@
     walk = RandomWalk(seed)
     steps = [walk.request] * 6 + [walk.answer] * 8 + [walk.change_connections] * 2 + [walk.advance_clock] * 4
     steps += [walk.give_up, walk.change_reading, walk.publish_event]
+    # More than the latest deadline, 3 s, passes after the last random step, so that no request stays open.
     for _ in range(500):
         walk.rng.choice(steps)()
         walk.check_answers()
--- a/tests/test_decision_work.py
+++ b/tests/test_decision_work.py
@@ -28,10 +28,12 @@
 from weldbend.routing.settings import Role
 
 FEW_CACHES, MANY_CACHES = 100, 3200
+# The roles of ten caches with successive numbers: most caches of a site are edges.
 ROLES = (Role.EDGE,) * 7 + (Role.PARENT,) * 2 + (Role.ORIGIN,)
 
 
 def endpoint(number, weight=10.0, **changes):
+    """Return an entry of the endpoint list; by default, its role follows from its number (`ROLES`)."""
     role = changes.pop("role", ROLES[number % 10])
     zone = changes.pop("zone", "z" if role is Role.EDGE else "h")
     return Endpoint(
@@ -94,6 +96,7 @@
     AttemptResult.ERROR,
     AttemptResult.RESET,
 )
+# The results of the successive attempts for one request, by the outcome of the request.
 RESULTS_BY_OUTCOME = {
     "served": (SERVED,),
     "filled": (MISS, MISS, SERVED),
@@ -103,7 +106,7 @@
 
 
 def lines_per_request(caches, results, **options):
-    """Return the number of lines executed per request, after warm-up with such requests."""
+    """Return the number of lines executed per request, after 30 requests with the same results."""
     site = Site(caches, **options)
     for number in range(30):
         site.play_request(number, results)
@@ -124,18 +127,18 @@
     costs = []
     for size in (FEW_CACHES, MANY_CACHES):
         site = Site(size)
-        site.set_limits(0.0)
+        site.set_limits(0.0)  # concurrency limits of 0, so no cache may get an attempt
         costs.append(site.count_lines(lambda site=site: site.play_request(1, ())))
     assert costs[1] < 2.5 * costs[0], costs
 
 
 def test_the_work_of_a_request_stays_bounded_where_no_cache_is_trusted():
-    """The smaller number of caches is one at which each role has more caches than one request may try."""
+    """At the smaller number of caches, 400, each role has more caches than one request may try (32)."""
     costs = []
     for size in (4 * FEW_CACHES, MANY_CACHES):
         site = Site(size)
         for cache in site.router.caches.values():
-            for _ in range(20):
+            for _ in range(20):  # remembered failures, after which a cache is hardly ever trusted
                 cache.handle(Outcome.FAILURE)
         costs.append(site.count_lines(lambda site=site: site.play_request(1, (MISS, MISS, SERVED))))
     assert costs[1] < 2.5 * costs[0], costs
@@ -146,7 +149,7 @@
     costs = []
     for size in (FEW_CACHES, MANY_CACHES):
         site = Site(size)
-        number = 10
+        number = 10  # an edge, by `ROLES`
         event = {
             "drains": EndpointsListed(ListScope.CHANGES, (endpoint(number, state=EndpointState.DRAINING),)),
             "peers report removal": PeerKnowledge(number, EndpointState.REMOVED, None),
@@ -158,10 +161,10 @@
 
 
 def test_a_request_tries_a_bounded_number_of_caches_in_order_of_rank():
-    """Only one edge has free capacity: the first by rank, the last that may be tried, or the one after it."""
+    """Only one edge has free capacity: the first in the ranking, the last one tried, or the next."""
     for index, is_found in ((0, True), (MAX_CHOICES - 1, True), (MAX_CHOICES, False)):
         site = Site(400)
-        edges = list(site.router.context.ready[Role.EDGE].ranked("k1 0"))
+        edges = list(site.router.context.ready[Role.EDGE].ranked("k1 0"))  # the object of request 1
         site.set_limits(0.0)
         edges[index].concurrency.limit = 9.0
         site.play_request(1, ())
@@ -173,6 +176,8 @@
 STATES = st.sampled_from(EndpointState)
 NUMBERS = st.integers(0, 29)
 WAITS = st.sampled_from((0.0, 0.05, 0.1, 0.3, 1.0, 2.9, 7.0, 30.0))
+# Each step is a kind of change (see `play_step`) and its details; start times are relative to the current
+# time.
 STEPS = st.one_of(
     st.tuples(
         st.just("list"), NUMBERS, STATES, st.sampled_from((1.0, 3.0)), st.sampled_from((None, -2.0, 5.0))
@@ -201,6 +206,7 @@
             record = endpoint(number, weight, state=state, started=start_time)
             site.handle(EndpointsListed(ListScope.CHANGES, (record,)))
         case "complete":
+            # The new list lacks every seventh cache.
             records = tuple(endpoint(n) for n in range(30) if n % 7 != details[0] % 7)
             site.handle(EndpointsListed(ListScope.COMPLETE, records))
         case "peers":
@@ -224,7 +230,7 @@
 
 
 def check_group_sums(site):
-    """Check that sums maintained incrementally equal sums computed over all caches."""
+    """Check that the sums that a group of caches maintains incrementally equal sums over all its caches."""
     context, now = site.router.context, site.now
     for role, group in context.ready.items():
         is_local = role is not Role.EDGE or context.settings.zone == "z"
--- a/tests/test_plan_caches.py
+++ b/tests/test_plan_caches.py
@@ -1,4 +1,4 @@
-"""Fleet plans that name a cache that the site does not have, or an invalid purge group."""
+"""Fleet plans with an event for a cache that the site does not have, or for an invalid purge group."""
 
 import pytest
 from click.testing import CliRunner
--- a/tests/test_ramp.py
+++ b/tests/test_ramp.py
@@ -1,6 +1,7 @@
-"""The combined load of 20 or 30 fronts that share no state on one cold edge or parent.
+"""The combined load that 20 or 30 fronts, which share no state, put on one cold edge or parent.
 
-Random variation may exceed the budget by twice its square root plus two, in attempts.
+In each window, the attempts of all fronts together may exceed the budget of the cache, in attempts, by twice
+the square root of the budget plus two, to allow for random variation.
 """
 
 import math
@@ -23,12 +24,23 @@
 from weldbend.routing.router import Router
 from weldbend.routing.settings import Role
 
+# Seconds of work of a request, seconds of the overload window, overload factor, and start time of the cold
+# cache.
 WORK, WINDOW, OVERLOAD_FACTOR, START_TIME = 0.5, 2.0, 2.0, 5.0
-STEP = 0.02
+STEP = 0.02  # seconds of one step of `Fleet.play`
 
 
 class Fleet:
-    """Fronts around one cache that starts at START_TIME; each front is notified at a random later time."""
+    """Fronts that send requests to one cache, which starts at `START_TIME`.
+
+    Each front is notified of the start up to 3 s later, at a random time. If `skewed`, each front of the
+    first tenth sends 40 times as many requests as one of the others.
+
+    Attributes:
+        rates: rate of requests of each front, relative to the mean of all fronts.
+        notified_at: time at which each front is notified of the start.
+        sent_at: time of each attempt that uses the cold cache as its edge or as its source.
+    """
 
     def __init__(self, count, role, weight, seed=1, skewed=False):
         self.role, self.weight, self.rng = role, weight, random.Random(seed)
@@ -40,7 +52,6 @@
         self.cold = replace(endpoint(11, role, "z" if role is Role.EDGE else "h"), weight=weight)
         self.other_endpoints = (endpoint(21, Role.ORIGIN, "h"), *(endpoint(n) for n in range(1, edges)))
         activity = [40.0 if skewed and n < count // 10 else 1.0 for n in range(count)]
-        # Rates relative to the mean rate of a front.
         self.rates = [count * part / sum(activity) for part in activity]
         self.notified_at = [START_TIME + 3.0 * self.rng.random() for _ in range(count)]
         self.sent_at, self.request_count = [], 0
@@ -60,7 +71,7 @@
         self.routers = [self.start(now) for _ in self.routers]
 
     def play(self, since, until, rate):
-        """Play `rate` requests per second and front on average, each served at once or rejected."""
+        """Play `rate` requests per second at each front on average; each is served at once or rejected."""
         for step in range(round(since / STEP), round(until / STEP)):
             now = step * STEP
             for n, router in enumerate(self.routers):
@@ -86,7 +97,7 @@
             actions = router.handle(now, [ended])
 
     def budget_use(self):
-        """Return the highest ratio, over all windows, of attempts to the budget plus its random variation."""
+        """Return the highest ratio of attempts in a window to the budget plus the allowance for variation."""
         highest = 0.0
         for window_end in self.sent_at:
             age = window_end - START_TIME
@@ -102,7 +113,7 @@
 @pytest.mark.parametrize("role", [Role.EDGE, Role.PARENT], ids=["edge", "parent"])
 @pytest.mark.parametrize("count", [20, 30])
 def test_fronts_together_stay_within_the_budget_of_a_cold_cache(count, role, skewed):
-    """The budget holds however late a front is notified, also if its quota is a fraction of one attempt."""
+    """The budget is kept however late a front is notified, even if its quota is below one attempt."""
     sent_counts = []
     for weight in (1.0, 4.0, 20.0):
         fleet = Fleet(count, role, weight, skewed=skewed)
@@ -115,6 +126,10 @@
 @pytest.mark.parametrize("count", [20, 30])
 @pytest.mark.parametrize("weight", [1.0, 4.0, 20.0])
 def test_unused_turns_are_not_taken_all_at_once(count, weight):
+    """A front whose quota is below one attempt gets a turn to send one from time to time.
+
+    With few requests until 11 s, most turns stay unused; then requests arrive at all fronts.
+    """
     fleet = Fleet(count, Role.EDGE, weight)
     fleet.play(4.0, 11.0, rate=0.2)
     fleet.play(11.0, 13.0, rate=10.0)
@@ -123,6 +138,7 @@
 
 @pytest.mark.parametrize("count", [20, 30])
 def test_fronts_that_restart_together_do_not_spend_their_quotas_twice(count):
+    """All fronts restart four times, 0.5 s apart, within one overload window of 2 s."""
     fleet = Fleet(count, Role.EDGE, 20.0)
     fleet.play(4.0, 9.0, rate=8.0)
     for restart in range(4):
--- a/tests/test_ranking.py
+++ b/tests/test_ranking.py
@@ -11,7 +11,7 @@
 from weldbend.routing import rendezvous
 from weldbend.routing.rendezvous import BUCKETS, Ranking, bucket_numbers
 
-SIZES = (1, 2, 25, 100, 400)
+SIZES = (1, 2, 25, 100, 400)  # numbers of caches
 
 
 def random_weights(size, seed=1):
@@ -28,7 +28,7 @@
 
 
 def object_names(count):
-    return [f"{n:016x} {n % 4}" for n in range(count)]
+    return [f"{n:016x} {n % 4}" for n in range(count)]  # key and group
 
 
 def first_choices(ranking, count):
@@ -57,6 +57,7 @@
 @settings(max_examples=60, deadline=None, derandomize=True)
 @given(weight_changes)
 def test_the_order_does_not_depend_on_earlier_changes(steps):
+    """A ranking that was changed step by step equals a new one of the caches that remain."""
     changed, weights = Ranking(), {}
     for cache, weight in steps:
         changed.change(cache, weight)
@@ -96,6 +97,8 @@
     shared = next(list(bucket.weights) for bucket in ranking.buckets.values() if len(bucket.weights) > 2)
     pairs = [tuple(islice(ranking.ranked(name), 2)) for name in object_names(20_000)]
     seconds = count_by_value(second for first, second in pairs if first in shared)
+    # One of the bucket's 3 caches is first for 3 of 100 objects; each of the other 99 is second equally
+    # often.
     expected = {cache: 3 * len(pairs) / 100 / 99 for cache in weights}
     expected_outside = {cache: mean for cache, mean in expected.items() if cache not in shared}
     assert abs(chi_square_excess(seconds, expected_outside)) < 4
@@ -110,7 +113,7 @@
     before, moved, expected_share = first_choices(ranking, count), 0, 0.0
     for cache in random.Random(3).sample(sorted(weights), 8):
         bucket = next(bucket for bucket in ranking.buckets.values() if cache in bucket.weights)
-        siblings = set(bucket.weights)
+        siblings = set(bucket.weights)  # all caches of the bucket, the changed one included
         ranking.change(cache, None)
         after = first_choices(ranking, count)
         ranking.change(cache, weights[cache])
@@ -123,6 +126,7 @@
 
 
 def test_a_change_of_weight_moves_its_difference_and_little_more():
+    """The weight rises from 1 to 4, so the cache's share rises by about 3 / (total + 3) of the objects."""
     weights = random_weights(100)
     ranking, total, count = ranking_of(weights), sum(weights.values()), 8000
     cache = next(cache for cache, weight in weights.items() if weight == 1.0)
@@ -135,7 +139,8 @@
 def test_a_choice_draws_random_numbers_for_few_of_many_caches(monkeypatch):
     """Plain rendezvous hashing draws a number for each cache.
 
-    This ranking draws one number for each bucket and one for each cache of the chosen bucket.
+    This ranking draws one number for each bucket, all from one hash, and one for each cache of the chosen
+    bucket if it has several. Only the latter are counted here.
     """
     draws, original = [], rendezvous.arrival_time
     monkeypatch.setattr(rendezvous, "arrival_time", lambda *key: draws.append(key) or original(*key))
@@ -145,6 +150,7 @@
         draws.clear()
         first_choices(ranking, 200)
         costs[size] = len(draws) / 200
+    # On average a bucket has 100 / 256 or 3200 / 256 caches; heavier buckets are chosen more often.
     assert costs[100] <= 3 and costs[3200] <= 2 * 3200 / BUCKETS
 
 
