--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Virtual runs with steps of Unix clocks and with timestamps rewritten on the way: no rule is violated."""
+"""Simulated runs in which Unix clocks are stepped or timestamps rewritten on the way: no rule is violated."""
 
 from dataclasses import replace
 
@@ -12,17 +12,18 @@
 from weldbend.testbed.simulation.settings import BUS_HOST, BUS_PORT, RunSettings
 from weldbend.testbed.simulation.site_faults import PURGED_GROUP
 
-SEEDS = range(1, 9)  # enough for the wrong dating below to violate both rules
+SEEDS = range(1, 9)  # enough seeds for `date_by_current_unix_clock` to violate both rules
 SETTINGS = RunSettings(seconds=6.0, faults=8, clock_steps=4)
 SETTINGS_WITHOUT_FAULTS = RunSettings(seconds=9.0, faults=0, connection_faults=0, clock_steps=0, rate=90.0)
 HOUR = 3600.0
-SEED_REWRITING_BORN = 49  # a seed whose random faults rewrite `born` in answers
+SEED_REWRITING_BORN = 49  # with it, random faults rewrite `born`, a copy's creation time, in answers
 
 
 def test_the_auditor_uses_timestamps_as_caches_sent_them_not_as_rewritten_on_the_way():
     run = Run(SEED_REWRITING_BORN, RunSettings())
     result = run.play()
     assert any("rewrite" in name for name in result.injected)
+    # A rewritten `born` of 1 is in the log.
     assert any('born": "1"' in line or "'born': '1'" in line for line in result.log)
     assert not result.violations, result.violations
 
@@ -31,6 +32,7 @@
     for seed in SEEDS:
         result = Run(seed, SETTINGS).play()
         assert not result.violations and not result.errors, (seed, result.violations, result.errors)
+        # Nine of ten requests are served, and the run has enough of them for the check to mean something.
         expected_answers = result.counts["downloads"] - result.counts["requests left open by clients"]
         assert result.counts["fulfilled"] > 0.9 * expected_answers > 200, seed
 
@@ -67,7 +69,8 @@
     assert unstepped.counts["downloads"] == stepped.counts["downloads"]
 
 
-# Events missed during an outage: a reconnect, a restart of the bus, and a reload that names another bus.
+# Events missed during an outage of three kinds: the bus cannot be reached, the bus restarts, and a reload of
+# the configuration names another address of the bus.
 
 OTHER_PORT = BUS_PORT + 1
 
@@ -109,12 +112,13 @@
 
 
 def violated_rules(start_outage, step, seed):
-    """Return the rules violated in a run in which the clocks are stepped and an outage begins at once."""
+    """Return the rules violated in a run in which all clocks are stepped, 0.1 s before an outage begins."""
     run = Run(seed, SETTINGS_WITHOUT_FAULTS)
     outage_start, outage_end = 1.6, 4.2  # seconds; all fronts have caught up by then
     run.events.schedule(1.5, lambda: run.clock_steps.step(["n1", "n2", "n3"], step))
     run.events.schedule(outage_start, lambda: start_outage(run))
     run.events.schedule(outage_start + 0.2, lambda: publish_missed_events(run))
+    # For the auditor, the fronts cannot know an event published during the outage before its end.
     for name in ("n1", "n2", "n3"):
         run.auditor.on_front_unreachable(name, outage_start, outage_end, False)
     result = run.play()
--- a/tests/test_remote_timestamps.py
+++ b/tests/test_remote_timestamps.py
@@ -1,4 +1,7 @@
-"""Timestamps of other machines on the front's clock: the model, and a process whose Unix clock is stepped."""
+"""Conversion of other machines' timestamps to the front's clock: the model alone, and in a front.
+
+The last test steps the Unix clock of a front that runs as a process.
+"""
 
 import json
 import math
@@ -39,6 +42,8 @@
     return remote_timestamps
 
 
+# Receipts of events that arrived at NOW: of a new event, of one missed during an outage that is shorter than
+# SHORT_OUTAGE, and of one missed during a longer outage.
 LIVE = Receipt(NOW, NOW - 0.7, is_replay=False)
 MISSED = Receipt(NOW, NOW - 8.0)
 LONG_MISSED = Receipt(NOW, NOW - SHORT_OUTAGE - 50.0)
@@ -56,7 +61,10 @@
 @pytest.mark.parametrize("clock_error", [-HOUR, -0.2, 0.2, 7.0, HOUR])
 @pytest.mark.parametrize("is_confirmed", [False, True])
 def test_an_implausible_timestamp_gives_a_cold_cache_and_a_purge_at_its_arrival(clock_error, is_confirmed):
-    """Either this front's clock was wrong at its start, or the other machine's clock is wrong now."""
+    """This front's clock was wrong when read at its start, or the other machine's clock is wrong now.
+
+    Both the latest start of the cache, which then counts as cold, and the time of the purge are the arrival.
+    """
     remote_timestamps = timestamps(clock_error, is_confirmed)
     assert remote_timestamps.estimate_purge_time(UNIX, LIVE) == NOW
     interval = remote_timestamps.estimate_start(UNIX, LIVE)
@@ -64,6 +72,7 @@
 
 
 def test_a_late_event_is_not_dated_in_the_future_nor_before_the_last_catch_up():
+    # The start was 5 s before the arrival, later than MAX_LIVE_DELAY allows; or its timestamp is 9 s ahead.
     interval = timestamps(is_confirmed=True).estimate_start(UNIX - 5.0, LIVE)
     assert interval == StartInterval(NOW - 5.0, NOW)
     assert timestamps(is_confirmed=True).estimate_start(UNIX + 9.0, LIVE) == StartInterval(
@@ -79,7 +88,7 @@
     assert timestamps().estimate_start(UNIX - 3.0, MISSED).latest == NOW
     assert (
         timestamps(is_confirmed=True).estimate_start(UNIX - 9.0, MISSED).latest == NOW
-    ), "a start before the outage would have been listed before it"
+    ), "the outage began 8 s ago; a start 9 s ago would have been received before it"
 
 
 def test_a_missed_purge_counts_from_its_arrival_except_after_a_long_outage():
@@ -88,7 +97,7 @@
     assert confirmed.estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW - 30.0
     assert (
         confirmed.estimate_purge_time(UNIX - HOUR, LONG_MISSED) == NOW
-    ), "the timestamp is older than the last event before the outage"
+    ), "a purge missed during the outage cannot be older than the outage"
     assert timestamps().estimate_purge_time(UNIX - 30.0, LONG_MISSED) == NOW
 
 
@@ -107,33 +116,39 @@
 
 
 def test_the_first_read_uses_the_lower_of_two_estimated_ages():
+    """One age is from this front's clock, the other from the latest timestamp of the same kind read with it.
+
+    The start of 100 s ago is at least 100 - 4 = 96 s old, because a start of 4 s ago was published after it.
+    """
     first, second, third = receipts_of(("start", 100.0), ("purge", 60.0), ("start", 4.0))
     accurate = timestamps()
     assert accurate.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
     assert (
         accurate.estimate_start(UNIX - 4.0, third).latest == NOW
-    ), "no later timestamp is known, so the cache counts as cold"
+    ), "no later start is known, so the second age is 0 and the cache counts as cold"
     assert accurate.estimate_purge_time(UNIX - 60.0, second) == NOW
     fast = timestamps(HOUR)
     assert fast.estimate_start(UNIX - 100.0, first).latest == pytest.approx(NOW - 96.0)
     slow = timestamps(-HOUR)
     assert slow.estimate_start(UNIX - 100.0, first).latest == NOW
+    # A clock of another machine was set back: the timestamp published last is an hour older.
     stepped_back = receipts_of(("start", 10.0), ("start", HOUR))[1]
     assert (
         accurate.estimate_start(UNIX - HOUR, stepped_back).latest == NOW
-    ), "the clock of the other machine was set back"
+    ), "no later start is known, and an old timestamp alone proves no age"
 
 
 def test_the_first_read_uses_start_timestamps_once_the_clock_is_confirmed():
     receipt = receipts_of(("start", 100.0))[0]
     assert (
         timestamps(is_confirmed=True).estimate_purge_time(UNIX - 5.0, Receipt(NOW)) == NOW
-    ), "the clock of the other machine may have been stepped"
+    ), "a purge counts from its arrival even so: the other machine's clock may have been stepped"
     assert timestamps(is_confirmed=True).estimate_start(UNIX - 100.0, receipt).latest == NOW - 100.0
 
 
 @pytest.mark.parametrize("clock_error", [-HOUR, -1.0, 1.0, HOUR])
 def test_a_wrong_clock_is_not_confirmed_by_fresh_timestamps_nor_a_fast_one_by_old_timestamps(clock_error):
+    """A fast clock, one that is ahead, differs even more from an old timestamp than from a fresh one."""
     remote_timestamps = timestamps(clock_error)
     assert not remote_timestamps.confirm(UNIX, NOW)
     if clock_error > 0:
@@ -164,13 +179,15 @@
     progress.received(2.0)
     assert progress.receipt(2.0) == Receipt(2.0, 1.0 + CATCH_UP_GAP / 2, is_replay=False)
     progress.connecting()
-    progress.connecting()
+    progress.connecting()  # the first attempt to reconnect failed
     progress.received(7.0)
     assert progress.receipt(7.0) == Receipt(7.0, 2.0), "the event was missed since the last connection"
     progress.received(8.0)
     assert progress.receipt(8.0) == Receipt(8.0, 7.0, is_replay=False)
     progress.received(13.0)
-    assert progress.receipt(13.0).is_replay, "the event was delayed on the way, or this process was paused"
+    assert progress.receipt(
+        13.0
+    ).is_replay, "5 s without a byte: the event was delayed on the way, or this process was paused"
 
 
 def test_a_stream_whose_first_event_comes_long_after_its_response_had_no_backlog():
@@ -187,7 +204,8 @@
 class UnconfirmedFrontHarness(FrontHarness):
     """A front that has read its first list and whose clock no other clock has confirmed.
 
-    The list has a cache `e9` that started `age` seconds ago.
+    The list has a cache `e9` that started `age` seconds before the list was read. The method `age` returns
+    how long ago the cache started as far as the front knows.
     """
 
     def __init__(self, age):
@@ -207,6 +225,7 @@
 def test_a_cache_of_the_first_list_is_cold_until_a_copy_confirms_the_clock():
     harness = UnconfirmedFrontHarness(100.0)
     assert harness.age() == pytest.approx(0.0)
+    # The creation time of a copy, in ms, does not confirm the clock if it is malformed or an hour old.
     harness.dispatcher.endpoints.observe_copy("x")
     harness.dispatcher.endpoints.observe_copy(str(int((harness.unix() - HOUR) * 1000)))
     harness.advance()
@@ -217,6 +236,8 @@
 
 
 def test_a_warming_cache_is_redated_only_before_much_work_was_sent_to_it():
+    # The start is dated back by its 3 s within the first quarter (`EARLY_FRACTION`) of the overload window
+    # of 2 s, when this front can have sent little; after 1 s it stays at the arrival of the list.
     for wait, age in ((0.2, 3.2), (1.0, 1.0)):
         harness = UnconfirmedFrontHarness(3.0)
         harness.advance(wait)
@@ -235,7 +256,7 @@
 
 
 def serve_and_read_age_limit(cache):
-    """Answer the next request with a new copy; return the request's age limit in ms, or None."""
+    """Answer the cache's next request with a new copy; return the age limit in the request in ms, or None."""
     line = cache.readline()
     name = line.split()[1]
     assert cache.readline() == b"\r\n"
@@ -248,7 +269,7 @@
 @pytest.mark.parametrize("step", [HOUR, -HOUR])
 def test_a_purge_after_a_clock_step_of_the_front_limits_the_age_of_copies(tmp_path, step):
     with socket.create_server(("127.0.0.1", 0)) as cache, socket.create_server(("127.0.0.1", 0)) as bus:
-        with socket.create_server(("127.0.0.1", 0)) as unused:
+        with socket.create_server(("127.0.0.1", 0)) as unused:  # finds a free port for the front
             address = unused.getsockname()
         path = tmp_path / "front.json"
         site = configuration(
@@ -272,7 +293,7 @@
                 client.sendall(process(1))
                 requests = accept(cache).makefile("rwb")
                 assert serve_and_read_age_limit(requests) is None
-                front.send_signal(signal.SIGUSR1)
+                front.send_signal(signal.SIGUSR1)  # steps the front's Unix clock
                 assert any(STEPPED in line for line in front.stderr)
                 event = {"offset": 99, "ban": {"url": KEY, "ts": int(time.time() * 1000)}}
                 published = time.monotonic()
--- a/tests/test_simhost.py
+++ b/tests/test_simhost.py
@@ -1,4 +1,4 @@
-"""A short session of the simulation host, and malformed input."""
+"""A short session with the simulation host over its text protocol, and malformed input."""
 
 import io
 import json
@@ -8,6 +8,7 @@
 from weldbend.simhost.host import serve
 from weldbend.testbed.emulator.configuration import SETTINGS
 
+# The start of a session: time, instance number, settings, and the list of caches: edge 5 and origin 9.
 START = f"""sync 1000000
 for 3
 provision 7 {json.dumps(SETTINGS)}
@@ -24,6 +25,7 @@
 
 
 def test_a_request_is_filled_from_the_origin_after_a_miss():
+    # Times are in microseconds. The edge, cache 5, reports a miss, so it is filled from the origin, cache 9.
     request = "sync 2000000\nfor 3\ncall t/a ab 0 photo 3 - 0 640 8000000\nover_to_you\n"
     miss = "sync 2002000\nfor 3\nreport_back t/a 0 1 9 1000 0 - - -\nover_to_you\n"
     code, out, err = run_session(START + request + miss)
