--- a/tests/test_architecture.py
+++ b/tests/test_architecture.py
@@ -1,4 +1,4 @@
-"""The layers of docs/architecture.md: allowed imports, no import cycles, and the modules a front loads.
+"""The layers of docs/architecture.md: allowed imports, no import cycles, and the modules that a front loads.
 
 Imports for type checkers only are ignored. An import inside a function counts for the layers, because it
 makes one package depend on another, but not for cycles, because it cannot fail while modules are loaded.
@@ -15,6 +15,7 @@
 
 ROOT = Path(__file__).parent.parent
 PROTOCOLS = {"buffers", "thrift", "cache_protocol"}
+# For each package, or module at the top level, the others that it may import.
 MAY_IMPORT = {
     "__main__": {"cli", "early_signals"},
     "accept_guard": {"invariants", "socket_errors"},
@@ -40,6 +41,7 @@
     "testbed": PROTOCOLS | {"event_bus", "fleet", "front", "idle_connections", "installation", "routing"},
     "thrift": {"buffers", "invariants"},
 }
+# Packages and libraries that a front must not load.
 NOT_IN_A_FRONT = ("weldbend.fleet", "weldbend.testbed", "weldbend.installation", "weldbend.simhost")
 LIBRARIES_NOT_IN_A_FRONT = ("msgspec", "configobj", "hdrh", "numpy", "matplotlib")
 
@@ -103,7 +105,7 @@
         order = list(TopologicalSorter(graph).static_order())
     except CycleError as error:
         pytest.fail(f"import cycle: {' -> '.join(error.args[1])}")
-    assert set(order) >= set(MODULES)
+    assert set(order) >= set(MODULES)  # every module is in the graph that was searched for cycles
 
 
 def test_an_import_cycle_is_detected():
--- a/tests/test_external_names.py
+++ b/tests/test_external_names.py
@@ -1,4 +1,4 @@
-"""Guards against a renaming that changes names visible outside the process.
+"""Guards against a renaming in the code that also changes names visible outside the process.
 
 `data/external_names.txt` lists fields, keys, commands and counters on which other programs, stored data and
 operators depend. Each of them must be in the code: as a string, as a part of one, or as the name of a
@@ -54,10 +54,11 @@
     for path in sorted((ROOT / "weldbend").rglob("*.py")):
         words.update(code_words(ast.parse(path.read_text("utf-8"))))
     names = external_names()
-    assert len(names) > 500
+    assert len(names) > 500  # guards against a list that was emptied or not read
     assert missing_names(names, words) == []
 
 
-def test_a_renamed_field_is_missing() -> None:
+def test_a_renamed_field_is_reported_as_missing() -> None:
+    """The field `sight` was renamed to `reach`; only a docstring, which is skipped, has the old name."""
     words = set(code_words(ast.parse('"""sight"""\nreply = {"reach": 1, "state": 2}')))
     assert missing_names(["sight", "state"], words) == ["sight"]
--- a/tests/test_installation.py
+++ b/tests/test_installation.py
@@ -1,4 +1,4 @@
-"""The installation file: its settings, and errors in it, which are one line with section and key."""
+"""The installation file: its settings, and its errors, each reported in one line with section and key."""
 
 import json
 import subprocess
@@ -29,6 +29,7 @@
         == read_installation(None).sections
         == {"clients": ConnectionSettings(), "fleet": Fleet(), "limits": LimitSettings()}
     )
+    # The installation has a setting for each key.
     assert len(shipped.settings) == sum(len(section.keys) for section in SECTIONS.values())
 
 
@@ -92,7 +93,8 @@
         assert result.returncode == 1 and result.stderr.count("\n") == 1 and "installation" in result.stderr
 
 
-def test_a_front_loads_neither_testbed_nor_file_reader_and_logs_objects(tmp_path):
+def test_a_front_loads_neither_testbed_nor_installation_reader_and_logs_json_objects(tmp_path):
+    """A field named like one of the log's own, `level`, does not replace it."""
     code = (
         "import sys; from loguru import logger; from weldbend import logs; import weldbend.front.server\n"
         "logs.start('info', 'json'); logger.bind(most=3, level='x').info('received {}', {'a': 1})\n"
@@ -121,6 +123,7 @@
     ],
 )
 def test_an_invalid_fleet_section_is_reported_in_one_line(tmp_path, text, message):
+    # A section needs `listen` and `keys`; they are added unless the error concerns them.
     listen = "" if "without" in message or "listen" in text else "listen = 127.0.0.1:7400\nkeys = k\n"
     with pytest.raises(InstallationError) as error:
         read_installation(write_file(tmp_path, f"[fleet]\n{listen}{text}\n"))
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,8 @@
-"""Guards against a list of known failures that hides other failures, or that still lists a repaired test."""
+"""Guards against a list of known failures that hides other failures, or that still lists a repaired test.
+
+The list is KNOWN-RED.txt. The script `.ci/known_red.py` runs the listed tests one by one and then all
+others. It fails if a test fails that is not listed, or if a test passes that is listed as failing always.
+"""
 
 import importlib.util
 import os
@@ -9,6 +13,7 @@
 import pytest
 
 SCRIPT = Path(__file__).parent.parent / ".ci" / "known_red.py"
+# A suite with a test that passes, two that fail, and one that fails at the first run in a directory only.
 SUITE = """
 from pathlib import Path
 
@@ -27,6 +32,7 @@
     marker.touch()
     assert existed
 """
+# The last fields of an entry: command, seed, what was seen, and the number of the issue.
 DETAILS = "pytest -q | - | an assertion failed | 1"
 BAD = f"test_suite.py::test_bad | always | {DETAILS}"
 WORSE = f"test_suite.py::test_worse | always | {DETAILS}"
@@ -86,6 +92,6 @@
         ((BAD, BAD, WORSE), "twice"),
     ],
 )
-def test_a_list_that_names_less_or_more_than_what_fails_is_an_error(tmp_path, lines, message):
+def test_a_list_that_is_malformed_or_differs_from_the_tests_that_fail_is_an_error(tmp_path, lines, message):
     status, output = run(tmp_path, *lines)
     assert status != 0 and message in output, output
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers: results do not depend on how input is split, lengths are bounded, and bad bytes give an error."""
+"""Parsers: results do not depend on how input is split, lengths are bounded, invalid bytes give an error."""
 
 import random
 import struct
@@ -25,6 +25,7 @@
 
 
 def read_calls(chunks):
+    """Return the calls read from chunks of a client's bytes, and the number of bytes left unread."""
     ring, calls = Ring(1 << 16), []
     for chunk in chunks:
         ring.write(chunk)
@@ -34,6 +35,7 @@
 
 
 def read_answers(chunks):
+    """Return the answers read from chunks of a cache's bytes, and the number of bytes left unread."""
     ring = Ring(1 << 16)
     parser, read = answers.AnswerParser(ring), []
     for chunk in chunks:
@@ -44,6 +46,7 @@
 
 
 def read_stream(chunks):
+    """Return the messages read from chunks of the bus's stream, and 0 in place of the bytes left unread."""
     parser = sse.Parser(1 << 10)
     return [message for chunk in chunks for message in parser.feed(chunk)], 0
 
@@ -82,7 +85,7 @@
 @pytest.mark.parametrize(
     "line",
     [
-        b"a1 DONE - 240001\r\n",
+        b"a1 DONE - 240001\r\n",  # one byte more than the longest body
         b"a1 DONE - -1\r\n",
         b"a1 WHAT - 0\r\n\r\n",
         b"a1 DONE 0\r\n",
@@ -98,7 +101,7 @@
 
 
 def test_invalid_frames_and_messages_are_errors():
-    for length in (0, -1, 1 << 15 | 1, 2**31 - 1):
+    for length in (0, -1, 1 << 15 | 1, 2**31 - 1):  # `read_calls` allows up to 1 << 15
         with pytest.raises(InvalidFrameError):
             read_calls([struct.pack(">i", length)])
     valid = process(1)[4:]
@@ -122,6 +125,7 @@
         "process without fields": message(binary.CALL, "process", 7),
         "nested too deep": message(binary.CALL, "process", 7, deep_nesting),
         f"{1 << 30} elements": message(binary.CALL, "process", 7, many_elements),
+        # Thrift type 8 is an integer, 11 a string; the fields of a request are a map of strings to strings.
         "a map of kinds (8, 11)": message(
             binary.CALL, "process", 7, binary.field(binary.MAP, 1, bytes((8, 11)) + b"\0\0\0\1" + b"\0" * 8)
         ),
@@ -132,7 +136,7 @@
         assert (invalid_call.seqid, invalid_call.reason) == (7, reason)
 
 
-def test_random_bytes_cause_no_other_error():
+def test_random_bytes_cause_no_error_of_another_type():
     rng = random.Random(5)
     for _ in range(3000):
         data = bytearray(process(1, b"abc")[4:])
--- a/tests/test_waiting_attempts.py
+++ b/tests/test_waiting_attempts.py
@@ -8,17 +8,18 @@
 
 from fronts import FrontHarness, Transport, process, target
 
-MAX_STREAMS = 32  # attempts in flight on one connection, by the configuration of the harness
+MAX_STREAMS = 32  # most attempts in flight on one connection, by the configuration of the harness
 
 
 def run_next_call(reactor):
-    """Run one due call, since advancing the clock would also run those that it schedules."""
+    """Run the next due call alone; advancing the clock would also run the calls that it schedules."""
     call = reactor.calls.pop(0)
     call.called = 1
     call.func(*call.args, **call.kw)
 
 
 def test_attempts_whose_connection_is_filled_by_later_requests_get_another_connection():
+    # A single cache, whose capacity lets it have all attempts of this test at once.
     harness = FrontHarness(targets=(target("e1") | {"capacity_hint": 1000},))
     first, second = harness.connect_client(), harness.connect_client()
     requests = [process(number, key=f"{number:016x}") for number in range(1, 2 * MAX_STREAMS + 1)]
