--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -46,7 +46,7 @@
 
 
 def read_stream(chunks):
-    """Return the messages read from chunks of the bus's stream, and 0 in place of the bytes left unread."""
+    """Return the messages read from chunks of the bus's stream, and 0: what is left unread is not counted."""
     parser = sse.Parser(1 << 10)
     return [message for chunk in chunks for message in parser.feed(chunk)], 0
 
@@ -72,13 +72,14 @@
         "4be0c1927d55a6f3",
     )
     assert (give_up_call, probe_call) == (messages.GiveUp(1), messages.Probe(2))
-    (done, miss, keep_alive), _ = read_answers([ANSWERS])
+    # The third answer, KEEP, means that the copy that the client has is current.
+    (done, miss, current), _ = read_answers([ANSWERS])
     assert (done.name, done.fields, done.body) == (
         "a1",
         {"ver": "ab", "born": "17", "detail": "h"},
         b"\r\nx\n",
     )
-    assert (miss.status, miss.fields, keep_alive.fields) == ("LACK", {}, {"use": "util:0.5;x1:2"})
+    assert (miss.status, miss.fields, current.fields) == ("LACK", {}, {"use": "util:0.5;x1:2"})
     assert read_stream([STREAM])[0] == [("41", "one"), ("42", "two\nlines"), ("43", "x")]
 
 
@@ -116,7 +117,7 @@
             messages.read_call(data)
 
 
-def test_an_invalid_call_with_a_readable_header_keeps_its_number_and_reason():
+def test_an_invalid_call_with_a_readable_header_gives_its_seqid_and_the_problem():
     deep_nesting = b"".join(binary.field(binary.STRUCT, 1, b"") for _ in range(40)) + b"\x00" * 41
     many_elements = binary.field(binary.MAP, 1, bytes((11, 11)) + struct.pack(">i", 1 << 30))
     calls = {
@@ -136,7 +137,7 @@
         assert (invalid_call.seqid, invalid_call.reason) == (7, reason)
 
 
-def test_random_bytes_cause_no_error_of_another_type():
+def test_valid_input_with_random_bytes_changed_raises_only_the_errors_of_invalid_input():
     rng = random.Random(5)
     for _ in range(3000):
         data = bytearray(process(1, b"abc")[4:])
--- a/tests/test_remote_timestamps.py
+++ b/tests/test_remote_timestamps.py
@@ -31,7 +31,9 @@
 NOW = 500.0  # monotonic seconds
 UNIX = 1_700_000_000.0  # the true Unix time at NOW
 HOUR = 3600.0
-TIMEOUT = 20.0  # seconds after which a test fails
+# Seconds after which an operation on a socket, or the wait for the exit of the front's process, fails.
+# Reading the front's log has no limit.
+TIMEOUT = 20.0
 
 
 def timestamps(clock_error=0.0, is_confirmed=False):
@@ -61,9 +63,10 @@
 @pytest.mark.parametrize("clock_error", [-HOUR, -0.2, 0.2, 7.0, HOUR])
 @pytest.mark.parametrize("is_confirmed", [False, True])
 def test_an_implausible_timestamp_gives_a_cold_cache_and_a_purge_at_its_arrival(clock_error, is_confirmed):
-    """This front's clock was wrong when read at its start, or the other machine's clock is wrong now.
+    """The Unix clock of this front was wrong when the front read it, or the other machine's clock is wrong.
 
-    Both the latest start of the cache, which then counts as cold, and the time of the purge are the arrival.
+    The latest possible start of the cache is then the arrival of the event, so that the cache counts as cold.
+    The time of the purge is the arrival of the event too.
     """
     remote_timestamps = timestamps(clock_error, is_confirmed)
     assert remote_timestamps.estimate_purge_time(UNIX, LIVE) == NOW
@@ -71,8 +74,9 @@
     assert interval.latest == NOW and interval.earliest <= NOW
 
 
-def test_a_late_event_is_not_dated_in_the_future_nor_before_the_last_catch_up():
-    # The start was 5 s before the arrival, later than MAX_LIVE_DELAY allows; or its timestamp is 9 s ahead.
+def test_an_event_dated_before_the_last_catch_up_or_in_the_future_counts_as_a_start_at_its_arrival():
+    # One start is dated 5 s before the arrival, but by LIVE, the front had received all events 0.7 s
+    # before it. The other is dated 9 s after the arrival.
     interval = timestamps(is_confirmed=True).estimate_start(UNIX - 5.0, LIVE)
     assert interval == StartInterval(NOW - 5.0, NOW)
     assert timestamps(is_confirmed=True).estimate_start(UNIX + 9.0, LIVE) == StartInterval(
@@ -116,8 +120,9 @@
 
 
 def test_the_first_read_uses_the_lower_of_two_estimated_ages():
-    """One age is from this front's clock, the other from the latest timestamp of the same kind read with it.
+    """One age is from this front's clock, the other from the latest timestamp of the same kind.
 
+    The kinds are starts and purges. The latest is that of the event itself and the events read after it.
     The start of 100 s ago is at least 100 - 4 = 96 s old, because a start of 4 s ago was published after it.
     """
     first, second, third = receipts_of(("start", 100.0), ("purge", 60.0), ("start", 4.0))
@@ -168,7 +173,7 @@
 # Whether the stream is live.
 
 
-def test_a_stream_is_live_after_a_quiet_period_until_its_connection_is_lost():
+def test_a_stream_is_live_after_a_quiet_period_until_its_connection_is_lost_or_silent_for_too_long():
     progress = StreamProgress()
     progress.connecting()
     progress.connected(0.9)
@@ -181,13 +186,15 @@
     progress.connecting()
     progress.connecting()  # the first attempt to reconnect failed
     progress.received(7.0)
-    assert progress.receipt(7.0) == Receipt(7.0, 2.0), "the event was missed since the last connection"
+    assert progress.receipt(7.0) == Receipt(
+        7.0, 2.0
+    ), "the event may be any published after 2.0, when the lost connection last received bytes"
     progress.received(8.0)
     assert progress.receipt(8.0) == Receipt(8.0, 7.0, is_replay=False)
     progress.received(13.0)
     assert progress.receipt(
         13.0
-    ).is_replay, "5 s without a byte: the event was delayed on the way, or this process was paused"
+    ).is_replay, "5 s without a byte: the event may have been delayed on the way or by a process pause"
 
 
 def test_a_stream_whose_first_event_comes_long_after_its_response_had_no_backlog():
@@ -202,7 +209,7 @@
 
 
 class UnconfirmedFrontHarness(FrontHarness):
-    """A front that has read its first list and whose clock no other clock has confirmed.
+    """A front that has read its first endpoint list, and whose Unix clock no other machine's has confirmed.
 
     The list has a cache `e9` that started `age` seconds before the list was read. The method `age` returns
     how long ago the cache started as far as the front knows.
@@ -236,8 +243,9 @@
 
 
 def test_a_warming_cache_is_redated_only_before_much_work_was_sent_to_it():
-    # The start is dated back by its 3 s within the first quarter (`EARLY_FRACTION`) of the overload window
-    # of 2 s, when this front can have sent little; after 1 s it stays at the arrival of the list.
+    # A copy confirms the clock `wait` seconds after the list with the cache's start arrived. Within 0.5 s,
+    # the first quarter (`EARLY_FRACTION`) of the overload window of 2 s, this front can have sent little, and
+    # the start is dated back by its 3 s (age 3 + 0.2); after 1 s it stays at the arrival of the list (age 1).
     for wait, age in ((0.2, 3.2), (1.0, 1.0)):
         harness = UnconfirmedFrontHarness(3.0)
         harness.advance(wait)
@@ -300,7 +308,9 @@
                 stream.sendall(b": here\nid: 99\ndata: %b\n\n" % json.dumps(event).encode())
                 limit = None
                 number = 1
-                while limit is None:  # the event uses another connection than the requests
+                # The event may arrive after a request sent later, since they use different connections;
+                # repeat until it has taken effect.
+                while limit is None:
                     number += 1
                     client.sendall(process(number))
                     limit = serve_and_read_age_limit(requests)
