--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -47,7 +47,7 @@
         self.lag = DecayingAverage(LAG_SMOOTHING, LAG_MEMORY)
 
     def handle(self, message: AdmissionMessage) -> None:
-        """Process a message, and admit or block what it asks for."""
+        """Process an event, a planned attempt, a suspicion, or a request that needs its final answer."""
         match message:
             case events.RequestReceived():
                 self.admit(message)
--- a/weldbend/routing/purge_table.py
+++ b/weldbend/routing/purge_table.py
@@ -11,7 +11,10 @@
         self.purge_times: dict[str | int, float] = {}
 
     def record(self, name: str | int, moment: float, now: float, lifetime: float) -> None:
-        """Store a purge at the time `moment` unless a later one is known; delete purges of age `lifetime`."""
+        """Store a purge at the time `moment` unless a later one is known, and delete those that are too old.
+
+        A purge is too old once its age is `lifetime` or more.
+        """
         self.purge_times = {other: at for other, at in self.purge_times.items() if now - at < lifetime}
         self.purge_times[name] = max(moment, self.purge_times.get(name, -math.inf))
 
--- a/weldbend/routing/records.py
+++ b/weldbend/routing/records.py
@@ -247,7 +247,10 @@
         self.passing_through = 0
 
     def change_settings(self) -> None:
-        """Apply changed settings; all work sent within the old window counts as sent now in the new one."""
+        """Apply changed settings.
+
+        All work sent within the old window counts as sent now in the new one; the wanted work starts at 0.
+        """
         now = self.context.now
         window = self.context.settings.edge_overload_window
         self.sharing_fronts = self.context.settings.sharing_fronts(self.role)
--- a/weldbend/routing/reports.py
+++ b/weldbend/routing/reports.py
@@ -15,7 +15,8 @@
         fleet_budget: work that all fronts together may send; infinite if the cache is warm.
         sent: work that this front sent.
         wanted: work that this front would have sent without a quota.
-        attempt_work: mean work of one attempt, for the request class in which it is highest.
+        attempt_work: mean work of one attempt, for the request class in which it is highest; origin-only
+            classes are left out.
     """
 
     fleet_budget: float
@@ -27,7 +28,8 @@
 def health_counts(router: Router, now: float) -> dict[int, tuple[float, float]]:
     """Return the recent successes and failures at each cache by its number.
 
-    For a cache that is probed, only the outcomes since probing started are counted.
+    For a cache that is being probed, or has been probed and does not receive all of its work yet, only the
+    outcomes since probing started are counted.
     """
     return {cache.id: _health_count(cache, now) for cache in router.caches.values()}
 
--- a/weldbend/routing/requests.py
+++ b/weldbend/routing/requests.py
@@ -120,7 +120,7 @@
             context.post(context.admission, Suspicion(attempt))
 
     def attempt_ended(self, attempt: Attempt) -> None:
-        """Process the end of an attempt, and plan another one if all attempts in flight are suspected."""
+        """Process the end of an attempt; plan another one unless an attempt in flight is not suspected."""
         assert attempt.ended is not None
         if attempt.result is AttemptResult.SERVED:
             self.record_served(attempt, attempt.ended.duration)
--- a/weldbend/routing/slow_start.py
+++ b/weldbend/routing/slow_start.py
@@ -81,8 +81,10 @@
     def link_quota(self, warm_load: float) -> float:
         """Return this front's quota of the link in flows.
 
-        It is the leased fraction of the link size in the endpoint list or, without leases, an equal share of
-        it. If the sizes of links are unknown, it is the recently measured load of warm caches.
+        It is the fraction of the link size in the endpoint list that this front owns or leases. Without
+        leases it is an equal share of that size: for an edge, among the fronts that share it, for any other
+        cache, among all fronts. If the sizes of links are unknown, it is the recently measured load of warm
+        caches.
         """
         cache = self.cache
         settings = self.context.settings
--- a/weldbend/routing/warm_load.py
+++ b/weldbend/routing/warm_load.py
@@ -7,7 +7,7 @@
 
 
 class WarmLoad:
-    """Average number of flows carried at once by a warm cache of a role.
+    """Average number of flows carried at once by the warm caches of a role, per ready cache of that role.
 
     Args:
         context: shared state of the router.
