--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -29,7 +29,7 @@
 
 @dataclass(eq=False, slots=True)
 class Attempt:
-    """One command to a cache. Its outcome, an answer or the reason for its loss, is reported once.
+    """One command to a cache. Its outcome, an answer or the reason for its loss, is reported at most once.
 
     Moments are seconds of the front's clock.
 
@@ -42,8 +42,9 @@
         group: Number of the object's group, which a purge may name.
         command: Function that encodes the command, called just before its first byte is sent.
         on_ended: Function called with the outcome, at most once.
-        is_short_lived: Whether the router's decision to send it may soon become invalid, so that it waits
-            for a connection no longer than one iteration of the event loop.
+        is_short_lived: Whether the router's decision to send it may soon become invalid, so that it is
+            cancelled instead of sent if it has waited for a connection longer than one iteration of the event
+            loop may take (`CacheLimits.max_iteration_time`).
         connection: Connection on which it was sent; None while no byte of it has been sent.
         queued_at: Moment at which it began to wait for a connection.
         sent_at: Moment at which its first byte was sent.
--- a/weldbend/caches/connect_backoff.py
+++ b/weldbend/caches/connect_backoff.py
@@ -1,14 +1,15 @@
 """Backoff between connects to one cache while faults of this machine prevent them. Reads no clock.
 
-The delays double up to a bound, and each is drawn at random from the upper half of its range. The draw
-depends only on the cache's address and the time. A simulated run is therefore reproducible, and fronts that
-share a machine do not retry in lockstep, since their faults occur at different times.
+The longest delay doubles with each fault up to `MAX_DELAY`, and the delay used is drawn at random between
+that value and half of it. The draw depends only on the cache's address and the time. A simulated run is
+therefore reproducible, and fronts that share a machine do not retry in lockstep, since their faults occur at
+different times.
 """
 
 import math
 import random
 
-MIN_DELAY = 0.005  # seconds before the first retry
+MIN_DELAY = 0.005  # longest delay in seconds before the first retry
 MAX_DELAY = 0.04  # seconds; about a tenth of the time for which an attempt waits for a connection
 
 
--- a/weldbend/caches/connection_limiter.py
+++ b/weldbend/caches/connection_limiter.py
@@ -2,7 +2,8 @@
 
 At the limit, a cache that needs a connection for its attempts waits in a first-in, first-out queue, and the
 connection that has been idle for the longest time is closed to make room. If no connection is idle, the cache
-waits until one is. Each step takes constant time, independent of the number of listed caches.
+waits until one is. No step depends on the number of listed caches; each takes constant time, except that the
+queue is copied when it is processed.
 """
 
 from typing import Protocol
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -390,7 +390,7 @@
         They lead to a process that no longer exists; a machine that crashed never closed them.
 
         Args:
-            started_at: Time at which the cache started (seconds of the front's clock).
+            started_at: Earliest possible time at which the cache started (seconds of the front's clock).
         """
         for connection in [c for c in self.connections if c.opened_at < started_at]:
             connection.abort()
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -77,8 +77,8 @@
         open_requests: Requests that wait for an answer, by sequence id.
         violations: Counts of the client's violations.
         call_count: Number of calls of any kind read so far.
-        active_at: Last time at which bytes arrived, an answer was sent, or a check found a request open or an
-            answer pending.
+        active_at: Last time at which the connection was accepted, bytes arrived, an answer was sent, or a
+            check found a request open or an answer pending.
         call_started_at: Time since which an incomplete call has been arriving.
         is_draining: Whether no further calls are read, and the connection closes once all are answered.
         is_finishing: Whether this front ends the connection, but still handles the calls already read.
@@ -405,7 +405,8 @@
         """Close the sending direction, and discard what the client sends until it closes its side.
 
         This guards recently written answers against loss by a reset. Side effect: a client that does not
-        close its side occupies a descriptor for up to DISCARD_TIME after the last answer was sent.
+        close its side occupies a descriptor for DISCARD_TIME after the close, and longer if answers that were
+        written before have not all been sent to it by then.
         """
         if not (self.is_closing or self.is_lost):
             self.is_draining = self.is_closing = True
--- a/weldbend/clients/interfaces.py
+++ b/weldbend/clients/interfaces.py
@@ -16,7 +16,7 @@
         """Stop processing a request whose client no longer waits for an answer."""
 
     def is_serving(self) -> bool:
-        """Return whether new requests are accepted, as reported to a client's health check."""
+        """Return whether the port is open and no shutdown has begun, as health checks of clients ask."""
 
 
 class BufferAccount(Protocol):
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -126,8 +126,9 @@
         self.set_keepalive()
 
     def stop(self) -> bool:
-        """Accept connections from the kernel's queue, and close the port once the queue is empty.
+        """Accept connections from the kernel's queue, and close the port if the front gets no new connection.
 
+        While accepting is paused or accept(2) fails, the port stays open; the caller tries again later.
         Closing the port resets connections that the kernel has established and this front has not accepted.
         Accepting them first guards requests that were already sent on them. No side effect is known, since no
         client can connect once the port is closed.
--- a/weldbend/clients/misbehaviour.py
+++ b/weldbend/clients/misbehaviour.py
@@ -13,7 +13,7 @@
 
 
 class ViolationCounts:
-    """Counts of one client's violations; they are stored with its connection in the idle pool.
+    """Counts of violations on one client connection; the idle pool stores them with the connection.
 
     Attributes:
         invalid_calls: Number of calls answered as invalid.
--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -33,8 +33,10 @@
         is_replay: whether the event may be an older one that this front missed, rather than one that was
             published just now.
         latest_start: latest start time (Unix seconds) in this event and in the events after it in the same
-            configuration; minus infinity if the event is not from a configuration.
-        latest_purge: latest purge time (Unix seconds) in the same events; minus infinity likewise.
+            configuration; minus infinity if these contain no endpoint list, or if the event is not from a
+            configuration.
+        latest_purge: latest purge time (Unix seconds) in the same events; minus infinity if these contain no
+            purge, or if the event is not from a configuration.
     """
 
     arrived: float
--- a/weldbend/front/client_gateway.py
+++ b/weldbend/front/client_gateway.py
@@ -84,7 +84,7 @@
         return not (fleet and fleet.is_banned(host))
 
     def report_ban(self, host: str) -> None:
-        """Report a client that violated the protocol to the fleet."""
+        """Report to the fleet that a client at this address was banned for misbehaviour."""
         if self.context.fleet:
             self.context.fleet.report_ban(host)
 
--- a/weldbend/front/context.py
+++ b/weldbend/front/context.py
@@ -54,7 +54,7 @@
         ...
 
     def report_ban(self, client: str) -> None:
-        """Count a protocol violation of a client."""
+        """Record that a client at this address was banned for misbehaviour."""
         ...
 
 
@@ -69,7 +69,7 @@
         timers: timers of the front.
         counters: counters of requests, attempts and errors.
         timestamps: converter of Unix times from other machines.
-        fleet: interface to the fleet; None without one in the installation file.
+        fleet: interface to the fleet; None if the installation file configures no fleet.
     """
 
     reactor: Any
--- a/weldbend/front/dispatcher.py
+++ b/weldbend/front/dispatcher.py
@@ -150,7 +150,7 @@
             self.endpoints.remove_unlisted()
 
     def _skip_cancelled(self, batch: deque[Event]) -> Iterator[Event]:
-        """Yield the events in order, except requests that were cancelled before the router saw them."""
+        """Yield the events in order, except requests that were closed before the router received them."""
         while batch and not self.queue.is_time_limit_exceeded():
             self._current_event = event = batch.popleft()
             self.queue.taken_count += 1
--- a/weldbend/front/health_checks.py
+++ b/weldbend/front/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks of caches, each with a unique tag and exactly one result: an answer or a timeout."""
+"""Health checks of caches, each with a unique tag and one result: an answer, a timeout, or "unreachable"."""
 
 from weldbend.cache_protocol.answers import Answer
 from weldbend.caches.pool import CachePool
--- a/weldbend/front/reload.py
+++ b/weldbend/front/reload.py
@@ -14,7 +14,8 @@
     "client_settings",
     "fleet",
 )
-# Not compared to find changes, since they differ between any two configurations that are written.
+# Not compared to find changes that need a restart. A reload applies the bus address. The others matter only
+# at the start, and may differ between any two configurations that are written.
 UNCOMPARED_FIELDS = ("bus_address", "known_events", "bus_offset", "seed")
 
 
--- a/weldbend/front/request_codec.py
+++ b/weldbend/front/request_codec.py
@@ -1,6 +1,7 @@
 """Conversion between the fields of the client and cache protocols and the router's events.
 
-The names of the fields on the wire are used only in this module.
+The names of the fields of requests and of commands to caches are used only in this module. Some fields of
+answers are also named in `attempts`, in `health_checks` and in `weldbend.clients.request`.
 """
 
 import math
@@ -84,7 +85,7 @@
         part: number of the part of the object.
         group: number of the group of objects that may be purged together.
         size_kb: size of the part in kB; 0 if the client does not know it.
-        idempotency_key: idempotency key; None or "" if the client sent none.
+        idempotency_key: idempotency key; None if the client sent none.
         known_version: version of the client's copy; None if it has none.
         body: body of the request.
     """
--- a/weldbend/front/retrying_reactor.py
+++ b/weldbend/front/retrying_reactor.py
@@ -31,31 +31,31 @@
     def __init__(self) -> None:
         self.unwatched_readers: set[Selectable] = set()
         self.unwatched_writers: set[Selectable] = set()
-        super().__init__()  # type: ignore[no-untyped-call]  # Twisted's
+        super().__init__()  # type: ignore[no-untyped-call]  # no hints
 
     def addReader(self, reader: Selectable) -> None:
         """Watch a descriptor for reading, now or as soon as possible."""
         try:
-            super().addReader(reader)  # type: ignore[no-untyped-call]  # Twisted's
+            super().addReader(reader)  # type: ignore[no-untyped-call]  # no hints
         except OSError as error:
             self._retry_later(self.unwatched_readers, reader, error)
 
     def addWriter(self, writer: Selectable) -> None:
         """Watch a descriptor for writing, now or as soon as possible."""
         try:
-            super().addWriter(writer)  # type: ignore[no-untyped-call]  # Twisted's
+            super().addWriter(writer)  # type: ignore[no-untyped-call]  # no hints
         except OSError as error:
             self._retry_later(self.unwatched_writers, writer, error)
 
     def removeReader(self, reader: Selectable) -> None:
         """Stop watching a descriptor for reading."""
         self.unwatched_readers.discard(reader)
-        super().removeReader(reader)  # type: ignore[no-untyped-call]  # Twisted's
+        super().removeReader(reader)  # type: ignore[no-untyped-call]  # no hints
 
     def removeWriter(self, writer: Selectable) -> None:
         """Stop watching a descriptor for writing."""
         self.unwatched_writers.discard(writer)
-        super().removeWriter(writer)  # type: ignore[no-untyped-call]  # Twisted's
+        super().removeWriter(writer)  # type: ignore[no-untyped-call]  # no hints
 
     def _retry_later(self, unwatched: set[Selectable], selectable: Selectable, error: OSError) -> None:
         if error.errno not in TRANSIENT_ERRORS:
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -1,8 +1,9 @@
 """Startup, reload and shutdown of one front.
 
 A front opens its port only when it can answer requests. After SIGTERM, its clients' health checks fail, but
-it still accepts requests. It exits when all accepted requests have been answered, but not before clients have
-had time to notice the shutdown.
+it still accepts requests. It exits when all accepted requests have been answered and all client connections
+have ended, but not before clients have had time to notice the shutdown. If requests or connections remain
+after a time limit, it exits nevertheless.
 """
 
 import gc
@@ -39,7 +40,7 @@
 ABORT_DELAY = 0.4  # from that longest deadline until open requests are aborted and new ones rejected
 FORCED_EXIT_DELAY = 0.2  # from the abort until the front exits in any case
 SHUTDOWN_POLL = 0.02  # between two checks whether all requests have been answered
-SHUTDOWN_POLL_IDLE = 0.002  # between two checks while idle connections are closed in batches
+SHUTDOWN_POLL_IDLE = 0.002  # the same while any connection is in the idle pool; they are closed in batches
 MAX_BUS_WAIT = 0.3  # maximum wait for the bus at startup
 BUS_CATCH_UP = 0.02  # wait for the events that follow the bus's first response at startup
 COUNTERS_INTERVAL = 10.0  # between two counters lines
@@ -49,8 +50,9 @@
     """A front, from its startup to its shutdown.
 
     Attributes:
-        read_new_site: function that reads the configuration again for a reload; None without reloads.
-        fleet_adapter: adapter to the fleet; None without one in the installation file.
+        read_new_site: function that reads both files again for a reload, the configuration (JSON) and the
+            installation file (settings of this installation, optional); None without reloads.
+        fleet_adapter: adapter to the fleet; None if the installation file configures no fleet.
         is_open: whether the listening port is open.
         stop_requested: time of SIGTERM; None before it.
         is_aborting: whether open requests were aborted and new ones are rejected, since SIGKILL is imminent.
@@ -117,13 +119,15 @@
         signal.signal(signal.SIGHUP, lambda *_: self.reactor.callFromThread(self.reload))
         try:
             self.start()
-            if early_signals.hangups:  # the configuration may have been written after it was read
+            if early_signals.hangups:  # the configuration may have been rewritten since it was read
                 self.reload()
         except CannotListenError as error:  # raised for the fleet's port
             self._stop_after_listen_error(error.interface, error.port, error)
 
     def start(self) -> None:
-        """Apply the known events and connect to the bus and the fleet; the port opens shortly afterwards.
+        """Apply the bus events that the configuration contains, and connect to the bus and the fleet.
+
+        The port opens after the bus has responded, or after `MAX_BUS_WAIT` at the latest.
 
         Raises:
             CannotListenError: the fleet's port is in use.
@@ -193,13 +197,13 @@
             self.timers.after(COUNTERS_INTERVAL, self._log_counters)
 
     def reload(self) -> None:
-        """Handle SIGHUP: read the whole configuration again and connect to the bus address in it.
+        """Handle SIGHUP: read the whole configuration again and apply what a running front can change.
 
-        New requests use the new settings; open requests keep the settings under which they were accepted. If
-        the file is incomplete, malformed or missing, the error is logged and the current configuration stays.
-        The settings in `reload.RESTART_ONLY_FIELDS` change only at a restart. In a fleet, the new fleet
-        settings are passed to its adapter, the bus address changes, and everything else changes only at a
-        restart.
+        If the bus address in it has changed, the front reconnects to the bus. New requests use the new
+        settings; open requests keep the request class with which they were accepted. If a file is incomplete,
+        malformed or missing, the error is logged and the current configuration stays. The settings in
+        `reload.RESTART_ONLY_FIELDS` change only at a restart. In a fleet, the new fleet settings are passed
+        to its adapter, the bus address changes, and everything else changes only at a restart.
         """
         if self.read_new_site is None:
             return
@@ -224,7 +228,10 @@
     # Shutdown.
 
     def terminate(self) -> None:
-        """Handle SIGTERM: fail health checks, still accept requests, and exit when all are answered."""
+        """Handle SIGTERM: fail health checks, still accept requests, and exit when all are answered.
+
+        Requests that are still open after the seconds of `_seconds_until_abort` are aborted.
+        """
         if self.stop_requested is None:
             self.stop_requested = self.clock.now()
             logger.info("shutdown requested; {} requests open", len(self.dispatcher.requests))
@@ -238,7 +245,7 @@
         return min(longest, MAX_DEADLINE) + ABORT_DELAY
 
     def _abort_all(self) -> None:
-        """Abort open requests and reject new ones; the next calls of `_end_if_done` close all connections.
+        """Abort open requests and reject new ones; the next calls of `_end_if_done` close the connections.
 
         This guards against clients that send requests until SIGKILL: a front that waited until no request is
         open would be killed while some are open. The side effect is that requests of the last moments are
@@ -249,12 +256,15 @@
         self.dispatcher.attempts.abort_all()
 
     def _end_if_done(self) -> None:
-        """Exit if all requests are answered, otherwise check again later, since new ones may still arrive.
-
-        From the first call on, no new connections are accepted, since most clients have moved to another
-        front. This guards against closing a connection while a request is in transit, and against clients
-        that go on connecting without sending anything. No side effect is known: a client that still connects
-        is refused now instead of after the exit, which follows soon.
+        """Exit if no request or connection is left or it is too late to wait, otherwise check again later.
+
+        It checks again because new requests may still arrive. Each call accepts the connections in the
+        kernel's queue, and closes the port if there are none (`Listener.stop`); while accepting is paused,
+        because the connection limit is reached or accept(2) fails, the port stays open. It is closed before
+        the exit because most clients have moved to another front by then. This guards against closing a
+        connection while a request is in transit, and against clients that go on connecting without sending
+        anything. No side effect is known: a client that still connects is refused when the port is closed
+        instead of after the exit, which follows soon.
         """
         assert self.stop_requested is not None
         now = self.clock.now()
@@ -290,7 +300,7 @@
 
     from weldbend.front.retrying_reactor import RetryingEPollReactor
 
-    installReactor(RetryingEPollReactor())  # type: ignore[no-untyped-call]  # Twisted's
+    installReactor(RetryingEPollReactor())  # type: ignore[no-untyped-call]  # no hints
     from twisted.internet import reactor
 
     front = Front(reactor, site, read_new_site)
--- a/weldbend/front/timers.py
+++ b/weldbend/front/timers.py
@@ -102,7 +102,7 @@
         self._delayed_call = self.reactor.callLater(max(earliest - self.now(), 0.0), self._run_due)
 
     def _run_due(self) -> None:
-        """Run all due timers; an exception in one call must not stop the others."""
+        """Run all due timers; after an exception in one call, the next delayed call runs the others."""
         now = self.now()
         if self.heap:
             self.max_delay = max(self.max_delay, now - self.heap[0][0])
--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -187,6 +187,9 @@
         return expired
 
     def longest_idle(self, count: int) -> Iterator[int]:
-        """Yield the first `count` connections of each usage class, the longest idle first."""
+        """Yield up to `count` connections of each usage class, the longest idle first.
+
+        The order is that of the timer wheels, so it is exact only to the length of a bucket.
+        """
         for wheel in self.wheels:
             yield from islice(wheel.in_order(), count)
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -28,7 +28,8 @@
 HANGUP_ONCE = select.EPOLLRDHUP | select.EPOLLONESHOT
 NOTHING_TO_READ = (*WOULD_BLOCK_ERRORS, errno.EINTR)
 
-# Name of the anomaly counter, as it appears in the log.
+# Name of the anomaly counter, as it appears in the log. It counts clients whose disconnect would not be
+# noticed while reading from them is paused.
 UNWATCHED_CLIENTS = "clients whose end cannot be watched"
 
 
@@ -106,7 +107,11 @@
         self.epoll.register(fd, HANGUP_ONCE)
 
     def unwatch(self, callback: Callable[[], None]) -> None:
-        """Stop watching; the kernel has already removed a descriptor that was closed from the set."""
+        """Stop watching the connection that was registered with this callback.
+
+        The kernel removes a descriptor from the epoll set when it is closed; the error of `unregister` is
+        then ignored.
+        """
         for fd in [fd for fd, registered in self.callbacks.items() if registered == callback]:
             del self.callbacks[fd]
             with suppress(OSError):
@@ -114,7 +119,7 @@
                     self.epoll.unregister(fd)
 
     def doRead(self) -> None:
-        """Call the function of each connection that has ended."""
+        """Call the callback of each connection that its peer has ended or that has failed."""
         for fd, _ in poll_now(self.epoll) if self.epoll else ():
             if callback := self.callbacks.get(fd):
                 self.unwatch(callback)
@@ -136,7 +141,11 @@
         self.epoll = select.epoll()
 
     def fileno(self) -> int:
-        """Return the set's own descriptor, which is readable while any connection in it is."""
+        """Return the set's own descriptor.
+
+        It is readable while a connection has bytes or an end to read that the set has not reported since the
+        connection was added or last passed to `rearm`.
+        """
         return self.epoll.fileno()
 
     def detach(self, transport: object) -> int | None:
@@ -145,8 +154,9 @@
         The transport cannot be used afterwards, and its protocol receives no more calls from it.
 
         Returns:
-            The descriptor; None if the transport has bytes left to send, is closing, or has no socket (one in
-            memory), or if the epoll set cannot take another descriptor.
+            The descriptor; None if the transport has bytes left to send, is disconnecting or disconnected, or
+            has no socket (in tests, a transport in memory), or if its descriptor cannot be added to the epoll
+            set.
         """
         if type(transport) is not tcp.Server or not transport.connected or transport.disconnecting:
             return None
@@ -175,7 +185,9 @@
         """
         self.epoll.unregister(fd)
         connection = socket.socket(socket.AF_INET, socket.SOCK_STREAM, 0, fileno=fd)
-        # mypy treats Twisted's interfaces as nominal types. The port (None) is used only for its address.
+        # mypy treats Twisted's interfaces as nominal types. The arguments after the protocol are the peer's
+        # address, the listening port and the connection's serial number. Twisted uses the port only to build
+        # `repstr`, the transport's name in logs, which is set below; None makes it skip that.
         try:
             transport = tcp.Server(connection, protocol, ("", 0), None, 0, self.reactor)  # type: ignore[arg-type]
         except OSError:
--- a/weldbend/idle_connections/policy.py
+++ b/weldbend/idle_connections/policy.py
@@ -30,7 +30,9 @@
     idle_timeout: float = 4.5  # without an open request; clients close an idle connection after 4 s
     pool_after: float = 0.5  # idle time after which a connection moves to the idle pool; 0: never
     wake_batch: int = 32  # largest number of connections woken in one event-loop iteration
-    close_batch: int = 256  # largest number closed or moved to the pool in one event-loop iteration
+    # Largest number closed or moved to the pool in one round of checks; also the largest number evicted at
+    # once, and the largest number of pooled connections closed at once during the shutdown.
+    close_batch: int = 256
     accept_batch: int = 64  # approximate number of connections accepted in one event-loop iteration
     max_connections: int = 0  # limit on open client connections; 0: derived from the limit on descriptors
 
@@ -147,9 +149,9 @@
 def is_quiescent(idle: bool, last_active: float, now: float) -> bool:
     """Return whether no request is in transit on a connection.
 
-    True only if no part of a request has arrived and no request was received or answered within
-    `QUIESCENT_SECONDS`. A connection that has just been accepted is therefore not quiescent: its first
-    request may still be unread.
+    True only if the connection is idle, so that no request is open or partly received, and no request was
+    received or answered within `QUIESCENT_SECONDS`. A connection that has just been accepted is not quiescent
+    either: `last_active` is then the time of its acceptance, and its first request may still be unread.
     """
     return idle and now > last_active + QUIESCENT_SECONDS
 
--- a/weldbend/idle_connections/timer_wheel.py
+++ b/weldbend/idle_connections/timer_wheel.py
@@ -1,4 +1,4 @@
-"""Hashed timing wheel of slots (small integers); the cost of expiry grows only with the number of due slots.
+"""Hashed timing wheel of slots (small integers); the cost of expiry is independent of slots not yet due.
 
 Each bucket covers a short interval of time, and is a circular doubly linked list of slots in flat arrays,
 with twelve bytes for each slot. A slot is any small integer, such as a file descriptor. Slots of one bucket
@@ -59,7 +59,7 @@
         return entry
 
     def schedule(self, slot: int, due: float, now: float) -> None:
-        """Add a slot to the bucket of the time `due` (seconds); a time in the past is due immediately.
+        """Add a slot to the bucket of the time `due` (seconds), or to the first bucket if that time is past.
 
         If `pop_due` has not been called for a long time, a slot far ahead may become due early, never late.
         """
@@ -107,7 +107,7 @@
         return due
 
     def in_order(self) -> Iterator[int]:
-        """Yield all slots in the order in which they become due, without removing them."""
+        """Yield all slots in the order in which `pop_due` returns them, without removing them."""
         for tick in range(self.tick, self.tick + self.bucket_count):
             bucket = tick % self.bucket_count
             entry = self.next[bucket]
