--- a/weldbend/caches/attempt.py
+++ b/weldbend/caches/attempt.py
@@ -43,8 +43,8 @@
         command: Function that encodes the command, called just before its first byte is sent.
         on_ended: Function called with the outcome, at most once.
         is_short_lived: Whether the router's decision to send it may soon become invalid, so that it is
-            cancelled instead of sent if it has waited for a connection longer than one iteration of the event
-            loop may take (`CacheLimits.max_iteration_time`).
+            cancelled instead of sent if it has waited for a connection longer than
+            `CacheLimits.max_iteration_time`.
         connection: Connection on which it was sent; None while no byte of it has been sent.
         queued_at: Moment at which it began to wait for a connection.
         sent_at: Moment at which its first byte was sent.
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -126,7 +126,8 @@
         """Cancel an attempt that is in flight here, and send the cancellation to the cache.
 
         The connection is drained if it seems broken or blocked: it has received nothing since the attempt was
-        sent, or an answer is partly received and none has been completed since the attempt was sent.
+        sent, or an answer is partly received and none has been completed since the attempt was sent. The
+        second reason does not count while reading is paused.
         """
         if self.in_flight.pop(attempt.name, None) is not attempt or self.is_lost:
             return
--- a/weldbend/caches/limits.py
+++ b/weldbend/caches/limits.py
@@ -11,7 +11,8 @@
         max_streams: Maximum number of attempts in flight on one connection.
         idle_timeout: Time without a command after which caches close a connection.
         connect_timeout: Time within which a connection must be established.
-        max_iteration_time: Longest permitted duration of one iteration of the event loop.
+        max_iteration_time: Duration that one iteration of the event loop is expected not to exceed. A
+            short-lived attempt that has waited longer for a connection is cancelled instead of sent.
         max_connections: Maximum number of connections to all caches, including pending connects.
         max_answer_time: Longest deadline of a request, beyond which no answer is awaited.
     """
--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -29,7 +29,7 @@
     Attributes:
         arrived: arrival time of the event, in seconds of the monotonic clock.
         caught_up_at: last moment before the arrival at which this front had received all published events;
-            minus infinity during the first read of the bus.
+            minus infinity for events of the configuration and during the first read of the bus.
         is_replay: whether the event may be an older one that this front missed, rather than one that was
             published just now.
         latest_start: latest start time (Unix seconds) in this event and in the events after it in the same
@@ -47,7 +47,7 @@
 
     @property
     def is_first_read(self) -> bool:
-        """True during the first read of the bus, whose events may be of any age."""
+        """True for events of the configuration and of the first read of the bus, which may be of any age."""
         return self.caught_up_at == -math.inf
 
 
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -14,7 +14,9 @@
 from weldbend.routing.settings import Role, SiteSettings
 from weldbend.site_settings import cache_roles, read_site_settings
 
-MAX_ITERATION = 0.004  # seconds; limit for event-loop iterations, and minimum of the router's `tick` setting
+# Seconds that one iteration of the event loop is expected not to exceed, which is not enforced; also the
+# minimum of the router's `tick` setting.
+MAX_ITERATION = 0.004
 CACHE_DESCRIPTORS = 96  # file descriptors for connections to caches; some tens of them are in use at a time
 RESERVED_DESCRIPTORS = 32  # file descriptors for the log, the reactor, the bus and the listening port
 MEMORY_FRACTION = 4  # divisor: a quarter of the memory limit may hold answers for slow readers
--- a/weldbend/front/endpoint_updates.py
+++ b/weldbend/front/endpoint_updates.py
@@ -37,8 +37,8 @@
         self.pool = pool
         self.listed: set[int] = set()
         self.started: set[int] = set()
-        # Records by uid whose start times were estimated in the first read of the bus, while this front's
-        # Unix clock was not confirmed.
+        # Records by uid, from the configuration or the first read of the bus, whose start times were
+        # estimated while this front's Unix clock was not confirmed.
         self._unconfirmed_starts: dict[str, EndpointRecord] = {}
         self._first_unconfirmed: float | None = None  # arrival time of the first of these records
         # Removed caches that stay registered, since the router may still refer to them in this iteration.
@@ -130,7 +130,7 @@
             self._estimate_starts_again()
 
     def _estimate_starts_again(self) -> None:
-        """Repeat the cautious estimates of start times that were made in the first read of the bus.
+        """Repeat the cautious estimates of start times that were made before the clock was confirmed.
 
         A new estimate resets the router's count of work sent to the cache, so that its quota could be used
         twice. The estimate is therefore repeated only for caches that are warm by now, or for all caches
