--- a/weldbend/event_bus/reader.py
+++ b/weldbend/event_bus/reader.py
@@ -30,7 +30,7 @@
     from twisted.internet.interfaces import IReactorTCP
     from twisted.web.iweb import IResponse
 
-MIN_RETRY_DELAY = 0.05  # seconds before the first reconnection; doubled for each until bytes are received
+MIN_RETRY_DELAY = 0.05  # seconds before the first reconnection; doubled for each next, until bytes arrive
 MAX_RETRY_DELAY = 0.5  # seconds
 SILENCE_TIMEOUT = 1.8  # seconds without data until the connection is aborted; a comment comes every second
 HTTP_OK = 200
@@ -130,7 +130,7 @@
     """Reader of the bus that runs until it is stopped and retries after each loss.
 
     Attributes:
-        on_event: Callback for each event whose offset is above `last_offset`, so once at most for each.
+        on_event: Callback for each event whose offset is above `last_offset`, so at most one call for each.
         on_connected: Callback for each successful response, called before its missed events are read.
         last_offset: Offset of the last event received.
         loss_count: Number of lost and failed connections.
