--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -93,7 +93,7 @@
         b"a1 DONE novalue 0\r\n\r\n",
         b"a1 DONE - 2\r\nabcd",
         b"\xff\xfe DONE - 0\r\n",
-        b"x" * (answers.LONGEST_LINE + 1),
+        b"x" * (answers.LONGEST_LINE + 1),  # no line end within the longest line
     ],
 )
 def test_a_malformed_answer_is_an_error(line):
@@ -118,6 +118,8 @@
 
 
 def test_an_invalid_call_with_a_readable_header_gives_its_seqid_and_the_problem():
+    # 40 levels are more than binary.MAX_DEPTH (16). No frame has room for 1 << 30 elements of a map, here one
+    # whose keys and values are strings (type 11).
     deep_nesting = b"".join(binary.field(binary.STRUCT, 1, b"") for _ in range(40)) + b"\x00" * 41
     many_elements = binary.field(binary.MAP, 1, bytes((11, 11)) + struct.pack(">i", 1 << 30))
     calls = {
@@ -152,6 +154,7 @@
 
 
 def test_overlong_stream_lines_and_events_are_errors():
+    # `read_stream` limits lines and events to 1 << 10 bytes: one line of 2006, and 60 lines of 30 bytes each.
     for data in (b"data: " + b"x" * 2000, b"data: xxxxxxxxxxxxxxxxxxxxxxxx\n" * 60):
         with pytest.raises(InvalidStreamError):
             read_stream([data])
@@ -186,7 +189,7 @@
         '{"offset":"x"}',
         '{"offset":1}',
         '{"offset":1,"ban":{"ts":1}}',
-        "[" * 9999,
+        "[" * 9999,  # nested deeper than the JSON parser can recurse
     ):
         with pytest.raises(InvalidEventError):
             read_event(invalid)
@@ -217,6 +220,7 @@
             count = rng.randrange(len(expected) + 1)
             assert ring.read(count) == expected[:count]
             expected = expected[count:]
+        # The search ends at offset 9000, short of the ring's capacity of 10,000 bytes.
         start = rng.randrange(len(expected) + 1)
         assert len(ring) == len(expected) and ring.find(b"\n\r", start, 9000) == expected[:9000].find(
             b"\n\r", start
