--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -24,6 +24,7 @@
 
 
 def publish_purge(fleet, key=KEY):
+    # A `ban` on the event bus is a purge.
     fleet.publish(ban={"url": key, "ts": int(time.time() * 1000)})
 
 
@@ -32,18 +33,18 @@
 
 
 def test_a_killed_front_is_declared_dead_and_returns_with_a_new_epoch(fleet):
-    before = fleet.status("n1")["members"][0]["epoch"]
+    epoch_before = fleet.status("n1")["members"][0]["epoch"]  # of n2: n1 lists n2 and n3, not itself
     fleet.kill("n2")
     fleet.wait_until(
         lambda: "n2:dead" in fleet.member_states("n1") and "n2:dead" in fleet.member_states("n3")
     )
     fleet.start("n2")
     fleet.wait_until(fleet.has_converged)
-    assert fleet.status("n1")["members"][0]["epoch"] > before
+    assert fleet.status("n1")["members"][0]["epoch"] > epoch_before
 
 
-def test_a_purge_published_on_one_bus_only_reaches_all_fronts(fleet):
-    fleet.send_command("no-bus", "n1 n2")
+def test_a_purge_that_only_one_front_receives_from_the_event_bus_reaches_all_fronts(fleet):
+    fleet.send_command("no-bus", "n1 n2")  # blocks their paths to the event bus; n3 remains connected
     publish_purge(fleet)
     for name in fleet.names:
         fleet.wait_until(lambda name=name: f"k:{KEY}" in fleet.state_entries(name, "purge"))
@@ -51,14 +52,15 @@
 
 
 def test_a_split_is_detected_on_both_sides_and_states_converge_after_it(fleet):
-    fleet.send_command("split", "n3")
+    fleet.send_command("split", "n3")  # blocks the paths between n3 and the other fronts
     fleet.wait_until(
         lambda: "n3:dead" in fleet.member_states("n1") and "n3:dead" in fleet.member_states("n2")
     )
+    # "sight" is the reachability of members; ALONE: this front receives messages from none.
     fleet.wait_until(lambda: fleet.status("n3")["sight"] == "ALONE")
     assert "dead" not in fleet.member_states("n3"), "an isolated front must not declare members dead"
     fleet.send_command("no-bus", "n1 n2")
-    publish_purge(fleet, "00000000000000aa")  # published on the smaller side only
+    publish_purge(fleet, "00000000000000aa")  # received only by n3, the smaller side of the split
     fleet.wait_until(lambda: "k:00000000000000aa" in fleet.state_entries("n3", "purge"))
     assert not fleet.state_entries("n2", "purge")
     fleet.send_command("heal")
@@ -78,11 +80,12 @@
 
 
 def test_a_paused_front_detects_the_pause_and_catches_up(fleet):
-    fleet.kill("n2", "STOP")
+    fleet.kill("n2", "STOP")  # SIGSTOP pauses the process
     fleet.wait_until(lambda: "n2:dead" in fleet.member_states("n1"))
     publish_purge(fleet)
     fleet.wait_until(lambda: f"k:{KEY}" in fleet.state_entries("n3", "purge"))
-    fleet.kill("n2", "CONT")
+    fleet.kill("n2", "CONT")  # SIGCONT lets it run again
+    # "stood still" counts the pauses that a front has detected in its own process.
     fleet.wait_until(lambda: fleet.status("n2")["counts"].get("stood still", 0) >= 1)
     fleet.wait_until(fleet.has_converged, 20)
     assert f"k:{KEY}" in fleet.state_entries("n2", "purge")
@@ -120,15 +123,17 @@
     ini.write_text(ini.read_text().replace("/keys", "/other"))
     fleet.start("n3")
     fleet.wait_until(lambda: fleet.status("n1")["dropped"].get("wrong MAC", 0) > 2)
+    # WAKING: the front has started, but has not yet received messages from enough members.
     assert fleet.status("n3")["sight"] in ("ALONE", "WAKING")
     (fleet.folder / "other").write_text((fleet.folder / "keys").read_text())
-    fleet.kill("n3", "HUP")
+    fleet.kill("n3", "HUP")  # SIGHUP makes the front reload its keys
     fleet.wait_until(fleet.has_converged, 20)
 
 
-def test_a_drain_from_a_newer_list_applies_at_a_front_without_a_bus(fleet):
+def test_a_drain_in_a_list_that_only_a_peer_has_read_applies_at_a_front_without_a_bus(fleet):
     fleet.send_command("no-bus", other_names(fleet, "n1"))
     fleet.send_command("drain", None, what="e1")
+    # [number of the bus event with the list, index of its state in LIST_STATES]: event 2, draining
     fleet.wait_until(lambda: fleet.state_entries("n3", "drain").get("e1") == [2, 1])
     fleet.wait_until(lambda: "e1 is DRAINING by event 2" in fleet.log("n3"))
 
@@ -139,10 +144,12 @@
     try:
         fleet.wait_until(fleet.has_converged, 25)
         fleet.send_command("slow", "n4", by="150 ms")
-        fleet.send_command("apart", "n5", by="600 s")
+        fleet.send_command("apart", "n5", by="600 s")  # kills n5, starts it with its Unix clock 600 s back
         fleet.wait_until(lambda: "n5:alive" in fleet.member_states("n1") and fleet.status("n5")["caught_up"])
+        # The clock of n5 is set back, so its new epoch is too low until it learns the former one from peers.
         fleet.wait_until(lambda: "own epoch raised" in fleet.log("n5"))
         fleet.send_command("drain", None, what="e1")
+        # bus event 2, state `draining`
         fleet.wait_until(
             lambda: all(fleet.state_entries(name, "drain").get("e1") == [2, 1] for name in fleet.names)
         )
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -1,7 +1,7 @@
 """Knowledge that fronts share: possible executions of requests, health reports on caches, popularity.
 
-The tests guard against a second execution of a deduplicated request, and against peers whose reports would
-have too large an effect.
+The tests guard against a second execution of a deduplicated request, and against a single peer whose health
+reports or popularity slots would change the decisions of other fronts too much.
 """
 
 import math
@@ -24,7 +24,8 @@
 )
 from weldbend.routing.settings import DeduplicationScope, Idempotency, Role
 
-# Requests with an idempotency key that another front may have executed.
+# Requests with an idempotency key that another front may have executed. The caches that recognise the key of
+# an attempt, and so do not execute it twice, form a group: here the caches of one cell.
 
 ORDER = {
     "order": request_class(
@@ -37,14 +38,19 @@
 ORIGINS = (endpoint(21, Role.ORIGIN, "h", cell=1), endpoint(22, Role.ORIGIN, "h", cell=2))
 
 
-def route_repeat(executions, now=1.0):
+def route_client_retry(executions, now=1.0):
+    """Return the router's reaction to a request that its client marks as a retry.
+
+    The last argument of RequestReceived has the earlier attempts by other fronts (`executions`); those before
+    it are is_retry, deadline and queued_for.
+    """
     front = RouterHarness(ORIGINS, classes=ORDER, allows_bypass=True)
     front.handle(now, RequestReceived("d", "k", 0, 3, "order", 0.0, True, now + 6.0, 0.0, tuple(executions)))
     return front.trace[-1]
 
 
-def test_a_repeat_goes_only_to_the_group_where_another_front_executed_it():
-    trace_lines = {route_repeat([PossibleExecution("", cell, 0.5)]) for cell in (1, 2)}
+def test_a_client_retry_goes_only_to_the_cell_where_another_front_may_have_executed_the_request():
+    trace_lines = {route_client_retry([PossibleExecution("", cell, 0.5)]) for cell in (1, 2)}
     assert {line.split()[2] for line in trace_lines} == {"21", "22"}
     assert all(" lookup " in line or "fill" in line for line in trace_lines)
 
@@ -52,54 +58,61 @@
 @pytest.mark.parametrize(
     "executions",
     [
-        [PossibleExecution("!", -1, 0.9)],
-        [PossibleExecution("", 1, -2.0)],
+        [PossibleExecution("!", -1, 0.9)],  # zone NO_CACHE; -1 is the cell of no cache
+        [PossibleExecution("", 1, -2.0)],  # sent 3 s before now; the deduplication window is 3 s
         [PossibleExecution("", 1, 0.9), PossibleExecution("", 2, 0.9)],
     ],
-    ids=["in no group", "past its window", "in two groups"],
+    ids=["key valid at no cache", "window of the earlier attempt over", "earlier attempts in two cells"],
 )  # fmt: skip
-def test_a_repeat_that_no_group_would_deduplicate_fails(executions):
-    assert route_repeat(executions) == "1.00 d: abandoned"
+def test_a_client_retry_fails_if_no_cell_would_recognise_all_earlier_attempts(executions):
+    assert route_client_retry(executions) == "1.00 d: abandoned"
 
 
-def test_an_attempt_of_another_front_restricts_an_open_request():
+def test_an_attempt_of_another_front_restricts_the_retries_of_a_request_that_is_already_open():
     front = RouterHarness(ORIGINS, classes=ORDER, allows_bypass=True)
     front.request("d", type="order", now=1.0)
     front.end_attempt("d", AttemptResult.UNREACHABLE, now=1.1)
-    first = front.trace[-1].split()[2]
-    front.handle(1.2, ExecutedElsewhere("d", PossibleExecution("", 1 if first == "22" else 2, 1.15)))
+    second = front.trace[-1].split()[2]  # the cache of the second attempt, which is now in flight
+    # Another front has sent the request to the cell in which the second attempt is not (21 is in 1, 22 in 2).
+    front.handle(1.2, ExecutedElsewhere("d", PossibleExecution("", 1 if second == "22" else 2, 1.15)))
     front.end_attempt("d", AttemptResult.UNREACHABLE, now=1.3)
     tried = [line.split()[2] for line in front.trace if " lookup " in line]
-    assert tried[-1] != first or front.trace[-1].endswith("abandoned")
+    # The third attempt goes to the cell of the other front's attempt, or there is none.
+    assert tried[-1] != second or front.trace[-1].endswith("abandoned")
+    # For a request that is not open, the event only must not raise an error.
     front.handle(1.4, ExecutedElsewhere("nobody", PossibleExecution("", 1, 1.0)))
 
 
-def test_a_first_attempt_is_dated_by_the_earlier_plausible_time():
-    value = ("c:1", 99_000)  # the first attempt, at 99 s of the writer's Unix clock
+def test_a_first_attempt_is_dated_by_its_timestamp_but_no_later_than_the_first_write_of_its_item():
+    # The group of caches (cell 1), and the time of the first attempt: 99 s of its writer's Unix clock.
+    value = ("c:1", 99_000)
     assert idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=101.0) == PossibleExecution(
         "", 1, 10.0
-    ), "the item was written again after the first attempt"
+    ), "this front's Unix clock dates the attempt 101 - 99 = 2 s before now, before the first write"
     assert (
         idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=95.0).sent == 11.0
-    ), "a clock that is ahead does not make the window longer"
+    ), "a writer's clock that is 4 s ahead of this front's does not make the window longer"
     assert (
         idempotency.possible_execution(value, written_at=11.0, now=12.0, unix=500.0).sent == 11.0
-    ), "a clock that is minutes behind is ignored"
+    ), "a writer's clock that is minutes behind this front's is ignored"
+    # Groups by prefix: "!" for no cache, "z:" for a zone, "c:" for a cell; the group of all caches is "".
     assert idempotency.possible_execution(("!", 99_000), 11.0, 12.0, 101.0).zone == "!"
     assert idempotency.possible_execution(("z:upper", 99_000), 11.0, 12.0, 101.0).zone == "upper"
     assert idempotency.deduplication_group(DeduplicationScope.ALL, "z", 4) == ""
 
 
-def test_unknown_attempts_count_as_possible_for_one_window():
+def test_attempts_missed_by_this_front_may_exist_for_one_deduplication_window_after_a_loss_of_contact():
     unknown, alive = (
         idempotency.UnknownAttempts(3.0),
         Member("b", epoch=5, state=State.ALIVE, received_at=9.0),
     )
+    # Arguments: whether this front has caught up, when it last lost each connection, other members, now.
     assert not unknown.may_exist(True, {}, [alive], 10.0)
-    assert unknown.may_exist(False, {}, [alive], 10.0), "not caught up"
-    assert unknown.may_exist(True, {"b": 9.0}, [alive], 10.0), "its connection was lost a second ago"
-    assert not unknown.may_exist(True, {"b": 6.0}, [alive], 10.0)
+    assert unknown.may_exist(False, {}, [alive], 10.0), "this front's replica has not caught up"
+    assert unknown.may_exist(True, {"b": 9.0}, [alive], 10.0), "the connection to b was lost a second ago"
+    assert not unknown.may_exist(True, {"b": 6.0}, [alive], 10.0)  # 4 s ago: longer than the window of 3 s
     dead = Member("b", epoch=5, state=State.DEAD, since=8.0, received_at=4.0)
+    # b was declared dead at 8 s, so the window ends at 11 s.
     assert unknown.may_exist(True, {}, [dead], 10.0) and not unknown.may_exist(True, {}, [dead], 12.0)
     assert not unknown.may_exist(True, {}, [Member("c")], 10.0), "a member that never sent a message"
 
@@ -108,23 +121,31 @@
 
 
 def reports(*records, total=(100.0, 0.0), **options):
+    """Return reports of different fronts on one cache.
+
+    Args:
+        records: numbers of successful and of failed answers of that cache, for each report.
+        total: the same for all caches together, equal in all reports.
+        options: age and is_same_zone of all reports.
+    """
     return [HealthReport(f"w{n}", options.get("is_same_zone", True), options.get("age", 0.0), record, total)
             for n, record in enumerate(records)]  # fmt: skip
 
 
-def test_reports_of_one_front_alone_have_no_effect():
+def test_failures_that_only_one_front_reports_have_no_effect():
     assert combine(reports((0.0, 1e9))) == (0.0, 0.0)
     assert combine(reports((0.0, 1e9), (5.0, 0.0), (5.0, 0.0))) == (0.0, 0.0)
     assert combine(reports((0.0, 4.0), (0.0, 4.0)))[1] > 3
 
 
-def test_a_report_counts_less_with_age_distance_and_failures_of_its_writer():
+def test_a_report_counts_less_if_it_is_old_from_another_zone_or_from_a_front_that_fails_everywhere():
     (plain,), (old,), (far,) = (
         reports((0.0, 4.0)),
         reports((0.0, 4.0), age=5.0),
         reports((0.0, 4.0), is_same_zone=False),
     )
     assert weight(old) == pytest.approx(weight(plain) / 2) and weight(far) == weight(plain) / 2
+    # 40 failures in total, of which 4 are at the reported cache: the writer fails at the other caches, too.
     (from_faulty_network,) = reports((0.0, 4.0), total=(2.0, 40.0))
     assert weight(from_faulty_network) < 0.02 * weight(plain)
     assert weight(reports((0.0, 4.0), age=health_reports.REPORT_SPAN + 1)[0]) == 0
@@ -149,6 +170,7 @@
 
 def test_a_front_reports_failing_caches_and_their_recovery():
     reporter = HealthReporter()
+    # Pairs: successful and failed answers. "*" is the report on all caches together.
     assert reporter.due_reports(0.0, {"e1": (9.0, 0.0)}) == []
     assert reporter.due_reports(1.0, {"e1": (9.0, 2.0), "e2": (5.0, 0.0)}) == [
         ("e1", (9.0, 2.0)),
@@ -158,13 +180,14 @@
     assert reporter.due_reports(4.5, {"e1": (9.0, 2.0), "e2": (6.0, 0.0)})[0] == (
         "e1",
         (9.0, 2.0),
-    ), "the report is repeated"
+    ), "an unchanged report is repeated after REPEAT_INTERVAL (3 s)"
     assert ("e1", (9.0, 0.0)) in reporter.due_reports(5.0, {"e1": (9.0, 0.0)})
     assert reporter.due_reports(9.0, {"e1": (9.0, 0.0)}) == []
 
 
 def test_peer_reports_make_a_front_avoid_a_cache_that_it_never_saw_fail():
     def share(good, bad):
+        """Return the share of requests for one object that its first cache gets after a report of peers."""
         front = RouterHarness(CACHES)
         front.request("x", now=1.0)
         first = int(front.trace[-1].split()[2])
@@ -180,10 +203,10 @@
     assert share(0.0, 9.0) < 0.2
 
 
-# Popularity.
+# Popularity: each front publishes hashes of the objects requested from it in each slot of SLOT_SECONDS.
 
 
-def test_a_slot_is_published_completely_and_counted_once_per_front():
+def test_a_popularity_slot_is_published_with_all_its_objects_and_counted_once_per_front():
     slots = PopularitySlots()
     assert slots.tick(0.0) is None
     hashes = [popularity.object_hash("a", part) for part in range(50)]
@@ -192,6 +215,7 @@
     assert slots.tick(1.0) is None
     number, text = slots.tick(popularity.SLOT_SECONDS)
     counts = PopularityCounts()
+    # Keys of replicated items: number of the slot and name of its front. The item of n3 is received twice.
     for item in ("1|n2", "1|n3", "1|n3"):
         counts.replace(item, text, 100.0)
     assert number == 1 and {counts.count_of(object_hash) for object_hash in hashes} == {2}
@@ -203,7 +227,7 @@
     assert not counts.counts and counts.size == 0
 
 
-def test_slots_and_their_counts_are_bounded(monkeypatch):
+def test_popularity_slots_and_the_counted_hashes_are_bounded(monkeypatch):
     slots = PopularitySlots(began_at=0.0)
     for object_hash in range(popularity.MAX_SLOT_HASHES + 10):
         slots.add(object_hash)
@@ -218,6 +242,7 @@
     ):
         counts.replace("1|n2", invalid_text, 9.0)
     assert counts.rejected == 3 and counts.size == 0
+    # With this limit, one full slot may be counted, and the next one is rejected.
     monkeypatch.setattr(popularity, "MAX_COUNTED_HASHES", popularity.MAX_SLOT_HASHES)
     counts.replace("1|n2", text, 9.0)
     counts.replace("2|n2", text, 9.0)
@@ -226,6 +251,7 @@
 
 def test_a_request_seen_before_by_another_front_counts_as_the_second():
     def rank_of_attempt(requests_elsewhere):
+        """Return the rank with which the cache stores the copy: 0 (not stored) for an unpopular object."""
         front = RouterHarness(CACHES)
         front.handle(
             1.0, RequestReceived("d", "k", 0, 3, "photo", 0.0, False, 7.0, 0.0, (), requests_elsewhere)
