--- a/tests/test_admin_errors.py
+++ b/tests/test_admin_errors.py
@@ -1,4 +1,4 @@
-"""Error answers of the admin port to invalid questions: one line, without names of exception classes."""
+"""Error answers of the admin port to invalid questions: one line of JSON, without exception class names."""
 
 import builtins
 import json
@@ -16,6 +16,7 @@
 
 
 def answer_to(line):
+    """Return the answer of an admin server without a fleet, whose only handler is `cast` (ban a client)."""
     handlers = {"cast": lambda question: [question["client"], int(float(question["seconds"]))]}
     connection = AdminServer(None, handlers).buildProtocol(None)
     transport = StringTransport()
@@ -30,6 +31,7 @@
         ("what", "a question is one JSON object on one line"),
         ("[1]", "a question is one JSON object on one line"),
         ('"ask"', "a question is one JSON object on one line"),
+        # nested too deeply for the JSON parser
         ("[" * 4000, "a question is one JSON object on one line"),
         ("{}", "the question lacks 'ask'"),
         ('{"ask": ["status"]}', "unknown question"),
@@ -47,5 +49,5 @@
     assert message in error and not any(name in error for name in EXCEPTIONS)
 
 
-def test_numbers_may_be_written_as_text():
+def test_a_number_in_a_question_may_be_a_json_string():
     assert answer_to('{"ask": "cast", "client": "10.0.0.1", "seconds": "60"}') == {"ok": ["10.0.0.1", 60]}
--- a/tests/test_binding_rules.py
+++ b/tests/test_binding_rules.py
@@ -1,6 +1,7 @@
 """The auditor's rules on disconnected clients, closed connections, deadlines and calls to cold caches.
 
-The simulated runs exercise each rule, and a sabotaged front that breaks a rule must be detected.
+The simulated runs must contain enough events to which each rule applies, and the auditor must detect
+sabotaged fronts, each of which breaks one rule.
 """
 
 from collections import Counter
@@ -26,6 +27,7 @@
         result = Run(seed, SETTINGS).play()
         assert not result.violations and not result.errors, (seed, result.violations, result.errors)
         counts.update(result.counts)
+    # Without enough of these events in all runs together, the rules would not be checked.
     for counter, minimum in (
         ("requests left open by clients", 100),
         ("attempts for clients just gone", 3),
@@ -38,10 +40,15 @@
 
 
 def test_the_bound_on_calls_to_cold_caches_is_the_documented_one():
+    # Below SMALL_CALL_LIMIT (30 allowed calls): 3 standard deviations, the square root of 25, and 3 calls
+    # more than allowed; from there on: 2 standard deviations, the square root of 100, and 2 calls.
     assert max_calls(25) == 25 + 3 * 5 + 3
     assert max_calls(100) == 100 + 2 * 10 + 2
 
 
+# Sabotages: each replaces a part of the front by a faulty one.
+
+
 def continues_for_disconnected_clients(monkeypatch):
     monkeypatch.setattr(ClientGateway, "cancel_request", lambda self, request: None)
 
@@ -58,6 +65,7 @@
     attempt_fields = request_codec.attempt_fields
 
     def altered(request, action, source, timeout):
+        """Return the fields of a command with the client's whole timeout instead of the time left."""
         return attempt_fields(request, action, source, request.timeout)
 
     monkeypatch.setattr(request_codec, "attempt_fields", altered)
--- a/tests/test_fleet_operation.py
+++ b/tests/test_fleet_operation.py
@@ -1,4 +1,4 @@
-"""Limits on the request rate of clients that the fronts of a fleet share."""
+"""The fleet-wide limit on the request rate of each client: the rates that a front publishes to its peers."""
 
 from types import SimpleNamespace
 
@@ -13,6 +13,7 @@
         publish_figure=lambda kind, client, rate: published.append(client),
     )
     limit = ClientRateLimit(context)
+    # 40 clients with two requests each, and one with three, which therefore comes first.
     clients = [f"10.0.0.{number}" for number in range(10, 50)]
     limit.requests.update(clients * 2)
     limit.requests["10.0.1.1"] = 3
--- a/tests/test_relay_network.py
+++ b/tests/test_relay_network.py
@@ -1,12 +1,15 @@
-"""Relays between the fronts of a fleet of processes: a connection lost on one side is closed on the other."""
+"""Relays between the fronts of a fleet of processes: a connection lost on one side is closed on the other.
+
+A relay accepts a connection (near) and opens one to the front behind it (far).
+"""
 
 import subprocess
 import sys
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-# Connects to a relay, resets that connection before the far one is established, and waits until the far one
-# is closed.
+# Connects to a relay, resets that connection (by closing it with a linger time of 0) before the far one is
+# established, and waits up to 5 s until the far one is closed.
 SCRIPT = """
 import socket, struct
 from twisted.internet import reactor
@@ -31,7 +34,7 @@
 """
 
 
-def test_the_far_connection_closes_if_the_near_one_is_reset_before_it_is_established():
+def test_the_far_connection_is_closed_if_the_near_one_was_reset_before_the_far_one_was_established():
     completed = subprocess.run(
         [sys.executable, "-c", SCRIPT], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
--- a/tests/test_virtual.py
+++ b/tests/test_virtual.py
@@ -29,6 +29,7 @@
     for seed in SEEDS:
         result = Run(seed, SETTINGS).play()
         assert not result.violations and not result.errors, (seed, result.violations, result.errors)
+        # Clients that leave do not wait for their answers, so these requests need not be fulfilled.
         expected = result.counts["downloads"] - result.counts["requests left open by clients"]
         assert result.counts["fulfilled"] > 0.9 * expected > 200, seed
 
@@ -47,6 +48,7 @@
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=90, env=environment
         )
         outputs.add(completed.stdout)
+    # All processes printed the same list, and the list has two digests.
     assert len(outputs) == 1 and "', '" in outputs.pop()
 
 
@@ -54,6 +56,7 @@
     run_settings = RunSettings(seconds=3.0)
     first = Run(3, run_settings).play()
     assert first.byte_digest != Run(4, run_settings).play().byte_digest
+    # `digest` covers the log, in which messages stand by class name; `byte_digest` covers the bytes sent.
     monkeypatch.setattr(Process, "__repr__", lambda self: "Renamed()")
     renamed = Run(3, run_settings).play()
     assert renamed.digest() != first.digest()
@@ -66,13 +69,18 @@
     attempt_fields = request_codec.attempt_fields
 
     def altered(request, action, source, timeout):
+        """Return the fields of a command to a cache, all with the same rank."""
         return attempt_fields(request, action, source, timeout) | {"rank": "1"}
 
     monkeypatch.setattr(request_codec, "attempt_fields", altered)
     assert Run(3, run_settings).play().byte_digest != before
 
 
+# Sabotages: each replaces a part of the front by a faulty one.
+
+
 def patch_with_wrapper(monkeypatch, owner, name, wrap):
+    """Replace a method by the one that `wrap` returns for the original method."""
     monkeypatch.setattr(owner, name, wrap(getattr(owner, name)))
 
 
@@ -89,8 +97,10 @@
 
 
 def omits_some_answers(monkeypatch):
-    def wrap(fulfill):
-        return lambda self, body, same: None if self.seqid % 50 == 7 else fulfill(self, body, same)
+    def wrap(answer_served):
+        return lambda self, body, is_not_modified: (
+            None if self.seqid % 50 == 7 else answer_served(self, body, is_not_modified)
+        )
 
     from weldbend.clients.request import ClientRequest
 
@@ -107,6 +117,7 @@
 
 def omits_undo_commands(monkeypatch):
     def cancel(self, attempt):
+        """Forget an attempt as the original method does, without the `undo` command to the cache."""
         self.in_flight.pop(attempt.name, None)
         self.cancelled_names[attempt.name] = None
 
@@ -135,8 +146,8 @@
         monkeypatch,
         EndpointUpdates,
         "update_list",
-        lambda update: lambda self, is_complete, to, receipt: (
-            update(self, is_complete, to, receipt) if is_complete else None
+        lambda update: lambda self, is_complete, records, receipt: (
+            update(self, is_complete, records, receipt) if is_complete else None
         ),
     )
 
