--- a/tests/test_failing_calls_fleet.py
+++ b/tests/test_failing_calls_fleet.py
@@ -23,7 +23,10 @@
 
 
 class FleetReactor(MemoryReactorClock):
-    """A reactor with real UDP ports on loopback and TCP in memory; connects fail with `errors` first."""
+    """A reactor with real UDP ports on loopback and TCP in memory.
+
+    The first connects fail, one for each error number in `errors`.
+    """
 
     errors = ()
 
@@ -39,7 +42,7 @@
 
 
 class FailingSocket:
-    """A UDP socket whose first calls fail with the given error numbers."""
+    """A UDP socket whose first calls of a method fail, with the error numbers given under its name."""
 
     def __init__(self, opened, **errors):
         self.opened, self.errors = opened, errors
@@ -86,6 +89,7 @@
         runtime, PassThroughAuthenticator(), lambda now, header, body: received.append(body), counts
     )
     opened.listen("127.0.0.1", 0)
+    # The tests send datagrams to the port itself, as a peer.
     opened.received, opened.own_peer = received, Peer("a", *opened.port.socket.getsockname(), "")
     yield opened
     opened.close()
@@ -107,9 +111,9 @@
     assert datagram_port.counts["datagrams that could not go"] == 1 and datagram_port.received == [MESSAGE]
 
 
-def test_a_port_closed_by_a_read_error_is_reopened(datagram_port, runtime):
+def test_a_datagram_port_closed_by_a_read_error_is_reopened(datagram_port, runtime):
     """The test closes the port itself, as the reactor does when `doRead` raises."""
-    for reopenings in (1, 2):
+    for reopenings in (1, 2):  # number of times that the port has been reopened at the end of the pass
         address, closed_port = datagram_port.own_peer.port, datagram_port.port
         closed_port.socket = FailingSocket(closed_port.socket, recvfrom=[errno.ENOMEM])
         with pytest.raises(OSError, match="injected"):
@@ -117,18 +121,18 @@
         closed_port.connectionLost()
         datagram_port.send(datagram_port.own_peer, MESSAGE)
         assert datagram_port.counts["datagrams that could not go"] == reopenings
-        datagram_port.address = ("127.0.0.1", address)
+        datagram_port.address = ("127.0.0.1", address)  # reopen with the number of the closed port
         runtime.reactor.advance(REOPEN_DELAY)
         datagram_port.send(datagram_port.own_peer, MESSAGE)
         datagram_port.port.doRead()
         assert datagram_port.port is not closed_port and datagram_port.received == [MESSAGE] * reopenings
 
 
-def test_a_port_closed_deliberately_stays_closed(datagram_port, runtime):
-    before = datagram_port.port
+def test_a_datagram_port_closed_by_close_stays_closed(datagram_port, runtime):
+    closed_port = datagram_port.port
     datagram_port.close()
     runtime.reactor.advance(2 * REOPEN_DELAY)
-    assert datagram_port.port is before and not before.connected
+    assert datagram_port.port is closed_port and not closed_port.connected
 
 
 def test_a_failed_connect_to_a_peer_is_retried_with_backoff(runtime):
@@ -136,7 +140,7 @@
     runtime.reactor.errors = [errno.EMFILE, errno.ENETUNREACH]
     manager.set_members([Peer("b", "127.0.0.1", 7, "")], ["b"])
     assert not runtime.reactor.tcpClients
-    for _ in range(2):
+    for _ in range(2):  # the second attempt fails, too, and the third one succeeds
         runtime.reactor.advance(MAX_BACKOFF)
     assert len(runtime.reactor.tcpClients) == 1
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -27,16 +27,19 @@
 
 
 def injector(seed=1, framing="thrift", **faults):
+    """Return an injector; `faults` has the fields of each fault of the plan, by its name."""
     return Injector(parse_plan({name: fields for name, fields in faults.items()}, framing), seed)
 
 
 def play(fault_injector, pieces, direction=Direction.TO_CLIENT, now=0.0):
+    """Return the actions for the bytes of one connection, received in `pieces`, up to its end."""
     stream = fault_injector.stream(1, direction, 0.0)
     fault_actions = [fault_action for piece in pieces for fault_action in stream.feed(now, piece)]
     return fault_actions + stream.end(now)
 
 
 def joined(fault_actions):
+    """Return all bytes that the actions pass on."""
     return b"".join(fault_action.data for fault_action in fault_actions)
 
 
@@ -67,6 +70,7 @@
 
 
 def test_message_triggers_are_rejected_where_the_framing_has_no_messages(tmp_path):
+    # The direction `there`, to the event bus, is not divided into messages by the framing sse.
     with pytest.raises(InvalidPlanError, match="requires messages, but direction there is raw bytes"):
         parse_plan({"f": {"kind": "drop", "direction": "there"}}, "sse")
     path = tmp_path / "plan.ini"
@@ -81,7 +85,7 @@
 def test_the_same_seed_injects_the_same_faults_for_any_split_of_the_bytes(seed, kind):
     rng, results = random.Random(seed), []
     fault = {"kind": kind, "chance": "0.4"} | ({"for": "10 ms"} if kind == "delay" else {})
-    for _ in range(2):
+    for _ in range(2):  # two different divisions of the same bytes
         fault_injector, data, pieces = injector(seed, x=fault), b"".join(ANSWERS), []
         while data:
             length = rng.randint(1, len(data))
@@ -103,9 +107,11 @@
 
 
 def test_each_kind_of_fault_has_its_documented_effect():
+    # Each fault applies to the second of three messages, unless a trigger is given.
     first, second, third = ANSWERS[:3]
 
     def play_fault(**fields):
+        """Return the actions with one fault on the second message; `inside` is an offset in that message."""
         return play(injector(x={"message": "2"} | fields), ANSWERS[:3])
 
     assert joined(play_fault(kind="drop")) == first + third
@@ -129,7 +135,7 @@
     assert [d.at for d in delayed if d.data] == pytest.approx([0.01, 0.02, 0.03])
 
 
-def test_triggers_by_byte_field_connection_time_and_count():
+def test_faults_are_triggered_by_byte_field_connection_time_and_count():
     data = b"".join(ANSWERS)
     cut_stream = play(injector(framing="raw", x={"kind": "cut", "byte": "100"}), [data[:60], data[60:]])
     assert joined(cut_stream) == data[:100] and cut_stream[-1].kind is ActionKind.RESET
@@ -198,7 +204,7 @@
     ]
 
 
-def test_a_half_close_in_the_middle_of_a_thrift_reply_between_real_sockets(tmp_path):
+def test_the_tool_half_closes_a_real_connection_in_the_middle_of_a_thrift_reply(tmp_path):
     path = tmp_path / "plan.ini"
     path.write_text("[half]\nkind = half-close\nfield = seqid=2\ninside = 9\n")
     with socket.create_server(("127.0.0.1", 0)) as server:
@@ -208,7 +214,7 @@
         tool = subprocess.Popen(command, stdout=subprocess.PIPE, text=True)
         try:
             host, _, listening = json.loads(tool.stdout.readline())["listening"].partition(":")
-            for _ in range(2):  # each connection gets the same fault
+            for _ in range(2):  # connections in succession; each gets the same fault
                 with socket.create_connection((host, int(listening)), 20) as client:
                     client.sendall(process(1) + process(2))
                     connection, _ = server.accept()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -42,17 +42,19 @@
 from weldbend.fleet.topology import neighbours
 from weldbend.testbed.fleet.fleet_model import FleetModel, ModelSettings
 
-ONE, TWO = {b"aaaa": b"1" * 32}, {b"bbbb": b"2" * 32}
+ONE, TWO = {b"aaaa": b"1" * 32}, {b"bbbb": b"2" * 32}  # keys by key id
 
 
 # Message authentication.
 
 
 def authenticator_pair(keys=ONE, other_keys=ONE):
+    """Return the authenticators of the fronts a (epoch 10) and b (epoch 20) of the fleet f."""
     return MessageAuthenticator("f", "a", 10, keys), MessageAuthenticator("f", "b", 20, other_keys)
 
 
 def rejection_cause(authenticator, data, **options):
+    """Return the cause for which an authenticator rejects a message, which must also be counted."""
     with pytest.raises(AuthenticationError) as raised:
         authenticator.verify(data, **options)
     assert authenticator.dropped[str(raised.value)] >= 1
@@ -76,7 +78,7 @@
             b.verify(bytes(changed))
     assert b.verify(data).body == b"hello", "a tampered message must not use up its sequence number"
     a, b = authenticator_pair()
-    assert rejection_cause(a, a.authenticate("b", b"x")) == "reflected"
+    assert rejection_cause(a, a.authenticate("b", b"x")) == "reflected"  # its own message comes back
     assert rejection_cause(b, a.authenticate("c", b"x")) == "meant for another"
     assert (
         rejection_cause(b, MessageAuthenticator("g", "a", 10, ONE).authenticate("b", b"x"))
@@ -89,6 +91,7 @@
         rejection_cause(b, MessageAuthenticator("f", "a", 10, {b"aaaa": b"3" * 32}).authenticate("b", b"x"))
         == "wrong MAC"
     )
+    # The third argument of `authenticate`: the message is for a connection; b gets it as a datagram.
     assert rejection_cause(b, a.authenticate("b", b"x", True)) == "of the other kind of path"
     assert (
         rejection_cause(
@@ -100,7 +103,7 @@
     assert rejection_cause(b, bytes(1 << 20)) == "too long"
 
 
-def test_datagrams_in_any_order_are_accepted_once_and_only_within_the_window():
+def test_datagrams_in_any_order_are_accepted_once_unless_much_later_ones_were_received():
     a, b = authenticator_pair()
     sent = [a.authenticate("b", b"%d" % n) for n in range(3000)]
     oldest = sent[0]
@@ -108,6 +111,7 @@
     random.Random(3).shuffle(order)
     assert all(b.verify(data) for data in order)
     assert b.verify(sent[2900])
+    # `oldest` was never received, but its number is now too far behind the highest one received.
     assert rejection_cause(b, oldest) == "replayed"
 
 
@@ -116,7 +120,7 @@
     both_keys = read_keys("61616161 " + "31" * 32 + "\n62626262 " + "32" * 32 + " # new\n")
     b.set_keys(both_keys)
     assert b.verify(a.authenticate("b", b"old key")).body == b"old key"
-    a.set_keys(dict(reversed(both_keys.items())))
+    a.set_keys(dict(reversed(both_keys.items())))  # a front authenticates with the first of its keys
     assert b.verify(a.authenticate("b", b"new key")).body == b"new key"
     b.set_keys({b"bbbb": both_keys[b"bbbb"]})
     assert b.verify(a.authenticate("b", b"only the new one")).body == b"only the new one"
@@ -131,7 +135,7 @@
 
 @settings(max_examples=200, derandomize=True)
 @given(st.binary(max_size=300))
-def test_arbitrary_bytes_raise_no_other_error(data):
+def test_arbitrary_bytes_raise_no_error_other_than_invalid_peer_message(data):
     for read in (m.read_datagram, m.read_connection_message):
         try:
             read(data)
@@ -190,7 +194,7 @@
 def test_a_silent_front_is_declared_dead_only_after_the_suspicion_timeout():
     network = MembershipNetwork(*"abcde")
     network.run(12)
-    removed = network.fronts.pop("e")
+    removed = network.fronts.pop("e")  # e stops without a message
     assert removed
     network.run(14)
     assert State.DEAD not in {network.state(x, "e") for x in "abcd"}
@@ -203,7 +207,7 @@
     network.blocked_paths = {("a", "b"), ("b", "a")}
     network.run(60)
     assert network.state("a", "b") is State.ALIVE
-    assert network.fronts["a"].counts["asked through others"] > 0
+    assert network.fronts["a"].counts["asked through others"] > 0  # indirect probes
 
 
 def test_an_isolated_front_declares_no_member_dead():
@@ -221,13 +225,13 @@
 def test_a_paused_front_declares_no_member_dead_and_refutes_its_own_death():
     network = MembershipNetwork(*"abcd")
     network.run(12)
-    paused = network.fronts.pop("d")
+    paused = network.fronts.pop("d")  # it neither sends nor receives until it is put back
     network.run(60)
     assert network.state("a", "d") is State.DEAD
     network.fronts["d"] = paused
     network.run(61)
-    assert paused.counts["stood still"] == 1
-    assert paused.counts["known dead"] == 0
+    assert paused.counts["stood still"] == 1  # detected pauses
+    assert paused.counts["known dead"] == 0  # members that it declared dead
     network.run(90)
     assert {network.state(x, "d") for x in "abc"} == {State.ALIVE}
 
@@ -235,6 +239,7 @@
 def test_a_front_restarted_with_an_older_clock_is_notified_and_adopts_a_later_epoch():
     network = MembershipNetwork(*"abc")
     network.run(12)
+    # epoch 7; the earlier run of c had epoch 100
     network.fronts["c"] = Membership("c", 7, network.settings, "abc", 9, network.now)
     network.run(30)
     assert network.fronts["c"].epoch > 100
@@ -245,6 +250,7 @@
 def test_two_processes_with_one_name_are_detected():
     network = MembershipNetwork(*"abc")
     network.run(8)
+    # A second process named c sends to all others. It receives only answers to its own messages.
     duplicate = Membership("c", 50, network.settings, "abc", 9, network.now)
     for _ in range(60):
         network.run(network.now + 0.5)
@@ -267,7 +273,7 @@
     a.apply_update(m.MemberUpdate("c", 100, MAX_INCARNATION_LEAP + 9, int(State.DEAD), "b"), network.now)
     a.apply_update(m.MemberUpdate("nobody", 1, 0, int(State.ALIVE), "b"), network.now)
     assert a.members["c"].rank() == before
-    a.raise_epoch(1 << 52, network.now)
+    a.raise_epoch(1 << 52, network.now)  # too far above the current epoch, 100
     assert a.epoch == 100
     for counter in ("leaps of an incarnation", "rumours of nobody", "leaps of an epoch"):
         assert a.counts[counter] == 1
@@ -309,28 +315,29 @@
     stopped_at = network.now
     while network.state("a", "c") is not State.DEAD:
         network.run(network.now + 0.5)
-        assert network.now < stopped_at + 12, "an unconfirmed suspicion would take as long"
+        assert network.now < stopped_at + 12, "the suspicion takes 4 s if it is confirmed, 20 s if not"
+    # but no less than the duration with one confirmation, 4 s
     assert network.now - stopped_at > network.settings.suspicion_timeout(3, 1)
 
 
 def test_a_restart_behind_a_blocked_path_is_learnt_through_another_member():
     network = MembershipNetwork(*"abc")
     network.run(12)
-    network.blocked_paths = {("a", "b"), ("b", "a")}
+    network.blocked_paths = {("a", "b"), ("b", "a")}  # a learns of b only through c
     network.fronts["b"] = Membership("b", 500, network.settings, "abc", 9, network.now)
     network.run(40)
     assert network.fronts["a"].members["b"].epoch == 500
     assert network.state("a", "b") is State.ALIVE
 
 
-def test_a_member_that_does_not_refute_its_death_is_notified_once_per_interval():
+def test_a_member_believed_dead_that_keeps_sending_is_notified_of_that_belief_once_per_interval():
     network = MembershipNetwork(*"ab")
     network.run(8)
     a = network.fronts["a"]
     member = a.members["b"]
     a.table.update(member, Rank(member.epoch, member.incarnation, State.DEAD), network.now, "for the test")
     notifications = 0
-    for n in range(100):
+    for n in range(100):  # a probe from b every 0.01 s, for a second
         answers = a.receive(network.now + n / 100, "b", member.epoch, m.Probe(n))
         notifications += sum(isinstance(send.body, m.Probe) for send in answers)
     assert notifications == 1
@@ -346,7 +353,10 @@
     assert all(
         one in neighbours_by_name[other] for one, others in neighbours_by_name.items() for other in others
     )
+    # Fleets of up to 12 fronts are fully connected. In larger ones each front has at most two neighbours at
+    # each distance 1, 2, 4, ... up to half of the ring: for 200 fronts 2 * 7 = 14, below the bound of 16.
     assert max(map(len, neighbours_by_name.values())) <= (count - 1 if count <= 12 else 16)
+    # Hops over which a change from one front reaches all others.
     reached, frontier, hops = {names[0]}, {names[0]}, 0
     while len(reached) < count:
         frontier = {other for one in frontier for other in neighbours_by_name[one]} - reached
@@ -355,7 +365,7 @@
 
 
 def test_a_full_outbox_drops_recoverable_messages_first_and_critical_ones_last():
-    outbox = Outbox(100)
+    outbox = Outbox(100)  # bytes; the second summary (COMPARISON) supersedes the first
     assert outbox.put(b"h" * 30, Priority.COMPARISON) and outbox.put(b"H" * 30, Priority.COMPARISON)
     assert outbox.put(b"s" * 40, Priority.SNAPSHOT) and outbox.put(b"c" * 30, Priority.CHANGE)
     assert outbox.put(b"p" * 60, Priority.CRITICAL) and outbox.size <= 100
@@ -364,6 +374,7 @@
     ), "a newer message replaces the oldest one of the same priority"
     assert not outbox.put(b"c" * 80, Priority.CHANGE)
     assert outbox.pop() == b"q" * 60
+    # Both summaries, the snapshot message, the queued change and the refused one, the older critical message.
     assert dict(outbox.dropped) == {"COMPARISON": 2, "SNAPSHOT": 1, "CHANGE": 2, "CRITICAL": 1}
 
 
@@ -386,6 +397,7 @@
         writers[writer_index].write(1.0, kind, key, *value)
     operations = [op for writer in writers for log in writer.logs.values() for op, _ in log.operations]
     reader = ReplicatedStore("r", 1, retained_operations)
+    # 70 % of the operations arrive, and 30 % (chosen independently) arrive once more or for the first time.
     arriving = [op for op in operations if rng.random() < 0.7] + [
         op for op in operations if rng.random() < 0.3
     ]
@@ -394,8 +406,8 @@
         reader.apply(op, 2.0)
     for writer in writers:  # anti-entropy transfers lost changes, one by one or as a snapshot
         for _ in range(40):
-            missing = writer.changes_after(reader.vector(), 3.0, 7)
-            if missing is None:
+            missing = writer.changes_after(reader.vector(), 3.0, 7)  # at most 7 at a time
+            if missing is None:  # the writer has discarded some of them
                 for part, _, _ in writer.snapshot_chunks("", 3.0, 4):
                     reader.load_snapshot(part, 3.0)
                 reader.advance_to(writer.vector(), 3.0)
@@ -434,20 +446,22 @@
     assert merge(a, a) == a
 
 
-def test_a_peer_can_tighten_a_drain_and_never_loosen_it():
+def test_a_peer_can_make_the_state_of_a_cache_stricter_but_never_less_strict():
     store = ReplicatedStore("a", 1)
+    # value of a drain: number of the bus event, index of the state in LIST_STATES (0 up, 1 draining, ...)
     store.write(0.0, "drain", "x", 5, 1)
     assert (
         store.apply(m.Operation("b", 1, 1, "drain", "x", [4, 0], 0.0), 1.0) is None
     ), "a drain from an older list"
     assert store.items["drain", "x"].value == (5, 1)
     assert store.apply(m.Operation("b", 1, 2, "drain", "x", [5, 2], 0.0), 1.0).value == (5, 2)
+    # a purge with an invalid key
     assert store.apply(m.Operation("b", 1, 3, "purge", "nothing", [1], 0.0), 1.0) is None
     assert (
         store.apply(m.Operation("b", 1, 4, "evidence", "x|c", [1, 1, 1.0, 0.0], 0.0), 1.0) is None
     ), "evidence under the name of another writer"
     assert store.counts["invalid changes"] == 2
-    assert store.vector()["b/1"] == 4
+    assert store.vector()["b/1"] == 4  # invalid operations count as received, too
 
 
 # Catch-up.
@@ -492,7 +506,10 @@
 
 
 def donors_and_receiver(retained_operations=16, names="bc", **changed_settings):
-    """Return donors that have caught up, with 700 items each, an empty receiver and its snapshot request."""
+    """Return donors that have caught up, with 700 items each, an empty receiver and its snapshot request.
+
+    The donors retain only `retained_operations` of the 700 operations, so the receiver needs a snapshot.
+    """
     fleet_settings = FleetSettings(
         retained_operations=retained_operations, **{"peer_rate": 10_000_000, **changed_settings}
     )
@@ -524,7 +541,8 @@
     (first_chunk,) = donors[request.to].handle(0.2, "a", request.body)
     receiver.handle(0.3, request.to, first_chunk.body)
     (second_request,) = receiver.peer_disconnected(request.to, 0.4)
-    # only the second donor has this change, and the first one already sent that key range
+    # Only the second donor has this change. Its key is in the range that the first donor has already sent, so
+    # the second one does not send it.
     donors[second_request.to].store.apply(m.Operation("w", 1, 701, "purge", "k:0000x", [9], 0.0), 0.4)
     sends = donors[second_request.to].handle(0.5, "a", second_request.body)
     while sends:
@@ -561,7 +579,7 @@
 
 def test_a_silent_snapshot_donor_is_replaced_after_the_timeout():
     _, receiver, request = donors_and_receiver()
-    receiver.transfer.received_at = 0.1
+    receiver.transfer.received_at = 0.1  # the donor is silent from now on; the timeout is 2 s
     assert not any(isinstance(send.body, m.SnapshotRequest) for send in receiver.tick(2.0))
     (second_request,) = [send for send in receiver.tick(2.2) if isinstance(send.body, m.SnapshotRequest)]
     assert second_request.to != request.to
@@ -580,8 +598,8 @@
         now += 0.05
         assert now < 20.0
         sends = donor.tick(now)
-    assert sent_bytes > 15_000
-    assert sent_bytes <= 10_000 * (now + 1.0)
+    assert sent_bytes > 15_000  # more than the rate allows in one second
+    assert sent_bytes <= 10_000 * (now + 1.0)  # the rate, with a burst of one second at the start
     assert now > 1.0
 
 
@@ -593,11 +611,11 @@
     for sender, receiver in ("ab", "ba"):
         exchanges[sender].peer_connected(receiver, 0.0)
     exchanges["b"].handle(0.1, "a", exchanges["a"].next_summary("b", 0.1).body)
-    stale_summary = exchanges["b"].next_summary("a", 0.1).body
+    stale_summary = exchanges["b"].next_summary("a", 0.1).body  # b's reply to a's summary
     exchanges["a"].handle(0.2, "b", stale_summary)
     assert exchanges["a"].is_caught_up
-    exchanges["a"].set_lagging(60.0)
-    exchanges["a"].handle(60.1, "b", stale_summary)
+    exchanges["a"].set_lagging(60.0)  # a detects a pause of nearly 60 s
+    exchanges["a"].handle(60.1, "b", stale_summary)  # received only after the pause
     assert not exchanges["a"].is_caught_up
     exchanges["b"].handle(60.2, "a", exchanges["a"].next_summary("b", 60.1).body)
     exchanges["a"].handle(60.3, "b", exchanges["b"].next_summary("a", 60.2).body)
@@ -609,6 +627,7 @@
     exchange = AntiEntropy(ReplicatedStore("a", 1), FleetSettings(), 1, lambda _: None, 0.0)
     exchange.set_caught_up(0.0)
     members.advance(0.1)
+    # 0.1 s since the last call of `advance` is no pause, 59.9 s are one.
     assert resume_after_pause(members, exchange, 0.2) == [] and exchange.is_caught_up
     resume_after_pause(members, exchange, 60.0)
     assert not exchange.is_caught_up and members.counts["stood still"] == 1
@@ -623,7 +642,7 @@
     assert isinstance(refusal.body, m.SnapshotRefusal) and refusal.body.reason == "not caught up"
 
 
-# Model fleets from a seed.
+# Model fleets, whose faults and messages a seed determines.
 
 SMALL = ModelSettings(
     fleet=FleetSettings(retained_operations=16, min_suspicion=1.5, suspicion_spread=2.0), faults=5, rate=5.0
@@ -689,10 +708,11 @@
     return apply
 
 
+# For each faulty implementation, a function that installs it.
 SABOTAGE = {
     "the latest drain replaces a stricter one": patch_merge("drain", lambda a, b: b),
-    "the least strict drain is kept": patch_merge("drain", min),
-    "the oldest purge is kept": patch_merge("purge", min),
+    "the drain of the older or less strict list wins": patch_merge("drain", min),
+    "the oldest purge of an object wins": patch_merge("purge", min),
     "two deduplication groups of one key are not merged": patch_merge("keyed", lambda a, b: b),
     "changes of an earlier epoch are not merged": lambda mp: mp.setattr(
         ReplicatedStore, "apply", apply_only_the_newest_epoch(ReplicatedStore.apply)
@@ -772,14 +792,14 @@
     assert any(f"path={KEY}" in line and "oldest=" in line for line in front.harness.trace)
 
 
-def test_a_peer_drain_applies_only_from_a_list_newer_than_the_own(tmp_path):
+def test_a_peer_drain_applies_only_if_its_list_is_newer_than_the_list_from_the_own_bus(tmp_path):
     front = FrontWithPeer(tmp_path)
     front.apply_peer_change("drain", "e1", 5, 1)
-    assert front.state_name("e1") == "READY", "its own bus has delivered that list already"
+    assert front.state_name("e1") == "READY", "the front's own bus has already delivered event 5"
     front.apply_peer_change("drain", "e1", 9, 1)
     assert front.state_name("e1") == "DRAINING"
     front.apply_peer_change("drain", "e2", UNREACHABLE_OFFSET, 2)
-    assert front.state_name("e2") == "READY", "no event bus can have that offset"
+    assert front.state_name("e2") == "READY", "no event bus reaches that event number"
 
 
 def test_a_purge_of_a_non_numeric_group_is_rejected(tmp_path):
@@ -790,13 +810,15 @@
     assert front.adapter.counts["peer purges applied"] == 1
 
 
-def test_changes_from_an_earlier_run_of_this_front_are_applied(tmp_path):
+def test_changes_written_by_an_earlier_process_of_this_front_are_applied(tmp_path):
     front = FrontWithPeer(tmp_path)
     front.apply_peer_change("drain", "e1", 9, 1, writer="n1")
     assert front.state_name("e1") == "DRAINING"
 
 
-def test_a_start_reported_again_under_another_clock_keeps_the_cache_history(tmp_path):
+def test_a_cache_start_that_is_listed_after_a_step_of_the_unix_clock_does_not_reset_the_cache_history(
+    tmp_path,
+):
     front = FrontWithPeer(tmp_path)
     stamp = int(front.harness.unix() * 1000)
     front.apply_peer_change("start", "e1", stamp)
@@ -809,7 +831,8 @@
     assert cache.started == started and cache.successes.total(front.harness.front.clock.now()) == 1
 
 
-def test_a_peer_state_is_applied_only_if_stricter():
+def test_a_cache_state_from_a_peer_is_applied_only_if_it_restricts_and_its_list_is_newer():
+    # Arguments: (number of the bus event, index of the state in LIST_STATES), last event of the own bus.
     assert stricter_state(None, 5) is None
     assert stricter_state((6, 0), 5) is None, "the state up does not cancel a drain"
     assert [stricter_state((n, 2), 5) for n in (4, 5, 6, UNREACHABLE_OFFSET)] == [None, None, "removed", None]
@@ -821,6 +844,7 @@
     assert (
         limiter.effective_from(500.0, 1.0, 100.0) == 100.0
     ), "a time in the future is limited to the present"
+    # The 50 purges above the limit per second are rejected; one more anomaly is the time in the future.
     effective_times = [limiter.effective_from(90.0, 2.0, 100.0) for _ in range(MAX_PURGES_PER_SECOND + 50)]
     assert effective_times.count(None) == 50
     assert limiter.effective_from(90.0, 3.0, 100.0) == 90.0
--- a/tests/test_fleet_clock.py
+++ b/tests/test_fleet_clock.py
@@ -80,14 +80,15 @@
 
 
 @pytest.mark.parametrize("step", [0.2, 60.0, HOUR])
-def test_a_front_restarted_with_a_clock_behind_all_its_runs_adopts_a_later_epoch(step):
+def test_a_front_restarted_with_a_clock_before_all_its_earlier_starts_adopts_a_later_epoch(step):
     network = MembershipNetwork(*"abc")
     epoch = 10_000_000
-    for _ in range(5):  # more runs than the others keep sequence numbers of
+    for _ in range(5):  # more epochs of c than those whose sequence numbers the other fronts remember
         network.run(network.now + 6.0)
         epoch += 6000
         network.fronts["c"].restart(epoch, network.now)
     network.run(network.now + 6.0)
+    # An epoch is the Unix time of a start in milliseconds; the five restarts raised it by 5 * 6000 = 30 000.
     network.fronts["c"].restart(epoch - 30_000 - int(step * 1000), network.now)
     network.run(network.now + 40.0)
     c = network.fronts["c"].membership
@@ -97,6 +98,7 @@
 
 
 def test_changes_written_after_an_epoch_raise_apply_at_once():
+    # `earlier` and `later` are the stores of two processes of c; the later process starts with a lower epoch.
     peer, earlier, later = ReplicatedStore("a", 1), ReplicatedStore("c", 5000), ReplicatedStore("c", 40)
     earlier.write(1.0, "need", "parents|c", 5000, 1, 7.0)
     peer.apply(earlier.logs["c/5000"].operations[-1].operation, 1.0)
@@ -139,7 +141,7 @@
 def test_all_components_of_a_front_adopt_a_raised_epoch(tmp_path):
     front = FleetFront(tmp_path)
     later_epoch = front.fleet.membership.epoch + 5000
-    # written by an earlier run of n1
+    # written by an earlier process of n1, whose epoch was higher
     front.apply_peer_change("need", "parents|n1", later_epoch, 3, 9.0, writer="n1")
     front.fleet.membership.raise_epoch(later_epoch, front.now())
     front.fleet.tick()
@@ -152,11 +154,12 @@
 # Times reported by peers.
 
 
+# seconds by which the Unix clock is stepped
 STEPS = [0.2, 7.0, HOUR, -0.2, -7.0, -HOUR]
 
 
 def record_purge_ages(front):
-    """Return a list to which the age of each purge is appended that is posted from now on."""
+    """Return a list that receives the age of each purge posted to the router from now on."""
     ages = []
     post = front.harness.dispatcher.post
     front.harness.dispatcher.post = lambda event, first=False: (
@@ -183,6 +186,7 @@
     front.adapter.purges.publish(Purge(KEY, 0, stamp / 1000))
     front.fleet.store.items.clear()  # the replicated purge has expired
     front.harness.advance(70.0)
+    # The same purge, published again by a peer, is identified by its key and its timestamp.
     ages = record_purge_ages(front)
     front.apply_peer_change("purge", f"k:{KEY}", stamp)
     assert ages == [] and front.adapter.counts["peer purges replayed"] == 1
@@ -215,7 +219,7 @@
     front.apply_peer_change("keyed", "once", "c:1", int(front.harness.unix() * 1000))
     front.harness.advance(2.0)
     front.offset = step
-    # a repeated attempt
+    # n3 writes the item again, for another attempt with the same key, under the stepped clock.
     front.apply_peer_change("keyed", "once", "c:1", int((front.harness.unix() + step) * 1000), writer="n3")
     front.harness.advance(0.5)
     item = front.fleet.store.items["keyed", "once"]
@@ -224,13 +228,14 @@
     assert execution.sent >= first_written_at - 2 * idempotency.MAX_CLOCK_ERROR
 
 
-def test_a_snapshot_keeps_the_donor_time_of_a_first_attempt():
+def test_a_snapshot_preserves_the_ages_of_a_first_attempt_by_the_clock_of_the_donor():
     donor, receiver = ReplicatedStore("a", 1), ReplicatedStore("c", 1)
     donor.write(10.0, "keyed", "once", "c:1", 5000)
     donor.apply(m.Operation("b", 1, 1, "keyed", "once", ["c:1", 9000], 0.0), 40.0 - 1.0)
     (chunk,) = donor.snapshot_chunks("", 39.5, 10)
     receiver.load_snapshot(chunk.operations, 100.0)
     item = receiver.items["keyed", "once"]
+    # At the donor at 39.5 s: the last write was at 39 s, 0.5 s ago, and the first one at 10 s, 29.5 s ago.
     assert (item.written_at, item.first_written_at) == (99.5, 100.0 - 29.5)
 
 
@@ -245,13 +250,14 @@
         if kind == "setting":
             second.apply_peer_change(kind, key, *item.value)
     first.offset = second.offset = step
+    # 1 s, 599 s and 601 s after the ban of 600 s
     for seconds, is_banned in ((1.0, True), (598.0, True), (2.0, False)):
         for front in (first, second):
             front.harness.advance(seconds)
         assert [ban.is_banned("10.0.9.8") for ban in bans] == [is_banned] * 2
 
 
-def test_a_ban_with_an_absolute_end_does_not_move_with_a_clock_step(tmp_path):
+def test_the_end_of_a_ban_given_as_unix_time_does_not_move_with_a_clock_step(tmp_path):
     front = FleetFront(tmp_path)
     front.apply_peer_change("setting", "cast/10.0.9.8", 1, f"until {int(front.harness.unix()) + 600}")
     front.offset = HOUR
@@ -262,7 +268,7 @@
 
 def test_lease_time_slots_do_not_move_with_a_clock_step(tmp_path):
     front = FleetFront(tmp_path)
-    slots = front.fleet.lease_service._unix
+    slots = front.fleet.lease_service._unix  # the Unix time by which time slots are numbered
     before = slots()
     front.offset = HOUR
     front.harness.advance(1.0)
@@ -282,7 +288,7 @@
     assert cache.started == before
 
 
-# Fleets from a seed, with stepped clocks.
+# Simulated fleets with stepped clocks; a seed determines the steps and the other faults.
 
 STEPPED_CLOCKS = ModelSettings(clock_steps=4)
 
@@ -302,12 +308,12 @@
     assert run.audit() == [], (seed, run.faults)
 
 
-def test_a_replica_that_keeps_its_first_epoch_is_detected(monkeypatch):
+def test_the_audit_detects_a_replica_that_does_not_adopt_a_raised_epoch(monkeypatch):
     monkeypatch.setattr(ReplicatedStore, "set_epoch", lambda self, epoch: None)
     assert any(FleetModel(seed, STEPPED_CLOCKS).run().audit() for seed in range(1, 9))
 
 
-def test_leases_keep_the_limit_with_stepped_clocks():
+def test_leases_never_exceed_the_limit_with_stepped_clocks():
     result = search(range(1, 31), steps=4)
     assert result["over"] == [] and result["worst of the limit"] > 0.95
 
@@ -319,11 +325,12 @@
     return highest[number]
 
 
-def test_leases_timed_by_the_wall_clock_are_detected(monkeypatch):
+def test_the_search_finds_that_leases_timed_by_the_wall_clock_exceed_the_limit(monkeypatch):
     monkeypatch.setattr(QuotaExperiment, "clock", wall_clock)
     assert search(range(1, 11), steps=4)["over"]
 
 
+# Steps in seconds, by the index of the front; index 1 is front 2, whose bus is blocked.
 CLOCK_STEPS = {
     "one ahead": {1: HOUR},
     "one behind": {1: -HOUR},
@@ -342,7 +349,7 @@
         run.site.publish(ban={"tag": 1, "ts": run.site.unix_ms()})
 
     for at, call in (
-        (2.0, lambda: run.block_bus({2}, 12.0)),  # longer than the load
+        (2.0, lambda: run.block_bus({2}, 12.0)),  # until after the end of the load at 12 s
         (2.5, lambda: run.apply_clock_step(ClockStep(2.5, offsets))),
         (3.5, publish_purge),
         (4.0, lambda: run.site.publish_state("e1", "draining")),
@@ -364,7 +371,7 @@
     self.dispatcher.post(ObjectsPurged(None, int(change.key.removeprefix("g:")), max(age, 0.0)))
 
 
-def test_a_purge_dated_by_the_wall_clock_is_detected(monkeypatch):
+def test_the_auditor_detects_a_purge_dated_by_the_wall_clock(monkeypatch):
     monkeypatch.setattr(PurgeExchange, "apply", apply_by_wall_clock)
     rules = {violation.rule for violation in run_with_blocked_bus(CLOCK_STEPS["one ahead"]).violations}
     assert rules == {Rule.PURGES}
--- a/tests/test_fleet_fronts.py
+++ b/tests/test_fleet_fronts.py
@@ -1,7 +1,7 @@
 """Fleets of complete fronts on a virtual clock, with one kind of failure per test.
 
 The auditor checks the rules from the traffic of the sockets and the event bus alone. The tests guard against
-drains and purges that a front misses while its bus, its peers or its process are down.
+drains and purges that a front misses while its connection to the bus, its peers or its own process are down.
 """
 
 import pytest
@@ -25,7 +25,10 @@
 
 
 def run(*scheduled, seed=1, **changed_settings):
-    """Return a finished run in which only the `scheduled` pairs (seconds, call with the run) take place."""
+    """Return a finished run without random faults.
+
+    `scheduled` has pairs of a time in seconds and a function that is called at that time with the run.
+    """
     fleet_run = FleetRun(
         seed, FleetRunSettings(**NO_FAULTS | {"seconds": 12.0, "calm": 0.0} | changed_settings)
     )
@@ -41,10 +44,12 @@
 
 
 def drain(uid):
+    """Return a function, for `run`, that publishes on the event bus that a cache is draining."""
     return lambda fleet_run: fleet_run.site.publish_state(uid, "draining")
 
 
 def block_bus(numbers, seconds):
+    """Return a function, for `run`, that blocks the event bus for some fronts."""
     return lambda fleet_run: fleet_run.block_bus(numbers, seconds)
 
 
@@ -75,7 +80,7 @@
 
 
 @pytest.mark.parametrize("disconnected", [{2}, {2, 3, 4}], ids=["one front", "all but one"])
-def test_drains_and_purges_reach_fronts_without_a_bus_through_the_fleet(disconnected):
+def test_fronts_without_a_bus_learn_of_drains_and_purges_from_their_peers(disconnected):
     scheduled = [
         (2.0, block_bus(disconnected, 8.0)),
         (3.0, drain("e1")),
@@ -94,7 +99,7 @@
     assert {violation.rule for violation in without.play().violations} == {"drains kept", "purges kept"}
 
 
-def test_after_a_split_the_newer_list_applies_at_all_fronts():
+def test_after_a_split_the_endpoint_list_with_the_restart_of_a_drained_cache_applies_at_all_fronts():
     def start_cache(fleet_run):
         fleet_run.site.targets["e1"] |= {"boot_ms": int(fleet_run.events.unix() * 1000)}
         fleet_run.site.publish_state("e1", "up")
@@ -104,6 +109,8 @@
         for number in (3, 4):
             fleet_run.auditor.on_front_unreachable(f"n{number}", 2.0, 7.0, False)
 
+    # The drain at 3 s reaches only fronts 1 and 2, and the start at 5 s only fronts 3 and 4, which have their
+    # bus again from 4.5 s on. After the split, at 8 s, both sides must use the later list, with the start.
     fleet_run = run(
         (2.0, lambda m: m.split({1, 2}, 6.0)), (2.0, exempt_cut_off_fronts), (2.0, block_bus({3, 4}, 2.5)),
         (3.0, drain("e1")), (4.0, block_bus({1, 2}, 5.0)), (5.0, start_cache), seed=2, seconds=16.0,
@@ -114,7 +121,7 @@
         cache = dispatcher.router.caches[dispatcher.names.numbers["e1"]]
         assert (
             cache.state.name == "READY" and cache.started is not None
-        ), "the newer list applies at every front"
+        ), "each front must apply the list with the start, not the one with the drain"
 
 
 def test_half_of_the_fleet_paused_for_30_s_declares_no_member_dead():
@@ -125,6 +132,7 @@
     assert violated_rules(fleet_run) == [] and fleet_run.result.divergences == []
     for number in (1, 2):
         fleet = fleet_adapter(fleet_run, number).fleet
+        # detected pauses, and members that this front declared dead
         assert fleet.membership.counts["stood still"] >= 1 and fleet.membership.counts["known dead"] == 0
 
 
@@ -134,6 +142,7 @@
         fleet_run.network.extra_delay[("10.0.2.1", "10.0.0.1")] = 0.1
 
     pause = (2.0, lambda m: m.freeze(1, 6.0))
+    # Front 1 is paused from 2 s to 8 s; both drains are published in that time.
     fleet_run = run((1.9, delay_bus), pause, (4.0, drain("e1")), (4.0, drain("e2")), rate=60.0)
     assert violated_rules(fleet_run) == []
     after = [
@@ -142,22 +151,22 @@
     assert not after, "no command may go to a cache that was drained during the pause"
 
 
-def send_order(fleet_run, number, idempotency_key, is_repeat=True):
-    """Send one order to a front and return the id of the request."""
+def send_order(fleet_run, number, idempotency_key, is_retry=True):
+    """Send a request of the class `order` to a front, marked as a retry or not; return the request's id."""
     fleet_run.workload.request_count += 1
     fields = fleet_run.workload.request_fields("order", 1) | {
         "id": f"{fleet_run.workload.request_count:016x}",
         "once": idempotency_key,
     }
-    fleet_run.workload.connections[number][0].send(fields | ({"retry": "1"} if is_repeat else {}))
+    fleet_run.workload.connections[number][0].send(fields | ({"retry": "1"} if is_retry else {}))
     return fields["id"]
 
 
-def test_an_order_repeated_at_another_front_10_ms_after_its_front_was_killed_runs_at_most_once():
+def test_an_order_retried_at_another_front_10_ms_after_the_first_front_was_killed_runs_at_most_once():
     idempotency_key, request_ids = "ab" * 16, []
 
     def send_first(fleet_run):
-        request_ids.append(send_order(fleet_run, 1, idempotency_key, is_repeat=False))
+        request_ids.append(send_order(fleet_run, 1, idempotency_key, is_retry=False))
 
     fleet_run = run(
         (3.0, send_first), (3.008, lambda m: m.site.kill_front(1, 2.0)),
@@ -166,6 +175,7 @@
     )  # fmt: skip
     assert violated_rules(fleet_run) == []
     assert fleet_adapter(fleet_run, 2).counts["requests possibly executed elsewhere"] == 1
+    # The third request, at front 3 and 5 s after the first, must fail without an attempt.
     last = [answer.outcome for _, answer in fleet_run.auditor.requests["n3", request_ids[2]].answers]
     assert last == [
         "abandoned"
@@ -198,7 +208,7 @@
 
     def send_newer_hello(self):
         if self.manager.authenticator.name == "n4":
-            body = m.encode(m.Hello(2, 3, self.nonce, ""))
+            body = m.encode(m.Hello(2, 3, self.nonce, ""))  # supports the versions 2 to 3 only
             self.outbox.put(
                 add_length_prefix(self.manager.authenticator.authenticate(self.peer, body, True)),
                 Priority.CRITICAL,
@@ -220,13 +230,15 @@
     assert ("purge", "g:1") in fleet_adapter(fleet_run, 3).fleet.store.items
 
 
-def test_a_saturated_link_delays_no_purge_and_dropped_changes_are_resent():
+def test_a_saturated_link_delays_no_purge_and_changes_dropped_from_the_outbox_are_sent_again():
     def saturate(fleet_run):
+        """Publish 300 changes of 1500 bytes at front 1, to 60 items in turn."""
         fleet = fleet_adapter(fleet_run, 1).fleet
         for number in range(300):
             fleet.publish("setting", f"s{number % 60}", int(fleet_run.events.now * 1000) + number, "x" * 1500)
 
     def delay_link(seconds):
+        """Return a function, for `run`, that delays messages from front 1 to front 2."""
         return lambda m: m.network.extra_delay.update({("10.0.0.1", "10.0.0.2"): seconds})
 
     fleet_run = run(
@@ -236,6 +248,7 @@
     assert violated_rules(fleet_run) == [] and fleet_run.result.divergences == []
 
 
+# For each rule, a function that installs an adapter that breaks it.
 SABOTAGE = {
     "drains kept": lambda mp: mp.setattr(CacheStates, "apply", lambda self, uid: None),
     "purges kept": lambda mp: mp.setattr(PurgeExchange, "apply", lambda self, change: None),
@@ -243,15 +256,16 @@
 
 
 @pytest.mark.parametrize("rule", sorted(SABOTAGE))
-def test_an_adapter_that_ignores_peer_changes_is_detected(rule, monkeypatch):
+def test_the_auditor_detects_an_adapter_that_ignores_changes_from_peers(rule, monkeypatch):
     SABOTAGE[rule](monkeypatch)
     scheduled = [(2.0, block_bus({2}, 8.0)), (3.0, drain("e1")), (3.5, purge_group), (4.0, drain("e2"))]
     assert rule in violated_rules(run(*scheduled, rate=20.0))
 
 
-def test_the_auditor_dates_knowledge_from_when_a_front_was_reachable():
+def test_the_auditor_expects_a_front_to_know_of_an_event_only_once_it_was_reachable():
     auditor = Auditor(None)
     auditor.on_front_unreachable("n1", 2.0, 5.0, False)
     auditor.on_front_unreachable("n1", 4.5, 6.0, False)
+    # The two overlapping periods, 2 s to 5 s and 4.5 s to 6 s, count as one.
     assert [auditor.earliest_notice("n1", at) for at in (1.0, 2.0, 5.5, 6.0)] == [1.0, 6.0, 6.0, 6.0]
     assert auditor.earliest_notice("n2", 3.0) == 3.0
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -32,7 +32,7 @@
         return self.calls
 
 
-def test_each_planned_event_starts_and_ends_at_its_time():
+def test_the_player_starts_and_ends_each_event_of_a_plan_at_its_time():
     plan = parse_plan(
         {
             "fleet": {"fronts": "3"},
@@ -43,7 +43,9 @@
             "e": {"do": "purge", "what": "7"},
         }
     )
-    assert plan.seconds == 30.0
+    assert plan.seconds == 30.0  # the default duration
+    # Paths (from, to) by number of the front. The flapping of n3 blocks its paths in every second interval of
+    # 1 s; "apart" kills n1 and starts it 0.2 s later with its clock 60 s back.
     one_way, flapping = {(1, 2), (1, 3)}, {(3, 1), (3, 2), (1, 3), (2, 3)}
     assert RecordingBackend().play(plan) == [
         (0.0, "publish_purge", 7), (1.0, "block", one_way), (2.0, "kill", 2), (2.5, "block", flapping),
@@ -75,7 +77,7 @@
     assert message in str(raised.value) and "[strange]" in str(raised.value) and "\n" not in str(raised.value)
 
 
-def test_a_virtual_fleet_plays_a_plan_and_repeats_it_exactly():
+def test_a_simulated_fleet_breaks_no_rule_in_a_plan_and_repeats_it_exactly():
     plan = parse_plan(
         {
             "fleet": {"fronts": "3"},
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -39,8 +39,9 @@
 
 
 def route_client_retry(executions, now=1.0):
-    """Return the router's reaction to a request that its client marks as a retry.
+    """Return the trace line of the router's reaction to a request that its client marks as a retry.
 
+    The line shows an attempt, or "abandoned" if the router fails the request without one.
     The last argument of RequestReceived has the earlier attempts by other fronts (`executions`); those before
     it are is_retry, deadline and queued_for.
     """
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -485,7 +485,7 @@
 def test_steps_of_the_unix_clock_do_not_exceed_the_limit():
     run = QuotaExperiment(1, QuotaSettings(most=2.0, rate=20.0, demand="even"))
     for at, step in ((8.0, 10.0), (16.0, -10.0)):
-        # From 8 s on, the Unix clock of front 1 is 10 s ahead and that of front 3 behind; from 16 s, reversed.
+        # The Unix clocks of fronts 1 and 3 are 10 s ahead and 10 s behind from 8 s on, reversed from 16 s on.
         run.events.schedule(at, lambda step=step: run.clock_steps.update({1: step, 3: -step}))
     assert run.play().max_in_window() <= 2 and len(run.admitted) > 8
 
