--- a/weldbend/fleet/cli.py
+++ b/weldbend/fleet/cli.py
@@ -40,10 +40,17 @@
 
 
 CONTROL = click.option(
-    "--control", required=True, envvar="WELDBEND_CONTROL", help="host:port of [fleet] control"
+    "--control",
+    required=True,
+    envvar="WELDBEND_CONTROL",
+    help="host:port of the front's admin port (`control` in section [fleet] of the installation file)",
 )
 CONTROLS = click.option(
-    "--control", "controls", multiple=True, required=True, help="host:port of each front; may be repeated"
+    "--control",
+    "controls",
+    multiple=True,
+    required=True,
+    help="host:port of each front's admin port; may be repeated",
 )
 JSON = click.option("--json", "as_json", is_flag=True, help="print the answer as JSON")
 
@@ -57,7 +64,13 @@
 @CONTROL
 @JSON
 def status(control: str, as_json: bool) -> None:
-    """Show one front: its reachability, its members and the amount of replicated state."""
+    """Show one front: its reachability, its members and the amount of replicated state.
+
+    `sight` is the front's reachability: clear, waking (not heard from enough members since its start or last
+    pause), or alone (heard from no member). `health` is the factor, less one, by which its failure detection
+    is slowed down: 0 if healthy, up to 8. `heard` is the age of a member's last message, and `linked` means
+    that a connection to the member is open.
+    """
     answer = ask(control, ask="status")
     if as_json:
         click.echo(json.dumps(answer))
@@ -133,7 +146,14 @@
 @CONTROL
 @JSON
 def limits(control: str, as_json: bool) -> None:
-    """Show the quotas and leases of each limit, with the leases' expiry; amounts in 1200ths of a limit."""
+    """Show the quotas and leases of each limit.
+
+    For a strict limit, amounts are in 1200ths of the limit, except the need: it is a number of attempts in a
+    window, each of which takes one pull. `keeps` is what the front owns and has not lent. `nothing of its
+    own` is shown after a restart, until leases by the previous process have ended. `others name other
+    members` means that other fronts may divide the limit among other members. For a soft limit, the part is
+    the fraction that the front may use, and the need is its demand per second.
+    """
     rows = ask(control, ask="limits")
     if as_json:
         click.echo(json.dumps(rows))
@@ -157,7 +177,13 @@
 @CONTROL
 @JSON
 def verdicts(control: str, as_json: bool) -> None:
-    """Show ejected and monitored caches with the reporting fronts and the expiry, and banned clients."""
+    """Show caches under ejection, with the fronts that reported them, and clients banned by the fleet.
+
+    A cache is shut (ejected), in trial (half-open), in ramp (recovering) or open (recovered less than 60 s
+    ago). `gets` is the fraction of its load that this front sends, and `fell` the number of its ejections.
+    Clients banned only with `cast` are not listed; those reinstated with `pardon` are, until the fleet's ban
+    ends.
+    """
     rows = ask(control, ask="verdicts")
     if as_json:
         click.echo(json.dumps(rows))
@@ -190,7 +216,10 @@
 @click.argument("client")
 @CONTROL
 def pardon(client: str, control: str) -> None:
-    """Lift the ban of a client and discard earlier reports about it."""
+    """Lift the ban of a client.
+
+    The fronts' reports about it remain, but are overridden until a newer one.
+    """
     ask(control, ask="pardon", client=client)
     click.echo(f"{client} is pardoned")
 
--- a/weldbend/fleet/client_limits.py
+++ b/weldbend/fleet/client_limits.py
@@ -1,8 +1,9 @@
 """Limits and bans of single clients for the whole fleet. No I/O.
 
 Fronts publish their clients with the highest request rates. If a client's total rate at all fronts exceeds
-its limit, each front rejects a random fraction of its requests to remove the excess. A client that two fronts
-have banned is banned by all fronts (see `outlier_detection`), and an operator can ban or reinstate a client.
+its limit, each front rejects a random fraction of the client's requests to remove the excess. A client that
+two fronts have banned is banned by all fronts (see `outlier_detection`), and an operator can ban or reinstate
+a client.
 """
 
 import math
@@ -73,7 +74,8 @@
             else:
                 self.rates[client] = rate
         self.requests.clear()
-        # Half of an equal share, or less: a client over its limit reaches an equal share at some front.
+        # At some front, a client over its limit has at least the limit divided by the number of fronts. Half
+        # of that is the threshold, or less if `peers`, which names all fronts, includes this front already.
         min_published_rate = limit / (2 * (len(self.context.fleet.settings.peers) + 1))
         # Equal rates are ordered by name, because the order of a set differs between processes.
         busiest = sorted(self.rates, key=lambda client: (-self.rates[client], client))
@@ -114,7 +116,8 @@
     def _override(self, client: str) -> bool | None:
         """Return whether an operator has banned a client; None without an operator's decision in force.
 
-        A ban is in force until its end, a reinstatement until a front bans the client again.
+        A ban is in force until its end. A reinstatement is in force unless the fleet has banned the client
+        and a front has published its ban after the reinstatement.
         """
         item = self.context.item(SETTING, SETTING_PREFIX + client)
         if item is None or not isinstance(item.value[1], str):
@@ -174,7 +177,10 @@
         return self.set_override(client, REINSTATE)
 
     def status_rows(self, now: float) -> list[dict[str, object]]:
-        """Return the banned clients for the admin question `verdicts`."""
+        """Return the clients banned by the fleet for the admin question `verdicts`.
+
+        They include clients that an operator has reinstated since, until the fleet's ban ends.
+        """
         return [
             {"client": client, "ends in": round(until - now, 1)}
             for client, until in sorted(self.banned.items())
--- a/weldbend/fleet/conservative_merge.py
+++ b/weldbend/fleet/conservative_merge.py
@@ -15,8 +15,8 @@
 def stricter_state(drain: Value | None, last_read: int) -> str | None:
     """Return the state of a cache in a newer list than this front has read; None if up or unknown there.
 
-    Side effect: a peer that publishes false states can exclude a cache until the numbers of the bus reach the
-    number that it published. Numbers that the bus never reaches are ignored.
+    Side effect: a peer that publishes false states can exclude a cache until this front's bus has delivered
+    an event with the number that the peer published. Numbers that the bus never reaches are ignored.
 
     Args:
         drain: value of the cache's `drain` item: the revision of the list, which is the number of its bus
--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -15,7 +15,7 @@
 
 WINDOW = 1.0  # seconds over which an operator's rate is enforced
 PARENTS_SUBJECT = "parents"  # subject under which demand at the parents is published
-MIN_CHANGE = 0.02  # relative change of this front's parent quota up to which the old quota stays in use
+MIN_CHANGE = 0.02  # relative change of this front's parent quota up to which the old one remains in use
 
 
 @dataclass(slots=True)
@@ -35,7 +35,7 @@
     admitted: deque[float] = field(default_factory=deque)
 
     def try_admit(self, now: float) -> bool:
-        """Count a request; return whether this front's fraction of the limit has capacity for it."""
+        """Count a request; return whether this front's fraction, but at least one request, has capacity."""
         self.demand.add()
         while self.admitted and self.admitted[0] <= now - WINDOW:
             self.admitted.popleft()
@@ -50,7 +50,7 @@
 
     Attributes:
         rates: operators' rates, by request class.
-        parents: estimate of this front's demand at the parents.
+        parents: estimate of this front's demand at the parents, in client requests that a cache may answer.
         parent_fraction: fraction, for this front, of the requests that all fronts together may have in flight
             at the parents; 0 before the first tick.
     """
@@ -84,6 +84,7 @@
         context = self.context
         if not context.limits.parent_quotas:
             return
+        # If fewer fronts are configured than the settings expect, they divide only their part of the limit.
         coverage = min(1.0, len(context.front_names()) / context.settings.fronts)
         fraction = round(self._divide(PARENTS_SUBJECT, self.parents, now, alive) * coverage, 4)
         if abs(fraction - self.parent_fraction) > MIN_CHANGE * self.parent_fraction:
--- a/weldbend/fleet/demand_share.py
+++ b/weldbend/fleet/demand_share.py
@@ -3,8 +3,9 @@
 Each front publishes its demand once a second. Its fraction is its own demand divided by the total demand of
 all fronts that are alive in its view, including itself, and has a lower bound. If all fronts have the same
 view and the same figures, the fractions add up to at most one, apart from the lower bounds. Use can exceed
-the limit in a network partition, at most by a factor equal to the number of its sides, as each side counts
-only its own fronts. Use can also exceed the limit by the growth of demand since the figures were published.
+the limit in a network partition, at most by a factor equal to the number of sides of the partition, as each
+side counts only its own fronts. Use can also exceed the limit by the growth of demand since the figures were
+published.
 """
 
 from collections.abc import Iterable, Mapping
@@ -64,7 +65,8 @@
     """Return the fraction of a limit, from 0 to 1, that the front `name` may use by its demand.
 
     A front that is alive but has published no figure within `MAX_AGE` counts with the mean demand of the
-    others, because it may have just started. Without any demand, all fronts get equal shares.
+    fronts whose demand is known, including this one, because it may have just started. Without any demand,
+    all fronts get equal shares.
     """
     others = [front for front in alive if front != name]
     known_demands = {
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -1,4 +1,8 @@
-"""Ejections and unlisted starts of caches, passed on to the routing decisions. No I/O."""
+"""Ejections and unlisted starts of caches, passed on to the routing decisions. No I/O.
+
+An unlisted start of a cache is one that the endpoint list does not contain; it is inferred from lost
+connections.
+"""
 
 import math
 from collections.abc import Iterable, Mapping
@@ -26,8 +30,8 @@
         detector: outlier detector of this front.
         updates: last update sent to the routing decisions for each cache that may get less than its full
             load, by the cache's number.
-        broken_at: time in seconds when this front last lost its connections to each cache, by the cache's
-            name, as published.
+        broken_at: time in seconds of the last loss of connections to each cache that this front has
+            published, by the cache's uid.
     """
 
     def __init__(self, context: QuotaContext) -> None:
@@ -73,7 +77,11 @@
         )  # fmt: skip
 
     def find_unlisted_starts(self, now: float) -> None:
-        """Publish lost connections to caches; a loss that two fronts report counts as a cache's start."""
+        """Publish this front's lost connections to caches, and pass unlisted starts to the routing decisions.
+
+        If two fronts lost their connections to a cache within `START_WINDOW`, the process of the cache has
+        probably restarted. The cache then counts as started, even though no endpoint list contains the start.
+        """
         self._publish_breaks(now)
         breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_at.items()]
         breaks += [
@@ -90,7 +98,7 @@
         self.broken_at = {uid: at for uid, at in self.broken_at.items() if uid in numbers}
 
     def _publish_breaks(self, now: float) -> None:
-        """Publish the recent losses of this front's connections that are not published yet."""
+        """Publish the recent failures to open a connection to a cache that are not published yet."""
         caches = self.context.loop.router.caches
         for uid, number in self.context.loop.names.numbers.items():
             cache = caches.get(number)
@@ -104,7 +112,11 @@
         return update.admitted_fraction if update else 1.0
 
     def status_rows(self, now: float) -> list[dict[str, object]]:
-        """Return the ejected caches for the admin question `verdicts`."""
+        """Return the caches with an ejection record for the admin question `verdicts`.
+
+        These are the ejected, half-open and recovering ones, and those that were admitted without restriction
+        again less than `FORGET_SECONDS` ago.
+        """
         numbers = self.context.loop.names.numbers
         return [
             {
--- a/weldbend/fleet/execution_exchange.py
+++ b/weldbend/fleet/execution_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of attempts at requests with an idempotency key, which may have been executed already."""
+"""Exchange of attempts at requests with an idempotency key between fronts, against a second execution."""
 
 from collections import Counter
 from typing import TYPE_CHECKING
--- a/weldbend/fleet/health_reports.py
+++ b/weldbend/fleet/health_reports.py
@@ -1,11 +1,12 @@
 """Health reports on caches: what a front publishes about its attempts, and the weight of a report. No I/O.
 
-Each front publishes how many of its recent attempts at a cache succeeded and failed, as long as some failed,
-and the same numbers for all caches together. The reader weights a report by its age, by the zone of its
-writer, and by the writer's success with all other caches, because a front whose own network is faulty has
-failures everywhere. The report with the most weighted failures is ignored, so that a single front with wrong
-or forged reports cannot make another one suspect a cache. No report counts for more than `MAX_ANSWERS`
-answers, however many answers it contains.
+Each front publishes how many of its recent attempts at a cache succeeded and failed, and the same numbers for
+all caches together. It does so as long as some attempts failed, or the cache is watched: peers report on it,
+or it is half-open or recovering. The reader weights a report by its age, by the zone of its writer, and by
+the writer's success with all other caches, because a front whose own network is faulty has failures
+everywhere. The report with the most weighted failures is ignored, so that a single front with wrong or forged
+reports cannot make another one suspect a cache. No report counts for more than `MAX_ANSWERS` answers, however
+many answers it contains.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,7 +21,7 @@
 MAX_REPORTS = 32  # reports published at a time; those with the most failures come first
 ALL_CACHES = "*"  # key of the report on all caches together
 MIN_CHANGE = 1.0  # change in failed answers that is published at once
-MIN_CHANGE_FRACTION = 0.2  # the same, as a fraction of the failed answers published last
+MIN_CHANGE_FRACTION = 0.2  # the same, as a fraction of those published last; the larger bound applies
 
 Outcomes = tuple[float, float]  # numbers of successful and of failed answers
 NO_OUTCOMES: Outcomes = (0.0, 0.0)
@@ -41,8 +42,9 @@
     ) -> list[tuple[str, Outcomes]]:
         """Return the reports to publish now, on single caches and on all together (`ALL_CACHES`).
 
-        There are none while all attempts succeed, except on the caches in `watched`: a front reports on these
-        even without failures, because peers report on them, or because they are half-open or recovering.
+        There are none while all attempts succeed, except on the caches in `watched`, and on those whose last
+        published report had failures. A front reports on watched caches even without failures, because peers
+        report on them, or because they are half-open or recovering.
         """
         rounded = {uid: (round(good, 1), round(failed, 1)) for uid, (good, failed) in outcomes.items()}
         watched = set(watched)
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -1,15 +1,16 @@
-"""Requests with an idempotency key that another front may have executed, and the resulting limits. No I/O.
+"""Requests that another front may have sent to a cache, and the caches they may be retried at. No I/O.
 
-When a front dies, its client sends the request again to another front with the same idempotency key. The
+When a front dies, its client sends a request again to another front with the same idempotency key. The
 other front follows the rule for such requests as if it had sent the first attempt itself: it retries only in
 the group of caches that drops duplicates of that attempt, and only within the deduplication window.
 
 A front cannot know of an attempt that another front sent just before it died, was partitioned or stopped
 responding. If all caches drop duplicates, this makes no difference within the window, and clients do not
 retry after it. If only the caches of a zone or a cell drop them, a request that is marked as a retry counts
-as possibly executed anywhere while this front has not caught up, or while an unknown attempt may still be in
-its window because the connection to a front was lost or a front stopped responding (`UnknownAttempts`). A
-longer partition is not covered: attempts from its other side are not known here.
+as possibly executed anywhere while this front's replica has not caught up with its peers, or while an unknown
+attempt may still be in its window because the connection to a front was lost or a front stopped responding
+(`UnknownAttempts`). A partition that lasts longer than the deduplication window is not covered: attempts from
+its other side are not known here.
 """
 
 import math
@@ -21,7 +22,7 @@
 from weldbend.routing.events import PossibleExecution
 from weldbend.routing.settings import DeduplicationScope
 
-MAX_CLOCK_ERROR = 10.0  # seconds; a timestamp that differs from the item's age by more is ignored
+MAX_CLOCK_ERROR = 10.0  # seconds; a timestamp is ignored if the age it gives differs by more from the item's
 ZONE_PREFIX = "z:"
 CELL_PREFIX = "c:"
 
@@ -40,7 +41,7 @@
 
     The first attempt is dated by its writer's Unix clock, but no later than the first write of the item, so
     that no clock error makes the window longer. A clock that is wrong by less than `MAX_CLOCK_ERROR` can
-    make the window shorter by its error, which is the safe direction.
+    make the window shorter by its error; retries then end earlier, and no request is executed twice.
 
     Args:
         value: value of the item: the group, and the Unix time of the first attempt in milliseconds.
@@ -62,10 +63,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownAttempts:
-    """Check for attempts by other fronts that this front may not know of.
+    """Rule for whether other fronts may have made attempts that this front does not know of.
 
     Attributes:
-        window: longest deduplication window of any request class, in seconds.
+        window: longest deduplication window of the deduplicated request classes, in seconds.
     """
 
     window: float
@@ -75,8 +76,9 @@
     ) -> bool:
         """Return whether an unknown attempt of another front may still be in its deduplication window.
 
-        Guards against a second execution in another group of caches. Side effect: retries of such requests
-        fail for some seconds.
+        Guards against a second execution in another group of caches. Side effect: while this returns True,
+        requests that are marked as retries, and whose duplicates only the caches of a zone or a cell drop,
+        count as executed and are not retried.
 
         Args:
             is_caught_up: whether this front's replica has caught up with its peers.
--- a/weldbend/fleet/lease_ledger.py
+++ b/weldbend/fleet/lease_ledger.py
@@ -137,8 +137,8 @@
         epoch: epoch of the borrower that sent the request.
         number: number of the request.
         parts: total number of granted parts; 0 for a refusal.
-        spare: number of further parts that the lender could grant now; a hint, which may be out of date when
-            it arrives.
+        spare: number of further parts that the lender could grant when it answered. It is only a hint: the
+            lender may have granted them to another front by the time the answer arrives.
     """
 
     epoch: int
@@ -166,9 +166,9 @@
 class LeaseLedger:
     """Ledger that one front keeps of one limit.
 
-    A front has at most one lease from each lender, and at most one pending request to it. A request asks for
-    the total number of parts wanted from that lender. A new request voids all earlier ones to that lender,
-    and its grant replaces the current lease.
+    A front has at most one lease from each lender, and at most one pending request to each lender. A request
+    asks for the total number of parts wanted from that lender. A new request voids all earlier ones to that
+    lender, and its grant replaces the current lease.
 
     In all methods `now` is the time of this front's steady clock in seconds, and `used` the number of parts
     that the front has spent in the last window by that clock.
@@ -244,9 +244,9 @@
     def grant(self, now: float, request_id: LeaseRequestId, parts: int, used: float) -> Grant:
         """Grant up to `parts` parts, in place of all current leases of this borrower.
 
-        A repeated request gets the same answer. If the borrower had more parts than the new grant, the excess
-        counts as out until the earlier lease would have ended: if the answer is lost, the borrower continues
-        to spend from that lease.
+        A repeated request whose grant is still recorded gets the same number of parts. If the borrower had
+        more parts than the new grant, the excess counts as out until the earlier lease would have ended: if
+        the answer is lost, the borrower continues to spend from that lease.
         """
         self.discard_ended(now)
         if request_id in self.granted:
@@ -294,8 +294,7 @@
             now: time of the steady clock in seconds.
             request_id: identifier of the request that brought the lease.
             unspent: whether the borrower spent nothing from the limit in the last window; the parts then
-            count
-                as the lender's again at once.
+                count as the lender's again at once.
         """
         lease = self.granted.get(request_id)
         if lease and unspent:
@@ -337,7 +336,10 @@
     # Time.
 
     def discard_ended(self, now: float) -> None:
-        """Drop ended leases and overdue requests; the balance already excludes ended leases."""
+        """Drop ended leases, which the balance excludes already, and requests older than a borrower's term.
+
+        A lease on such a request would have ended before its grant could arrive.
+        """
         for request_id in [ended for ended, lease in self.granted.items() if lease.end <= now]:
             del self.granted[request_id]
         for lender in [lender for lender, lease in self.leased.items() if lease.end <= now]:
--- a/weldbend/fleet/lease_policy.py
+++ b/weldbend/fleet/lease_policy.py
@@ -1,7 +1,11 @@
 """Policy by which a front requests, reserves, grants and releases leases of one limit. No I/O.
 
 The ledger (`lease_ledger`) ensures that no strict limit is exceeded, regardless of the choices made here. The
-policy only affects how much of a limit stays unused. All amounts are parts of the limit.
+policy only affects how much of a limit stays unused. All amounts are parts of the limit (`PARTS_PER_LIMIT`),
+unless they are called attempts.
+
+A front that wants to make an attempt, but holds fewer parts than one attempt takes, gathers them: it requests
+leases from up to `MAX_LENDERS_WHEN_GATHERING` members in one call of `plan`.
 """
 
 import math
@@ -16,12 +20,12 @@
 MAX_LENDERS = 4  # lenders that are asked for further parts in one call of `plan`
 MAX_LENDERS_WHEN_GATHERING = 64  # the same while this front holds fewer parts than one attempt takes
 ANSWER_TIMEOUT = 0.45  # seconds after which a request counts as lost, and its lender may be asked again
-GATHERING_TIMEOUT = 1.2  # seconds after which gathered parts are released if one attempt takes more of them
+GATHERING_TIMEOUT = 1.2  # seconds after which gathered parts are released if they are too few for an attempt
 GATHERING_STAGGER = 0.02  # seconds by which a front begins to gather after the one ranked next above it
 DEMAND_MARGIN = 1.2  # factor on a high demand, because it may grow before the lenders' answers arrive
-MARGIN_MIN_ATTEMPTS = 4.0  # demand, in attempts of a window, above which the margin is added
+MARGIN_MIN_ATTEMPTS = 4.0  # demand, in attempts in a window, above which `DEMAND_MARGIN` is applied
 RESERVED_PERIODS = 5.0  # periods (a term and a window) after the last demand with one attempt still reserved
-PEAK_PERIODS = 2.0  # periods for which this front's own peak demand is not granted to others
+PEAK_PERIODS = 2.0  # periods for which the parts of this front's own peak demand are not granted to others
 ROUNDING_TOLERANCE = 1e-9  # parts or attempts; allows for floating-point rounding
 
 
@@ -42,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimeSlot:
-    """A slot of time by the Unix clock, which decides precedence between fronts.
+    """A slot of time by the Unix clock; in each slot the fronts have another order in which they may gather.
 
     A wrong Unix clock only affects how many parts stay unused, not whether the limit holds.
 
@@ -139,7 +143,8 @@
             had demand at the first of them; -1 before the first such request.
         gathering_since: time in seconds when this front began to gather the parts of one attempt. None once
             it has all parts that it wants or has gathered for `GATHERING_TIMEOUT`, until it gathers again.
-        backoff_until: time in seconds before which this front sends no requests after gathering timed out.
+        backoff_until: time in seconds before which this front, after its gathering timed out, requests no
+            further parts while it holds fewer than one attempt takes; renewals are still sent.
         spare_hints: number of further parts that each lender could grant according to its last answer.
         refused_until: time in seconds before which no further parts are requested from a lender that granted
             no further ones and reported none to spare, by lender; renewals are still sent.
@@ -265,13 +270,14 @@
                 spare = max(request.already_leased, available - self.reserved_parts())
             else:
                 spare = request.already_leased - math.ceil(confident_demand - remaining)
-            spare -= spare % self.whole_attempt_parts  # the borrower cannot use a part of an attempt
+            spare -= spare % self.whole_attempt_parts  # the borrower spends the parts of whole attempts only
         return max(min(request.parts, spare, math.floor(available - balance.used)), 0)
 
     def has_precedence(self, borrower: str, slot: int) -> bool:
-        """Return whether a borrower ranks above this front and all fronts that sent requests in this slot.
+        """Return whether a borrower ranks above this front and all fronts that asked it in this time slot.
 
-        This front itself takes part only if it had demand at the first request of the slot. Guards against
+        Only requests count that arrived while this front had fewer parts left than one attempt takes. This
+        front itself takes part only if it had demand at the first of these requests. Guards against
         several fronts that each gather some parts of an attempt, so that none of them has enough for a whole
         one.
         """
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -1,8 +1,9 @@
 """Strict limits that this front shares with others by leases: their ledgers and messages. No I/O.
 
-All fronts compute the same name for a limit. The `Spender` of a limit reports how much it used, and receives
-its new allowance before an answer to another front is sent: granted parts must not be spent here any more
-when the borrower learns of them.
+All fronts compute the same name for a limit. A limit is divided into `PARTS_PER_LIMIT` equal parts, and each
+member owns some of them; usage, allowances and leases are numbers of parts. The `Spender` of a limit reports
+how much it used, and receives its new allowance before an answer to another front is sent: granted parts must
+not be spent here any more when the borrower learns of them.
 """
 
 import math
@@ -35,7 +36,7 @@
 SAMPLE_INTERVAL = 0.08  # seconds between two samples of demand
 MAX_OPEN_LIMITS = 512
 RETRY_DELAYS = (0.1, 0.25)  # seconds after which an unanswered request is sent again
-MAX_REQUESTS_PER_SAMPLE = 64  # messages of one tick, of all limits together, beyond which no request is sent
+MAX_REQUESTS_PER_SAMPLE = 64  # messages of one tick, of all limits, from which on it sends no new request
 MAX_ARRIVALS = 4096  # arrival times remembered for one rate
 ROUNDING_TOLERANCE = 1e-9  # parts; allows for floating-point rounding
 
@@ -73,7 +74,8 @@
     Attributes:
         name: name of the limit.
         members: names of the members that share the limit.
-        attempts: least number of attempts in a window for which the limit has capacity.
+        attempts: number of attempts in a window for which the limit has capacity if each is as expensive as
+            possible; it bounds how many members own parts.
         ledger: ledger of its leases.
         policy: policy that plans and grants its leases.
         spender: component that spends from the limit.
@@ -108,8 +110,10 @@
         name: name of this front.
         epoch: epoch of this process.
         limits: open limits, by name.
-        is_newcomer: whether some fronts may not know this front as a member yet. It then owns no parts,
-            because those fronts would divide the limits without it.
+        is_newcomer: whether other fronts may divide the limits among other members, because they do not know
+            this front yet, or still name members that its own installation file no longer names. This front
+            then owns no parts of limits that are opened; limits that are open already keep their parts until
+            the next `set_members`.
         recovering_until: end of the recovery after a restart, in seconds. Until then this front holds no
             parts of its own, because its previous process may have granted them.
         counts: counters of lease events.
@@ -132,7 +136,8 @@
             random: source of random numbers for the policies.
             recovering_until: end of the recovery, in seconds of the steady clock.
             open_requested: called with the name of a limit that another front uses and that is not open here.
-            unix: Unix clock. It decides only precedence between fronts; no guarantee depends on it.
+            unix: Unix clock. It is used only to choose which front may gather scarce parts first; no
+                guarantee depends on it.
         """
         self.name = name
         self.epoch = epoch
@@ -161,8 +166,8 @@
         Args:
             name: name of the limit.
             members: names of the members that share the limit.
-            attempts: least number of attempts in a window for which the limit has capacity; all fronts must
-                compute the same number.
+            attempts: number of attempts in a window for which the limit has capacity if each is as expensive
+                as possible; it bounds how many members own parts. All fronts must compute the same number.
             times: durations of the limit.
             spender: component that will spend from the limit.
             now: time of the steady clock in seconds.
@@ -187,11 +192,21 @@
         return 0 if self.is_newcomer else owners.get(self.name, 0)
 
     def close(self, name: str) -> None:
-        """Stop spending from a limit; leases granted on it expire by themselves."""
+        """Forget a limit, its ledger and its leases.
+
+        The spender keeps its last allowance, so the caller must stop it. Leases that this front has granted
+        end at their borrowers by themselves.
+        """
         self.limits.pop(name, None)
 
     def set_members(self, members: Callable[[str], Iterable[str]], is_newcomer: bool, now: float) -> None:
-        """Divide all limits again; `members` returns the names of the members that share a given limit."""
+        """Divide all open limits among their current members.
+
+        Args:
+            members: returns the names of the members that share the limit with the given name.
+            is_newcomer: new value of `is_newcomer`; if True, this front owns no parts of any limit.
+            now: time of the steady clock in seconds.
+        """
         self.is_newcomer = is_newcomer
         for limit in self.limits.values():
             owners = owned_parts(limit.name, members(limit.name), limit.attempts)
@@ -201,7 +216,11 @@
             limit.update_spender(now)
 
     def set_epoch(self, epoch: int) -> None:
-        """Continue with another epoch: granted leases stay valid, pending requests become void."""
+        """Continue with another epoch.
+
+        Granted leases stay valid. Answers to requests that were sent with the earlier epoch are not accepted;
+        these requests are still pending and may be sent again, with the same number and the new epoch.
+        """
         self.epoch = epoch
         for limit in self.limits.values():
             limit.ledger.epoch = epoch
@@ -250,7 +269,7 @@
         allowed = policy.grantable(LeaseRequest(request_id.name, parts, already_leased), balance, slot)
         grant = ledger.grant(now, request_id, allowed, usage.used)
         self.counts["leases granted"] += grant.parts > 0
-        limit.update_spender(now)  # before the answer is sent
+        limit.update_spender(now)  # granted parts must not be spent here once the answer is sent
         remaining = LenderBalance(ledger.retained(now), usage.used)
         spare = policy.grantable(LeaseRequest(request_id.name, PARTS_PER_LIMIT), remaining, slot)
         return m.GrantLease(limit.name, grant.epoch, grant.number, grant.parts, spare)
@@ -258,7 +277,12 @@
     # Time.
 
     def tick(self, now: float, alive: Iterable[str]) -> list[Send]:
-        """Return the requests and releases to send; demand is sampled once in each `SAMPLE_INTERVAL`."""
+        """Return the requests and releases to send.
+
+        Once in each `SAMPLE_INTERVAL` the demand for each limit is sampled and new messages are planned; each
+        request from another front samples the demand for its limit as well. Unanswered requests are sent
+        again whenever they are due.
+        """
         sends: list[Send] = []
         is_sample_due = now >= self._next_sample
         if is_sample_due:
@@ -280,9 +304,9 @@
         """Return the unanswered requests that are due to be sent again.
 
         A retry has the same number as the request, so that the lender grants it only once. Retries guard
-        against granted parts that stay unused for a term because the grant was lost: the lender counts them
-        as out, and the borrower does not know of them. Side effect: further messages to a lender that is
-        down.
+        against granted parts that stay unused for a term because the grant was lost: the lender
+        neither spends nor grants them until the lease has ended, and the borrower does not know of them. Side
+        effect: further messages to a lender that is down.
         """
         pending = limit.ledger.pending
         numbers = {request.number for request in pending.values()}
--- a/weldbend/fleet/membership.py
+++ b/weldbend/fleet/membership.py
@@ -26,8 +26,8 @@
 from weldbend.fleet.settings import FleetSettings
 
 MAX_INCARNATION_LEAP = 1 << 16  # largest increase of an incarnation by gossip
-MIN_UNANSWERED_PROBES = 2  # probes unanswered by a member before its own may raise this front's epoch
-CONTESTED_EPOCH_RAISES = 3  # epoch raises within `EPOCH_RAISE_WINDOW` that show a process of the same name
+MIN_UNANSWERED_PROBES = 2  # unanswered probes to a member, from which its probes may raise this front's epoch
+CONTESTED_EPOCH_RAISES = 3  # epoch raises within `EPOCH_RAISE_WINDOW` that show another process of this name
 EPOCH_RAISE_WINDOW = 30.0  # seconds
 
 
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -1,16 +1,20 @@
 """Outlier detection of a fleet: ejected caches, banned clients and unlisted starts of caches. No I/O.
 
 All fronts evaluate the same health reports, so fronts with the same replicas reach the same result within a
-tick. A single front can never cause an ejection: at least two fronts must report a cache as failing. They
-must also be a majority of those fronts in the zone whose reports on the cache are significant
-(`is_informed`); if fewer than two fronts of the zone report it as failing, they must be a majority in all
-zones together. If the fronts of one zone report failures and a majority in the other zones does not, the
-cache is ejected in that zone only, because the network path of the zone may be the cause.
-
-Every ejection ends after a time. The cache is then half-open, as in a circuit breaker: one front, on which
-all fronts agree by hashing, sends to it. If that front reports success, all fronts increase their load
-gradually, so that a cache that has just recovered is not overloaded. Each relapse makes the next ejection
-half as long again. Old reports are ignored, so an ejection ends even if no front has new reports.
+tick. A single front can never cause an ejection: at least two fronts must report a cache as failing. A
+front is informed about a cache if its report contains enough answers and its own network seems free of faults
+(`is_informed`). A front also requires that more than half of the informed fronts in its own zone report the
+cache as failing, if there are any. If fewer than two of them do, it additionally requires more than half of
+the informed fronts of all zones. If at least two fronts of the zone report failures, but not more than half
+of the informed fronts in the other zones, the cache is ejected in that zone only, because the network path of
+the zone may be the cause.
+
+Every ejection ends after a time, independently of the reports. The cache is then half-open, as in a circuit
+breaker: one front, the prober, which all fronts choose alike by hashing, sends to it. If too few new answers
+are reported within `HALF_OPEN_SECONDS`, a further half-open round begins with a newly chosen prober. After
+enough new successful answers, all fronts increase their load gradually, so that a cache that has just
+recovered is not overloaded. Each relapse makes the next ejection 1.5 times as long, up to
+`MAX_EJECTION_SECONDS`.
 """
 
 import math
@@ -30,15 +34,15 @@
 EJECTION_SECONDS = 2.0  # duration of the first ejection
 EJECTION_GROWTH = 1.5  # factor on the duration for each relapse
 MAX_EJECTION_SECONDS = 15.0
-MAX_RELAPSES = 8  # further ones do not lengthen the ejection
-HALF_OPEN_SECONDS = 5.0  # of one round, in which the reports must bring enough new answers
-RECOVERED_ANSWERS = 3.0  # new successful answers after which a half-open cache recovers
+MAX_RELAPSES = 8  # bound of the count; from 5 on, the ejection has its maximum length (2 s * 1.5^5 = 15.2 s)
+HALF_OPEN_SECONDS = 5.0  # duration of a half-open round; with too few new answers, another one begins
+RECOVERED_ANSWERS = 3.0  # new successful answers to all fronts after which a half-open cache recovers
 RELAPSED_ANSWERS = 2.0  # new failed answers to the probing front that eject a half-open cache again
-RAMP_SECONDS = 4.0  # in which a recovering cache returns to its full load
+RAMP_SECONDS = 4.0  # duration of the recovery, in which a cache returns to its full load
 RAMP_START = 0.1  # fraction of its load that a recovering cache gets at first
 HALF_OPEN_FRACTION = 0.5  # fraction of its usual load that the probing front sends to a half-open cache
-FORGET_SECONDS = 60.0  # after a recovery, from which the next ejection counts as the first again
-MAX_EJECTED_FRACTION = 1 / 3  # of the caches of a kind at a time; more failures indicate a fault of the site
+FORGET_SECONDS = 60.0  # seconds after a recovery, after which the next ejection counts as the first
+MAX_EJECTED_FRACTION = 1 / 3  # of the caches of a kind; if more of them fail, the site is likely at fault
 BAN_WINDOW = 60.0  # seconds within which two fronts must have banned a client
 START_WINDOW = 3.0  # seconds within which two fronts must have lost their connections to a cache
 
@@ -59,15 +63,17 @@
     Attributes:
         state: current state of the cache.
         since: time in seconds when the cache entered that state.
-        until: time in seconds when it leaves that state at the latest; each further half-open round extends
-            it.
+        until: time in seconds when the ejection, the recovery or the current half-open round ends; infinity
+            while the cache is admitted.
         relapses: number of ejections since the record was created, at most `MAX_RELAPSES`.
-        round: number of the current round; a probing front is chosen for each round.
+        round: number that rises with each ejection and each further half-open round; the front that probes a
+            half-open cache is chosen by hashing this number.
         must_probe: whether the probing front sends even if it remembers failures of its own, because an
             earlier round brought too few reports for a decision.
         last_reports: last outcomes that each front reported since the cache entered its state.
-        new_outcomes: successful and failed answers that were reported in this round.
-        reporters: names of the fronts that reported the cache as failing when it was ejected.
+        new_outcomes: numbers of successful answers to all fronts, and of failed answers to the prober, that
+            were newly reported in the current half-open round.
+        reporters: names of the fronts that reported the cache as failing when their reports last ejected it.
         zone: zone in which the cache is ejected; empty for all zones.
     """
 
@@ -120,7 +126,8 @@
 
     Attributes:
         is_outlier: whether enough fronts report the cache as failing.
-        reporters: names of the fronts that report it as failing.
+        reporters: names of the fronts that report it as failing. Empty if fewer than `MIN_REPORTERS` do, or
+            if they are no majority of the informed fronts in the zone of the assessing front.
         zone: zone to which the failures are confined; empty for all zones.
     """
 
@@ -162,7 +169,7 @@
 def assess_outlier(
     reports: Iterable[HealthReport], zones: Mapping[str, str], own_zone: str
 ) -> OutlierAssessment:
-    """Return the assessment of a cache for this front's zone, by the reports of all fronts and its own."""
+    """Return the assessment of a cache for zone `own_zone`, by the reports of all fronts on the cache."""
     informed = [report for report in reports if is_informed(report)]
     reporters = sorted(report.writer for report in informed if reports_failing(report))
     if len(reporters) < MIN_REPORTERS:
@@ -186,7 +193,7 @@
 
     Attributes:
         name: name of this front.
-        records: ejection records by cache, of caches that are ejected or were ejected recently.
+        records: ejection records by cache; a record is kept until `FORGET_SECONDS` after the recovery.
         probed: half-open caches to which this front sends, as of the last tick.
         changes: state changes that have not been taken with `pop_changes` yet.
     """
@@ -233,7 +240,10 @@
         return {uid: self._admitted_fraction(uid, record, view) for uid, record in self.records.items()}
 
     def _may_eject(self, uid: str, kinds: Mapping[str, str]) -> bool:
-        """Return whether enough caches of the same kind would remain admitted after an ejection.
+        """Return whether a cache without an ejection record may be ejected.
+
+        With it, at most a third of the caches of its kind may be ejected, half-open or recovering; one always
+        may if there are at least two of the kind. A cache with a record is ejected again without this check.
 
         Guards against ejecting most caches because of a common cause, such as a fault of the site's network.
         Side effect: if more than a third of the caches are really faulty, the further ones are avoided only
--- a/weldbend/fleet/quota_service.py
+++ b/weldbend/fleet/quota_service.py
@@ -25,7 +25,7 @@
 from weldbend.routing.random_source import RandomSource
 
 WINDOW = 1.0  # seconds over which an operator's rate is enforced
-MEMBERS_INTERVAL = 10.0  # seconds after which a front publishes the checksum of its members again
+MEMBERS_INTERVAL = 10.0  # seconds after which a front publishes an unchanged checksum of its members again
 
 AdminHandler = Callable[[dict[str, Any]], object]
 
@@ -143,7 +143,10 @@
     # Membership.
 
     def _confirm_members(self, now: float) -> None:
-        """Let a newcomer own parts of limits once all fronts whose checksums it has agree with its own.
+        """Let a newcomer own parts of limits once all other fronts' checksums that it has equal its own.
+
+        A newcomer is a front with `LeaseService.is_newcomer`: one that has started, or whose installation
+        file names fewer members than before.
 
         The published checksum covers the names of all members and the operators' strict rates. Guards against
         parts that fronts compute from different members or rates, and whose sum exceeds a limit. A newcomer
@@ -168,8 +171,9 @@
     def members_changed(self) -> None:
         """Apply the members and rates of a reloaded installation file.
 
-        If members were removed, open limits stay divided as they are, and this front owns no parts of limits
-        opened afterwards, until all fronts name the same members.
+        If the file no longer names a member that shares an open limit, open limits stay divided as they are,
+        and this front owns no parts of limits opened afterwards, until the checksums of all fronts that it
+        has agree (`_confirm_members`).
         """
         now = self.context.now()
         self._open_rates()
@@ -202,6 +206,6 @@
         return rows + self.demand.status_rows()
 
     def ejection_rows(self) -> list[dict[str, object]]:
-        """Return all ejected caches and banned clients for the admin port."""
+        """Return the caches with an ejection record and the clients that the fleet has banned."""
         now = self.context.now()
         return self.ejections.status_rows(now) + self.bans.status_rows(now)
--- a/weldbend/fleet/service.py
+++ b/weldbend/fleet/service.py
@@ -91,7 +91,7 @@
         connection_lost_at: time at which the connection to each peer was last lost, by the peer's name.
         logged_reachability: this front's reachability according to the last log line about it.
         is_stopped: whether `stop` was called.
-        lease_service: strict limits shared with other fronts, None if there are none.
+        lease_service: strict limits shared with other fronts, None until the quota service sets it.
     """
 
     def __init__(
--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -120,7 +120,7 @@
         if limit in self.budgets:
             return
         if cache.role is Role.ORIGIN or cache.is_warm():
-            context.loop.post(SlowStartQuota(cache.id))  # not shared by leases: the front's fixed quota
+            context.loop.post(SlowStartQuota(cache.id))  # not leased: each front has a fixed share
             return
         for earlier in [other for other in self.budgets if other.startswith(f"{LIMIT_PREFIX}{uid}@")]:
             self.close(earlier)
@@ -142,7 +142,10 @@
             self.close(limit)
 
     def _first_attempts(self, cache: Cache) -> float:
-        """Return the number of attempts in a window for which a cache's initial budget has capacity."""
+        """Return the number of attempts in a window for which a cache's initial budget has capacity.
+
+        Each is taken to cost the most work of any class; this is the `attempts` of `LeaseService.open`.
+        """
         settings = self.context.settings
         if cache.role is Role.PARENT:
             capacity = settings.parent_start_capacity * settings.parent_overload_factor
@@ -152,7 +155,7 @@
         return capacity * settings.edge_overload_window * cache.weight / work
 
     def close(self, limit: str) -> None:
-        """Close a limit; the routing decisions then use this front's fixed quota again."""
+        """Close a limit; this front then uses its fixed share of the cache's budget again."""
         budget = self.budgets.pop(limit)
         self.leases.close(limit)
         self.context.loop.post(SlowStartQuota(budget.cache), first=True)
