--- a/weldbend/fleet/demand_limits.py
+++ b/weldbend/fleet/demand_limits.py
@@ -50,7 +50,8 @@
 
     Attributes:
         rates: operators' rates, by request class.
-        parents: estimate of this front's demand at the parents, in client requests that a cache may answer.
+        parents: estimate of this front's demand at the parents, in client requests; those of origin-only
+            classes are not counted.
         parent_fraction: fraction, for this front, of the requests that all fronts together may have in flight
             at the parents; 0 before the first tick.
     """
--- a/weldbend/fleet/ejection_service.py
+++ b/weldbend/fleet/ejection_service.py
@@ -1,7 +1,7 @@
 """Ejections and unlisted starts of caches, passed on to the routing decisions. No I/O.
 
-An unlisted start of a cache is one that the endpoint list does not contain; it is inferred from lost
-connections.
+An unlisted start of a cache is one that the endpoint list does not contain; it is inferred from failures of
+several fronts to open a connection to the cache.
 """
 
 import math
@@ -30,7 +30,7 @@
         detector: outlier detector of this front.
         updates: last update sent to the routing decisions for each cache that may get less than its full
             load, by the cache's number.
-        broken_at: time in seconds of the last loss of connections to each cache that this front has
+        broken_at: time in seconds of the last failure to open a connection to each cache that this front has
             published, by the cache's uid.
     """
 
@@ -77,10 +77,11 @@
         )  # fmt: skip
 
     def find_unlisted_starts(self, now: float) -> None:
-        """Publish this front's lost connections to caches, and pass unlisted starts to the routing decisions.
+        """Publish failures to connect to caches, and pass unlisted starts to the routing decisions.
 
-        If two fronts lost their connections to a cache within `START_WINDOW`, the process of the cache has
-        probably restarted. The cache then counts as started, even though no endpoint list contains the start.
+        If two fronts could not open a connection to a cache within `START_WINDOW`, the process of the cache
+        has probably restarted. The cache then counts as started, even though no endpoint list contains the
+        start, unless its latest known start is at most `START_WINDOW` older.
         """
         self._publish_breaks(now)
         breaks = [CacheBreak(uid, self.context.name, at) for uid, at in self.broken_at.items()]
--- a/weldbend/fleet/idempotency.py
+++ b/weldbend/fleet/idempotency.py
@@ -78,7 +78,7 @@
 
         Guards against a second execution in another group of caches. Side effect: while this returns True,
         requests that are marked as retries, and whose duplicates only the caches of a zone or a cell drop,
-        count as executed and are not retried.
+        fail unless this front knows of their first attempt.
 
         Args:
             is_caught_up: whether this front's replica has caught up with its peers.
--- a/weldbend/fleet/lease_service.py
+++ b/weldbend/fleet/lease_service.py
@@ -304,9 +304,9 @@
         """Return the unanswered requests that are due to be sent again.
 
         A retry has the same number as the request, so that the lender grants it only once. Retries guard
-        against granted parts that stay unused for a term because the grant was lost: the lender
-        neither spends nor grants them until the lease has ended, and the borrower does not know of them. Side
-        effect: further messages to a lender that is down.
+        against granted parts that stay unused for a term because the grant was lost: the lender neither
+        spends nor grants them until the lease has ended, and the borrower does not know of them. Side effect:
+        further messages to a lender that is down.
         """
         pending = limit.ledger.pending
         numbers = {request.number for request in pending.values()}
--- a/weldbend/fleet/member_table.py
+++ b/weldbend/fleet/member_table.py
@@ -165,7 +165,7 @@
         if reporter in member.suspected_by:
             return
         if member.suspected_by and len(member.suspected_by) <= self.settings.helpers:
-            self.announce(member.name)  # others shorten the suspicion by the additional reporter too
+            self.announce(member.name)  # so that the other fronts count this further reporter too
         member.suspected_by.add(reporter)
         confirmations = min(len(member.suspected_by) - 1, self.settings.helpers)
         member.suspicion_deadline = member.since + self.settings.suspicion_timeout(
--- a/weldbend/fleet/outlier_detection.py
+++ b/weldbend/fleet/outlier_detection.py
@@ -1,8 +1,8 @@
 """Outlier detection of a fleet: ejected caches, banned clients and unlisted starts of caches. No I/O.
 
 All fronts evaluate the same health reports, so fronts with the same replicas reach the same result within a
-tick. A single front can never cause an ejection: at least two fronts must report a cache as failing. A
-front is informed about a cache if its report contains enough answers and its own network seems free of faults
+tick. A single front can never cause an ejection: at least two fronts must report a cache as failing. A front
+is informed about a cache if its report contains enough answers, and its own network seems free of faults
 (`is_informed`). A front also requires that more than half of the informed fronts in its own zone report the
 cache as failing, if there are any. If fewer than two of them do, it additionally requires more than half of
 the informed fronts of all zones. If at least two fronts of the zone report failures, but not more than half
@@ -44,7 +44,7 @@
 FORGET_SECONDS = 60.0  # seconds after a recovery, after which the next ejection counts as the first
 MAX_EJECTED_FRACTION = 1 / 3  # of the caches of a kind; if more of them fail, the site is likely at fault
 BAN_WINDOW = 60.0  # seconds within which two fronts must have banned a client
-START_WINDOW = 3.0  # seconds within which two fronts must have lost their connections to a cache
+START_WINDOW = 3.0  # seconds within which two fronts must have failed to open a connection to a cache
 
 
 class EjectionState(Enum):
@@ -365,12 +365,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheBreak:
-    """A loss of all connections of one front to a cache that then could not be reached again.
+    """A failure of one front to open a connection to a cache.
 
     Attributes:
         cache: name of the cache.
         front: name of the front.
-        at: time of the loss, in seconds.
+        at: time of the failure, in seconds.
     """
 
     cache: str
@@ -404,8 +404,8 @@
 def unlisted_starts(breaks: Iterable[CacheBreak]) -> dict[str, float]:
     """Return the time of the latest unlisted start of each cache: one that no endpoint list contains.
 
-    A cache counts as started when two fronts lost their connections to it within `START_WINDOW`; the later of
-    these two losses dates the start.
+    A cache counts as started when two fronts failed to open a connection to it within `START_WINDOW`; the
+    later of these two failures dates the start.
     """
     by_cache: dict[str, dict[str, float]] = defaultdict(dict)
     for cache_break in breaks:
--- a/weldbend/fleet/probing.py
+++ b/weldbend/fleet/probing.py
@@ -123,7 +123,7 @@
         many fronts join at once, there are more updates than datagrams can carry, and without these probes
         the last members would be discovered a whole round later. As a side effect, while some configured
         members have never been started, only two of three probes belong to the rounds, and the detection of a
-        death takes half as long again.
+        death takes 1.5 times as long.
         """
         self.targets_drawn += 1
         members = self.table.members
--- a/weldbend/fleet/replicated_items.py
+++ b/weldbend/fleet/replicated_items.py
@@ -171,8 +171,8 @@
     CLIENT_RATE: per_writer_kind(20.0, False, *VERSION_FIELDS, is_number),
     # client|writer -> (epoch, number, seconds from the ban to this write): one front has banned the client
     CLIENT_BAN: per_writer_kind(900.0, True, *VERSION_FIELDS, is_number),
-    # cache|writer -> (epoch, number, seconds from the loss to this write): one front has lost its connections
-    # to the cache and could not open new ones
+    # cache|writer -> (epoch, number, seconds from the failure to this write): one front could not open a
+    # connection to the cache
     CACHE_BREAK: per_writer_kind(60.0, True, *VERSION_FIELDS, is_number),
     # |writer -> (epoch, number, checksum): the members and strict rates of one front's installation file
     MEMBERS: per_writer_kind(60.0, True, *VERSION_FIELDS, is_number),
