--- a/weldbend/fleet/slow_start_quotas.py
+++ b/weldbend/fleet/slow_start_quotas.py
@@ -102,7 +102,10 @@
             self.open(uid)
 
     def cache_restarted(self, uid: str) -> None:
-        """Stop sending to a cache that may have started until its limit is open, one loop iteration later."""
+        """Stop sending to a cache that may have started until its limit is open, one loop iteration later.
+
+        If the limit of the same start is open already, the front sends nothing until its allowance changes.
+        """
         loop = self.context.loop
         number = loop.names.numbers.get(uid)
         if number is not None and self.is_enabled:
