--- a/tests/test_bus_connects.py
+++ b/tests/test_bus_connects.py
@@ -1,6 +1,7 @@
 """Guards against connects to the bus that never report a result, as after a failed epoll_ctl.
 
-Without a timeout, no retry follows; and cancelling such a connect raises, which must not abort a shutdown.
+Without a timeout, the front would not connect again. Cancelling such a connect raises an exception, which
+must not abort a shutdown.
 """
 
 from twisted.internet.defer import Deferred
@@ -11,7 +12,7 @@
 
 
 class UnansweredAgent:
-    """An HTTP agent whose requests never end, as if epoll_ctl had failed for the new connection."""
+    """An HTTP agent whose requests get no response, as if epoll_ctl had failed for each new connection."""
 
     def __init__(self):
         self.request_count = 0
@@ -26,7 +27,7 @@
 
 
 class Timers:
-    """Timers of the reactor; cancelling an expired timer has no effect."""
+    """Timers of the reactor; unlike the reactor's own, an expired timer may be cancelled, without effect."""
 
     def __init__(self, reactor):
         self.reactor = reactor
@@ -38,15 +39,15 @@
 
 
 def test_a_bus_connect_that_reports_no_result_is_retried_after_the_silence_timeout():
-    """Without a retry, the front stays without the bus and ignores SIGTERM (seed 39 of the socket trials)."""
+    """Otherwise the front stays without its bus, and ignores SIGTERM (seed 39 of the socket trials)."""
     reactor = MemoryReactorClock()
     reader = BusReader(reactor, Timers(reactor), "127.0.0.1:1", 0, lambda event: None)
     reader.agent = UnansweredAgent()
     reader.start()
-    for expected_count in (2, 3):
+    for expected_count in (2, 3):  # requests so far, including the one sent by `start`
         reactor.advance(SILENCE_TIMEOUT)
         reactor.advance(MAX_RETRY_DELAY)
         assert reader.agent.request_count == expected_count
     reader.stop()
-    reactor.advance(10)
+    reactor.advance(10)  # no further request
     assert reader.agent.request_count == 3
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -1,8 +1,8 @@
 """Guards against lost answers and needless attempts when a client, cache, reload or shutdown interferes.
 
-Such faults occur when a close, cancellation or signal arrives together with other input. On real sockets this
-is forced by stopping the front with SIGSTOP while the other side acts, so that it finds both at once, or by a
-side that holds back bytes or reads nothing. Each wait is for the effect of the previous step.
+Such faults occur when a close, a cancellation or a signal arrives together with other input. On real sockets,
+the tests suspend the front with SIGSTOP while its client or cache acts, so that the front finds all input at
+once, or they let a client hold back bytes or read nothing. Each wait is for the effect of the previous step.
 """
 
 import os
@@ -39,9 +39,10 @@
 
 @pytest.fixture
 def front_with_long_latency_objective(site):
-    """A front that hedges or abandons no attempt before the deadline of 6 s.
+    """A front whose latency objective of 9 s is longer than the deadline of 6 s.
 
-    An `undo` at the cache therefore means that the client cancelled or left.
+    It therefore sends no second attempt for a slow one and cancels none before the deadline, so an `undo` at
+    the cache means that the client cancelled or left.
     """
     path, address, cache = site
     path.write_text(re.sub(r'"goal_time_us": 500000\b', '"goal_time_us": 9000000', path.read_text()))
@@ -81,7 +82,7 @@
 
 
 def open_idle_cache_connection(address, cache):
-    """Return a cache connection of the front, and its stream, with no attempt in flight."""
+    """Return a connection of the front to the cache with no attempt in flight, and its stream."""
     with connect_and_send(address, process(90)) as first:
         connection, stream = accept_cache_connection(cache)
         assert read_commands(stream, 1) == [90]
@@ -105,7 +106,7 @@
 
 @pytest.mark.parametrize("departure", ["closes", "resets", "cancels"])
 def test_a_client_that_left_while_the_front_was_suspended_causes_no_attempt(running_front, departure):
-    """Request and close (or cancellation) are read one after the other; no attempt may start in between."""
+    """The front reads the request, then the close or cancellation; no attempt may start in between."""
     program, address, cache = running_front
     connection, stream = open_idle_cache_connection(address, cache)
     client = connect(address)
@@ -121,7 +122,10 @@
 
 
 def test_a_client_that_left_while_its_request_waited_for_a_connect_causes_no_attempt(running_front):
-    """The completed connect and the client's close are found by the same poll of the sockets."""
+    """The cache resets the connection that carries the attempt, and the client leaves at the same time.
+
+    The attempt could be repeated once a new connection to the cache is open, but no client waits for it.
+    """
     program, address, cache = running_front
     leaving_client = connect(address)
     leaving_client.sendall(process(1))
@@ -129,19 +133,20 @@
     assert read_commands(stream, 1) == [1]
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     with SuspendedProcess(program):
-        connection.close()  # the attempt may be repeated, once a new connection is open
+        connection.close()  # with the linger time of 0 s this resets the connection
         stream.close()
         leaving_client.close()
     next_answers = connect_and_send(address, process(2))
     connection, stream = accept_cache_connection(cache)
+    # The front may throttle request 2 after its suspension. A command that arrives is not for request 1.
     if select.select([connection], [], [], 1.0)[0]:
-        assert read_commands(stream, 1) == [2]  # request 1 was not repeated
+        assert read_commands(stream, 1) == [2]
     for resource in (next_answers, connection, stream):
         resource.close()
 
 
 def connect_slow_reader(address, *frames):
-    """Connect a client that reads no answers; they fill its receive buffer, and then the front's buffers."""
+    """Connect a client that reads no answers; these fill its receive buffer, then the front's buffers."""
     slow = socket.socket()
     slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
     slow.settimeout(TIMEOUT)
@@ -153,7 +158,8 @@
 def deliver_to_front(address, connection, stream, data):
     """Send data from a cache, and wait until the front has read it.
 
-    The data is followed by the answer to one more request, whose client receives it only afterwards.
+    The answer to one more request, 95, follows the data. Once its client has received that answer, the front
+    has read the data.
     """
     with connect_and_send(address, process(95, key=f"{95:016x}")) as other_answers:
         assert read_commands(stream, 1) == [95]
@@ -162,17 +168,21 @@
 
 
 def slow_reader_with_pending_answers(address, cache):
-    """Connect a client that reads nothing and has buffered answers; its request 50 is open at the cache."""
+    """Return a client that reads nothing, and the front's connection to the cache with its stream.
+
+    Of the client's 32 open requests, the cache has answered 31, and the front buffers these answers. The last
+    one, 50, is in flight.
+    """
     slow = connect_slow_reader(address, *(process(n, key=f"{n:016x}") for n in range(1, 32)), process(50))
     connection, stream = accept_cache_connection(cache)
     assert read_commands(stream, 32) == [*range(1, 32), 50]
-    connection.sendall(cache_answer(1, LARGE_BODY))  # frees a stream for the last request
+    connection.sendall(cache_answer(1, LARGE_BODY))  # frees one of the 32 streams for request 95
     deliver_to_front(address, connection, stream, b"".join(cache_answer(n, LARGE_BODY) for n in range(2, 32)))
     return slow, connection, stream
 
 
 def read_until_undo(stream, number):
-    """Read commands until the `undo` of this attempt; others may be cancelled before it."""
+    """Return whether the `undo` of this request arrives; other commands may precede it."""
     while line := stream.readline():
         if line == b"undo %016x\r\n" % number:
             return True
@@ -185,16 +195,19 @@
     started_at = time.monotonic()
     slow.sendall(process(51) + give_up(50) + give_up(51))
     assert read_until_undo(stream, 50) and time.monotonic() - started_at < 3.0
-    buffer = slow.makefile("rb")
-    assert {read_answer(buffer) for _ in range(31)} == {f"{n} process: '200000 bytes'" for n in range(1, 32)}
+    answers = slow.makefile("rb")
+    assert {read_answer(answers) for _ in range(31)} == {f"{n} process: '200000 bytes'" for n in range(1, 32)}
     slow.sendall(process(52))
-    assert read_commands(stream, 1) == [52]  # request 51 was never sent
-    for resource in (slow, buffer, connection, stream):
+    assert read_commands(stream, 1) == [52]  # request 51 was never sent to the cache
+    for resource in (slow, answers, connection, stream):
         resource.close()
 
 
 def test_a_close_is_detected_while_the_front_does_not_read_from_the_client(front_with_long_latency_objective):
-    """The client has sent as much as the front accepts while its answers are buffered, and then closes."""
+    """While the front buffers answers for a client, it does not read from it.
+
+    The client sends three large calls, and then closes its sending side.
+    """
     _, address, cache = front_with_long_latency_objective
     slow, connection, stream = slow_reader_with_pending_answers(address, cache)
     started_at = time.monotonic()
@@ -208,13 +221,17 @@
 
 
 def test_closing_a_connection_with_unread_bytes_does_not_reset_answers_in_transit(running_front):
-    """A slow reader violates the protocol and is disconnected while an answer is in transit to it."""
+    """A slow reader violates the protocol and is disconnected while an answer is in transit to it.
+
+    If the front closed its socket with bytes unread, the kernel would reset the connection and discard the
+    answer.
+    """
     _, address, cache = running_front
     slow = connect_slow_reader(address, process(1))
     connection, stream = accept_cache_connection(cache)
     assert read_commands(stream, 1) == [1]
     deliver_to_front(address, connection, stream, cache_answer(1, LARGE_BODY))
-    slow.sendall(b"\xff" * 300_000)
+    slow.sendall(b"\xff" * 300_000)  # begins with a length that is longer than any call
     for _ in range(2):  # by the second answer, the front has read and discarded these bytes
         with connect_and_send(address, probe(7)) as other_answers:
             assert read_answer(other_answers) == "7 probe: good True"
@@ -224,14 +241,14 @@
         resource.close()
 
 
-def test_a_client_that_ignores_the_close_is_disconnected(running_front):
+def test_a_client_that_sends_on_after_the_front_has_closed_is_disconnected(running_front):
     _, address, _ = running_front
     client = connect(address)
     with client.makefile("rb") as answers:
         client.sendall(b"\xff" * 100)
         assert answers.read() == b""
         started_at = time.monotonic()
-        with pytest.raises(OSError):  # after the close, a send is reset
+        with pytest.raises(OSError):  # once the front has disconnected, a send is answered by a reset
             while time.monotonic() - started_at < TIMEOUT:
                 client.sendall(b"x")
                 time.sleep(0.02)
@@ -239,21 +256,21 @@
 
 
 def test_a_request_accepted_by_the_kernel_while_the_front_shuts_down_is_answered(running_front):
-    """The port closes 0.7 s after SIGTERM; the connection is made before that, and accepted afterwards."""
+    """The port closes 0.7 s after SIGTERM; a connection made before that is found by the front afterwards."""
     program, address, cache = running_front
     connection, stream = open_idle_cache_connection(address, cache)
     program.process.send_signal(signal.SIGTERM)
     program.wait_for_log("shutdown requested")
     with SuspendedProcess(program):
         client = connect_and_send(address, process(1, **{"class": "none"}))  # answered without a cache
-        time.sleep(0.8)  # the port is due to be closed by now
+        time.sleep(0.8)  # longer than 0.7 s: the first check whether the front can exit is due
     assert read_answer(client) == "1 exception 7: unknown content type" and client.read() == b""
     assert program.process.wait(TIMEOUT) == 0
     for resource in (client, connection, stream):
         resource.close()
 
 
-def test_a_partial_request_at_sigterm_is_completed_and_a_second_sigterm_has_no_effect(running_front):
+def test_a_partial_request_at_sigterm_can_be_completed_and_a_second_sigterm_has_no_effect(running_front):
     program, address, cache = running_front
     connection, stream = open_idle_cache_connection(address, cache)
     partial_client, idle_client = connect(address), connect(address)
@@ -270,7 +287,8 @@
         assert read_commands(stream, 1) == [2]
         connection.sendall(cache_answer(2))
         assert read_answer(answers) == "2 process: 'ok'"
-        time.sleep(0.9)  # later than the close of all idle connections
+        # 0.7 s after SIGTERM idle connections are closed, but none while this client's call is incomplete.
+        time.sleep(0.9)
         partial_client.sendall(frame[40:])
         assert read_commands(stream, 1) == [1]
         connection.sendall(cache_answer(1))
@@ -283,7 +301,7 @@
 
 
 def test_sigterm_before_the_first_endpoint_list_ends_the_front_cleanly(site):
-    """The bus accepts the connection and sends nothing; the front's port is not open yet."""
+    """The bus accepts the front's connection and sends nothing, so the front has not opened its port yet."""
     path, _, _ = site
     with socket.create_server(("127.0.0.1", 0)) as bus:
         bus.settimeout(TIMEOUT)
@@ -296,7 +314,7 @@
 
 
 def open_for_writing(pipe, reader):
-    """Open a named pipe for writing as soon as its reader, a front, has opened it."""
+    """Open a named pipe for writing as soon as `reader`, the process of a front, reads from it."""
     started_at = time.monotonic()
     while reader.poll() is None and time.monotonic() < started_at + TIMEOUT:
         with suppress(OSError):
@@ -306,7 +324,11 @@
 
 
 def test_sighup_while_loading_neither_ends_the_front_nor_is_lost(site, tmp_path):
-    """The configuration is a named pipe, so that the signal arrives during the load; then it has changed."""
+    """SIGHUP arrives while the front loads its configuration, and the front then loads the changed one.
+
+    The configuration file is a named pipe, which the front reads until this test closes it. The second load
+    reads another pipe, whose configuration names another bus.
+    """
     path, _, _ = site
     pipe = tmp_path / "pipe"
     os.mkfifo(pipe)
@@ -317,7 +339,7 @@
         try:
             with open_for_writing(pipe, front_process) as first_write:
                 front_process.send_signal(signal.SIGHUP)
-                pipe.rename(tmp_path / "read")
+                pipe.rename(tmp_path / "read")  # the front still reads it
                 os.mkfifo(pipe)  # the second load reads another pipe
                 first_write.write(path.read_text())
             new_bus = f'"bus": "127.0.0.1:{bus.getsockname()[1]}"'
@@ -333,9 +355,11 @@
 
 
 def test_requests_are_served_while_idle_clients_use_all_descriptors_and_the_bus_is_down(site):
-    """Caches, the bus and waiting requests still get descriptors.
+    """Connections to caches and to the bus, and clients with requests, still get descriptors.
 
-    The front neither spins nor disconnects a client with an open request.
+    400 clients connect to a front with 256 descriptors, whose bus is down at first. The front neither spins
+    nor disconnects a client with an open request. CPU time is read from /proc in clock ticks (user and system
+    time, fields 14 and 15 of stat).
     """
     path, address, cache = site
     with socket.create_server(("127.0.0.1", 0)) as port_reservation:
@@ -372,11 +396,14 @@
         program.kill_and_wait()
 
 
-# The same on a virtual clock, where the order of calls decides which of two events comes first.
+# Faults of the same kinds on a virtual clock, where the test decides which of two events comes first.
 
 
 def test_an_answer_not_yet_read_when_its_connection_ends_is_delivered():
-    """The front pauses reads while slow readers fill its buffers; meanwhile the cache answers and closes."""
+    """The front pauses reading from caches while it buffers too many bytes for clients that read slowly.
+
+    Meanwhile the cache answers and closes its connection.
+    """
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1, once="ab", **{"class": "order"}))
     harness.complete_connects()
@@ -388,6 +415,11 @@
 
 
 def test_an_endless_answer_delays_no_request_past_its_deadline():
+    """A cache sends one byte of an answer at a time, often enough that the answer does not count as stalled.
+
+    Once request 1 is cancelled, this connection accepts no further attempts. It may end because it has no
+    attempt in flight, or by the time limit on one answer; only the latter is counted as an anomaly.
+    """
     harness, count_before = FrontHarness(), anomalies["cache answers over the time limit"]
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -409,7 +441,10 @@
 
 
 def test_a_shutdown_takes_no_longer_than_the_deadlines_of_the_site_allow():
-    """SIGKILL follows 0.7 s after the longest deadline, or after 3.7 s: early where deadlines are short."""
+    """SIGKILL follows 0.7 s after the longest deadline of the site, and 3.7 s after SIGTERM at the latest.
+
+    With deadlines of 1 s, SIGKILL follows after 1.7 s. This test allows 0.95 + 60 * 0.01 = 1.55 s.
+    """
     harness = FrontHarness()
     request_classes = harness.front.site.settings.classes.values()
     for request_class in request_classes:
@@ -419,7 +454,8 @@
     harness.complete_connects()
     harness.front.terminate()
     harness.advance(0.95)
-    # a partial call prevents the exit of an idle front
+    # A connection with a partial call is closed only when the front aborts open requests, 1 + 0.4 s after
+    # SIGTERM.
     harness.send(harness.connect_client(), probe(7), process(2)[:50])
     for _ in range(60):
         harness.advance(0.01)
@@ -427,7 +463,10 @@
 
 
 def test_a_waiting_request_is_sent_only_after_all_input_of_the_same_iteration_is_read():
-    """A connect completes, then its client's close is read; both happened before the same poll."""
+    """The same poll of the sockets finds that a connect to the cache has completed and that the client left.
+
+    The waiting attempt must not be sent as soon as the connect is handled.
+    """
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -443,7 +482,10 @@
 
 
 def test_changed_settings_apply_to_new_requests_and_not_to_open_ones():
-    """One class is renamed, the other becomes non-repeatable; each has one open request at the reload."""
+    """Each of the two classes has an open request when the configuration is reloaded.
+
+    The class photo is renamed to clip, and writes of the class order may no longer be repeated.
+    """
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1), process(2, once="ab", **{"class": "order"}))
@@ -461,18 +503,21 @@
     harness.complete_connects()
     assert "client 0 < 3 exception 7: unknown content type" in harness.trace
     harness.trace.clear()
-    harness.answer("e2", 1, "DONE", "-", b"old name")
+    harness.answer("e2", 1, "DONE", "-", b"old name")  # request 1 has the class name from before the reload
     for key in [key for key in harness.caches if key[0] == "o1"]:
         harness.caches[key].transport.loseConnection()  # both writes may have been executed
     harness.advance()
     harness.complete_connects()
     orders = [line for line in harness.trace if "o1/" in line]
-    assert len(orders) == 1 and f"{2:016x}" in orders[0], harness.trace  # by the settings at its start
+    assert (
+        len(orders) == 1 and f"{2:016x}" in orders[0]
+    ), harness.trace  # only request 2 is repeated: it began with the old settings
     assert "client 0 < 5 abandoned" in harness.trace and "client 0 < 1 process: 'old name'" in harness.trace
 
 
 @pytest.mark.parametrize("new_settings", ["{", None])
-def test_unusable_settings_change_nothing(new_settings):
+def test_a_reload_without_a_usable_configuration_changes_nothing(new_settings):
+    """The configuration is malformed, or (None) its file is missing."""
     harness = FrontHarness()
     site_before = harness.front.site
 
@@ -489,7 +534,10 @@
 
 
 def test_a_cache_connection_that_accepts_no_data_is_aborted():
-    """The cache hangs, so written bytes are never sent; a close that waits for them would never complete."""
+    """The cache hangs: bytes written to it are never sent, so a close that waits for them never completes.
+
+    The connection is therefore aborted 1 s after the close.
+    """
     harness, calls = FrontHarness(), []
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
@@ -507,9 +555,11 @@
 @pytest.mark.parametrize("interruption", ["the cache's close", "the deadline", "a cancellation"])
 @pytest.mark.parametrize("request_class", ["photo", "order", "print"])
 def test_an_answer_interrupted_between_two_pieces_is_not_delivered(interruption, request_class):
-    """A partial answer counts as none.
+    """A partial answer counts as no answer.
 
-    The request is repeated if that is permitted, else abandoned, and no client gets a second answer.
+    After the cache's close, a photo and an order are requested again. The case "print" is an order in a
+    configuration that allows one execution at most, so it is abandoned. After the deadline the client gets
+    one answer, and after a cancellation none.
     """
     settings_text = (
         configuration().replace('"deduplicated"', '"at_most_once"')
@@ -524,7 +574,7 @@
     harness.complete_connects()
     (uid, index), connection = next(iter(harness.caches.items()))
     answer = b"%016x DONE - 5\r\nphoto\r\n" % 1
-    connection.dataReceived(answer[:-4])
+    connection.dataReceived(answer[:-4])  # without "to" and the line end
     harness.trace.clear()
     if interruption == "the cache's close":
         connection.transport.loseConnection()
@@ -556,7 +606,7 @@
     for n, client in enumerate(clients, 1):
         harness.send(client, process(n, key=f"{n:016x}"))
     harness.complete_connects()
-    answered = [
+    answered = [  # ten of the requests in flight
         n for connection in harness.caches.values() for n in [int(name, 16) for name in connection.in_flight]
     ][:10]
     for (uid, index), connection in list(harness.caches.items()):
@@ -588,7 +638,7 @@
     client = harness.connect_client()
     harness.send(client, process(1))
     harness.front.terminate()
-    harness.advance(0.3)
+    harness.advance(0.3)  # an attempt waits 0.4 s for its connection
     harness.complete_connects()
     harness.answer("e2", 1, "DONE", "-", b"photo")
     assert harness.trace[-1] == "client 0 < 1 process: 'photo'"
@@ -600,8 +650,8 @@
     assert not any("< do" in line for line in harness.trace)
 
 
-def test_a_flood_of_data_after_the_close_is_cut_off(running_front):
-    """After the close, received data is discarded up to a limit only; then the connection is reset."""
+def test_a_client_that_sends_too_much_after_the_front_has_closed_is_disconnected(running_front):
+    """The front discards what a client sends after the front's close, up to a limit; then it disconnects."""
     _, address, _ = running_front
     client = connect(address)
     with pytest.raises(OSError):
@@ -613,7 +663,7 @@
 
 
 def test_small_writes_are_sent_without_delay():
-    """The kernel would delay small writes to merge them (Nagle), and a reset would discard them."""
+    """By default the kernel delays small writes to merge them (Nagle); a reset would discard them."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -1,7 +1,7 @@
 """Guards against requests without an answer at the end of a shutdown, before SIGKILL.
 
-SIGKILL follows SIGTERM after the longest deadline of the site, at most 3 s, and 0.7 s more. Clients send
-requests until their connections end, and each of these requests has to be answered.
+SIGKILL follows SIGTERM after the longest deadline of the site, of which at most 3 s count, and 0.7 s more.
+Clients send requests until their connections end, and each of these requests has to be answered.
 """
 
 import socket
@@ -22,10 +22,11 @@
 TIMEOUT = 20.0  # seconds after which a test gives up
 REQUEST_INTERVAL = 0.02  # seconds between two requests of one client
 MAX_OPEN_REQUESTS = 25  # requests of one client without an answer
-RACE_WINDOW = 0.05  # seconds before a close in which a request may be lost; a client would then resend it
+RACE_WINDOW = 0.05  # seconds before a close; a request sent then may cross it, and a client would resend it
 
 
 def harness_with_deadlines(seconds):
+    """Return a front whose request classes all have a deadline of so many seconds."""
     harness = FrontHarness()
     for request_class in harness.front.site.settings.classes.values():
         object.__setattr__(request_class, "deadline_after", seconds)
@@ -54,11 +55,13 @@
     harness = harness_with_deadlines(0.3)
     client = harness.connect_client()
     client.pauseProducing()
-    for seqid in (101, 102):  # the second answer does not fit into the ring buffer yet
+    # The first answer fills most of the ring for answers (256 KiB), so the second one waits in a queue.
+    for seqid in (101, 102):
         client.writer.write(messages.success_reply("process", seqid, bytes(240_000), {}, True))
     harness.send(client, process(1, wait="300"), process(2, wait="300"))
-    assert not client.open_requests and len(client.incoming)
+    assert not client.open_requests and len(client.incoming)  # the calls are received and not handled yet
     harness.front.terminate()
+    # Open requests are aborted 0.3 + 0.4 = 0.7 s after SIGTERM; checks for the exit are 0.02 s apart.
     harness.advance(0.7)
     harness.advance(0.03)
     assert not client.transport.disconnecting, "answers are still buffered for this client"
@@ -120,7 +123,11 @@
 
 
 def test_a_process_with_deadlines_of_300_ms_answers_every_request_and_exits_in_time(tmp_path):
-    """The only cache accepts connections and answers nothing; clients send until they are disconnected."""
+    """The only cache accepts connections and answers nothing; clients send until they are disconnected.
+
+    The front stops handling requests 0.3 + 0.4 = 0.7 s after SIGTERM, and SIGKILL would follow after
+    0.3 + 0.7 = 1 s. The clients must not be disconnected before 0.6 s.
+    """
     with (
         socket.create_server(("127.0.0.1", 0), backlog=64) as cache,
         socket.create_server(("127.0.0.1", 0)) as bus,
@@ -148,9 +155,11 @@
                 front.kill()
             front.wait(TIMEOUT)
             front.stderr.close()
-    assert duration < 1.0, "SIGKILL may follow after the longest deadline and 0.7 s"
+    assert (
+        duration < 1.0
+    ), "SIGKILL may follow 0.7 s after the longest deadline, 0.3 + 0.7 = 1 s after SIGTERM"
     for client in clients:
-        due = {
+        due = {  # requests that must have an answer
             seqid
             for seqid, sending_time in client.sent_at.items()
             if sending_time < client.closed_at - RACE_WINDOW
--- a/tests/test_local_faults.py
+++ b/tests/test_local_faults.py
@@ -1,7 +1,8 @@
 """Guards against counting faults of this machine as evidence against a cache.
 
-A connect that fails locally, for example for lack of descriptors, is no evidence about the cache. It uses
-neither an attempt nor retry budget, and is retried while the attempt waits.
+A connect that fails locally, for example for lack of descriptors, says nothing about the cache. The connect
+is retried while its attempt waits. An attempt that ends because of such a fault counts neither towards the
+request's maximum number of attempts nor towards the retry budget.
 """
 
 import errno
@@ -16,8 +17,8 @@
 from weldbend.routing.events import AttemptEnded, AttemptResult
 
 
-def test_attempts_that_fail_locally_use_neither_attempts_nor_retry_budget():
-    front = RouterHarness(max_attempts=2)
+def test_attempts_that_end_by_local_faults_do_not_count_against_the_attempt_limit_or_the_retry_budget():
+    front = RouterHarness(max_attempts=2)  # fewer than the five local faults that follow
     front.request("d")
     for _ in range(5):
         front.end_attempt("d", AttemptResult.LOCAL_FAULT)
@@ -36,11 +37,14 @@
     is_cache_failure = result is AttemptResult.UNREACHABLE
     assert (cache.failures.total(front.now) > 0) == is_cache_failure
     assert (cache.breaks.broken_at > 0 or cache.breaks.unreachable_at >= 0) == is_cache_failure
-    assert front.trace[-1].split()[2] != first_cache  # in either case this request uses another cache next
+    assert front.trace[-1].split()[2] != first_cache  # in either case the next attempt is at another cache
 
 
 class FailingConnects:
-    """Makes connects of a front fail with the given errors in turn, reported as by Twisted, or raised."""
+    """Makes one connect of a front fail for each given error; afterwards connects are passed on.
+
+    A failure is reported later, as Twisted does, or raised by `connectTCP` if `is_raised`.
+    """
 
     def __init__(self, harness, errors, is_raised=False):
         self.reactor, self.connect = harness.reactor, harness.reactor.connectTCP
@@ -75,7 +79,7 @@
     errno.EADDRNOTAVAIL,
     errno.ENETUNREACH,
     errno.EINTR,
-    ConnectError(string=Failure(ConnectionDone())),  # Twisted's translation of EAGAIN
+    ConnectError(string=Failure(ConnectionDone())),  # what Twisted reports if connect(2) fails with EAGAIN
     OSError(errno.ENOSPC, "epoll_ctl"),
 ]
 
@@ -86,7 +90,7 @@
     results = record_attempt_results(harness)
     failing_connects = FailingConnects(harness, [error] * 3)
     harness.send(harness.connect_client(), process(1))
-    for _ in range(30):
+    for _ in range(30):  # 0.3 s: longer than three retries take, shorter than the wait of an attempt (0.4 s)
         harness.advance(0.01)
     assert failing_connects.connect_count == 4 and not results()
     harness.complete_connects()
@@ -102,7 +106,7 @@
     ((_, connector),) = harness.pending_connects()
     connector.buildProtocol(None).connectionLost(Failure(OSError(errno.ENOMEM, "epoll_ctl")))
     assert not harness.pending_connects()  # the retry waits for its backoff
-    for _ in range(45):
+    for _ in range(45):  # 0.45 s: the attempt waits for a connection for 0.4 s
         harness.advance(0.01)
     assert results() == ["LOCAL_FAULT"]
     harness.complete_connects()
@@ -114,7 +118,7 @@
     harness = FrontHarness()
     FailingConnects(harness, [errno.EMFILE], is_raised=True)
     harness.send(harness.connect_client(), process(1))
-    harness.advance(0.02)
+    harness.advance(0.02)  # longer than the delay of the first retry
     harness.complete_connects()
     harness.answer("e2", 1, "DONE", "-", b"photo")
     assert harness.trace[-1] == "client 0 < 1 process: 'photo'"
@@ -122,6 +126,7 @@
 
 @pytest.mark.parametrize("error", [errno.ECONNREFUSED, errno.EHOSTUNREACH, errno.ETIMEDOUT])
 def test_a_connect_error_of_the_peer_or_the_network_path_ends_the_attempt_at_once(error):
+    """The second connect is that of the next attempt, at another cache."""
     harness = FrontHarness()
     results = record_attempt_results(harness)
     failing_connects = FailingConnects(harness, [error])
@@ -131,7 +136,7 @@
 
 
 def test_without_any_connection_requests_are_answered_by_their_deadline_and_connects_are_bounded():
-    """If every connect fails locally, no cache counts as failed, and the backoff bounds the connects."""
+    """If every connect fails locally, no cache counts as failed, and the backoff bounds their number."""
     harness = FrontHarness()
     results = record_attempt_results(harness)
     failing_connects = FailingConnects(harness, [errno.ENFILE] * 10_000)
@@ -145,7 +150,9 @@
     context = harness.dispatcher.router.context
     assert not any(cache.failures.total(context.now) for cache in context.caches.values())
     assert all(cache.breaks.broken_at < 0 for cache in context.caches.values())
-    max_connects_per_cache = 1.5 / (MAX_DELAY / 2) + 4  # within 1.5 s; the first four delays are shorter
+    # Within the deadline of 1.5 s. A delay is at least half of its maximum; the first delays, which double up
+    # to MAX_DELAY, are shorter and allow four more connects.
+    max_connects_per_cache = 1.5 / (MAX_DELAY / 2) + 4
     assert failing_connects.connect_count < max_connects_per_cache * len(context.caches)
 
 
@@ -156,12 +163,15 @@
     failing_connects = FailingConnects(harness, [errno.EMFILE])
     harness.caches["e2", 0].transport.loseConnection()
     harness.advance()
-    harness.advance(0.02)
+    harness.advance(0.02)  # longer than the delay of the first retry
     assert failing_connects.connect_count >= 2 and "e2" in [name for name, _ in harness.pending_connects()]
 
 
 def test_an_attempt_delayed_locally_past_the_answer_timeout_is_no_evidence_against_its_cache():
-    """Such a cache must not count as slow, because nothing has reached it."""
+    """The router asks whether the attempt is slow when it still waits for a connection.
+
+    The cache must not count as slow, because nothing was sent to it.
+    """
     harness = FrontHarness()
     results = record_attempt_results(harness)
     FailingConnects(harness, [errno.EMFILE] * 1000)
@@ -178,20 +188,20 @@
 def test_a_cache_is_unreachable_if_a_connect_was_pending_for_the_whole_timeout():
     harness = FrontHarness()
     results = record_attempt_results(harness)
-    FailingConnects(harness, [])
+    FailingConnects(harness, [])  # no connect fails; all of them are pending
     harness.send(harness.connect_client(), process(1))
-    harness.advance(0.41)
+    harness.advance(0.41)  # an attempt waits for a connection for 0.4 s
     assert results() == ["UNREACHABLE"]
 
 
-def test_connect_delays_double_up_to_a_maximum_and_are_deterministic_for_each_address():
+def test_delays_before_connects_double_up_to_a_maximum_and_depend_only_on_address_and_time():
     delays = []
     for address in ("127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:2"):
         backoff = ConnectBackoff(address)
         drawn = []
         for step in range(8):
             drawn.append(backoff.record_fault(step * 0.1))
-            assert backoff.record_fault(step * 0.1) is None
+            assert backoff.record_fault(step * 0.1) is None  # a retry is already scheduled
             backoff.is_retry_scheduled = False
         delays.append(drawn)
     for step, delay in enumerate(delays[0]):
--- a/tests/test_retrying_reactor.py
+++ b/tests/test_retrying_reactor.py
@@ -1,6 +1,7 @@
 """Guards against descriptors that stay unwatched after epoll_ctl failed, on a real pair of sockets.
 
-epoll_ctl fails for a time, for example at the user's limit on watches; the reactor has to retry.
+epoll_ctl can fail for some time, for example at the user's limit on watched descriptors. The reactor has to
+retry until it succeeds.
 """
 
 import errno
@@ -12,7 +13,7 @@
 
 
 class Selectable:
-    """One end of a socket pair, which records the calls that the reactor makes."""
+    """One end of a socket pair; records which of its methods the reactor calls."""
 
     def __init__(self, connected_socket):
         self.connected_socket, self.calls, self.fileno = connected_socket, [], connected_socket.fileno
@@ -32,7 +33,7 @@
 
 
 class FailingPoller:
-    """An epoll object whose first registrations fail with the given errors."""
+    """An epoll object whose first registrations fail, one for each given error."""
 
     def __init__(self, poller, errors):
         self.poller, self.errors = poller, errors
@@ -70,7 +71,7 @@
     reactor._poller = FailingPoller(reactor._poller, [error_number] * 3)
     reactor.addReader(selectable)
     reactor.addWriter(selectable)
-    remote_end.sendall(b"bytes")
+    remote_end.sendall(b"bytes")  # makes the local end readable
     run_reactor(reactor)
     assert {"read", "write"} <= set(selectable.calls) and "lost" not in selectable.calls
     assert not (reactor.unwatched_readers or reactor.unwatched_writers)
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -1,4 +1,8 @@
-"""Tests of the socket fault injector: its plans, its audit, and real fronts that run under a few seeds."""
+"""Tests of the socket fault injector: its plans, its audit, and real fronts that run under a few seeds.
+
+The injector makes system calls of a front fail. A plan, drawn from a seed, has episodes in which one kind of
+call fails. The audit checks at the emulated caches which attempts arrive.
+"""
 
 import errno
 import json
@@ -34,24 +38,25 @@
 )
 
 
-def test_a_plan_depends_only_on_its_seed_and_consecutive_seeds_cover_every_fault_for_the_whole_run():
+def test_a_plan_depends_only_on_its_seed_and_consecutive_seeds_inject_each_fault_throughout_a_run():
     assert draw_plan(7, 5.0) == draw_plan(7, 5.0) != draw_plan(8, 5.0)
     assert {seed_fault(seed) for seed in range(len(ALL_FAULTS))} == set(ALL_FAULTS)
-    seed_episodes = draw_plan(7, 5.0)[:SEED_FAULT_WINDOWS]
+    seed_episodes = draw_plan(7, 5.0)[:SEED_FAULT_WINDOWS]  # those of the fault that belongs to the seed
     assert {(episode.call, episode.error_number) for episode in seed_episodes} == {seed_fault(7)}
     assert (seed_episodes[0].since, seed_episodes[-1].until) == (0.0, 5.0)
 
 
 def test_calls_fail_only_during_an_episode_and_a_bounded_number_of_times():
-    (episode,) = draw_plan(5, 5.0)[:1]
+    (episode,) = draw_plan(5, 5.0)[:1]  # the fault of seed 5 is that accept fails with ENFILE
     episode.chance = 1.0
     faults = CallFaults([episode], random.Random(1))
     during_episode = (episode.since + episode.until) / 2
     assert faults.draw(Call.EPOLL_WAIT, during_episode) is None
     drawn = [faults.draw(Call.ACCEPT, during_episode) for _ in range(100)]
+    # at first all calls fail, then none: 40 is the largest number of faults of an episode
     assert drawn == [errno.ENFILE] * drawn.count(errno.ENFILE) + [None] * drawn.count(None)
     assert 0 < drawn.count(errno.ENFILE) <= 40 and faults.calls[Call.ACCEPT] == 100
-    episode.remaining = 9
+    episode.remaining = 9  # more faults would be allowed, but the episode is over
     assert faults.draw(Call.ACCEPT, episode.until + 1.0) is None
 
 
@@ -73,6 +78,10 @@
 
 
 def record_two_attempts(clock, audit, *, ends_first):
+    """Record two attempts of one write, 10 ms apart; return the command and the second connection.
+
+    With `ends_first`, the first attempt ends when the second has arrived, within the permitted slack.
+    """
     server = SimpleNamespace(cache=SimpleNamespace(open=0))
     first, second = (AuditedConnection(server, audit) for _ in range(2))
     command = SimpleNamespace(name="0000000000000001", fields={"uniq": "ab"})
@@ -86,7 +95,7 @@
 
 
 @pytest.mark.parametrize("ends_first", [True, False])
-def test_the_audit_reports_two_attempts_in_flight(ends_first):
+def test_the_audit_reports_a_second_attempt_in_flight_unless_the_first_ends_in_time(ends_first):
     clock = Clock()
     audit = AttemptAudit(clock)
     record_two_attempts(clock, audit, ends_first=ends_first)
@@ -95,7 +104,7 @@
 
 def test_the_audit_reports_an_effect_requested_again_after_its_deduplication_window(monkeypatch):
     clock = Clock()
-    monkeypatch.setattr("time.monotonic", clock.seconds)
+    monkeypatch.setattr("time.monotonic", clock.seconds)  # the audit's clock for idempotency keys
     audit = AttemptAudit(clock)
     command, second = record_two_attempts(clock, audit, ends_first=True)
     clock.advance(DEDUPLICATION_WINDOW)
@@ -108,7 +117,7 @@
     "seed", [5, 12, 41], ids=["accept ENFILE", "connect ENETUNREACH", "epoll_wait EINTR"]
 )
 def test_a_front_whose_system_calls_fail_keeps_the_rules(seed):
-    """Each seed injects the named fault from start to shutdown, and five others for part of the time."""
+    """A seed injects the fault named in its test id from start to shutdown, and five others now and then."""
     command = [sys.executable, "-m", "weldbend.testbed.faults.socket_trial", "--seeds", str(seed)]
     result = subprocess.run(command, capture_output=True, text=True, timeout=120)
     report = json.loads(result.stdout)
