--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -1,7 +1,9 @@
-"""Guards the limit on connections to all caches: which are closed at the limit, and which are kept.
+"""Guards the limit on connections to all caches: which are closed at the limit, and which stay open.
 
 A front with more caches than permitted connections closes idle connections to make room. It must not lose
-attempts in flight, starve a cache, or count its own closes and delays as failures of a cache.
+attempts in flight, let a cache wait for a connection forever, or count its own closes and delays as failures
+of a cache. Unless a test says otherwise, two connections are permitted, with two streams each, and an attempt
+waits 0.4 s (CONNECT_TIMEOUT) for a connection.
 """
 
 import math
@@ -54,7 +56,7 @@
 
 
 class LookupOnlyEndpoints(dict):
-    """The endpoints by number; iterating over them raises, because the work must not grow with the caches."""
+    """The endpoints by cache number; iterating raises, as no work may grow with the number of caches."""
 
     def __iter__(self):
         raise AssertionError("iterated over all caches")
@@ -63,14 +65,14 @@
 
 
 class PoolHarness:
-    """A connection pool with caches in memory; it records the outcome of each attempt by name."""
+    """A connection pool with caches in memory, numbered from 1; records outcomes by attempt name."""
 
     def __init__(self, count=3, **changes):
         self.reactor = MemoryReactorClock()
         timers = Timers(self.reactor, SimpleNamespace(now=self.reactor.seconds))
         limits = replace(LIMITS, **changes)
         self.pool = CachePool(self.reactor, timers, limits, lambda cache, answer: True, lambda cache: None)
-        self.all_endpoints = []  # removed ones included
+        self.all_endpoints = []  # all that were ever added, since removed ones may still have connections
         self.connections, self.attempts, self.outcomes = [], {}, {}
         for cache in range(1, count + 1):
             self.add_endpoint(cache)
@@ -81,7 +83,7 @@
 
     def advance(self, seconds=0.0):
         self.reactor.advance(seconds)
-        for _ in range(6):
+        for _ in range(6):  # enough iterations for calls that schedule others without a delay
             self.reactor.advance(0)
 
     def send(self, cache, name):
@@ -115,11 +117,11 @@
         self.answer(name)
 
     def connected_caches(self):
-        """Return the sorted cache numbers of all open connections."""
+        """Return the cache number of each open connection, sorted."""
         return sorted(c.owner.cache for c in self.connections if not c.is_lost)
 
     def descriptor_count(self):
-        """Return the number of descriptors in use, counted from the connections themselves."""
+        """Return the number of descriptors in use, counted independently of the pool's own count."""
         return len(self.pending_connects()) + sum(not connection.is_lost for connection in self.connections)
 
 
@@ -135,7 +137,7 @@
     assert harness.connected_caches() == [1, 3] and set(harness.outcomes.values()) == {"DONE"}
 
 
-def test_a_connection_with_an_attempt_in_flight_is_kept_and_the_next_idle_one_is_closed_at_once():
+def test_a_connection_with_an_attempt_in_flight_stays_open_and_the_first_to_become_idle_is_closed():
     harness = PoolHarness(4)
     for cache, name in ((1, "a"), (2, "b")):
         harness.send(cache, name)
@@ -144,7 +146,7 @@
         harness.send(cache, name)
     harness.advance(0.2)
     assert harness.connected_caches() == [1, 2] and not harness.pending_connects()
-    harness.answer("b")
+    harness.answer("b")  # the connection to cache 2 is idle, and closed in favour of cache 3
     assert harness.connected_caches() == [1] and [
         connector.endpoint.cache for connector in harness.pending_connects()
     ] == [3]
@@ -157,6 +159,7 @@
 
 
 def test_an_attempt_that_gets_no_connection_in_time_is_no_evidence_against_its_cache():
+    """It ends as superseded and not as unreachable, since its cache was never contacted."""
     harness = PoolHarness()
     for cache, name in ((1, "a"), (2, "b")):
         harness.send(cache, name)
@@ -166,20 +169,21 @@
     assert "c" not in harness.outcomes
     harness.advance(0.2)
     assert harness.outcomes["c"] is AttemptLoss.SUPERSEDED
-    harness.answer("a")  # no attempt waits any more, so no connection has to be closed
+    harness.answer("a")  # its connection is idle, but no attempt waits any more that needs its place
     assert harness.connected_caches() == [1, 2]
 
 
-def test_a_connect_permitted_too_late_is_no_evidence_against_its_cache():
+def test_a_connect_that_the_limit_delayed_is_no_evidence_against_its_cache():
+    """The connect to cache 3 begins 0.3 s after its attempt, and has 0.1 s left instead of 0.4 s."""
     harness = PoolHarness()
     for cache, name in ((1, "a"), (2, "b")):
         harness.send(cache, name)
     harness.complete_connects()
     harness.send(3, "c")
     harness.advance(CONNECT_TIMEOUT - 0.1)
-    harness.answer("a")
+    harness.answer("a")  # the idle connection makes room for cache 3
     assert len(harness.pending_connects()) == 1
-    harness.advance(0.15)
+    harness.advance(0.15)  # past the end of the wait: 0.3 + 0.15 = 0.45 s
     assert harness.outcomes["c"] is AttemptLoss.SUPERSEDED
 
 
@@ -197,9 +201,12 @@
 
 @pytest.mark.parametrize("in_transit", ["a cancellation", "a health check", "a part of an answer"])
 def test_a_connection_with_data_in_transit_is_not_closed_to_make_room(in_transit):
+    """After a cancellation or a health check, the cache's answer may arrive within one connect timeout."""
     harness = PoolHarness(max_connections=1)
     harness.serve(1, "a")
     if in_transit == "a cancellation":
+        # The answer to c arrives after b was sent. Without it, the connection would count as silent, and the
+        # cancellation of b would end its use.
         harness.send(1, "b")
         harness.send(1, "c")
         harness.advance(0.01)
@@ -218,7 +225,7 @@
     else:
         harness.advance(CONNECT_TIMEOUT - 0.1)
         assert harness.outcomes["d"] is AttemptLoss.SUPERSEDED
-        harness.send(2, "e")
+        harness.send(2, "e")  # the connection may be closed now
     assert harness.connected_caches() == [] and len(harness.pending_connects()) == 1
 
 
@@ -233,7 +240,8 @@
     assert harness.connected_caches() == [2] and harness.attempts["b"].connection
 
 
-def test_free_connections_are_granted_in_turn_one_to_each_cache():
+def test_each_waiting_cache_gets_one_free_connection_before_any_gets_a_second():
+    """Cache 3 needs two connections, since each has one stream; cache 4 comes before its second."""
     harness = PoolHarness(4, max_streams=1)
     for cache, name in ((1, "a"), (2, "b"), (3, "c"), (3, "d"), (4, "e")):
         harness.send(cache, name)
@@ -257,6 +265,7 @@
 
 
 def test_connections_to_removed_caches_are_counted_and_read_until_they_are_closed():
+    """The answer of a removed cache arrives while reading is paused, and is read afterwards."""
     harness = PoolHarness()
     harness.send(1, "a")
     harness.complete_connects()
@@ -276,20 +285,21 @@
     harness.pool.endpoints = LookupOnlyEndpoints(harness.pool.endpoints)
     for cache in range(1, 20):
         harness.serve(cache, f"a{cache}")
-    harness.send(20, "waits")
+    harness.send(20, "waits")  # for its connect, which is never completed
+    # neither the purge of another object nor a change of cache 3 concerns the waiting attempt
     harness.pool.cancel_purged("other", 1)
     harness.pool.cancel_concerning({3})
     harness.pool.pause_reading(True)
     harness.pool.pause_reading(False)
     assert harness.pool.connection_count() == 2 and "waits" not in harness.outcomes
-    harness.pool.cancel_purged("key", 0)
+    harness.pool.cancel_purged("key", 0)  # the object of all attempts
     assert harness.outcomes["waits"] is AttemptLoss.SUPERSEDED and not harness.pool.waiting_endpoints
 
 
 @pytest.mark.parametrize("seed", range(30))
 def test_the_running_count_matches_the_number_of_connections_after_random_events(seed):
     rng, harness = random.Random(seed), PoolHarness(6, max_connections=3)
-    print(f"seed {seed}")
+    print(f"seed {seed}")  # shown if the test fails
 
     def answer(name):
         if harness.attempts[name].connection and not harness.attempts[name].is_over:
@@ -309,6 +319,7 @@
         for connector in [d for d in harness.pending_connects() if d.endpoint.is_closed]:
             connector.clientConnectionFailed(None, Failure(ConnectionDone()))
 
+    # Each of the 120 steps is drawn from this list; an entry that is repeated is drawn more often.
     for number in range(120):
         cache, names = rng.randint(1, 6), list(harness.attempts) or ["none"]
         name = rng.choice(names)
@@ -327,10 +338,12 @@
         rng.choice(steps)()
         harness.advance()
         assert harness.pool.connection_count() == harness.descriptor_count() <= 3
+    # Let all waits for a connection expire: each lasts 0.4 s.
     harness.advance(1.0)
     refuse_connects()
     harness.advance(1.0)
     ended = {name for name, attempt in harness.attempts.items() if attempt.is_over}
+    # every attempt that was never sent has ended
     assert ended >= {name for name, attempt in harness.attempts.items() if attempt.connection is None}
     assert not harness.pool.limiter.queue and not harness.pool.waiting_endpoints
 
@@ -345,6 +358,7 @@
         uid, index = next(key for key, connection in harness.caches.items() if connection.in_flight)
         harness.answer(uid, number, "DONE", "-", b"photo", number=index)
     assert harness.counts["served"] == 12 and harness.counts["attempts"] == 12
+    # More connections than caches: some were closed to make room and opened again.
     assert {uid for uid, _ in harness.caches} == {"e1", "e2"} and len(harness.caches) > 2
     caches = harness.dispatcher.router.caches.values()
     assert all(cache.breaks.broken_at == -math.inf and cache.failure_rate() < 0.5 for cache in caches)
@@ -352,7 +366,10 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_a_simulated_site_at_the_limit_keeps_all_rules_and_rejects_few_requests(monkeypatch, seed):
-    """Seven caches, faults of all kinds, 6 connections per front; without evictions a quarter is rejected."""
+    """A site of seven caches and faults of all kinds, whose fronts may open 6 connections to caches each.
+
+    If no idle connections were closed to make room, a quarter of the requests would be rejected.
+    """
     monkeypatch.setattr(configuration, "CACHE_DESCRIPTORS", 6)
     result = Run(seed).play()
     assert not result.violations and not result.errors
--- a/tests/test_endings.py
+++ b/tests/test_endings.py
@@ -509,9 +509,8 @@
     harness.advance()
     harness.complete_connects()
     orders = [line for line in harness.trace if "o1/" in line]
-    assert (
-        len(orders) == 1 and f"{2:016x}" in orders[0]
-    ), harness.trace  # only request 2 is repeated: it began with the old settings
+    # only request 2 is repeated: it began with the old settings
+    assert len(orders) == 1 and f"{2:016x}" in orders[0], harness.trace
     assert "client 0 < 5 abandoned" in harness.trace and "client 0 < 1 process: 'old name'" in harness.trace
 
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -1,7 +1,7 @@
 """Guards against system calls that fail for accepted connections, idle connections and logs.
 
 An unhandled error of accept(2), epoll_ctl, epoll_wait, close(2) or a write to the log can make the front
-spin, stop accepting, exit, or lose clients other than the one concerned.
+spin, stop accepting, exit, or lose clients other than the one whose call failed.
 """
 
 import errno
@@ -28,7 +28,7 @@
 
 
 class FailingSocket:
-    """A listening socket whose first accepts fail with the given errors; accepted connections are real."""
+    """A listening socket whose first accepts fail, one for each given error; later ones are real."""
 
     def __init__(self, listening_socket, errors):
         self.listening_socket, self.errors, self.calls = listening_socket, errors, 0
@@ -44,7 +44,10 @@
 
 
 class PortHarness:
-    """A real Twisted port on loopback, a reactor that the test advances, and one client that connects."""
+    """A real Twisted port on loopback, a reactor in memory, and one client in the port's kernel queue.
+
+    With `is_guarded`, an `AcceptGuard` of its own pauses the port while accepting fails.
+    """
 
     def __init__(self, errors, is_guarded=True):
         self.reactor, self.accepted = MemoryReactorClock(), []
@@ -63,7 +66,7 @@
         return self.port in self.reactor.readers
 
     def advance(self, seconds):
-        """Advance the clock in steps of a millisecond; while registered, the port is always readable."""
+        """Advance the clock in steps of 1 ms, in each of which the port accepts if it is registered."""
         for _ in range(round(seconds * 1000)):
             if self.is_watched():
                 self.port.doRead()
@@ -89,7 +92,9 @@
     port_harness = PortHarness([error_number] * 20)
     port_harness.advance(0.25)
     calls = port_harness.failing_socket.calls
-    assert not port_harness.accepted and 4 <= calls <= 8, calls  # without a pause there would be 250
+    # The pauses double from 10 ms to 100 ms: calls after 0, 10, 30, 70, 150 and 250 ms. Without pauses there
+    # would be 250, one in each step of 1 ms.
+    assert not port_harness.accepted and 4 <= calls <= 8, calls
     port_harness.failing_socket.errors.clear()
     port_harness.advance(MAX_PAUSE + 0.01)
     assert (
@@ -106,6 +111,7 @@
     [errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH],
 )
 def test_a_connection_aborted_before_accept_does_not_delay_the_next(error_number, log_events):
+    """These errors concern one connection that ended in the kernel's queue, so accepting is not paused."""
     port_harness = PortHarness([error_number] * 3)
     port_harness.advance(0.001)
     assert len(port_harness.accepted) == 1 and port_harness.is_watched()
@@ -116,8 +122,9 @@
 def test_many_aborted_connections_in_a_row_do_not_block_the_reactor():
     port_harness = PortHarness([errno.ECONNABORTED] * 40)
     port_harness.advance(0.001)
+    # accepting is paused after 16 such errors in a row
     assert port_harness.failing_socket.calls == 16 and not port_harness.is_watched()
-    port_harness.advance(MIN_PAUSE + 0.2)
+    port_harness.advance(MIN_PAUSE + 0.2)  # two pauses, of 10 and 20 ms: 40 errors are 16 + 16 + 8
     assert len(port_harness.accepted) == 1
     port_harness.close()
 
@@ -132,14 +139,15 @@
             raise OSError(failures.pop(), "injected")
         add_reader(reader)
 
-    port_harness.advance(0.002)
+    port_harness.advance(0.002)  # the failing accept pauses the port
     port_harness.reactor.addReader = refuse_twice
-    port_harness.advance(0.15)
+    port_harness.advance(0.15)  # pauses of 10, 20 and 40 ms, as the registration fails twice
     assert not failures and len(port_harness.accepted) == 1
     port_harness.close()
 
 
-def test_the_client_port_that_cannot_be_registered_after_a_pause_pauses_again():
+def test_the_port_of_a_front_that_cannot_be_registered_after_a_pause_pauses_again():
+    """The front's listener decides here whether the port is paused, instead of the guard itself."""
     harness = FrontHarness()
     listener = harness.front.listener
     port_harness = PortHarness([errno.ENFILE], is_guarded=False)
@@ -163,12 +171,12 @@
 
 
 def test_a_front_that_cannot_accept_does_not_exit_while_clients_wait():
-    """Otherwise clients in the kernel's queue get no answer (three in seed 4 of the socket trials)."""
+    """Otherwise clients in the port's kernel queue get no answer (three in seed 4 of the socket trials)."""
     harness, stopped = FrontHarness(), []
     harness.reactor.stop = lambda: stopped.append(True)
-    harness.front.listener.stop = lambda: False  # accepting fails for now
+    harness.front.listener.stop = lambda: False  # the port cannot be closed yet, since accepting fails
     harness.front.terminate()
-    harness.advance(0.8)
+    harness.advance(0.8)  # an idle front exits 0.7 s after SIGTERM
     assert not stopped
     harness.front.listener.stop = lambda: True
     harness.advance(0.05)
@@ -176,6 +184,7 @@
 
 
 def test_a_client_that_cannot_be_registered_for_writing_gets_no_second_answer():
+    """The transport has taken the answer when registering its socket with epoll fails; it is aborted."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -196,7 +205,7 @@
 
 
 def test_only_the_cache_connections_that_cannot_be_registered_are_aborted():
-    """Resuming reads fails on one of two connections, and writing on the other; each is aborted alone."""
+    """Resuming to read fails on one of two connections, which alone is aborted; then writing on the other."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1), process(2, key="a" * 16), process(3, key="5" * 16))
@@ -238,17 +247,17 @@
     listener.accept_guard = AcceptGuard(
         port_harness.port, harness.reactor.callLater, listener.update_accepting
     )
-    assert not listener.stop() and listener.is_paused
-    assert not listener.stop() and port_harness.failing_socket.calls == 1  # accepting is paused
+    assert not listener.stop() and listener.is_paused  # the first accept fails
+    assert not listener.stop() and port_harness.failing_socket.calls == 1  # no second call during the pause
     harness.advance(MIN_PAUSE)
     assert not listener.stop() and listener.connection_count() == 1  # the client is accepted
-    assert listener.stop() and listener.port is None
+    assert listener.stop() and listener.port is None  # the queue is empty, so the port is closed
     port_harness.close()
 
 
 @pytest.mark.parametrize("error_number", [errno.EADDRINUSE, errno.ENOMEM, errno.ENOSPC])
 def test_a_front_whose_port_cannot_be_opened_exits(error_number):
-    """Twisted does not translate errors of listen(2) and epoll_ctl; the front must not run without a port."""
+    """Twisted raises errors of listen(2) and epoll_ctl as they are; the front must not run without a port."""
     reactor, stopped = MemoryReactorClock(), []
     front = Front(reactor, read_site(configuration()))
     front.clock.now = reactor.seconds
@@ -263,11 +272,12 @@
     assert stopped and not front.is_open
 
 
-# Idle connections.
+# Idle connections. A client's connection that is parked in the idle set has no transport; only its descriptor
+# is watched, by an epoll object of the set. A connection whose bytes are not read is watched for its hangup.
 
 
 class FailingEpoll:
-    """An epoll object whose calls fail with the given errors, by name of the method."""
+    """An epoll object whose methods fail with the errors in `errors`, by the name of the method."""
 
     def __init__(self, epoll):
         self.epoll, self.errors = epoll, {}
@@ -294,7 +304,7 @@
 
 @pytest.fixture
 def pair():
-    """A server transport on a connected socket, its reactor, and the client's socket."""
+    """The front's transport for an accepted connection, its reactor, and the client's socket."""
     with socket.create_server(("127.0.0.1", 0)) as listening_socket:
         client = socket.create_connection(listening_socket.getsockname())
         accepted, address = listening_socket.accept()
@@ -380,11 +390,11 @@
 
 
 def harness_with_parked_clients(count):
-    """Return a front in memory with the given number of clients, all of them parked as idle."""
+    """Return a front in memory with the given number of clients, all of them parked in the idle set."""
     harness = FrontHarness(parking=True)
     for _ in range(count):
         harness.connect_client().dataReceived(probe(1))
-    for _ in range(100):
+    for _ in range(100):  # 1 s; idle connections are parked after 0.5 s
         harness.reactor.advance(0.01)
     harness.record_output()
     harness.trace.clear()
@@ -410,6 +420,7 @@
 
 
 def test_only_the_idle_connection_that_cannot_be_rearmed_is_closed():
+    """A parked connection is reported as readable once, and has to be rearmed if it stays parked."""
     harness = harness_with_parked_clients(2)
     harness.epoll_set.read = lambda fd: None  # reported readable, with nothing to read
 
@@ -423,10 +434,13 @@
 
 
 def test_a_connection_that_upkeep_finds_readable_before_the_reactor_is_reattached():
-    """Otherwise calls stay unread, of twelve clients for over a second in seed 19 of the socket trials."""
+    """Otherwise its call stays unread: of twelve clients for over 1 s in seed 19 of the socket trials.
+
+    Upkeep is the periodic round of checks of client connections, which also polls the idle set.
+    """
     harness = harness_with_parked_clients(2)
-    harness.epoll_set.deliver(0, probe(2))  # the reactor has not polled since
-    harness.advance(0.11)  # a round of upkeep polls the set
+    harness.epoll_set.deliver(0, probe(2))  # the reactor does not report it: only the set was told
+    harness.advance(0.11)  # upkeep runs every 0.1 s
     harness.advance()
     assert harness.trace == ["client 0 < 2 probe: good True"]
 
@@ -449,6 +463,7 @@
 
 # Logs.
 
+# Arguments: the log format, and what is wrong with the target of the log (standard error).
 LOGGING_PROGRAM = """
 import os, sys
 from loguru import logger
@@ -473,6 +488,7 @@
 @pytest.mark.parametrize("log_format", ["text", "json"])
 @pytest.mark.parametrize("log_target", ["closed pipe", "full disk", "closed meanwhile", "closed before"])
 def test_a_broken_log_target_does_not_stop_the_program(log_format, log_target):
+    # "closed before": the shell closes standard error (2>&-) before the program starts
     command = f'exec "$0" -c "$1" {log_format} "{log_target}"' + (
         " 2>&-" if log_target == "closed before" else ""
     )
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,9 @@
-"""Tests of the testbed: the emulated site alone, and with a real front under load."""
+"""Tests of the testbed (`weldbend lab`): its emulated site alone, and that site with a real front under load.
+
+The caches of the site are the edge e1, the parent p1 and the origin o1. LACK is a miss. The field `detail` of
+an answer tells where its object came from: h is a copy at the cache itself, f a fill from a copy at the
+source, o a fill from the origin, and j a fill in progress that the command joined.
+"""
 
 import json
 import random
@@ -32,17 +37,19 @@
     return {"queue": "photo", "path": KEY, "blk": "0", "budget": "6000"} | fields
 
 
-def test_the_emulated_site_fills_caches_and_joins_fills_over_slow_links():
+def test_the_emulated_site_fills_caches_over_slow_links_and_joins_fills_in_progress():
     caches, size = small_site(), PartSizes().part_size(KEY, 0)
     answer_words = [caches.execute("e1", lookup_fields(), 0.0, 100.0).word]
     first = caches.execute("e1", lookup_fields(**{"from": "p1", "rank": "1", "mode": "j"}), 0.0, 100.0)
     second = caches.execute("e1", lookup_fields(**{"from": "p1", "mode": "j"}), 0.0, 100.0)
     assert answer_words == ["LACK"] and first.fields["detail"] == "o" and second.fields["detail"] == "j"
     assert first.body == body(KEY, 0, size) and first.due_at > 0.01 + size / 1e6
+    # The times are those of the steady clock and of the Unix clock: the copy, of 0 s, was born at 100 s.
     hit = caches.execute("e1", lookup_fields(), 9.0, 109.0)
     assert hit.fields["detail"] == "h" and hit.due_at < 9.01 and hit.fields["born"] == "100000"
+    # the copy is 9 s old, and may be 5000 ms old at most
     assert caches.execute("e1", lookup_fields(oldest="5000"), 9.0, 109.0).word == "LACK"
-    caches.by_uid["e1"].purge(KEY)
+    caches.by_uid["e1"].purge(KEY)  # the parent keeps its copy, from which the last fill is made
     assert caches.execute("e1", lookup_fields(), 9.0, 109.0).word == "LACK"
     assert (
         caches.execute("e1", lookup_fields(**{"from": "p1", "mode": "h"}), 9.0, 109.0).fields["detail"] == "f"
@@ -51,12 +58,14 @@
 
 def test_a_write_with_an_idempotency_key_is_executed_once_in_the_emulated_site():
     caches = small_site()
+    # The key is remembered for 8 s: the write at 3 s is a repeat, the one at 20 s is executed again.
     for now in (0.0, 3.0, 20.0):
         assert caches.execute("o1", lookup_fields(queue="order", uniq="ab"), now, now).word == "DONE"
     assert caches.by_uid["o1"].counts["effects"] == 2 and caches.by_uid["o1"].counts["repeats dropped"] == 1
 
 
 def test_beyond_the_capacity_the_lowest_rank_is_evicted_first():
+    """Object 1 (rank 1) is older than all objects of rank 0, and stays; so does the last object of rank 1."""
     caches = small_site(capacity=100_000)
     for rank, object_number in [
         ("1", 1),
@@ -102,6 +111,7 @@
 def test_the_same_seed_draws_the_same_load():
     plan = LoadPlan(rate=50, seconds=4, seed=9)
     assert plan.arrivals() == plan.arrivals() != LoadPlan(rate=50, seconds=4, seed=8).arrivals()
+    # 50 requests per second for 4 s are 200 on average
     assert 130 < len(plan.arrivals()) < 270 and all(0 < a.at < 4 for a in plan.arrivals())
 
 
@@ -110,18 +120,23 @@
     return subprocess.run(command, capture_output=True, text=True, timeout=120)
 
 
-def test_the_demo_requests_from_a_real_front(tmp_path):
+def test_the_demo_sends_requests_to_a_real_front_and_reports_their_outcomes(tmp_path):
     path = tmp_path / "demo.json"
     result = lab("demo", "--rate", "40", "--seconds", "2", "--json", str(path))
     assert result.returncode == 0, result.stderr
     report = json.loads(path.read_text())
     counts = report["counts"]
+    # Of the 40 * 2 = 80 requests on average, more than half have to be fulfilled.
     assert counts["fulfilled"] > 40 and counts["asked"] == counts["fulfilled"] + counts.get("throttled", 0)
     assert not counts.get("spoilt") and not counts["lost"] and not counts["unanswered"]
     assert report["boxes"]["box asked"] >= counts["fulfilled"] * 0.9 and "p99, ms" in result.stdout
 
 
 def test_many_idle_connections_wake_at_once_in_a_real_front(tmp_path):
+    """All of 600 idle clients (share 1.0) send a call for a photo at once, beside a load of 20 per second.
+
+    `woken` has the results of these calls, `busy` those of the load.
+    """
     path = tmp_path / "idle.json"
     options = ("--connections", "600", "--pairs", "0", "--busy-rate", "20", "--json", str(path))
     result = lab("idle", *options, "--wake", "1.0", "--wake-with", "photo")
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,7 +1,7 @@
 """Tests of the program as an operator runs it: start, shutdown, kill, and a start that fails.
 
-Client and cache are plain blocking sockets in this process. Each step waits for the effect of the
-previous one.
+The front is a process of its own; its clients and its cache are blocking sockets in the test's process. Each
+step waits for the effect of the previous one.
 """
 
 import json
@@ -88,7 +88,7 @@
         assert read_answer(first_client) == "3 probe: good True"
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("new configuration")
-        path.write_text("{")
+        path.write_text("{")  # a reload with an unusable configuration
         program.process.send_signal(signal.SIGHUP)
         program.wait_for_log("the current one stays in use")
         connection = cache.accept()[0]
@@ -107,6 +107,7 @@
         assert {read_answer(first_client), read_answer(first_client)} == {
             f"{n} process: '200000 bytes'" for n in (1, 2)
         }
+        # no exit within 0.7 s of SIGTERM, as clients still send requests
         assert program.process.wait(TIMEOUT) == 0 and time.monotonic() - started_at >= 0.7
         assert first_client.read() == second_client.read() == b""
         for resource in (first_client, second_client, connection, stream):
@@ -115,7 +116,7 @@
         program.kill_and_wait()
 
 
-def test_a_killed_front_restarts_without_state(site):
+def test_a_front_started_after_a_kill_needs_no_state_of_the_killed_one(site):
     path, address, cache = site
     for _ in range(2):
         program = FrontProcess(path)
@@ -136,9 +137,10 @@
 
 
 def allow_a_minute_for_each_request(path):
-    """Set latency objectives and deadlines that a pause of this test, on a busy machine, does not exceed.
+    """Set latency objectives of 30 s and deadlines of 60 s, so that no delay of this test exceeds them.
 
-    The front rejects a request whose attempt at the only cache takes over twice the latency objective.
+    On a busy machine this test may pause for seconds, and the front rejects a request whose attempt at the
+    only cache takes more than twice the latency objective.
     """
     document = json.loads(path.read_text())
     for request_class in document["settings"]["lanes"]:
@@ -148,7 +150,7 @@
 
 
 def test_memory_and_descriptors_stay_within_limits_with_341_connections_and_slow_readers(site):
-    """Of 341 connections, two send as many requests as allowed and read no answer until the last is sent."""
+    """Two of 341 clients send 32 requests each, the limit, and read nothing until the cache has sent all."""
     path, address, cache = site
     allow_a_minute_for_each_request(path)
     program = FrontProcess(path)
@@ -157,7 +159,7 @@
         assert {read_answer(client) for client in clients} == {"1 probe: good True"}
         request_frames = [
             [process(n, key=f"{n:016x}", wait="60000") for n in range(32 * k + 1, 32 * k + 33)]
-            for k in (0, 1)
+            for k in (0, 1)  # one list for each slow client
         ]
         slow = [connect_and_send(address, *frames) for frames in request_frames]
         connections = [cache.accept()[0] for _ in slow]
@@ -181,7 +183,8 @@
         program.kill_and_wait()
 
 
-def test_an_unusable_configuration_or_port_ends_the_start_with_one_line_of_output(site, tmp_path):
+def test_a_start_with_an_unusable_configuration_or_port_fails_with_a_message(site, tmp_path):
+    """A configuration that cannot be used gives one line of output."""
     path, address, _ = site
     text = path.read_text()
     unusable_files = {
@@ -207,7 +210,11 @@
 
 
 def test_parked_connections_are_reattached_and_a_shutdown_with_hundreds_of_them_ends_in_time(site, tmp_path):
-    """Real descriptors are parked, reattached, reused by new connections, closed by clients and shut down."""
+    """300 clients are parked as idle; 100 of them leave, 100 new ones come, and the other 200 send a call.
+
+    A parked connection has no object of its own, and is reattached to one when bytes arrive. The counters
+    call this a wakeup.
+    """
     path, address, cache = site
     installation_path = tmp_path / "weldbend.ini"
     installation_path.write_text("[clients]\nidle = 1 h\npark-after = 100 ms\n")
@@ -216,7 +223,7 @@
         clients = [connect_and_send(address, probe(1)) for _ in range(300)]
         assert {read_answer(client) for client in clients} == {"1 probe: good True"}
         descriptors = Path(f"/proc/{program.process.pid}/fd")
-        time.sleep(0.5)  # time to park them; the counters below show whether that happened
+        time.sleep(0.5)  # they are parked after 0.1 s; the counters below show whether that happened
         for client in clients[:100]:
             client.close()
         new_clients = [connect_and_send(address, probe(1)) for _ in range(100)]
