--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -2,8 +2,8 @@
 
 A front with more caches than permitted connections closes idle connections to make room. It must not lose
 attempts in flight, let a cache wait for a connection forever, or count its own closes and delays as failures
-of a cache. Unless a test says otherwise, two connections are permitted, with two streams each, and an attempt
-waits 0.4 s (CONNECT_TIMEOUT) for a connection.
+of a cache. By default (LIMITS), two connections are permitted, with two streams each, and an attempt waits
+0.4 s (CONNECT_TIMEOUT) for a connection.
 """
 
 import math
@@ -159,7 +159,7 @@
 
 
 def test_an_attempt_that_gets_no_connection_in_time_is_no_evidence_against_its_cache():
-    """It ends as superseded and not as unreachable, since its cache was never contacted."""
+    """The attempt ends as superseded and not as unreachable, since no connect to its cache was made."""
     harness = PoolHarness()
     for cache, name in ((1, "a"), (2, "b")):
         harness.send(cache, name)
@@ -368,7 +368,7 @@
 def test_a_simulated_site_at_the_limit_keeps_all_rules_and_rejects_few_requests(monkeypatch, seed):
     """A site of seven caches and faults of all kinds, whose fronts may open 6 connections to caches each.
 
-    If no idle connections were closed to make room, a quarter of the requests would be rejected.
+    If no idle connections were closed to make room, 40 to 50 % of the requests would be rejected.
     """
     monkeypatch.setattr(configuration, "CACHE_DESCRIPTORS", 6)
     result = Run(seed).play()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -111,7 +111,7 @@
     [errno.ECONNABORTED, errno.EPROTO, errno.EINTR, errno.EPERM, errno.ENETDOWN, errno.EHOSTUNREACH],
 )
 def test_a_connection_aborted_before_accept_does_not_delay_the_next(error_number, log_events):
-    """These errors concern one connection that ended in the kernel's queue, so accepting is not paused."""
+    """After these errors accept(2) may be called again at once, so accepting is not paused."""
     port_harness = PortHarness([error_number] * 3)
     port_harness.advance(0.001)
     assert len(port_harness.accepted) == 1 and port_harness.is_watched()
@@ -184,7 +184,7 @@
 
 
 def test_a_client_that_cannot_be_registered_for_writing_gets_no_second_answer():
-    """The transport has taken the answer when registering its socket with epoll fails; it is aborted."""
+    """The transport has taken the answer when registering its socket with epoll fails."""
     harness = FrontHarness()
     client = harness.connect_client()
     harness.send(client, process(1))
@@ -439,7 +439,7 @@
     Upkeep is the periodic round of checks of client connections, which also polls the idle set.
     """
     harness = harness_with_parked_clients(2)
-    harness.epoll_set.deliver(0, probe(2))  # the reactor does not report it: only the set was told
+    harness.epoll_set.deliver(0, probe(2))  # readable in the set; the reactor has not polled since
     harness.advance(0.11)  # upkeep runs every 0.1 s
     harness.advance()
     assert harness.trace == ["client 0 < 2 probe: good True"]
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,8 +1,8 @@
 """Tests of the testbed (`weldbend lab`): its emulated site alone, and that site with a real front under load.
 
 The caches of the site are the edge e1, the parent p1 and the origin o1. LACK is a miss. The field `detail` of
-an answer tells where its object came from: h is a copy at the cache itself, f a fill from a copy at the
-source, o a fill from the origin, and j a fill in progress that the command joined.
+an answer is the source of its object: h is a copy at the cache itself, f a fill from a copy at the parent,
+o a fill from the origin, and j a fill in progress that the command joined.
 """
 
 import json
--- a/tests/test_last_moments.py
+++ b/tests/test_last_moments.py
@@ -155,9 +155,7 @@
                 front.kill()
             front.wait(TIMEOUT)
             front.stderr.close()
-    assert (
-        duration < 1.0
-    ), "SIGKILL may follow 0.7 s after the longest deadline, 0.3 + 0.7 = 1 s after SIGTERM"
+    assert duration < 1.0, "SIGKILL may follow 0.7 s after the longest deadline, which is 0.3 s"
     for client in clients:
         due = {  # requests that must have an answer
             seqid
--- a/tests/test_local_faults.py
+++ b/tests/test_local_faults.py
@@ -1,6 +1,6 @@
 """Guards against counting faults of this machine as evidence against a cache.
 
-A connect that fails locally, for example for lack of descriptors, says nothing about the cache. The connect
+A connect that fails locally, for example for lack of descriptors, is no evidence about the cache. The connect
 is retried while its attempt waits. An attempt that ends because of such a fault counts neither towards the
 request's maximum number of attempts nor towards the retry budget.
 """
@@ -136,7 +136,7 @@
 
 
 def test_without_any_connection_requests_are_answered_by_their_deadline_and_connects_are_bounded():
-    """If every connect fails locally, no cache counts as failed, and the backoff bounds their number."""
+    """Even if every connect fails locally, no cache counts as failed, and the backoff bounds the connects."""
     harness = FrontHarness()
     results = record_attempt_results(harness)
     failing_connects = FailingConnects(harness, [errno.ENFILE] * 10_000)
@@ -150,8 +150,8 @@
     context = harness.dispatcher.router.context
     assert not any(cache.failures.total(context.now) for cache in context.caches.values())
     assert all(cache.breaks.broken_at < 0 for cache in context.caches.values())
-    # Within the deadline of 1.5 s. A delay is at least half of its maximum; the first delays, which double up
-    # to MAX_DELAY, are shorter and allow four more connects.
+    # Within the deadline of 1.5 s. A delay is at least half of its maximum. The 4 are the first connect, and
+    # the three after delays that are still shorter: at most 5, 10 and 20 ms.
     max_connects_per_cache = 1.5 / (MAX_DELAY / 2) + 4
     assert failing_connects.connect_count < max_connects_per_cache * len(context.caches)
 
--- a/tests/test_sockets.py
+++ b/tests/test_sockets.py
@@ -68,9 +68,9 @@
     order = {"class": "order", "once": "5c0f6e1a2b3d4c59"}
     harness.send(harness.connect_client(), process(1), process(2, b"two prints", **order))
     harness.complete_connects()
-    harness.answer("e2", 1, "LACK")  # a miss: e2 is told to fill from a copy at the parent
+    harness.answer("e2", 1, "LACK")  # a miss: the next attempt fills e2 from a copy at the parent
     harness.complete_connects()
-    harness.answer("e2", 1, "WAIT", number=1)  # the fill is rejected: e2 is told to fill from the origin
+    harness.answer("e2", 1, "WAIT", number=1)  # the fill is rejected: the next fills e2 from the origin
     harness.complete_connects()
     harness.answer("o1", 2, "BROKE")  # an error: the write is repeated with the same key
     harness.complete_connects()
@@ -178,7 +178,7 @@
 
 
 def test_an_attempt_whose_connection_breaks_is_retried_at_another_cache():
-    """The cache may have executed the attempt, which does no harm for a photo."""
+    """The cache may have executed the attempt, but a photo may be requested again."""
     harness = FrontHarness()
     harness.send(harness.connect_client(), process(1))
     harness.complete_connects()
