--- a/tests/test_connection_limit.py
+++ b/tests/test_connection_limit.py
@@ -201,7 +201,10 @@
 
 @pytest.mark.parametrize("in_transit", ["a cancellation", "a health check", "a part of an answer"])
 def test_a_connection_with_data_in_transit_is_not_closed_to_make_room(in_transit):
-    """After a cancellation or a health check, the cache's answer may arrive within one connect timeout."""
+    """After a cancellation or a health check, the cache's answer may still arrive.
+
+    The connection is therefore kept for one connect timeout.
+    """
     harness = PoolHarness(max_connections=1)
     harness.serve(1, "a")
     if in_transit == "a cancellation":
@@ -315,7 +318,7 @@
 
     def remove_endpoint(cache):
         harness.pool.remove_endpoint(cache)
-        # as the reactor does on disconnect
+        # The reactor reports a failed connect when a pending connect is abandoned.
         for connector in [d for d in harness.pending_connects() if d.endpoint.is_closed]:
             connector.clientConnectionFailed(None, Failure(ConnectionDone()))
 
--- a/tests/test_fleet_plan.py
+++ b/tests/test_fleet_plan.py
@@ -77,7 +77,7 @@
     assert message in str(raised.value) and "[strange]" in str(raised.value) and "\n" not in str(raised.value)
 
 
-def test_a_simulated_fleet_breaks_no_rule_in_a_plan_and_repeats_it_exactly():
+def test_a_simulated_fleet_breaks_no_rule_in_a_plan_and_a_second_run_is_identical():
     plan = parse_plan(
         {
             "fleet": {"fronts": "3"},
--- a/weldbend/caches/connection.py
+++ b/weldbend/caches/connection.py
@@ -164,8 +164,8 @@
 
         This guards against unintended duplicate attempts. The attempt that replaces a cancelled one is sent
         on another connection. The reactor writes to both connections in any order, and the process may be
-        delayed between the two writes, so that the new attempt could be sent before the cancellation. No side
-        effect is known.
+        delayed between the two writes, so that the new attempt could be sent before the cancellation. The
+        early write has no known drawback.
         """
         if not (self.is_lost or self.is_aborted or self.transport.disconnecting):
             self.transport.doWrite()
--- a/weldbend/caches/endpoint_connections.py
+++ b/weldbend/caches/endpoint_connections.py
@@ -184,8 +184,8 @@
         """Send the waiting attempts in the next iteration, after all sockets of the current poll were read.
 
         This guards caches against attempts for clients whose disconnect is read in the same poll in which the
-        connection to the cache is established. No side effect is known, since the delay ends with the current
-        poll.
+        connection to the cache is established. The delay has no known drawback, since it ends with the
+        current poll.
         """
         if self.waiting and not self.is_send_scheduled:
             self.is_send_scheduled = True
--- a/weldbend/clients/answer_writer.py
+++ b/weldbend/clients/answer_writer.py
@@ -63,8 +63,9 @@
     def _send(transport: ClientTransport, data: bytes) -> None:
         """Pass bytes to the transport, and abort a connection that cannot be registered for writing.
 
-        The transport has buffered the bytes when the registration fails. Aborting guards the client against
-        receiving this answer and also a second one that would be sent in its place.
+        The transport has buffered the bytes when the registration fails. If the exception were passed on, the
+        dispatcher would treat the request as unanswered and try to answer it once more, as failed.
+        Aborting the connection prevents that.
         """
         try:
             transport.write(data)
@@ -72,6 +73,9 @@
             transport.abortConnection()
 
     def discard(self) -> None:
-        """Discard pending answers, since the connection has ended."""
+        """Remove pending answers from the account and clear the queue, since the connection has ended.
+
+        The ring keeps its bytes.
+        """
         self.account.buffered_changed(-self.pending_bytes())
         self.queue.clear()
--- a/weldbend/clients/connection.py
+++ b/weldbend/clients/connection.py
@@ -209,7 +209,8 @@
             self.ban(misbehaviour.PROTOCOL_VIOLATION)
         finally:
             self.is_reading = False
-            # A request of this read that is still open was not cancelled at once, which ends the series.
+            # A request of this read that is still open was not cancelled in the same read, so the count of
+            # consecutive immediate cancellations starts again.
             if not self.new_requests.isdisjoint(self.open_requests.values()):
                 self.violations.cancellations = 0
             self.new_requests.clear()
@@ -220,8 +221,9 @@
     def _scan_for_cancellations(self) -> None:
         """Handle cancellations among buffered calls that are held back because the client reads no answers.
 
-        This guards caches against attempts for requests that the client has already cancelled. No side effect
-        is known. A cancellation that did not fit into the ring is found only once it is read from the socket.
+        This guards caches against attempts for requests that the client has already cancelled. A
+        cancellation that did not fit into the ring is found only once it is read from the socket. Handling
+        cancellations before the calls that precede them has no known drawback.
         """
         while found := peek_small_frame(self.incoming, self.scanned_bytes, MAX_CANCELLATION_SIZE):
             end, data = found
--- a/weldbend/clients/listener.py
+++ b/weldbend/clients/listener.py
@@ -130,8 +130,8 @@
 
         While accepting is paused or accept(2) fails, the port stays open; the caller tries again later.
         Closing the port resets connections that the kernel has established and this front has not accepted.
-        Accepting them first guards requests that were already sent on them. No side effect is known, since no
-        client can connect once the port is closed.
+        Accepting them first guards requests that were already sent on them. This has no known drawback, since
+        no client can connect once the port is closed.
 
         Returns:
             Whether the port is closed.
--- a/weldbend/clients/misbehaviour.py
+++ b/weldbend/clients/misbehaviour.py
@@ -40,7 +40,8 @@
 
         This guards against clients that cancel hundreds of calls as they send them. Clients with short
         timeouts must not be banned: when this front is delayed, it reads their calls together with the
-        cancellations. No side effect is known, since such a client has few open requests at that time.
+        cancellations. The limit has no known drawback for them, since they have few open requests at
+        that time.
 
         Args:
             is_immediate: Whether the call was received in the same read as its cancellation.
--- a/weldbend/early_signals.py
+++ b/weldbend/early_signals.py
@@ -2,7 +2,7 @@
 
 A SIGHUP asks a front to reload its configuration. If one arrives while the front is loading and no handler is
 installed, it ends the process. If it were ignored, a front that has already read its configuration would keep
-the old address of an event bus that has moved. No side effect is known.
+the old address of an event bus that has moved. Collecting the signals for later has no known drawback.
 """
 
 import signal
--- a/weldbend/event_bus/endpoint_registry.py
+++ b/weldbend/event_bus/endpoint_registry.py
@@ -75,9 +75,10 @@
     def estimate_start(self, record: EndpointRecord, receipt: Receipt) -> StartInterval | None:
         """Return bounds of a cache's start time, or None if the record has no start time.
 
-        All calls for the same start return the same bounds until `discard_start` is called. The bus reports
-        a start repeatedly; a second estimate would differ from the first and look like another start, which
-        resets the router's state of that cache. There are no side effects.
+        All calls for the same start return the same bounds until the start is discarded: by `discard_start`,
+        by `remove`, or by a record with another start time or none. The bus reports a start repeatedly; a
+        second estimate would differ from the first and look like another start, which resets the router's
+        state of that cache. Keeping the first estimate has no known drawback.
         """
         if not record.started_at:
             self.starts.pop(record.uid, None)
@@ -99,7 +100,9 @@
         self.starts.pop(uid, None)
 
     def peer_start(self, uid: str, stamp: float, reported_start: float) -> float:
-        """Return when a cache started, in seconds of the front's clock, given a report of another front.
+        """Return the latest possible start time of a cache, given a report of another front.
+
+        The time is in seconds of the front's clock.
 
         If the bus has reported the same start or a later one, the estimate from the bus is returned instead.
         If the bus reports this start afterwards, the estimate made here is kept for it.
@@ -107,7 +110,7 @@
         Args:
             uid: Uid of the endpoint.
             stamp: Unix seconds of the start, used only to identify it.
-            reported_start: Latest possible time of the start, in seconds of the front's clock.
+            reported_start: Latest possible start time by that report, in seconds of the front's clock.
         """
         known = self.starts.get(uid)
         if known and known.stamp >= stamp:
--- a/weldbend/fleet/cli.py
+++ b/weldbend/fleet/cli.py
@@ -1,4 +1,6 @@
-"""`weldbend fleet`: commands that query running fronts over their admin ports.
+"""`weldbend fleet`: commands for the admin ports of running fronts.
+
+They query the fronts, ban and reinstate clients, and change fleet settings.
 
 The names of the commands, their options and their output are an interface and must not change.
 """
@@ -148,11 +150,13 @@
 def limits(control: str, as_json: bool) -> None:
     """Show the quotas and leases of each limit.
 
-    For a strict limit, amounts are in 1200ths of the limit, except the need: it is a number of attempts in a
-    window, each of which takes one pull. `keeps` is what the front owns and has not lent. `nothing of its
-    own` is shown after a restart, until leases by the previous process have ended. `others name other
-    members` means that other fronts may divide the limit among other members. For a soft limit, the part is
-    the fraction that the front may use, and the need is its demand per second.
+    For a strict limit, amounts are in parts, of which the limit has 1200, except the need: the number of
+    attempts that the front could use in one window (the period over which the limit is counted). `pulls of N`
+    means that each attempt takes N of the 1200 parts. `keeps` is what the front owns and has not lent.
+    `nothing of its own` is shown after a start: until leases that an earlier process of this front may have
+    granted have ended, the front uses none of the parts that it owns. `others name other members` means that
+    other fronts may divide the limit among other members, so this front owns no parts. For a soft limit, the
+    part is the fraction that the front may use, and the need is its demand per second.
     """
     rows = ask(control, ask="limits")
     if as_json:
@@ -180,9 +184,10 @@
     """Show caches under ejection, with the fronts that reported them, and clients banned by the fleet.
 
     A cache is shut (ejected), in trial (half-open), in ramp (recovering) or open (recovered less than 60 s
-    ago). `gets` is the fraction of its load that this front sends, and `fell` the number of its ejections.
-    Clients banned only with `cast` are not listed; those reinstated with `pardon` are, until the fleet's ban
-    ends.
+    ago). `gets` is the fraction of its usual attempts that this front still sends to the cache (100 %:
+    unrestricted). `fell` is the number of its ejections since the ejection record was created, counted up to
+    8. Clients banned only with `cast` are not listed; those reinstated with `pardon` are, until the fleet's
+    ban ends.
     """
     rows = ask(control, ask="verdicts")
     if as_json:
@@ -218,7 +223,8 @@
 def pardon(client: str, control: str) -> None:
     """Lift the ban of a client.
 
-    The fronts' reports about it remain, but are overridden until a newer one.
+    Bans that fronts reported earlier stay recorded, but no longer apply. A ban by the fleet applies again
+    once a front reports one after this command.
     """
     ask(control, ask="pardon", client=client)
     click.echo(f"{client} is pardoned")
--- a/weldbend/fleet/datagram_port.py
+++ b/weldbend/fleet/datagram_port.py
@@ -58,8 +58,8 @@
     def stopProtocol(self) -> None:
         """Schedule reopening of the port unless `close` was called; Twisted closes it when a read fails.
 
-        This keeps membership working after a failed read, for example when the system is short of memory. No
-        side effect is known.
+        This keeps membership working after a failed read, for example when the system is short of memory.
+        Reopening the port has no known drawback.
         """
         if not self.is_closed:
             self.counts["datagram ports that an error closed"] += 1
--- a/weldbend/fleet/purges.py
+++ b/weldbend/fleet/purges.py
@@ -56,8 +56,8 @@
         """Return whether a peer's purge is a replay of one that this front's own bus delivered earlier.
 
         Guards against old purges that a front publishes again after its start, which would make all other
-        fronts fetch again the copies that they have fetched since. There is no side effect: the purge has
-        already taken effect here when this front's own bus delivered it.
+        fronts fetch again the copies that they have fetched since. Ignoring a replay has no drawback: the
+        purge has already taken effect here when this front's own bus delivered it.
         """
         delivered_at = self.delivered.get((change.key, int(change.value[0])))
         return delivered_at is not None and delivered_at < written_at - REPLAY_AFTER
--- a/weldbend/front/counters_log.py
+++ b/weldbend/front/counters_log.py
@@ -12,6 +12,8 @@
 from weldbend.front.dispatcher import Dispatcher
 
 MILLISECONDS = 1e3  # per second
+# "at most" marks the highest value so far. The number of cache connections is sampled only when the line is
+# written, so its highest value leaves out what happened between two lines.
 LINE_FORMAT = (
     "counters {counts}; cpu {cpu_ms} ms, {cpu_ms_per_request} per request; "
     "memory {max_memory_mb} MB at most; "
@@ -38,7 +40,7 @@
         self._max_cache_connections = 0
 
     def write(self) -> None:
-        """Write the counters line and reset the limit on logged internal errors."""
+        """Write the counters line, and let further internal errors be logged again."""
         fields = self._process_fields() | self._connection_fields()
         fields |= {
             "max_unsent_kb": self.gateway.max_unsent_bytes // 1000,
@@ -66,6 +68,7 @@
         listener = self.gateway.listener
         idle_pool = self.gateway.listener.idle_pool
         cache_connections = sum(1 for _ in self.dispatcher.pool.all_connections())
+        # The highest number seen when a line was written.
         self._max_cache_connections = max(self._max_cache_connections, cache_connections)
         return {
             "client_connections": listener.connection_count(),
--- a/weldbend/front/server.py
+++ b/weldbend/front/server.py
@@ -263,8 +263,8 @@
         because the connection limit is reached or accept(2) fails, the port stays open. It is closed before
         the exit because most clients have moved to another front by then. This guards against closing a
         connection while a request is in transit, and against clients that go on connecting without sending
-        anything. No side effect is known: a client that still connects is refused when the port is closed
-        instead of after the exit, which follows soon.
+        anything. Closing the port before the exit has no known drawback: a client that still connects is
+        refused when the port is closed instead of after the exit, which follows soon.
         """
         assert self.stop_requested is not None
         now = self.clock.now()
--- a/weldbend/idle_connections/epoll_set.py
+++ b/weldbend/idle_connections/epoll_set.py
@@ -1,7 +1,7 @@
 """System calls for idle connections: an epoll set beside the reactor's, and descriptors without a transport.
 
-This module contains all system calls and all access to internals of a transport, so that tests can replace
-them.
+This module contains all system calls of this package and all its access to internals of a transport, so that
+tests can replace them.
 """
 
 import errno
@@ -37,7 +37,7 @@
     """Return the events that are ready, or none if a signal interrupts the call; the next call reports them.
 
     An exception here would stop the watching of all connections in the set: the set is a reader of the
-    reactor, which removes a reader that raises an exception. No side effect is known.
+    reactor, which removes a reader that raises an exception. Returning none has no known drawback.
     """
     try:
         return epoll.poll(0, limit)
--- a/weldbend/idle_connections/idle_pool.py
+++ b/weldbend/idle_connections/idle_pool.py
@@ -153,7 +153,7 @@
 
         Used when the pool polls the set without a call from the reactor. The set reports each descriptor only
         once, so the reactor would not call `doRead` for these connections any more, and their requests would
-        stay unread until another descriptor becomes readable. No side effect is known.
+        stay unread until another descriptor becomes readable. Scheduling the batch has no known drawback.
         """
         if self.queue_readable():
             self.schedule_wake()
--- a/weldbend/installation/reader.py
+++ b/weldbend/installation/reader.py
@@ -89,8 +89,8 @@
     """Validate the sections of a file and return its settings.
 
     Args:
-        raw: Sections of the file by name, with the texts of their keys.
-        path: Path of the file, for error messages.
+        raw: Sections of the file by name, each with the texts of its values by key.
+        path: Path of the file, for error messages and as the origin of the settings that it contains.
 
     Raises:
         InstallationError: The file has a problem; the error describes the first one.
--- a/weldbend/routing/rendezvous.py
+++ b/weldbend/routing/rendezvous.py
@@ -20,7 +20,7 @@
 NUMBERS = Struct(f"<{BUCKETS}I")
 NUMBER_RANGE = 2**32
 NUMBER_BYTES = 4
-LOWEST_BYTES = b"\x80" * BUCKETS  # value of the lowest byte of each bucket's number, so that no number is 0
+LOWEST_BYTES = b"\x80" * BUCKETS  # lowest byte of each number that is drawn, so that none is 0
 MAX_WEIGHT = 1e100  # upper bound of a cache's weight, so that sums stay finite
 ROUNDING = 1e-9  # relative tolerance when buckets are compared, far above the rounding error of a logarithm
 
@@ -31,6 +31,10 @@
     The probability that a cache is the first choice is proportional to its weight. The time is the negative
     logarithm of a number that a hash draws from (0, 1], divided by the weight (Schindelhauer and Schomaker
     2005).
+
+    `Bucket.interarrival_time` draws an interval in the same way. It passes the names of the object and the
+    bucket as `object_name`, the number of caches that have not arrived as `cache`, and the sum of their
+    weights as `weight`.
     """
     digest = blake2b(f"{object_name} {cache}".encode(), digest_size=DIGEST_BYTES).digest()
     return -math.log((int.from_bytes(digest) + 1) / (DIGEST_RANGE + 1)) / weight
@@ -47,7 +51,7 @@
     """The caches of one bucket, with their weights.
 
     Attributes:
-        number: number of the bucket.
+        number: index of the bucket, from 0 to `BUCKETS` - 1.
         weights: weights by cache.
         weight: sum of the weights, rounded once, so that it does not depend on the order of changes.
     """
@@ -65,7 +69,7 @@
         self.weight = math.fsum(self.weights.values())
 
     def first_arrival(self, numbers: tuple[int, ...]) -> float:
-        """Return the arrival time of the bucket's first cache."""
+        """Return the arrival time of the bucket's first cache, given the numbers drawn for all buckets."""
         return -math.log(numbers[self.number] / NUMBER_RANGE) / self.weight
 
     def ranked(self, object_name: str) -> list[int]:
@@ -88,8 +92,8 @@
     """A ranking of caches by weight for any object; changing a cache costs about as much as a ranking.
 
     Attributes:
-        buckets: buckets that contain caches, by number.
-        occupied: flag for each bucket number, set if the bucket contains caches.
+        buckets: buckets that contain caches, by index.
+        occupied: flag for each bucket index, set if the bucket contains caches.
     """
 
     def __init__(self) -> None:
@@ -131,9 +135,11 @@
     def first_bucket(self, numbers: tuple[int, ...]) -> Bucket:
         """Return the bucket whose first cache arrives first.
 
-        A bucket arrives at -log(number / NUMBER_RANGE) / weight. The one with the highest number arrives no
-        later than if it were the lightest bucket. Another can only arrive earlier, even if it is the heaviest
-        one, if its number is at least `least`; only those buckets are compared.
+        `numbers` are the numbers drawn for the buckets, by index. The first cache of a bucket arrives at
+        -log(drawn number / NUMBER_RANGE) / weight of the bucket. That of the bucket with the highest drawn
+        number arrives no later than if this bucket were the lightest one. Another bucket's can only arrive
+        earlier, even if that bucket is the heaviest one, if its drawn number is at least `least`; only those
+        buckets are compared.
         """
         highest = max(compress(numbers, self.occupied)) / NUMBER_RANGE
         least = highest ** self.weight_ratio() * NUMBER_RANGE * (1 - ROUNDING)
