--- a/tests/test_binding_rules.py
+++ b/tests/test_binding_rules.py
@@ -39,9 +39,10 @@
         assert counts[counter] >= minimum, (counter, counts)
 
 
-def test_the_bound_on_calls_to_cold_caches_is_the_documented_one():
-    # Below SMALL_CALL_LIMIT (30 allowed calls): 3 standard deviations, the square root of 25, and 3 calls
-    # more than allowed; from there on: 2 standard deviations, the square root of 100, and 2 calls.
+def test_the_bound_on_calls_to_cold_caches_adds_standard_deviations_to_the_allowed_calls():
+    # The standard deviation is the square root of the allowed calls: 5 for 25 calls, and 10 for 100 calls.
+    # Below SMALL_CALL_LIMIT (30 allowed calls), the bound adds 3 standard deviations and 3 calls to the
+    # allowed calls; from there on, it adds 2 standard deviations and 2 calls.
     assert max_calls(25) == 25 + 3 * 5 + 3
     assert max_calls(100) == 100 + 2 * 10 + 2
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -27,7 +27,7 @@
 
 
 def injector(seed=1, framing="thrift", **faults):
-    """Return an injector; `faults` has the fields of each fault of the plan, by its name."""
+    """Return an injector; `faults` maps the name of each fault of the plan to the fault's fields."""
     return Injector(parse_plan({name: fields for name, fields in faults.items()}, framing), seed)
 
 
@@ -69,7 +69,7 @@
     assert message in str(raised.value)
 
 
-def test_message_triggers_are_rejected_where_the_framing_has_no_messages(tmp_path):
+def test_faults_that_require_messages_are_rejected_where_the_framing_has_none(tmp_path):
     # The direction `there`, to the event bus, is not divided into messages by the framing sse.
     with pytest.raises(InvalidPlanError, match="requires messages, but direction there is raw bytes"):
         parse_plan({"f": {"kind": "drop", "direction": "there"}}, "sse")
@@ -107,7 +107,8 @@
 
 
 def test_each_kind_of_fault_has_its_documented_effect():
-    # Each fault applies to the second of three messages, unless a trigger is given.
+    # Each fault is injected at the second of three messages, except the last, which has no trigger and
+    # applies to all.
     first, second, third = ANSWERS[:3]
 
     def play_fault(**fields):
@@ -194,8 +195,10 @@
     for framing in ("thrift", "answers", "commands"):
         data = b"\xff" * 5000
         assert b"".join(m.raw for m in Splitter(framing).feed(data)) == data
+    # Whole commands are split at their boundaries.
     parts = [commands.do("a", {"x": "1"}, b"\r\n"), commands.undo("a"), commands.ping("t")]
     assert [m.raw for m in Splitter("commands").feed(b"".join(parts))] == parts
+    # An incomplete message is passed on at the end of the stream. The fault, on message 9, is never due.
     stream = injector(x={"kind": "drop", "message": "9"}).stream(1, Direction.TO_CLIENT, 0.0)
     assert stream.feed(0.0, ANSWERS[0][:9]) == []
     assert stream.end(0.0) == [
--- a/tests/test_socket_faults.py
+++ b/tests/test_socket_faults.py
@@ -1,7 +1,8 @@
 """Tests of the socket fault injector: its plans, its audit, and real fronts that run under a few seeds.
 
 The injector makes system calls of a front fail. A plan, drawn from a seed, has episodes in which one kind of
-call fails. The audit checks at the emulated caches which attempts arrive.
+call fails. The audit checks at the emulated caches that the attempts of a request do not overlap, and that no
+attempt arrives after the deduplication window of its idempotency key.
 """
 
 import errno
@@ -78,9 +79,13 @@
 
 
 def record_two_attempts(clock, audit, *, ends_first):
-    """Record two attempts of one write, 10 ms apart; return the command and the second connection.
+    """Record two attempts of one request with an idempotency key, sent 10 ms apart.
+
 
     With `ends_first`, the first attempt ends when the second has arrived, within the permitted slack.
+
+    Returns:
+        The command, which is the same for both attempts, and the connection of the second attempt.
     """
     server = SimpleNamespace(cache=SimpleNamespace(open=0))
     first, second = (AuditedConnection(server, audit) for _ in range(2))
@@ -117,7 +122,11 @@
     "seed", [5, 12, 41], ids=["accept ENFILE", "connect ENETUNREACH", "epoll_wait EINTR"]
 )
 def test_a_front_whose_system_calls_fail_keeps_the_rules(seed):
-    """A seed injects the fault named in its test id from start to shutdown, and five others now and then."""
+    """Check the rules, which are listed in `weldbend.testbed.faults.socket_trial`.
+
+    A seed injects the fault named in its test id from start to shutdown, and five randomly drawn faults, each
+    in one short episode.
+    """
     command = [sys.executable, "-m", "weldbend.testbed.faults.socket_trial", "--seeds", str(seed)]
     result = subprocess.run(command, capture_output=True, text=True, timeout=120)
     report = json.loads(result.stdout)
--- a/weldbend/event_bus/remote_timestamps.py
+++ b/weldbend/event_bus/remote_timestamps.py
@@ -5,8 +5,19 @@
 effect. The reading is trusted once another machine's clock agrees with it (`RemoteTimestamps.confirm`). A
 converted time is not trusted if it contradicts what this front observed: an event cannot have happened after
 it arrived, nor before the last moment at which this front had received all published events (`Receipt`).
-A time that is not trusted is replaced by the most cautious one, the arrival of the event: a cache may then be
-treated as colder than it is, and more copies may be purged than necessary.
+
+Instead of a time that is not trusted, the arrival of the event is used, which is the most cautious time: a
+cache may then be treated as colder than it is, and more copies may be purged than necessary. Exceptions:
+
+- An event of the configuration or of the first read of the bus may be of any age. Its time is estimated
+  (`_estimate_first_read`): for a cache's start only while the reading is not confirmed, for a purge also
+  afterwards, unless the next exception applies.
+- A time at most `MAX_LIVE_DELAY` before the arrival is used without confirmation, except for a cache's start
+  of a first read.
+
+Even a trusted time is not used for a purge missed in an outage of at most `SHORT_OUTAGE`, nor as the latest
+start of a cache in an event that was received live more than `MAX_LIVE_DELAY` after its timestamp; in both
+cases, the arrival is used.
 
 The model, its error bounds and its assumptions are in docs/design.md, "Timestamps of other machines".
 """
@@ -19,7 +30,7 @@
 
 MAX_CLOCK_DIFFERENCE = 0.5  # maximum seconds between this front's Unix clock and another machine's
 MAX_LIVE_DELAY = 0.05  # maximum seconds from an event's timestamp to its arrival at a connected front
-SHORT_OUTAGE = 10.0  # seconds without the bus up to which a missed purge counts as issued at its arrival
+SHORT_OUTAGE = 10.0  # seconds; a purge missed in an outage up to this is treated as issued when it arrives
 
 
 @dataclass(frozen=True, slots=True)
@@ -103,8 +114,9 @@
     def confirm(self, stamp: float, now: float) -> bool:
         """Compare the reading with a timestamp of another machine, which may be new or old.
 
-        A timestamp is never in the future. An old one therefore seems even older by a clock that is ahead,
-        and cannot agree with it by accident.
+        A timestamp is never in the future. If this front's clock is ahead, an old timestamp therefore seems
+        even older, and cannot agree with the reading by accident. If this front's clock is behind, an old
+        timestamp may agree by accident; converted times are then too late, which is the cautious direction.
 
         Returns:
             Whether this call confirmed the reading; False if it was confirmed before.
@@ -147,8 +159,10 @@
         """Return the later of two independent estimates, but at most the arrival.
 
         One estimate uses this front's clock. The other uses only the clocks of the machines that wrote the
-        timestamps: `latest`, the latest timestamp of this event and those after it on the bus, was not in the
-        future when it arrived, so this event is at least as old as `latest - stamp`.
+        timestamps: `latest`, the latest timestamp of the same kind in this event and those after it in the
+        same configuration, was not in the future when it arrived, so this event is at least as old as
+        `latest - stamp`. For events read from the bus, `latest` is minus infinity, and the result is the
+        arrival.
         """
         min_age = max(latest - stamp, 0.0)
         return min(max(self.to_monotonic(stamp), receipt.arrived - min_age), receipt.arrived)
--- a/weldbend/fleet/settings.py
+++ b/weldbend/fleet/settings.py
@@ -60,21 +60,23 @@
         listen: host:port for this front's datagrams and connections; empty for a front without a fleet.
         fleet: the fleet's name.
         zone: this front's zone.
-        key_file: path of the key file.
+        key_file: path of the file with the keys that authenticate fleet messages.
         peers: all configured members.
         admin_address: host:port on loopback for `weldbend fleet`; empty for no admin port.
         probe_interval: time between two probes of a front.
         probe_timeout: time within which a direct probe has to be answered.
         helpers: number of members that are asked to probe on this front's behalf.
-        min_suspicion: shortest suspicion, in units of the probe interval times log10 of the member count (at
-            least 1).
+        min_suspicion: shortest suspicion, in units of the probe interval times the log10 of the member count;
+            a logarithm below 1 counts as 1.
         suspicion_spread: ratio of the suspicion without any confirmation to the shortest one.
-        isolation_timeout: time without any received message after which this front judges no members.
-        pause_threshold: time between two ticks above which this process counts as paused.
-        peer_rate: rate of snapshots and deltas to one peer.
+        isolation_timeout: time without any received message after which this front declares no members dead.
+        pause_threshold: time between two ticks, beyond the probe interval as extended by the local health,
+            above which this process counts as paused.
+        peer_rate: maximum rate of snapshots and deltas of the replicated fleet state to one peer.
         outbox_capacity: maximum size of the messages queued for one peer.
-        retained_operations: number of changes per run of a writer that are retained for replicas behind.
-        summary_interval: time between two summaries to one peer.
+        retained_operations: number of the latest changes kept for each front and start of that front, for
+            members whose copy of the shared state lacks them.
+        summary_interval: time between two summaries of the replicated fleet state to one peer.
         limits: limits that apply to the whole fleet.
         popularity: whether the fronts of a zone share their counts of clients' requests.
     """
@@ -111,7 +113,8 @@
         """
         shortest = self.min_suspicion * max(1.0, math.log10(max(members, 1))) * self.probe_interval
         longest = shortest * self.suspicion_spread
-        # The maximum number of confirmations; all members but this front and the suspected one can confirm.
+        # Number of confirmations from which the suspicion is shortest: `helpers`, or fewer if fewer members
+        # can confirm (all but this front and the suspected one).
         possible = max(min(self.helpers, members - 2), 0)
         if confirmations >= possible:
             return shortest
--- a/weldbend/front/configuration.py
+++ b/weldbend/front/configuration.py
@@ -19,7 +19,7 @@
 MAX_ITERATION = 0.004
 CACHE_DESCRIPTORS = 96  # file descriptors for connections to caches; some tens of them are in use at a time
 RESERVED_DESCRIPTORS = 32  # file descriptors for the log, the reactor, the bus and the listening port
-MEMORY_FRACTION = 4  # divisor: a quarter of the memory limit may hold answers for slow readers
+MEMORY_FRACTION = 4  # divisor of the memory limit: a quarter of it may hold answers for slow readers
 MAX_PORT = 65_535
 MICROSECONDS = 1e6  # per second
 
@@ -43,10 +43,10 @@
 
 
 class UnusableSettingError(ConfigurationError):
-    """A configuration with an invalid value.
+    """A configuration with an invalid value, or a text that is not JSON.
 
     Attributes:
-        cause: exception that reading the value raised.
+        cause: exception that reading the value or parsing the text raised.
     """
 
     def __init__(self, cause: Exception) -> None:
@@ -112,7 +112,7 @@
     """Parse and validate the JSON text of a configuration.
 
     Raises:
-        ConfigurationError: a key is missing or a value is invalid.
+        ConfigurationError: the text is not JSON, a key is missing or a value is invalid.
     """
     try:
         return _parse_site(json.loads(text))
--- a/weldbend/idle_connections/connection_table.py
+++ b/weldbend/idle_connections/connection_table.py
@@ -1,8 +1,10 @@
 """Records of idle connections: flat arrays indexed by file descriptor, no object per connection. No I/O.
 
-A connection takes about fifty bytes: its state, the time of its last activity, the counts of its
-`ConnectionRecord`, and its entry in the timer wheel of its usage class. The usage class of a connection
-depends on its number of requests so far (`policy.usage_class`) and determines its idle timeout.
+A connection takes about fifty bytes: 15 for its state, the time of its last activity and the counts of its
+`ConnectionRecord`, and 12 for its entry in each of the three timer wheels, one per usage class. It is
+scheduled only in the wheel of its own usage class, but each wheel may have an entry for every descriptor. The
+usage class of a connection depends on its number of requests so far (`policy.usage_class`) and determines its
+idle timeout.
 """
 
 from array import array
@@ -142,14 +144,14 @@
     def next_waking(self) -> int | None:
         """Take the next connection to be woken from the queues; return None if they are empty.
 
-        The state of its slot does not change before `remove` or `return_to_idle`.
+        The connection remains in the state `WAKING` until `remove` or `return_to_idle` is called for it.
         """
         while self.short_idle_queue or self.long_idle_queue:
             self.dequeue_count += 1
             prefers_long_idle = not self.short_idle_queue or self.dequeue_count % LONG_IDLE_INTERVAL == 0
             use_long_idle = self.long_idle_queue and prefers_long_idle
             slot = (self.long_idle_queue if use_long_idle else self.short_idle_queue).popleft()
-            # Otherwise, the connection was removed while queued, and another one may use the slot by now.
+            # In any other state, the queued connection has been removed, and another may use the slot now.
             if self.states[slot] == WAKING:
                 return slot
         return None
--- a/weldbend/idle_connections/policy.py
+++ b/weldbend/idle_connections/policy.py
@@ -1,9 +1,10 @@
 """Decisions about client connections: which are kept, made idle or closed, and how many at a time.
 
 An active connection (elsewhere called live) is handled by a protocol object, unlike one in the idle pool
-(`idle_pool`). The functions do no I/O and read no clock. The defaults are the platform's limits on silent
-clients, incomplete requests and file descriptors; an installation file may set other values
-(`weldbend.installation`).
+(`idle_pool`). The functions do no I/O and read no clock. The operators' protocol page sets the limits on
+silent clients and incomplete requests, which are the defaults of `request_timeout` and `idle_timeout`. By
+default, `max_connections` is derived from the limit on file descriptors. The other defaults are this front's
+own. An installation file may set other values (`weldbend.installation`).
 """
 
 from dataclasses import dataclass
@@ -23,7 +24,7 @@
 class ConnectionSettings:
     """Settings of an installation for client connections.
 
-    Times are in seconds, all other values are counts. The defaults are the platform's.
+    Times are in seconds, all other values are counts.
     """
 
     request_timeout: float = 2.0  # until the first request arrives, and until the end of each partial one
@@ -162,8 +163,8 @@
     Guards timers and the deadlines of open requests against long iterations when many idle connections become
     readable at the same time. While connections wait to be woken, the size grows by one after a short
     iteration and is halved after a long one (additive increase, multiplicative decrease). Side effect: the
-    last of the waiting connections wake late; the router is notified of that delay and rejects requests whose
-    deadline has become too close.
+    last of the waiting connections wake late; the router is notified of that delay and rejects requests with
+    a probability that grows with it.
 
     Attributes:
         max_size: Upper bound of the size.
--- a/weldbend/routing/admission.py
+++ b/weldbend/routing/admission.py
@@ -110,7 +110,8 @@
         if at_parent and not self.context.parent_limit.has_capacity(is_densest):
             return Blocked(None)
         for cache in attempt.caches():
-            # primary: no cache of the same role has been ruled out before, or this one was already looked up
+            # primary: no cache of the same role has been ruled out before, or this request has already looked
+            # up the object at this cache, which did not have it
             is_primary = cache is request.missed_cache or all(
                 c.role is not cache.role for c in request.ruled_out
             )
@@ -149,7 +150,8 @@
             return False
         if not executions or request_class.idempotency is Idempotency.IDEMPOTENT:
             return True
-        # two ticks (times between batches) before the key of the first execution may be forgotten
+        # A tick is the longest time between two batches of events. No further attempt is sent in the last
+        # two ticks before the caches may forget the key of the first execution.
         until = executions[0].sent + request_class.deduplication_window - 2 * settings.tick
         return request_class.idempotency is Idempotency.DEDUPLICATED and self.context.now < until
 
--- a/weldbend/thrift/messages.py
+++ b/weldbend/thrift/messages.py
@@ -14,7 +14,8 @@
 PROTOCOL_ERROR = 7
 
 MESSAGE_TYPES = {"process": binary.CALL, "giveUp": binary.ONEWAY, "probe": binary.CALL}
-# Characters of a method's name in a reply, or of the reason that quotes the name of an unknown method.
+# Maximum number of characters of a method's name in a reply, or of the reason that quotes the name of an
+# unknown method.
 MAX_METHOD_NAME_LENGTH = 100
 STOP = bytes((binary.STOP,))
 
@@ -80,7 +81,8 @@
     """Decode the content of one frame as a call.
 
     Raises:
-        InvalidMessageError: The header is invalid, or the arguments of a oneway call are, which has no reply.
+        InvalidMessageError: The header is invalid, or the call is oneway, thus has no reply, and its
+            arguments are invalid.
     """
     reader = Reader(data)
     header = reader.message_header()
