--- a/weldbend/idle_connections/policy.py
+++ b/weldbend/idle_connections/policy.py
@@ -1,10 +1,9 @@
 """Decisions about client connections: which are kept, made idle or closed, and how many at a time.
 
 An active connection (elsewhere called live) is handled by a protocol object, unlike one in the idle pool
-(`idle_pool`). The functions do no I/O and read no clock. The operators' protocol page sets the limits on
-silent clients and incomplete requests, which are the defaults of `request_timeout` and `idle_timeout`. By
-default, `max_connections` is derived from the limit on file descriptors. The other defaults are this front's
-own. An installation file may set other values (`weldbend.installation`).
+(`idle_pool`). The functions do no I/O and read no clock. The default of `idle_timeout` exceeds the 4 s after
+which clients close an idle connection. By default, `max_connections` is derived from the limit on file
+descriptors. An installation file may set other values (`weldbend.installation`).
 """
 
 from dataclasses import dataclass
