--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -136,29 +136,15 @@
             program.kill_and_wait()
 
 
-def allow_a_minute_for_each_request(path):
-    """Set latency objectives of 30 s and deadlines of 60 s, so that no delay of this test exceeds them.
-
-    On a busy machine this test may pause for seconds, and the front rejects a request whose attempt at the
-    only cache takes more than twice the latency objective.
-    """
-    document = json.loads(path.read_text())
-    for request_class in document["settings"]["lanes"]:
-        request_class["goal_time_us"] = 30_000_000
-        request_class["deadline_us"] = 60_000_000
-    path.write_text(json.dumps(document))
-
-
 def test_memory_and_descriptors_stay_within_limits_with_341_connections_and_slow_readers(site):
     """Two of 341 clients send 32 requests each, the limit, and read nothing until the cache has sent all."""
     path, address, cache = site
-    allow_a_minute_for_each_request(path)
     program = FrontProcess(path)
     try:
         clients = [connect_and_send(address, probe(1)) for _ in range(339)]
         assert {read_answer(client) for client in clients} == {"1 probe: good True"}
         request_frames = [
-            [process(n, key=f"{n:016x}", wait="60000") for n in range(32 * k + 1, 32 * k + 33)]
+            [process(n, key=f"{n:016x}") for n in range(32 * k + 1, 32 * k + 33)]
             for k in (0, 1)  # one list for each slow client
         ]
         slow = [connect_and_send(address, *frames) for frames in request_frames]
